--- a/crates/domain/src/lib.rs
+++ b/crates/domain/src/lib.rs
@@ -202,7 +202,7 @@
 );
 text_name!(
     /// A controller.
-    NodeName
+    ControllerName
 );
 text_name!(
     /// A zone of the cloud.
--- a/crates/drain/src/operator.rs
+++ b/crates/drain/src/operator.rs
@@ -1,6 +1,6 @@
 //! What operators ask controllers, and what they are answered.
 
-use dappleshore_domain::{NodeName, Team};
+use dappleshore_domain::{ControllerName, Team};
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
 
@@ -68,7 +68,7 @@
     },
     /// Another controller leads.
     Elsewhere {
-        leader: NodeName,
+        leader: ControllerName,
         addr: String,
     },
     Problem(Problem),
--- a/src/blocks/mod.rs
+++ b/src/blocks/mod.rs
@@ -9,7 +9,7 @@
 use tracing::info;
 
 use crate::config::Config;
-use crate::domain::{BlockId, NodeName, Now, Zone, since};
+use crate::domain::{BlockId, ControllerName, Now, Zone, since};
 use crate::leadership::Lead;
 use crate::policy::Policy;
 use crate::store::records::{Grant, LEADER, TOKEN, Token, grant_key};
@@ -47,11 +47,11 @@
     writer: Writer,
     leading_since: Option<(u64, Instant)>,
     /// When each controller last spoke to us.
-    heard: BTreeMap<NodeName, (u64, Instant)>,
+    heard: BTreeMap<ControllerName, (u64, Instant)>,
     /// Blocks whose holder asked for a new token.
     renew: BTreeMap<BlockId, u64>,
     /// Controllers that could not do a holder's work: until when they get no blocks, and how often in a row.
-    unfit: BTreeMap<NodeName, (Instant, u32)>,
+    unfit: BTreeMap<ControllerName, (Instant, u32)>,
 }
 
 /// How long a controller that could not do a holder's work gets no blocks: doubled each time that it fails again.
@@ -69,8 +69,8 @@
         }
     }
 
-    pub fn heard_from(&mut self, now: Now, node: &NodeName, boot: u64) {
-        self.heard.insert(node.clone(), (boot, now.steady));
+    pub fn heard_from(&mut self, now: Now, controller: &ControllerName, boot: u64) {
+        self.heard.insert(controller.clone(), (boot, now.steady));
     }
 
     /// A holder has lost track of a command: only a higher token makes sure that it can't be executed late.
@@ -90,8 +90,12 @@
 
     /// A holder that hears hardly any of its machines, while others hear them. Its blocks go to others, and it does
     /// not win them back at once, or they would go to and fro.
-    pub fn unfit(&mut self, now: Now, node: &NodeName) {
-        let (until, times) = self.unfit.get(node).copied().unwrap_or((now.steady, 0));
+    pub fn unfit(&mut self, now: Now, controller: &ControllerName) {
+        let (until, times) = self
+            .unfit
+            .get(controller)
+            .copied()
+            .unwrap_or((now.steady, 0));
         if now.steady < until {
             return;
         }
@@ -101,29 +105,29 @@
             0
         };
         let pause = UNFIT_FOR * 2u32.pow(times.min(UNFIT_DOUBLINGS));
-        info!(holder = %node, ?pause, "holder can't reach its machines");
+        info!(holder = %controller, ?pause, "holder can't reach its machines");
         self.unfit
-            .insert(node.clone(), (now.steady + pause, times + 1));
+            .insert(controller.clone(), (now.steady + pause, times + 1));
     }
 
     fn trusted(
         &self,
         now: Now,
-        node: &NodeName,
+        controller: &ControllerName,
         config: &Config,
         policy: &Policy,
         view: &View,
     ) -> bool {
-        if *node == config.name {
+        if *controller == config.name {
             return true;
         }
-        let Some(member) = view.members.get(node) else {
+        let Some(member) = view.members.get(controller) else {
             return false;
         };
         let since_start = self
             .leading_since
             .map_or(Duration::ZERO, |(_, at)| since(now, at));
-        match self.heard.get(node) {
+        match self.heard.get(controller) {
             Some((boot, at)) if *boot == member.value.boot => {
                 since(now, *at) < policy.suspect_after
             }
@@ -151,22 +155,25 @@
         if !self.writer.ready(now, view) {
             return None;
         }
-        let mut members: Vec<NodeName> = view
+        let mut members: Vec<ControllerName> = view
             .members
             .keys()
-            .filter(|node| self.trusted(now, node, config, policy, view))
+            .filter(|controller| self.trusted(now, controller, config, policy, view))
             .cloned()
             .collect();
-        let fit = |node: &NodeName| {
+        let fit = |controller: &ControllerName| {
             self.unfit
-                .get(node)
+                .get(controller)
                 .is_none_or(|(until, _)| now.steady >= *until)
         };
         if members.iter().any(fit) {
             members.retain(fit);
         }
-        let boot_of = |node: &NodeName| view.members.get(node).map(|member| member.value.boot);
-        let mut held: BTreeMap<&NodeName, usize> = members.iter().map(|node| (node, 0)).collect();
+        let boot_of = |controller: &ControllerName| {
+            view.members.get(controller).map(|member| member.value.boot)
+        };
+        let mut held: BTreeMap<&ControllerName, usize> =
+            members.iter().map(|controller| (controller, 0)).collect();
         for grant in view.grants.values() {
             if let Some(count) = held.get_mut(&grant.value.holder) {
                 *count += 1;
@@ -196,30 +203,30 @@
             }
             // The zone's own controller if it is up, for a cut between zones then leaves them together; else
             // whoever holds least.
-            let zone_of = |node: &NodeName| {
-                if *node == config.name {
+            let zone_of = |controller: &ControllerName| {
+                if *controller == config.name {
                     return Some(&config.zone);
                 }
                 config
                     .peers
                     .iter()
-                    .find(|peer| peer.name == *node)
+                    .find(|peer| peer.name == *controller)
                     .map(|peer| &peer.zone)
             };
             let chosen = match kept {
                 Some(old) => Some(old.value.holder.clone()),
                 None => members
                     .iter()
-                    .min_by_key(|node| {
+                    .min_by_key(|controller| {
                         (
-                            zone_of(node) != Some(&zone),
-                            held.get(node).copied().unwrap_or(0),
+                            zone_of(controller) != Some(&zone),
+                            held.get(controller).copied().unwrap_or(0),
                         )
                     })
                     .cloned(),
             };
             let Some((holder, boot)) =
-                chosen.and_then(|node| boot_of(&node).map(|boot| (node, boot)))
+                chosen.and_then(|controller| boot_of(&controller).map(|boot| (controller, boot)))
             else {
                 continue;
             };
@@ -241,19 +248,21 @@
             ));
         }
         if changes.is_empty() {
-            if let Some((block, node, version)) = self.unbalanced(now, lead, zones, &held, view) {
+            if let Some((block, controller, version)) =
+                self.unbalanced(now, lead, zones, &held, view)
+            {
                 let zone = view
                     .grants
                     .get(&block)
                     .map(|grant| grant.value.zone.clone())?;
-                let boot = boot_of(&node)?;
+                let boot = boot_of(&controller)?;
                 last += 1;
                 changes.push((
                     block,
                     version,
                     Grant {
                         zone,
-                        holder: node,
+                        holder: controller,
                         boot,
                         token: last,
                         term,
@@ -286,9 +295,9 @@
         now: Now,
         lead: &Lead<'_>,
         zones: &[Zone],
-        held: &BTreeMap<&NodeName, usize>,
+        held: &BTreeMap<&ControllerName, usize>,
         view: &View,
-    ) -> Option<(BlockId, NodeName, u64)> {
+    ) -> Option<(BlockId, ControllerName, u64)> {
         let Lead { config, policy, .. } = *lead;
         let settled = self
             .leading_since
--- a/src/blocks/tests.rs
+++ b/src/blocks/tests.rs
@@ -22,9 +22,9 @@
     };
     let mut view = View::following();
     let other = config.peers[0].name.clone();
-    for (version, node) in [(1, &config.name), (2, &other)] {
+    for (version, controller) in [(1, &config.name), (2, &other)] {
         let change = Change {
-            key: member_key(node),
+            key: member_key(controller),
             version,
             value: Some(encode(&Member { boot: 1, format: 0 })),
         };
--- a/src/cancellation/mod.rs
+++ b/src/cancellation/mod.rs
@@ -11,7 +11,7 @@
 use tracing::warn;
 
 use crate::config::Config;
-use crate::domain::{Attempt, BlockId, JobId, MachineId, NodeName, Now, since};
+use crate::domain::{Attempt, BlockId, ControllerName, JobId, MachineId, Now, since};
 use crate::peer::{Alive, CancelledJob};
 use crate::provisioning::wire::MachineNames;
 use crate::provisioning::{Call, CallOutcome, Tag};
@@ -64,7 +64,7 @@
 pub struct Cancellations {
     /// Cancelled jobs whose tasks are not all proven gone, by our copy: version and time of day.
     open: BTreeMap<JobId, (u64, u64)>,
-    peers: BTreeMap<NodeName, Peer>,
+    peers: BTreeMap<ControllerName, Peer>,
     /// Our signs of life, and when we gave them.
     sent: VecDeque<(u64, Instant)>,
     looked: Option<Instant>,
@@ -104,7 +104,7 @@
     pub fn sign(
         &mut self,
         now: Now,
-        node: &NodeName,
+        controller: &ControllerName,
         boot: u64,
         view: &View,
         reaches_state: bool,
@@ -115,7 +115,7 @@
             self.sent.pop_front();
         }
         Alive {
-            node: node.clone(),
+            controller: controller.clone(),
             boot,
             number,
             reaches_state,
@@ -125,7 +125,7 @@
             heard: self
                 .peers
                 .iter()
-                .map(|(node, peer)| (node.clone(), (peer.boot, peer.number)))
+                .map(|(controller, peer)| (controller.clone(), (peer.boot, peer.number)))
                 .collect(),
         }
     }
@@ -143,9 +143,9 @@
 
     /// A sign of life, numbered, for a late one tells nothing of the present. What it says of cancellations has been
     /// taken in. `us`: our name and process.
-    pub fn heard_from(&mut self, now: Now, us: (&NodeName, u64), alive: &Alive) {
+    pub fn heard_from(&mut self, now: Now, us: (&ControllerName, u64), alive: &Alive) {
         let Alive {
-            node,
+            controller,
             boot,
             number,
             reaches_state,
@@ -153,7 +153,7 @@
             heard,
             ..
         } = alive;
-        let known = self.peers.get(node);
+        let known = self.peers.get(controller);
         if known.is_some_and(|peer| peer.boot == *boot && *number <= peer.number) {
             return;
         }
@@ -172,7 +172,7 @@
             Some(now.steady)
         };
         self.peers.insert(
-            node.clone(),
+            controller.clone(),
             Peer {
                 boot: *boot,
                 number: *number,
--- a/src/cancellation/tests.rs
+++ b/src/cancellation/tests.rs
@@ -117,7 +117,7 @@
     ) {
         let us = self.config.name.clone();
         let alive = Alive {
-            node: self.config.peers[peer].name.clone(),
+            controller: self.config.peers[peer].name.clone(),
             boot,
             number,
             reaches_state: self.reaches_state,
--- a/src/config/mod.rs
+++ b/src/config/mod.rs
@@ -6,7 +6,7 @@
 
 use serde::Deserialize;
 
-use crate::domain::{NodeName, Team, Zone};
+use crate::domain::{ControllerName, Team, Zone};
 
 #[derive(Debug, thiserror::Error)]
 pub enum ConfigError {
@@ -27,7 +27,7 @@
 
 #[derive(Debug, Clone)]
 pub struct Config {
-    pub name: NodeName,
+    pub name: ControllerName,
     pub zone: Zone,
     pub listen: SocketAddr,
     pub peer_listen: SocketAddr,
@@ -52,7 +52,7 @@
 
 #[derive(Debug, Clone)]
 pub struct Peer {
-    pub name: NodeName,
+    pub name: ControllerName,
     pub zone: Zone,
     pub addr: SocketAddr,
 }
--- a/src/node.rs
+++ b/src/controller/mod.rs
@@ -12,7 +12,7 @@
 use crate::blocks::Granting;
 use crate::cancellation::Cancellations;
 use crate::config::Config;
-use crate::domain::{Attempt, BlockId, MachineId, NodeName, Now, Zone, since};
+use crate::domain::{Attempt, BlockId, ControllerName, MachineId, Now, Zone, since};
 use crate::features::Features;
 use crate::fleet::wire::{Orders, Report};
 use crate::fleet::{Answer, Command, CommandOutcome, Fleet, Writes};
@@ -108,7 +108,7 @@
         until: Option<Instant>,
     },
     Peer {
-        to: NodeName,
+        to: ControllerName,
         message: Message,
     },
     Answer {
@@ -144,7 +144,7 @@
     summary: Option<Instant>,
 }
 
-pub struct Node {
+pub struct Controller {
     config: Config,
     policy: Policy,
     features: Features,
@@ -170,7 +170,7 @@
     told: Option<Instant>,
     told_all: Option<Instant>,
     /// When each of the others last said that it reaches the state service.
-    peers_reach_state: BTreeMap<NodeName, Instant>,
+    peers_reach_state: BTreeMap<ControllerName, Instant>,
     /// Zones of which a controller has spoken to this process.
     heard_zones: BTreeSet<Zone>,
     /// Since when we don't.
@@ -197,10 +197,10 @@
 const CUT_OFF_AFTER: Duration = Duration::from_secs(3);
 const STATUS_SPACING: Duration = Duration::from_millis(100);
 
-impl Node {
+impl Controller {
     /// A controller of this version.
     pub fn new(config: Config, policy: Policy, seed: u64, now: Now) -> Self {
-        Node::knowing(FORMAT, config, policy, seed, now)
+        Controller::knowing(FORMAT, config, policy, seed, now)
     }
 
     /// A controller that tells the others that it knows records up to this format: 0 as the production version, which
@@ -209,7 +209,7 @@
         let mut rng = SmallRng::seed_from_u64(seed);
         let boot = rng.random::<u64>() >> 12;
         let budget = Budget::new(&config.state_limits, config.controllers(), now);
-        Node {
+        Controller {
             leadership: Leadership::new(config.name.clone(), boot, format),
             policy,
             features: Features::default(),
@@ -526,14 +526,15 @@
     fn peer(&mut self, now: Now, message: Message) {
         match message {
             Message::Status(status) => {
-                self.granting.heard_from(now, &status.node, status.boot);
+                self.granting
+                    .heard_from(now, &status.controller, status.boot);
                 if let Some(leading) = &mut self.leading {
                     leading.queues.strayed(now, status.strays);
                 }
                 for block in status.blocks {
                     let granted = self.view.grants.get(&block.block);
                     let current = granted.is_some_and(|grant| {
-                        grant.value.holder == status.node
+                        grant.value.holder == status.controller
                             && grant.value.boot == status.boot
                             && grant.value.token == block.token
                     });
@@ -558,7 +559,7 @@
                 self.cancellations
                     .heard_from(now, (&self.config.name, self.boot), &alive);
                 let Alive {
-                    node,
+                    controller,
                     reaches_state,
                     ..
                 } = alive;
@@ -566,13 +567,13 @@
                     .config
                     .peers
                     .iter()
-                    .find(|peer| peer.name == node)
+                    .find(|peer| peer.name == controller)
                     .map(|peer| peer.zone.clone());
                 self.heard_zones.extend(zone);
                 if reaches_state {
-                    self.peers_reach_state.insert(node, now.steady);
+                    self.peers_reach_state.insert(controller, now.steady);
                 } else {
-                    self.peers_reach_state.remove(&node);
+                    self.peers_reach_state.remove(&controller);
                 }
             }
             Message::Work(blocks) => {
@@ -845,7 +846,7 @@
         for (urgency, tag, op) in ops {
             self.ask(urgency, tag, op);
         }
-        let mut by_holder: BTreeMap<NodeName, Vec<Work>> = BTreeMap::new();
+        let mut by_holder: BTreeMap<ControllerName, Vec<Work>> = BTreeMap::new();
         for work in messages {
             if let Some(grant) = self.view.grants.get(&work.block) {
                 by_holder
@@ -907,8 +908,8 @@
     }
 
     /// The controller that leads, if it is another one, and its address.
-    fn leader_elsewhere(&self) -> Option<(NodeName, String)> {
-        let leader = &self.view.leader.as_ref()?.value.node;
+    fn leader_elsewhere(&self) -> Option<(ControllerName, String)> {
+        let leader = &self.view.leader.as_ref()?.value.controller;
         let mut peers = self.config.peers.iter();
         let peer = peers.find(|peer| peer.name == *leader)?;
         Some((leader.clone(), peer.addr.to_string()))
@@ -970,14 +971,14 @@
             .view
             .leader
             .as_ref()
-            .map(|leader| leader.value.node.clone())
+            .map(|leader| leader.value.controller.clone())
         else {
             return;
         };
         self.told = Some(now.steady);
         self.status_due = false;
         let status = Status {
-            node: self.config.name.clone(),
+            controller: self.config.name.clone(),
             boot: self.boot,
             blocks: self.fleet.status(now, &self.policy),
             strays: self.fleet.strays(now, &self.config),
--- a/src/node/tests.rs
+++ b/src/controller/tests.rs
@@ -11,8 +11,8 @@
         steady: start.steady + Duration::from_millis(ms),
         ..start
     };
-    let mut node = Node::new(config, policy, 1, start);
-    assert!(!node.healthy(at(1)), "nothing is known yet");
+    let mut controller = Controller::new(config, policy, 1, start);
+    assert!(!controller.healthy(at(1)), "nothing is known yet");
     let list = FlavorList {
         types: vec![crate::provisioning::wire::tests::flavor()],
     };
@@ -21,7 +21,7 @@
         outcome: CallOutcome::Flavors(list),
     };
     // An empty state service.
-    for effect in node.handle(start, event) {
+    for effect in controller.handle(start, event) {
         if let Effect::Store {
             tag: tag @ StoreTag::View(view::Tag::Page { .. }),
             ..
@@ -32,7 +32,7 @@
                 more: false,
                 revision: 0,
             };
-            node.handle(
+            controller.handle(
                 at(5),
                 Event::Store {
                     tag,
@@ -42,15 +42,15 @@
             );
         }
     }
-    assert!(node.healthy(at(20)));
-    node.budget.note(at(2000), &Outcome::Refused);
+    assert!(controller.healthy(at(20)));
+    controller.budget.note(at(2000), &Outcome::Refused);
     let mut healthy = |now: Now, reaches_state: bool| {
         let number =
             now.unix_ms() + u64::try_from(since(now, start.steady).as_millis()).expect("short");
         let (cancelled, heard) = (Vec::new(), BTreeMap::new());
-        let node_1 = NodeName::from("node-1");
+        let node_1 = ControllerName::from("node-1");
         let alive = Alive {
-            node: node_1,
+            controller: node_1,
             boot: 1,
             number,
             reaches_state,
@@ -58,8 +58,8 @@
             complete: true,
             heard,
         };
-        node.handle(now, Event::Peer(Message::Alive(alive)));
-        let effects = node.handle(now, Event::Health { id: 2 });
+        controller.handle(now, Event::Peer(Message::Alive(alive)));
+        let effects = controller.handle(now, Event::Health { id: 2 });
         effects
             .iter()
             .any(|effect| matches!(effect, Effect::AnswerHealth { healthy: true, .. }))
--- a/src/fleet/mod.rs
+++ b/src/fleet/mod.rs
@@ -55,7 +55,7 @@
 pub enum Answer {
     Orders(Orders),
     /// Not ours: to that controller, if known.
-    Elsewhere(Option<crate::domain::NodeName>),
+    Elsewhere(Option<crate::domain::ControllerName>),
     /// Not entitled to answer.
     Unavailable,
 }
@@ -183,7 +183,10 @@
         }
         let Some(machine) = view.machines.get(&report.machine) else {
             // Unknown so far: the leader takes it up.
-            let leader = view.leader.as_ref().map(|leader| leader.value.node.clone());
+            let leader = view
+                .leader
+                .as_ref()
+                .map(|leader| leader.value.controller.clone());
             return Answer::Elsewhere(leader.filter(|leader| *leader != config.name));
         };
         let block_id = &machine.block;
--- a/src/fleet/wire.rs
+++ b/src/fleet/wire.rs
@@ -126,7 +126,7 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Redirect {
     #[serde(rename = "clerk", skip_serializing_if = "Option::is_none")]
-    pub holder: Option<crate::domain::NodeName>,
+    pub holder: Option<crate::domain::ControllerName>,
 }
 
 #[cfg(test)]
--- a/src/intake/mod.rs
+++ b/src/intake/mod.rs
@@ -1,7 +1,7 @@
 //! The users' API: submit, poll, cancel.
 //!
 //! Accepted, cancelled and done are told only after their commit. Whatever is not final is answered from a
-//! copy that is at least as new as the question, so that no node tells less than another already has.
+//! copy that is at least as new as the question, so that no controller tells less than another already has.
 
 pub mod wire;
 
@@ -286,7 +286,7 @@
                     running: 0,
                 },
             },
-            // Not executed, for all nodes together asked too much just then: most often it goes a moment later.
+            // Not executed, for all controllers together asked too much just then: most often it goes a moment later.
             (_, Outcome::Refused)
                 if cx.budget.available(now) && now.steady + LONGEST_QUEUE < pending.deadline =>
             {
--- a/src/leadership/mod.rs
+++ b/src/leadership/mod.rs
@@ -11,7 +11,7 @@
 use tracing::info;
 
 use crate::config::Config;
-use crate::domain::{NodeName, Now, since};
+use crate::domain::{ControllerName, Now, since};
 use crate::policy::Policy;
 use crate::provisioning::Flavors;
 use crate::store::records::{LEADER, Leader, Member, TOKEN, Token, member_key};
@@ -75,7 +75,7 @@
 
 #[derive(Debug)]
 pub struct Leadership {
-    node: NodeName,
+    controller: ControllerName,
     boot: u64,
     format: u32,
     member: Hold,
@@ -89,9 +89,9 @@
 
 impl Leadership {
     /// `format`: the newest that this process knows.
-    pub fn new(node: NodeName, boot: u64, format: u32) -> Self {
+    pub fn new(controller: ControllerName, boot: u64, format: u32) -> Self {
         Leadership {
-            node,
+            controller,
             boot,
             format,
             member: Hold::None,
@@ -109,7 +109,9 @@
     /// The copy may be old. That is harmless: a write conditioned on that version then fails.
     pub fn leading(&self, view: &View) -> Option<(u64, u64)> {
         let leader = view.leader.as_ref()?;
-        let ours = view.ready() && leader.value.node == self.node && leader.value.boot == self.boot;
+        let ours = view.ready()
+            && leader.value.controller == self.controller
+            && leader.value.boot == self.boot;
         ours.then_some((leader.value.term, leader.version))
     }
 
@@ -156,7 +158,7 @@
                 // The record can be lost without the hold: removed with an older process's hold, say.
                 let listed = view
                     .members
-                    .get(&self.node)
+                    .get(&self.controller)
                     .is_some_and(|m| m.value.boot == self.boot);
                 if view.covers(*renewed) && !listed && !*renewing {
                     self.member = Hold::Attaching { id, alive };
@@ -177,8 +179,11 @@
             boot: self.boot,
             format: self.format,
         };
-        let key = member_key(&self.node);
-        let version = view.members.get(&self.node).map_or(0, |old| old.version);
+        let key = member_key(&self.controller);
+        let version = view
+            .members
+            .get(&self.controller)
+            .map_or(0, |old| old.version);
         Op::Commit(
             Txn::default()
                 .when(key.clone(), version)
@@ -230,18 +235,18 @@
         }
     }
 
-    /// Whether the leader's place is free. That of an earlier process of this node is: only after a process
+    /// Whether the leader's place is free. That of an earlier process of this controller is: only after a process
     /// has ended is the next one started.
     fn vacant(&self, view: &View) -> bool {
-        view.leader
-            .as_ref()
-            .is_none_or(|leader| leader.value.node == self.node && leader.value.boot != self.boot)
+        view.leader.as_ref().is_none_or(|leader| {
+            leader.value.controller == self.controller && leader.value.boot != self.boot
+        })
     }
 
     fn run_for_leader(&mut self, hold: u64, alive: Instant, view: &View, ops: &mut Vec<(Tag, Op)>) {
         let term = view.max_token() + 1;
         let record = Leader {
-            node: self.node.clone(),
+            controller: self.controller.clone(),
             boot: self.boot,
             term,
         };
--- a/src/operations/mod.rs
+++ b/src/operations/mod.rs
@@ -14,7 +14,7 @@
 use dappleshore_drain::{DrainId, DrainRecord, Phase, TeamBudget};
 use tracing::info;
 
-use crate::domain::{NodeName, Now, Team, since};
+use crate::domain::{ControllerName, Now, Team, since};
 use crate::intake::RequestId;
 use crate::leadership::Lead;
 use crate::queueing::draining::{Draining, machine_views};
@@ -97,7 +97,7 @@
     }
 
     /// This controller does not lead: sends those who ask to the one that does, if it is known.
-    pub fn refer(&mut self, leader: Option<(NodeName, String)>) -> Vec<(RequestId, Reply)> {
+    pub fn refer(&mut self, leader: Option<(ControllerName, String)>) -> Vec<(RequestId, Reply)> {
         self.writer = Writer::Idle;
         let reply = |pending: Pending| {
             let reply = match &leader {
@@ -248,14 +248,14 @@
 /// Controllers that do not know drains, or are not up.
 fn lagging_controllers(lead: &Lead<'_>, view: &View) -> Vec<String> {
     let peers = lead.config.peers.iter().map(|peer| &peer.name);
-    let knows = |node: &NodeName| {
-        let member = view.members.get(node);
+    let knows = |controller: &ControllerName| {
+        let member = view.members.get(controller);
         member.is_some_and(|member| member.value.format >= DRAIN_FORMAT)
     };
     peers
         .chain([&lead.config.name])
-        .filter(|node| !knows(node))
-        .map(|node| node.to_string())
+        .filter(|controller| !knows(controller))
+        .map(|controller| controller.to_string())
         .collect()
 }
 
--- a/src/peer/mod.rs
+++ b/src/peer/mod.rs
@@ -5,7 +5,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::domain::{Attempt, BlockId, Image, JobId, MachineId, NodeName};
+use crate::domain::{Attempt, BlockId, ControllerName, Image, JobId, MachineId};
 
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum Message {
@@ -21,7 +21,8 @@
 
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Alive {
-    pub node: NodeName,
+    #[serde(rename = "node")]
+    pub controller: ControllerName,
     pub boot: u64,
     /// Rises with every message of a process: one that comes late is no sign of life.
     pub number: u64,
@@ -31,7 +32,7 @@
     /// Whether these are all that this controller or an earlier process of it can have told a user of.
     pub complete: bool,
     /// The last sign of life of each of the others, by process and number, that came before this was said.
-    pub heard: BTreeMap<NodeName, (u64, u64)>,
+    pub heard: BTreeMap<ControllerName, (u64, u64)>,
 }
 
 /// A cancellation that was committed: it is final, so that whoever hears of it may act on it.
@@ -56,7 +57,8 @@
 
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Status {
-    pub node: NodeName,
+    #[serde(rename = "node")]
+    pub controller: ControllerName,
     pub boot: u64,
     pub blocks: Vec<BlockStatus>,
     /// Machines of others' blocks that have reported here lately, some of them if they are many: they go from
@@ -72,13 +74,13 @@
     /// The same in as many messages as it takes, each about some of the blocks.
     pub fn in_messages(self) -> Vec<Status> {
         let Status {
-            node,
+            controller,
             boot,
             blocks,
             strays,
         } = self;
         let mut messages = vec![Status {
-            node: node.clone(),
+            controller: controller.clone(),
             boot,
             blocks: Vec::new(),
             strays,
@@ -89,7 +91,7 @@
             if told > 0 && told + more > MOST_TOLD_AT_ONCE {
                 told = 0;
                 messages.push(Status {
-                    node: node.clone(),
+                    controller: controller.clone(),
                     boot,
                     blocks: Vec::new(),
                     strays: Vec::new(),
--- a/src/peer/tests.rs
+++ b/src/peer/tests.rs
@@ -49,7 +49,7 @@
 #[test]
 fn a_status_about_4000_machines_is_told_in_messages_that_arrive() {
     let status = Status {
-        node: "node-1".into(),
+        controller: "node-1".into(),
         boot: 7,
         blocks: (0..20).map(|number| block(number, 200)).collect(),
         strays: vec!["m-1".into()],
@@ -62,7 +62,10 @@
     let messages = status.clone().in_messages();
     let mut blocks = Vec::new();
     for message in messages {
-        assert_eq!((&message.node, message.boot), (&status.node, status.boot));
+        assert_eq!(
+            (&message.controller, message.boot),
+            (&status.controller, status.boot)
+        );
         let bytes = http::write(&Message::Status(message.clone())).len();
         assert!(bytes < LARGEST_BODY / 2, "{bytes} bytes");
         blocks.extend(message.blocks);
@@ -73,7 +76,7 @@
 #[test]
 fn a_status_about_nothing_is_still_a_sign_of_life() {
     let status = Status {
-        node: "node-1".into(),
+        controller: "node-1".into(),
         boot: 7,
         blocks: Vec::new(),
         strays: Vec::new(),
--- a/src/queueing/holders.rs
+++ b/src/queueing/holders.rs
@@ -4,7 +4,7 @@
 
 use super::{Queues, STATUS_LIFE};
 use crate::config::Config;
-use crate::domain::{MachineId, NodeName, Now, since};
+use crate::domain::{ControllerName, MachineId, Now, since};
 use crate::fleet::stray_for;
 use crate::store::View;
 
@@ -43,7 +43,12 @@
     }
 
     /// Holders that hear hardly any of their machines, although others hear them.
-    pub fn unreaching(&mut self, now: Now, config: &Config, view: &View) -> BTreeSet<NodeName> {
+    pub fn unreaching(
+        &mut self,
+        now: Now,
+        config: &Config,
+        view: &View,
+    ) -> BTreeSet<ControllerName> {
         let lately = stray_for(config);
         self.strays.retain(|_, at| since(now, *at) < lately);
         let mut holders = self.unheard(now, view);
@@ -71,8 +76,8 @@
     }
 
     /// What the holders told lately of machines that they do not hear.
-    fn unheard(&self, now: Now, view: &View) -> BTreeMap<NodeName, Unheard> {
-        let mut holders: BTreeMap<NodeName, Unheard> = BTreeMap::new();
+    fn unheard(&self, now: Now, view: &View) -> BTreeMap<ControllerName, Unheard> {
+        let mut holders: BTreeMap<ControllerName, Unheard> = BTreeMap::new();
         for (block, block_state) in &self.block_states {
             let recent = block_state
                 .status
--- a/src/queueing/mod.rs
+++ b/src/queueing/mod.rs
@@ -25,8 +25,8 @@
 
 use crate::config::Config;
 use crate::domain::{
-    Attempt, BlockId, Final, Image, Job, JobId, Kind, MachineId, NodeName, Now, Priority, Room,
-    TaskId, Team, since,
+    Attempt, BlockId, ControllerName, Final, Image, Job, JobId, Kind, MachineId, Now, Priority,
+    Room, TaskId, Team, since,
 };
 use crate::leadership::Lead;
 use crate::peer::{BlockStatus, MachineStatus};
@@ -192,7 +192,7 @@
         &self,
         now: Now,
         view: &View,
-        unreaching: &BTreeSet<NodeName>,
+        unreaching: &BTreeSet<ControllerName>,
     ) -> BTreeMap<MachineId, Health> {
         let holder = |machine: &MachineId| {
             let block = view.machines.get(machine).map(|machine| &machine.block)?;
--- a/src/service.rs
+++ b/src/service.rs
@@ -9,14 +9,14 @@
 use tracing::{debug, info};
 
 use crate::config::Config;
-use crate::domain::{NodeName, Now};
+use crate::controller::{Controller, Effect, Event};
+use crate::domain::{ControllerName, Now};
 use crate::features::Features;
 use crate::fleet::wire::Report;
 use crate::fleet::{Answer, COMMAND_PART, Command, CommandOutcome};
 use crate::http::server::{self, Door, Incoming, MOST_WAITING};
 use crate::http::{Client, Request, read, write};
 use crate::intake::{RequestId, Response};
-use crate::node::{Effect, Event, Node};
 use crate::policy::Policy;
 use crate::store::records::FORMAT;
 use crate::{provisioning, store};
@@ -88,7 +88,7 @@
 }
 
 struct Runner {
-    node: Node,
+    controller: Controller,
     client: Client,
     /// For commands to workers.
     workers: Client,
@@ -98,7 +98,7 @@
     next: RequestId,
     state: SocketAddr,
     cloud: SocketAddr,
-    peers: HashMap<NodeName, SocketAddr>,
+    peers: HashMap<ControllerName, SocketAddr>,
     /// A format of the records that this program does not know.
     unsupported: Option<u32>,
 }
@@ -118,7 +118,7 @@
         doors.peers,
         server::between_controllers(incoming),
     );
-    info!(node = %config.name, zone = %config.zone, listen = %config.listen, "starting");
+    info!(controller = %config.name, zone = %config.zone, listen = %config.listen, "starting");
     let mut runner = Runner {
         client: Client::new(IDLE),
         workers: Client::new(WORKER_IDLE),
@@ -134,7 +134,8 @@
             .map(|peer| (peer.name.clone(), peer.addr))
             .collect(),
         unsupported: None,
-        node: Node::new(config, policy, rand::random(), Now::read()).with_features(features),
+        controller: Controller::new(config, policy, rand::random(), Now::read())
+            .with_features(features),
     };
     tokio::pin!(public);
     tokio::pin!(between);
@@ -181,7 +182,7 @@
             Incoming::Peer(message) => return self.handle(Event::Peer(message)),
             Incoming::Metrics(reply) => {
                 // Whoever asked may be gone.
-                let _ = reply.send(self.node.metrics().show());
+                let _ = reply.send(self.controller.metrics().show());
                 return;
             }
         };
@@ -191,8 +192,8 @@
 
     fn handle(&mut self, event: Event) {
         let began = Now::read();
-        let effects = self.node.handle(began, event);
-        self.node.took(began, began.steady.elapsed());
+        let effects = self.controller.handle(began, event);
+        self.controller.took(began, began.steady.elapsed());
         for effect in effects {
             self.perform(effect);
         }
@@ -204,7 +205,7 @@
                 if let Some(Waiting::User(reply, since)) = self.waiting.remove(&id) {
                     if matches!(response, Response::State { status: 201, .. }) {
                         let took = u64::try_from(since.elapsed().as_millis()).unwrap_or(u64::MAX);
-                        self.node.metrics().accept_ms.record(took);
+                        self.controller.metrics().accept_ms.record(took);
                     }
                     // Whoever asked may be gone.
                     let _ = reply.send(response);
--- a/src/store/budget.rs
+++ b/src/store/budget.rs
@@ -61,26 +61,26 @@
     requests: Bucket,
     writes: Bucket,
     write_limit: f64,
-    nodes: usize,
+    controllers: usize,
     /// After a refusal the service is asked less often, so that its recovery is not a stampede.
     hold_off_until: Option<Instant>,
     last_answer: Option<Instant>,
     last_refusal: Option<Instant>,
 }
 
-/// The share of the rate of requests that one node takes: together a little more than all, since nodes are seldom
+/// The share of the rate of requests that one controller takes: together a little more than all, since controllers are seldom
 /// busy at the same time and a refusal only delays.
-fn share(limit: f64, nodes: usize) -> f64 {
-    (limit * 1.2 / nodes.max(1) as f64)
+fn share(limit: f64, controllers: usize) -> f64 {
+    (limit * 1.2 / controllers.max(1) as f64)
         .min(limit * 0.9)
         .max(1.0)
 }
 
 /// The share of the rate of writes. The leader writes what the others do and its own duties besides. Together a
 /// little less than all: a refused write costs its block a fresh read and everyone a pause.
-fn write_share(limit: f64, nodes: usize, leading: bool) -> f64 {
-    let others = nodes.saturating_sub(1).max(1) as f64;
-    let share = if nodes <= 1 {
+fn write_share(limit: f64, controllers: usize, leading: bool) -> f64 {
+    let others = controllers.saturating_sub(1).max(1) as f64;
+    let share = if controllers <= 1 {
         0.9
     } else if leading {
         0.48
@@ -101,13 +101,13 @@
 const HOLD_OFF: Duration = Duration::from_millis(150);
 
 impl<Tag> Budget<Tag> {
-    pub fn new(limits: &StateLimits, nodes: usize, now: Now) -> Self {
+    pub fn new(limits: &StateLimits, controllers: usize, now: Now) -> Self {
         Budget {
             lanes: Default::default(),
-            requests: Bucket::new(share(limits.rps, nodes), now),
-            writes: Bucket::new(write_share(limits.write_rps, nodes, false), now),
+            requests: Bucket::new(share(limits.rps, controllers), now),
+            writes: Bucket::new(write_share(limits.write_rps, controllers, false), now),
             write_limit: limits.write_rps,
-            nodes,
+            controllers,
             hold_off_until: None,
             last_answer: None,
             last_refusal: None,
@@ -117,16 +117,16 @@
     /// Keeps within other limits from now on.
     pub fn limit(&mut self, now: Now, limits: &StateLimits, leading: bool) {
         self.requests.fill(now);
-        self.requests.rate = share(limits.rps, self.nodes);
+        self.requests.rate = share(limits.rps, self.controllers);
         self.requests.burst = self.requests.rate;
         self.write_limit = limits.write_rps;
         self.lead(now, leading);
     }
 
-    /// Sets this node's share of the writes by whether it leads.
+    /// Sets this controller's share of the writes by whether it leads.
     pub fn lead(&mut self, now: Now, leading: bool) {
         self.writes.fill(now);
-        self.writes.rate = write_share(self.write_limit, self.nodes, leading);
+        self.writes.rate = write_share(self.write_limit, self.controllers, leading);
         self.writes.burst = self.writes.rate;
     }
 
--- a/src/store/records.rs
+++ b/src/store/records.rs
@@ -10,7 +10,8 @@
 use serde::{Deserialize, Serialize};
 
 use crate::domain::{
-    Attempt, BlockId, Final, Job, JobId, MachineId, NodeName, TaskId, Team, Tenure, TypeName, Zone,
+    Attempt, BlockId, ControllerName, Final, Job, JobId, MachineId, TaskId, Team, Tenure, TypeName,
+    Zone,
 };
 
 /// Everything of ours lies under this prefix, so that one watch sees all of it.
@@ -20,8 +21,8 @@
 /// Never written: reading it tells the current revision.
 pub const NOWHERE: &str = "dappleshore/nowhere";
 
-pub fn member_key(node: &NodeName) -> String {
-    format!("{ROOT}node/{node}")
+pub fn member_key(controller: &ControllerName) -> String {
+    format!("{ROOT}node/{controller}")
 }
 pub fn grant_key(block: &BlockId) -> String {
     format!("{ROOT}grant/{block}")
@@ -116,7 +117,8 @@
 /// Who leads, attached to a hold. `term` comes from the same rising counter as tokens.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Leader {
-    pub node: NodeName,
+    #[serde(rename = "node")]
+    pub controller: ControllerName,
     pub boot: u64,
     pub term: u64,
 }
@@ -151,7 +153,7 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Grant {
     pub zone: Zone,
-    pub holder: NodeName,
+    pub holder: ControllerName,
     pub boot: u64,
     pub token: u64,
     pub term: u64,
@@ -633,7 +635,7 @@
 pub enum Records {
     Leader,
     Token,
-    Member(NodeName),
+    Member(ControllerName),
     Grant(BlockId),
     Format,
     Places(BlockId, Part),
--- a/src/store/view.rs
+++ b/src/store/view.rs
@@ -13,8 +13,8 @@
 use super::{Op, Outcome};
 use crate::config::StateLimits;
 use crate::domain::{
-    Attempt, BlockId, Final, Job, JobId, MachineId, NodeName, Now, Team, Tenure, TypeName, Zone,
-    since,
+    Attempt, BlockId, ControllerName, Final, Job, JobId, MachineId, Now, Team, Tenure, TypeName,
+    Zone, since,
 };
 
 #[derive(Debug, Clone, PartialEq)]
@@ -154,7 +154,7 @@
 
     pub leader: Option<Versioned<Leader>>,
     pub token: Option<Versioned<Token>>,
-    pub members: BTreeMap<NodeName, Versioned<Member>>,
+    pub members: BTreeMap<ControllerName, Versioned<Member>>,
     pub grants: BTreeMap<BlockId, Versioned<Grant>>,
     format: Option<Versioned<FormatSwitch>>,
     /// The tasks of each block, all parts together; the version is that of its last change.
@@ -193,7 +193,7 @@
 
 /// A watch returns at least this often, which bounds how old the copy can be.
 const FOLLOW_FOR: Duration = Duration::from_millis(2500);
-/// The parts of the state service's rate of requests that all nodes' watches and fresh reads may take.
+/// The parts of the state service's rate of requests that all controllers' watches and fresh reads may take.
 const FOLLOW_PART: f64 = 0.4;
 const BARRIER_PART: f64 = 0.25;
 
@@ -216,9 +216,10 @@
 const MOST_MISSED: u64 = 8 << 20;
 
 impl View {
-    pub fn new(limits: &StateLimits, nodes: usize) -> Self {
-        let spacing =
-            |part: f64| Duration::from_secs_f64(nodes.max(1) as f64 / (limits.rps.max(1.0) * part));
+    pub fn new(limits: &StateLimits, controllers: usize) -> Self {
+        let spacing = |part: f64| {
+            Duration::from_secs_f64(controllers.max(1) as f64 / (limits.rps.max(1.0) * part))
+        };
         let pace = Pace {
             follow: spacing(FOLLOW_PART),
             barrier: spacing(BARRIER_PART),
@@ -610,8 +611,8 @@
         match which {
             Records::Leader => set(&mut self.leader, change),
             Records::Token => set(&mut self.token, change),
-            Records::Member(node) => {
-                set_in(&mut self.members, node, change);
+            Records::Member(controller) => {
+                set_in(&mut self.members, controller, change);
             }
             Records::Grant(block) => {
                 self.touched.grants = true;
--- a/src/upgrade/mod.rs
+++ b/src/upgrade/mod.rs
@@ -8,7 +8,7 @@
 use tracing::info;
 
 use crate::config::Config;
-use crate::domain::{NodeName, Now};
+use crate::domain::{ControllerName, Now};
 use crate::leadership::Lead;
 use crate::store::records::{FORMAT, FORMAT_KEY, FormatSwitch, LEADER, member_key};
 use crate::store::{Op, Outcome, Txn, View, Writer};
@@ -39,8 +39,8 @@
         let mut txn = Txn::default()
             .when(LEADER, lead.version)
             .when(FORMAT_KEY, view.format_version());
-        for (node, version) in versions {
-            txn = txn.when(member_key(&node), version);
+        for (controller, version) in versions {
+            txn = txn.when(member_key(&controller), version);
         }
         info!(
             format,
@@ -68,7 +68,7 @@
 struct Members {
     /// The newest format that all of them, this process included, can read and write.
     format: u32,
-    versions: Vec<(NodeName, u64)>,
+    versions: Vec<(ControllerName, u64)>,
 }
 
 /// None: one of them is not up.
@@ -78,10 +78,10 @@
         format: FORMAT,
         versions: Vec::new(),
     };
-    for node in peers.chain([&config.name]) {
-        let member = view.members.get(node)?;
+    for controller in peers.chain([&config.name]) {
+        let member = view.members.get(controller)?;
         all.format = all.format.min(member.value.format);
-        all.versions.push((node.clone(), member.version));
+        all.versions.push((controller.clone(), member.version));
     }
     Some(all)
 }
--- a/src/upgrade/tests.rs
+++ b/src/upgrade/tests.rs
@@ -22,10 +22,10 @@
         }
     }
 
-    fn member(&mut self, node: &str, format: u32) {
+    fn member(&mut self, controller: &str, format: u32) {
         self.version += 1;
         self.view.apply(Change {
-            key: member_key(&node.into()),
+            key: member_key(&controller.into()),
             version: self.version,
             value: Some(encode(&Member { boot: 1, format })),
         });
@@ -81,8 +81,8 @@
 #[test]
 fn once_on_it_stays_on_and_is_not_written_again() {
     let mut fixture = Fixture::new();
-    for node in ["node-0", "node-1", "node-2"] {
-        fixture.member(node, FORMAT);
+    for controller in ["node-0", "node-1", "node-2"] {
+        fixture.member(controller, FORMAT);
     }
     fixture.version += 1;
     fixture.view.apply(Change {
@@ -98,12 +98,12 @@
 #[test]
 fn the_newest_format_that_all_know_is_switched_on() {
     let mut fixture = Fixture::new();
-    for (node, format) in [
+    for (controller, format) in [
         ("node-0", FORMAT),
         ("node-1", PARTS_FORMAT),
         ("node-2", FORMAT),
     ] {
-        fixture.member(node, format);
+        fixture.member(controller, format);
     }
     let switched_on = |txn: Txn| match txn.changes.as_slice() {
         [crate::store::TxnChange::Put { value, .. }] => value
--- a/tests/loopback/cloud.rs
+++ b/tests/loopback/cloud.rs
@@ -154,7 +154,7 @@
         lease_from: now + BOOT,
         tasks: BTreeMap::new(),
         images: BTreeSet::new(),
-        node: 0,
+        controller: 0,
         report: None,
         next_report: now + BOOT,
         last_report: Duration::ZERO,
--- a/tests/loopback/processes.rs
+++ b/tests/loopback/processes.rs
@@ -37,21 +37,21 @@
         PUBLIC.get_or_init(|| controllers.public.clone());
         let features = format!("[drain]\nenabled = true\nbudget = \"{}\"\n", site.budget);
         std::fs::write(controllers.files.join("features.toml"), features).expect("writable");
-        for node in 0..ZONES.len() {
-            let path = controllers.files.join(format!("node-{node}.toml"));
-            std::fs::write(path, controllers.settings(site, node)).expect("writable");
-            let child = controllers.spawn(node);
+        for controller in 0..ZONES.len() {
+            let path = controllers.files.join(format!("node-{controller}.toml"));
+            std::fs::write(path, controllers.settings(site, controller)).expect("writable");
+            let child = controllers.spawn(controller);
             controllers.children.push(child);
         }
         controllers
     }
 
-    fn settings(&self, site: &Site, node: usize) -> String {
+    fn settings(&self, site: &Site, controller: usize) -> String {
         let mut text = format!(
-            "node_name = \"node-{node}\"\ndomain = \"{}\"\nbind = \"{}\"\nback = \"{}\"\n",
-            ZONES[node], self.public[node], self.between[node]
+            "node_name = \"node-{controller}\"\ndomain = \"{}\"\nbind = \"{}\"\nback = \"{}\"\n",
+            ZONES[controller], self.public[controller], self.between[controller]
         );
-        for other in (0..ZONES.len()).filter(|other| *other != node) {
+        for other in (0..ZONES.len()).filter(|other| *other != controller) {
             text += &format!(
                 "[[members]]\nnode_name = \"node-{other}\"\ndomain = \"{}\"\npeer_addr = \"{}\"\n",
                 ZONES[other], self.between[other]
@@ -81,8 +81,8 @@
         text + "[params.cloud]\nrps = 20.0\nlist_lag_s = 1.0\n[params.quota]\ncpu = 1.0\nram_mb = 200.0\nsockets = 500\n"
     }
 
-    fn spawn(&self, node: usize) -> Child {
-        let log = self.files.join(format!("node-{node}.log"));
+    fn spawn(&self, controller: usize) -> Child {
+        let log = self.files.join(format!("node-{controller}.log"));
         let log = std::fs::File::options()
             .create(true)
             .append(true)
@@ -93,7 +93,7 @@
             .arg("--features")
             .arg(self.files.join("features.toml"))
             .arg("--config")
-            .arg(self.files.join(format!("node-{node}.toml")))
+            .arg(self.files.join(format!("node-{controller}.toml")))
             .stdin(Stdio::null())
             .stdout(Stdio::null())
             .stderr(log)
@@ -102,11 +102,11 @@
     }
 
     /// Kills a controller, and starts it again a moment later.
-    pub async fn restart(&mut self, node: usize) {
-        self.children[node].kill().expect("it runs");
-        self.children[node].wait().expect("it ends");
+    pub async fn restart(&mut self, controller: usize) {
+        self.children[controller].kill().expect("it runs");
+        self.children[controller].wait().expect("it ends");
         tokio::time::sleep(super::PAUSE).await;
-        self.children[node] = self.spawn(node);
+        self.children[controller] = self.spawn(controller);
     }
 }
 
--- a/tests/loopback/site.rs
+++ b/tests/loopback/site.rs
@@ -185,7 +185,7 @@
 
     /// The controller that leads, by its number.
     pub fn leader(&self) -> Option<usize> {
-        let name = self.state.leader()?.node;
+        let name = self.state.leader()?.controller;
         name.0.trim_start_matches("node-").parse().ok()
     }
 }
--- a/tests/loopback/workers.rs
+++ b/tests/loopback/workers.rs
@@ -84,7 +84,7 @@
 
 async fn work(name: String, fleet: Arc<Mutex<Fleet>>) {
     let client = Client::new(Duration::from_secs(2));
-    let mut node = 0;
+    let mut controller = 0;
     loop {
         tokio::time::sleep(STEP).await;
         let due = {
@@ -96,7 +96,7 @@
         };
         let Some(report) = due else { continue };
         let to: Vec<SocketAddr> = PUBLIC.get().cloned().unwrap_or_default();
-        let Some(addr) = to.get(node).copied() else {
+        let Some(addr) = to.get(controller).copied() else {
             continue;
         };
         let sent = lock(&fleet).now();
@@ -118,17 +118,17 @@
             Some(reply) if reply.status == 421 => read::<Redirect>(&reply.body)
                 .and_then(|redirect| redirect.holder)
                 .and_then(|holder| holder.0.trim_start_matches("node-").parse::<usize>().ok())
-                .filter(|holder| *holder != node)
+                .filter(|holder| *holder != controller)
                 .or(Some(usize::MAX)),
             _ => Some(usize::MAX),
         };
         match next {
             None => {}
             Some(usize::MAX) => {
-                node = (node + 1) % to.len();
+                controller = (controller + 1) % to.len();
                 tokio::time::sleep(TRY_NEXT).await;
             }
-            Some(holder) => node = holder,
+            Some(holder) => controller = holder,
         }
         if next.is_some()
             && let Some(machine) = lock(&fleet).machines.get_mut(&name)
--- a/tests/simulation/machine.rs
+++ b/tests/simulation/machine.rs
@@ -41,7 +41,7 @@
     pub lease_from: Duration,
     pub tasks: BTreeMap<TaskId, Task>,
     pub images: BTreeSet<String>,
-    pub node: usize,
+    pub controller: usize,
     /// The report in flight: its number and when it was sent.
     pub report: Option<(u64, Duration)>,
     pub next_report: Duration,
--- a/tests/simulation/main.rs
+++ b/tests/simulation/main.rs
@@ -343,9 +343,9 @@
     };
     let mut world = World::new(13, faults, Duration::from_secs(60), Size::LARGEST);
     world.longer = Duration::from_secs(25);
-    for (node, away) in [(0, 10.0), (1, 10.0)] {
+    for (controller, away) in [(0, 10.0), (1, 10.0)] {
         world.plan(Duration::from_secs(50), move |world| {
-            world.end_controller(node, Duration::from_secs_f64(away));
+            world.end_controller(controller, Duration::from_secs_f64(away));
         });
     }
     let world = check_at_size(world, end, bounds);
--- a/tests/simulation/meetings.rs
+++ b/tests/simulation/meetings.rs
@@ -4,7 +4,7 @@
 
 use dappleshore::domain::JobId;
 
-use super::world::{CALM_FROM, Faults, NODES, Size, World};
+use super::world::{CALM_FROM, CONTROLLERS, Faults, Size, World};
 
 /// When the state service goes out for everybody.
 const OUT_AT: Duration = Duration::from_secs(60);
@@ -225,7 +225,8 @@
         for after in [0.5, 5.0, 20.0] {
             Gap::new(seed, 1.5).play(move |world, _, _| {
                 world.plan(OUT_AT + seconds(after), |world| {
-                    (0..NODES).for_each(|node| world.end_controller(node, seconds(0.3)));
+                    (0..CONTROLLERS)
+                        .for_each(|controller| world.end_controller(controller, seconds(0.3)));
                 });
             });
         }
@@ -529,10 +530,13 @@
         play(seed, Faults::default(), Size::SMALL, |world| {
             world.longer = seconds(10.0);
             world.plan(seconds(50.0), |world| {
-                (0..NODES).for_each(|node| world.end_controller(node, seconds(24.0 + node as f64)));
+                (0..CONTROLLERS).for_each(|controller| {
+                    world.end_controller(controller, seconds(24.0 + controller as f64))
+                });
             });
             world.plan(seconds(110.0), |world| {
-                (0..NODES).for_each(|node| world.end_controller(node, seconds(28.0)));
+                (0..CONTROLLERS)
+                    .for_each(|controller| world.end_controller(controller, seconds(28.0)));
             });
         });
     }
@@ -660,18 +664,20 @@
                 for at in [30, 60, 95, 130] {
                     every(world, at, at + 6, 2, |world| end_leader(world, 0.3));
                     world.plan(seconds(at as f64 + 7.0), move |world| {
-                        let back = |node: usize| {
-                            if node == at as usize % NODES {
+                        let back = |controller: usize| {
+                            if controller == at as usize % CONTROLLERS {
                                 0.2
                             } else {
                                 9.0
                             }
                         };
-                        (0..NODES).for_each(|node| world.end_controller(node, seconds(back(node))));
+                        (0..CONTROLLERS).for_each(|controller| {
+                            world.end_controller(controller, seconds(back(controller)))
+                        });
                     });
                     // In the middle of the election.
                     world.plan(seconds(at as f64 + 10.8), move |world| {
-                        world.end_controller(at as usize % NODES, seconds(0.1));
+                        world.end_controller(at as usize % CONTROLLERS, seconds(0.1));
                     });
                 }
             },
--- a/tests/simulation/operators.rs
+++ b/tests/simulation/operators.rs
@@ -8,12 +8,12 @@
 use dappleshore_drain::operator::{DrainStatus, ProblemKind, Reply, Request};
 use dappleshore_drain::{DrainId, Eviction, Limit, Purpose, Scope, Subject};
 
-use super::world::{NODES, World};
+use super::world::{CONTROLLERS, World};
 
 /// Where a request is.
 struct Asked {
     request: Request,
-    node: usize,
+    controller: usize,
     next: Duration,
     reply: Option<Reply>,
 }
@@ -59,10 +59,10 @@
 impl World {
     /// An operator asks, again and again until there is an answer. Returns the request's number.
     pub fn operate(&mut self, request: Request) -> usize {
-        let node = self.any_node();
+        let controller = self.any_controller();
         self.operators.asked.push(Asked {
             request,
-            node,
+            controller,
             next: self.now,
             reply: None,
         });
@@ -86,9 +86,9 @@
                 continue;
             }
             asked.next = self.now + ASK_AGAIN;
-            let (node, request) = (asked.node, asked.request.clone());
-            asked.node = (node + 1) % NODES;
-            self.send_operation(number, node, request);
+            let (controller, request) = (asked.controller, asked.request.clone());
+            asked.controller = (controller + 1) % CONTROLLERS;
+            self.send_operation(number, controller, request);
         }
     }
 
@@ -97,7 +97,7 @@
         let asked = &mut self.operators.asked[number];
         match &reply {
             Reply::Elsewhere { leader, .. } => {
-                asked.node = leader.0.trim_start_matches("node-").parse().unwrap_or(0);
+                asked.controller = leader.0.trim_start_matches("node-").parse().unwrap_or(0);
                 asked.next = now + RETRY / 10;
                 return;
             }
--- a/tests/simulation/rollout.rs
+++ b/tests/simulation/rollout.rs
@@ -7,7 +7,7 @@
 use dappleshore::store::records::FORMAT;
 
 use super::gangs::submit_gangs;
-use super::world::{CALM_FROM, Faults, NODES, Size, World};
+use super::world::{CALM_FROM, CONTROLLERS, Faults, Size, World};
 
 /// The limits that the state service has after the upgrade.
 const NEXT: StateLimits = StateLimits {
@@ -21,8 +21,8 @@
 /// How an upgrade goes.
 struct Rollout {
     /// When the controllers come back with the new version, in this order.
-    order: [usize; NODES],
-    at_s: [u64; NODES],
+    order: [usize; CONTROLLERS],
+    at_s: [u64; CONTROLLERS],
     /// How long each is away.
     away: Duration,
     fall_at_s: u64,
@@ -31,10 +31,10 @@
 fn world(seed: u64, faults: Faults, size: Size, rollout: &Rollout) -> World {
     super::log_if_asked();
     let mut world = World::upgrading(seed, faults, CALM_FROM, size, NEXT);
-    for (node, at) in rollout.order.into_iter().zip(rollout.at_s) {
+    for (controller, at) in rollout.order.into_iter().zip(rollout.at_s) {
         let away = rollout.away;
         world.plan(Duration::from_secs(at), move |world| {
-            world.upgrade(node, away)
+            world.upgrade(controller, away)
         });
     }
     world.plan(Duration::from_secs(rollout.fall_at_s), |world| {
@@ -46,7 +46,7 @@
 
 fn check(seed: u64, faults: Faults, rollout: &Rollout) {
     let mut world = world(seed, faults, Size::SMALL, rollout);
-    submit_gangs(&mut world, rollout.at_s[NODES - 1] + 25, 6);
+    submit_gangs(&mut world, rollout.at_s[CONTROLLERS - 1] + 25, 6);
     world.run_until(END);
     world.check_end(seed);
     assert_eq!(world.gangs().completed.len(), 6, "seed {seed}: gangs");
@@ -74,7 +74,7 @@
     }
 }
 
-const ORDERS: [[usize; NODES]; 3] = [[0, 1, 2], [2, 0, 1], [1, 2, 0]];
+const ORDERS: [[usize; CONTROLLERS]; 3] = [[0, 1, 2], [2, 0, 1], [1, 2, 0]];
 
 #[test]
 fn an_upgrade_rolls_through_on_a_quiet_day() {
--- a/tests/simulation/world.rs
+++ b/tests/simulation/world.rs
@@ -6,12 +6,12 @@
 use std::time::{Duration, Instant, SystemTime};
 
 use dappleshore::config::{Config, StateLimits, TeamLimits};
+use dappleshore::controller::{Controller, Effect, Event, StoreTag};
 use dappleshore::domain::{Amount, Job, JobId, Kind, Now, Priority, Room, TaskId, Tenure, Zone};
 use dappleshore::features::Features;
 use dappleshore::fleet::wire::{Orders, Report, TaskState};
 use dappleshore::fleet::{Answer, Command, CommandOutcome};
 use dappleshore::intake::Response;
-use dappleshore::node::{Effect, Event, Node, StoreTag};
 use dappleshore::peer::Message;
 use dappleshore::policy::Policy;
 use dappleshore::provisioning::wire::{
@@ -31,10 +31,10 @@
 use super::rules::{Place, Rules, Told};
 use super::state::StateService;
 
-pub const NODES: usize = 3;
+pub const CONTROLLERS: usize = 3;
 /// Faults cease here in most tests.
 pub const CALM_FROM: Duration = Duration::from_secs(150);
-const ZONES: [&str; NODES] = ["a", "b", "c"];
+const ZONES: [&str; CONTROLLERS] = ["a", "b", "c"];
 const TICK: Duration = Duration::from_millis(50);
 /// Machines and users move in steps of this.
 const STEP: Duration = Duration::from_millis(100);
@@ -122,15 +122,15 @@
 
 enum WorldEvent {
     Tick {
-        node: usize,
+        controller: usize,
         boot: u64,
     },
     Restart {
-        node: usize,
+        controller: usize,
     },
     Step,
     Store {
-        node: usize,
+        controller: usize,
         boot: u64,
         tag: StoreTag,
         sent: Instant,
@@ -141,44 +141,44 @@
         id: u64,
     },
     Deliver {
-        node: usize,
+        controller: usize,
         boot: u64,
         event: Box<Event>,
     },
     Peer {
-        node: usize,
+        controller: usize,
         message: Message,
     },
     Command {
-        node: usize,
+        controller: usize,
         boot: u64,
         command: Command,
         answer: bool,
     },
     Call {
-        node: usize,
+        controller: usize,
         boot: u64,
         tag: CallTag,
         call: Call,
         answer: bool,
     },
     Report {
-        node: usize,
+        controller: usize,
         report: Box<Report>,
     },
     /// A late copy: whoever sent the report no longer waits for its answer.
     Copy {
-        node: usize,
+        controller: usize,
         report: Box<Report>,
     },
     /// What a user or an operator asked before, once more.
     Repeat {
-        node: usize,
+        controller: usize,
         event: Box<Event>,
     },
     /// What a controller had decided when it stood still, done now that it goes on.
     Resume {
-        node: usize,
+        controller: usize,
         boot: u64,
         effects: Vec<Effect>,
     },
@@ -187,7 +187,7 @@
         session: u64,
         seq: u64,
         sent: Duration,
-        node: usize,
+        controller: usize,
         answer: Option<Answer>,
     },
     Fault(Fault),
@@ -257,7 +257,7 @@
 }
 
 struct Slot {
-    node: Option<Node>,
+    controller: Option<Controller>,
     boot: u64,
     /// The newest format that its version knows.
     format: u32,
@@ -311,7 +311,7 @@
 }
 
 struct Watcher {
-    node: usize,
+    controller: usize,
     boot: u64,
     tag: StoreTag,
     sent: Instant,
@@ -431,9 +431,9 @@
             .map(|team| (team.name.clone(), team.cpus_max))
             .collect();
         let mut rng = SmallRng::seed_from_u64(seed);
-        let slots = (0..NODES)
+        let slots = (0..CONTROLLERS)
             .map(|_| Slot {
-                node: None,
+                controller: None,
                 boot: 0,
                 format: FORMAT,
                 next_request: 0,
@@ -493,9 +493,9 @@
             config,
             rng,
         };
-        for node in 0..NODES {
+        for controller in 0..CONTROLLERS {
             let at = Duration::from_millis(world.rng.random_range(0..500));
-            world.at(at, WorldEvent::Restart { node });
+            world.at(at, WorldEvent::Restart { controller });
         }
         world.at(STEP, WorldEvent::Step);
         for (fault, mean) in [
@@ -551,9 +551,9 @@
     }
 
     /// Ends a controller, which comes back with the new version.
-    pub fn upgrade(&mut self, node: usize, back_after: Duration) {
-        self.slots[node].format = FORMAT;
-        self.end_controller(node, back_after);
+    pub fn upgrade(&mut self, controller: usize, back_after: Duration) {
+        self.slots[controller].format = FORMAT;
+        self.end_controller(controller, back_after);
     }
 
     pub fn lower_state_limits(&mut self, limits: StateLimits) {
@@ -614,7 +614,7 @@
         let id = JobId(n as u64 * 37 % 1000 + 1000 * (1 + n as u64 / 1000));
         let rng = &mut self.rng;
         let service = rng.random_bool(0.3);
-        let zone = ZONES[rng.random_range(0..NODES)];
+        let zone = ZONES[rng.random_range(0..CONTROLLERS)];
         let team = if rng.random_bool(0.5) { "red" } else { "blue" };
         let (class, priority) = if service {
             ("service", Priority::Production)
@@ -673,9 +673,9 @@
     }
 
     /// A request of an operator is on its way to a controller that is up.
-    pub(super) fn send_operation(&mut self, operator: usize, node: usize, request: Request) {
-        let slot = &mut self.slots[node];
-        if slot.node.is_none() {
+    pub(super) fn send_operation(&mut self, operator: usize, controller: usize, request: Request) {
+        let slot = &mut self.slots[controller];
+        if slot.controller.is_none() {
             return;
         }
         slot.next_request += 1;
@@ -687,15 +687,19 @@
         {
             let request = request.clone();
             let event = Box::new(Event::Operate { id: 0, request });
-            self.at(late, WorldEvent::Repeat { node, event });
+            self.at(late, WorldEvent::Repeat { controller, event });
         }
         let event = Box::new(Event::Operate { id, request });
-        self.soon(WorldEvent::Deliver { node, boot, event });
+        self.soon(WorldEvent::Deliver {
+            controller,
+            boot,
+            event,
+        });
     }
 
     /// Some controller, by chance.
-    pub(super) fn any_node(&mut self) -> usize {
-        self.rng.random_range(0..NODES)
+    pub(super) fn any_controller(&mut self) -> usize {
+        self.rng.random_range(0..CONTROLLERS)
     }
 
     fn soon(&mut self, event: WorldEvent) {
@@ -720,9 +724,9 @@
         (quick, calm || !self.rng.random_bool(self.faults.lost))
     }
 
-    fn clock(&self, node: usize) -> Now {
-        let steady = self.now.mul_f64(1.0 + self.slots[node].drift);
-        let off = Duration::from_millis(300 * node as u64);
+    fn clock(&self, controller: usize) -> Now {
+        let steady = self.now.mul_f64(1.0 + self.slots[controller].drift);
+        let off = Duration::from_millis(300 * controller as u64);
         Now {
             steady: self.base + steady,
             wall: self.wall + self.now + off,
@@ -749,40 +753,40 @@
         }
     }
 
-    fn alive(&self, node: usize, boot: u64) -> bool {
-        self.slots[node].boot == boot && self.slots[node].node.is_some()
+    fn alive(&self, controller: usize, boot: u64) -> bool {
+        self.slots[controller].boot == boot && self.slots[controller].controller.is_some()
     }
 
-    fn handle(&mut self, node: usize, event: Event) {
-        let frozen = self.slots[node].frozen_until;
+    fn handle(&mut self, controller: usize, event: Event) {
+        let frozen = self.slots[controller].frozen_until;
         if self.now < frozen {
-            let boot = self.slots[node].boot;
+            let boot = self.slots[controller].boot;
             self.at(
                 frozen,
                 WorldEvent::Deliver {
-                    node,
+                    controller,
                     boot,
                     event: Box::new(event),
                 },
             );
             return;
         }
-        let boot = self.slots[node].boot;
-        for effect in self.effects(node, event) {
-            self.perform(node, boot, effect);
+        let boot = self.slots[controller].boot;
+        for effect in self.effects(controller, event) {
+            self.perform(controller, boot, effect);
         }
     }
 
-    fn effects(&mut self, node: usize, event: Event) -> Vec<Effect> {
-        let now = self.clock(node);
-        let slot = &mut self.slots[node];
+    fn effects(&mut self, controller: usize, event: Event) -> Vec<Effect> {
+        let now = self.clock(controller);
+        let slot = &mut self.slots[controller];
         slot.commands -= usize::from(matches!(event, Event::Commanded { .. }));
-        let Some(machine) = &mut slot.node else {
+        let Some(machine) = &mut slot.controller else {
             return Vec::new();
         };
         let at = self.now.as_secs_f64();
         self.events_handled += 1;
-        tracing::info_span!("node", node, at).in_scope(|| machine.handle(now, event))
+        tracing::info_span!("node", controller, at).in_scope(|| machine.handle(now, event))
     }
 
     /// When a copy of a message is carried out again, if one is.
@@ -794,10 +798,10 @@
         Some(self.now + Duration::from_secs_f64(self.rng.random_range(1.0..late)))
     }
 
-    fn perform(&mut self, node: usize, boot: u64, effect: Effect) {
+    fn perform(&mut self, controller: usize, boot: u64, effect: Effect) {
         match effect {
             Effect::Store { tag, op } => {
-                let sent = self.clock(node).steady;
+                let sent = self.clock(controller).steady;
                 let (mut at, mut answer) = self.fate();
                 if self.now < self.state_slow_until && !matches!(op, Op::Follow { .. }) {
                     at += Duration::from_millis(self.rng.random_range(50..1000));
@@ -820,7 +824,7 @@
                     self.at(
                         self.now + after,
                         WorldEvent::Deliver {
-                            node,
+                            controller,
                             boot,
                             event: Box::new(unknown),
                         },
@@ -832,7 +836,7 @@
                     self.at(
                         late,
                         WorldEvent::Store {
-                            node,
+                            controller,
                             boot,
                             tag: tag.clone(),
                             sent,
@@ -844,7 +848,7 @@
                 self.at(
                     at,
                     WorldEvent::Store {
-                        node,
+                        controller,
                         boot,
                         tag,
                         sent,
@@ -854,20 +858,20 @@
                 );
             }
             Effect::Command { command, until } => {
-                self.slots[node].commands += 1;
-                self.most_commands = self.most_commands.max(self.slots[node].commands);
-                if until.is_some_and(|until| self.clock(node).steady >= until) {
-                    return self.unanswered(node, boot, &command);
+                self.slots[controller].commands += 1;
+                self.most_commands = self.most_commands.max(self.slots[controller].commands);
+                if until.is_some_and(|until| self.clock(controller).steady >= until) {
+                    return self.unanswered(controller, boot, &command);
                 }
                 let (at, answer) = self.fate();
                 if !answer {
-                    self.unanswered(node, boot, &command);
+                    self.unanswered(controller, boot, &command);
                 }
                 if let Some(late) = self.copied() {
                     self.at(
                         late,
                         WorldEvent::Command {
-                            node,
+                            controller,
                             boot,
                             command: command.clone(),
                             answer: false,
@@ -877,7 +881,7 @@
                 self.at(
                     at,
                     WorldEvent::Command {
-                        node,
+                        controller,
                         boot,
                         command,
                         answer,
@@ -885,13 +889,13 @@
                 );
             }
             Effect::Call { tag, call, until } => {
-                if until.is_some_and(|until| self.clock(node).steady >= until) {
+                if until.is_some_and(|until| self.clock(controller).steady >= until) {
                     let event = Event::Called {
                         tag,
                         outcome: CallOutcome::Unknown,
                     };
                     return self.soon(WorldEvent::Deliver {
-                        node,
+                        controller,
                         boot,
                         event: Box::new(event),
                     });
@@ -905,7 +909,7 @@
                     self.at(
                         self.now + Duration::from_secs(5),
                         WorldEvent::Deliver {
-                            node,
+                            controller,
                             boot,
                             event: Box::new(event),
                         },
@@ -916,7 +920,7 @@
                     self.at(
                         late,
                         WorldEvent::Call {
-                            node,
+                            controller,
                             boot,
                             tag: tag.clone(),
                             call: call.clone(),
@@ -927,7 +931,7 @@
                 self.at(
                     at,
                     WorldEvent::Call {
-                        node,
+                        controller,
                         boot,
                         tag,
                         call,
@@ -942,18 +946,18 @@
                 }
                 let target = to.0.trim_start_matches("node-").parse().unwrap_or(0);
                 let (at, _) = self.fate();
-                let island = |node: usize| self.now < self.slots[node].island_until;
+                let island = |controller: usize| self.now < self.slots[controller].island_until;
                 if self.size.jobs > Size::SMALL.jobs {
                     let bytes = dappleshore::http::write(&message).len();
                     self.peer_bytes += bytes;
                     self.largest_peer_message = self.largest_peer_message.max(bytes);
                 }
-                if self.now >= self.peers_cut_until && !island(node) && !island(target) {
+                if self.now >= self.peers_cut_until && !island(controller) && !island(target) {
                     if let Some(late) = self.copied() {
                         self.at(
                             late,
                             WorldEvent::Peer {
-                                node: target,
+                                controller: target,
                                 message: message.clone(),
                             },
                         );
@@ -961,14 +965,14 @@
                     self.at(
                         at,
                         WorldEvent::Peer {
-                            node: target,
+                            controller: target,
                             message,
                         },
                     );
                 }
             }
             Effect::Unsupported { format } => panic!("format {format} is not known"),
-            Effect::Answer { id, response } => match self.slots[node].waiting.remove(&id) {
+            Effect::Answer { id, response } => match self.slots[controller].waiting.remove(&id) {
                 Some(Asker::User { user, asked }) => self.user_answered(user, asked, &response),
                 Some(Asker::Odd { expected }) => {
                     let (Response::State { status, .. } | Response::Problem { status, .. }) =
@@ -978,14 +982,15 @@
                 _ => {}
             },
             Effect::AnswerWorker { id, answer, until } => {
-                let over = self.clock(node).steady >= until && matches!(answer, Answer::Orders(_));
+                let over =
+                    self.clock(controller).steady >= until && matches!(answer, Answer::Orders(_));
                 let answer = if over { Answer::Unavailable } else { answer };
                 if let Some(Asker::Worker {
                     machine,
                     session,
                     seq,
                     sent,
-                }) = self.slots[node].waiting.remove(&id)
+                }) = self.slots[controller].waiting.remove(&id)
                     && self
                         .machines
                         .get(&machine)
@@ -1001,7 +1006,7 @@
                                 session,
                                 seq,
                                 sent,
-                                node,
+                                controller,
                                 answer,
                             },
                         );
@@ -1010,14 +1015,15 @@
             }
             Effect::AnswerHealth { .. } => {}
             Effect::AnswerOperator { id, reply } => {
-                if let Some(Asker::Operator(operator)) = self.slots[node].waiting.remove(&id) {
-                    self.operator_answered(operator, node, reply);
+                if let Some(Asker::Operator(operator)) = self.slots[controller].waiting.remove(&id)
+                {
+                    self.operator_answered(operator, controller, reply);
                 }
             }
         }
     }
 
-    fn unanswered(&mut self, node: usize, boot: u64, command: &Command) {
+    fn unanswered(&mut self, controller: usize, boot: u64, command: &Command) {
         let event = Event::Commanded {
             block: command.block.clone(),
             machine: command.machine.clone(),
@@ -1027,7 +1033,7 @@
         self.at(
             self.now + Duration::from_secs(3),
             WorldEvent::Deliver {
-                node,
+                controller,
                 boot,
                 event: Box::new(event),
             },
@@ -1036,60 +1042,73 @@
 
     fn take(&mut self, event: WorldEvent) {
         match event {
-            WorldEvent::Tick { node, boot } => {
-                if self.alive(node, boot) {
-                    let frozen = self.slots[node].frozen_until;
+            WorldEvent::Tick { controller, boot } => {
+                if self.alive(controller, boot) {
+                    let frozen = self.slots[controller].frozen_until;
                     if self.now < frozen {
-                        self.at(frozen, WorldEvent::Tick { node, boot });
+                        self.at(frozen, WorldEvent::Tick { controller, boot });
                         return;
                     }
-                    self.handle(node, Event::Tick);
-                    self.at(self.now + TICK, WorldEvent::Tick { node, boot });
+                    self.handle(controller, Event::Tick);
+                    self.at(self.now + TICK, WorldEvent::Tick { controller, boot });
                 }
             }
-            WorldEvent::Restart { node } => self.start(node),
+            WorldEvent::Restart { controller } => self.start(controller),
             WorldEvent::Step => {
                 self.step();
                 self.at(self.now + STEP, WorldEvent::Step);
             }
             WorldEvent::Store {
-                node,
+                controller,
                 boot,
                 tag,
                 sent,
                 op,
                 answer,
-            } => self.store(node, boot, tag, sent, op, answer),
+            } => self.store(controller, boot, tag, sent, op, answer),
             WorldEvent::Watch { id } => self.watch_over(id),
-            WorldEvent::Deliver { node, boot, event } => {
-                if self.alive(node, boot) {
-                    self.handle(node, *event);
+            WorldEvent::Deliver {
+                controller,
+                boot,
+                event,
+            } => {
+                if self.alive(controller, boot) {
+                    self.handle(controller, *event);
                 }
             }
-            WorldEvent::Peer { node, message } => {
+            WorldEvent::Peer {
+                controller,
+                message,
+            } => {
                 let from = match &message {
-                    Message::Status(status) => Some(status.node.clone()),
-                    Message::Alive(alive) => Some(alive.node.clone()),
+                    Message::Status(status) => Some(status.controller.clone()),
+                    Message::Alive(alive) => Some(alive.controller.clone()),
                     Message::Work(_) | Message::Cancelled(_) => None,
                 };
                 let from =
                     from.and_then(|name| name.0.trim_start_matches("node-").parse::<usize>().ok());
                 let zone = from.map(|from| Zone::from(ZONES[from]));
-                if let Some(until) = zone.and_then(|zone| self.cut(node, Some(&zone))) {
-                    self.at(until, WorldEvent::Peer { node, message });
+                if let Some(until) = zone.and_then(|zone| self.cut(controller, Some(&zone))) {
+                    self.at(
+                        until,
+                        WorldEvent::Peer {
+                            controller,
+                            message,
+                        },
+                    );
                     return;
                 }
                 // Held messages reach whichever process is there by then.
-                self.handle(node, Event::Peer(message));
+                self.handle(controller, Event::Peer(message));
             }
             WorldEvent::Command {
-                node,
+                controller,
                 boot,
                 command,
                 answer,
-            } => self.command(node, boot, command, answer),
+            } => self.command(controller, boot, command, answer),
             WorldEvent::Call {
-                node,
+                controller,
                 boot,
                 tag,
                 call,
@@ -1098,20 +1117,24 @@
                 let outcome = self.cloud(&call);
                 if answer {
                     let event = Box::new(Event::Called { tag, outcome });
-                    self.soon(WorldEvent::Deliver { node, boot, event });
+                    self.soon(WorldEvent::Deliver {
+                        controller,
+                        boot,
+                        event,
+                    });
                 }
             }
-            WorldEvent::Report { node, report } => {
+            WorldEvent::Report { controller, report } => {
                 let Some(machine) = self.machines.get(&*report.machine.0) else {
                     return;
                 };
                 let sent = machine.report.map_or(self.now, |(_, sent)| sent);
-                if let Some(until) = self.cut(node, Some(&machine.zone)) {
-                    self.at(until, WorldEvent::Report { node, report });
+                if let Some(until) = self.cut(controller, Some(&machine.zone)) {
+                    self.at(until, WorldEvent::Report { controller, report });
                     return;
                 }
-                let slot = &mut self.slots[node];
-                if slot.node.is_none() {
+                let slot = &mut self.slots[controller];
+                if slot.controller.is_none() {
                     return;
                 }
                 slot.next_request += 1;
@@ -1124,19 +1147,19 @@
                 };
                 slot.waiting.insert(id, asker);
                 self.handle(
-                    node,
+                    controller,
                     Event::Report {
                         id,
                         report: *report,
                     },
                 );
             }
-            WorldEvent::Copy { node, report } => {
-                let slot = &mut self.slots[node];
+            WorldEvent::Copy { controller, report } => {
+                let slot = &mut self.slots[controller];
                 slot.next_request += 1;
                 let id = slot.next_request;
                 self.handle(
-                    node,
+                    controller,
                     Event::Report {
                         id,
                         report: *report,
@@ -1148,20 +1171,20 @@
                 session,
                 seq,
                 sent,
-                node,
+                controller,
                 answer,
             } => {
-                self.answered(&machine, session, seq, sent, node, answer);
+                self.answered(&machine, session, seq, sent, controller, answer);
             }
-            WorldEvent::Repeat { node, event } => self.handle(node, *event),
+            WorldEvent::Repeat { controller, event } => self.handle(controller, *event),
             WorldEvent::Resume {
-                node,
+                controller,
                 boot,
                 effects,
             } => {
-                if self.alive(node, boot) {
+                if self.alive(controller, boot) {
                     for effect in effects {
-                        self.perform(node, boot, effect);
+                        self.perform(controller, boot, effect);
                     }
                 }
             }
@@ -1170,17 +1193,17 @@
         }
     }
 
-    fn start(&mut self, node: usize) {
-        if self.slots[node].node.is_some() {
+    fn start(&mut self, controller: usize) {
+        if self.slots[controller].controller.is_some() {
             return;
         }
         let mut config = self.config.clone();
         let names = ["node-0", "node-1", "node-2"];
         let addr = config.peers[0].addr;
-        config.name = names[node].into();
-        config.zone = ZONES[node].into();
-        config.peers = (0..NODES)
-            .filter(|other| *other != node)
+        config.name = names[controller].into();
+        config.zone = ZONES[controller].into();
+        config.peers = (0..CONTROLLERS)
+            .filter(|other| *other != controller)
             .map(|other| dappleshore::config::Peer {
                 name: names[other].into(),
                 zone: ZONES[other].into(),
@@ -1191,48 +1214,49 @@
         policy.preempt_for_priority &= self.preemption;
         policy.preempt_for_guarantee &= self.preemption;
         let seed = self.rng.random();
-        let now = self.clock(node);
-        let slot = &mut self.slots[node];
+        let now = self.clock(controller);
+        let slot = &mut self.slots[controller];
         slot.boot += 1;
         slot.frozen_until = Duration::ZERO;
         slot.commands = 0;
         slot.waiting.clear();
         let features = self.features.clone();
-        slot.node =
-            Some(Node::knowing(slot.format, config, policy, seed, now).with_features(features));
+        slot.controller = Some(
+            Controller::knowing(slot.format, config, policy, seed, now).with_features(features),
+        );
         let boot = slot.boot;
-        self.soon(WorldEvent::Tick { node, boot });
+        self.soon(WorldEvent::Tick { controller, boot });
     }
 
-    fn crash(&mut self, node: usize) {
+    fn crash(&mut self, controller: usize) {
         // Now and then restarted at once.
         let after = if self.rng.random_bool(0.3) { 0.1 } else { 5.0 };
-        self.end_controller(node, Duration::from_secs_f64(after));
+        self.end_controller(controller, Duration::from_secs_f64(after));
     }
 
-    fn state_out(&self, node: usize) -> bool {
-        self.now < self.state_out_until || self.now < self.slots[node].cut_until
+    fn state_out(&self, controller: usize) -> bool {
+        self.now < self.state_out_until || self.now < self.slots[controller].cut_until
     }
 
     /// When the cut between a node and a place is over, if there is one. None: the state service and the
     /// cloud, which are in no zone.
-    fn cut(&self, node: usize, zone: Option<&Zone>) -> Option<Duration> {
+    fn cut(&self, controller: usize, zone: Option<&Zone>) -> Option<Duration> {
         let (cut, until) = &self.zone_cut;
-        let inside = *ZONES[node] == *cut.0;
+        let inside = *ZONES[controller] == *cut.0;
         let crosses = inside != zone.is_some_and(|zone| zone == cut);
         (crosses && self.now < *until).then_some(*until)
     }
 
     fn store(
         &mut self,
-        node: usize,
+        controller: usize,
         boot: u64,
         tag: StoreTag,
         sent: Instant,
         op: Op,
         answer: bool,
     ) {
-        if let Some(until) = self.cut(node, None) {
+        if let Some(until) = self.cut(controller, None) {
             if answer {
                 let unknown = Event::Store {
                     tag: tag.clone(),
@@ -1243,7 +1267,7 @@
                 self.at(
                     self.now + after,
                     WorldEvent::Deliver {
-                        node,
+                        controller,
                         boot,
                         event: Box::new(unknown),
                     },
@@ -1253,7 +1277,7 @@
             self.at(
                 late,
                 WorldEvent::Store {
-                    node,
+                    controller,
                     boot,
                     tag,
                     sent,
@@ -1263,7 +1287,7 @@
             );
             return;
         }
-        let out = self.state_out(node);
+        let out = self.state_out(controller);
         if let Op::Follow {
             prefix,
             after,
@@ -1277,7 +1301,7 @@
             let id = self.order;
             let until = self.now + *wait;
             let watcher = Watcher {
-                node,
+                controller,
                 boot,
                 tag,
                 sent,
@@ -1301,7 +1325,11 @@
         }
         if answer {
             let event = Box::new(Event::Store { tag, sent, outcome });
-            self.soon(WorldEvent::Deliver { node, boot, event });
+            self.soon(WorldEvent::Deliver {
+                controller,
+                boot,
+                event,
+            });
         }
     }
 
@@ -1310,7 +1338,7 @@
             .watchers
             .iter()
             .filter(|(_, w)| {
-                !self.state_out(w.node) && !self.state.news(&w.prefix, w.after).is_empty()
+                !self.state_out(w.controller) && !self.state.news(&w.prefix, w.after).is_empty()
             })
             .map(|(id, _)| *id)
             .collect();
@@ -1323,7 +1351,7 @@
         let Some(watcher) = self.watchers.get(&id) else {
             return;
         };
-        if self.state_out(watcher.node) {
+        if self.state_out(watcher.controller) {
             // Open watches wait.
             let later = self.now + Duration::from_millis(500);
             if self.now > watcher.until + Duration::from_secs(2) {
@@ -1334,7 +1362,7 @@
                     outcome: Outcome::Unknown,
                 };
                 self.soon(WorldEvent::Deliver {
-                    node: watcher.node,
+                    controller: watcher.controller,
                     boot: watcher.boot,
                     event: Box::new(event),
                 });
@@ -1355,7 +1383,7 @@
             outcome,
         });
         self.soon(WorldEvent::Deliver {
-            node: watcher.node,
+            controller: watcher.controller,
             boot: watcher.boot,
             event,
         });
@@ -1396,21 +1424,24 @@
         self.call_off(job);
     }
 
-    fn command(&mut self, node: usize, boot: u64, command: Command, answer: bool) {
+    fn command(&mut self, controller: usize, boot: u64, command: Command, answer: bool) {
         let id = command.machine.0.to_string();
         if self.faults.sabotage {
             self.sabotage(&id, &command.body);
         }
         let zone = self.machines.get(&id).map(|machine| machine.zone.clone());
-        if let Some(until) = zone.as_ref().and_then(|zone| self.cut(node, Some(zone))) {
+        if let Some(until) = zone
+            .as_ref()
+            .and_then(|zone| self.cut(controller, Some(zone)))
+        {
             if answer {
-                self.unanswered(node, boot, &command);
+                self.unanswered(controller, boot, &command);
             }
             let late = until + Duration::from_millis(self.rng.random_range(1..50));
             self.at(
                 late,
                 WorldEvent::Command {
-                    node,
+                    controller,
                     boot,
                     command,
                     answer: false,
@@ -1420,13 +1451,13 @@
         }
         let Some(machine) = self.machines.get_mut(&id) else {
             if answer {
-                self.unanswered(node, boot, &command);
+                self.unanswered(controller, boot, &command);
             }
             return;
         };
         if self.now < machine.deaf_until {
             if answer {
-                self.unanswered(node, boot, &command);
+                self.unanswered(controller, boot, &command);
             }
             return;
         }
@@ -1435,7 +1466,7 @@
                 machine.backlog.push(command.body.clone());
             }
             if answer {
-                self.unanswered(node, boot, &command);
+                self.unanswered(controller, boot, &command);
             }
             return;
         }
@@ -1457,7 +1488,7 @@
                 outcome,
             };
             self.soon(WorldEvent::Deliver {
-                node,
+                controller,
                 boot,
                 event: Box::new(event),
             });
@@ -1623,7 +1654,7 @@
             lease_from: self.now + boot,
             tasks: BTreeMap::new(),
             images: BTreeSet::new(),
-            node: self.rng.random_range(0..NODES),
+            controller: self.rng.random_range(0..CONTROLLERS),
             report: None,
             next_report: self.now + boot,
             last_report: Duration::ZERO,
@@ -1705,7 +1736,7 @@
             .is_some_and(|(_, sent)| now > sent + REPORT_TIMEOUT)
         {
             machine.report = None;
-            machine.node = (machine.node + 1) % NODES;
+            machine.controller = (machine.controller + 1) % CONTROLLERS;
             machine.next_report = now + Duration::from_secs(1);
         }
         let rested = now >= machine.last_report + Duration::from_millis(500);
@@ -1715,16 +1746,16 @@
             machine.next_report = now + jitter;
             let report = machine.message();
             machine.report = Some((report.seq, now));
-            let node = machine.node;
-            let up = self.slots[node].node.is_some();
+            let controller = machine.controller;
+            let up = self.slots[controller].controller.is_some();
             let (session, seq) = (report.session, report.seq);
             self.happened(id, happened);
             if let Some(late) = self.copied() {
-                let node = self.rng.random_range(0..NODES);
+                let controller = self.rng.random_range(0..CONTROLLERS);
                 self.at(
                     late,
                     WorldEvent::Copy {
-                        node,
+                        controller,
                         report: Box::new(report.clone()),
                     },
                 );
@@ -1733,9 +1764,9 @@
             if now < self.reports_held_until {
                 let held = self.reports_held_until;
                 self.plan(held, move |world| {
-                    if let Some(node) = world.leader() {
+                    if let Some(controller) = world.leader() {
                         world.take(WorldEvent::Copy {
-                            node,
+                            controller,
                             report: Box::new(report),
                         });
                     }
@@ -1745,7 +1776,7 @@
                 self.at(
                     at,
                     WorldEvent::Report {
-                        node,
+                        controller,
                         report: Box::new(report),
                     },
                 );
@@ -1755,7 +1786,7 @@
                     session,
                     seq,
                     sent: now,
-                    node,
+                    controller,
                     answer: None,
                 });
             }
@@ -1770,7 +1801,7 @@
         session: u64,
         seq: u64,
         sent: Duration,
-        node: usize,
+        controller: usize,
         answer: Option<Answer>,
     ) {
         let now = self.now;
@@ -1783,7 +1814,13 @@
             return;
         }
         machine.report = None;
-        tracing::debug!(at = now.as_secs_f64(), machine = id, node, ?answer, "hears");
+        tracing::debug!(
+            at = now.as_secs_f64(),
+            machine = id,
+            controller,
+            ?answer,
+            "hears"
+        );
         match answer {
             Some(Answer::Orders(orders)) => {
                 if orders.token < machine.token {
@@ -1804,12 +1841,16 @@
             }
             Some(Answer::Elsewhere(Some(holder))) => {
                 let target = holder.0.trim_start_matches("node-").parse().unwrap_or(0);
-                let same = target == node;
-                machine.node = if same { (node + 1) % NODES } else { target };
+                let same = target == controller;
+                machine.controller = if same {
+                    (controller + 1) % CONTROLLERS
+                } else {
+                    target
+                };
                 machine.next_report = now + Duration::from_millis(if same { 1000 } else { 200 });
             }
             _ => {
-                machine.node = (node + 1) % NODES;
+                machine.controller = (controller + 1) % CONTROLLERS;
                 machine.next_report = now + Duration::from_secs(1);
             }
         }
@@ -1867,14 +1908,14 @@
             Ask::Cancel => self.rules.cancel_asked(job),
             Ask::Poll => {}
         }
-        let up: Vec<usize> = (0..NODES)
-            .filter(|node| self.slots[*node].node.is_some())
+        let up: Vec<usize> = (0..CONTROLLERS)
+            .filter(|controller| self.slots[*controller].controller.is_some())
             .collect();
         if up.is_empty() {
             return;
         }
-        let node = up[self.rng.random_range(0..up.len())];
-        let slot = &mut self.slots[node];
+        let controller = up[self.rng.random_range(0..up.len())];
+        let slot = &mut self.slots[controller];
         slot.next_request += 1;
         let id = slot.next_request;
         slot.waiting.insert(id, Asker::User { user: index, asked });
@@ -1906,19 +1947,19 @@
                 }),
                 Ask::Poll => None,
             };
-            let node = self.rng.random_range(0..NODES);
+            let controller = self.rng.random_range(0..CONTROLLERS);
             if let Some(event) = again {
                 self.at(
                     late,
                     WorldEvent::Repeat {
-                        node,
+                        controller,
                         event: Box::new(event),
                     },
                 );
             }
         }
         self.soon(WorldEvent::Deliver {
-            node,
+            controller,
             boot,
             event: Box::new(event),
         });
@@ -1971,9 +2012,9 @@
                 (body, 400)
             }
         };
-        let node = self.rng.random_range(0..NODES);
-        let slot = &mut self.slots[node];
-        if slot.node.is_none() {
+        let controller = self.rng.random_range(0..CONTROLLERS);
+        let slot = &mut self.slots[controller];
+        if slot.controller.is_none() {
             return;
         }
         slot.next_request += 1;
@@ -1981,7 +2022,7 @@
         slot.waiting.insert(id, Asker::Odd { expected });
         let boot = slot.boot;
         self.soon(WorldEvent::Deliver {
-            node,
+            controller,
             boot,
             event: Box::new(Event::Submit { id, body }),
         });
@@ -2106,19 +2147,19 @@
 
     /// The controller that the state service has as the leader.
     pub fn leader(&self) -> Option<usize> {
-        let name = self.state.leader()?.node;
+        let name = self.state.leader()?.controller;
         name.0.trim_start_matches("node-").parse().ok()
     }
 
     /// The state service refuses this controller alone.
-    pub fn cut_state(&mut self, node: usize, how_long: Duration) {
-        self.slots[node].cut_until = self.now + how_long;
+    pub fn cut_state(&mut self, controller: usize, how_long: Duration) {
+        self.slots[controller].cut_until = self.now + how_long;
     }
 
     /// It loses the state service and the other controllers, not its workers and users.
-    pub fn island(&mut self, node: usize, how_long: Duration) {
-        self.cut_state(node, how_long);
-        self.slots[node].island_until = self.now + how_long;
+    pub fn island(&mut self, controller: usize, how_long: Duration) {
+        self.cut_state(controller, how_long);
+        self.slots[controller].island_until = self.now + how_long;
     }
 
     pub fn state_outage(&mut self, how_long: Duration) {
@@ -2128,25 +2169,25 @@
     }
 
     /// Ends a controller, which is started again after this long.
-    pub fn end_controller(&mut self, node: usize, back_after: Duration) {
-        self.slots[node].node = None;
-        self.slots[node].waiting.clear();
-        self.at(self.now + back_after, WorldEvent::Restart { node });
+    pub fn end_controller(&mut self, controller: usize, back_after: Duration) {
+        self.slots[controller].controller = None;
+        self.slots[controller].waiting.clear();
+        self.at(self.now + back_after, WorldEvent::Restart { controller });
     }
 
-    pub fn freeze(&mut self, node: usize, how_long: Duration) {
-        if self.now < self.slots[node].frozen_until {
+    pub fn freeze(&mut self, controller: usize, how_long: Duration) {
+        if self.now < self.slots[controller].frozen_until {
             return;
         }
         let until = self.now + how_long;
         // It has just decided what to do, and does it when it goes on.
-        let effects = self.effects(node, Event::Tick);
-        self.slots[node].frozen_until = until;
-        let boot = self.slots[node].boot;
+        let effects = self.effects(controller, Event::Tick);
+        self.slots[controller].frozen_until = until;
+        let boot = self.slots[controller].boot;
         self.at(
             until,
             WorldEvent::Resume {
-                node,
+                controller,
                 boot,
                 effects,
             },
@@ -2284,7 +2325,7 @@
                 continue;
             };
             job.one_zone = n.is_multiple_of(2);
-            job.zone = (!job.one_zone).then(|| ZONES[n % NODES].into());
+            job.zone = (!job.one_zone).then(|| ZONES[n % CONTROLLERS].into());
             user.body = body_of(user.job, job);
         }
     }
@@ -2338,28 +2379,28 @@
             |rng: &mut SmallRng, most: f64| Duration::from_secs_f64(rng.random_range(1.0..most));
         match fault {
             Fault::Crash => {
-                let node = self.rng.random_range(0..NODES);
-                self.crash(node);
+                let controller = self.rng.random_range(0..CONTROLLERS);
+                self.crash(controller);
             }
-            Fault::CrashAll => (0..NODES).for_each(|node| self.crash(node)),
+            Fault::CrashAll => (0..CONTROLLERS).for_each(|controller| self.crash(controller)),
             Fault::Outage => {
                 let how_long = long(&mut self.rng, 35.0);
                 self.state_outage(how_long);
             }
             Fault::CutOne => {
-                let node = self.rng.random_range(0..NODES);
+                let controller = self.rng.random_range(0..CONTROLLERS);
                 let how_long = long(&mut self.rng, 40.0);
-                self.cut_state(node, how_long);
+                self.cut_state(controller, how_long);
             }
             Fault::Island => {
-                let node = self.rng.random_range(0..NODES);
+                let controller = self.rng.random_range(0..CONTROLLERS);
                 let how_long = long(&mut self.rng, 60.0);
-                self.island(node, how_long);
+                self.island(controller, how_long);
             }
             Fault::Freeze => {
-                let node = self.rng.random_range(0..NODES);
+                let controller = self.rng.random_range(0..CONTROLLERS);
                 let how_long = long(&mut self.rng, 45.0);
-                self.freeze(node, how_long);
+                self.freeze(controller, how_long);
             }
             Fault::MassLoss => {
                 let kind = [
@@ -2376,7 +2417,7 @@
             Fault::StateSlow => self.state_slow_until = self.now + long(&mut self.rng, 30.0),
             Fault::CloudOutage => self.cloud_out_until = self.now + long(&mut self.rng, 30.0),
             Fault::ZoneCut => {
-                let zone = Zone::from(ZONES[self.rng.random_range(0..NODES)]);
+                let zone = Zone::from(ZONES[self.rng.random_range(0..CONTROLLERS)]);
                 self.zone_cut = (zone, self.now + long(&mut self.rng, 60.0));
             }
             Fault::PeersCut => self.peers_cut_until = self.now + long(&mut self.rng, 20.0),
@@ -2424,15 +2465,18 @@
         let all = self
             .slots
             .iter()
-            .filter_map(|slot| slot.node.as_ref())
-            .map(Node::looked);
+            .filter_map(|slot| slot.controller.as_ref())
+            .map(Controller::looked);
         all.fold((0, 0), |sum, one| (sum.0 + one.0, sum.1 + one.1))
     }
 
     /// The records as some controller knows them.
     pub fn any_view(&self) -> Option<&dappleshore::store::View> {
-        let mut nodes = self.slots.iter().filter_map(|slot| slot.node.as_ref());
-        nodes.next().map(Node::view)
+        let mut controllers = self
+            .slots
+            .iter()
+            .filter_map(|slot| slot.controller.as_ref());
+        controllers.next().map(Controller::view)
     }
 
     pub fn state(&self) -> &StateService {
