--- a/src/blocks/mod.rs
+++ b/src/blocks/mod.rs
@@ -13,7 +13,7 @@
 use crate::leadership::Lead;
 use crate::policy::Policy;
 use crate::store::records::{Grant, LEADER, TOKEN, Token, grant_key};
-use crate::store::{Op, Outcome, Txn, View, Writer};
+use crate::store::{Op, Outcome, Txn, WatchCache, Writer};
 
 /// A zone's block by its number.
 pub fn name(zone: &Zone, number: usize) -> BlockId {
@@ -26,7 +26,7 @@
     zones: &[Zone],
     config: &Config,
     policy: &Policy,
-    view: &View,
+    cache: &WatchCache,
 ) -> BTreeMap<BlockId, Zone> {
     let blocks = config.controllers() * policy.blocks_per_controller;
     let each = blocks.div_ceil(zones.len().max(1)).max(1);
@@ -35,7 +35,8 @@
         .flat_map(|zone| (0..each).map(move |n| (name(zone, n), zone.clone())))
         .collect();
     wanted.extend(
-        view.rosters
+        cache
+            .rosters
             .iter()
             .map(|(block, roster)| (block.clone(), roster.value.zone.clone())),
     );
@@ -116,12 +117,12 @@
         controller: &ControllerName,
         config: &Config,
         policy: &Policy,
-        view: &View,
+        cache: &WatchCache,
     ) -> bool {
         if *controller == config.name {
             return true;
         }
-        let Some(member) = view.members.get(controller) else {
+        let Some(member) = cache.members.get(controller) else {
             return false;
         };
         let since_start = self
@@ -136,7 +137,7 @@
     }
 
     /// Grants what is not held, or held by a controller that is gone. One transaction at a time.
-    pub fn poll(&mut self, now: Now, lead: &Lead<'_>, view: &mut View) -> Option<Op> {
+    pub fn poll(&mut self, now: Now, lead: &Lead<'_>, cache: &mut WatchCache) -> Option<Op> {
         let Lead {
             config,
             policy,
@@ -152,13 +153,13 @@
             self.unfit.clear();
             self.writer = Writer::Unsure { since: now.steady };
         }
-        if !self.writer.ready(now, view) {
+        if !self.writer.ready(now, cache) {
             return None;
         }
-        let mut members: Vec<ControllerName> = view
+        let mut members: Vec<ControllerName> = cache
             .members
             .keys()
-            .filter(|controller| self.trusted(now, controller, config, policy, view))
+            .filter(|controller| self.trusted(now, controller, config, policy, cache))
             .cloned()
             .collect();
         let fit = |controller: &ControllerName| {
@@ -170,19 +171,22 @@
             members.retain(fit);
         }
         let boot_of = |controller: &ControllerName| {
-            view.members.get(controller).map(|member| member.value.boot)
+            cache
+                .members
+                .get(controller)
+                .map(|member| member.value.boot)
         };
         let mut held: BTreeMap<&ControllerName, usize> =
             members.iter().map(|controller| (controller, 0)).collect();
-        for grant in view.grants.values() {
+        for grant in cache.grants.values() {
             if let Some(count) = held.get_mut(&grant.value.holder) {
                 *count += 1;
             }
         }
-        let mut last = view.max_token();
+        let mut last = cache.max_token();
         let mut changes = Vec::new();
-        for (block, zone) in wanted(zones, config, policy, view) {
-            let old = view.grants.get(&block);
+        for (block, zone) in wanted(zones, config, policy, cache) {
+            let old = cache.grants.get(&block);
             let kept = old.filter(|old| {
                 members.contains(&old.value.holder)
                     && boot_of(&old.value.holder) == Some(old.value.boot)
@@ -249,9 +253,9 @@
         }
         if changes.is_empty() {
             if let Some((block, controller, version)) =
-                self.unbalanced(now, lead, zones, &held, view)
+                self.unbalanced(now, lead, zones, &held, cache)
             {
-                let zone = view
+                let zone = cache
                     .grants
                     .get(&block)
                     .map(|grant| grant.value.zone.clone())?;
@@ -274,9 +278,9 @@
         }
         changes.truncate(config.state_limits.txn_ops - 1);
         let mut txn = Txn::default().when(LEADER, leader_version);
-        if last > view.max_token() {
+        if last > cache.max_token() {
             txn = txn
-                .when(TOKEN, view.token.as_ref().map_or(0, |token| token.version))
+                .when(TOKEN, cache.token.as_ref().map_or(0, |token| token.version))
                 .put(TOKEN, &Token { last });
         }
         for (block, version, grant) in &changes {
@@ -296,7 +300,7 @@
         lead: &Lead<'_>,
         zones: &[Zone],
         held: &BTreeMap<&ControllerName, usize>,
-        view: &View,
+        cache: &WatchCache,
     ) -> Option<(BlockId, ControllerName, u64)> {
         let Lead { config, policy, .. } = *lead;
         let settled = self
@@ -307,10 +311,11 @@
         if !settled || *most < none + 2 {
             return None;
         }
-        let (block, _) = wanted(zones, config, policy, view)
+        let (block, _) = wanted(zones, config, policy, cache)
             .into_iter()
             .filter(|(block, _)| {
-                view.grants
+                cache
+                    .grants
                     .get(block)
                     .is_some_and(|grant| grant.value.holder == **busy)
             })
@@ -320,7 +325,7 @@
                     .iter()
                     .any(|p| p.name == **idle && p.zone == *zone)
             })?;
-        let version = view.grants.get(&block)?.version;
+        let version = cache.grants.get(&block)?.version;
         Some((block, (*idle).clone(), version))
     }
 
--- a/src/blocks/tests.rs
+++ b/src/blocks/tests.rs
@@ -20,7 +20,7 @@
         steady: start.steady + Duration::from_secs(seconds),
         ..start
     };
-    let mut view = View::following();
+    let mut cache = WatchCache::following();
     let other = config.peers[0].name.clone();
     for (version, controller) in [(1, &config.name), (2, &other)] {
         let change = Change {
@@ -28,7 +28,7 @@
             version,
             value: Some(encode(&Member { boot: 1, format: 0 })),
         };
-        view.apply(change);
+        cache.apply(change);
     }
     let mut granting = Granting::new();
     let mut version = 2;
@@ -46,7 +46,7 @@
         for _ in 0..40 {
             granting.heard_from(now, &other, 1);
             granting.writer = Writer::Idle;
-            let Some(Op::Commit(txn)) = granting.poll(now, &lead, &mut view) else {
+            let Some(Op::Commit(txn)) = granting.poll(now, &lead, &mut cache) else {
                 break;
             };
             version += 1;
@@ -54,14 +54,15 @@
                 let TxnChange::Put { key, value, .. } = change else {
                     panic!("{change:?}")
                 };
-                view.apply(Change {
+                cache.apply(Change {
                     key,
                     version,
                     value: Some(value),
                 });
             }
         }
-        view.grants
+        cache
+            .grants
             .values()
             .filter(|grant| grant.value.holder == other)
             .count()
--- a/src/cancellation/mod.rs
+++ b/src/cancellation/mod.rs
@@ -15,9 +15,9 @@
 use crate::peer::{Alive, CancelledJob};
 use crate::provisioning::wire::MachineNames;
 use crate::provisioning::{Call, CallOutcome, Tag};
-use crate::store::View;
+use crate::store::WatchCache;
+use crate::store::cache::ChangedRecords;
 use crate::store::records::Grant;
-use crate::store::view::Touched;
 
 /// How long before a cancelled task has to be gone its machine is given up: time for the deletion, and for clocks that
 /// differ.
@@ -81,22 +81,22 @@
     }
 
     /// Brings the list up to date with our copy of the records.
-    pub fn sync(&mut self, view: &View, touched: &Touched) {
+    pub fn sync(&mut self, cache: &WatchCache, changed: &ChangedRecords) {
         let cancelled = |job: &JobId| {
-            let open = view.open.get(job).filter(|open| open.cancelled)?;
+            let open = cache.open.get(job).filter(|open| open.cancelled)?;
             Some((*job, (open.version, open.cancelled_ms)))
         };
-        if touched.all {
-            self.open = view.open.keys().filter_map(cancelled).collect();
+        if changed.all {
+            self.open = cache.open.keys().filter_map(cancelled).collect();
         }
-        for job in &touched.ended {
+        for job in &changed.ended {
             match cancelled(job) {
                 Some((job, known)) => self.open.insert(job, known),
                 None => self.open.remove(job),
             };
         }
         self.deleted
-            .retain(|machine| view.machines.contains_key(machine));
+            .retain(|machine| cache.machines.contains_key(machine));
     }
 
     /// What the others are told every second. Cancellations again and again: a message may be lost, and who is cut off
@@ -106,7 +106,7 @@
         now: Now,
         controller: &ControllerName,
         boot: u64,
-        view: &View,
+        cache: &WatchCache,
         reaches_state: bool,
     ) -> Alive {
         let number = self.sent.back().map_or(1, |(number, _)| number + 1);
@@ -120,7 +120,7 @@
             number,
             reaches_state,
             // Without a copy an earlier process of this controller may have confirmed what we have not read yet.
-            complete: view.ready() && self.open.len() <= MOST_TOLD,
+            complete: cache.ready() && self.open.len() <= MOST_TOLD,
             cancelled: self.told(),
             heard: self
                 .peers
@@ -218,7 +218,7 @@
         now: Now,
         config: &Config,
         boot: u64,
-        view: &View,
+        cache: &WatchCache,
         proven: impl Fn(&BlockId, &MachineId, &Attempt) -> bool,
     ) -> Option<(Tag, Call)> {
         if self.open.is_empty() || self.looked.is_some_and(|at| since(now, at) < LOOK_EVERY) {
@@ -234,10 +234,10 @@
             .iter()
             .filter(|(_, (_, at_ms))| overdue(now, config, *at_ms))
         {
-            for ((index, number), place) in view.placed(*job) {
-                let left = view.machines.contains_key(&place.machine)
+            for ((index, number), place) in cache.placed(*job) {
+                let left = cache.machines.contains_key(&place.machine)
                     && !self.deleted.contains(&place.machine);
-                let Some(grant) = view
+                let Some(grant) = cache
                     .grants
                     .get(&place.block)
                     .filter(|_| left)
--- a/src/cancellation/tests.rs
+++ b/src/cancellation/tests.rs
@@ -16,7 +16,7 @@
 /// which is cancelled, and on `m-3` of ours one of job 2, which is not.
 struct Copy {
     config: Config,
-    view: View,
+    cache: WatchCache,
     start: Now,
     cancellations: Cancellations,
     /// Whether the others reach the state service.
@@ -27,11 +27,11 @@
     fn new() -> Self {
         let config = Config::parse("s.toml", SETTINGS).expect("valid");
         let start = Now::read();
-        let mut view = View::following();
+        let mut cache = WatchCache::following();
         let mut version = 0;
         let mut put = |key: String, value| {
             version += 1;
-            view.apply(Change {
+            cache.apply(Change {
                 key,
                 version,
                 value: Some(value),
@@ -83,11 +83,11 @@
         );
         put(job_key(JobId(2)), encode(&JobRecord::Open(job(2, 1.0))));
         let mut cancellations = Cancellations::new();
-        let touched = view.take_touched();
-        cancellations.sync(&view, &touched);
+        let changed = cache.take_changed();
+        cancellations.sync(&cache, &changed);
         Copy {
             config,
-            view,
+            cache,
             start,
             cancellations,
             reaches_state: false,
@@ -131,7 +131,7 @@
 
     fn sign(&mut self, after: Duration) -> Alive {
         let (now, us) = (self.at(after), self.config.name.clone());
-        self.cancellations.sign(now, &us, BOOT, &self.view, false)
+        self.cancellations.sign(now, &us, BOOT, &self.cache, false)
     }
 
     /// The machines that are deleted then.
@@ -139,7 +139,7 @@
         let now = self.at(after);
         let call = self
             .cancellations
-            .poll(now, &self.config, BOOT, &self.view, |_, _, _| proven);
+            .poll(now, &self.config, BOOT, &self.cache, |_, _, _| proven);
         match call {
             Some((Tag::DeleteCancelled, Call::Delete(names))) => names
                 .machines
@@ -200,7 +200,7 @@
 fn only_signs_of_life_of_the_process_that_holds_the_grant_count_and_late_ones_do_not() {
     let mut copy = Copy::new();
     let late = copy.config.cancel_within - OVERDUE_MARGIN;
-    let grant = copy.view.grants[&BlockId::from("b.0")].value.clone();
+    let grant = copy.cache.grants[&BlockId::from("b.0")].value.clone();
     let heard =
         |copy: &Copy, after: Duration| copy.cancellations.holder_heard(copy.at(after), &grant);
     copy.hear_holder(Duration::from_secs(1), 3, 5);
@@ -234,15 +234,15 @@
         told.iter().map(|told| told.job).collect::<Vec<_>>(),
         [JobId(1)]
     );
-    assert_eq!(told[0].version, copy.view.open[&JobId(1)].version);
+    assert_eq!(told[0].version, copy.cache.open[&JobId(1)].version);
     let end = encode(&JobRecord::Ended(crate::domain::Final::Cancelled, 2));
-    copy.view.apply(Change {
+    copy.cache.apply(Change {
         key: job_key(JobId(1)),
         version: 90,
         value: Some(end),
     });
-    let touched = copy.view.take_touched();
-    copy.cancellations.sync(&copy.view, &touched);
+    let changed = copy.cache.take_changed();
+    copy.cancellations.sync(&copy.cache, &changed);
     assert_eq!(copy.cancellations.told(), []);
 }
 
@@ -317,9 +317,12 @@
 fn a_controller_without_a_copy_or_with_too_much_to_tell_does_not_claim_to_name_all() {
     let mut copy = Copy::new();
     assert!(copy.sign(Duration::ZERO).complete);
-    let ready = std::mem::replace(&mut copy.view, View::new(&copy.config.state_limits, 3));
+    let ready = std::mem::replace(
+        &mut copy.cache,
+        WatchCache::new(&copy.config.state_limits, 3),
+    );
     assert!(!copy.sign(Duration::ZERO).complete, "started in an outage");
-    copy.view = ready;
+    copy.cache = ready;
     copy.cancellations
         .open
         .extend((10..10 + MOST_TOLD as u64).map(|id| (JobId(id), (id, 0))));
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -27,13 +27,13 @@
 use crate::queueing::draining::Draining;
 use crate::store::budget::{Budget, Urgency};
 use crate::store::records::FORMAT;
-use crate::store::{Op, Outcome, View, view};
+use crate::store::{Op, Outcome, WatchCache, cache};
 use crate::upgrade::Upgrade;
 
 /// Which slice a request to the state service belongs to.
 #[derive(Debug, Clone, PartialEq)]
 pub enum StoreTag {
-    View(view::Tag),
+    WatchCache(cache::Tag),
     Leadership(leadership::Tag),
     Intake(RequestId),
     Granting(u64),
@@ -151,7 +151,7 @@
     operations: Operations,
     boot: u64,
     rng: SmallRng,
-    view: View,
+    cache: WatchCache,
     budget: Budget<StoreTag>,
     leadership: Leadership,
     granting: Granting,
@@ -216,7 +216,7 @@
             operations: Operations::default(),
             boot,
             rng,
-            view: View::new(&config.state_limits, config.controllers()),
+            cache: WatchCache::new(&config.state_limits, config.controllers()),
             config,
             budget,
             granting: Granting::new(),
@@ -248,8 +248,8 @@
         self
     }
 
-    pub fn view(&self) -> &View {
-        &self.view
+    pub fn cache(&self) -> &WatchCache {
+        &self.cache
     }
 
     /// How long the last event took to handle, as whoever runs this measured it.
@@ -305,7 +305,7 @@
     /// Until when what we know of the grants may be acted on: counted from before it was asked for. That others may hold
     /// them by now is what tokens are for; what has an end is how long a cancellation may be unknown to us.
     fn entitled_until(&self, now: Now) -> Instant {
-        let fresh = self.view.fresh_since().map(|fresh| {
+        let fresh = self.cache.fresh_since().map(|fresh| {
             self.cancellations
                 .known_until(now, &self.config)
                 .max(Some(fresh))
@@ -325,7 +325,7 @@
                 .peers_reach_state
                 .values()
                 .any(|at| since(now, *at) < CUT_OFF_AFTER);
-        self.view.ready() && self.flavors.known() && !alone
+        self.cache.ready() && self.flavors.known() && !alone
     }
 
     pub fn handle(&mut self, now: Now, event: Event) -> Vec<Effect> {
@@ -373,14 +373,14 @@
             Event::Report { id, report } => {
                 let until = self.entitled_until(now);
                 let entitled = now.steady < until;
-                if !self.view.machines.contains_key(&report.machine)
+                if !self.cache.machines.contains_key(&report.machine)
                     && let Some(leading) = &mut self.leading
                 {
                     leading.provisioner.unexpected(now, &report);
                 }
                 let answer = self
                     .fleet
-                    .report(now, report, &self.config, &self.view, entitled);
+                    .report(now, report, &self.config, &self.cache, entitled);
                 self.status_due = true;
                 effects.push(Effect::AnswerWorker { id, answer, until });
             }
@@ -394,7 +394,7 @@
                 outcome,
             } => {
                 self.fleet
-                    .commanded(now, &block, &machine, &body, outcome, &self.view);
+                    .commanded(now, &block, &machine, &body, outcome, &self.cache);
                 self.status_due = true;
             }
             Event::Called { tag, outcome } => self.called(now, tag, outcome),
@@ -417,7 +417,7 @@
         let cx = intake::Context {
             config: &self.config,
             flavors: &self.flavors,
-            view: &mut self.view,
+            cache: &mut self.cache,
             budget: &mut self.budget,
             tag: StoreTag::Intake,
         };
@@ -434,7 +434,7 @@
     ) {
         self.budget.note(now, &outcome);
         let slice = match &tag {
-            StoreTag::View(_) | StoreTag::Leadership(_) => None,
+            StoreTag::WatchCache(_) | StoreTag::Leadership(_) => None,
             StoreTag::Intake(_) => Some("intake"),
             StoreTag::Granting(_) => Some("granting"),
             StoreTag::Upgrade => Some("upgrade"),
@@ -451,13 +451,16 @@
             }
         }
         match tag {
-            StoreTag::View(tag) => {
-                for (tag, op) in self.view.handle(now, tag, outcome) {
-                    self.ask(Urgency::Authority, StoreTag::View(tag), op);
+            StoreTag::WatchCache(tag) => {
+                for (tag, op) in self.cache.handle(now, tag, outcome) {
+                    self.ask(Urgency::Authority, StoreTag::WatchCache(tag), op);
                 }
             }
             StoreTag::Leadership(tag) => {
-                for (tag, op) in self.leadership.handle(now, sent, tag, &outcome, &self.view) {
+                for (tag, op) in self
+                    .leadership
+                    .handle(now, sent, tag, &outcome, &self.cache)
+                {
                     self.ask(Urgency::Authority, StoreTag::Leadership(tag), op);
                 }
             }
@@ -518,7 +521,7 @@
         } else if let Some(leading) = &mut self.leading {
             leading
                 .provisioner
-                .called(now, &self.policy, &self.config, &self.view, tag, outcome);
+                .called(now, &self.policy, &self.config, &self.cache, tag, outcome);
         }
         self.stale_plan = true;
     }
@@ -532,7 +535,7 @@
                     leading.queues.strayed(now, status.strays);
                 }
                 for block in status.blocks {
-                    let granted = self.view.grants.get(&block.block);
+                    let granted = self.cache.grants.get(&block.block);
                     let current = granted.is_some_and(|grant| {
                         grant.value.holder == status.controller
                             && grant.value.boot == status.boot
@@ -586,7 +589,7 @@
     }
 
     fn term(&self) -> Option<u64> {
-        self.leadership.leading(&self.view).map(|(term, _)| term)
+        self.leadership.leading(&self.cache).map(|(term, _)| term)
     }
 
     fn ask(&mut self, urgency: Urgency, tag: StoreTag, op: Op) {
@@ -598,8 +601,8 @@
 
     /// Whatever follows from the present state.
     fn advance(&mut self, now: Now, effects: &mut Vec<Effect>) {
-        if self.view.format() > FORMAT {
-            let format = self.view.format();
+        if self.cache.format() > FORMAT {
+            let format = self.cache.format();
             effects.push(Effect::Unsupported { format });
             return;
         }
@@ -611,18 +614,18 @@
                 until: None,
             });
         }
-        if self.view.revision != self.seen_revision || self.view.has_touched() {
-            self.seen_revision = self.view.revision;
+        if self.cache.revision != self.seen_revision || self.cache.has_changed() {
+            self.seen_revision = self.cache.revision;
             self.stale_plan = true;
-            if self.view.ready() {
-                let touched = self.view.take_touched();
-                self.cancellations.sync(&self.view, &touched);
+            if self.cache.ready() {
+                let changed = self.cache.take_changed();
+                self.cancellations.sync(&self.cache, &changed);
                 self.fleet
-                    .sync(now, &self.config, self.boot, &self.view, &touched);
+                    .sync(now, &self.config, self.boot, &self.cache, &changed);
             }
             self.status_due = true;
         }
-        for (tag, op) in self.leadership.poll(now, &self.view, &mut self.rng) {
+        for (tag, op) in self.leadership.poll(now, &self.cache, &mut self.rng) {
             self.ask(Urgency::Authority, StoreTag::Leadership(tag), op);
         }
         self.lead(now, effects);
@@ -631,7 +634,7 @@
             && let writes = self.writes(now)
             && let Some((block, op)) =
                 self.fleet
-                    .write(now, &self.config, writes, &mut self.view, &self.flavors)
+                    .write(now, &self.config, writes, &mut self.cache, &self.flavors)
         {
             let grant_version = self.fleet.grant_version(&block);
             self.ask(
@@ -647,7 +650,9 @@
         }
         let until = self.entitled_until(now);
         let entitled = now.steady < until;
-        let commands = self.fleet.commands(now, &self.config, &self.view, entitled);
+        let commands = self
+            .fleet
+            .commands(now, &self.config, &self.cache, entitled);
         let until = entitled.then_some(until);
         effects.extend(
             commands
@@ -659,7 +664,7 @@
         };
         let call = self
             .cancellations
-            .poll(now, &self.config, self.boot, &self.view, proven);
+            .poll(now, &self.config, self.boot, &self.cache, proven);
         effects.extend(call.map(|(tag, call)| Effect::Call {
             tag,
             call,
@@ -671,8 +676,8 @@
         for (id, response) in intake.advance(now, &mut cx) {
             effects.push(Effect::Answer { id, response });
         }
-        for (tag, op) in self.view.poll(now) {
-            self.ask(Urgency::Authority, StoreTag::View(tag), op);
+        for (tag, op) in self.cache.poll(now) {
+            self.ask(Urgency::Authority, StoreTag::WatchCache(tag), op);
         }
         for (tag, op) in self.budget.take(now) {
             effects.push(Effect::Store { tag, op });
@@ -688,10 +693,10 @@
 
     /// From the switch on, the limits to come count as well as the present ones.
     fn take_up_format(&mut self, now: Now) {
-        if self.view.format() == self.format {
+        if self.cache.format() == self.format {
             return;
         }
-        self.format = self.view.format();
+        self.format = self.cache.format();
         self.config.adopt_next_limits();
         let limits = self.config.state_limits;
         self.budget.limit(now, &limits, self.leading.is_some());
@@ -699,7 +704,7 @@
     }
 
     fn lead(&mut self, now: Now, effects: &mut Vec<Effect>) {
-        let Some((term, version)) = self.leadership.leading(&self.view) else {
+        let Some((term, version)) = self.leadership.leading(&self.cache) else {
             if self.leading.take().is_some() {
                 self.budget.lead(now, false);
             }
@@ -747,10 +752,10 @@
             spare,
         };
         let mut ops = Vec::new();
-        let op = self.upgrade.poll(now, &lead, &mut self.view);
+        let op = self.upgrade.poll(now, &lead, &mut self.cache);
         ops.extend(op.map(|op| (Urgency::Authority, StoreTag::Upgrade, op)));
         if self.flavors.known() {
-            let op = self.granting.poll(now, &lead, &mut self.view);
+            let op = self.granting.poll(now, &lead, &mut self.cache);
             ops.extend(op.map(|op| (Urgency::Authority, StoreTag::Granting(term), op)));
         }
         let Some(leading) = &mut self.leading else {
@@ -779,32 +784,32 @@
             gauges.clear();
             leading
                 .provisioner
-                .summary(&self.view, &leading.demand, gauges);
+                .summary(&self.cache, &leading.demand, gauges);
             if let Some(draining) = leading.queues.draining() {
-                draining.summary(&self.view, gauges);
+                draining.summary(&self.cache, gauges);
             }
             for (team, count) in &leading.queues.waiting {
                 gauges.insert(format!("waiting{{team=\"{team}\"}}"), *count as f64);
             }
-            gauges.insert("jobs_open".to_owned(), self.view.open.len() as f64);
-            gauges.insert("jobs_ended".to_owned(), self.view.ended.len() as f64);
+            gauges.insert("jobs_open".to_owned(), self.cache.open.len() as f64);
+            gauges.insert("jobs_ended".to_owned(), self.cache.ended.len() as f64);
             let waiting: u64 = leading.queues.waiting.values().sum();
             info!(
-                open = self.view.open.len(),
-                ended = self.view.ended.len(),
+                open = self.cache.open.len(),
+                ended = self.cache.ended.len(),
                 waiting,
                 "jobs"
             );
         }
         self.stale_plan = false;
-        let unreaching = leading.queues.unreaching(now, &self.config, &self.view);
+        let unreaching = leading.queues.unreaching(now, &self.config, &self.cache);
         for holder in &unreaching {
             self.granting.unfit(now, holder);
         }
-        let health = leading.queues.health(now, &self.view, &unreaching);
+        let health = leading.queues.health(now, &self.cache, &unreaching);
         let settled = |block: &BlockId, attempt: &Attempt| {
             let heard = || {
-                let grant = self.view.grants.get(block);
+                let grant = self.cache.grants.get(block);
                 grant.is_some_and(|grant| self.cancellations.holder_heard(now, &grant.value))
             };
             leading
@@ -814,14 +819,15 @@
         };
         leading
             .provisioner
-            .observe(now, &lead, &self.view, &health, &self.heard_zones, settled);
-        leading.provisioner.note_drains(&self.view);
+            .observe(now, &lead, &self.cache, &health, &self.heard_zones, settled);
+        leading.provisioner.note_drains(&self.cache);
         leading.demand = leading
             .queues
-            .plan(now, &lead, &self.view, &leading.provisioner);
-        for (tag, call) in leading
-            .provisioner
-            .calls(now, &self.config, &self.view, &leading.demand)
+            .plan(now, &lead, &self.cache, &leading.provisioner);
+        for (tag, call) in
+            leading
+                .provisioner
+                .calls(now, &self.config, &self.cache, &leading.demand)
         {
             effects.push(Effect::Call {
                 tag,
@@ -832,23 +838,23 @@
         if let Some(draining) = leading.queues.draining() {
             leading.provisioner.want_states(draining.machine_states());
         }
-        let op = leading.queues.write_drains(now, &lead, &mut self.view);
+        let op = leading.queues.write_drains(now, &lead, &mut self.cache);
         ops.extend(op.map(|op| (Urgency::Work, StoreTag::Draining(term), op)));
-        let op = leading.queues.write(now, &lead, &mut self.view);
+        let op = leading.queues.write(now, &lead, &mut self.cache);
         ops.extend(op.map(|op| (Urgency::Ends, StoreTag::Queueing(term), op)));
         let op = leading
             .provisioner
-            .write(now, &lead, &mut self.view, &leading.demand);
+            .write(now, &lead, &mut self.cache, &leading.demand);
         ops.extend(op.map(|op| (Urgency::Work, StoreTag::Provisioning(term), op)));
         let messages = leading
             .queues
-            .messages(now, &self.view, leading.provisioner.addresses());
+            .messages(now, &self.cache, leading.provisioner.addresses());
         for (urgency, tag, op) in ops {
             self.ask(urgency, tag, op);
         }
         let mut by_holder: BTreeMap<ControllerName, Vec<Work>> = BTreeMap::new();
         for work in messages {
-            if let Some(grant) = self.view.grants.get(&work.block) {
+            if let Some(grant) = self.cache.grants.get(&work.block) {
                 by_holder
                     .entry(grant.value.holder.clone())
                     .or_default()
@@ -875,7 +881,7 @@
         let certain = self.leadership.certain_until();
         let leads = self
             .leadership
-            .leading(&self.view)
+            .leading(&self.cache)
             .filter(|_| certain.is_some_and(|until| now.steady < until));
         let (Some((term, version)), Some(leading)) = (leads, &self.leading) else {
             let replies = self.operations.refer(self.leader_elsewhere());
@@ -899,7 +905,7 @@
             lead: &lead,
             draining: leading.queues.draining(),
         };
-        let progress = self.operations.poll(now, &cx, &mut self.view);
+        let progress = self.operations.poll(now, &cx, &mut self.cache);
         if let Some(op) = progress.op {
             self.ask(Urgency::User, StoreTag::Operations, op);
         }
@@ -909,7 +915,7 @@
 
     /// The controller that leads, if it is another one, and its address.
     fn leader_elsewhere(&self) -> Option<(ControllerName, String)> {
-        let leader = &self.view.leader.as_ref()?.value.controller;
+        let leader = &self.cache.leader.as_ref()?.value.controller;
         let mut peers = self.config.peers.iter();
         let peer = peers.find(|peer| peer.name == *leader)?;
         Some((leader.clone(), peer.addr.to_string()))
@@ -929,9 +935,13 @@
             return;
         }
         self.told_all = Some(now.steady);
-        let alive =
-            self.cancellations
-                .sign(now, &self.config.name, self.boot, &self.view, reaches_state);
+        let alive = self.cancellations.sign(
+            now,
+            &self.config.name,
+            self.boot,
+            &self.cache,
+            reaches_state,
+        );
         self.tell_peers(&Message::Alive(alive), effects);
     }
 
@@ -953,7 +963,7 @@
             at_ms,
         } in jobs
         {
-            noted &= self.view.note_cancellation(job, version, at_ms);
+            noted &= self.cache.note_cancellation(job, version, at_ms);
         }
         noted
     }
@@ -968,7 +978,7 @@
             return;
         }
         let Some(leader) = self
-            .view
+            .cache
             .leader
             .as_ref()
             .map(|leader| leader.value.controller.clone())
--- a/src/controller/tests.rs
+++ b/src/controller/tests.rs
@@ -23,7 +23,7 @@
     // An empty state service.
     for effect in controller.handle(start, event) {
         if let Effect::Store {
-            tag: tag @ StoreTag::View(view::Tag::Page { .. }),
+            tag: tag @ StoreTag::WatchCache(cache::Tag::Page { .. }),
             ..
         } = effect
         {
--- a/src/fleet/block.rs
+++ b/src/fleet/block.rs
@@ -15,11 +15,11 @@
 use crate::placement::{self, Candidate};
 use crate::policy::Policy;
 use crate::provisioning::Flavors;
+use crate::store::cache::Parts;
 use crate::store::records::{
     Grant, PARTS_FORMAT, Part, Places, grant_key, job_key, roster_part_key,
 };
-use crate::store::view::Parts;
-use crate::store::{Op, Outcome, Txn, Versioned, View, Writer};
+use crate::store::{Op, Outcome, Txn, Versioned, WatchCache, Writer};
 
 /// A lost launch is repeated after this long.
 const RELAUNCH: Duration = Duration::from_millis(1500);
@@ -195,9 +195,10 @@
         }
     }
 
-    pub(super) fn sync_machines(&mut self, now: Now, view: &View) {
+    pub(super) fn sync_machines(&mut self, now: Now, cache: &WatchCache) {
         let ours = |id: &MachineId| {
-            view.machines
+            cache
+                .machines
                 .get(id)
                 .is_some_and(|machine| machine.block == self.id)
         };
@@ -208,7 +209,8 @@
             .cloned()
             .collect();
         known.extend(
-            view.rosters
+            cache
+                .rosters
                 .get(&self.id)
                 .iter()
                 .flat_map(|roster| roster.value.on.keys().cloned()),
@@ -246,7 +248,7 @@
         &mut self,
         now: Now,
         report: Report,
-        view: &View,
+        cache: &WatchCache,
         source: ReportSource,
     ) {
         let token = self.token;
@@ -306,7 +308,7 @@
             // Launched by us and not seen running before: others' starts happened nobody knows when.
             if before != Some(TaskState::Running)
                 && worker.launches.contains_key(&attempt)
-                && let Some(open) = view.open.get(&task.job)
+                && let Some(open) = cache.open.get(&task.job)
             {
                 self.started.push(open.job.accepted_ms);
             }
@@ -323,7 +325,7 @@
                 seen.state,
                 TaskState::Running | TaskState::Saving | TaskState::Waiting
             );
-            if has_image && let Some(open) = view.open.get(&task.job) {
+            if has_image && let Some(open) = cache.open.get(&task.job) {
                 worker.images.insert(open.job.image.clone());
             }
         }
@@ -349,7 +351,7 @@
                         // Started by a command that was under way when its job was cancelled. Workers that show a newer
                         // token are another holder's, and would refuse this for ever.
                         worker.due |=
-                            !wanted_alive(view, attempt.task.job) && worker.token <= token;
+                            !wanted_alive(cache, attempt.task.job) && worker.token <= token;
                         continue;
                     }
                     if worker.token < token {
@@ -366,7 +368,7 @@
                 }
                 None => {
                     let unwanted =
-                        !wanted_alive(view, attempt.task.job) || self.stops.contains(&attempt);
+                        !wanted_alive(cache, attempt.task.job) || self.stops.contains(&attempt);
                     if unwanted && worker.token >= token && !worker.may_start_late(&attempt) {
                         // Not there, and nothing that could start it is under way.
                         self.ended.insert(key, End::Gone);
@@ -387,7 +389,7 @@
         &mut self,
         now: Now,
         machine: &MachineId,
-        view: &View,
+        cache: &WatchCache,
         session: Option<u64>,
         entitled: bool,
     ) -> Orders {
@@ -411,7 +413,7 @@
                 };
                 let recorded = here.get(task) == Some(&seen.number);
                 let wanted =
-                    recorded && wanted_alive(view, task.job) && !self.stops.contains(&attempt);
+                    recorded && wanted_alive(cache, task.job) && !self.stops.contains(&attempt);
                 match seen.state {
                     // Reaped only once its end is recorded, and never while an old launch of it may come late.
                     TaskState::Exited if !recorded && worker.may_forget(&attempt, seen.cause) => {
@@ -423,7 +425,7 @@
                     TaskState::Exited => {}
                     _ if wanted => {}
                     _ => {
-                        let job = view
+                        let job = cache
                             .open
                             .get(&task.job)
                             .filter(|open| !open.cancelled)
@@ -458,7 +460,7 @@
                         Some(Launch::Lost { at }) => since(now, *at) < RELAUNCH,
                         Some(Launch::Confirmed) | None => false,
                     };
-                    let wanted = wanted_alive(view, task.job) && !self.stops.contains(&attempt);
+                    let wanted = wanted_alive(cache, task.job) && !self.stops.contains(&attempt);
                     let ended = self.ended.contains_key(&(machine.clone(), attempt));
                     if !there && !recent && wanted && !ended {
                         debug!(%attempt, %machine, token, worker.session, "launch");
@@ -487,7 +489,7 @@
         machine: &MachineId,
         body: &Orders,
         outcome: CommandOutcome,
-        view: &View,
+        cache: &WatchCache,
     ) {
         let Some(worker) = self.workers.get_mut(machine) else {
             return;
@@ -525,7 +527,7 @@
             CommandOutcome::Executed(report) | CommandOutcome::Rejected(report) => {
                 if report.machine == *machine {
                     worker.deaf = None;
-                    self.take_report(now, report, view, ReportSource::CommandAnswer);
+                    self.take_report(now, report, cache, ReportSource::CommandAnswer);
                 }
             }
             CommandOutcome::Unknown => {
@@ -539,13 +541,13 @@
     pub(super) fn candidates(
         &self,
         now: Now,
-        view: &View,
+        cache: &WatchCache,
         flavors: &Flavors,
         places: &Places,
     ) -> Vec<Candidate> {
         let mut candidates = Vec::new();
         for (id, worker) in &self.workers {
-            let Some(machine) = view.machines.get(id) else {
+            let Some(machine) = cache.machines.get(id) else {
                 continue;
             };
             let Some(flavor) = flavors.get(&machine.type_name) else {
@@ -560,7 +562,7 @@
                 .get(id)
                 .into_iter()
                 .flatten()
-                .filter_map(|p| view.open.get(&p.0.task.job))
+                .filter_map(|p| cache.open.get(&p.0.task.job))
             {
                 taken.add(&open.job.need);
             }
@@ -576,18 +578,18 @@
         now: Now,
         config: &Config,
         most: usize,
-        view: &mut View,
+        cache: &mut WatchCache,
         flavors: &Flavors,
     ) -> Option<Op> {
         let unsure = self.writer.is_unsure();
-        if !self.writer.ready(now, view) {
+        if !self.writer.ready(now, cache) {
             return None;
         }
         self.looked = Some(now.steady);
         if unsure {
-            self.take_recorded(view);
+            self.take_recorded(cache);
         }
-        let limits = PartLimits::new(&config.state_limits, most, view.format() >= PARTS_FORMAT);
+        let limits = PartLimits::new(&config.state_limits, most, cache.format() >= PARTS_FORMAT);
         let mut txn = Txn::default().when(grant_key(&self.id), self.grant_version);
         let mut placed = Placed::default();
         let dividing = PartsDraft::dividing(&self.parts, limits, &self.unsure_parts);
@@ -597,8 +599,8 @@
                 draft
             }
             None => {
-                let mut draft = self.draft_ends(view, limits);
-                placed = self.place(now, config, view, flavors, &mut draft);
+                let mut draft = self.draft_ends(cache, limits);
+                placed = self.place(now, config, cache, flavors, &mut draft);
                 draft
             }
         };
@@ -610,7 +612,7 @@
         }
         for part in placed.roster_parts {
             // Nothing is placed on a machine that the leader has begun to drain or has deleted meanwhile.
-            let version = view
+            let version = cache
                 .roster_parts(&self.id)
                 .and_then(|parts| parts.get(&part));
             let version = version.map_or(0, |part| part.version);
@@ -629,10 +631,10 @@
     }
 
     /// After a write that failed or whose outcome is unknown: goes by what our copy of the records shows.
-    fn take_recorded(&mut self, view: &View) {
+    fn take_recorded(&mut self, cache: &WatchCache) {
         // Nothing of ours is under way that our copy does not show, but for a late repeat of the last
         // transaction, which fails once another one has been committed.
-        let recorded = recorded(view, &self.id);
+        let recorded = recorded(cache, &self.id);
         if recorded.version > self.places_version {
             self.unsure.clear();
             self.unsure_parts.clear();
@@ -658,7 +660,7 @@
     }
 
     /// What has ended and what can be forgotten.
-    fn draft_ends(&self, view: &View, limits: PartLimits) -> PartsDraft {
+    fn draft_ends(&self, cache: &WatchCache, limits: PartLimits) -> PartsDraft {
         let mut draft = PartsDraft::new(&self.parts, limits, &self.unsure_parts);
         // What is to be placed does not fit before the ends on its machine are recorded.
         let wanted: HashSet<&MachineId> =
@@ -669,12 +671,12 @@
             .map(|((machine, attempt), end)| Ended {
                 machine,
                 attempt: *attempt,
-                done: *end == End::Done && view.open.contains_key(&attempt.task.job),
+                done: *end == End::Done && cache.open.contains_key(&attempt.task.job),
                 room_wanted: wanted.contains(machine),
             })
             .collect();
         draft.end_all(ended);
-        draft.prune(view);
+        draft.prune(cache);
         draft
     }
 
@@ -683,7 +685,7 @@
         &mut self,
         now: Now,
         config: &Config,
-        view: &View,
+        cache: &WatchCache,
         flavors: &Flavors,
         draft: &mut PartsDraft,
     ) -> Placed {
@@ -695,9 +697,9 @@
             .saturating_sub(1 + draft.most_changes())
             .max(2);
         if !self.pending.is_empty() {
-            let mut candidates = self.candidates(now, view, flavors, &draft.merged());
+            let mut candidates = self.candidates(now, cache, flavors, &draft.merged());
             for wanted in &self.pending {
-                let Some(open) = view
+                let Some(open) = cache
                     .open
                     .get(&wanted.attempt.task.job)
                     .filter(|open| !open.cancelled)
@@ -733,7 +735,7 @@
                     self.refused.push(wanted.attempt.number);
                     continue;
                 };
-                let Some(roster_part) = view.roster_part_of(&self.id, &machine) else {
+                let Some(roster_part) = cache.roster_part_of(&self.id, &machine) else {
                     continue;
                 };
                 if placed.conditions_with(task.job, roster_part) > most_conditions {
@@ -945,8 +947,8 @@
 }
 
 /// Whether a job's tasks should run at all.
-pub(super) fn wanted_alive(view: &View, job: JobId) -> bool {
-    view.open.get(&job).is_some_and(|open| !open.cancelled)
+pub(super) fn wanted_alive(cache: &WatchCache, job: JobId) -> bool {
+    cache.open.get(&job).is_some_and(|open| !open.cancelled)
 }
 
 /// What the records say of a block's tasks.
@@ -956,14 +958,14 @@
     pub(super) parts: Parts<Places>,
 }
 
-pub(super) fn recorded(view: &View, block: &BlockId) -> Recorded {
-    let places = view.places.get(block);
+pub(super) fn recorded(cache: &WatchCache, block: &BlockId) -> Recorded {
+    let places = cache.places.get(block);
     Recorded {
         places: places
             .map(|places| places.value.clone())
             .unwrap_or_default(),
         version: places.map_or(0, |places| places.version),
-        parts: view.places_parts(block).cloned().unwrap_or_default(),
+        parts: cache.places_parts(block).cloned().unwrap_or_default(),
     }
 }
 
--- a/src/fleet/mod.rs
+++ b/src/fleet/mod.rs
@@ -19,8 +19,8 @@
 use crate::peer::{BlockStatus, Work};
 use crate::policy::Policy;
 use crate::provisioning::Flavors;
-use crate::store::view::Touched;
-use crate::store::{Op, Outcome, View, Writer};
+use crate::store::cache::ChangedRecords;
+use crate::store::{Op, Outcome, WatchCache, Writer};
 use block::{Block, ReportSource, recorded, still_there, wanted_alive};
 use wire::{Order, Orders, Report, TaskState};
 
@@ -88,28 +88,36 @@
     }
 
     /// Takes up blocks granted to us and drops those that are not any more.
-    pub fn sync(&mut self, now: Now, config: &Config, boot: u64, view: &View, touched: &Touched) {
-        if touched.all || touched.grants {
-            self.sync_grants(now, config, boot, view);
+    pub fn sync(
+        &mut self,
+        now: Now,
+        config: &Config,
+        boot: u64,
+        cache: &WatchCache,
+        changed: &ChangedRecords,
+    ) {
+        if changed.all || changed.grants {
+            self.sync_grants(now, config, boot, cache);
         }
-        if touched.all {
+        if changed.all {
             for block in self.blocks.values_mut() {
-                block.sync_machines(now, view);
+                block.sync_machines(now, cache);
             }
         }
-        self.looked += touched.machines.len() as u64;
-        for id in &touched.machines {
-            let home = view.machines.get(id).map(|machine| &machine.block);
+        self.looked += changed.machines.len() as u64;
+        for id in &changed.machines {
+            let home = cache.machines.get(id).map(|machine| &machine.block);
             for block in self.blocks.values_mut() {
                 block.sync_machine(now, id, home == Some(&block.id));
             }
         }
-        self.jobs_ended(view, touched);
+        self.jobs_ended(cache, changed);
     }
 
-    fn sync_grants(&mut self, now: Now, config: &Config, boot: u64, view: &View) {
+    fn sync_grants(&mut self, now: Now, config: &Config, boot: u64, cache: &WatchCache) {
         let ours = |block: &BlockId| {
-            view.grants
+            cache
+                .grants
                 .get(block)
                 .filter(|grant| grant.value.holder == config.name && grant.value.boot == boot)
         };
@@ -120,11 +128,11 @@
             }
             kept
         });
-        for (id, grant) in &view.grants {
+        for (id, grant) in &cache.grants {
             if ours(id).is_none() {
                 continue;
             }
-            let recorded = recorded(view, id);
+            let recorded = recorded(cache, id);
             match self.blocks.get_mut(id) {
                 Some(block) if block.grant_version >= grant.version => {}
                 Some(block) => {
@@ -151,7 +159,7 @@
                 None => {
                     info!(block = %id, token = grant.value.token, tasks = recorded.places.attempts().count(), "block taken up");
                     let mut block = Block::new(id.clone(), grant, recorded);
-                    block.sync_machines(now, view);
+                    block.sync_machines(now, cache);
                     self.blocks.insert(id.clone(), block);
                 }
             }
@@ -165,25 +173,25 @@
         now: Now,
         report: Report,
         config: &Config,
-        view: &View,
+        cache: &WatchCache,
         entitled: bool,
     ) -> Answer {
-        if !view.ready() {
+        if !cache.ready() {
             return Answer::Unavailable;
         }
         if !entitled {
-            let block = view
+            let block = cache
                 .machines
                 .get(&report.machine)
                 .and_then(|machine| self.blocks.get_mut(&machine.block));
             if let Some(block) = block.filter(|block| report.token <= block.token) {
-                block.take_report(now, report, view, ReportSource::Report);
+                block.take_report(now, report, cache, ReportSource::Report);
             }
             return Answer::Unavailable;
         }
-        let Some(machine) = view.machines.get(&report.machine) else {
+        let Some(machine) = cache.machines.get(&report.machine) else {
             // Unknown so far: the leader takes it up.
-            let leader = view
+            let leader = cache
                 .leader
                 .as_ref()
                 .map(|leader| leader.value.controller.clone());
@@ -191,7 +199,7 @@
         };
         let block_id = &machine.block;
         let Some(block) = self.blocks.get_mut(block_id) else {
-            let holder = view
+            let holder = cache
                 .grants
                 .get(block_id)
                 .map(|grant| grant.value.holder.clone());
@@ -205,9 +213,9 @@
         let id = report.machine.clone();
         let here = block.places.on.get(&id).map_or(0, Vec::len);
         self.looked += (1 + report.tasks.len() + here) as u64;
-        block.take_report(now, report, view, ReportSource::Report);
+        block.take_report(now, report, cache, ReportSource::Report);
         match block.workers.get(&id) {
-            Some(_) => Answer::Orders(block.orders(now, &id, view, None, true)),
+            Some(_) => Answer::Orders(block.orders(now, &id, cache, None, true)),
             None => Answer::Unavailable,
         }
     }
@@ -219,13 +227,13 @@
         machine: &MachineId,
         body: &Orders,
         outcome: CommandOutcome,
-        view: &View,
+        cache: &WatchCache,
     ) {
         self.in_flight = self.in_flight.saturating_sub(1);
         let Some(block) = self.blocks.get_mut(block) else {
             return;
         };
-        block.commanded(now, machine, body, outcome, view);
+        block.commanded(now, machine, body, outcome, cache);
     }
 
     /// What the leader wants. False if our grant is not the one it means.
@@ -272,13 +280,13 @@
         }
         block.stops = work.stop.into_iter().collect();
         block.watch = work.watch.into_iter().collect();
-        let touched: BTreeSet<MachineId> = block
+        let changed: BTreeSet<MachineId> = block
             .places
             .attempts()
             .filter(|(_, attempt)| block.stops.contains(attempt))
             .map(|(machine, _)| machine.clone())
             .collect();
-        block.mark_due(touched);
+        block.mark_due(changed);
         true
     }
 
@@ -290,7 +298,7 @@
         now: Now,
         config: &Config,
         writes: Writes,
-        view: &mut View,
+        cache: &mut WatchCache,
         flavors: &Flavors,
     ) -> Option<(BlockId, Op)> {
         let mut waiting: Vec<(Option<Instant>, BlockId)> = self
@@ -306,7 +314,7 @@
                 continue;
             };
             self.looked += (block.pending.len() + block.ended.len()) as u64;
-            if let Some(op) = block.write(now, config, writes.most, view, flavors) {
+            if let Some(op) = block.write(now, config, writes.most, cache, flavors) {
                 block.wrote = Some(now.steady);
                 self.looked += block.places.attempts().count() as u64;
                 return Some((id, op));
@@ -333,7 +341,7 @@
         &mut self,
         now: Now,
         config: &Config,
-        view: &View,
+        cache: &WatchCache,
         entitled: bool,
     ) -> Vec<Command> {
         let quiet = config.report_every.mul_f64(OVERDUE);
@@ -360,9 +368,9 @@
                 // Of a worker that has not reported yet only the address is known. If its session is another than the
                 // first, it says so, and executes nothing.
                 let session = worker.session.max(1);
-                let mut body = block.orders(now, &machine, view, Some(session), entitled);
+                let mut body = block.orders(now, &machine, cache, Some(session), entitled);
                 if !entitled {
-                    body.orders.retain(|order| is_final(order, view));
+                    body.orders.retain(|order| is_final(order, cache));
                 }
                 let id = block.id.clone();
                 let token = block.token;
@@ -419,9 +427,9 @@
     }
 
     /// Tells workers at once when jobs end that have tasks on them.
-    fn jobs_ended(&mut self, view: &View, touched: &Touched) {
-        for (task, place) in touched.ended.iter().flat_map(|job| {
-            view.placed(*job).iter().map(|((index, _), place)| {
+    fn jobs_ended(&mut self, cache: &WatchCache, changed: &ChangedRecords) {
+        for (task, place) in changed.ended.iter().flat_map(|job| {
+            cache.placed(*job).iter().map(|((index, _), place)| {
                 (
                     TaskId {
                         job: *job,
@@ -485,9 +493,9 @@
 }
 
 /// Whether a command only ends a task whose job is known to be cancelled or over.
-fn is_final(order: &Order, view: &View) -> bool {
+fn is_final(order: &Order, cache: &WatchCache) -> bool {
     let over = |job| {
-        view.ended.contains_key(&job) || view.open.contains_key(&job) && !wanted_alive(view, job)
+        cache.ended.contains_key(&job) || cache.open.contains_key(&job) && !wanted_alive(cache, job)
     };
     matches!(order, Order::Stop { task, .. } if over(task.job))
 }
--- a/src/fleet/parts.rs
+++ b/src/fleet/parts.rs
@@ -9,11 +9,11 @@
 
 use crate::config::StateLimits;
 use crate::domain::{Attempt, BlockId, JobId, MachineId};
+use crate::store::cache::Parts;
 use crate::store::records::{
     FIRST_PART, Part, PlacedText, Places, Ranges, done_entry, places_part_key,
 };
-use crate::store::view::Parts;
-use crate::store::{Txn, Versioned, View};
+use crate::store::{Txn, Versioned, WatchCache};
 
 /// How full a part is made when a large value is divided. The rest is for tasks that end there.
 const DIVIDED_FULL: f64 = 0.7;
@@ -165,7 +165,7 @@
     }
 
     /// Removes finished tasks that are recorded elsewhere.
-    pub(super) fn prune(&mut self, view: &View) {
+    pub(super) fn prune(&mut self, cache: &WatchCache) {
         let full = self.limits.value_bytes as f64 * PRUNED_FULL;
         let indexes: Vec<Part> = self.parts.keys().copied().collect();
         for index in indexes {
@@ -180,7 +180,7 @@
                 continue;
             }
             let mut pruned = part.value.clone();
-            view.forget_recorded_ends(&mut pruned);
+            cache.forget_recorded_ends(&mut pruned);
             if pruned != part.value {
                 part.value = pruned;
                 self.changed.insert(index);
--- a/src/fleet/tests.rs
+++ b/src/fleet/tests.rs
@@ -27,7 +27,7 @@
 struct Holder {
     config: Config,
     flavors: Flavors,
-    view: View,
+    cache: WatchCache,
     fleet: Fleet,
     now: Now,
     version: u64,
@@ -42,11 +42,11 @@
         flavors.answered(Some(FlavorList {
             types: vec![flavor()],
         }));
-        let (view, fleet) = (View::following(), Fleet::new());
+        let (cache, fleet) = (WatchCache::following(), Fleet::new());
         let mut holder = Holder {
             config,
             flavors,
-            view,
+            cache,
             fleet,
             now: Now::read(),
             version: 0,
@@ -75,7 +75,7 @@
 
     fn put(&mut self, key: String, value: ciborium::Value) {
         self.version += 1;
-        self.view.apply(Change {
+        self.cache.apply(Change {
             key,
             version: self.version,
             value: Some(value),
@@ -84,9 +84,9 @@
     }
 
     fn sync(&mut self) {
-        let touched = self.view.take_touched();
+        let changed = self.cache.take_changed();
         self.fleet
-            .sync(self.now, &self.config, BOOT, &self.view, &touched);
+            .sync(self.now, &self.config, BOOT, &self.cache, &changed);
     }
 
     fn grant(&mut self, token: u64) {
@@ -140,7 +140,7 @@
     ) -> Answer {
         let report = self.message(machine, token, tasks);
         self.fleet
-            .report(self.now, report, &self.config, &self.view, true)
+            .report(self.now, report, &self.config, &self.cache, true)
     }
 
     fn want(&mut self, number: u64, machine: &str, message: u64) {
@@ -164,7 +164,7 @@
             self.now,
             &self.config,
             PLENTY,
-            &mut self.view,
+            &mut self.cache,
             &self.flavors,
         ) {
             let Op::Commit(txn) = op else {
@@ -175,7 +175,7 @@
                 let crate::store::TxnChange::Put { key, value, .. } = change else {
                     panic!("{change:?}")
                 };
-                self.view.apply(Change {
+                self.cache.apply(Change {
                     key,
                     version: self.version,
                     value: Some(value),
@@ -205,7 +205,7 @@
 
     fn commands(&mut self) -> Vec<Command> {
         self.fleet
-            .commands(self.now, &self.config, &self.view, true)
+            .commands(self.now, &self.config, &self.cache, true)
     }
 
     fn answer(&mut self, command: &Command, outcome: CommandOutcome) {
@@ -216,7 +216,7 @@
             &machine,
             &command.body,
             outcome,
-            &self.view,
+            &self.cache,
         );
     }
 }
@@ -233,7 +233,7 @@
     fn unentitled(&mut self) -> Vec<Order> {
         let commands = self
             .fleet
-            .commands(self.now, &self.config, &self.view, false);
+            .commands(self.now, &self.config, &self.cache, false);
         commands
             .into_iter()
             .flat_map(|command| command.body.orders)
@@ -284,7 +284,7 @@
     let gone = holder.message("m-1", 4, &[(9, TaskState::Exited, Some(Cause::Stopped))]);
     let answer = holder
         .fleet
-        .report(holder.now, gone, &holder.config, &holder.view, false);
+        .report(holder.now, gone, &holder.config, &holder.cache, false);
     assert_eq!(answer, Answer::Unavailable);
     assert!(
         holder
@@ -343,7 +343,7 @@
     for late in [before, of_another_session] {
         holder
             .fleet
-            .report(holder.now, late, &holder.config, &holder.view, true);
+            .report(holder.now, late, &holder.config, &holder.cache, true);
         assert!(
             !holder
                 .fleet
@@ -353,7 +353,7 @@
     let gone = holder.message("m-1", 4, &[]);
     holder
         .fleet
-        .report(holder.now, gone, &holder.config, &holder.view, true);
+        .report(holder.now, gone, &holder.config, &holder.cache, true);
     assert!(
         holder
             .fleet
@@ -372,13 +372,13 @@
         holder.now,
         &holder.config,
         PLENTY,
-        &mut holder.view,
+        &mut holder.cache,
         &holder.flavors,
     );
     let Some((_, Op::Commit(txn))) = write else {
         panic!("{write:?}")
     };
-    let version = holder.view.open[&JobId(1)].version;
+    let version = holder.cache.open[&JobId(1)].version;
     assert!(
         txn.conditions.contains(&(job_key(JobId(1)), version)),
         "{:?}",
@@ -525,7 +525,7 @@
             holder.now,
             &holder.config,
             PLENTY,
-            &mut holder.view,
+            &mut holder.cache,
             &holder.flavors,
         );
         let (block, _) = next.expect("there is work");
@@ -820,7 +820,7 @@
             report.tasks[0].task = attempt.task;
             holder
                 .fleet
-                .report(holder.now, report, &holder.config, &holder.view, true);
+                .report(holder.now, report, &holder.config, &holder.cache, true);
         }
         holder.write();
         errors.push(holder.fleet.status(holder.now, &policy)[0].machines[0].errors);
@@ -835,7 +835,7 @@
     let report = holder.message("m-1", 4, &[]);
     let answer = holder
         .fleet
-        .report(holder.now, report, &holder.config, &holder.view, false);
+        .report(holder.now, report, &holder.config, &holder.cache, false);
     assert_eq!(answer, Answer::Unavailable);
 }
 
@@ -859,11 +859,11 @@
             fleet,
             now,
             config,
-            view,
+            cache,
             flavors,
             ..
         } = &mut holder;
-        fleet.write(*now, config, writes, view, flavors).is_some()
+        fleet.write(*now, config, writes, cache, flavors).is_some()
     };
     assert!(!next(scarce, LOOK_AGAIN), "it has just written");
     assert!(next(scarce, Duration::from_secs(1)), "but not for long");
@@ -891,7 +891,7 @@
             holder.now,
             &holder.config,
             writes,
-            &mut holder.view,
+            &mut holder.cache,
             &holder.flavors,
         );
         assert!(write.is_some(), "starts: {starts}");
@@ -906,17 +906,17 @@
     holder.want(20, "m-1", 1);
     let write = |holder: &mut Holder, outcome: Outcome| {
         holder.now.steady += Duration::from_secs(1);
-        holder.view.assume_fresh(holder.now.steady);
+        holder.cache.assume_fresh(holder.now.steady);
         let Holder {
             fleet,
             now,
             config,
-            view,
+            cache,
             flavors,
             ..
         } = holder;
         let (block, _) = fleet
-            .write(*now, config, PLENTY, view, flavors)
+            .write(*now, config, PLENTY, cache, flavors)
             .expect("something to write");
         let grant_version = fleet.grant_version(&block);
         fleet.written(*now, &block, grant_version, &outcome);
--- a/src/intake/mod.rs
+++ b/src/intake/mod.rs
@@ -14,7 +14,7 @@
 use crate::provisioning::Flavors;
 use crate::store::budget::{Budget, Urgency};
 use crate::store::records::{JobRecord, PARTS_FORMAT, encode, job_key, json_size};
-use crate::store::{Op, Outcome, Txn, View};
+use crate::store::{Op, Outcome, Txn, WatchCache};
 use wire::{JobState, Malformed};
 
 /// A question, told apart from all others of this process.
@@ -75,7 +75,7 @@
 pub struct Context<'a, Tag> {
     pub config: &'a Config,
     pub flavors: &'a Flavors,
-    pub view: &'a mut View,
+    pub cache: &'a mut WatchCache,
     pub budget: &'a mut Budget<Tag>,
     pub tag: fn(RequestId) -> Tag,
 }
@@ -112,12 +112,12 @@
             Ok(parsed) => parsed,
             Err(Malformed(problem)) => return Some(refuse(400, problem)),
         };
-        if let Some(response) = ended(cx.view, job_id) {
+        if let Some(response) = ended(cx.cache, job_id) {
             return Some(response);
         }
         // What can't run is refused at once in an outage as well, unless it may be a job that was accepted once.
-        let known = cx.view.open.contains_key(&job_id);
-        if cx.view.ready()
+        let known = cx.cache.open.contains_key(&job_id);
+        if cx.cache.ready()
             && cx.flavors.known()
             && !known
             && let Some(problem) = never_runs(cx.config, cx.flavors, &job)
@@ -131,7 +131,7 @@
         if let Some(response) = self.unable(now, cx) {
             return Some(response);
         }
-        if job.kind == Kind::Gang && cx.view.format() < PARTS_FORMAT {
+        if job.kind == Kind::Gang && cx.cache.format() < PARTS_FORMAT {
             return Some(later(503, "not all controllers know this shape yet"));
         }
         if known {
@@ -208,7 +208,7 @@
         within: Duration,
         cx: &mut Context<'_, Tag>,
     ) -> Option<Response> {
-        if let Some(response) = ended(cx.view, job) {
+        if let Some(response) = ended(cx.cache, job) {
             return Some(response);
         }
         if let Some(response) = self.unable(now, cx) {
@@ -218,7 +218,7 @@
     }
 
     fn unable<Tag>(&self, now: Now, cx: &Context<'_, Tag>) -> Option<Response> {
-        if !cx.view.ready() || !cx.budget.available(now) {
+        if !cx.cache.ready() || !cx.budget.available(now) {
             return Some(later(503, "the state service can't be reached"));
         }
         (self.pending.len() >= MOST_PENDING).then(|| later(429, "too many requests"))
@@ -232,7 +232,7 @@
         within: Duration,
         cx: &mut Context<'_, Tag>,
     ) -> Option<Response> {
-        cx.view.want_fresh();
+        cx.cache.want_fresh();
         self.pending.insert(
             id,
             Pending {
@@ -306,7 +306,7 @@
                 // Somebody was first: see what they did.
                 pending.state = State::Refreshing;
                 pending.asked = now.steady;
-                cx.view.want_fresh();
+                cx.cache.want_fresh();
                 return None;
             }
             // It may or may not be committed. The user asks again, and either way gets the right answer then.
@@ -323,13 +323,13 @@
         cx: &mut Context<'_, Tag>,
     ) -> Vec<(RequestId, Response)> {
         let mut answers = Vec::new();
-        let available = cx.budget.available(now) && cx.view.ready();
+        let available = cx.budget.available(now) && cx.cache.ready();
         let due: Vec<RequestId> = self
             .pending
             .iter()
             .filter(|(_, pending)| match pending.state {
                 State::Refreshing => {
-                    !available || cx.view.covers(pending.asked) || now.steady >= pending.deadline
+                    !available || cx.cache.covers(pending.asked) || now.steady >= pending.deadline
                 }
                 State::Committing { .. } => now.steady >= pending.deadline,
             })
@@ -340,7 +340,7 @@
                 continue;
             };
             let covered =
-                matches!(pending.state, State::Refreshing) && cx.view.covers(pending.asked);
+                matches!(pending.state, State::Refreshing) && cx.cache.covers(pending.asked);
             if !covered {
                 answers.push((id, later(503, "the state service is slow")));
                 self.pending.remove(&id);
@@ -348,12 +348,12 @@
             }
             let (Question::Submit(job) | Question::Poll(job) | Question::Cancel(job)) =
                 pending.question;
-            if let Some(response) = ended(cx.view, job) {
+            if let Some(response) = ended(cx.cache, job) {
                 answers.push((id, response));
                 self.pending.remove(&id);
                 continue;
             }
-            let Some(open) = cx.view.open.get(&job) else {
+            let Some(open) = cx.cache.open.get(&job) else {
                 // A submission's conflict was with a job that we then don't see: never, but then not found.
                 answers.push((id, refuse(404, "no such job")));
                 self.pending.remove(&id);
@@ -380,7 +380,7 @@
                 }
                 continue;
             }
-            let running = cx.view.placed(job).len() as u64;
+            let running = cx.cache.placed(job).len() as u64;
             let status = match (open.cancelled, running) {
                 (true, _) => "cancelled",
                 (false, 0) => "queued",
@@ -400,11 +400,11 @@
 }
 
 /// Final states are final: they can be told from any copy, however old.
-fn ended(view: &View, job: JobId) -> Option<Response> {
-    if !view.ready() {
+fn ended(cache: &WatchCache, job: JobId) -> Option<Response> {
+    if !cache.ready() {
         return None;
     }
-    let (end, tasks) = view.ended.get(&job)?;
+    let (end, tasks) = cache.ended.get(&job)?;
     let (status, done) = match end {
         Final::Done => ("done", u64::from(*tasks)),
         Final::Cancelled => ("cancelled", 0),
--- a/src/intake/tests.rs
+++ b/src/intake/tests.rs
@@ -12,7 +12,7 @@
 struct Desk {
     config: Config,
     flavors: Flavors,
-    view: View,
+    cache: WatchCache,
     budget: Budget<RequestId>,
     intake: Intake,
     now: Now,
@@ -31,7 +31,7 @@
         Desk {
             config,
             flavors,
-            view: View::following(),
+            cache: WatchCache::following(),
             budget,
             intake: Intake::new(),
             now,
@@ -62,7 +62,7 @@
         let mut cx = Context {
             config: &self.config,
             flavors: &self.flavors,
-            view: &mut self.view,
+            cache: &mut self.cache,
             budget: &mut self.budget,
             tag: |id| id,
         };
@@ -105,7 +105,7 @@
     let mut desk = Desk::new();
     let id = JobId(412);
     let key = job_key(id);
-    desk.view.apply(Change {
+    desk.cache.apply(Change {
         key: key.clone(),
         version: 1,
         value: Some(encode(&JobRecord::Open(job(1, 17.0)))),
@@ -115,7 +115,7 @@
     desk.outage();
     assert_eq!(desk.submit(&unfit), Some(503));
     let end = JobRecord::Ended(Final::Done, 1);
-    desk.view.apply(Change {
+    desk.cache.apply(Change {
         key,
         version: 2,
         value: Some(encode(&end)),
@@ -132,7 +132,7 @@
 fn a_cancellation_is_told_once_it_is_committed() {
     let mut desk = Desk::new();
     let id = JobId(412);
-    desk.view.apply(Change {
+    desk.cache.apply(Change {
         key: job_key(id),
         version: 3,
         value: Some(encode(&JobRecord::Open(job(1, 1.0)))),
@@ -141,7 +141,7 @@
     let mut cx = Context {
         config: &desk.config,
         flavors: &desk.flavors,
-        view: &mut desk.view,
+        cache: &mut desk.cache,
         budget: &mut desk.budget,
         tag: |id| id,
     };
--- a/src/leadership/mod.rs
+++ b/src/leadership/mod.rs
@@ -15,7 +15,7 @@
 use crate::policy::Policy;
 use crate::provisioning::Flavors;
 use crate::store::records::{LEADER, Leader, Member, TOKEN, Token, member_key};
-use crate::store::{Op, Outcome, Txn, View};
+use crate::store::{Op, Outcome, Txn, WatchCache};
 
 /// Long enough that a slow process is not taken for dead, short enough that a dead one is noticed.
 const MEMBER_LIFE: Duration = Duration::from_secs(10);
@@ -107,9 +107,9 @@
     /// The term and the version of the leader record if this process leads, by our copy of the records.
     ///
     /// The copy may be old. That is harmless: a write conditioned on that version then fails.
-    pub fn leading(&self, view: &View) -> Option<(u64, u64)> {
-        let leader = view.leader.as_ref()?;
-        let ours = view.ready()
+    pub fn leading(&self, cache: &WatchCache) -> Option<(u64, u64)> {
+        let leader = cache.leader.as_ref()?;
+        let ours = cache.ready()
             && leader.value.controller == self.controller
             && leader.value.boot == self.boot;
         ours.then_some((leader.value.term, leader.version))
@@ -125,8 +125,8 @@
         }
     }
 
-    pub fn poll(&mut self, now: Now, view: &View, rng: &mut SmallRng) -> Vec<(Tag, Op)> {
-        let term = self.leading(view).map(|(term, _)| term);
+    pub fn poll(&mut self, now: Now, cache: &WatchCache, rng: &mut SmallRng) -> Vec<(Tag, Op)> {
+        let term = self.leading(cache).map(|(term, _)| term);
         if term != self.was_leading {
             match term {
                 Some(term) => info!(term, "leading"),
@@ -135,15 +135,15 @@
             self.was_leading = term;
         }
         let mut ops = Vec::new();
-        self.poll_member(now, view, &mut ops);
-        self.poll_leader(now, view, rng, &mut ops);
+        self.poll_member(now, cache, &mut ops);
+        self.poll_leader(now, cache, rng, &mut ops);
         ops
     }
 
-    fn poll_member(&mut self, now: Now, view: &View, ops: &mut Vec<(Tag, Op)>) {
+    fn poll_member(&mut self, now: Now, cache: &WatchCache, ops: &mut Vec<(Tag, Op)>) {
         match &mut self.member {
             Hold::None => {
-                if view.ready() && self.member_retry.is_none_or(|at| now.steady >= at) {
+                if cache.ready() && self.member_retry.is_none_or(|at| now.steady >= at) {
                     self.member = Hold::Opening;
                     ops.push((Tag::Open(Which::Member), Op::OpenHold { life: MEMBER_LIFE }));
                 }
@@ -156,13 +156,13 @@
             } => {
                 let (id, alive) = (*id, *alive);
                 // The record can be lost without the hold: removed with an older process's hold, say.
-                let listed = view
+                let listed = cache
                     .members
                     .get(&self.controller)
                     .is_some_and(|m| m.value.boot == self.boot);
-                if view.covers(*renewed) && !listed && !*renewing {
+                if cache.covers(*renewed) && !listed && !*renewing {
                     self.member = Hold::Attaching { id, alive };
-                    ops.push((Tag::Attach(Which::Member, id), self.join(id, view)));
+                    ops.push((Tag::Attach(Which::Member, id), self.join(id, cache)));
                 } else if !*renewing && since(now, *renewed) >= MEMBER_LIFE / 4 {
                     *renewing = true;
                     ops.push((Tag::Extend(Which::Member, id), Op::ExtendHold { id }));
@@ -174,13 +174,13 @@
 
     /// Conditioned on the record that it replaces: an earlier process's hold may still last when a late copy of its
     /// request comes, and would put its record over ours.
-    fn join(&self, hold: u64, view: &View) -> Op {
+    fn join(&self, hold: u64, cache: &WatchCache) -> Op {
         let record = Member {
             boot: self.boot,
             format: self.format,
         };
         let key = member_key(&self.controller);
-        let version = view
+        let version = cache
             .members
             .get(&self.controller)
             .map_or(0, |old| old.version);
@@ -191,7 +191,13 @@
         )
     }
 
-    fn poll_leader(&mut self, now: Now, view: &View, rng: &mut SmallRng, ops: &mut Vec<(Tag, Op)>) {
+    fn poll_leader(
+        &mut self,
+        now: Now,
+        cache: &WatchCache,
+        rng: &mut SmallRng,
+        ops: &mut Vec<(Tag, Op)>,
+    ) {
         if let Hold::Held {
             id,
             renewed,
@@ -203,23 +209,23 @@
                 *renewing = true;
                 ops.push((Tag::Extend(Which::Leader, *id), Op::ExtendHold { id: *id }));
             }
-            let kept = self.leading(view).is_some();
+            let kept = self.leading(cache).is_some();
             if let Hold::Held {
                 id, renewed, alive, ..
             } = self.leader
                 && !kept
-                && view.covers(renewed)
+                && cache.covers(renewed)
             {
                 // The hold is ours but the record is not: the election was lost, or its outcome unknown.
-                if self.vacant(view) {
-                    self.run_for_leader(id, alive, view, ops);
+                if self.vacant(cache) {
+                    self.run_for_leader(id, alive, cache, ops);
                 } else {
                     self.leader = Hold::None;
                 }
             }
             return;
         }
-        if self.leader != Hold::None || !view.ready() || !self.vacant(view) {
+        if self.leader != Hold::None || !cache.ready() || !self.vacant(cache) {
             self.vacant_since = None;
             return;
         }
@@ -237,14 +243,20 @@
 
     /// Whether the leader's place is free. That of an earlier process of this controller is: only after a process
     /// has ended is the next one started.
-    fn vacant(&self, view: &View) -> bool {
-        view.leader.as_ref().is_none_or(|leader| {
+    fn vacant(&self, cache: &WatchCache) -> bool {
+        cache.leader.as_ref().is_none_or(|leader| {
             leader.value.controller == self.controller && leader.value.boot != self.boot
         })
     }
 
-    fn run_for_leader(&mut self, hold: u64, alive: Instant, view: &View, ops: &mut Vec<(Tag, Op)>) {
-        let term = view.max_token() + 1;
+    fn run_for_leader(
+        &mut self,
+        hold: u64,
+        alive: Instant,
+        cache: &WatchCache,
+        ops: &mut Vec<(Tag, Op)>,
+    ) {
+        let term = cache.max_token() + 1;
         let record = Leader {
             controller: self.controller.clone(),
             boot: self.boot,
@@ -253,9 +265,9 @@
         let txn = Txn::default()
             .when(
                 LEADER,
-                view.leader.as_ref().map_or(0, |leader| leader.version),
+                cache.leader.as_ref().map_or(0, |leader| leader.version),
             )
-            .when(TOKEN, view.token.as_ref().map_or(0, |token| token.version))
+            .when(TOKEN, cache.token.as_ref().map_or(0, |token| token.version))
             .put_held(LEADER, &record, Some(hold))
             .put(TOKEN, &Token { last: term });
         self.leader = Hold::Attaching { id: hold, alive };
@@ -269,7 +281,7 @@
         sent: Instant,
         tag: Tag,
         outcome: &Outcome,
-        view: &View,
+        cache: &WatchCache,
     ) -> Vec<(Tag, Op)> {
         let mut ops = Vec::new();
         let retry = Some(now.steady + RETRY);
@@ -279,15 +291,15 @@
                     id: *id,
                     alive: sent,
                 };
-                ops.push((Tag::Attach(Which::Member, *id), self.join(*id, view)));
+                ops.push((Tag::Attach(Which::Member, *id), self.join(*id, cache)));
             }
             (Tag::Open(Which::Member), _) => {
                 self.member = Hold::None;
                 self.member_retry = retry;
             }
             (Tag::Open(Which::Leader), Outcome::Hold { id }) => {
-                if self.vacant(view) && view.ready() {
-                    self.run_for_leader(*id, sent, view, &mut ops);
+                if self.vacant(cache) && cache.ready() {
+                    self.run_for_leader(*id, sent, cache, &mut ops);
                 } else {
                     // Left to run out: nothing is attached to it.
                     self.leader = Hold::None;
--- a/src/leadership/tests.rs
+++ b/src/leadership/tests.rs
@@ -9,10 +9,10 @@
         steady: start.steady + Duration::from_millis(ms),
         ..start
     };
-    let view = View::following();
+    let cache = WatchCache::following();
     let mut leadership = Leadership::new("node-0".into(), 1, 0);
     let answer = |leadership: &mut Leadership, now: Now, sent: Now, tag: Tag, outcome: Outcome| {
-        leadership.handle(now, sent.steady, tag, &outcome, &view);
+        leadership.handle(now, sent.steady, tag, &outcome, &cache);
     };
     let certain = |leadership: &Leadership, now: Now| {
         leadership
--- a/src/operations/mod.rs
+++ b/src/operations/mod.rs
@@ -18,9 +18,9 @@
 use crate::intake::RequestId;
 use crate::leadership::Lead;
 use crate::queueing::draining::{Draining, machine_views};
+use crate::store::cache::{values, version_of};
 use crate::store::records::{DRAIN_FORMAT, LEADER, drain_budget_key, drain_key, encode, json_size};
-use crate::store::view::{values, version_of};
-use crate::store::{Op, Outcome, Txn, View, Writer};
+use crate::store::{Op, Outcome, Txn, WatchCache, Writer};
 
 /// Requests that wait at a time; more are refused at once.
 const MOST_WAITING: usize = 32;
@@ -113,24 +113,24 @@
     }
 
     /// Answers what can be answered, and records what the first request that changes anything asks for.
-    pub fn poll(&mut self, now: Now, cx: &Context<'_>, view: &mut View) -> Progress {
+    pub fn poll(&mut self, now: Now, cx: &Context<'_>, cache: &mut WatchCache) -> Progress {
         let mut progress = Progress::default();
         self.answer_overdue(now, &mut progress);
-        self.answer_reads(cx, view, &mut progress);
+        self.answer_reads(cx, cache, &mut progress);
         let Some(pending) = self.pending.iter_mut().find(|p| !p.request.only_reads()) else {
             return progress;
         };
-        if !view.covers(pending.asked) {
-            view.want_fresh();
+        if !cache.covers(pending.asked) {
+            cache.want_fresh();
             return progress;
         }
-        if !self.writer.ready(now, view) {
+        if !self.writer.ready(now, cache) {
             return progress;
         }
-        match changes(&pending.request, now, cx, view) {
+        match changes(&pending.request, now, cx, cache) {
             Err(problem) => progress.replies.push((pending.id, Reply::Problem(problem))),
             Ok(changes) if changes.is_empty() => {
-                let reply = done(pending, cx, view);
+                let reply = done(pending, cx, cache);
                 progress.replies.push((pending.id, reply));
             }
             Ok(changes) => {
@@ -145,7 +145,7 @@
                     }
                 }
                 self.writer.sent();
-                progress.op = Some(Op::Commit(transaction(cx.lead, view, &changes)));
+                progress.op = Some(Op::Commit(transaction(cx.lead, cache, &changes)));
             }
         }
         let answered: BTreeSet<RequestId> = progress.replies.iter().map(|(id, _)| *id).collect();
@@ -169,23 +169,23 @@
         });
     }
 
-    fn answer_reads(&mut self, cx: &Context<'_>, view: &mut View, progress: &mut Progress) {
+    fn answer_reads(&mut self, cx: &Context<'_>, cache: &mut WatchCache, progress: &mut Progress) {
         let mut fresh_wanted = false;
         self.pending.retain(|pending| {
             if !pending.request.only_reads() {
                 return true;
             }
-            if !view.covers(pending.asked) {
+            if !cache.covers(pending.asked) {
                 fresh_wanted = true;
                 return true;
             }
             progress
                 .replies
-                .push((pending.id, read(&pending.request, cx, view)));
+                .push((pending.id, read(&pending.request, cx, cache)));
             false
         });
         if fresh_wanted {
-            view.want_fresh();
+            cache.want_fresh();
         }
     }
 
@@ -200,7 +200,7 @@
     request: &Request,
     now: Now,
     cx: &Context<'_>,
-    view: &View,
+    cache: &WatchCache,
 ) -> Result<Vec<Change>, Problem> {
     if cx.draining.is_none() {
         return Err(Problem::new(
@@ -208,8 +208,8 @@
             "draining is switched off: set `enabled = true` under `[drain]` in the features file",
         ));
     }
-    if view.format() < DRAIN_FORMAT {
-        let old: Vec<String> = lagging_controllers(cx.lead, view);
+    if cache.format() < DRAIN_FORMAT {
+        let old: Vec<String> = lagging_controllers(cx.lead, cache);
         let message = format!(
             "not before all controllers know drains; {} can't say so yet",
             old.join(", ")
@@ -219,9 +219,9 @@
     let Lead {
         config, flavors, ..
     } = *cx.lead;
-    let drains = values(&view.drains);
-    let budgets = values(&view.drain_budgets);
-    let machines = machine_views(view, |_| true, |_| false, |_| false);
+    let drains = values(&cache.drains);
+    let budgets = values(&cache.drain_budgets);
+    let machines = machine_views(cache, |_| true, |_| false, |_| false);
     let value_bytes = config.state_limits.value_bytes;
     let fits =
         |record: &DrainRecord| json_size(&encode(record)) + RECORD_RESERVE_BYTES <= value_bytes;
@@ -230,10 +230,10 @@
         drains: &drains,
         budgets: &budgets,
         machines: &machines,
-        blocks: view
+        blocks: cache
             .grants
             .keys()
-            .chain(view.rosters.keys())
+            .chain(cache.rosters.keys())
             .cloned()
             .collect(),
         types: flavors.all().map(|flavor| flavor.name.clone()).collect(),
@@ -246,10 +246,10 @@
 }
 
 /// Controllers that do not know drains, or are not up.
-fn lagging_controllers(lead: &Lead<'_>, view: &View) -> Vec<String> {
+fn lagging_controllers(lead: &Lead<'_>, cache: &WatchCache) -> Vec<String> {
     let peers = lead.config.peers.iter().map(|peer| &peer.name);
     let knows = |controller: &ControllerName| {
-        let member = view.members.get(controller);
+        let member = cache.members.get(controller);
         member.is_some_and(|member| member.value.format >= DRAIN_FORMAT)
     };
     peers
@@ -259,16 +259,16 @@
         .collect()
 }
 
-fn transaction(lead: &Lead<'_>, view: &View, changes: &[Change]) -> Txn {
+fn transaction(lead: &Lead<'_>, cache: &WatchCache, changes: &[Change]) -> Txn {
     let mut txn = Txn::default().when(LEADER, lead.version);
     for change in changes {
         let (key, version) = match change {
             Change::PutDrain(id, _) | Change::DeleteDrain(id) => {
-                (drain_key(id), version_of(view.drains.get(id)))
+                (drain_key(id), version_of(cache.drains.get(id)))
             }
             Change::PutBudget(team, _) | Change::DeleteBudget(team) => (
                 drain_budget_key(team),
-                version_of(view.drain_budgets.get(team)),
+                version_of(cache.drain_budgets.get(team)),
             ),
         };
         txn = txn.when(key.clone(), version);
@@ -282,7 +282,7 @@
 }
 
 /// The answer to a request that needs no change any more.
-fn done(pending: &Pending, cx: &Context<'_>, view: &View) -> Reply {
+fn done(pending: &Pending, cx: &Context<'_>, cache: &WatchCache) -> Reply {
     match &pending.request {
         Request::Start {
             id,
@@ -291,34 +291,34 @@
             return_machines,
             step,
         } => {
-            let drains = values(&view.drains);
+            let drains = values(&cache.drains);
             let asked_ms = 0;
             let scope = scope.clone();
             let record = DrainRecord::requested(scope, *purpose, *return_machines, *step, asked_ms);
             let existing = requests::existing(id, &record, &drains).cloned();
-            drains_reply(existing.as_ref().or(Some(id)), cx, view)
+            drains_reply(existing.as_ref().or(Some(id)), cx, cache)
         }
-        Request::Cancel { id } | Request::Resume { id } => drains_reply(Some(id), cx, view),
+        Request::Cancel { id } | Request::Resume { id } => drains_reply(Some(id), cx, cache),
         Request::Uncordon { .. } => Reply::Uncordoned {
             records: pending.uncordoned.iter().cloned().collect(),
         },
-        request => read(request, cx, view),
+        request => read(request, cx, cache),
     }
 }
 
-fn read(request: &Request, cx: &Context<'_>, view: &View) -> Reply {
+fn read(request: &Request, cx: &Context<'_>, cache: &WatchCache) -> Reply {
     match request {
-        Request::List { id } => drains_reply(id.as_ref(), cx, view),
-        _ => Reply::Budgets(budget_statuses(cx, view)),
+        Request::List { id } => drains_reply(id.as_ref(), cx, cache),
+        _ => Reply::Budgets(budget_statuses(cx, cache)),
     }
 }
 
-fn drains_reply(id: Option<&DrainId>, cx: &Context<'_>, view: &View) -> Reply {
+fn drains_reply(id: Option<&DrainId>, cx: &Context<'_>, cache: &WatchCache) -> Reply {
     let progress = |id: &DrainId| cx.draining.and_then(|draining| draining.progress().get(id));
     let wanted = |known: &&DrainId| id.is_none_or(|id| id == *known);
-    let ids = view.drains.keys().filter(wanted);
+    let ids = cache.drains.keys().filter(wanted);
     let statuses: Vec<DrainStatus> = ids
-        .map(|id| DrainStatus::new(id, &view.drains[id].value, progress(id)))
+        .map(|id| DrainStatus::new(id, &cache.drains[id].value, progress(id)))
         .collect();
     match id {
         Some(id) if statuses.is_empty() => Reply::Problem(Problem::new(
@@ -330,11 +330,11 @@
 }
 
 /// The budgets of all teams, and those of classes that have one of their own.
-fn budget_statuses(cx: &Context<'_>, view: &View) -> Vec<BudgetStatus> {
+fn budget_statuses(cx: &Context<'_>, cache: &WatchCache) -> Vec<BudgetStatus> {
     let Some(draining) = cx.draining else {
         return Vec::new();
     };
-    let budgets = draining.budgets(view);
+    let budgets = draining.budgets(cache);
     let mut statuses = Vec::new();
     for team in cx.lead.config.teams.iter().map(|team| &team.name) {
         let limit = budgets.of_team(team);
--- a/src/provisioning/edits.rs
+++ b/src/provisioning/edits.rs
@@ -7,11 +7,11 @@
 use crate::domain::{BlockId, MachineId, TypeName, Zone};
 use crate::leadership::Lead;
 use crate::store::records::{FIRST_PART, PARTS_FORMAT, Part, Roster, Rostered, roster_part_key};
-use crate::store::{Txn, View};
+use crate::store::{Txn, WatchCache};
 
 /// Changes to rosters, gathered so that each value is written once.
 pub(super) struct Edits<'v> {
-    pub(super) view: &'v View,
+    pub(super) cache: &'v WatchCache,
     rosters: BTreeMap<(BlockId, Part), Roster>,
     /// Values that one transaction may change.
     pub(super) most: usize,
@@ -33,7 +33,7 @@
 pub(super) const TASKS_SPARE: f64 = 1.25;
 
 impl<'v> Edits<'v> {
-    pub(super) fn new(lead: &Lead<'_>, view: &'v View, demand: &Demand) -> Self {
+    pub(super) fn new(lead: &Lead<'_>, cache: &'v WatchCache, demand: &Demand) -> Self {
         let Lead {
             config,
             policy,
@@ -41,7 +41,7 @@
             ..
         } = *lead;
         let mut seen: HashMap<&TypeName, (usize, usize)> = HashMap::new();
-        for live in view.live_places() {
+        for live in cache.live_places() {
             let (machines, tasks) = seen.entry(&live.machine.type_name).or_default();
             *machines += 1;
             *tasks += live.attempts().count();
@@ -62,16 +62,16 @@
             })
             .collect();
         let mut edits = Edits {
-            view,
+            cache,
             rosters: BTreeMap::new(),
-            part_bytes: (view.format() >= PARTS_FORMAT).then_some(config.state_limits.value_bytes),
+            part_bytes: (cache.format() >= PARTS_FORMAT).then_some(config.state_limits.value_bytes),
             most: config.state_limits.txn_ops - 1,
             blocks: BTreeMap::new(),
             value_bytes: config.block_bytes as f64,
             tasks,
         };
-        for (block, zone) in blocks::wanted(&flavors.zones(config), config, policy, view) {
-            let fill = view.rosters.get(&block).map_or(0.0, |roster| {
+        for (block, zone) in blocks::wanted(&flavors.zones(config), config, policy, cache) {
+            let fill = cache.rosters.get(&block).map_or(0.0, |roster| {
                 roster
                     .value
                     .on
@@ -144,7 +144,7 @@
         let Some(most) = self.part_bytes else {
             return Some(FIRST_PART);
         };
-        let known = self.view.roster_parts(block);
+        let known = self.cache.roster_parts(block);
         let parts = known.into_iter().flat_map(|parts| parts.keys().copied());
         let edited = self.rosters.keys().filter(|(of, _)| of == block);
         let mut parts: Vec<Part> = edited.map(|(_, part)| *part).chain(parts).collect();
@@ -161,9 +161,9 @@
     }
 
     fn roster_mut(&mut self, block: &BlockId, part: Part, zone: &Zone) -> &mut Roster {
-        let view = self.view;
+        let cache = self.cache;
         let recorded = || {
-            let recorded = view.roster_parts(block).and_then(|parts| parts.get(&part));
+            let recorded = cache.roster_parts(block).and_then(|parts| parts.get(&part));
             recorded.map_or_else(|| Roster::new(zone.clone()), |roster| roster.value.clone())
         };
         self.rosters
@@ -173,11 +173,11 @@
 
     /// Changes the roster that a machine is in. False: the transaction has no room, or there is no such machine.
     pub(super) fn change(&mut self, id: &MachineId, change: impl FnOnce(&mut Roster)) -> bool {
-        let Some(machine) = self.view.machines.get(id) else {
+        let Some(machine) = self.cache.machines.get(id) else {
             return false;
         };
         let (block, zone) = (machine.block.clone(), machine.zone.clone());
-        let Some(part) = self.view.roster_part_of(&block, id) else {
+        let Some(part) = self.cache.roster_part_of(&block, id) else {
             return false;
         };
         let open = self.rosters.contains_key(&(block.clone(), part));
@@ -191,8 +191,8 @@
     /// Brings a value that is too large into parts that fit. Nothing else may be changed before that is done. None: there
     /// is no such value.
     pub(super) fn divide(&mut self) -> Option<Division> {
-        let (block, large) = too_large(self.view, self.part_bytes?)?;
-        let parts = self.view.roster_parts(&block)?;
+        let (block, large) = too_large(self.cache, self.part_bytes?)?;
+        let parts = self.cache.roster_parts(&block)?;
         let whole = &parts.get(&large)?.value;
         let elsewhere = |id: &MachineId| {
             let mut others = parts.iter().filter(|(part, _)| **part != large);
@@ -231,7 +231,7 @@
     pub(super) fn apply(self, mut txn: Txn) -> Txn {
         for ((block, part), roster) in &self.rosters {
             let old = self
-                .view
+                .cache
                 .roster_parts(block)
                 .and_then(|parts| parts.get(part));
             let key = roster_part_key(block, *part);
@@ -244,9 +244,9 @@
 }
 
 /// A roster's value that is larger than this.
-pub(super) fn too_large(view: &View, bytes: usize) -> Option<(BlockId, Part)> {
-    view.rosters.keys().find_map(|block| {
-        let mut parts = view.roster_parts(block)?.iter();
+pub(super) fn too_large(cache: &WatchCache, bytes: usize) -> Option<(BlockId, Part)> {
+    cache.rosters.keys().find_map(|block| {
+        let mut parts = cache.roster_parts(block)?.iter();
         let (part, _) = parts.find(|(_, part)| part.value.size() > bytes)?;
         Some((block.clone(), *part))
     })
--- a/src/provisioning/mod.rs
+++ b/src/provisioning/mod.rs
@@ -28,7 +28,7 @@
 use crate::store::records::{
     DRAIN_FORMAT, LEADER, MachineState, Order, PARTS_FORMAT, Rostered, order_key, roster_part_key,
 };
-use crate::store::{Op, Outcome, Txn, View, Writer};
+use crate::store::{Op, Outcome, Txn, WatchCache, Writer};
 use boot_times::BootTimes;
 use edits::{Edits, too_large};
 pub use flavors::Flavors;
@@ -161,9 +161,9 @@
 
 /// Zones that are more likely cut off than dead: most of their machines have fallen silent, while those of another
 /// zone have not. Their tasks run on, and giving the machines up would end them.
-fn cut_off(view: &View, health: &BTreeMap<MachineId, Health>) -> BTreeSet<Zone> {
+fn cut_off(cache: &WatchCache, health: &BTreeMap<MachineId, Health>) -> BTreeSet<Zone> {
     let mut zones: BTreeMap<&Zone, (usize, usize)> = BTreeMap::new();
-    for (id, machine) in &view.machines {
+    for (id, machine) in &cache.machines {
         if let Some(health) = health.get(id) {
             let (all, unheard) = zones.entry(&machine.zone).or_default();
             *all += 1;
@@ -252,8 +252,8 @@
     }
 
     /// Takes in what operators empty.
-    pub fn note_drains(&mut self, view: &View) {
-        let holding = view.drains.values().filter(|record| record.value.holds());
+    pub fn note_drains(&mut self, cache: &WatchCache) {
+        let holding = cache.drains.values().filter(|record| record.value.holds());
         self.closed = holding.map(|record| record.value.scope.clone()).collect();
     }
 
@@ -294,7 +294,7 @@
         &mut self,
         now: Now,
         lead: &Lead<'_>,
-        view: &View,
+        cache: &WatchCache,
         health: &BTreeMap<MachineId, Health>,
         heard: &BTreeSet<Zone>,
         settled: impl Fn(&BlockId, &Attempt) -> bool,
@@ -307,7 +307,10 @@
         } = *lead;
         // Where no controller was heard since this process began, all may have ended together, and nobody answers the
         // workers there: their leases are over by the time that they are called silent.
-        let cut_off: BTreeSet<Zone> = cut_off(view, health).intersection(heard).cloned().collect();
+        let cut_off: BTreeSet<Zone> = cut_off(cache, health)
+            .intersection(heard)
+            .cloned()
+            .collect();
         // A holder in a zone that is cut off renews its workers' leases for the life of its grant, and they keep their
         // tasks for a lease longer. It takes at least `silent_after` until they are called silent.
         let patience =
@@ -315,21 +318,21 @@
         self.silent
             .retain(|machine, _| health.get(machine).is_some_and(|health| health.silent));
         self.lost
-            .retain(|machine| view.machines.contains_key(machine));
+            .retain(|machine| cache.machines.contains_key(machine));
         self.addresses
-            .retain(|machine, _| view.machines.contains_key(machine));
+            .retain(|machine, _| cache.machines.contains_key(machine));
         self.up
-            .retain(|machine| view.machines.contains_key(machine));
+            .retain(|machine| cache.machines.contains_key(machine));
         self.deleted
-            .retain(|machine| view.machines.contains_key(machine));
+            .retain(|machine| cache.machines.contains_key(machine));
         self.recently_deleted
             .retain(|_, at| since(now, *at) < Duration::from_secs(120));
-        self.observe_boots(now, flavors, view, health);
-        for (id, machine) in &view.machines {
+        self.observe_boots(now, flavors, cache, health);
+        for (id, machine) in &cache.machines {
             let Some(health) = health.get(id) else {
                 continue;
             };
-            let occupied = view
+            let occupied = cache
                 .places
                 .get(&machine.block)
                 .is_some_and(|p| p.value.on.contains_key(id));
@@ -350,7 +353,7 @@
                 warn!(machine = %id, silent, faulty = health.faulty, known_up, "machine given up");
             }
         }
-        self.overdue(now, config, view, settled);
+        self.overdue(now, config, cache, settled);
     }
 
     /// Measures boot times, and finds the machines that are late.
@@ -358,13 +361,13 @@
         &mut self,
         now: Now,
         flavors: &Flavors,
-        view: &View,
+        cache: &WatchCache,
         health: &BTreeMap<MachineId, Health>,
     ) {
-        self.note_up(now, view, health);
+        self.note_up(now, cache, health);
         let mut booting: BTreeMap<&TypeName, Vec<(&MachineId, Duration)>> = BTreeMap::new();
         for (id, rented) in &self.booting {
-            if let Some(machine) = view.machines.get(id).filter(|_| !self.lost.contains(id)) {
+            if let Some(machine) = cache.machines.get(id).filter(|_| !self.lost.contains(id)) {
                 booting
                     .entry(&machine.type_name)
                     .or_default()
@@ -388,17 +391,17 @@
     }
 
     /// Takes in which machines are up.
-    fn note_up(&mut self, now: Now, view: &View, health: &BTreeMap<MachineId, Health>) {
+    fn note_up(&mut self, now: Now, cache: &WatchCache, health: &BTreeMap<MachineId, Health>) {
         let recorded_soon = |rented: Instant| since(now, rented) < FORGET_BOOT_AFTER;
         self.booting
-            .retain(|id, rented| view.machines.contains_key(id) || recorded_soon(*rented));
-        self.late.retain(|id| view.machines.contains_key(id));
+            .retain(|id, rented| cache.machines.contains_key(id) || recorded_soon(*rented));
+        self.late.retain(|id| cache.machines.contains_key(id));
         let seen = health
             .iter()
             .filter(|(_, health)| health.seen)
             .map(|(id, _)| id);
         for id in seen {
-            let Some(machine) = view.machines.get(id) else {
+            let Some(machine) = cache.machines.get(id) else {
                 continue;
             };
             self.up.insert(id.clone());
@@ -419,14 +422,14 @@
         &mut self,
         now: Now,
         config: &Config,
-        view: &View,
+        cache: &WatchCache,
         settled: impl Fn(&BlockId, &Attempt) -> bool,
     ) {
-        for (id, open) in view.open.iter().filter(|(_, open)| open.cancelled) {
+        for (id, open) in cache.open.iter().filter(|(_, open)| open.cancelled) {
             if !cancellation::overdue(now, config, open.cancelled_ms) {
                 continue;
             }
-            for ((index, number), place) in view.placed(*id) {
+            for ((index, number), place) in cache.placed(*id) {
                 let attempt = Attempt {
                     task: TaskId {
                         job: *id,
@@ -435,7 +438,7 @@
                     number: *number,
                 };
                 let left =
-                    view.machines.contains_key(&place.machine) && !settled(&place.block, &attempt);
+                    cache.machines.contains_key(&place.machine) && !settled(&place.block, &attempt);
                 if left && self.lost.insert(place.machine.clone()) {
                     warn!(machine = %place.machine, job = %id, "machine given up: its cancelled task must be gone");
                 }
@@ -459,14 +462,14 @@
         &mut self,
         now: Now,
         config: &Config,
-        view: &View,
+        cache: &WatchCache,
         demand: &Demand,
     ) -> Vec<(Tag, Call)> {
         let mut calls = Vec::new();
-        if !view.covers(self.term_since) {
+        if !cache.covers(self.term_since) {
             return calls;
         }
-        for (type_name, order) in &view.orders {
+        for (type_name, order) in &cache.orders {
             let busy = self.renting.contains_key(type_name) || self.rented.contains_key(type_name);
             let waiting = self
                 .rent_retry
@@ -492,7 +495,7 @@
             calls.push((tag, Call::Rent(request)));
         }
         if self.deleting.is_none() && self.delete_retry.is_none_or(|at| now.steady >= at) {
-            let due: Vec<MachineId> = view
+            let due: Vec<MachineId> = cache
                 .machines
                 .iter()
                 .filter(|(id, _)| !self.deleted.contains(*id))
@@ -532,7 +535,7 @@
         now: Now,
         policy: &Policy,
         config: &Config,
-        view: &View,
+        cache: &WatchCache,
         tag: Tag,
         outcome: CallOutcome,
     ) {
@@ -590,7 +593,7 @@
                 } else {
                     None
                 };
-                self.take_list(now, config, view, list);
+                self.take_list(now, config, cache, list);
             }
             (Tag::List, _) => self.list_busy = false,
             // Not the leader's own.
@@ -604,9 +607,9 @@
             .insert(key, now.steady + policy.stockout_memory);
     }
 
-    fn take_list(&mut self, now: Now, config: &Config, view: &View, list: MachineList) {
+    fn take_list(&mut self, now: Now, config: &Config, cache: &WatchCache, list: MachineList) {
         for listed in list.machines {
-            if view.machines.contains_key(&listed.id) {
+            if cache.machines.contains_key(&listed.id) {
                 if let (ListedState::Running, Some(addr)) = (listed.state, &listed.addr) {
                     self.addresses
                         .entry(listed.id.clone())
@@ -632,34 +635,34 @@
         &mut self,
         now: Now,
         lead: &Lead<'_>,
-        view: &mut View,
+        cache: &mut WatchCache,
         demand: &Demand,
     ) -> Option<Op> {
         let Lead { flavors, .. } = *lead;
         self.idle
-            .retain(|id, _| view.machines.contains_key(id) && !demand.occupied.contains(id));
-        for id in view
+            .retain(|id, _| cache.machines.contains_key(id) && !demand.occupied.contains(id));
+        for id in cache
             .machines
             .keys()
             .filter(|id| !demand.occupied.contains(*id))
         {
             self.idle.entry(id.clone()).or_insert(now.steady);
         }
-        if !self.writer.ready(now, view) || !flavors.known() {
+        if !self.writer.ready(now, cache) || !flavors.known() {
             return None;
         }
         let txn = Txn::default().when(LEADER, lead.version);
-        let txn = divide_roster(lead, view, demand, &txn)
-            .or_else(|| self.record_rented(now, lead, view, demand, &txn))
-            .or_else(|| self.record_deleted(now, lead, view, demand, &txn))
-            .or_else(|| self.record_unexpected(now, lead, view, demand, &txn))
-            .or_else(|| self.record_states(lead, view, demand, &txn))
+        let txn = divide_roster(lead, cache, demand, &txn)
+            .or_else(|| self.record_rented(now, lead, cache, demand, &txn))
+            .or_else(|| self.record_deleted(now, lead, cache, demand, &txn))
+            .or_else(|| self.record_unexpected(now, lead, cache, demand, &txn))
+            .or_else(|| self.record_states(lead, cache, demand, &txn))
             .or_else(|| {
                 self.round(
                     Round {
                         now,
                         lead,
-                        view,
+                        cache,
                         demand,
                     },
                     txn,
@@ -677,19 +680,22 @@
         &mut self,
         now: Now,
         lead: &Lead<'_>,
-        view: &View,
+        cache: &WatchCache,
         demand: &Demand,
         txn: &Txn,
     ) -> Option<Txn> {
         // Recorded already, if our copy no longer has the order.
         self.rented.retain(|name, (_, version, _)| {
-            view.orders.get(name).is_some_and(|o| o.version == *version)
+            cache
+                .orders
+                .get(name)
+                .is_some_and(|o| o.version == *version)
         });
         let (name, (order, version, machines)) = self.rented.iter().next()?;
-        let mut edits = Edits::new(lead, view, demand);
+        let mut edits = Edits::new(lead, cache, demand);
         for machine in machines
             .iter()
-            .filter(|machine| !view.machines.contains_key(*machine))
+            .filter(|machine| !cache.machines.contains_key(*machine))
         {
             let entry = Rostered {
                 type_name: name.clone(),
@@ -713,14 +719,14 @@
         &mut self,
         now: Now,
         lead: &Lead<'_>,
-        view: &View,
+        cache: &WatchCache,
         demand: &Demand,
         txn: &Txn,
     ) -> Option<Txn> {
         let with_tasks = |id: &MachineId| {
-            let block = view.machines.get(id).map(|machine| &machine.block);
+            let block = cache.machines.get(id).map(|machine| &machine.block);
             block
-                .and_then(|block| view.places.get(block))
+                .and_then(|block| cache.places.get(block))
                 .is_some_and(|places| places.value.on.contains_key(id))
         };
         let waits = |id: &MachineId| {
@@ -734,7 +740,7 @@
         if lost.is_empty() && empty.iter().all(|id| waits(id)) {
             return None;
         }
-        let mut edits = Edits::new(lead, view, demand);
+        let mut edits = Edits::new(lead, cache, demand);
         edits.most = lead.batch;
         for machine in lost.into_iter().chain(empty) {
             edits.change(machine, |roster| {
@@ -748,15 +754,15 @@
         &mut self,
         now: Now,
         lead: &Lead<'_>,
-        view: &View,
+        cache: &WatchCache,
         demand: &Demand,
         txn: &Txn,
     ) -> Option<Txn> {
         self.unexpected
-            .retain(|id, _| !view.machines.contains_key(id));
+            .retain(|id, _| !cache.machines.contains_key(id));
         // An order under way may explain it.
         let known = |listed: &ListedMachine, at: Instant| {
-            !view.orders.contains_key(&listed.type_name) || since(now, at) > Duration::from_secs(5)
+            !cache.orders.contains_key(&listed.type_name) || since(now, at) > Duration::from_secs(5)
         };
         let take: Vec<ListedMachine> = self
             .unexpected
@@ -767,7 +773,7 @@
         if take.is_empty() {
             return None;
         }
-        let mut edits = Edits::new(lead, view, demand);
+        let mut edits = Edits::new(lead, cache, demand);
         edits.most = lead.batch;
         for listed in take {
             let entry = Rostered {
@@ -790,19 +796,19 @@
     fn record_states(
         &mut self,
         lead: &Lead<'_>,
-        view: &View,
+        cache: &WatchCache,
         demand: &Demand,
         txn: &Txn,
     ) -> Option<Txn> {
         let differs = |id: &MachineId, state: MachineState| {
-            let machine = view.machines.get(id);
+            let machine = cache.machines.get(id);
             machine.is_some_and(|machine| machine.state != state)
         };
         self.wanted_states.retain(|id, state| differs(id, *state));
-        if self.wanted_states.is_empty() || view.format() < DRAIN_FORMAT {
+        if self.wanted_states.is_empty() || cache.format() < DRAIN_FORMAT {
             return None;
         }
-        let mut edits = Edits::new(lead, view, demand);
+        let mut edits = Edits::new(lead, cache, demand);
         edits.most = lead.batch;
         for (id, state) in &self.wanted_states {
             let occupied = demand.occupied.contains(id);
@@ -822,10 +828,11 @@
     }
 
     /// A line for each pool in the log, and its values among the metrics.
-    pub fn summary(&self, view: &View, demand: &Demand, gauges: &mut BTreeMap<String, f64>) {
-        for (pool, machines) in self.machines(view) {
+    pub fn summary(&self, cache: &WatchCache, demand: &Demand, gauges: &mut BTreeMap<String, f64>) {
+        for (pool, machines) in self.machines(cache) {
             let of_pool = |id: &MachineId| {
-                view.machines
+                cache
+                    .machines
                     .get(id)
                     .is_some_and(|m| (&m.type_name, m.tenure) == (&pool.0, pool.1))
             };
@@ -835,7 +842,7 @@
                 .keys()
                 .filter(|id| of_pool(id) && self.up.contains(*id))
                 .count();
-            let returning = view
+            let returning = cache
                 .machines
                 .iter()
                 .filter(|(id, m)| m.state == MachineState::Returning && of_pool(id))
@@ -859,9 +866,9 @@
     }
 
     /// Machines of each pool, up or on order, without those that are late.
-    pub fn machines(&self, view: &View) -> BTreeMap<Pool, u32> {
+    pub fn machines(&self, cache: &WatchCache) -> BTreeMap<Pool, u32> {
         let mut count = BTreeMap::new();
-        for (id, machine) in &view.machines {
+        for (id, machine) in &cache.machines {
             if machine.state.takes_tasks() && !self.lost.contains(id) && !self.late.contains(id) {
                 *count
                     .entry((machine.type_name.clone(), machine.tenure))
@@ -873,19 +880,19 @@
 }
 
 /// Brings the value of a roster that is too large for the limits in force into parts.
-fn divide_roster(lead: &Lead<'_>, view: &View, demand: &Demand, txn: &Txn) -> Option<Txn> {
+fn divide_roster(lead: &Lead<'_>, cache: &WatchCache, demand: &Demand, txn: &Txn) -> Option<Txn> {
     // Seldom is there one, and the edits look at all tasks there are.
-    if view.format() < PARTS_FORMAT
-        || too_large(view, lead.config.state_limits.value_bytes).is_none()
+    if cache.format() < PARTS_FORMAT
+        || too_large(cache, lead.config.state_limits.value_bytes).is_none()
     {
         return None;
     }
-    let mut edits = Edits::new(lead, view, demand);
+    let mut edits = Edits::new(lead, cache, demand);
     let division = edits.divide()?;
     info!(block = %division.block, "a value is too large: divided");
     let mut txn = edits.apply(txn.clone());
     if let Some(part) = division.finished {
-        let parts = view.roster_parts(&division.block);
+        let parts = cache.roster_parts(&division.block);
         let version = parts.and_then(|parts| parts.get(&part));
         let key = roster_part_key(&division.block, part);
         txn = txn
--- a/src/provisioning/round.rs
+++ b/src/provisioning/round.rs
@@ -12,14 +12,14 @@
 use crate::domain::{BlockId, MachineId, Now, Tenure, Zone, since};
 use crate::leadership::Lead;
 use crate::store::records::{MachineState, Order, order_key};
-use crate::store::{Machine, Txn, View};
+use crate::store::{Machine, Txn, WatchCache};
 
 /// What a round goes by.
 #[derive(Clone, Copy)]
 pub(super) struct Round<'a> {
     pub(super) now: Now,
     pub(super) lead: &'a Lead<'a>,
-    pub(super) view: &'a View,
+    pub(super) cache: &'a WatchCache,
     pub(super) demand: &'a Demand,
 }
 
@@ -53,10 +53,10 @@
         let Round {
             now,
             lead,
-            view,
+            cache,
             demand,
         } = round;
-        if !view.covers(self.term_since)
+        if !cache.covers(self.term_since)
             || self
                 .round
                 .is_some_and(|at| since(now, at) < lead.policy.round)
@@ -64,15 +64,15 @@
             return None;
         }
         self.round = Some(now.steady);
-        let machines = self.machines(view);
-        let mut edits = Edits::new(lead, view, demand);
+        let machines = self.machines(cache);
+        let mut edits = Edits::new(lead, cache, demand);
         // One change for each type's order, the rest for the blocks of machines that are returned.
         edits.most = lead.batch.saturating_sub(lead.flavors.all().count()).max(1);
         let mut ordered = false;
         for flavor in lead
             .flavors
             .all()
-            .filter(|flavor| !view.orders.contains_key(&flavor.name))
+            .filter(|flavor| !cache.orders.contains_key(&flavor.name))
         {
             let shortages = [Tenure::Ordinary, Tenure::Spot].map(|tenure| {
                 let pool = (flavor.name.clone(), tenure);
@@ -158,7 +158,7 @@
     /// The order for a shortage, unless it was asked for in vain just now.
     fn order(&mut self, round: Round<'_>, flavor: &Flavor, shortage: Shortage) -> Option<Order> {
         let Round {
-            now, lead, view, ..
+            now, lead, cache, ..
         } = round;
         let Shortage {
             tenure,
@@ -167,7 +167,7 @@
             tasks_wait,
             ..
         } = shortage;
-        let zone = zone.or_else(|| self.zone_for(now, flavor, tenure, tasks_wait, view))?;
+        let zone = zone.or_else(|| self.zone_for(now, flavor, tenure, tasks_wait, cache))?;
         if self.is_closed(&flavor.name, &zone) {
             return None;
         }
@@ -192,7 +192,7 @@
     /// A zone in which tasks wait that may not go elsewhere, and the machines that are not yet on order for them.
     fn short_zone(&self, round: Round<'_>, pool: &Pool) -> Option<(Zone, i64)> {
         let Round {
-            now, view, demand, ..
+            now, cache, demand, ..
         } = round;
         let coming = |zone: &Zone| {
             let here = |m: &Machine| {
@@ -202,7 +202,8 @@
             let booting = |id: &MachineId| {
                 !self.up.contains(id) && !self.lost.contains(id) && !self.late.contains(id)
             };
-            view.machines
+            cache
+                .machines
                 .iter()
                 .filter(|(id, machine)| here(machine) && booting(id))
                 .count() as i64
@@ -234,7 +235,7 @@
         let Round {
             now,
             lead,
-            view,
+            cache,
             demand,
         } = round;
         let least_ms = u64::try_from(lead.policy.least_rental.as_millis()).unwrap_or(u64::MAX);
@@ -248,7 +249,7 @@
                 .get(id)
                 .is_some_and(|at| since(now, *at) >= patience)
         };
-        let mut idle: Vec<_> = view
+        let mut idle: Vec<_> = cache
             .machines
             .iter()
             .filter(|(id, machine)| {
@@ -286,14 +287,14 @@
         flavor: &Flavor,
         tenure: Tenure,
         wanted: bool,
-        view: &View,
+        cache: &WatchCache,
     ) -> Option<Zone> {
         let out_until = |zone: &Zone| {
             self.stockouts
                 .get(&(flavor.name.clone(), zone.clone(), tenure))
                 .copied()
         };
-        let count = |zone: &Zone| view.machines.values().filter(|m| m.zone == *zone).count();
+        let count = |zone: &Zone| cache.machines.values().filter(|m| m.zone == *zone).count();
         flavor
             .zones
             .iter()
--- a/src/provisioning/tests.rs
+++ b/src/provisioning/tests.rs
@@ -19,11 +19,11 @@
 fn a_machine_with_a_task_cancelled_long_ago_is_given_up_in_time() {
     let config = Config::parse("s.toml", SETTINGS).expect("valid");
     let start = Now::read();
-    let mut view = View::following();
+    let mut cache = WatchCache::following();
     let mut version = 0;
-    let mut put = |view: &mut View, key: String, value| {
+    let mut put = |cache: &mut WatchCache, key: String, value| {
         version += 1;
-        view.apply(Change {
+        cache.apply(Change {
             key,
             version,
             value: Some(value),
@@ -38,7 +38,7 @@
     };
     let on = ["m-1", "m-2"].map(|id| (id.into(), entry())).into();
     put(
-        &mut view,
+        &mut cache,
         roster_key(&block),
         encode(&Roster {
             zone: "a".into(),
@@ -53,14 +53,14 @@
         };
         places.add(&machine.into(), Attempt { task, number: id });
     }
-    put(&mut view, places_key(&block), encode(&places));
+    put(&mut cache, places_key(&block), encode(&places));
     put(
-        &mut view,
+        &mut cache,
         job_key(JobId(1)),
         encode(&JobRecord::Cancelled(job(1, 1.0), start.unix_ms())),
     );
     put(
-        &mut view,
+        &mut cache,
         job_key(JobId(2)),
         encode(&JobRecord::Open(job(1, 1.0))),
     );
@@ -70,7 +70,7 @@
             wall: start.wall + after,
             ..start
         };
-        provisioner.overdue(now, &config, &view, |_, _| false);
+        provisioner.overdue(now, &config, &cache, |_, _| false);
         provisioner
             .lost
             .iter()
@@ -98,7 +98,7 @@
         types: vec![flavor()],
     }));
     let start = Now::read();
-    let mut view = View::following();
+    let mut cache = WatchCache::following();
     for (version, zone) in [(1, "a"), (2, "b")] {
         let entry = |n: u32| {
             let id = format!("m-{zone}{n}").as_str().into();
@@ -118,7 +118,7 @@
             on: (0..6).map(entry).collect(),
         };
         let key = roster_key(&blocks::name(&zone.into(), 0));
-        view.apply(Change {
+        cache.apply(Change {
             key,
             version,
             value: Some(encode(&roster)),
@@ -146,7 +146,7 @@
                 steady: start.steady + passed,
                 ..start
             };
-            let health = view.machines.keys().map(|id| {
+            let health = cache.machines.keys().map(|id| {
                 let silent = silent(id, zones);
                 (
                     id.clone(),
@@ -158,7 +158,7 @@
                     },
                 )
             });
-            provisioner.observe(now, &lead, &view, &health.collect(), heard, |_, _| false);
+            provisioner.observe(now, &lead, &cache, &health.collect(), heard, |_, _| false);
         }
         provisioner.lost.len()
     };
@@ -178,7 +178,7 @@
             steady: start.steady + Duration::from_secs(seconds),
             ..start
         };
-        let health = view.machines.keys().map(|id| {
+        let health = cache.machines.keys().map(|id| {
             let silent = silent(id, zones);
             (
                 id.clone(),
@@ -190,7 +190,7 @@
                 },
             )
         });
-        provisioner.observe(now, &lead, &view, &health.collect(), &heard, |_, _| false);
+        provisioner.observe(now, &lead, &cache, &health.collect(), &heard, |_, _| false);
     }
     assert_eq!(
         provisioner.lost.len(),
@@ -226,7 +226,7 @@
         types: vec![flavor()],
     }));
     let now = Now::read();
-    let view = View::following();
+    let cache = WatchCache::following();
     let lead = Lead {
         config: &config,
         policy: &policy,
@@ -263,7 +263,7 @@
                 Round {
                     now,
                     lead: &lead,
-                    view: &view,
+                    cache: &cache,
                     demand: &demand,
                 },
                 &flavor(),
@@ -298,7 +298,7 @@
         batch: 5,
         spare: true,
     };
-    let mut view = View::following();
+    let mut cache = WatchCache::following();
     let block = blocks::name(&"a".into(), 0);
     let entry = || Rostered {
         type_name: "large".into(),
@@ -312,21 +312,22 @@
         on: on.collect(),
     };
     let mut version = 0;
-    let mut put = |view: &mut View, key: String, value| {
+    let mut put = |cache: &mut WatchCache, key: String, value| {
         version += 1;
-        view.apply(Change {
+        cache.apply(Change {
             key,
             version,
             value,
         });
     };
-    put(&mut view, roster_key(&block), Some(encode(&roster)));
-    let next = |view: &View| divide_roster(&lead, view, &Demand::default(), &Txn::default());
-    assert_eq!(next(&view), None, "not before the format is on");
+    put(&mut cache, roster_key(&block), Some(encode(&roster)));
+    let next =
+        |cache: &WatchCache| divide_roster(&lead, cache, &Demand::default(), &Txn::default());
+    assert_eq!(next(&cache), None, "not before the format is on");
     let switch = FormatSwitch { version: FORMAT };
-    put(&mut view, FORMAT_KEY.to_owned(), Some(encode(&switch)));
+    put(&mut cache, FORMAT_KEY.to_owned(), Some(encode(&switch)));
     let mut steps = 0;
-    while let Some(txn) = next(&view) {
+    while let Some(txn) = next(&cache) {
         steps += 1;
         assert!(steps < 20 && txn.changes.len() <= 5, "step {steps}");
         for change in txn.changes {
@@ -334,15 +335,15 @@
                 TxnChange::Put { key, value, .. } => {
                     let size = json_size(&value);
                     assert!(size <= 2048, "{key} is {size} bytes");
-                    put(&mut view, key, Some(value));
+                    put(&mut cache, key, Some(value));
                 }
-                TxnChange::Delete { key } => put(&mut view, key, None),
+                TxnChange::Delete { key } => put(&mut cache, key, None),
             }
-            assert_eq!(view.rosters[&block].value, roster, "step {steps}");
-            assert_eq!(view.machines.len(), 600);
+            assert_eq!(cache.rosters[&block].value, roster, "step {steps}");
+            assert_eq!(cache.machines.len(), 600);
         }
     }
     assert!(steps > 1, "more than one transaction holds");
-    let parts = view.roster_parts(&block).expect("known");
+    let parts = cache.roster_parts(&block).expect("known");
     assert!(!parts.contains_key(&0), "deleted, for it can't be written");
 }
--- a/src/queueing/block_state.rs
+++ b/src/queueing/block_state.rs
@@ -6,7 +6,7 @@
 use super::Queues;
 use crate::domain::{Attempt, MachineId, Now, since};
 use crate::peer::{BlockStatus, MachineStatus, Wanted, Work};
-use crate::store::View;
+use crate::store::WatchCache;
 use crate::store::records::Roster;
 
 /// An unanswered work message is repeated after this long.
@@ -150,14 +150,14 @@
     pub fn messages(
         &mut self,
         now: Now,
-        view: &View,
+        cache: &WatchCache,
         addresses: &HashMap<MachineId, String>,
     ) -> Vec<Work> {
         let mut messages = Vec::new();
         for (block, block_state) in &mut self.block_states {
             block_state.note_addresses(
                 addresses,
-                view.rosters.get(block).map(|roster| &roster.value),
+                cache.rosters.get(block).map(|roster| &roster.value),
             );
             let acked = block_state
                 .status
--- a/src/queueing/demand.rs
+++ b/src/queueing/demand.rs
@@ -10,8 +10,8 @@
 use crate::domain::{Job, Team, Zone};
 use crate::leadership::Lead;
 use crate::provisioning::{Demand, Pool};
-use crate::store::view::OpenJob;
-use crate::store::{Machine, View};
+use crate::store::cache::OpenJob;
+use crate::store::{Machine, WatchCache};
 
 /// Steps in which the waiting tasks of one job are counted.
 const COUNTING_STEPS: u64 = 64;
@@ -57,15 +57,15 @@
 
 impl Queues {
     /// Counts all that is placed or released.
-    pub(super) fn present(&self, stock: &Stock<'_>, view: &View) -> Present {
+    pub(super) fn present(&self, stock: &Stock<'_>, cache: &WatchCache) -> Present {
         let mut present = Present::default();
         present.demand.runs = self.runs.clone();
         let mut misplaced = Vec::new();
-        for live in view.live_places() {
+        for live in cache.live_places() {
             present.demand.occupied.insert(live.id.clone());
             for open in live
                 .attempts()
-                .filter_map(|attempt| view.open.get(&attempt.task.job))
+                .filter_map(|attempt| cache.open.get(&attempt.task.job))
             {
                 misplaced.extend(present.count(stock.lead, live.machine, open));
             }
@@ -76,10 +76,10 @@
             .flat_map(|block_state| block_state.releases.values())
         {
             present.demand.occupied.insert(release.machine.clone());
-            let Some(open) = view.open.get(&release.attempt.task.job) else {
+            let Some(open) = cache.open.get(&release.attempt.task.job) else {
                 continue;
             };
-            match view.machines.get(&release.machine) {
+            match cache.machines.get(&release.machine) {
                 Some(machine) => misplaced.extend(present.count(stock.lead, machine, open)),
                 // Its machine is gone, but its holder may still choose another.
                 None => present.usage.add(&open.job),
--- a/src/queueing/draining/fleet_view.rs
+++ b/src/queueing/draining/fleet_view.rs
@@ -12,15 +12,15 @@
 use super::super::{Plan, Queues};
 use crate::domain::{Attempt, Job, JobId, Kind, MachineId, TaskId, Zone};
 use crate::provisioning::wire::Flavor;
-use crate::store::View;
+use crate::store::WatchCache;
+use crate::store::cache::OpenJob;
 use crate::store::records::Ranges;
-use crate::store::view::OpenJob;
 
 /// What the planner sees, and the room that it may give away.
 pub(super) struct FleetView<'a, 'v> {
     pub(super) queues: &'a Queues,
     pub(super) stock: &'a Stock<'a>,
-    pub(super) view: &'v View,
+    pub(super) cache: &'v WatchCache,
     pub(super) plan: &'a mut Plan,
     pub(super) machines: Vec<MachineView>,
     pub(super) running: HashSet<u64>,
@@ -30,20 +30,20 @@
 
 impl FleetView<'_, '_> {
     fn open(&self, job: JobId) -> Option<&OpenJob> {
-        self.view.open.get(&job).filter(|open| !open.cancelled)
+        self.cache.open.get(&job).filter(|open| !open.cancelled)
     }
 
     /// Where the other tasks of a job are, in all: placed, released, or with room kept for them.
     fn zones_of_others(&self, task: TaskId) -> BTreeMap<Zone, u32> {
-        self.queues.zones_of_others(self.view, task)
+        self.queues.zones_of_others(self.cache, task)
     }
 
     fn reserve_task(&mut self, task: TaskId) -> Result<Vec<Reservation>, NoRoom> {
-        let Some(open) = self.view.open.get(&task.job) else {
+        let Some(open) = self.cache.open.get(&task.job) else {
             return Err(NoRoom::Anywhere);
         };
         let zones = self.zones_of_others(task);
-        match self.plan.keep_room(self.view, &open.job, &zones) {
+        match self.plan.keep_room(self.cache, &open.job, &zones) {
             Some(machine) => Ok(vec![Reservation { task, machine }]),
             None => {
                 let reason = no_room(self.stock, &open.job, &zones);
@@ -56,11 +56,11 @@
     }
 
     fn reserve_gang(&mut self, id: JobId) -> Result<Vec<Reservation>, NoRoom> {
-        let Some(open) = self.view.open.get(&id) else {
+        let Some(open) = self.cache.open.get(&id) else {
             return Err(NoRoom::Anywhere);
         };
         let waiting = gang_waiting(id, open);
-        let block_of = |machine: &MachineId| Some(self.view.machines.get(machine)?.block.clone());
+        let block_of = |machine: &MachineId| Some(self.cache.machines.get(machine)?.block.clone());
         let room = find_room(
             &self.plan.candidates,
             &waiting,
@@ -80,7 +80,7 @@
         let mut reservations = Vec::new();
         for (index, candidate) in (0..).zip(room.tasks) {
             let machine = self.plan.candidates[candidate].machine.clone();
-            self.plan.take_room(self.view, candidate, &open.job.need);
+            self.plan.take_room(self.cache, candidate, &open.job.need);
             let task = TaskId { job: id, index };
             reservations.push(Reservation { task, machine });
         }
@@ -140,7 +140,7 @@
     }
 
     fn attempts(&self, task: TaskId) -> Vec<Attempt> {
-        attempts_of(self.view, task)
+        attempts_of(self.cache, task)
             .map(|(attempt, _)| attempt)
             .collect()
     }
@@ -172,12 +172,13 @@
 
 /// The attempts of a task that are on machines, with their machines.
 pub(super) fn attempts_of(
-    view: &View,
+    cache: &WatchCache,
     task: TaskId,
 ) -> impl Iterator<Item = (Attempt, &MachineId)> {
-    view.placed(task.job)
+    cache
+        .placed(task.job)
         .range((task.index, 0)..=(task.index, u64::MAX))
-        .filter(|(_, place)| view.machines.contains_key(&place.machine))
+        .filter(|(_, place)| cache.machines.contains_key(&place.machine))
         .map(move |((_, number), place)| {
             let number = *number;
             (Attempt { task, number }, &place.machine)
--- a/src/queueing/draining/mod.rs
+++ b/src/queueing/draining/mod.rs
@@ -28,9 +28,9 @@
 use crate::domain::{Attempt, BlockId, Job, Kind, MachineId, Now, TaskId, Team, Zone, since};
 use crate::leadership::Lead;
 use crate::provisioning::Provisioner;
+use crate::store::cache::{values, version_of};
 use crate::store::records::{LEADER, MachineState, drain_budget_key, drain_key, drain_ledger_key};
-use crate::store::view::{values, version_of};
-use crate::store::{Op, Outcome, Txn, Versioned, View, Writer};
+use crate::store::{Op, Outcome, Txn, Versioned, WatchCache, Writer};
 
 /// What an entry takes of a ledger's value, at the most.
 const LEDGER_ENTRY_BYTES: usize = 192;
@@ -73,8 +73,8 @@
     }
 
     /// The budgets in force.
-    pub fn budgets(&self, view: &View) -> Budgets {
-        budgets(&self.settings, view)
+    pub fn budgets(&self, cache: &WatchCache) -> Budgets {
+        budgets(&self.settings, cache)
     }
 
     /// How far each drain is.
@@ -99,7 +99,7 @@
     }
 
     /// Values for the metrics.
-    pub fn summary(&self, view: &View, gauges: &mut BTreeMap<String, f64>) {
+    pub fn summary(&self, cache: &WatchCache, gauges: &mut BTreeMap<String, f64>) {
         let mut states: BTreeMap<&str, f64> = BTreeMap::new();
         for progress in self.progress().values() {
             *states.entry(progress.state.name().as_str()).or_default() += 1.0;
@@ -107,7 +107,7 @@
         for (state, count) in states {
             gauges.insert(format!("drains{{state=\"{state}\"}}"), count);
         }
-        let budgets = self.budgets(view);
+        let budgets = self.budgets(cache);
         for (team, count) in self.disruptions().teams() {
             let allowed = budgets.of_team(team).of(count.tasks);
             let disrupted = count.disrupted as f64;
@@ -118,13 +118,13 @@
     }
 
     /// Whether there is nothing to do and nothing to look after.
-    fn is_idle(&self, view: &View) -> bool {
-        let mut ledgers = view.drain_ledgers.values();
-        view.drains.is_empty() && ledgers.all(|ledger| ledger.value.is_empty())
+    fn is_idle(&self, cache: &WatchCache) -> bool {
+        let mut ledgers = cache.drain_ledgers.values();
+        cache.drains.is_empty() && ledgers.all(|ledger| ledger.value.is_empty())
     }
 
     /// The transaction that records what was decided.
-    fn transaction(&self, now: Now, lead: &Lead<'_>, view: &View) -> Option<Txn> {
+    fn transaction(&self, now: Now, lead: &Lead<'_>, cache: &WatchCache) -> Option<Txn> {
         let mut txn = Txn::default().when(LEADER, lead.version);
         let mut drains: BTreeSet<&DrainId> = BTreeSet::new();
         let most = lead.batch.max(1);
@@ -135,7 +135,7 @@
             }
             match effect {
                 Effect::WriteLedger { team, ledger } => {
-                    let old = view.drain_ledgers.get(team);
+                    let old = cache.drain_ledgers.get(team);
                     let new = new_evictions(old, ledger);
                     if new.is_empty() && !upkeep_due {
                         continue;
@@ -144,7 +144,7 @@
                     let key = drain_ledger_key(team);
                     txn = txn.when(key.clone(), version_of(old)).when(
                         drain_budget_key(team),
-                        version_of(view.drain_budgets.get(team)),
+                        version_of(cache.drain_budgets.get(team)),
                     );
                     // Empty ones are kept: were the key removed, a transaction from before it existed could still be
                     // carried out, and spend what has been spent since.
@@ -154,7 +154,7 @@
                     let key = drain_key(id);
                     drains.remove(id);
                     txn = txn
-                        .when(key.clone(), version_of(view.drains.get(id)))
+                        .when(key.clone(), version_of(cache.drains.get(id)))
                         .put(key, record);
                 }
                 Effect::Cordon(_)
@@ -167,19 +167,19 @@
         for id in drains {
             let key = drain_key(id);
             if !txn.conditions.iter().any(|(known, _)| *known == key) {
-                txn = txn.when(key, version_of(view.drains.get(id)));
+                txn = txn.when(key, version_of(cache.drains.get(id)));
             }
         }
         (!txn.changes.is_empty()).then_some(txn)
     }
 
-    fn log_decided(&self, view: &View) {
+    fn log_decided(&self, cache: &WatchCache) {
         for effect in &self.decided {
             match effect {
                 Effect::WriteLedger { team, ledger } => {
-                    for eviction in new_evictions(view.drain_ledgers.get(team), ledger) {
+                    for eviction in new_evictions(cache.drain_ledgers.get(team), ledger) {
                         let job = eviction.subject.job();
-                        let saves = view.open.get(&job).is_some_and(|open| saves(&open.job));
+                        let saves = cache.open.get(&job).is_some_and(|open| saves(&open.job));
                         let saves = if saves { "saves first" } else { "can't save" };
                         info!(drain = %eviction.drain, %team, %job, subject = ?eviction.subject, machine = %eviction.machine, saves, "evicting");
                     }
@@ -208,7 +208,7 @@
     job.kind != Kind::Gang && job.checkpoint_every_s > 0.0
 }
 
-fn budgets(settings: &DrainSettings, view: &View) -> Budgets {
+fn budgets(settings: &DrainSettings, cache: &WatchCache) -> Budgets {
     let of_team = |(team, stated): (&String, &TeamSettings)| {
         let budget = TeamBudget {
             limit: stated.budget,
@@ -219,19 +219,19 @@
     Budgets {
         default: settings.budget,
         settings: settings.teams.iter().map(of_team).collect(),
-        requested: values(&view.drain_budgets),
+        requested: values(&cache.drain_budgets),
     }
 }
 
 /// The machines, as the planner and operators' requests look at them.
 pub fn machine_views(
-    view: &View,
+    cache: &WatchCache,
     usable: impl Fn(&MachineId) -> bool,
     given_up: impl Fn(&MachineId) -> bool,
     expects_tasks: impl Fn(&MachineId) -> bool,
 ) -> Vec<MachineView> {
     let mut machines: BTreeMap<&MachineId, MachineView> = BTreeMap::new();
-    for (id, machine) in &view.machines {
+    for (id, machine) in &cache.machines {
         let state = match machine.state {
             MachineState::InService => ServiceState::InService,
             MachineState::Cordoned => ServiceState::Cordoned,
@@ -250,7 +250,7 @@
         };
         machines.insert(id, seen);
     }
-    for live in view.live_places() {
+    for live in cache.live_places() {
         if let Some(machine) = machines.get_mut(live.id) {
             machine.tasks.extend(live.attempts());
         }
@@ -291,11 +291,11 @@
     }
 
     /// Where the other tasks of a job are, and where room is kept for them.
-    fn zones_of_others(&self, view: &View, task: TaskId) -> BTreeMap<Zone, u32> {
+    fn zones_of_others(&self, cache: &WatchCache, task: TaskId) -> BTreeMap<Zone, u32> {
         let mut zones: BTreeMap<Zone, u32> = BTreeMap::new();
-        let placed = view.placed(task.job).iter();
+        let placed = cache.placed(task.job).iter();
         let others = placed.filter(|((index, _), _)| *index != task.index);
-        for machine in others.filter_map(|(_, place)| view.machines.get(&place.machine)) {
+        for machine in others.filter_map(|(_, place)| cache.machines.get(&place.machine)) {
             *zones.entry(machine.zone.clone()).or_default() += 1;
         }
         for (block, block_state) in &self.block_states {
@@ -304,15 +304,15 @@
                 released.job == task.job && released.index != task.index
             };
             let count = block_state.releases.values().filter(of_job).count() as u32;
-            if let Some(grant) = view.grants.get(block).filter(|_| count > 0) {
+            if let Some(grant) = cache.grants.get(block).filter(|_| count > 0) {
                 *zones.entry(grant.value.zone.clone()).or_default() += count;
             }
         }
         let reserved = self.draining.iter().flat_map(|draining| &draining.reserved);
         for (other, machine) in reserved {
-            let somewhere = attempts_of(view, *other).next().is_some() || self.is_released(*other);
+            let somewhere = attempts_of(cache, *other).next().is_some() || self.is_released(*other);
             let counts = other.job == task.job && other.index != task.index && !somewhere;
-            if let Some(machine) = view.machines.get(machine).filter(|_| counts) {
+            if let Some(machine) = cache.machines.get(machine).filter(|_| counts) {
                 *zones.entry(machine.zone.clone()).or_default() += 1;
             }
         }
@@ -329,29 +329,29 @@
 
     /// Stops what is recorded as evicted, releases replacements, keeps room for those to come, and decides what is
     /// evicted next.
-    pub(super) fn plan_drains(&mut self, stock: &Stock<'_>, view: &View, plan: &mut Plan) {
+    pub(super) fn plan_drains(&mut self, stock: &Stock<'_>, cache: &WatchCache, plan: &mut Plan) {
         if self
             .draining
             .as_ref()
-            .is_none_or(|draining| draining.is_idle(view))
+            .is_none_or(|draining| draining.is_idle(cache))
         {
             if let Some(draining) = &mut self.draining {
-                draining.rest(stock.now, view);
+                draining.rest(stock.now, cache);
             }
             return;
         }
-        let drains: BTreeMap<DrainId, DrainRecord> = values(&view.drains);
-        let ledgers: BTreeMap<Team, Ledger> = values(&view.drain_ledgers);
-        self.stop_evicted(stock.now, view, &ledgers);
-        self.replace_evicted(stock, view, plan, &ledgers);
-        self.decide_drains(stock, view, plan, &drains, &ledgers);
-        self.watch(view, &ledgers);
+        let drains: BTreeMap<DrainId, DrainRecord> = values(&cache.drains);
+        let ledgers: BTreeMap<Team, Ledger> = values(&cache.drain_ledgers);
+        self.stop_evicted(stock.now, cache, &ledgers);
+        self.replace_evicted(stock, cache, plan, &ledgers);
+        self.decide_drains(stock, cache, plan, &drains, &ledgers);
+        self.watch(cache, &ledgers);
     }
 
     fn decide_drains(
         &mut self,
         stock: &Stock<'_>,
-        view: &View,
+        cache: &WatchCache,
         plan: &mut Plan,
         drains: &BTreeMap<DrainId, DrainRecord>,
         ledgers: &BTreeMap<Team, Ledger>,
@@ -361,7 +361,7 @@
         };
         let mut planner = std::mem::take(&mut draining.planner);
         let draining = &*draining;
-        let budgets = budgets(&draining.settings, view);
+        let budgets = budgets(&draining.settings, cache);
         let settings = draining.settings.clone();
         let usable = self.usable_machines(stock.now, stock.provisioner);
         let expecting: HashSet<&MachineId> = self
@@ -371,12 +371,12 @@
             .map(|release| &release.machine)
             .collect();
         let machines = machine_views(
-            view,
+            cache,
             |id| usable.contains(id),
             |id| stock.provisioner.is_lost(id),
             |id| expecting.contains(id),
         );
-        let running = self.running_attempts(stock.now, view, &usable);
+        let running = self.running_attempts(stock.now, cache, &usable);
         let lead = stock.lead;
         let limits = &lead.config.state_limits;
         let bounds = Bounds {
@@ -390,7 +390,7 @@
         let mut fleet = FleetView {
             queues: self,
             stock,
-            view,
+            cache,
             plan,
             machines,
             running,
@@ -412,7 +412,7 @@
             draining.decided = decided;
         }
         for task in unplaced {
-            count_unplaced(stock, view, plan, task, &self.zones_of_others(view, task));
+            count_unplaced(stock, cache, plan, task, &self.zones_of_others(cache, task));
         }
     }
 
@@ -425,7 +425,12 @@
     }
 
     /// The watched attempts that run, on machines that are well.
-    fn running_attempts(&self, now: Now, view: &View, usable: &HashSet<MachineId>) -> HashSet<u64> {
+    fn running_attempts(
+        &self,
+        now: Now,
+        cache: &WatchCache,
+        usable: &HashSet<MachineId>,
+    ) -> HashSet<u64> {
         let mut running = HashSet::new();
         for (block, block_state) in &self.block_states {
             let Some((status, at)) = &block_state.status else {
@@ -435,7 +440,7 @@
                 continue;
             }
             let told: HashSet<u64> = status.running.iter().copied().collect();
-            let Some(places) = view.places.get(block) else {
+            let Some(places) = cache.places.get(block) else {
                 continue;
             };
             let here = places.value.attempts();
@@ -449,14 +454,14 @@
     }
 
     /// Asks holders to tell of the attempts of which it matters whether they run.
-    fn watch(&mut self, view: &View, ledgers: &BTreeMap<Team, Ledger>) {
+    fn watch(&mut self, cache: &WatchCache, ledgers: &BTreeMap<Team, Ledger>) {
         let Some(draining) = &self.draining else {
             return;
         };
         let mut watched: HashMap<&BlockId, Vec<u64>> = HashMap::new();
         for task in draining.planner.watched(ledgers) {
-            for (attempt, machine) in attempts_of(view, task) {
-                if let Some(machine) = view.machines.get(machine) {
+            for (attempt, machine) in attempts_of(cache, task) {
+                if let Some(machine) = cache.machines.get(machine) {
                     let of_block = watched.entry(&machine.block).or_default();
                     of_block.push(attempt.number);
                 }
@@ -472,14 +477,19 @@
     }
 
     /// The transaction that records evictions and what became of drains.
-    pub fn write_drains(&mut self, now: Now, lead: &Lead<'_>, view: &mut View) -> Option<Op> {
+    pub fn write_drains(
+        &mut self,
+        now: Now,
+        lead: &Lead<'_>,
+        cache: &mut WatchCache,
+    ) -> Option<Op> {
         let draining = self.draining.as_mut()?;
-        if !draining.writer.ready(now, view) {
+        if !draining.writer.ready(now, cache) {
             return None;
         }
         draining.proposed.clear();
-        let txn = draining.transaction(now, lead, view)?;
-        draining.log_decided(view);
+        let txn = draining.transaction(now, lead, cache)?;
+        draining.log_decided(cache);
         draining.upkeep = Some(now.steady);
         for effect in &draining.decided {
             match effect {
@@ -488,7 +498,7 @@
                     draining.reserved.insert(*task, machine.clone());
                 }
                 Effect::WriteLedger { team, ledger } => {
-                    let new = new_evictions(view.drain_ledgers.get(team), ledger).len();
+                    let new = new_evictions(cache.drain_ledgers.get(team), ledger).len();
                     draining.evictions += new as u64;
                 }
                 _ => {}
@@ -508,7 +518,7 @@
 
 impl Draining {
     /// No drain is left, and no disruption is recorded.
-    fn rest(&mut self, now: Now, view: &View) {
+    fn rest(&mut self, now: Now, cache: &WatchCache) {
         self.decided.clear();
         self.reserved.clear();
         if self.upkeep.is_some_and(|at| since(now, at) < UPKEEP_EVERY) {
@@ -516,7 +526,7 @@
         }
         self.upkeep = Some(now.steady);
         let is_wanted = |task: TaskId| {
-            let open = view.open.get(&task.job);
+            let open = cache.open.get(&task.job);
             open.is_some_and(|open| !open.cancelled && !open.done.contains(task.index))
         };
         let event: Event<'_, FleetView<'_, '_>> = Event::Idle {
--- a/src/queueing/draining/replacement.rs
+++ b/src/queueing/draining/replacement.rs
@@ -12,34 +12,34 @@
 use super::fleet_view::{attempts_of, gang_waiting, no_room};
 use crate::domain::{Attempt, Job, JobId, MachineId, Now, Room, TaskId, Team, Zone};
 use crate::placement;
-use crate::store::View;
-use crate::store::view::OpenJob;
+use crate::store::WatchCache;
+use crate::store::cache::OpenJob;
 
 impl Plan {
     /// Keeps room for a task where it would be placed best. Returns the machine.
     pub(super) fn keep_room(
         &mut self,
-        view: &View,
+        cache: &WatchCache,
         job: &Job,
         zones: &BTreeMap<Zone, u32>,
     ) -> Option<MachineId> {
         let has_space = |machine: &MachineId| {
-            let block = view.machines.get(machine).map(|machine| &machine.block);
+            let block = cache.machines.get(machine).map(|machine| &machine.block);
             block.is_some_and(|block| self.spaces.get(block).is_some_and(|space| *space > 0))
         };
         let open = self.candidates.iter().filter(|c| has_space(&c.machine));
         let chosen = placement::choose(open, job, |zone| zone_open(job, zones, zone))?;
         let machine = chosen.machine.clone();
         let index = self.index_of(&machine)?;
-        self.take_room(view, index, &job.need);
+        self.take_room(cache, index, &job.need);
         Some(machine)
     }
 
     /// Takes room of a machine, and of its block's value.
-    pub(super) fn take_room(&mut self, view: &View, candidate: usize, need: &Room) {
+    pub(super) fn take_room(&mut self, cache: &WatchCache, candidate: usize, need: &Room) {
         let chosen = &mut self.candidates[candidate];
         chosen.free.take(need);
-        let block = view.machines.get(&chosen.machine).map(|m| &m.block);
+        let block = cache.machines.get(&chosen.machine).map(|m| &m.block);
         if let Some(space) = block.and_then(|block| self.spaces.get_mut(block)) {
             *space = space.saturating_sub(1);
         }
@@ -55,10 +55,15 @@
 }
 
 impl Queues {
-    pub(super) fn stop_evicted(&mut self, now: Now, view: &View, ledgers: &BTreeMap<Team, Ledger>) {
+    pub(super) fn stop_evicted(
+        &mut self,
+        now: Now,
+        cache: &WatchCache,
+        ledgers: &BTreeMap<Team, Ledger>,
+    ) {
         let subjects = ledgers.values().flat_map(|ledger| &ledger.evictions);
         for subject in subjects.map(|eviction| eviction.subject) {
-            for ((index, number), place) in view.placed(subject.job()) {
+            for ((index, number), place) in cache.placed(subject.job()) {
                 let attempt = Attempt {
                     task: TaskId {
                         job: subject.job(),
@@ -82,7 +87,7 @@
     pub(super) fn replace_evicted(
         &mut self,
         stock: &Stock<'_>,
-        view: &View,
+        cache: &WatchCache,
         plan: &mut Plan,
         ledgers: &BTreeMap<Team, Ledger>,
     ) {
@@ -102,35 +107,45 @@
             .retain(|task, _| evicted.contains(task) || proposed.contains(task));
         draining.without_room.clear();
         for subject in outstanding {
-            let Some(open) = view.open.get(&subject.job()).filter(|open| !open.cancelled) else {
+            let Some(open) = cache
+                .open
+                .get(&subject.job())
+                .filter(|open| !open.cancelled)
+            else {
                 continue;
             };
             match subject {
                 Subject::Task(old) => {
-                    self.replace_task(stock, view, plan, open, old);
+                    self.replace_task(stock, cache, plan, open, old);
                 }
-                Subject::Gang { job, .. } => self.replace_gang(stock, view, plan, open, job),
+                Subject::Gang { job, .. } => self.replace_gang(stock, cache, plan, open, job),
             }
         }
-        self.keep_proposed_room(view, plan);
+        self.keep_proposed_room(cache, plan);
         let without_room = self.draining.iter().flat_map(|d| &d.without_room);
         let unplaced = without_room.filter(|(_, reason)| **reason == NoRoom::Yet);
         for (task, _) in unplaced {
-            count_unplaced(stock, view, plan, *task, &self.zones_of_others(view, *task));
+            count_unplaced(
+                stock,
+                cache,
+                plan,
+                *task,
+                &self.zones_of_others(cache, *task),
+            );
         }
     }
 
-    fn keep_proposed_room(&self, view: &View, plan: &mut Plan) {
+    fn keep_proposed_room(&self, cache: &WatchCache, plan: &mut Plan) {
         let Some(draining) = &self.draining else {
             return;
         };
         for task in &draining.proposed {
-            let open = view.open.get(&task.job);
+            let open = cache.open.get(&task.job);
             let machine = draining.reserved.get(task);
             if let (Some(open), Some(machine)) = (open, machine)
                 && let Some(candidate) = plan.room_on(machine, &open.job)
             {
-                plan.take_room(view, candidate, &open.job.need);
+                plan.take_room(cache, candidate, &open.job.need);
             }
         }
     }
@@ -138,17 +153,17 @@
     fn replace_task(
         &mut self,
         stock: &Stock<'_>,
-        view: &View,
+        cache: &WatchCache,
         plan: &mut Plan,
         open: &OpenJob,
         old: Attempt,
     ) {
         let task = old.task;
-        let others = attempts_of(view, task).filter(|(attempt, _)| *attempt != old);
+        let others = attempts_of(cache, task).filter(|(attempt, _)| *attempt != old);
         if others.count() > 0 || self.is_released(task) || open.done.contains(task.index) {
             return;
         }
-        let zones = self.zones_of_others(view, task);
+        let zones = self.zones_of_others(cache, task);
         let Some(draining) = &mut self.draining else {
             return;
         };
@@ -163,11 +178,11 @@
         let machine = match kept {
             Some(machine) => {
                 if let Some(candidate) = plan.room_on(&machine, &open.job) {
-                    plan.take_room(view, candidate, &open.job.need);
+                    plan.take_room(cache, candidate, &open.job.need);
                 }
                 Some(machine)
             }
-            None => plan.keep_room(view, &open.job, &zones),
+            None => plan.keep_room(cache, &open.job, &zones),
         };
         let Some(machine) = machine else {
             draining.reserved.remove(&task);
@@ -176,10 +191,10 @@
             return;
         };
         draining.reserved.insert(task, machine.clone());
-        let gone = attempts_of(view, task).next().is_none();
+        let gone = attempts_of(cache, task).next().is_none();
         let within_limit = plan.usage.within_limit(stock.lead.config, &open.job);
         if gone && within_limit && !self.failures.backs_off(stock.now, task.job) {
-            self.release_replacement(stock.now, view, plan, open, task, &machine);
+            self.release_replacement(stock.now, cache, plan, open, task, &machine);
         }
     }
 
@@ -187,13 +202,13 @@
     fn release_replacement(
         &mut self,
         now: Now,
-        view: &View,
+        cache: &WatchCache,
         plan: &mut Plan,
         open: &OpenJob,
         task: TaskId,
         machine: &MachineId,
     ) {
-        let block = view.machines.get(machine).map(|machine| &machine.block);
+        let block = cache.machines.get(machine).map(|machine| &machine.block);
         let Some(block_state) = block.and_then(|block| self.block_states.get_mut(block)) else {
             return;
         };
@@ -215,14 +230,14 @@
     fn replace_gang(
         &mut self,
         stock: &Stock<'_>,
-        view: &View,
+        cache: &WatchCache,
         plan: &mut Plan,
         open: &OpenJob,
         job: JobId,
     ) {
         let tasks = || (0..open.job.tasks).map(|index| TaskId { job, index });
         let placed: Vec<Attempt> = tasks()
-            .flat_map(|task| attempts_of(view, task).map(|(attempt, _)| attempt))
+            .flat_map(|task| attempts_of(cache, task).map(|(attempt, _)| attempt))
             .collect();
         let released = tasks().any(|task| self.is_released(task));
         let Some(draining) = &mut self.draining else {
@@ -242,7 +257,7 @@
             let Some(candidate) = plan.room_on(machine, &open.job) else {
                 break;
             };
-            plan.take_room(view, candidate, &open.job.need);
+            plan.take_room(cache, candidate, &open.job.need);
             taken.push(candidate);
         }
         let whole = taken.len() == machines.len();
@@ -257,14 +272,14 @@
         }
         let within = plan.usage.room_within_limit(stock.lead.config, &open.job);
         if placed.is_empty() && within >= u64::from(open.job.tasks) {
-            self.release_gang_replacement(stock.now, view, plan, open, job, &machines);
+            self.release_gang_replacement(stock.now, cache, plan, open, job, &machines);
         }
     }
 
     fn release_gang_replacement(
         &mut self,
         now: Now,
-        view: &View,
+        cache: &WatchCache,
         plan: &mut Plan,
         open: &OpenJob,
         job: JobId,
@@ -275,7 +290,7 @@
         info!(%job, start, "gang released to the room kept for it");
         for (index, machine) in (0..).zip(machines) {
             let task = TaskId { job, index };
-            let block = view.machines.get(machine).map(|machine| &machine.block);
+            let block = cache.machines.get(machine).map(|machine| &machine.block);
             let block_state = block.and_then(|block| self.block_states.get_mut(block));
             if let (Some(attempt), Some(block_state)) = (Attempt::of_gang(task, start), block_state)
             {
@@ -295,12 +310,12 @@
 /// zones, one of those.
 pub(super) fn count_unplaced(
     stock: &Stock<'_>,
-    view: &View,
+    cache: &WatchCache,
     plan: &mut Plan,
     task: TaskId,
     zones: &BTreeMap<Zone, u32>,
 ) {
-    let Some(open) = view.open.get(&task.job) else {
+    let Some(open) = cache.open.get(&task.job) else {
         return;
     };
     let waiting = Waiting {
--- a/src/queueing/failures.rs
+++ b/src/queueing/failures.rs
@@ -11,7 +11,7 @@
 
 use crate::domain::{Final, JobId, MachineId, Now};
 use crate::peer::MachineStatus;
-use crate::store::View;
+use crate::store::WatchCache;
 
 /// Failures of a job without a success that are taken for bad luck.
 const TOLERATED: u32 = 2;
@@ -81,8 +81,8 @@
         self.jobs.remove(&job);
     }
 
-    pub(super) fn retain_open(&mut self, view: &View) {
-        self.jobs.retain(|job, _| view.open.contains_key(job));
+    pub(super) fn retain_open(&mut self, cache: &WatchCache) {
+        self.jobs.retain(|job, _| cache.open.contains_key(job));
     }
 
     /// Whether a job keeps failing: one task of it is enough to see whether that is over.
@@ -108,8 +108,8 @@
     }
 
     /// Whether so many tasks of so many jobs have failed on the machine that it must be faulty.
-    pub(super) fn is_faulty(&self, status: &MachineStatus, view: &View) -> bool {
-        let blames_machine = |job: JobId| !self.fails_elsewhere(job, view);
+    pub(super) fn is_faulty(&self, status: &MachineStatus, cache: &WatchCache) -> bool {
+        let blames_machine = |job: JobId| !self.fails_elsewhere(job, cache);
         status.errors >= FAULTY_AFTER
             && status
                 .failures
@@ -121,8 +121,8 @@
 
     /// Whether a job's failures say nothing against a machine: it has failed on others too without any success, or was
     /// cancelled without one.
-    fn fails_elsewhere(&self, job: JobId, view: &View) -> bool {
-        match view.ended.get(&job) {
+    fn fails_elsewhere(&self, job: JobId, cache: &WatchCache) -> bool {
+        match cache.ended.get(&job) {
             Some((end, _)) => *end == Final::Cancelled,
             None => self
                 .jobs
--- a/src/queueing/failures/tests.rs
+++ b/src/queueing/failures/tests.rs
@@ -25,17 +25,17 @@
     }
 }
 
-fn view_with_open(jobs: &[u64]) -> View {
-    let mut view = View::following();
+fn view_with_open(jobs: &[u64]) -> WatchCache {
+    let mut cache = WatchCache::following();
     for (version, id) in (1..).zip(jobs) {
         let value = Some(encode(&JobRecord::Open(job(10, 1.0))));
-        view.apply(Change {
+        cache.apply(Change {
             key: job_key(JobId(*id)),
             version,
             value,
         });
     }
-    view
+    cache
 }
 
 fn later(now: Now, seconds: u64) -> Now {
@@ -92,7 +92,7 @@
 #[test]
 fn jobs_that_fail_everywhere_do_not_make_machines_look_faulty() {
     let now = Now::read();
-    let view = view_with_open(&[1, 2, 3, 4]);
+    let cache = view_with_open(&[1, 2, 3, 4]);
     let mut failures = Failures::default();
     let of_two = [
         status("m-1", &[(1, 3), (2, 3)]),
@@ -102,24 +102,24 @@
         .iter()
         .for_each(|status| failures.observe(now, status, None));
     assert!(
-        !failures.is_faulty(&of_two[0], &view),
+        !failures.is_faulty(&of_two[0], &cache),
         "both fail elsewhere too"
     );
     let faulty = status("m-3", &[(3, 2), (4, 1)]);
     failures.observe(now, &faulty, None);
     assert!(
-        failures.is_faulty(&faulty, &view),
+        failures.is_faulty(&faulty, &cache),
         "these fail nowhere else"
     );
     assert!(
-        !failures.is_faulty(&status("m-4", &[(3, 9)]), &view),
+        !failures.is_faulty(&status("m-4", &[(3, 9)]), &cache),
         "one job alone may have a mistake"
     );
 }
 
 #[test]
 fn jobs_that_were_cancelled_without_a_success_do_not_blame_machines_and_done_ones_do() {
-    let mut view = view_with_open(&[1, 2, 3, 4]);
+    let mut cache = view_with_open(&[1, 2, 3, 4]);
     for (version, id, end) in [
         (11, 1, Final::Cancelled),
         (12, 2, Final::Cancelled),
@@ -127,13 +127,13 @@
         (14, 4, Final::Done),
     ] {
         let value = Some(encode(&JobRecord::Ended(end, 10)));
-        view.apply(Change {
+        cache.apply(Change {
             key: job_key(JobId(id)),
             version,
             value,
         });
     }
     let failures = Failures::default();
-    assert!(!failures.is_faulty(&status("m-1", &[(1, 2), (2, 2)]), &view));
-    assert!(failures.is_faulty(&status("m-1", &[(3, 2), (4, 2)]), &view));
+    assert!(!failures.is_faulty(&status("m-1", &[(1, 2), (2, 2)]), &cache));
+    assert!(failures.is_faulty(&status("m-1", &[(3, 2), (4, 2)]), &cache));
 }
--- a/src/queueing/folding.rs
+++ b/src/queueing/folding.rs
@@ -9,7 +9,7 @@
 use crate::config::Config;
 use crate::domain::JobId;
 use crate::store::records::{CHUNK, PARTS_FORMAT, Places, Progress, Ranges, progress_key};
-use crate::store::{Txn, View};
+use crate::store::{Txn, WatchCache};
 
 /// A block's finished tasks are folded when its value is this full of all that it may come to hold ...
 const FULL: f64 = 0.8;
@@ -19,20 +19,20 @@
 const WORTH_FOLDING_DIVIDED: f64 = 0.5;
 
 /// Adds to the transaction what should be folded, up to `most` changes.
-pub(super) fn fold(config: &Config, view: &View, mut txn: Txn, most: usize) -> Txn {
+pub(super) fn fold(config: &Config, cache: &WatchCache, mut txn: Txn, most: usize) -> Txn {
     let limit = config.state_limits.value_bytes as f64;
     // Where a block may have more values, room for finished tasks is had more cheaply than by folding.
-    let worth = if view.format() >= PARTS_FORMAT {
+    let worth = if cache.format() >= PARTS_FORMAT {
         WORTH_FOLDING_DIVIDED
     } else {
         WORTH_FOLDING
     };
-    for places in view
+    for places in cache
         .all_places_parts()
         .filter(|places| places.value.worst() as f64 > limit * FULL)
     {
         let mut left = places.value.clone();
-        view.forget_recorded_ends(&mut left);
+        cache.forget_recorded_ends(&mut left);
         if (left.done_size() as f64) < limit * worth {
             continue;
         }
@@ -40,7 +40,7 @@
             if txn.changes.len() >= most {
                 return txn;
             }
-            txn = fold_chunk(view, txn, job, chunk);
+            txn = fold_chunk(cache, txn, job, chunk);
         }
     }
     txn
@@ -63,8 +63,8 @@
 }
 
 /// Records all finished tasks of a chunk, whichever blocks they finished in.
-fn fold_chunk(view: &View, txn: Txn, job: JobId, chunk: u32) -> Txn {
-    let Some(open) = view.open.get(&job) else {
+fn fold_chunk(cache: &WatchCache, txn: Txn, job: JobId, chunk: u32) -> Txn {
+    let Some(open) = cache.open.get(&job) else {
         return txn;
     };
     let (first, last) = (chunk * CHUNK, chunk * CHUNK + CHUNK - 1);
@@ -75,7 +75,7 @@
             .0
             .insert((*range.start()).max(first)..=(*range.end()).min(last));
     }
-    let old = view.progress.get(&(job, chunk));
+    let old = cache.progress.get(&(job, chunk));
     let key = progress_key(job, chunk);
     let recorded = old.is_some_and(|old| old.value == progress);
     if recorded || txn.conditions.iter().any(|(known, _)| *known == key) {
--- a/src/queueing/folding/tests.rs
+++ b/src/queueing/folding/tests.rs
@@ -12,7 +12,7 @@
 
 struct Block {
     config: Config,
-    view: View,
+    cache: WatchCache,
     version: u64,
 }
 
@@ -21,7 +21,7 @@
     fn new(running: f64, done: impl IntoIterator<Item = u32>) -> Self {
         let config = Config::parse("s.toml", SETTINGS).expect("valid");
         let mut block = Block {
-            view: View::following(),
+            cache: WatchCache::following(),
             version: 0,
             config,
         };
@@ -50,7 +50,7 @@
 
     fn put(&mut self, key: String, value: ciborium::Value) {
         self.version += 1;
-        self.view.apply(Change {
+        self.cache.apply(Change {
             key,
             version: self.version,
             value: Some(value),
@@ -58,7 +58,7 @@
     }
 
     fn folded(&self) -> Vec<String> {
-        let txn = fold(&self.config, &self.view, Txn::default(), 16);
+        let txn = fold(&self.config, &self.cache, Txn::default(), 16);
         txn.conditions.into_iter().map(|(key, _)| key).collect()
     }
 }
@@ -105,7 +105,7 @@
     }
     assert_eq!(block.folded(), [] as [String; 0]);
     // A few more have ended since.
-    let mut places = block.view.places[&BLOCK.into()].value.clone();
+    let mut places = block.cache.places[&BLOCK.into()].value.clone();
     for index in [1001, 1003, 1005] {
         places.done.entry(JOB).or_default().insert(index);
     }
--- a/src/queueing/gangs.rs
+++ b/src/queueing/gangs.rs
@@ -14,7 +14,7 @@
 use crate::domain::{Attempt, BlockId, JobId, Kind, MachineId, Now, TaskId, Zone};
 use crate::leadership::Lead;
 use crate::placement::{self, Candidate};
-use crate::store::View;
+use crate::store::WatchCache;
 
 /// A gang that has waited for this long has the room kept that there is for it, so that smaller work does not take it
 /// again and again. One gang at a time: no two of them may hold parts of what both need.
@@ -74,7 +74,7 @@
         &mut self,
         now: Now,
         lead: &Lead<'_>,
-        view: &View,
+        cache: &WatchCache,
         waiting: &mut Waiting<'_>,
         shape: Shape,
         allowed: impl Fn(&Candidate) -> bool,
@@ -89,7 +89,7 @@
         if plan.exhausted.gangs.contains(&like) && !keeps_room {
             return 0;
         }
-        let block_of = |machine: &MachineId| Some(view.machines.get(machine)?.block.clone());
+        let block_of = |machine: &MachineId| Some(cache.machines.get(machine)?.block.clone());
         let room = find_room(&plan.candidates, waiting, allowed, &plan.spaces, block_of);
         if !room.whole {
             plan.exhausted.gangs.insert(like);
@@ -125,9 +125,9 @@
     }
 
     /// Takes back what is left of gangs that have lost a task.
-    pub(super) fn take_back_broken_gangs(&mut self, now: Now, view: &View) {
-        for (id, under_way) in self.gangs_under_way(view) {
-            let Some(open) = view.open.get(&id).filter(|open| !open.cancelled) else {
+    pub(super) fn take_back_broken_gangs(&mut self, now: Now, cache: &WatchCache) {
+        for (id, under_way) in self.gangs_under_way(cache) {
+            let Some(open) = cache.open.get(&id).filter(|open| !open.cancelled) else {
                 continue;
             };
             let count = GangCount {
@@ -142,9 +142,9 @@
         }
     }
 
-    fn gangs_under_way(&self, view: &View) -> BTreeMap<JobId, UnderWay> {
+    fn gangs_under_way(&self, cache: &WatchCache) -> BTreeMap<JobId, UnderWay> {
         let mut gangs: BTreeMap<JobId, UnderWay> = BTreeMap::new();
-        for live in view.live_places() {
+        for live in cache.live_places() {
             for attempt in live.attempts() {
                 let Some(start) = attempt.gang_start() else {
                     continue;
--- a/src/queueing/gangs/tests.rs
+++ b/src/queueing/gangs/tests.rs
@@ -99,7 +99,7 @@
     );
     // One of them is gone.
     let block: BlockId = "a.0".into();
-    let mut places = fixture.view.places[&block].value.clone();
+    let mut places = fixture.cache.places[&block].value.clone();
     let lost = work[0].want[1].clone();
     assert!(places.remove(&lost.machine, lost.attempt));
     fixture.put(places_key(&block), encode(&places));
@@ -129,7 +129,7 @@
     let (_, work) = fixture.plan();
     fixture.place(&work[0]);
     let block: BlockId = "a.0".into();
-    let mut places = fixture.view.places[&block].value.clone();
+    let mut places = fixture.cache.places[&block].value.clone();
     let done = work[0].want[1].clone();
     places.remove(&done.machine, done.attempt);
     places
--- a/src/queueing/holders.rs
+++ b/src/queueing/holders.rs
@@ -6,7 +6,7 @@
 use crate::config::Config;
 use crate::domain::{ControllerName, MachineId, Now, since};
 use crate::fleet::stray_for;
-use crate::store::View;
+use crate::store::WatchCache;
 
 /// A holder that does not hear most of its machines, and at least so many, is suspected; if others hear most of those
 /// that it does not, it is the holder that is cut off or too slow, not they that are dead. A few that others hear show
@@ -47,23 +47,23 @@
         &mut self,
         now: Now,
         config: &Config,
-        view: &View,
+        cache: &WatchCache,
     ) -> BTreeSet<ControllerName> {
         let lately = stray_for(config);
         self.strays.retain(|_, at| since(now, *at) < lately);
-        let mut holders = self.unheard(now, view);
+        let mut holders = self.unheard(now, cache);
         if !holders.values().any(|unheard| unheard.is_suspicious()) {
             return BTreeSet::new();
         }
         for machine in self.strays.keys() {
-            let Some(block) = view.machines.get(machine).map(|machine| &machine.block) else {
+            let Some(block) = cache.machines.get(machine).map(|machine| &machine.block) else {
                 continue;
             };
             let status = self
                 .block_states
                 .get(block)
                 .and_then(|block_state| block_state.machines.get(machine));
-            let holder = view.grants.get(block).map(|grant| &grant.value.holder);
+            let holder = cache.grants.get(block).map(|grant| &grant.value.holder);
             let unheard = holder.filter(|_| status.is_some_and(|status| !status.usable));
             if let Some(counts) = unheard.and_then(|holder| holders.get_mut(holder)) {
                 counts.heard_elsewhere += 1;
@@ -76,14 +76,14 @@
     }
 
     /// What the holders told lately of machines that they do not hear.
-    fn unheard(&self, now: Now, view: &View) -> BTreeMap<ControllerName, Unheard> {
+    fn unheard(&self, now: Now, cache: &WatchCache) -> BTreeMap<ControllerName, Unheard> {
         let mut holders: BTreeMap<ControllerName, Unheard> = BTreeMap::new();
         for (block, block_state) in &self.block_states {
             let recent = block_state
                 .status
                 .as_ref()
                 .filter(|(_, at)| since(now, *at) < STATUS_LIFE);
-            if let (Some((status, _)), Some(grant)) = (recent, view.grants.get(block)) {
+            if let (Some((status, _)), Some(grant)) = (recent, cache.grants.get(block)) {
                 let counts = holders.entry(grant.value.holder.clone()).or_default();
                 counts.expected += status.expected;
                 counts.overdue += status.overdue;
--- a/src/queueing/mod.rs
+++ b/src/queueing/mod.rs
@@ -33,7 +33,7 @@
 use crate::placement::Candidate;
 use crate::provisioning::{Demand, Flavors, Health, Pool, Provisioner, Runs};
 use crate::store::records::{JobRecord, LEADER, job_key, progress_key};
-use crate::store::{Op, Outcome, Txn, View, Writer};
+use crate::store::{Op, Outcome, Txn, WatchCache, Writer};
 use block_state::BlockState;
 use demand::Present;
 use draining::Draining;
@@ -191,19 +191,19 @@
     pub fn health(
         &self,
         now: Now,
-        view: &View,
+        cache: &WatchCache,
         unreaching: &BTreeSet<ControllerName>,
     ) -> BTreeMap<MachineId, Health> {
         let holder = |machine: &MachineId| {
-            let block = view.machines.get(machine).map(|machine| &machine.block)?;
-            view.grants.get(block).map(|grant| &grant.value.holder)
+            let block = cache.machines.get(machine).map(|machine| &machine.block)?;
+            cache.grants.get(block).map(|grant| &grant.value.holder)
         };
         self.machines(now)
             .map(|machine| {
                 let health = Health {
                     seen: machine.seen,
                     silent: machine.silent,
-                    faulty: self.failures.is_faulty(machine, view),
+                    faulty: self.failures.is_faulty(machine, cache),
                     usable: machine.usable,
                     heard_elsewhere: !unreaching.is_empty()
                         && holder(&machine.machine)
@@ -215,11 +215,11 @@
     }
 
     /// Blocks under grants of this term, and what became of the releases to them.
-    fn settle(&mut self, now: Now, view: &View) {
+    fn settle(&mut self, now: Now, cache: &WatchCache) {
         let term = self.term;
         self.block_states
-            .retain(|block, _| view.grants.contains_key(block));
-        for (block, grant) in &view.grants {
+            .retain(|block, _| cache.grants.contains_key(block));
+        for (block, grant) in &cache.grants {
             if grant.value.term != term {
                 // Its holder may still place what an earlier leader wanted.
                 self.block_states.remove(block);
@@ -252,7 +252,7 @@
         let look = self.looks;
         let passed = since(now, self.measured);
         self.measured = now.steady;
-        for live in view.live_places() {
+        for live in cache.live_places() {
             let mut count = 0;
             for attempt in live.attempts() {
                 count += 1;
@@ -277,16 +277,16 @@
             }
             seen.look == look
         });
-        self.note_ends(now, view, gone);
+        self.note_ends(now, cache, gone);
         let live = &self.placed;
         for (block, block_state) in &mut self.block_states {
             block_state
                 .machines
-                .retain(|machine, _| view.machines.contains_key(machine));
+                .retain(|machine, _| cache.machines.contains_key(machine));
             block_state
                 .addressed
-                .retain(|machine| view.machines.contains_key(machine));
-            let places = view.places_known_to(block);
+                .retain(|machine| cache.machines.contains_key(machine));
+            let places = cache.places_known_to(block);
             let status = block_state.status.as_ref().map(|(status, _)| status);
             block_state.releases.retain(|number, release| {
                 if live.contains_key(number) {
@@ -304,7 +304,7 @@
                 .stops
                 .retain(|attempt, _| live.contains_key(&attempt.number));
             for release in block_state.releases.values_mut() {
-                let alive = view
+                let alive = cache
                     .open
                     .get(&release.attempt.task.job)
                     .is_some_and(|open| !open.cancelled);
@@ -320,9 +320,9 @@
     }
 
     /// Counts tasks that have ended.
-    fn note_ends(&mut self, now: Now, view: &View, gone: Vec<(u64, PlacedSince)>) {
+    fn note_ends(&mut self, now: Now, cache: &WatchCache, gone: Vec<(u64, PlacedSince)>) {
         for (number, PlacedSince { task, machine, .. }) in gone {
-            let open = view.open.get(&task.job).filter(|open| !open.cancelled);
+            let open = cache.open.get(&task.job).filter(|open| !open.cancelled);
             let done = open.is_some_and(|open| open.done.contains(task.index));
             if done {
                 self.failures.succeeded(task.job);
@@ -330,7 +330,7 @@
                 self.note_lost(now, Attempt { task, number }, &machine);
             }
             if (done || open.is_none())
-                && let Some(machine) = view.machines.get(&machine)
+                && let Some(machine) = cache.machines.get(&machine)
             {
                 self.runs
                     .entry((machine.type_name.clone(), machine.tenure))
@@ -338,13 +338,13 @@
                     .ended += 1;
             }
         }
-        self.failures.retain_open(view);
+        self.failures.retain_open(cache);
     }
 
     fn candidates(
         &self,
         now: Now,
-        view: &View,
+        cache: &WatchCache,
         flavors: &Flavors,
         provisioner: &Provisioner,
     ) -> Vec<Candidate> {
@@ -356,13 +356,13 @@
         let ended: HashSet<u64> = statuses
             .flat_map(|(status, _)| status.ended.iter().copied())
             .collect();
-        for live in view.live_places() {
+        for live in cache.live_places() {
             let taken = taken.entry(live.id).or_default();
             // Their holder removes them in the write that places what takes their room.
             let there = live
                 .attempts()
                 .filter(|attempt| !ended.contains(&attempt.number));
-            for open in there.filter_map(|attempt| view.open.get(&attempt.task.job)) {
+            for open in there.filter_map(|attempt| cache.open.get(&attempt.task.job)) {
                 taken.add(&open.job.need);
             }
         }
@@ -371,7 +371,7 @@
             .values()
             .flat_map(|block_state| block_state.releases.values())
         {
-            if let Some(open) = view.open.get(&release.attempt.task.job) {
+            if let Some(open) = cache.open.get(&release.attempt.task.job) {
                 taken
                     .entry(&release.machine)
                     .or_default()
@@ -381,9 +381,9 @@
         let mut candidates = Vec::new();
         for status in self
             .machines(now)
-            .filter(|status| status.usable && !self.failures.is_faulty(status, view))
+            .filter(|status| status.usable && !self.failures.is_faulty(status, cache))
         {
-            let Some(machine) = view.machines.get(&status.machine) else {
+            let Some(machine) = cache.machines.get(&status.machine) else {
                 continue;
             };
             let Some(flavor) = flavors.get(&machine.type_name) else {
@@ -406,9 +406,9 @@
     }
 
     /// How many more tasks each block's value holds: what does not fit it can't be placed there.
-    fn spaces(&self, config: &Config, view: &View) -> BTreeMap<BlockId, usize> {
+    fn spaces(&self, config: &Config, cache: &WatchCache) -> BTreeMap<BlockId, usize> {
         let space = |(block, block_state): (&BlockId, &BlockState)| {
-            let places = view.places.get(block);
+            let places = cache.places.get(block);
             let size = places.map_or(0, |places| places.value.worst());
             let space = config.block_bytes.saturating_sub(size) / ATTEMPT_BYTES;
             (
@@ -420,13 +420,13 @@
     }
 
     /// What each team will use once the tasks that are being stopped are gone.
-    fn usage_after_stops(&self, usage: &Usage, view: &View) -> Usage {
+    fn usage_after_stops(&self, usage: &Usage, cache: &WatchCache) -> Usage {
         let mut kept = usage.clone();
         let stops = self
             .block_states
             .values()
             .flat_map(|block_state| block_state.stops.keys());
-        for open in stops.filter_map(|attempt| view.open.get(&attempt.task.job)) {
+        for open in stops.filter_map(|attempt| cache.open.get(&attempt.task.job)) {
             kept.remove(&open.job);
         }
         kept
@@ -437,31 +437,31 @@
         &mut self,
         now: Now,
         lead: &Lead<'_>,
-        view: &View,
+        cache: &WatchCache,
         provisioner: &Provisioner,
     ) -> Demand {
         let Lead {
             config, flavors, ..
         } = *lead;
-        self.settle(now, view);
-        self.take_back_broken_gangs(now, view);
+        self.settle(now, cache);
+        self.take_back_broken_gangs(now, cache);
         let stock = Stock {
             now,
             lead,
             provisioner,
-            machines: provisioner.machines(view),
+            machines: provisioner.machines(cache),
         };
         let Present {
             usage,
             guaranteed,
             demand,
-        } = self.present(&stock, view);
-        let candidates = self.candidates(now, view, flavors, provisioner);
+        } = self.present(&stock, cache);
+        let candidates = self.candidates(now, cache, flavors, provisioner);
         let opportunities =
             Opportunities::new(lead, provisioner, &self.runs, &guaranteed, &candidates);
         let mut plan = Plan {
-            spaces: self.spaces(config, view),
-            kept: self.usage_after_stops(&usage, view),
+            spaces: self.spaces(config, cache),
+            kept: self.usage_after_stops(&usage, cache),
             candidates,
             usage,
             demand,
@@ -469,19 +469,19 @@
             room_kept: false,
         };
         // Releases only where all that is placed is known: every block under a grant of this term.
-        let complete = !view.grants.is_empty()
-            && view
+        let complete = !cache.grants.is_empty()
+            && cache
                 .grants
                 .values()
                 .all(|grant| grant.value.term == self.term);
         if complete {
-            self.plan_drains(&stock, view, &mut plan);
+            self.plan_drains(&stock, cache, &mut plan);
         }
-        let mut queue = self.queue(now, view);
+        let mut queue = self.queue(now, cache);
         self.count_waiting(&queue);
         plan.demand.smallest = smallest(&queue);
         if complete {
-            let mut releases = Releases::new(now, lead, view, opportunities);
+            let mut releases = Releases::new(now, lead, cache, opportunities);
             self.release_in_turn(&mut releases, &mut queue, &mut plan);
         }
         demand::count_waiting(&stock, &queue, &mut plan.usage, &mut plan.demand);
@@ -498,19 +498,19 @@
     }
 
     /// The next write: jobs that are over, and progress to be folded.
-    pub fn write(&mut self, now: Now, lead: &Lead<'_>, view: &mut View) -> Option<Op> {
+    pub fn write(&mut self, now: Now, lead: &Lead<'_>, cache: &mut WatchCache) -> Option<Op> {
         let (config, leader_version, most) = (lead.config, lead.version, lead.batch);
-        if !self.writer.ready(now, view) {
+        if !self.writer.ready(now, cache) {
             return None;
         }
         let mut txn = Txn::default().when(LEADER, leader_version);
-        for (id, open) in &view.open {
+        for (id, open) in &cache.open {
             if txn.changes.len() >= most {
                 break;
             }
             let tasks = open.job.tasks;
             let end = if open.cancelled {
-                let clear = view.placed(*id).is_empty() && !self.released(*id);
+                let clear = cache.placed(*id).is_empty() && !self.released(*id);
                 clear.then_some(Final::Cancelled)
             } else {
                 // The tasks of a gang complete together: if one is done, all are.
@@ -527,18 +527,18 @@
                 .when(job_key(*id), open.version)
                 .put(job_key(*id), &JobRecord::Ended(end, tasks));
         }
-        for ((job, chunk), progress) in &view.progress {
+        for ((job, chunk), progress) in &cache.progress {
             if txn.changes.len() >= most {
                 break;
             }
-            if view.ended.contains_key(job) {
+            if cache.ended.contains_key(job) {
                 txn = txn
                     .when(progress_key(*job, *chunk), progress.version)
                     .delete(progress_key(*job, *chunk));
             }
         }
         if txn.changes.is_empty() {
-            txn = folding::fold(config, view, txn, most);
+            txn = folding::fold(config, cache, txn, most);
         }
         if txn.changes.is_empty() {
             return None;
--- a/src/queueing/preemption.rs
+++ b/src/queueing/preemption.rs
@@ -10,7 +10,7 @@
 use crate::domain::{Attempt, BlockId, Job, Kind, MachineId, Now, Zone, since};
 use crate::leadership::Lead;
 use crate::placement::Candidate;
-use crate::store::View;
+use crate::store::WatchCache;
 
 /// Tasks that may be stopping at a time to make room: one for so many machines, and at least so many.
 const STOPS_PART: usize = 4;
@@ -126,13 +126,13 @@
 
     /// Tasks that could be stopped, by machine, the least work first. Replicas are not among them: one that is
     /// stopped is down, which no start is worth. Nor are tasks of gangs: stopping one would stop them all.
-    pub(super) fn victims<'v>(&self, now: Now, view: &'v View) -> Victims<'v> {
+    pub(super) fn victims<'v>(&self, now: Now, cache: &'v WatchCache) -> Victims<'v> {
         let mut victims: Victims<'v> = HashMap::new();
-        for (live, attempt) in view
+        for (live, attempt) in cache
             .live_places()
             .flat_map(|live| live.attempts().map(move |attempt| (live, attempt)))
         {
-            let Some(open) = view
+            let Some(open) = cache
                 .open
                 .get(&attempt.task.job)
                 .filter(|open| !open.cancelled)
--- a/src/queueing/releases.rs
+++ b/src/queueing/releases.rs
@@ -12,7 +12,7 @@
 use crate::domain::{Attempt, BlockId, Image, JobId, Kind, Now, Room, TaskId, Zone};
 use crate::leadership::Lead;
 use crate::placement::{Candidate, Ranking};
-use crate::store::View;
+use crate::store::WatchCache;
 
 /// Releases decided in one go, so that a large job can't hold up everything else.
 const RELEASES: usize = 150;
@@ -27,7 +27,7 @@
 pub(super) struct Releases<'a, 'v> {
     now: Now,
     lead: &'a Lead<'a>,
-    view: &'v View,
+    cache: &'v WatchCache,
     zones: BTreeSet<Zone>,
     opportunities: Opportunities<'a>,
     /// Machines in order for each kind of task; jobs that keep failing have an order of their own.
@@ -40,14 +40,14 @@
     pub(super) fn new(
         now: Now,
         lead: &'a Lead<'a>,
-        view: &'v View,
+        cache: &'v WatchCache,
         opportunities: Opportunities<'a>,
     ) -> Self {
-        let zones = view.grants.values().map(|grant| grant.value.zone.clone());
+        let zones = cache.grants.values().map(|grant| grant.value.zone.clone());
         Releases {
             now,
             lead,
-            view,
+            cache,
             zones: zones.collect(),
             opportunities,
             rankings: HashMap::new(),
@@ -103,7 +103,7 @@
         plan: &mut Plan,
     ) -> usize {
         let Releases {
-            now, lead, view, ..
+            now, lead, cache, ..
         } = *releases;
         waiting.blocked = true;
         let reach = waiting.reach(lead);
@@ -112,7 +112,7 @@
         let opportunities = &releases.opportunities;
         let allowed = |c: &Candidate| reach == Reach::All || opportunities.allow(job, limit, c);
         let shape = Shape::of(job, &releases.zones, |zone| job.allows_zone(zone), reach);
-        self.release_gang(now, lead, view, waiting, shape, allowed, plan)
+        self.release_gang(now, lead, cache, waiting, shape, allowed, plan)
     }
 
     /// Releases a task of the job, if there is a place for it. Returns how many.
@@ -129,7 +129,11 @@
             return 0;
         };
         let machine = &choice.machine.machine;
-        let block = releases.view.machines.get(machine).map(|m| m.block.clone());
+        let block = releases
+            .cache
+            .machines
+            .get(machine)
+            .map(|m| m.block.clone());
         let (Some(block), Some(candidate)) = (block, plan.index_of(machine)) else {
             waiting.blocked = true;
             return 0;
@@ -208,11 +212,11 @@
             return None;
         }
         let Releases {
-            now, lead, view, ..
+            now, lead, cache, ..
         } = *releases;
         let victims = releases
             .victims
-            .get_or_insert_with(|| self.victims(now, view));
+            .get_or_insert_with(|| self.victims(now, cache));
         let candidates = &plan.candidates;
         let kept = &mut plan.kept;
         let room = self.make_room(now, lead, candidates, kept, victims, job, &open_zone);
--- a/src/queueing/tests.rs
+++ b/src/queueing/tests.rs
@@ -20,7 +20,7 @@
     config: Config,
     policy: Policy,
     flavors: Flavors,
-    pub(super) view: View,
+    pub(super) cache: WatchCache,
     pub(super) now: Now,
     version: u64,
     queues: Queues,
@@ -41,7 +41,7 @@
         let mut fixture = Fixture {
             policy: Policy::defaults(&config),
             flavors,
-            view: View::following(),
+            cache: WatchCache::following(),
             now,
             version: 0,
             queues: Queues::new(now, TERM),
@@ -65,7 +65,7 @@
 
     pub(super) fn put(&mut self, key: String, value: ciborium::Value) -> u64 {
         self.version += 1;
-        self.view.apply(Change {
+        self.cache.apply(Change {
             key,
             version: self.version,
             value: Some(value),
@@ -99,7 +99,7 @@
     }
 
     pub(super) fn status(&mut self, machines: u32, last_work: u64, pending: &[u64]) {
-        let grant = &self.view.grants[&BlockId::from("a.0")];
+        let grant = &self.cache.grants[&BlockId::from("a.0")];
         let status = BlockStatus {
             block: "a.0".into(),
             token: grant.value.token,
@@ -109,7 +109,7 @@
             refused: Vec::new(),
             ended: Vec::new(),
             revision: self
-                .view
+                .cache
                 .places
                 .get(&"a.0".into())
                 .map_or(0, |places| places.version),
@@ -139,15 +139,18 @@
             config,
             policy,
             flavors,
-            view,
+            cache,
             now,
             queues,
             provisioner,
             ..
         } = self;
         let lead = lead_of(config, policy, flavors);
-        let demand = queues.plan(*now, &lead, view, provisioner);
-        (demand, queues.messages(*now, view, provisioner.addresses()))
+        let demand = queues.plan(*now, &lead, cache, provisioner);
+        (
+            demand,
+            queues.messages(*now, cache, provisioner.addresses()),
+        )
     }
 
     /// The jobs that the next write ends.
@@ -156,13 +159,13 @@
             config,
             policy,
             flavors,
-            view,
+            cache,
             queues,
             ..
         } = self;
         let lead = lead_of(config, policy, flavors);
         queues.writer = Writer::Idle;
-        let Some(Op::Commit(txn)) = queues.write(self.now, &lead, view) else {
+        let Some(Op::Commit(txn)) = queues.write(self.now, &lead, cache) else {
             return Vec::new();
         };
         let keys = txn.conditions.iter().map(|(key, _)| key);
@@ -176,7 +179,7 @@
     /// Everything that is wanted is placed where the leader meant it.
     pub(super) fn place(&mut self, work: &Work) {
         let mut places = self
-            .view
+            .cache
             .places
             .get(&work.block)
             .map_or(Places::default(), |p| p.value.clone());
@@ -297,10 +300,10 @@
             .strayed(fixture.now, (0..strays).map(name).collect());
         let unreaching = fixture
             .queues
-            .unreaching(fixture.now, &fixture.config, &fixture.view);
+            .unreaching(fixture.now, &fixture.config, &fixture.cache);
         let health = fixture
             .queues
-            .health(fixture.now, &fixture.view, &unreaching);
+            .health(fixture.now, &fixture.cache, &unreaching);
         let spared = health
             .values()
             .filter(|health| health.heard_elsewhere)
@@ -335,7 +338,7 @@
         fixture.status(1, work[0].number, &[]);
         fixture.job(2, job(100, accepted_ms));
         // Four tasks end: room for as many.
-        let placed = fixture.view.places[&BlockId::from("a.0")].value.clone();
+        let placed = fixture.cache.places[&BlockId::from("a.0")].value.clone();
         let ended: Vec<u64> = placed
             .attempts()
             .map(|(_, attempt)| attempt.number)
@@ -397,7 +400,7 @@
             fixture.status(3, work.number, &[]);
         }
     }
-    let places = &fixture.view.places[&BlockId::from("a.0")];
+    let places = &fixture.cache.places[&BlockId::from("a.0")];
     assert!(places.value.attempts().count() > 100);
     assert!(places.value.size() <= fixture.config.state_limits.value_bytes);
 }
@@ -611,13 +614,13 @@
             config,
             policy,
             flavors,
-            view,
+            cache,
             now,
             queues,
             ..
         } = &fixture;
         let lead = lead_of(config, policy, flavors);
-        queues.queue(*now, view)[0].reach(&lead)
+        queues.queue(*now, cache)[0].reach(&lead)
     };
     let late = opportunistic::RESTRICTED_FOR + Duration::from_secs(1);
     assert_eq!(reach(0, false, Duration::ZERO), Reach::CheapAndUnreserved);
--- a/src/queueing/waiting.rs
+++ b/src/queueing/waiting.rs
@@ -7,9 +7,9 @@
 use super::opportunistic::{RESTRICTED_FOR, Reach, is_opportunistic, price_limit};
 use crate::domain::{Job, JobId, Kind, Now, Room, TypeName, Zone};
 use crate::leadership::Lead;
-use crate::store::View;
+use crate::store::WatchCache;
+use crate::store::cache::OpenJob;
 use crate::store::records::Ranges;
-use crate::store::view::OpenJob;
 
 /// A job that has waited this long gets a first task before older jobs of its team and priority get more: when there is
 /// far too much work, large jobs would else not begin for many minutes.
@@ -83,12 +83,12 @@
 
 impl Queues {
     /// The jobs with tasks that wait, in the order in which they are served within a line.
-    pub(super) fn queue<'v>(&self, now: Now, view: &'v View) -> Vec<Waiting<'v>> {
+    pub(super) fn queue<'v>(&self, now: Now, cache: &'v WatchCache) -> Vec<Waiting<'v>> {
         let mut released: HashMap<JobId, Vec<(u32, Zone)>> = HashMap::new();
         for (block, block_state) in &self.block_states {
             // A block is of one zone, so this holds even when the machine meant is gone: its holder may choose
             // another one.
-            let Some(zone) = view.grants.get(block).map(|grant| &grant.value.zone) else {
+            let Some(zone) = cache.grants.get(block).map(|grant| &grant.value.zone) else {
                 continue;
             };
             for release in block_state.releases.values() {
@@ -100,11 +100,11 @@
             }
         }
         let mut live: HashMap<JobId, u64> = HashMap::new();
-        for attempt in view.live_places().flat_map(|live| live.attempts()) {
+        for attempt in cache.live_places().flat_map(|live| live.attempts()) {
             *live.entry(attempt.task.job).or_default() += 1;
         }
         let mut queue = Vec::new();
-        for (id, open) in &view.open {
+        for (id, open) in &cache.open {
             if open.cancelled || self.failures.backs_off(now, *id) {
                 continue;
             }
@@ -115,9 +115,9 @@
             }
             let mut taken = open.done.clone();
             let mut zones: BTreeMap<Zone, u32> = BTreeMap::new();
-            for ((index, _), place) in view.placed(*id) {
+            for ((index, _), place) in cache.placed(*id) {
                 // Places on a machine whose record is gone are void.
-                if let Some(machine) = view.machines.get(&place.machine) {
+                if let Some(machine) = cache.machines.get(&place.machine) {
                     taken.insert(*index);
                     *zones.entry(machine.zone.clone()).or_default() += 1;
                 }
