--- a/src/store/view.rs
+++ b/src/store/cache.rs
@@ -83,7 +83,7 @@
 /// What has changed since it was last asked for: who keeps something that follows from the records brings it up
 /// to date from this, and need not go through all of them.
 #[derive(Debug, Default, PartialEq)]
-pub struct Touched {
+pub struct ChangedRecords {
     /// The copy was read anew.
     pub all: bool,
     pub grants: bool,
@@ -129,7 +129,7 @@
 
 /// The copy. `revision` is the last change that is in it.
 #[derive(Debug)]
-pub struct View {
+pub struct WatchCache {
     state: State,
     /// Counts loads, so that answers of an abandoned one are told apart.
     load: u64,
@@ -177,7 +177,7 @@
     placed: HashMap<JobId, Placed>,
     /// Cancellations that other controllers have told us of and our copy is too old to show: version, time of day.
     cancellations: BTreeMap<JobId, (u64, u64)>,
-    touched: Touched,
+    changed: ChangedRecords,
 }
 
 static NOTHING_PLACED: Placed = BTreeMap::new();
@@ -215,7 +215,7 @@
 /// allowed, copies were read anew again and again while the state service was only slow.
 const MOST_MISSED: u64 = 8 << 20;
 
-impl View {
+impl WatchCache {
     pub fn new(limits: &StateLimits, controllers: usize) -> Self {
         let spacing = |part: f64| {
             Duration::from_secs_f64(controllers.max(1) as f64 / (limits.rps.max(1.0) * part))
@@ -224,11 +224,11 @@
             follow: spacing(FOLLOW_PART),
             barrier: spacing(BARRIER_PART),
         };
-        View::at(pace, limits.value_bytes as u64)
+        WatchCache::at(pace, limits.value_bytes as u64)
     }
 
     fn at(pace: Pace, value_bytes: u64) -> Self {
-        View {
+        WatchCache {
             pace,
             incoming: Vec::new(),
             doubtful: false,
@@ -262,9 +262,9 @@
             drain_ledgers: BTreeMap::new(),
             placed: HashMap::new(),
             cancellations: BTreeMap::new(),
-            touched: Touched {
+            changed: ChangedRecords {
                 all: true,
-                ..Touched::default()
+                ..ChangedRecords::default()
             },
         }
     }
@@ -278,9 +278,9 @@
             value_bytes: 8192,
             txn_ops: 16,
         };
-        View {
+        WatchCache {
             state: State::Following,
-            ..View::new(&limits, 3)
+            ..WatchCache::new(&limits, 3)
         }
     }
 
@@ -407,7 +407,7 @@
         let load = self.load;
         let barrier = std::mem::take(&mut self.barrier);
         let cancellations = std::mem::take(&mut self.cancellations);
-        *self = View::at(self.pace, self.value_bytes);
+        *self = WatchCache::at(self.pace, self.value_bytes);
         self.load = load;
         self.cancellations = cancellations;
         self.barrier = Barrier {
@@ -575,7 +575,7 @@
             open.version = *version;
             open.cancelled = true;
             open.cancelled_ms = *at_ms;
-            self.touched.ended.insert(id);
+            self.changed.ended.insert(id);
         }
     }
 
@@ -615,7 +615,7 @@
                 set_in(&mut self.members, controller, change);
             }
             Records::Grant(block) => {
-                self.touched.grants = true;
+                self.changed.grants = true;
                 set_in(&mut self.grants, block, change);
             }
             Records::Format => set(&mut self.format, change),
@@ -674,7 +674,7 @@
                     .is_some_and(|machine| machine.block == block)
             {
                 self.machines.remove(id);
-                self.touched.machines.insert(id.clone());
+                self.changed.machines.insert(id.clone());
             }
         }
         for (id, entry) in new.iter().flat_map(|new| &new.on) {
@@ -691,7 +691,7 @@
                 rented_s: entry.rented_s,
             };
             self.machines.insert(id.clone(), machine);
-            self.touched.machines.insert(id.clone());
+            self.changed.machines.insert(id.clone());
         }
     }
 
@@ -772,7 +772,7 @@
                 Some(JobRecord::Ended(end, tasks)) => {
                     self.open.remove(&id);
                     self.ended.insert(id, (end, tasks));
-                    self.touched.ended.insert(id);
+                    self.changed.ended.insert(id);
                     return;
                 }
                 None => {
@@ -790,7 +790,7 @@
                 open.cancelled = cancelled;
                 open.cancelled_ms = cancelled_ms;
                 if cancelled {
-                    self.touched.ended.insert(id);
+                    self.changed.ended.insert(id);
                 }
             }
             return;
@@ -868,13 +868,13 @@
     }
 
     /// Whether anything has changed since it was last asked what.
-    pub fn has_touched(&self) -> bool {
-        self.touched != Touched::default()
+    pub fn has_changed(&self) -> bool {
+        self.changed != ChangedRecords::default()
     }
 
     /// What has changed since the last call.
-    pub fn take_touched(&mut self) -> Touched {
-        std::mem::take(&mut self.touched)
+    pub fn take_changed(&mut self) -> ChangedRecords {
+        std::mem::take(&mut self.changed)
     }
 
     /// The machines that tasks may still be on, with their attempts: the places, without machines that are proven
--- a/src/store/view/tests.rs
+++ b/src/store/cache/tests.rs
@@ -12,44 +12,44 @@
         steady: start.steady + Duration::from_secs(seconds),
         ..start
     };
-    let mut view = View::following();
-    view.revision = 5;
-    view.fresh = Some(start.steady);
-    view.apply(Change {
+    let mut cache = WatchCache::following();
+    cache.revision = 5;
+    cache.fresh = Some(start.steady);
+    cache.apply(Change {
         key: job_key(JobId(1)),
         version: 5,
         value: Some(encode(&JobRecord::Open(job(1, 1.0)))),
     });
-    let next = |view: &mut View, now: Now| view.poll(now).remove(0);
-    let (tag, op) = next(&mut view, at(40));
+    let next = |cache: &mut WatchCache, now: Now| cache.poll(now).remove(0);
+    let (tag, op) = next(&mut cache, at(40));
     assert!(
         matches!((&tag, op), (Tag::Distance { .. }, Op::Get { .. })),
         "how far behind?"
     );
-    view.handle(
+    cache.handle(
         at(40),
         tag,
         Outcome::Missing {
             revision: 5 + MOST_MISSED / 8192,
         },
     );
-    let (tag, op) = next(&mut view, at(40));
+    let (tag, op) = next(&mut cache, at(40));
     assert!(
         matches!(op, Op::Follow { after: 5, .. }),
         "near enough: {op:?}"
     );
-    view.handle(at(44), tag, Outcome::Unknown);
-    let (tag, _) = next(&mut view, at(45));
+    cache.handle(at(44), tag, Outcome::Unknown);
+    let (tag, _) = next(&mut cache, at(45));
     assert!(
         matches!(tag, Tag::Distance { .. }),
         "the answer was too much after all, or none came"
     );
-    view.handle(at(45), tag, Outcome::Missing { revision: 9000 });
-    let (tag, op) = next(&mut view, at(45));
+    cache.handle(at(45), tag, Outcome::Missing { revision: 9000 });
+    let (tag, op) = next(&mut cache, at(45));
     assert!(matches!(op, Op::List { .. }), "{op:?}");
-    assert!(view.ready() && view.open.contains_key(&JobId(1)));
+    assert!(cache.ready() && cache.open.contains_key(&JobId(1)));
     assert_eq!(
-        view.fresh_since(),
+        cache.fresh_since(),
         Some(start.steady),
         "no newer than it was"
     );
@@ -58,7 +58,7 @@
         encode(&JobRecord::Open(job(1, 1.0))),
         800,
     )];
-    view.handle(
+    cache.handle(
         at(46),
         tag,
         Outcome::Rows {
@@ -67,9 +67,9 @@
             revision: 9000,
         },
     );
-    assert!(!view.open.contains_key(&JobId(1)) && view.open.contains_key(&JobId(2)));
-    assert!(view.take_touched().all);
-    let (_, op) = next(&mut view, at(46));
+    assert!(!cache.open.contains_key(&JobId(1)) && cache.open.contains_key(&JobId(2)));
+    assert!(cache.take_changed().all);
+    let (_, op) = next(&mut cache, at(46));
     assert!(matches!(op, Op::Follow { after: 9000, .. }), "{op:?}");
 }
 
@@ -77,7 +77,7 @@
 /// released a second time.
 #[test]
 fn a_lost_attempt_does_not_hide_the_next_one() {
-    let mut view = View::following();
+    let mut cache = WatchCache::following();
     let put = |key: String, version, value| Change {
         key,
         version,
@@ -97,12 +97,12 @@
             .collect(),
     };
     let (first, second) = (MachineId::from("m-000014"), MachineId::from("m-000011"));
-    view.apply(put(
+    cache.apply(put(
         job_key(JobId(1)),
         1,
         encode(&JobRecord::Open(job(1, 1.0))),
     ));
-    view.apply(put(
+    cache.apply(put(
         roster_key(&"a.0".into()),
         2,
         encode(&roster(&[&first, &second])),
@@ -116,79 +116,79 @@
     };
     let mut places = Places::default();
     places.add(&first, attempt(7));
-    view.apply(put(places_key(&"a.0".into()), 3, encode(&places)));
-    view.apply(put(
+    cache.apply(put(places_key(&"a.0".into()), 3, encode(&places)));
+    cache.apply(put(
         roster_key(&"a.0".into()),
         4,
         encode(&roster(&[&second])),
     ));
     places.add(&second, attempt(8));
-    view.apply(put(places_key(&"a.0".into()), 5, encode(&places)));
-    let live: Vec<u64> = view
+    cache.apply(put(places_key(&"a.0".into()), 5, encode(&places)));
+    let live: Vec<u64> = cache
         .live_places()
         .flat_map(|live| live.attempts())
         .map(|attempt| attempt.number)
         .collect();
     assert_eq!(live, [8]);
-    let placed = view.placed(JobId(1));
+    let placed = cache.placed(JobId(1));
     assert!(
         placed.values().any(|place| place.machine == second),
         "{placed:?}"
     );
     places.remove(&first, attempt(7));
-    view.apply(put(places_key(&"a.0".into()), 6, encode(&places)));
-    assert_eq!(view.placed(JobId(1)).len(), 1);
+    cache.apply(put(places_key(&"a.0".into()), 6, encode(&places)));
+    assert_eq!(cache.placed(JobId(1)).len(), 1);
 }
 
 /// What a controller is told by others goes before the watch, never against it.
 #[test]
 fn a_cancellation_told_by_another_controller_counts_until_the_copy_shows_what_is_true() {
-    let mut view = View::following();
+    let mut cache = WatchCache::following();
     let put = |id, version| Change {
         key: job_key(JobId(id)),
         version,
         value: Some(encode(&JobRecord::Open(job(1, 1.0)))),
     };
-    (1..=3).for_each(|id| view.apply(put(id, id)));
-    view.revision = 10;
-    let _ = view.take_touched();
-    assert!(view.note_cancellation(JobId(1), 9, 1000));
+    (1..=3).for_each(|id| cache.apply(put(id, id)));
+    cache.revision = 10;
+    let _ = cache.take_changed();
+    assert!(cache.note_cancellation(JobId(1), 9, 1000));
     assert!(
-        !view.open[&JobId(1)].cancelled,
+        !cache.open[&JobId(1)].cancelled,
         "the copy is newer and shows otherwise"
     );
-    assert!(view.note_cancellation(JobId(2), 12, 1000));
-    assert!(view.note_cancellation(JobId(2), 12, 1000));
-    assert!(view.open[&JobId(2)].cancelled && view.open[&JobId(2)].version == 12);
-    assert!(view.has_touched() && view.take_touched().ended.contains(&JobId(2)));
+    assert!(cache.note_cancellation(JobId(2), 12, 1000));
+    assert!(cache.note_cancellation(JobId(2), 12, 1000));
+    assert!(cache.open[&JobId(2)].cancelled && cache.open[&JobId(2)].version == 12);
+    assert!(cache.has_changed() && cache.take_changed().ended.contains(&JobId(2)));
     // Of a job that is not in the copy yet.
-    assert!(view.note_cancellation(JobId(4), 13, 1000));
-    view.apply(put(4, 11));
-    assert!(view.open[&JobId(4)].cancelled);
+    assert!(cache.note_cancellation(JobId(4), 13, 1000));
+    cache.apply(put(4, 11));
+    assert!(cache.open[&JobId(4)].cancelled);
     // Pages that were read before it was committed.
-    view.clear();
-    (2..=4).for_each(|id| view.apply(put(id, id)));
+    cache.clear();
+    (2..=4).for_each(|id| cache.apply(put(id, id)));
     assert!(
-        view.open[&JobId(2)].cancelled
-            && view.open[&JobId(4)].cancelled
-            && !view.open[&JobId(3)].cancelled
+        cache.open[&JobId(2)].cancelled
+            && cache.open[&JobId(4)].cancelled
+            && !cache.open[&JobId(3)].cancelled
     );
-    view.state = State::Following;
+    cache.state = State::Following;
     let news = Outcome::News {
         revision: 14,
         changes: Vec::new(),
     };
-    view.news(Now::read(), news);
+    cache.news(Now::read(), news);
     assert!(
-        view.cancellations.is_empty(),
+        cache.cancellations.is_empty(),
         "the copy is new enough to know by itself"
     );
     // Nothing is claimed to be known that could not be kept.
     let most = 100..100 + MOST_CANCELLATIONS as u64;
     assert!(
         most.clone()
-            .all(|id| view.note_cancellation(JobId(id), 20, 1000))
+            .all(|id| cache.note_cancellation(JobId(id), 20, 1000))
     );
-    assert!(!view.note_cancellation(JobId(most.end), 20, 1000));
-    assert!(view.note_cancellation(JobId(100), 20, 1000), "a repeat");
+    assert!(!cache.note_cancellation(JobId(most.end), 20, 1000));
+    assert!(cache.note_cancellation(JobId(100), 20, 1000), "a repeat");
 }
--- a/src/store/mod.rs
+++ b/src/store/mod.rs
@@ -1,15 +1,15 @@
 //! The state service: the only truth. Its records, our copy of them, its budget and its protocol.
 
 pub mod budget;
+pub mod cache;
 pub mod records;
-pub mod view;
 pub mod wire;
 pub mod writer;
 
 use std::time::Duration;
 
+pub use cache::{Machine, Versioned, WatchCache};
 pub use records::{Change, Record, Records};
-pub use view::{Machine, Versioned, View};
 pub use writer::Writer;
 
 /// A request to the state service.
--- a/src/store/writer.rs
+++ b/src/store/writer.rs
@@ -2,7 +2,7 @@
 
 use std::time::{Duration, Instant};
 
-use super::{Outcome, View};
+use super::{Outcome, WatchCache};
 use crate::domain::{Now, since};
 
 #[derive(Debug, Clone, Copy, PartialEq)]
@@ -29,20 +29,20 @@
 const REJECTED_PAUSE: Duration = Duration::from_secs(2);
 
 impl Writer {
-    /// Whether a new transaction may be prepared from `view`. Asks for a fresh copy if one is needed.
-    pub fn ready(&mut self, now: Now, view: &mut View) -> bool {
+    /// Whether a new transaction may be prepared from `cache`. Asks for a fresh copy if one is needed.
+    pub fn ready(&mut self, now: Now, cache: &mut WatchCache) -> bool {
         match *self {
             Writer::Idle => {}
             Writer::Sent => return false,
             Writer::Settling { revision } => {
-                if view.revision < revision {
+                if cache.revision < revision {
                     return false;
                 }
                 *self = Writer::Idle;
             }
             Writer::Unsure { since: then } | Writer::Rejected { since: then } => {
-                if !view.covers(then) {
-                    view.want_fresh();
+                if !cache.covers(then) {
+                    cache.want_fresh();
                     return false;
                 }
                 let rejected = matches!(self, Writer::Rejected { .. });
@@ -53,7 +53,7 @@
                 *self = Writer::Idle;
             }
         }
-        view.ready()
+        cache.ready()
     }
 
     /// Whether the last transaction was not understood to be committed.
--- a/src/store/writer/tests.rs
+++ b/src/store/writer/tests.rs
@@ -12,13 +12,13 @@
 /// Whether it may write so long after this outcome, with a copy that is always new enough.
 fn ready_after(outcome: &Outcome, millis: u64) -> bool {
     let start = Now::read();
-    let mut view = View::following();
-    view.assume_fresh(at(start, 60_000).steady);
+    let mut cache = WatchCache::following();
+    cache.assume_fresh(at(start, 60_000).steady);
     let mut writer = Writer::Idle;
     writer.sent();
-    assert!(!writer.ready(start, &mut view), "one at a time");
+    assert!(!writer.ready(start, &mut cache), "one at a time");
     writer.answered(start, outcome);
-    writer.ready(at(start, millis), &mut view)
+    writer.ready(at(start, millis), &mut cache)
 }
 
 /// A transaction that is too large was sent again five times a second, and each time cost its share of the rate.
--- a/src/upgrade/mod.rs
+++ b/src/upgrade/mod.rs
@@ -11,7 +11,7 @@
 use crate::domain::{ControllerName, Now};
 use crate::leadership::Lead;
 use crate::store::records::{FORMAT, FORMAT_KEY, FormatSwitch, LEADER, member_key};
-use crate::store::{Op, Outcome, Txn, View, Writer};
+use crate::store::{Op, Outcome, Txn, WatchCache, Writer};
 
 /// The leader's part in the switch.
 #[derive(Debug)]
@@ -28,17 +28,17 @@
     }
 
     /// The transaction that switches the new format on, if it is time.
-    pub fn poll(&mut self, now: Now, lead: &Lead<'_>, view: &mut View) -> Option<Op> {
-        if view.format() >= FORMAT || !self.writer.ready(now, view) {
+    pub fn poll(&mut self, now: Now, lead: &Lead<'_>, cache: &mut WatchCache) -> Option<Op> {
+        if cache.format() >= FORMAT || !self.writer.ready(now, cache) {
             return None;
         }
-        let Members { format, versions } = members(lead.config, view)?;
-        if format <= view.format() {
+        let Members { format, versions } = members(lead.config, cache)?;
+        if format <= cache.format() {
             return None;
         }
         let mut txn = Txn::default()
             .when(LEADER, lead.version)
-            .when(FORMAT_KEY, view.format_version());
+            .when(FORMAT_KEY, cache.format_version());
         for (controller, version) in versions {
             txn = txn.when(member_key(&controller), version);
         }
@@ -72,14 +72,14 @@
 }
 
 /// None: one of them is not up.
-fn members(config: &Config, view: &View) -> Option<Members> {
+fn members(config: &Config, cache: &WatchCache) -> Option<Members> {
     let peers = config.peers.iter().map(|peer| &peer.name);
     let mut all = Members {
         format: FORMAT,
         versions: Vec::new(),
     };
     for controller in peers.chain([&config.name]) {
-        let member = view.members.get(controller)?;
+        let member = cache.members.get(controller)?;
         all.format = all.format.min(member.value.format);
         all.versions.push((controller.clone(), member.version));
     }
--- a/src/upgrade/tests.rs
+++ b/src/upgrade/tests.rs
@@ -9,7 +9,7 @@
 
 struct Fixture {
     config: Config,
-    view: View,
+    cache: WatchCache,
     version: u64,
 }
 
@@ -17,14 +17,14 @@
     fn new() -> Self {
         Fixture {
             config: Config::parse("s.toml", SETTINGS).expect("valid"),
-            view: View::following(),
+            cache: WatchCache::following(),
             version: 0,
         }
     }
 
     fn member(&mut self, controller: &str, format: u32) {
         self.version += 1;
-        self.view.apply(Change {
+        self.cache.apply(Change {
             key: member_key(&controller.into()),
             version: self.version,
             value: Some(encode(&Member { boot: 1, format })),
@@ -42,7 +42,7 @@
             batch: 16,
             spare: true,
         };
-        match upgrade.poll(Now::read(), &lead, &mut self.view)? {
+        match upgrade.poll(Now::read(), &lead, &mut self.cache)? {
             Op::Commit(txn) => Some(txn),
             op => panic!("{op:?}"),
         }
@@ -85,13 +85,13 @@
         fixture.member(controller, FORMAT);
     }
     fixture.version += 1;
-    fixture.view.apply(Change {
+    fixture.cache.apply(Change {
         key: FORMAT_KEY.to_owned(),
         version: fixture.version,
         value: Some(encode(&FormatSwitch { version: FORMAT })),
     });
     fixture.member("node-2", 0);
-    assert_eq!(fixture.view.format(), FORMAT);
+    assert_eq!(fixture.cache.format(), FORMAT);
     assert_eq!(fixture.poll(&mut Upgrade::new()), None);
 }
 
--- a/tests/simulation/drains.rs
+++ b/tests/simulation/drains.rs
@@ -349,9 +349,9 @@
         world.seen("disk").expect("seen").state,
         StateName::Cancelled
     );
-    let view = world.any_view().expect("a controller is up");
+    let cache = world.any_cache().expect("a controller is up");
     let cordoned = |machine: &&Machine| machine.state == MachineState::Cordoned;
-    assert_eq!(view.machines.values().filter(cordoned).count(), 0);
+    assert_eq!(cache.machines.values().filter(cordoned).count(), 0);
 }
 
 /// What happens as the first eviction is recorded.
@@ -455,9 +455,9 @@
 #[test]
 fn the_holder_is_cut_off_and_its_block_taken_over() {
     with_trouble(848, |world, eviction| {
-        let view = world.any_view().expect("a controller is up");
-        let block = &view.machines[&eviction.machine].block;
-        let holder = view.grants[block].value.holder.clone();
+        let cache = world.any_cache().expect("a controller is up");
+        let block = &cache.machines[&eviction.machine].block;
+        let holder = cache.grants[block].value.holder.clone();
         let holder = holder
             .0
             .trim_start_matches("node-")
--- a/tests/simulation/world.rs
+++ b/tests/simulation/world.rs
@@ -2031,7 +2031,10 @@
     /// Jobs that wait while a machine that fits has room and their team is under its limit.
     /// Machines that operators keep tasks off, by what a controller knows of their requests.
     fn cordoned(&self) -> BTreeSet<String> {
-        let machines = self.any_view().into_iter().flat_map(|view| &view.machines);
+        let machines = self
+            .any_cache()
+            .into_iter()
+            .flat_map(|cache| &cache.machines);
         let cordoned = machines.filter(|(_, machine)| machine.state == MachineState::Cordoned);
         cordoned.map(|(id, _)| id.0.to_string()).collect()
     }
@@ -2471,12 +2474,12 @@
     }
 
     /// The records as some controller knows them.
-    pub fn any_view(&self) -> Option<&dappleshore::store::View> {
+    pub fn any_cache(&self) -> Option<&dappleshore::store::WatchCache> {
         let mut controllers = self
             .slots
             .iter()
             .filter_map(|slot| slot.controller.as_ref());
-        controllers.next().map(Controller::view)
+        controllers.next().map(Controller::cache)
     }
 
     pub fn state(&self) -> &StateService {
