--- a/src/config/mod.rs
+++ b/src/config/mod.rs
@@ -37,7 +37,7 @@
     pub zones: Vec<Zone>,
     pub teams: Vec<TeamLimits>,
     pub report_every: Duration,
-    pub lease: Duration,
+    pub worker_lease: Duration,
     pub cancel_within: Duration,
     /// What the state service takes, as far as this process reckons with it: see [`Config::adopt_next_limits`].
     pub state_limits: StateLimits,
@@ -248,9 +248,9 @@
             });
         }
         let workers = &file.params.workers;
-        let lease = check.duration("params.workers.lease_s", workers.lease_s)?;
+        let worker_lease = check.duration("params.workers.lease_s", workers.lease_s)?;
         let cancel_within = check.duration("params.workers.cancel_s", workers.cancel_s)?;
-        if cancel_within <= lease {
+        if cancel_within <= worker_lease {
             return Err(check.wrong("params.workers.cancel_s", "must exceed `lease_s`"));
         }
         let state = &file.params.state;
@@ -279,7 +279,7 @@
             zones,
             teams,
             report_every: check.duration("params.workers.report_s", workers.report_s)?,
-            lease,
+            worker_lease,
             cancel_within,
             block_bytes: state_limits.value_bytes,
             state_limits,
--- a/src/config/tests.rs
+++ b/src/config/tests.rs
@@ -8,7 +8,7 @@
     assert_eq!(&*config.name.0, "node-0");
     assert_eq!(config.peers.len(), 2);
     assert_eq!(config.state_limits.value_bytes, 8192);
-    assert_eq!(config.lease, Duration::from_secs(20));
+    assert_eq!(config.worker_lease, Duration::from_secs(20));
 }
 
 #[test]
--- a/src/leadership/mod.rs
+++ b/src/leadership/mod.rs
@@ -1,4 +1,4 @@
-//! Membership and leadership: two holds in the state service.
+//! Membership and leadership: two leases in the state service.
 //!
 //! The member record tells the others that this process is up. The leader record is the leader's authority:
 //! every write that a leader makes is conditioned on its version, so that a leader that was replaced without
@@ -18,9 +18,9 @@
 use crate::store::{Op, Outcome, Txn, WatchCache};
 
 /// Long enough that a slow process is not taken for dead, short enough that a dead one is noticed.
-const MEMBER_LIFE: Duration = Duration::from_secs(10);
+const MEMBER_LEASE_TTL: Duration = Duration::from_secs(10);
 /// How long the service can be without a leader after one has died.
-const LEADER_LIFE: Duration = Duration::from_millis(3500);
+const LEADER_LEASE_TTL: Duration = Duration::from_millis(3500);
 /// By how much the steady clocks of two machines may drift apart.
 const CLOCK_DRIFT: f64 = 0.0005;
 const RETRY: Duration = Duration::from_millis(500);
@@ -40,37 +40,37 @@
     pub spare: bool,
 }
 
-/// A hold and the record attached to it.
+/// A lease and the record attached to it.
 #[derive(Debug, Clone, Copy, PartialEq)]
-enum Hold {
-    None,
-    Opening,
+enum KeyLease {
+    NotHeld,
+    Granting,
     /// Open, and the record's transaction is on its way.
-    Attaching {
+    AttachingKey {
         id: u64,
         /// When it was asked for: it does not end before its life from then is over.
-        alive: Instant,
+        last_confirmed: Instant,
     },
     Held {
         id: u64,
         renewed: Instant,
         /// When the last request was sent that is known to have opened or extended it.
-        alive: Instant,
+        last_confirmed: Instant,
         renewing: bool,
     },
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Which {
+pub enum LeaseRole {
     Member,
     Leader,
 }
 
 #[derive(Debug, Clone, PartialEq)]
 pub enum Tag {
-    Open(Which),
-    Attach(Which, u64),
-    Extend(Which, u64),
+    GrantLease(LeaseRole),
+    AttachKey(LeaseRole, u64),
+    KeepAlive(LeaseRole, u64),
 }
 
 #[derive(Debug)]
@@ -78,8 +78,8 @@
     controller: ControllerName,
     boot: u64,
     format: u32,
-    member: Hold,
-    leader: Hold,
+    member: KeyLease,
+    leader: KeyLease,
     member_retry: Option<Instant>,
     leader_retry: Option<Instant>,
     vacant_since: Option<Instant>,
@@ -94,8 +94,8 @@
             controller,
             boot,
             format,
-            member: Hold::None,
-            leader: Hold::None,
+            member: KeyLease::NotHeld,
+            leader: KeyLease::NotHeld,
             member_retry: None,
             leader_retry: None,
             vacant_since: None,
@@ -115,12 +115,14 @@
         ours.then_some((leader.value.term, leader.version))
     }
 
-    /// Until when nobody else can be leading: the life of our hold, counted from before the last request was sent that
+    /// Until when nobody else can be leading: the life of our lease, counted from before the last request was sent that
     /// opened or extended it. What goes to the cloud is conditioned on nothing, so a leader that stood still, or that
     /// can't reach the state service, must send nothing there: another may have taken its place.
     pub fn certain_until(&self) -> Option<Instant> {
         match self.leader {
-            Hold::Held { alive, .. } => Some(alive + LEADER_LIFE.mul_f64(1.0 - CLOCK_DRIFT)),
+            KeyLease::Held { last_confirmed, .. } => {
+                Some(last_confirmed + LEADER_LEASE_TTL.mul_f64(1.0 - CLOCK_DRIFT))
+            }
             _ => None,
         }
     }
@@ -142,39 +144,47 @@
 
     fn poll_member(&mut self, now: Now, cache: &WatchCache, ops: &mut Vec<(Tag, Op)>) {
         match &mut self.member {
-            Hold::None => {
+            KeyLease::NotHeld => {
                 if cache.ready() && self.member_retry.is_none_or(|at| now.steady >= at) {
-                    self.member = Hold::Opening;
-                    ops.push((Tag::Open(Which::Member), Op::OpenHold { life: MEMBER_LIFE }));
+                    self.member = KeyLease::Granting;
+                    ops.push((
+                        Tag::GrantLease(LeaseRole::Member),
+                        Op::GrantLease {
+                            life: MEMBER_LEASE_TTL,
+                        },
+                    ));
                 }
             }
-            Hold::Held {
+            KeyLease::Held {
                 id,
                 renewed,
-                alive,
+                last_confirmed,
                 renewing,
             } => {
-                let (id, alive) = (*id, *alive);
-                // The record can be lost without the hold: removed with an older process's hold, say.
+                let (id, last_confirmed) = (*id, *last_confirmed);
+                // The record can be lost without the lease: removed with an older process's lease, say.
                 let listed = cache
                     .members
                     .get(&self.controller)
                     .is_some_and(|m| m.value.boot == self.boot);
                 if cache.covers(*renewed) && !listed && !*renewing {
-                    self.member = Hold::Attaching { id, alive };
-                    ops.push((Tag::Attach(Which::Member, id), self.join(id, cache)));
-                } else if !*renewing && since(now, *renewed) >= MEMBER_LIFE / 4 {
+                    self.member = KeyLease::AttachingKey { id, last_confirmed };
+                    ops.push((Tag::AttachKey(LeaseRole::Member, id), self.join(id, cache)));
+                } else if !*renewing && since(now, *renewed) >= MEMBER_LEASE_TTL / 4 {
                     *renewing = true;
-                    ops.push((Tag::Extend(Which::Member, id), Op::ExtendHold { id }));
+                    ops.push((
+                        Tag::KeepAlive(LeaseRole::Member, id),
+                        Op::KeepAliveLease { id },
+                    ));
                 }
             }
-            Hold::Opening | Hold::Attaching { .. } => {}
+            KeyLease::Granting | KeyLease::AttachingKey { .. } => {}
         }
     }
 
-    /// Conditioned on the record that it replaces: an earlier process's hold may still last when a late copy of its
+    /// Conditioned on the record that it replaces: an earlier process's lease may still last when a late copy of its
     /// request comes, and would put its record over ours.
-    fn join(&self, hold: u64, cache: &WatchCache) -> Op {
+    fn join(&self, lease: u64, cache: &WatchCache) -> Op {
         let record = Member {
             boot: self.boot,
             format: self.format,
@@ -184,11 +194,11 @@
             .members
             .get(&self.controller)
             .map_or(0, |old| old.version);
-        Op::Commit(
-            Txn::default()
-                .when(key.clone(), version)
-                .put_held(key, &record, Some(hold)),
-        )
+        Op::Commit(Txn::default().when(key.clone(), version).put_with_lease(
+            key,
+            &record,
+            Some(lease),
+        ))
     }
 
     fn poll_leader(
@@ -198,34 +208,40 @@
         rng: &mut SmallRng,
         ops: &mut Vec<(Tag, Op)>,
     ) {
-        if let Hold::Held {
+        if let KeyLease::Held {
             id,
             renewed,
             renewing,
             ..
         } = &mut self.leader
         {
-            if !*renewing && since(now, *renewed) >= LEADER_LIFE / 4 {
+            if !*renewing && since(now, *renewed) >= LEADER_LEASE_TTL / 4 {
                 *renewing = true;
-                ops.push((Tag::Extend(Which::Leader, *id), Op::ExtendHold { id: *id }));
+                ops.push((
+                    Tag::KeepAlive(LeaseRole::Leader, *id),
+                    Op::KeepAliveLease { id: *id },
+                ));
             }
             let kept = self.leading(cache).is_some();
-            if let Hold::Held {
-                id, renewed, alive, ..
+            if let KeyLease::Held {
+                id,
+                renewed,
+                last_confirmed,
+                ..
             } = self.leader
                 && !kept
                 && cache.covers(renewed)
             {
-                // The hold is ours but the record is not: the election was lost, or its outcome unknown.
+                // The lease is ours but the record is not: the election was lost, or its outcome unknown.
                 if self.vacant(cache) {
-                    self.run_for_leader(id, alive, cache, ops);
+                    self.run_for_leader(id, last_confirmed, cache, ops);
                 } else {
-                    self.leader = Hold::None;
+                    self.leader = KeyLease::NotHeld;
                 }
             }
             return;
         }
-        if self.leader != Hold::None || !cache.ready() || !self.vacant(cache) {
+        if self.leader != KeyLease::NotHeld || !cache.ready() || !self.vacant(cache) {
             self.vacant_since = None;
             return;
         }
@@ -236,8 +252,13 @@
         });
         if since(now, began) >= self.patience && self.leader_retry.is_none_or(|at| now.steady >= at)
         {
-            self.leader = Hold::Opening;
-            ops.push((Tag::Open(Which::Leader), Op::OpenHold { life: LEADER_LIFE }));
+            self.leader = KeyLease::Granting;
+            ops.push((
+                Tag::GrantLease(LeaseRole::Leader),
+                Op::GrantLease {
+                    life: LEADER_LEASE_TTL,
+                },
+            ));
         }
     }
 
@@ -251,8 +272,8 @@
 
     fn run_for_leader(
         &mut self,
-        hold: u64,
-        alive: Instant,
+        lease: u64,
+        last_confirmed: Instant,
         cache: &WatchCache,
         ops: &mut Vec<(Tag, Op)>,
     ) {
@@ -268,13 +289,16 @@
                 cache.leader.as_ref().map_or(0, |leader| leader.version),
             )
             .when(TOKEN, cache.token.as_ref().map_or(0, |token| token.version))
-            .put_held(LEADER, &record, Some(hold))
+            .put_with_lease(LEADER, &record, Some(lease))
             .put(TOKEN, &Token { last: term });
-        self.leader = Hold::Attaching { id: hold, alive };
-        ops.push((Tag::Attach(Which::Leader, hold), Op::Commit(txn)));
+        self.leader = KeyLease::AttachingKey {
+            id: lease,
+            last_confirmed,
+        };
+        ops.push((Tag::AttachKey(LeaseRole::Leader, lease), Op::Commit(txn)));
     }
 
-    /// The one place where the holds change.
+    /// The one place where the leases change.
     pub fn handle(
         &mut self,
         now: Now,
@@ -286,71 +310,76 @@
         let mut ops = Vec::new();
         let retry = Some(now.steady + RETRY);
         match (tag, outcome) {
-            (Tag::Open(Which::Member), Outcome::Hold { id }) => {
-                self.member = Hold::Attaching {
+            (Tag::GrantLease(LeaseRole::Member), Outcome::LeaseGranted { id }) => {
+                self.member = KeyLease::AttachingKey {
                     id: *id,
-                    alive: sent,
+                    last_confirmed: sent,
                 };
-                ops.push((Tag::Attach(Which::Member, *id), self.join(*id, cache)));
+                ops.push((
+                    Tag::AttachKey(LeaseRole::Member, *id),
+                    self.join(*id, cache),
+                ));
             }
-            (Tag::Open(Which::Member), _) => {
-                self.member = Hold::None;
+            (Tag::GrantLease(LeaseRole::Member), _) => {
+                self.member = KeyLease::NotHeld;
                 self.member_retry = retry;
             }
-            (Tag::Open(Which::Leader), Outcome::Hold { id }) => {
+            (Tag::GrantLease(LeaseRole::Leader), Outcome::LeaseGranted { id }) => {
                 if self.vacant(cache) && cache.ready() {
                     self.run_for_leader(*id, sent, cache, &mut ops);
                 } else {
                     // Left to run out: nothing is attached to it.
-                    self.leader = Hold::None;
+                    self.leader = KeyLease::NotHeld;
                 }
             }
-            (Tag::Open(Which::Leader), _) => {
-                self.leader = Hold::None;
+            (Tag::GrantLease(LeaseRole::Leader), _) => {
+                self.leader = KeyLease::NotHeld;
                 self.leader_retry = retry;
             }
-            (Tag::Attach(which, id), outcome) => {
-                let alive = match *self.slot(which) {
-                    Hold::Attaching { alive, .. } => alive,
+            (Tag::AttachKey(which, id), outcome) => {
+                let last_confirmed = match *self.slot(which) {
+                    KeyLease::AttachingKey { last_confirmed, .. } => last_confirmed,
                     _ => sent,
                 };
                 let next = match outcome {
-                    // Unknown may mean committed: keep the hold and see what our copy says.
-                    Outcome::Committed { .. } | Outcome::Unknown => Hold::Held {
+                    // Unknown may mean committed: keep the lease and see what our copy says.
+                    Outcome::Committed { .. } | Outcome::Unknown => KeyLease::Held {
                         id,
                         renewed: now.steady,
-                        alive,
+                        last_confirmed,
                         renewing: false,
                     },
-                    _ => Hold::None,
+                    _ => KeyLease::NotHeld,
                 };
-                if next == Hold::None {
+                if next == KeyLease::NotHeld {
                     match which {
-                        Which::Member => self.member_retry = retry,
-                        Which::Leader => self.leader_retry = retry,
+                        LeaseRole::Member => self.member_retry = retry,
+                        LeaseRole::Leader => self.leader_retry = retry,
                     }
                 }
                 *self.slot(which) = next;
             }
-            (Tag::Extend(which, id), outcome) => {
+            (Tag::KeepAlive(which, id), outcome) => {
                 let slot = self.slot(which);
-                if let Hold::Held {
+                if let KeyLease::Held {
                     id: held,
                     renewed,
-                    alive,
+                    last_confirmed,
                     renewing,
                 } = slot
                     && *held == id
                 {
                     *renewing = false;
                     match outcome {
-                        Outcome::HoldGone | Outcome::Invalid => *slot = Hold::None,
-                        Outcome::Hold { .. } => {
+                        Outcome::LeaseExpired | Outcome::Invalid => *slot = KeyLease::NotHeld,
+                        Outcome::LeaseGranted { .. } => {
                             *renewed = sent;
-                            *alive = sent;
+                            *last_confirmed = sent;
                         }
                         // Asked again soon, not at once.
-                        _ => *renewed = (*renewed).max(now.steady - LEADER_LIFE / 4 + RETRY / 2),
+                        _ => {
+                            *renewed = (*renewed).max(now.steady - LEADER_LEASE_TTL / 4 + RETRY / 2)
+                        }
                     }
                 }
             }
@@ -358,10 +387,10 @@
         ops
     }
 
-    fn slot(&mut self, which: Which) -> &mut Hold {
+    fn slot(&mut self, which: LeaseRole) -> &mut KeyLease {
         match which {
-            Which::Member => &mut self.member,
-            Which::Leader => &mut self.leader,
+            LeaseRole::Member => &mut self.member,
+            LeaseRole::Leader => &mut self.leader,
         }
     }
 }
--- a/src/leadership/tests.rs
+++ b/src/leadership/tests.rs
@@ -23,15 +23,15 @@
         &mut leadership,
         at(900),
         at(0),
-        Tag::Open(Which::Leader),
-        Outcome::Hold { id: 7 },
+        Tag::GrantLease(LeaseRole::Leader),
+        Outcome::LeaseGranted { id: 7 },
     );
     assert!(!certain(&leadership, at(900)), "not elected yet");
     answer(
         &mut leadership,
         at(1000),
         at(900),
-        Tag::Attach(Which::Leader, 7),
+        Tag::AttachKey(LeaseRole::Leader, 7),
         Outcome::Committed { revision: 1 },
     );
     assert!(certain(&leadership, at(3400)));
@@ -43,8 +43,8 @@
         &mut leadership,
         at(3600),
         at(2000),
-        Tag::Extend(Which::Leader, 7),
-        Outcome::Hold { id: 7 },
+        Tag::KeepAlive(LeaseRole::Leader, 7),
+        Outcome::LeaseGranted { id: 7 },
     );
     assert!(certain(&leadership, at(5400)));
     assert!(
@@ -55,7 +55,7 @@
         &mut leadership,
         at(5600),
         at(5000),
-        Tag::Extend(Which::Leader, 7),
+        Tag::KeepAlive(LeaseRole::Leader, 7),
         Outcome::Refused,
     );
     assert!(!certain(&leadership, at(5700)));
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -110,7 +110,7 @@
     /// A holder that is cut off renews leases for the life of its grant, and a worker keeps its tasks for a
     /// lease longer. Both together must be over when a cancelled task has to be gone.
     pub fn longest_grant(config: &Config) -> Duration {
-        let left = config.cancel_within.saturating_sub(config.lease);
+        let left = config.cancel_within.saturating_sub(config.worker_lease);
         left.saturating_sub(CANCEL_MARGIN).max(left / 2)
     }
 
@@ -123,7 +123,7 @@
             variables: variables(config),
         };
         let report_s = config.report_every.as_secs_f64();
-        let lease_s = config.lease.as_secs_f64();
+        let lease_s = config.worker_lease.as_secs_f64();
         let longest_grant_s = Self::longest_grant(config).as_secs_f64();
         let shortest_grant_s = report_s.min(longest_grant_s);
         let silence = (1.5 * report_s, 10.0 * lease_s.max(report_s));
@@ -158,7 +158,7 @@
     let count = |number: usize| number as f64;
     vec![
         ("report_s", config.report_every.as_secs_f64()),
-        ("lease_s", config.lease.as_secs_f64()),
+        ("lease_s", config.worker_lease.as_secs_f64()),
         ("cancel_s", config.cancel_within.as_secs_f64()),
         ("list_lag_s", config.list_lag.as_secs_f64()),
         ("state_rps", config.state_limits.rps),
--- a/src/policy/tests.rs
+++ b/src/policy/tests.rs
@@ -8,7 +8,7 @@
 #[test]
 fn a_cut_off_holder_is_over_before_a_cancelled_task_must_be_gone() {
     let policy = Policy::defaults(&config());
-    assert!(policy.grant_life + config().lease < config().cancel_within);
+    assert!(policy.grant_life + config().worker_lease < config().cancel_within);
     assert!(policy.grant_life > Duration::from_secs(20));
     // Nor can a policy change that.
     let error =
@@ -21,18 +21,18 @@
 
 #[test]
 fn the_built_in_policy_holds_for_all_kinds_of_settings() {
-    for (report, lease, cancel) in [
+    for (report, worker_lease, cancel) in [
         ("0.1", "0.2", "0.3"),
         ("60.0", "61.0", "62.0"),
         ("3.0", "26.0", "4000.0"),
     ] {
         let text = SETTINGS
             .replace("report_s = 3.0", &format!("report_s = {report}"))
-            .replace("lease_s = 20.0", &format!("lease_s = {lease}"))
+            .replace("lease_s = 20.0", &format!("lease_s = {worker_lease}"))
             .replace("cancel_s = 50.0", &format!("cancel_s = {cancel}"));
         let config = Config::parse("s.toml", &text).expect("valid");
         let policy = Policy::defaults(&config);
-        assert!(policy.grant_life + config.lease < config.cancel_within);
+        assert!(policy.grant_life + config.worker_lease < config.cancel_within);
     }
 }
 
--- a/src/provisioning/tests.rs
+++ b/src/provisioning/tests.rs
@@ -78,7 +78,7 @@
             .collect::<Vec<_>>()
     };
     assert_eq!(
-        given_up(config.lease),
+        given_up(config.worker_lease),
         [] as [&str; 0],
         "its holder may still prove it gone"
     );
@@ -164,7 +164,7 @@
     };
     let heard: BTreeSet<Zone> = ["a".into(), "b".into()].into();
     let given_up = |zones: &[&str], after: Duration| given_up_if(zones, after, &heard);
-    let survive = policy.grant_life + config.lease - policy.silent_after;
+    let survive = policy.grant_life + config.worker_lease - policy.silent_after;
     assert_eq!(given_up(&["a"], survive), 0, "may be a cut");
     assert_eq!(
         given_up(&["a"], survive + Duration::from_secs(4)),
--- a/src/store/mod.rs
+++ b/src/store/mod.rs
@@ -28,10 +28,10 @@
         after: u64,
         wait: Duration,
     },
-    OpenHold {
+    GrantLease {
         life: Duration,
     },
-    ExtendHold {
+    KeepAliveLease {
         id: u64,
     },
 }
@@ -49,7 +49,7 @@
     Put {
         key: String,
         value: ciborium::Value,
-        hold: Option<u64>,
+        lease: Option<u64>,
     },
     Delete {
         key: String,
@@ -63,19 +63,19 @@
     }
 
     pub fn put(self, key: impl Into<String>, record: &impl Record) -> Self {
-        self.put_held(key, record, None)
+        self.put_with_lease(key, record, None)
     }
 
-    pub fn put_held(
+    pub fn put_with_lease(
         mut self,
         key: impl Into<String>,
         record: &impl Record,
-        hold: Option<u64>,
+        lease: Option<u64>,
     ) -> Self {
         self.changes.push(TxnChange::Put {
             key: key.into(),
             value: records::encode(record),
-            hold,
+            lease,
         });
         self
     }
@@ -112,13 +112,13 @@
     },
     /// The changes asked for are no longer kept: read everything again.
     TooOld,
-    Hold {
+    LeaseGranted {
         id: u64,
     },
-    HoldGone,
+    LeaseExpired,
     /// Not executed: rate limit or outage.
     Refused,
-    /// Malformed, or attached to a hold that has ended. Not executed.
+    /// Malformed, or attached to a lease that has ended. Not executed.
     Invalid,
     /// No answer: may have been executed, or may still be.
     Unknown,
--- a/src/store/records.rs
+++ b/src/store/records.rs
@@ -114,7 +114,7 @@
     }
 }
 
-/// Who leads, attached to a hold. `term` comes from the same rising counter as tokens.
+/// Who leads, attached to a lease. `term` comes from the same rising counter as tokens.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Leader {
     #[serde(rename = "node")]
@@ -129,7 +129,7 @@
     pub last: u64,
 }
 
-/// A controller that is up, attached to its hold. `boot` tells a restarted process from the one before.
+/// A controller that is up, attached to its lease. `boot` tells a restarted process from the one before.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Member {
     pub boot: u64,
--- a/src/store/wire.rs
+++ b/src/store/wire.rs
@@ -36,7 +36,7 @@
 }
 
 #[derive(Serialize)]
-struct NewHold {
+struct NewLease {
     #[serde(rename = "lifeMs")]
     life_ms: u64,
 }
@@ -82,7 +82,7 @@
 }
 
 #[derive(Deserialize)]
-struct HoldId {
+struct LeaseId {
     tenure: u64,
 }
 
@@ -104,10 +104,10 @@
         })
         .collect();
     let apply = txn.changes.iter().map(|change| match change {
-        TxnChange::Put { key, value, hold } => Apply::Put {
+        TxnChange::Put { key, value, lease } => Apply::Put {
             put: key,
             value,
-            tenure: *hold,
+            tenure: *lease,
         },
         TxnChange::Delete { key } => Apply::Remove { remove: key },
     });
@@ -142,14 +142,16 @@
             );
             Request::get(path, *wait + TIMEOUT)
         }
-        Op::OpenHold { life } => Request::post(
+        Op::GrantLease { life } => Request::post(
             "/holds".to_owned(),
-            write(&NewHold {
+            write(&NewLease {
                 life_ms: millis(*life),
             }),
             TIMEOUT,
         ),
-        Op::ExtendHold { id } => Request::post(format!("/holds/{id}/extend"), Vec::new(), TIMEOUT),
+        Op::KeepAliveLease { id } => {
+            Request::post(format!("/holds/{id}/extend"), Vec::new(), TIMEOUT)
+        }
     }
 }
 
@@ -189,11 +191,12 @@
         (409, Op::Commit(_)) => Outcome::Conflict,
         (200, Op::Follow { .. }) => read(&reply.body).map_or(Outcome::Unknown, news),
         (410, Op::Follow { .. }) => Outcome::TooOld,
-        (200, Op::OpenHold { .. }) => read(&reply.body).map_or(Outcome::Unknown, |hold: HoldId| {
-            Outcome::Hold { id: hold.tenure }
-        }),
-        (200, Op::ExtendHold { id }) => Outcome::Hold { id: *id },
-        (404, Op::ExtendHold { .. }) => Outcome::HoldGone,
+        (200, Op::GrantLease { .. }) => read(&reply.body)
+            .map_or(Outcome::Unknown, |lease: LeaseId| Outcome::LeaseGranted {
+                id: lease.tenure,
+            }),
+        (200, Op::KeepAliveLease { id }) => Outcome::LeaseGranted { id: *id },
+        (404, Op::KeepAliveLease { .. }) => Outcome::LeaseExpired,
         (400 | 404, _) => Outcome::Invalid,
         _ => Outcome::Unknown,
     }
--- a/src/store/wire/tests.rs
+++ b/src/store/wire/tests.rs
@@ -17,7 +17,7 @@
             TxnChange::Put {
                 key: "a/b".into(),
                 value: 3.into(),
-                hold: Some(7),
+                lease: Some(7),
             },
             TxnChange::Delete { key: "c/d".into() },
         ],
--- a/tests/loopback/state_service.rs
+++ b/tests/loopback/state_service.rs
@@ -39,7 +39,7 @@
 }
 
 #[derive(Deserialize)]
-struct NewHold {
+struct NewLease {
     #[serde(rename = "lifeMs")]
     life_ms: u64,
 }
@@ -85,14 +85,14 @@
         .and(body)
         .and(with.clone())
         .map(|body: bytes::Bytes, fleet: Arc<Mutex<Fleet>>| {
-            let life_ms = read::<NewHold>(&body).map_or(5000, |hold| hold.life_ms);
+            let life_ms = read::<NewLease>(&body).map_or(5000, |lease| lease.life_ms);
             let life = Duration::from_millis(life_ms);
-            execute(&fleet, &Op::OpenHold { life })
+            execute(&fleet, &Op::GrantLease { life })
         });
     let extend = warp::path!("holds" / u64 / "extend")
         .and(warp::post())
         .and(with.clone())
-        .map(|id, fleet: Arc<Mutex<Fleet>>| execute(&fleet, &Op::ExtendHold { id }));
+        .map(|id, fleet: Arc<Mutex<Fleet>>| execute(&fleet, &Op::KeepAliveLease { id }));
     let follow = warp::path!("follow")
         .and(warp::get())
         .and(warp::query::<Query>())
@@ -120,7 +120,7 @@
         (Some(key), _) => Some(TxnChange::Put {
             key,
             value: apply.value.unwrap_or(Value::Null),
-            hold: apply.tenure,
+            lease: apply.tenure,
         }),
         (None, Some(key)) => Some(TxnChange::Delete { key }),
         (None, None) => None,
@@ -157,8 +157,8 @@
         }
         Outcome::Committed { revision } => reply(200, &cbor!({"ledgerLine" => revision})),
         Outcome::Conflict => reply(409, &cbor!({"failed" => [], "ledgerLine" => revision})),
-        Outcome::Hold { id } => reply(200, &cbor!({"tenure" => id})),
-        Outcome::HoldGone => reply(404, &cbor!({"error" => "no such lease"})),
+        Outcome::LeaseGranted { id } => reply(200, &cbor!({"tenure" => id})),
+        Outcome::LeaseExpired => reply(404, &cbor!({"error" => "no such lease"})),
         Outcome::Refused => reply(429, &cbor!({"error" => "busy"})),
         _ => reply(400, &cbor!({"error" => "no such lease"})),
     }
--- a/tests/simulation/state.rs
+++ b/tests/simulation/state.rs
@@ -12,15 +12,15 @@
 struct Key {
     value: Value,
     version: u64,
-    hold: Option<u64>,
+    lease: Option<u64>,
 }
 
 pub struct StateService {
     keys: BTreeMap<String, Key>,
     log: Vec<Change>,
     pub revision: u64,
-    holds: BTreeMap<u64, (Duration, Duration)>,
-    next_hold: u64,
+    leases: BTreeMap<u64, (Duration, Duration)>,
+    next_lease: u64,
     limits: StateLimits,
     requests: (f64, Duration),
     writes: (f64, Duration),
@@ -55,8 +55,8 @@
             keys: BTreeMap::new(),
             log: Vec::new(),
             revision: 0,
-            holds: BTreeMap::new(),
-            next_hold: 0,
+            leases: BTreeMap::new(),
+            next_lease: 0,
             requests: (limits.rps, Duration::ZERO),
             writes: (limits.write_rps, Duration::ZERO),
             limits,
@@ -84,7 +84,7 @@
             .extend(new.into_iter().filter(|eviction| !known.contains(eviction)));
     }
 
-    fn change(&mut self, key: &str, value: Option<Value>, hold: Option<u64>) {
+    fn change(&mut self, key: &str, value: Option<Value>, lease: Option<u64>) {
         let version = self.revision;
         self.note_evictions(key, value.as_ref());
         let readable = value
@@ -101,7 +101,7 @@
                     Key {
                         value,
                         version,
-                        hold,
+                        lease,
                     },
                 );
             }
@@ -156,21 +156,21 @@
         token.map_or(0, |token| token.last)
     }
 
-    /// Ends holds that were not extended. Returns whether anything changed.
+    /// Ends leases that were not extended. Returns whether anything changed.
     pub fn expire(&mut self, now: Duration) -> bool {
         let gone: Vec<u64> = self
-            .holds
+            .leases
             .iter()
             .filter(|(_, (_, until))| *until <= now)
             .map(|(id, _)| *id)
             .collect();
         let mut changed = false;
         for id in gone {
-            self.holds.remove(&id);
+            self.leases.remove(&id);
             let keys: Vec<String> = self
                 .keys
                 .iter()
-                .filter(|(_, key)| key.hold == Some(id))
+                .filter(|(_, key)| key.lease == Some(id))
                 .map(|(name, _)| name.clone())
                 .collect();
             for key in keys {
@@ -182,9 +182,9 @@
         changed
     }
 
-    /// After an outage every hold has its full time again.
+    /// After an outage every lease has its full time again.
     pub fn outage_over(&mut self, now: Duration) {
-        for (life, until) in self.holds.values_mut() {
+        for (life, until) in self.leases.values_mut() {
             *until = now + *life;
         }
     }
@@ -234,17 +234,19 @@
                 }
             }
             Op::Commit(txn) => self.commit(now, txn),
-            Op::OpenHold { life } => {
-                self.next_hold += 1;
-                self.holds.insert(self.next_hold, (*life, now + *life));
-                Outcome::Hold { id: self.next_hold }
+            Op::GrantLease { life } => {
+                self.next_lease += 1;
+                self.leases.insert(self.next_lease, (*life, now + *life));
+                Outcome::LeaseGranted {
+                    id: self.next_lease,
+                }
             }
-            Op::ExtendHold { id } => match self.holds.get_mut(id) {
+            Op::KeepAliveLease { id } => match self.leases.get_mut(id) {
                 Some((life, until)) => {
                     *until = now + *life;
-                    Outcome::Hold { id: *id }
+                    Outcome::LeaseGranted { id: *id }
                 }
-                None => Outcome::HoldGone,
+                None => Outcome::LeaseExpired,
             },
             Op::Follow { .. } => unreachable!("watches are served by the world"),
         }
@@ -278,11 +280,11 @@
             return Outcome::Conflict;
         }
         let unknown_hold =
-            |hold: &Option<u64>| hold.is_some_and(|id| !self.holds.contains_key(&id));
+            |lease: &Option<u64>| lease.is_some_and(|id| !self.leases.contains_key(&id));
         if txn
             .changes
             .iter()
-            .any(|change| matches!(change, Put { hold, .. } if unknown_hold(hold)))
+            .any(|change| matches!(change, Put { lease, .. } if unknown_hold(lease)))
         {
             return Outcome::Invalid;
         }
@@ -290,11 +292,11 @@
         self.changes += cost;
         for change in &txn.changes {
             match change {
-                Put { key, value, hold } => {
+                Put { key, value, lease } => {
                     let size = json_size(value);
                     assert!(size <= self.limits.value_bytes, "{key} is {size} bytes");
                     self.largest = self.largest.max(size);
-                    self.change(key, Some(value.clone()), *hold);
+                    self.change(key, Some(value.clone()), *lease);
                 }
                 Delete { key } => self.change(key, None, None),
             }
--- a/tests/simulation/world.rs
+++ b/tests/simulation/world.rs
@@ -794,7 +794,7 @@
         if self.now >= self.calm_from || !self.rng.random_bool(self.faults.copies) {
             return None;
         }
-        let late = self.config.lease.as_secs_f64() * 3.0;
+        let late = self.config.worker_lease.as_secs_f64() * 3.0;
         Some(self.now + Duration::from_secs_f64(self.rng.random_range(1.0..late)))
     }
 
@@ -830,8 +830,10 @@
                         },
                     );
                 }
-                if let (Op::Commit(_) | Op::OpenHold { .. } | Op::ExtendHold { .. }, Some(late)) =
-                    (&op, self.copied())
+                if let (
+                    Op::Commit(_) | Op::GrantLease { .. } | Op::KeepAliveLease { .. },
+                    Some(late),
+                ) = (&op, self.copied())
                 {
                     self.at(
                         late,
@@ -1692,7 +1694,7 @@
 
     fn step_machine(&mut self, id: &str) {
         let now = self.now;
-        let lease = self.config.lease;
+        let worker_lease = self.config.worker_lease;
         let report_every = self.config.report_every;
         let jitter = report_every.mul_f64(self.rng.random_range(0.75..1.25));
         let Some(machine) = self.machines.get_mut(id) else {
@@ -1715,7 +1717,7 @@
             return;
         }
         let session = machine.session;
-        let mut happened = machine.check_lease(now, lease);
+        let mut happened = machine.check_lease(now, worker_lease);
         self.leases_over += usize::from(machine.session != session);
         if machine.hung_until.take().is_some() {
             let backlog = std::mem::take(&mut machine.backlog);
