--- a/src/blocks/mod.rs
+++ b/src/block_leases/mod.rs
@@ -1,6 +1,6 @@
-//! Blocks: machines of one zone, leased together to a controller. Only the leader grants them.
+//! Blocks: machines of one zone, leased together to a controller. Only the leader block leases them.
 //!
-//! The number of a grant, its token, is the token that workers check. A grant is written anew by every new
+//! The number of a block lease, its token, is the token that workers check. A block lease is written anew by every new
 //! leader: with the same token when the same process keeps the block, with a higher one when it changes hands.
 
 use std::collections::BTreeMap;
@@ -12,7 +12,7 @@
 use crate::domain::{BlockId, ControllerName, Now, Zone, since};
 use crate::leadership::Lead;
 use crate::policy::Policy;
-use crate::store::records::{Grant, LEADER, TOKEN, Token, grant_key};
+use crate::store::records::{BlockLease, LEADER, TOKEN, Token, block_lease_key};
 use crate::store::{Op, Outcome, Txn, WatchCache, Writer};
 
 /// A zone's block by its number.
@@ -44,7 +44,7 @@
 }
 
 #[derive(Debug)]
-pub struct Granting {
+pub struct BlockLeaseManager {
     writer: Writer,
     leading_since: Option<(u64, Instant)>,
     /// When each controller last spoke to us.
@@ -59,9 +59,9 @@
 const UNFIT_FOR: Duration = Duration::from_secs(30);
 const UNFIT_DOUBLINGS: u32 = 4;
 
-impl Granting {
+impl BlockLeaseManager {
     pub fn new() -> Self {
-        Granting {
+        BlockLeaseManager {
             writer: Writer::Idle,
             leading_since: None,
             heard: BTreeMap::new(),
@@ -178,15 +178,15 @@
         };
         let mut held: BTreeMap<&ControllerName, usize> =
             members.iter().map(|controller| (controller, 0)).collect();
-        for grant in cache.grants.values() {
-            if let Some(count) = held.get_mut(&grant.value.holder) {
+        for lease in cache.block_leases.values() {
+            if let Some(count) = held.get_mut(&lease.value.holder) {
                 *count += 1;
             }
         }
         let mut last = cache.max_token();
         let mut changes = Vec::new();
         for (block, zone) in wanted(zones, config, policy, cache) {
-            let old = cache.grants.get(&block);
+            let old = cache.block_leases.get(&block);
             let kept = old.filter(|old| {
                 members.contains(&old.value.holder)
                     && boot_of(&old.value.holder) == Some(old.value.boot)
@@ -197,7 +197,7 @@
                     changes.push((
                         block,
                         old.version,
-                        Grant {
+                        BlockLease {
                             term,
                             ..old.value.clone()
                         },
@@ -242,7 +242,7 @@
             changes.push((
                 block,
                 version,
-                Grant {
+                BlockLease {
                     zone,
                     holder,
                     boot,
@@ -256,15 +256,15 @@
                 self.unbalanced(now, lead, zones, &held, cache)
             {
                 let zone = cache
-                    .grants
+                    .block_leases
                     .get(&block)
-                    .map(|grant| grant.value.zone.clone())?;
+                    .map(|lease| lease.value.zone.clone())?;
                 let boot = boot_of(&controller)?;
                 last += 1;
                 changes.push((
                     block,
                     version,
-                    Grant {
+                    BlockLease {
                         zone,
                         holder: controller,
                         boot,
@@ -283,11 +283,11 @@
                 .when(TOKEN, cache.token.as_ref().map_or(0, |token| token.version))
                 .put(TOKEN, &Token { last });
         }
-        for (block, version, grant) in &changes {
-            info!(%block, holder = %grant.holder, token = grant.token, term, "grant");
+        for (block, version, lease) in &changes {
+            info!(%block, holder = %lease.holder, token = lease.token, term, "grant");
             txn = txn
-                .when(grant_key(block), *version)
-                .put(grant_key(block), grant);
+                .when(block_lease_key(block), *version)
+                .put(block_lease_key(block), lease);
         }
         self.writer.sent();
         Some(Op::Commit(txn))
@@ -315,9 +315,9 @@
             .into_iter()
             .filter(|(block, _)| {
                 cache
-                    .grants
+                    .block_leases
                     .get(block)
-                    .is_some_and(|grant| grant.value.holder == **busy)
+                    .is_some_and(|lease| lease.value.holder == **busy)
             })
             .max_by_key(|(_, zone)| {
                 config
@@ -325,7 +325,7 @@
                     .iter()
                     .any(|p| p.name == **idle && p.zone == *zone)
             })?;
-        let version = cache.grants.get(&block)?.version;
+        let version = cache.block_leases.get(&block)?.version;
         Some((block, (*idle).clone(), version))
     }
 
@@ -334,9 +334,9 @@
     }
 }
 
-impl Default for Granting {
+impl Default for BlockLeaseManager {
     fn default() -> Self {
-        Granting::new()
+        BlockLeaseManager::new()
     }
 }
 
--- a/src/blocks/tests.rs
+++ b/src/block_leases/tests.rs
@@ -30,10 +30,10 @@
         };
         cache.apply(change);
     }
-    let mut granting = Granting::new();
+    let mut block_lease_manager = BlockLeaseManager::new();
     let mut version = 2;
     // Grants what is due and commits it. Returns how many blocks the other one holds.
-    let mut grant = |granting: &mut Granting, now: Now| {
+    let mut lease = |block_lease_manager: &mut BlockLeaseManager, now: Now| {
         let lead = Lead {
             config: &config,
             policy: &policy,
@@ -44,9 +44,9 @@
             spare: true,
         };
         for _ in 0..40 {
-            granting.heard_from(now, &other, 1);
-            granting.writer = Writer::Idle;
-            let Some(Op::Commit(txn)) = granting.poll(now, &lead, &mut cache) else {
+            block_lease_manager.heard_from(now, &other, 1);
+            block_lease_manager.writer = Writer::Idle;
+            let Some(Op::Commit(txn)) = block_lease_manager.poll(now, &lead, &mut cache) else {
                 break;
             };
             version += 1;
@@ -62,23 +62,23 @@
             }
         }
         cache
-            .grants
+            .block_leases
             .values()
-            .filter(|grant| grant.value.holder == other)
+            .filter(|lease| lease.value.holder == other)
             .count()
     };
-    grant(&mut granting, at(0));
-    granting.writer = Writer::Idle;
-    assert!(grant(&mut granting, at(1)) > 0);
-    granting.unfit(at(10), &other);
-    assert_eq!(grant(&mut granting, at(10)), 0);
-    assert_eq!(grant(&mut granting, at(39)), 0);
-    assert!(grant(&mut granting, at(41)) > 0);
-    granting.unfit(at(50), &other);
-    assert_eq!(grant(&mut granting, at(100)), 0, "twice as long");
-    assert!(grant(&mut granting, at(111)) > 0);
+    lease(&mut block_lease_manager, at(0));
+    block_lease_manager.writer = Writer::Idle;
+    assert!(lease(&mut block_lease_manager, at(1)) > 0);
+    block_lease_manager.unfit(at(10), &other);
+    assert_eq!(lease(&mut block_lease_manager, at(10)), 0);
+    assert_eq!(lease(&mut block_lease_manager, at(39)), 0);
+    assert!(lease(&mut block_lease_manager, at(41)) > 0);
+    block_lease_manager.unfit(at(50), &other);
+    assert_eq!(lease(&mut block_lease_manager, at(100)), 0, "twice as long");
+    assert!(lease(&mut block_lease_manager, at(111)) > 0);
     // If nobody can do it, things stay as they are.
-    granting.unfit(at(120), &other);
-    granting.unfit(at(120), &config.name);
-    assert!(grant(&mut granting, at(121)) > 0);
+    block_lease_manager.unfit(at(120), &other);
+    block_lease_manager.unfit(at(120), &config.name);
+    assert!(lease(&mut block_lease_manager, at(121)) > 0);
 }
--- a/src/cancellation/mod.rs
+++ b/src/cancellation/mod.rs
@@ -17,7 +17,7 @@
 use crate::provisioning::{Call, CallOutcome, Tag};
 use crate::store::WatchCache;
 use crate::store::cache::ChangedRecords;
-use crate::store::records::Grant;
+use crate::store::records::BlockLease;
 
 /// How long before a cancelled task has to be gone its machine is given up: time for the deletion, and for clocks that
 /// differ.
@@ -188,7 +188,7 @@
     /// not end the tasks of holders that hear all other controllers, for nobody can confirm what they don't hear of.
     ///
     /// Only in an outage for all: where others reach the state service, who does not is replaced, and goes on answering the
-    /// workers that nobody else can find only for the life of its grant.
+    /// workers that nobody else can find only for the life of its block lease.
     pub fn known_until(&self, now: Now, config: &Config) -> Option<Instant> {
         let covers = config.peers.iter().map(|peer| {
             let peer = self.peers.get(&peer.name)?;
@@ -205,10 +205,10 @@
         }
     }
 
-    /// Whether the process that holds this grant was heard lately.
-    pub fn holder_heard(&self, now: Now, grant: &Grant) -> bool {
-        let peer = self.peers.get(&grant.holder);
-        peer.is_some_and(|peer| peer.boot == grant.boot && since(now, peer.at) < HEARD_WITHIN)
+    /// Whether the process that holds this block lease was heard lately.
+    pub fn holder_heard(&self, now: Now, lease: &BlockLease) -> bool {
+        let peer = self.peers.get(&lease.holder);
+        peer.is_some_and(|peer| peer.boot == lease.boot && since(now, peer.at) < HEARD_WITHIN)
     }
 
     /// Deletes machines that must be rid of a cancelled task: those of our blocks of which that is not proven, and
@@ -237,11 +237,11 @@
             for ((index, number), place) in cache.placed(*job) {
                 let left = cache.machines.contains_key(&place.machine)
                     && !self.deleted.contains(&place.machine);
-                let Some(grant) = cache
-                    .grants
+                let Some(lease) = cache
+                    .block_leases
                     .get(&place.block)
                     .filter(|_| left)
-                    .map(|grant| &grant.value)
+                    .map(|lease| &lease.value)
                 else {
                     continue;
                 };
@@ -252,10 +252,10 @@
                     },
                     number: *number,
                 };
-                let settled = if grant.holder == config.name && grant.boot == boot {
+                let settled = if lease.holder == config.name && lease.boot == boot {
                     proven(&place.block, &place.machine, &attempt)
                 } else {
-                    self.holder_heard(now, grant)
+                    self.holder_heard(now, lease)
                 };
                 if !settled && due.insert(place.machine.clone()) {
                     warn!(machine = %place.machine, %attempt, "machine deleted: its cancelled task must be gone");
--- a/src/cancellation/tests.rs
+++ b/src/cancellation/tests.rs
@@ -6,8 +6,8 @@
 use crate::placement::tests::job;
 use crate::store::Change;
 use crate::store::records::{
-    JobRecord, MachineState, Places, Roster, Rostered, encode, grant_key, job_key, places_key,
-    roster_key,
+    JobRecord, MachineState, Places, Roster, Rostered, block_lease_key, encode, job_key,
+    places_key, roster_key,
 };
 
 const BOOT: u64 = 7;
@@ -59,14 +59,14 @@
                     on: machines,
                 }),
             );
-            let grant = Grant {
+            let lease = BlockLease {
                 zone: "a".into(),
                 holder: holder.clone(),
                 boot,
                 token: 4,
                 term: 3,
             };
-            put(grant_key(&block.into()), encode(&grant));
+            put(block_lease_key(&block.into()), encode(&lease));
             let mut places = Places::default();
             for (machine, job) in on {
                 let task = TaskId {
@@ -200,9 +200,9 @@
 fn only_signs_of_life_of_the_process_that_holds_the_grant_count_and_late_ones_do_not() {
     let mut copy = Copy::new();
     let late = copy.config.cancel_within - OVERDUE_MARGIN;
-    let grant = copy.cache.grants[&BlockId::from("b.0")].value.clone();
+    let lease = copy.cache.block_leases[&BlockId::from("b.0")].value.clone();
     let heard =
-        |copy: &Copy, after: Duration| copy.cancellations.holder_heard(copy.at(after), &grant);
+        |copy: &Copy, after: Duration| copy.cancellations.holder_heard(copy.at(after), &lease);
     copy.hear_holder(Duration::from_secs(1), 3, 5);
     assert!(heard(&copy, Duration::from_secs(1)));
     copy.hear_holder(late, 3, 4);
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -9,7 +9,7 @@
 use rand::{Rng, SeedableRng};
 use tracing::{info, warn};
 
-use crate::blocks::Granting;
+use crate::block_leases::BlockLeaseManager;
 use crate::cancellation::Cancellations;
 use crate::config::Config;
 use crate::domain::{Attempt, BlockId, ControllerName, MachineId, Now, Zone, since};
@@ -36,13 +36,13 @@
     WatchCache(cache::Tag),
     Leadership(leadership::Tag),
     Intake(RequestId),
-    Granting(u64),
+    BlockLeaseManager(u64),
     Upgrade,
     Provisioning(u64),
     Queueing(u64),
     Draining(u64),
     Operations,
-    Block { block: BlockId, grant_version: u64 },
+    Block { block: BlockId, lease_version: u64 },
 }
 
 #[derive(Debug)]
@@ -154,7 +154,7 @@
     cache: WatchCache,
     budget: Budget<StoreTag>,
     leadership: Leadership,
-    granting: Granting,
+    block_lease_manager: BlockLeaseManager,
     upgrade: Upgrade,
     /// The format that this process has taken up.
     format: u32,
@@ -219,7 +219,7 @@
             cache: WatchCache::new(&config.state_limits, config.controllers()),
             config,
             budget,
-            granting: Granting::new(),
+            block_lease_manager: BlockLeaseManager::new(),
             upgrade: Upgrade::new(),
             format: 0,
             cancellations: Cancellations::new(),
@@ -302,7 +302,7 @@
         );
     }
 
-    /// Until when what we know of the grants may be acted on: counted from before it was asked for. That others may hold
+    /// Until when what we know of the block leases may be acted on: counted from before it was asked for. That others may hold
     /// them by now is what tokens are for; what has an end is how long a cancellation may be unknown to us.
     fn entitled_until(&self, now: Now) -> Instant {
         let fresh = self.cache.fresh_since().map(|fresh| {
@@ -312,7 +312,7 @@
         });
         fresh
             .flatten()
-            .map_or(now.steady, |known| known + self.policy.grant_life)
+            .map_or(now.steady, |known| known + self.policy.block_lease_duration)
     }
 
     /// Whether users should come here. Not if only we can't reach the state service; during an outage for all,
@@ -334,7 +334,7 @@
         if gap > STOOD_STILL {
             info!(?gap, "stood still");
             self.fleet.stood_still(gap);
-            self.granting.stood_still(gap);
+            self.block_lease_manager.stood_still(gap);
             self.cancellations.stood_still(gap);
         }
         match event {
@@ -436,7 +436,7 @@
         let slice = match &tag {
             StoreTag::WatchCache(_) | StoreTag::Leadership(_) => None,
             StoreTag::Intake(_) => Some("intake"),
-            StoreTag::Granting(_) => Some("granting"),
+            StoreTag::BlockLeaseManager(_) => Some("granting"),
             StoreTag::Upgrade => Some("upgrade"),
             StoreTag::Provisioning(_) => Some("provisioning"),
             StoreTag::Queueing(_) => Some("queueing"),
@@ -474,9 +474,9 @@
                     self.tell_peers(&Message::Cancelled(vec![cancelled]), effects);
                 }
             }
-            StoreTag::Granting(term) => {
+            StoreTag::BlockLeaseManager(term) => {
                 if self.term() == Some(term) {
-                    self.granting.answered(now, &outcome);
+                    self.block_lease_manager.answered(now, &outcome);
                 }
             }
             StoreTag::Upgrade => self.upgrade.answered(now, &outcome),
@@ -502,9 +502,9 @@
             StoreTag::Operations => self.operations.written(now, &outcome),
             StoreTag::Block {
                 block,
-                grant_version,
+                lease_version,
             } => {
-                self.fleet.written(now, &block, grant_version, &outcome);
+                self.fleet.written(now, &block, lease_version, &outcome);
                 self.status_due = true;
             }
         }
@@ -529,23 +529,24 @@
     fn peer(&mut self, now: Now, message: Message) {
         match message {
             Message::Status(status) => {
-                self.granting
+                self.block_lease_manager
                     .heard_from(now, &status.controller, status.boot);
                 if let Some(leading) = &mut self.leading {
                     leading.queues.strayed(now, status.strays);
                 }
                 for block in status.blocks {
-                    let granted = self.cache.grants.get(&block.block);
-                    let current = granted.is_some_and(|grant| {
-                        grant.value.holder == status.controller
-                            && grant.value.boot == status.boot
-                            && grant.value.token == block.token
+                    let granted = self.cache.block_leases.get(&block.block);
+                    let current = granted.is_some_and(|lease| {
+                        lease.value.holder == status.controller
+                            && lease.value.boot == status.boot
+                            && lease.value.token == block.token
                     });
                     if !current {
                         continue;
                     }
                     if block.wants_new_token {
-                        self.granting.wants_new_token(&block.block, block.token);
+                        self.block_lease_manager
+                            .wants_new_token(&block.block, block.token);
                     }
                     if let Some(leading) = &mut self.leading {
                         leading.queues.status(now, block);
@@ -636,12 +637,12 @@
                 self.fleet
                     .write(now, &self.config, writes, &mut self.cache, &self.flavors)
         {
-            let grant_version = self.fleet.grant_version(&block);
+            let lease_version = self.fleet.lease_version(&block);
             self.ask(
                 Urgency::Work,
                 StoreTag::Block {
                     block,
-                    grant_version,
+                    lease_version,
                 },
                 op,
             );
@@ -755,8 +756,8 @@
         let op = self.upgrade.poll(now, &lead, &mut self.cache);
         ops.extend(op.map(|op| (Urgency::Authority, StoreTag::Upgrade, op)));
         if self.flavors.known() {
-            let op = self.granting.poll(now, &lead, &mut self.cache);
-            ops.extend(op.map(|op| (Urgency::Authority, StoreTag::Granting(term), op)));
+            let op = self.block_lease_manager.poll(now, &lead, &mut self.cache);
+            ops.extend(op.map(|op| (Urgency::Authority, StoreTag::BlockLeaseManager(term), op)));
         }
         let Some(leading) = &mut self.leading else {
             return;
@@ -804,13 +805,13 @@
         self.stale_plan = false;
         let unreaching = leading.queues.unreaching(now, &self.config, &self.cache);
         for holder in &unreaching {
-            self.granting.unfit(now, holder);
+            self.block_lease_manager.unfit(now, holder);
         }
         let health = leading.queues.health(now, &self.cache, &unreaching);
         let settled = |block: &BlockId, attempt: &Attempt| {
             let heard = || {
-                let grant = self.cache.grants.get(block);
-                grant.is_some_and(|grant| self.cancellations.holder_heard(now, &grant.value))
+                let lease = self.cache.block_leases.get(block);
+                lease.is_some_and(|lease| self.cancellations.holder_heard(now, &lease.value))
             };
             leading
                 .queues
@@ -854,9 +855,9 @@
         }
         let mut by_holder: BTreeMap<ControllerName, Vec<Work>> = BTreeMap::new();
         for work in messages {
-            if let Some(grant) = self.cache.grants.get(&work.block) {
+            if let Some(lease) = self.cache.block_leases.get(&work.block) {
                 by_holder
-                    .entry(grant.value.holder.clone())
+                    .entry(lease.value.holder.clone())
                     .or_default()
                     .push(work);
             }
--- a/src/fleet/block.rs
+++ b/src/fleet/block.rs
@@ -17,7 +17,7 @@
 use crate::provisioning::Flavors;
 use crate::store::cache::Parts;
 use crate::store::records::{
-    Grant, PARTS_FORMAT, Part, Places, grant_key, job_key, roster_part_key,
+    BlockLease, PARTS_FORMAT, Part, Places, block_lease_key, job_key, roster_part_key,
 };
 use crate::store::{Op, Outcome, Txn, Versioned, WatchCache, Writer};
 
@@ -57,7 +57,7 @@
 pub(super) struct Block {
     pub(super) id: BlockId,
     pub(super) token: u64,
-    pub(super) grant_version: u64,
+    pub(super) lease_version: u64,
     /// All parts together, and the version of the last change to any of them.
     pub(super) places: Places,
     pub(super) places_version: u64,
@@ -103,11 +103,11 @@
 }
 
 impl Block {
-    pub(super) fn new(id: BlockId, grant: &Versioned<Grant>, recorded: Recorded) -> Self {
+    pub(super) fn new(id: BlockId, lease: &Versioned<BlockLease>, recorded: Recorded) -> Self {
         Block {
             id,
-            token: grant.value.token,
-            grant_version: grant.version,
+            token: lease.value.token,
+            lease_version: lease.version,
             places: recorded.places,
             places_version: recorded.version,
             parts: recorded.parts,
@@ -157,7 +157,7 @@
         }
     }
 
-    /// A new leader, or the same under a new grant, knows nothing of our machines.
+    /// A new leader, or the same under a new block lease, knows nothing of our machines.
     pub(super) fn forget_told(&mut self) {
         self.number = 0;
         self.heard = 0;
@@ -590,7 +590,7 @@
             self.take_recorded(cache);
         }
         let limits = PartLimits::new(&config.state_limits, most, cache.format() >= PARTS_FORMAT);
-        let mut txn = Txn::default().when(grant_key(&self.id), self.grant_version);
+        let mut txn = Txn::default().when(block_lease_key(&self.id), self.lease_version);
         let mut placed = Placed::default();
         let dividing = PartsDraft::dividing(&self.parts, limits, &self.unsure_parts);
         let draft = match dividing {
@@ -692,7 +692,7 @@
         self.refused.clear();
         let mut placed = Placed::default();
         let mut fenced = false;
-        // Those on the grant and on the parts apart.
+        // Those on the block lease and on the parts apart.
         let most_conditions = (CONDITIONS_PER_CHANGE * config.state_limits.txn_ops)
             .saturating_sub(1 + draft.most_changes())
             .max(2);
@@ -758,10 +758,10 @@
         placed
     }
 
-    pub(super) fn written(&mut self, now: Now, grant_version: u64, outcome: &Outcome) {
+    pub(super) fn written(&mut self, now: Now, lease_version: u64, outcome: &Outcome) {
         self.writer.answered(now, outcome);
         let draft = self.draft.take();
-        if grant_version != self.grant_version {
+        if lease_version != self.lease_version {
             // The answer to a write under an older leader: our copy already holds it if it was committed.
             self.writer = Writer::Unsure { since: now.steady };
             return;
@@ -839,7 +839,7 @@
         BlockStatus {
             block: self.id.clone(),
             token: self.token,
-            grant_version: self.grant_version,
+            lease_version: self.lease_version,
             last_work: self.last_work,
             pending,
             refused: self.refused.clone(),
--- a/src/fleet/mod.rs
+++ b/src/fleet/mod.rs
@@ -87,7 +87,7 @@
         Fleet::default()
     }
 
-    /// Takes up blocks granted to us and drops those that are not any more.
+    /// Takes up blocks leased to us and drops those that are not any more.
     pub fn sync(
         &mut self,
         now: Now,
@@ -96,8 +96,8 @@
         cache: &WatchCache,
         changed: &ChangedRecords,
     ) {
-        if changed.all || changed.grants {
-            self.sync_grants(now, config, boot, cache);
+        if changed.all || changed.block_leases {
+            self.sync_block_leases(now, config, boot, cache);
         }
         if changed.all {
             for block in self.blocks.values_mut() {
@@ -114,12 +114,12 @@
         self.jobs_ended(cache, changed);
     }
 
-    fn sync_grants(&mut self, now: Now, config: &Config, boot: u64, cache: &WatchCache) {
+    fn sync_block_leases(&mut self, now: Now, config: &Config, boot: u64, cache: &WatchCache) {
         let ours = |block: &BlockId| {
             cache
-                .grants
+                .block_leases
                 .get(block)
-                .filter(|grant| grant.value.holder == config.name && grant.value.boot == boot)
+                .filter(|lease| lease.value.holder == config.name && lease.value.boot == boot)
         };
         self.blocks.retain(|id, block| {
             let kept = ours(id).is_some();
@@ -128,18 +128,18 @@
             }
             kept
         });
-        for (id, grant) in &cache.grants {
+        for (id, lease) in &cache.block_leases {
             if ours(id).is_none() {
                 continue;
             }
             let recorded = recorded(cache, id);
             match self.blocks.get_mut(id) {
-                Some(block) if block.grant_version >= grant.version => {}
+                Some(block) if block.lease_version >= lease.version => {}
                 Some(block) => {
                     // A new leader. What the old one wanted is void, and no write under the old version can
                     // be committed any more, so our copy holds all that were.
-                    block.grant_version = grant.version;
-                    block.raise(grant.value.token);
+                    block.lease_version = lease.version;
+                    block.raise(lease.value.token);
                     block.places = recorded.places;
                     block.places_version = recorded.version;
                     block.parts = recorded.parts;
@@ -157,8 +157,8 @@
                     }
                 }
                 None => {
-                    info!(block = %id, token = grant.value.token, tasks = recorded.places.attempts().count(), "block taken up");
-                    let mut block = Block::new(id.clone(), grant, recorded);
+                    info!(block = %id, token = lease.value.token, tasks = recorded.places.attempts().count(), "block taken up");
+                    let mut block = Block::new(id.clone(), lease, recorded);
                     block.sync_machines(now, cache);
                     self.blocks.insert(id.clone(), block);
                 }
@@ -166,7 +166,7 @@
         }
     }
 
-    /// A worker's report. `entitled`: our copy of the grants is recent enough to act on. If it is not, the report still
+    /// A worker's report. `entitled`: our copy of the block leases is recent enough to act on. If it is not, the report still
     /// tells what is gone, and which machines are alive.
     pub fn report(
         &mut self,
@@ -200,9 +200,9 @@
         let block_id = &machine.block;
         let Some(block) = self.blocks.get_mut(block_id) else {
             let holder = cache
-                .grants
+                .block_leases
                 .get(block_id)
-                .map(|grant| grant.value.holder.clone());
+                .map(|lease| lease.value.holder.clone());
             self.strays.insert(report.machine, now.steady);
             return Answer::Elsewhere(holder.filter(|holder| *holder != config.name));
         };
@@ -236,12 +236,12 @@
         block.commanded(now, machine, body, outcome, cache);
     }
 
-    /// What the leader wants. False if our grant is not the one it means.
+    /// What the leader wants. False if our block lease is not the one it means.
     pub fn work(&mut self, work: Work) -> bool {
         let Some(block) = self.blocks.get_mut(&work.block) else {
             return false;
         };
-        if block.grant_version != work.grant_version {
+        if block.lease_version != work.lease_version {
             return false;
         }
         if work.number <= block.last_work {
@@ -323,19 +323,19 @@
         None
     }
 
-    pub fn written(&mut self, now: Now, block: &BlockId, grant_version: u64, outcome: &Outcome) {
+    pub fn written(&mut self, now: Now, block: &BlockId, lease_version: u64, outcome: &Outcome) {
         if let Some(block) = self.blocks.get_mut(block) {
-            block.written(now, grant_version, outcome);
+            block.written(now, lease_version, outcome);
         }
     }
 
-    pub fn grant_version(&self, block: &BlockId) -> u64 {
+    pub fn lease_version(&self, block: &BlockId) -> u64 {
         self.blocks
             .get(block)
-            .map_or(0, |block| block.grant_version)
+            .map_or(0, |block| block.lease_version)
     }
 
-    /// Commands that should not wait for the next report. Without a grant that is known to last (`entitled`) only those
+    /// Commands that should not wait for the next report. Without a block lease that is known to last (`entitled`) only those
     /// that end tasks of cancelled jobs: a cancellation is final, whoever may hold the block by now.
     pub fn commands(
         &mut self,
--- a/src/fleet/tests.rs
+++ b/src/fleet/tests.rs
@@ -15,7 +15,8 @@
 use crate::provisioning::wire::tests::flavor;
 use crate::store::Change;
 use crate::store::records::{
-    Grant, JobRecord, MachineState, Roster, Rostered, encode, grant_key, job_key, roster_key,
+    BlockLease, JobRecord, MachineState, Roster, Rostered, block_lease_key, encode, job_key,
+    roster_key,
 };
 
 const BOOT: u64 = 7;
@@ -67,7 +68,7 @@
             }),
         );
         holder.put(job_key(JobId(1)), encode(&JobRecord::Open(job)));
-        holder.grant(4);
+        holder.lease(4);
         holder.report("m-1", 4, &[]);
         holder.report("m-2", 4, &[]);
         holder
@@ -89,16 +90,16 @@
             .sync(self.now, &self.config, BOOT, &self.cache, &changed);
     }
 
-    fn grant(&mut self, token: u64) {
+    fn lease(&mut self, token: u64) {
         let holder = self.config.name.clone();
-        let grant = Grant {
+        let lease = BlockLease {
             zone: "a".into(),
             holder,
             boot: BOOT,
             token,
             term: 3,
         };
-        self.put(grant_key(&"a.0".into()), encode(&grant));
+        self.put(block_lease_key(&"a.0".into()), encode(&lease));
     }
 
     fn message(
@@ -148,12 +149,12 @@
             job: JobId(1),
             index: 0,
         };
-        let grant_version = self.fleet.grant_version(&"a.0".into());
+        let lease_version = self.fleet.lease_version(&"a.0".into());
         let want = vec![Wanted {
             attempt: Attempt { task, number },
             machine: machine.into(),
         }];
-        let work = work_of(grant_version, message, want);
+        let work = work_of(lease_version, message, want);
         assert!(self.fleet.work(work));
     }
 
@@ -181,11 +182,11 @@
                     value: Some(value),
                 });
             }
-            let grant_version = self.fleet.grant_version(&block);
+            let lease_version = self.fleet.lease_version(&block);
             self.fleet.written(
                 self.now,
                 &block,
-                grant_version,
+                lease_version,
                 &Outcome::Committed {
                     revision: self.version,
                 },
@@ -229,7 +230,7 @@
         );
     }
 
-    /// The orders that go out without a grant that is known to last.
+    /// The orders that go out without a block lease that is known to last.
     fn unentitled(&mut self) -> Vec<Order> {
         let commands = self
             .fleet
@@ -241,7 +242,7 @@
     }
 }
 
-/// In an outage no grant is known to last, while machines go on with tasks of jobs that were cancelled before it.
+/// In an outage no block lease is known to last, while machines go on with tasks of jobs that were cancelled before it.
 #[test]
 fn a_cancelled_task_is_stopped_without_a_grant_that_lasts_and_nothing_else_is_done() {
     let mut holder = Holder::new(job(1, 1.0));
@@ -264,7 +265,7 @@
         },
         number: 9,
     };
-    let version = holder.fleet.grant_version(&"a.0".into());
+    let version = holder.fleet.lease_version(&"a.0".into());
     assert!(holder.fleet.work(Work {
         stop: vec![attempt],
         ..work_of(version, 2, Vec::new())
@@ -386,11 +387,11 @@
     );
 }
 
-fn work_of(grant_version: u64, number: u64, want: Vec<Wanted>) -> Work {
+fn work_of(lease_version: u64, number: u64, want: Vec<Wanted>) -> Work {
     let (stop, addresses) = (Vec::new(), Vec::new());
     Work {
         block: "a.0".into(),
-        grant_version,
+        lease_version,
         number,
         heard: 0,
         want,
@@ -418,7 +419,7 @@
     let mut holder = Holder::new(job(1, 1.0));
     holder.want(9, "m-1", 1);
     holder.write();
-    holder.grant(6);
+    holder.lease(6);
     let raising = holder.commands();
     assert!(raising.iter().all(|command| command.body.token == 6) && launches(&raising) == 0);
     let shown = holder.message("m-1", 6, &[]);
@@ -464,7 +465,7 @@
     holder.tick();
     let policy = Policy::defaults(&holder.config);
     assert!(holder.fleet.status(holder.now, &policy)[0].wants_new_token);
-    holder.grant(6);
+    holder.lease(6);
     assert!(reaped(holder.report("m-1", 6, &failed)));
 }
 
@@ -487,20 +488,20 @@
         on: [("m-3".into(), entry)].into(),
     };
     holder.put(roster_key(&"a.1".into()), encode(&roster));
-    let grant = Grant {
+    let lease = BlockLease {
         zone: "a".into(),
         holder: holder.config.name.clone(),
         boot: BOOT,
         token: 5,
         term: 3,
     };
-    holder.put(grant_key(&"a.1".into()), encode(&grant));
+    holder.put(block_lease_key(&"a.1".into()), encode(&lease));
     holder.report("m-3", 5, &[]);
     // Each round brings new work for both, but only one write can be sent.
     let mut written: HashMap<BlockId, usize> = HashMap::new();
     for round in 0..8 {
         for (block, machine) in [("a.0", "m-1"), ("a.1", "m-3")] {
-            let grant_version = holder.fleet.grant_version(&block.into());
+            let lease_version = holder.fleet.lease_version(&block.into());
             let index = round * 2 + u32::from(block == "a.1");
             let attempt = Attempt {
                 task: TaskId {
@@ -516,7 +517,7 @@
             let number = u64::from(round) + 1;
             let work = Work {
                 block: block.into(),
-                ..work_of(grant_version, number, want)
+                ..work_of(lease_version, number, want)
             };
             assert!(holder.fleet.work(work));
         }
@@ -529,14 +530,14 @@
             &holder.flavors,
         );
         let (block, _) = next.expect("there is work");
-        let grant_version = holder.fleet.grant_version(&block);
+        let lease_version = holder.fleet.lease_version(&block);
         *written.entry(block.clone()).or_default() += 1;
         holder.version += 1;
         let revision = holder.version;
         holder.fleet.written(
             holder.now,
             &block,
-            grant_version,
+            lease_version,
             &Outcome::Committed { revision },
         );
     }
@@ -618,7 +619,7 @@
         !holder.fleet.status(holder.now, &policy)[0].wants_new_token,
         "nothing waits for it"
     );
-    holder.grant(6);
+    holder.lease(6);
     assert!(reaped(holder.report("m-1", 6, &stopped)));
     // What is done ends again at once, so it may be forgotten.
     let command = holder
@@ -659,13 +660,13 @@
 }
 
 /// Found on the bench: a controller that lost the state service went on answering its workers for the life of its
-/// grant, the new holder knew none of their addresses and heard nothing, and they were given up with all on them.
+/// block lease, the new holder knew none of their addresses and heard nothing, and they were given up with all on them.
 #[test]
 fn a_new_holder_raises_the_token_of_workers_that_it_was_told_of() {
     let mut holder = Holder::new(job(1, 1.0));
     let policy = Policy::defaults(&holder.config);
-    holder.put(grant_key(&"a.0".into()), ciborium::Value::Null);
-    holder.grant(6);
+    holder.put(block_lease_key(&"a.0".into()), ciborium::Value::Null);
+    holder.lease(6);
     assert_eq!(holder.commands(), [], "nothing is known of them");
     holder.now.steady += policy.unheard_after + Duration::from_secs(1);
     assert!(
@@ -674,11 +675,11 @@
             .iter()
             .all(|machine| !machine.silent)
     );
-    let grant_version = holder.fleet.grant_version(&"a.0".into());
+    let lease_version = holder.fleet.lease_version(&"a.0".into());
     let addresses = vec![("m-1".into(), "10.1.0.1:9000".to_owned())];
     assert!(holder.fleet.work(Work {
         addresses,
-        ..work_of(grant_version, 1, Vec::new())
+        ..work_of(lease_version, 1, Vec::new())
     }));
     let command = holder.commands().remove(0);
     assert_eq!(
@@ -805,12 +806,12 @@
             },
             number,
         };
-        let grant_version = holder.fleet.grant_version(&"a.0".into());
+        let lease_version = holder.fleet.lease_version(&"a.0".into());
         let want = vec![Wanted {
             attempt,
             machine: "m-1".into(),
         }];
-        assert!(holder.fleet.work(work_of(grant_version, number, want)));
+        assert!(holder.fleet.work(work_of(lease_version, number, want)));
         holder.write();
         for (state, cause) in [
             (TaskState::Running, None),
@@ -918,14 +919,14 @@
         let (block, _) = fleet
             .write(*now, config, PLENTY, cache, flavors)
             .expect("something to write");
-        let grant_version = fleet.grant_version(&block);
-        fleet.written(*now, &block, grant_version, &outcome);
+        let lease_version = fleet.lease_version(&block);
+        fleet.written(*now, &block, lease_version, &outcome);
     };
     let policy = Policy::defaults(&holder.config);
     write(&mut holder, Outcome::Unknown);
     // The leader takes the release back.
-    let grant_version = holder.fleet.grant_version(&"a.0".into());
-    assert!(holder.fleet.work(work_of(grant_version, 2, Vec::new())));
+    let lease_version = holder.fleet.lease_version(&"a.0".into());
+    assert!(holder.fleet.work(work_of(lease_version, 2, Vec::new())));
     for outcome in [Outcome::Refused, Outcome::Conflict, Outcome::Refused] {
         write(&mut holder, outcome);
         let status = holder.fleet.status(holder.now, &policy).remove(0);
--- a/src/fleet/worker.rs
+++ b/src/fleet/worker.rs
@@ -39,7 +39,7 @@
     pub(super) session: u64,
     pub(super) seq: u64,
     pub(super) token: u64,
-    /// Steady time of the last report that reached us, or of the grant if there was none yet. Answers don't count.
+    /// Steady time of the last report that reached us, or of the block lease if there was none yet. Answers don't count.
     pub(super) heard: Instant,
     pub(super) reported: bool,
     pub(super) notice: bool,
@@ -156,10 +156,10 @@
             (true, _) => policy.silent_after,
             (false, Some(_)) => policy.unheard_after,
             // Nobody knows where it is, so it can't be asked, and the block's last holder, if it lost only the state
-            // service, answers its reports for the life of its grant.
+            // service, answers its reports for the life of its block lease.
             (false, None) => policy
                 .unheard_after
-                .max(policy.grant_life + policy.silent_after),
+                .max(policy.block_lease_duration + policy.silent_after),
         };
         let deaf = self
             .deaf
--- a/src/leadership/mod.rs
+++ b/src/leadership/mod.rs
@@ -44,7 +44,7 @@
 #[derive(Debug, Clone, Copy, PartialEq)]
 enum KeyLease {
     NotHeld,
-    Granting,
+    BlockLeaseManager,
     /// Open, and the record's transaction is on its way.
     AttachingKey {
         id: u64,
@@ -146,7 +146,7 @@
         match &mut self.member {
             KeyLease::NotHeld => {
                 if cache.ready() && self.member_retry.is_none_or(|at| now.steady >= at) {
-                    self.member = KeyLease::Granting;
+                    self.member = KeyLease::BlockLeaseManager;
                     ops.push((
                         Tag::GrantLease(LeaseRole::Member),
                         Op::GrantLease {
@@ -178,7 +178,7 @@
                     ));
                 }
             }
-            KeyLease::Granting | KeyLease::AttachingKey { .. } => {}
+            KeyLease::BlockLeaseManager | KeyLease::AttachingKey { .. } => {}
         }
     }
 
@@ -252,7 +252,7 @@
         });
         if since(now, began) >= self.patience && self.leader_retry.is_none_or(|at| now.steady >= at)
         {
-            self.leader = KeyLease::Granting;
+            self.leader = KeyLease::BlockLeaseManager;
             ops.push((
                 Tag::GrantLease(LeaseRole::Leader),
                 Op::GrantLease {
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -3,7 +3,7 @@
 
 pub use dappleshore_domain as domain;
 
-pub mod blocks;
+pub mod block_leases;
 pub mod cancellation;
 pub mod cli;
 pub mod client;
--- a/src/operations/mod.rs
+++ b/src/operations/mod.rs
@@ -231,7 +231,7 @@
         budgets: &budgets,
         machines: &machines,
         blocks: cache
-            .grants
+            .block_leases
             .keys()
             .chain(cache.rosters.keys())
             .cloned()
--- a/src/peer/mod.rs
+++ b/src/peer/mod.rs
@@ -110,8 +110,9 @@
 pub struct BlockStatus {
     pub block: BlockId,
     pub token: u64,
-    pub grant_version: u64,
-    /// The last work message seen under this grant.
+    #[serde(rename = "grant_version")]
+    pub lease_version: u64,
+    /// The last work message seen under this block lease.
     pub last_work: u64,
     /// Attempts that may still be recorded as placed. What the leader wanted by `last_work` and is neither
     /// here nor in the block's places of `revision` never will be.
@@ -127,7 +128,7 @@
     /// Workers that this holder has heard from or could ask, and how many of them are overdue.
     pub expected: u32,
     pub overdue: u32,
-    /// Rises with every message under a grant. A message that is not newer than the last one is late.
+    /// Rises with every message under a block lease. A message that is not newer than the last one is late.
     pub number: u64,
     /// The machines that have changed since the last message that the leader is known to have heard.
     pub machines: Vec<MachineStatus>,
@@ -164,7 +165,8 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Work {
     pub block: BlockId,
-    pub grant_version: u64,
+    #[serde(rename = "grant_version")]
+    pub lease_version: u64,
     /// Rises with every message of a term.
     pub number: u64,
     /// The last status of this block that the leader has taken in.
--- a/src/peer/tests.rs
+++ b/src/peer/tests.rs
@@ -29,7 +29,7 @@
     BlockStatus {
         block: format!("zone.{number}").as_str().into(),
         token: 1 << 30,
-        grant_version: 1 << 30,
+        lease_version: 1 << 30,
         last_work: 1 << 20,
         pending: (0..150).map(|n| (1 << 50) + n).collect(),
         refused: Vec::new(),
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -25,10 +25,10 @@
     pub round: Duration,
     /// Multiplies the margin of the rule.
     pub headroom: f64,
-    /// How long a controller may act on a grant without having read the state service.
-    pub grant_life: Duration,
+    /// How long a controller may act on a block lease without having read the state service.
+    pub block_lease_duration: Duration,
     pub blocks_per_controller: usize,
-    /// How long a controller may be silent before its blocks are granted to others.
+    /// How long a controller may be silent before its blocks are leased to others.
     pub suspect_after: Duration,
     /// How long a worker may be silent before its machine is given up, if a question went unanswered too.
     pub silent_after: Duration,
@@ -107,9 +107,9 @@
         Self::parse(&shown, &text, config)
     }
 
-    /// A holder that is cut off renews leases for the life of its grant, and a worker keeps its tasks for a
+    /// A holder that is cut off renews leases for the life of its block lease, and a worker keeps its tasks for a
     /// lease longer. Both together must be over when a cancelled task has to be gone.
-    pub fn longest_grant(config: &Config) -> Duration {
+    pub fn longest_block_lease(config: &Config) -> Duration {
         let left = config.cancel_within.saturating_sub(config.worker_lease);
         left.saturating_sub(CANCEL_MARGIN).max(left / 2)
     }
@@ -124,8 +124,8 @@
         };
         let report_s = config.report_every.as_secs_f64();
         let lease_s = config.worker_lease.as_secs_f64();
-        let longest_grant_s = Self::longest_grant(config).as_secs_f64();
-        let shortest_grant_s = report_s.min(longest_grant_s);
+        let longest_block_lease_s = Self::longest_block_lease(config).as_secs_f64();
+        let shortest_block_lease_s = report_s.min(longest_block_lease_s);
         let silence = (1.5 * report_s, 10.0 * lease_s.max(report_s));
         let mut team_shares = BTreeMap::new();
         for team in &config.teams {
@@ -137,7 +137,10 @@
         Ok(Policy {
             round: values.seconds("round_s", (0.5, 60.0))?,
             headroom: values.number("headroom", (1.0, 4.0))?,
-            grant_life: values.seconds("grant_life_s", (shortest_grant_s, longest_grant_s))?,
+            block_lease_duration: values.seconds(
+                "grant_life_s",
+                (shortest_block_lease_s, longest_block_lease_s),
+            )?,
             blocks_per_controller: values.number("blocks_per_controller", (1.0, 4.0))? as usize,
             suspect_after: values.seconds("suspect_after_s", (1.0, 30.0))?,
             silent_after: values.seconds("silent_after_s", silence)?,
@@ -168,7 +171,7 @@
         ("zones", count(config.zones.len())),
         (
             "longest_grant_s",
-            Policy::longest_grant(config).as_secs_f64(),
+            Policy::longest_block_lease(config).as_secs_f64(),
         ),
     ]
 }
--- a/src/policy/tests.rs
+++ b/src/policy/tests.rs
@@ -8,8 +8,8 @@
 #[test]
 fn a_cut_off_holder_is_over_before_a_cancelled_task_must_be_gone() {
     let policy = Policy::defaults(&config());
-    assert!(policy.grant_life + config().worker_lease < config().cancel_within);
-    assert!(policy.grant_life > Duration::from_secs(20));
+    assert!(policy.block_lease_duration + config().worker_lease < config().cancel_within);
+    assert!(policy.block_lease_duration > Duration::from_secs(20));
     // Nor can a policy change that.
     let error =
         Policy::parse("p.toml", "grant_life_s = \"cancel_s\"", &config()).expect_err("unsafe");
@@ -32,7 +32,7 @@
             .replace("cancel_s = 50.0", &format!("cancel_s = {cancel}"));
         let config = Config::parse("s.toml", &text).expect("valid");
         let policy = Policy::defaults(&config);
-        assert!(policy.grant_life + config.worker_lease < config.cancel_within);
+        assert!(policy.block_lease_duration + config.worker_lease < config.cancel_within);
     }
 }
 
--- a/src/provisioning/edits.rs
+++ b/src/provisioning/edits.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, HashMap};
 
 use super::Demand;
-use crate::blocks;
+use crate::block_leases;
 use crate::domain::{BlockId, MachineId, TypeName, Zone};
 use crate::leadership::Lead;
 use crate::store::records::{FIRST_PART, PARTS_FORMAT, Part, Roster, Rostered, roster_part_key};
@@ -70,7 +70,7 @@
             value_bytes: config.block_bytes as f64,
             tasks,
         };
-        for (block, zone) in blocks::wanted(&flavors.zones(config), config, policy, cache) {
+        for (block, zone) in block_leases::wanted(&flavors.zones(config), config, policy, cache) {
             let fill = cache.rosters.get(&block).map_or(0.0, |roster| {
                 roster
                     .value
@@ -112,7 +112,7 @@
             .filter(|(_, fill)| **fill + share <= BLOCK_FULL)
             .map(|(block, fill)| (block.clone(), *fill))
             .collect();
-        let fresh = blocks::name(zone, of_zone.len());
+        let fresh = block_leases::name(zone, of_zone.len());
         let emptiest = fills
             .into_iter()
             .filter_map(|(block, fill)| {
--- a/src/provisioning/mod.rs
+++ b/src/provisioning/mod.rs
@@ -311,9 +311,9 @@
             .intersection(heard)
             .cloned()
             .collect();
-        // A holder in a zone that is cut off renews its workers' leases for the life of its grant, and they keep their
+        // A holder in a zone that is cut off renews its workers' leases for the life of its block lease, and they keep their
         // tasks for a lease longer. It takes at least `silent_after` until they are called silent.
-        let patience = (policy.grant_life + config.worker_lease + CUT_MARGIN)
+        let patience = (policy.block_lease_duration + config.worker_lease + CUT_MARGIN)
             .saturating_sub(policy.silent_after);
         self.silent
             .retain(|machine, _| health.get(machine).is_some_and(|health| health.silent));
--- a/src/provisioning/tests.rs
+++ b/src/provisioning/tests.rs
@@ -1,7 +1,7 @@
 //! The leader's dealings with machines, as holders and the records show them.
 
 use super::*;
-use crate::blocks;
+use crate::block_leases;
 use crate::config::tests::SETTINGS;
 use crate::domain::{Attempt, JobId, TaskId};
 use crate::placement::tests::job;
@@ -29,7 +29,7 @@
             value: Some(value),
         });
     };
-    let block = blocks::name(&"a".into(), 0);
+    let block = block_leases::name(&"a".into(), 0);
     let entry = || Rostered {
         type_name: "large".into(),
         tenure: Tenure::Spot,
@@ -117,7 +117,7 @@
             zone: zone.into(),
             on: (0..6).map(entry).collect(),
         };
-        let key = roster_key(&blocks::name(&zone.into(), 0));
+        let key = roster_key(&block_leases::name(&zone.into(), 0));
         cache.apply(Change {
             key,
             version,
@@ -164,7 +164,7 @@
     };
     let heard: BTreeSet<Zone> = ["a".into(), "b".into()].into();
     let given_up = |zones: &[&str], after: Duration| given_up_if(zones, after, &heard);
-    let survive = policy.grant_life + config.worker_lease - policy.silent_after;
+    let survive = policy.block_lease_duration + config.worker_lease - policy.silent_after;
     assert_eq!(given_up(&["a"], survive), 0, "may be a cut");
     assert_eq!(
         given_up(&["a"], survive + Duration::from_secs(4)),
@@ -299,7 +299,7 @@
         spare: true,
     };
     let mut cache = WatchCache::following();
-    let block = blocks::name(&"a".into(), 0);
+    let block = block_leases::name(&"a".into(), 0);
     let entry = || Rostered {
         type_name: "large".into(),
         tenure: Tenure::Spot,
--- a/src/queueing/block_state.rs
+++ b/src/queueing/block_state.rs
@@ -63,7 +63,7 @@
 
 #[derive(Debug)]
 pub(super) struct BlockState {
-    pub(super) grant_version: u64,
+    pub(super) lease_version: u64,
     pub(super) releases: BTreeMap<u64, Release>,
     pub(super) stops: BTreeMap<Attempt, Instant>,
     /// Attempts that the holder is asked to tell of once they run.
@@ -195,7 +195,7 @@
             let stop = block_state.stops.keys().copied().collect();
             messages.push(Work {
                 block: block.clone(),
-                grant_version: block_state.grant_version,
+                lease_version: block_state.lease_version,
                 number,
                 heard: block_state.heard,
                 want,
--- a/src/queueing/draining/mod.rs
+++ b/src/queueing/draining/mod.rs
@@ -304,8 +304,8 @@
                 released.job == task.job && released.index != task.index
             };
             let count = block_state.releases.values().filter(of_job).count() as u32;
-            if let Some(grant) = cache.grants.get(block).filter(|_| count > 0) {
-                *zones.entry(grant.value.zone.clone()).or_default() += count;
+            if let Some(lease) = cache.block_leases.get(block).filter(|_| count > 0) {
+                *zones.entry(lease.value.zone.clone()).or_default() += count;
             }
         }
         let reserved = self.draining.iter().flat_map(|draining| &draining.reserved);
--- a/src/queueing/holders.rs
+++ b/src/queueing/holders.rs
@@ -63,7 +63,10 @@
                 .block_states
                 .get(block)
                 .and_then(|block_state| block_state.machines.get(machine));
-            let holder = cache.grants.get(block).map(|grant| &grant.value.holder);
+            let holder = cache
+                .block_leases
+                .get(block)
+                .map(|lease| &lease.value.holder);
             let unheard = holder.filter(|_| status.is_some_and(|status| !status.usable));
             if let Some(counts) = unheard.and_then(|holder| holders.get_mut(holder)) {
                 counts.heard_elsewhere += 1;
@@ -83,8 +86,8 @@
                 .status
                 .as_ref()
                 .filter(|(_, at)| since(now, *at) < STATUS_LIFE);
-            if let (Some((status, _)), Some(grant)) = (recent, cache.grants.get(block)) {
-                let counts = holders.entry(grant.value.holder.clone()).or_default();
+            if let (Some((status, _)), Some(lease)) = (recent, cache.block_leases.get(block)) {
+                let counts = holders.entry(lease.value.holder.clone()).or_default();
                 counts.expected += status.expected;
                 counts.overdue += status.overdue;
             }
--- a/src/queueing/mod.rs
+++ b/src/queueing/mod.rs
@@ -154,7 +154,7 @@
             return;
         };
         // A message that comes late holds nothing that the later ones did not say too, or correct.
-        if block_state.grant_version != status.grant_version || status.number <= block_state.heard {
+        if block_state.lease_version != status.lease_version || status.number <= block_state.heard {
             return;
         }
         block_state.heard = status.number;
@@ -169,7 +169,7 @@
         block_state.status = Some((status, now.steady));
     }
 
-    /// Whether a placed attempt's holder has proven it gone. None: it has not spoken under its present grant.
+    /// Whether a placed attempt's holder has proven it gone. None: it has not spoken under its present block lease.
     pub fn proven_gone(&self, block: &BlockId, attempt: &Attempt) -> Option<bool> {
         let (status, _) = self.block_states.get(block)?.status.as_ref()?;
         Some(status.ended.contains(&attempt.number))
@@ -196,7 +196,10 @@
     ) -> BTreeMap<MachineId, Health> {
         let holder = |machine: &MachineId| {
             let block = cache.machines.get(machine).map(|machine| &machine.block)?;
-            cache.grants.get(block).map(|grant| &grant.value.holder)
+            cache
+                .block_leases
+                .get(block)
+                .map(|lease| &lease.value.holder)
         };
         self.machines(now)
             .map(|machine| {
@@ -214,13 +217,13 @@
             .collect()
     }
 
-    /// Blocks under grants of this term, and what became of the releases to them.
+    /// Blocks under block leases of this term, and what became of the releases to them.
     fn settle(&mut self, now: Now, cache: &WatchCache) {
         let term = self.term;
         self.block_states
-            .retain(|block, _| cache.grants.contains_key(block));
-        for (block, grant) in &cache.grants {
-            if grant.value.term != term {
+            .retain(|block, _| cache.block_leases.contains_key(block));
+        for (block, lease) in &cache.block_leases {
+            if lease.value.term != term {
                 // Its holder may still place what an earlier leader wanted.
                 self.block_states.remove(block);
                 continue;
@@ -228,11 +231,11 @@
             let known = self
                 .block_states
                 .get(block)
-                .is_some_and(|block_state| block_state.grant_version == grant.version);
+                .is_some_and(|block_state| block_state.lease_version == lease.version);
             if !known {
-                // Under a new grant nothing that was released under the old one can be placed any more.
+                // Under a new block lease nothing that was released under the old one can be placed any more.
                 let block_state = BlockState {
-                    grant_version: grant.version,
+                    lease_version: lease.version,
                     releases: BTreeMap::new(),
                     stops: BTreeMap::new(),
                     watch: Vec::new(),
@@ -468,12 +471,12 @@
             exhausted: Exhausted::default(),
             room_kept: false,
         };
-        // Releases only where all that is placed is known: every block under a grant of this term.
-        let complete = !cache.grants.is_empty()
+        // Releases only where all that is placed is known: every block under a block lease of this term.
+        let complete = !cache.block_leases.is_empty()
             && cache
-                .grants
+                .block_leases
                 .values()
-                .all(|grant| grant.value.term == self.term);
+                .all(|lease| lease.value.term == self.term);
         if complete {
             self.plan_drains(&stock, cache, &mut plan);
         }
--- a/src/queueing/releases.rs
+++ b/src/queueing/releases.rs
@@ -43,7 +43,10 @@
         cache: &'v WatchCache,
         opportunities: Opportunities<'a>,
     ) -> Self {
-        let zones = cache.grants.values().map(|grant| grant.value.zone.clone());
+        let zones = cache
+            .block_leases
+            .values()
+            .map(|lease| lease.value.zone.clone());
         Releases {
             now,
             lead,
--- a/src/queueing/tests.rs
+++ b/src/queueing/tests.rs
@@ -12,8 +12,8 @@
 use crate::provisioning::wire::tests::flavor;
 use crate::store::Change;
 use crate::store::records::{
-    Grant, MachineState, Places, Roster, Rostered, encode, grant_key, job_key, places_key,
-    roster_key,
+    BlockLease, MachineState, Places, Roster, Rostered, block_lease_key, encode, job_key,
+    places_key, roster_key,
 };
 
 pub(super) struct Fixture {
@@ -49,14 +49,14 @@
             config,
         };
         let holder = fixture.config.name.clone();
-        let grant = Grant {
+        let lease = BlockLease {
             zone: "a".into(),
             holder,
             boot: 1,
             token: 4,
             term: TERM,
         };
-        fixture.put(grant_key(&"a.0".into()), encode(&grant));
+        fixture.put(block_lease_key(&"a.0".into()), encode(&lease));
         fixture.roster(0..machines);
         fixture.plan();
         fixture.status(machines, 0, &[]);
@@ -99,11 +99,11 @@
     }
 
     pub(super) fn status(&mut self, machines: u32, last_work: u64, pending: &[u64]) {
-        let grant = &self.cache.grants[&BlockId::from("a.0")];
+        let lease = &self.cache.block_leases[&BlockId::from("a.0")];
         let status = BlockStatus {
             block: "a.0".into(),
-            token: grant.value.token,
-            grant_version: grant.version,
+            token: lease.value.token,
+            lease_version: lease.version,
             last_work,
             pending: pending.to_vec(),
             refused: Vec::new(),
--- a/src/queueing/waiting.rs
+++ b/src/queueing/waiting.rs
@@ -88,7 +88,7 @@
         for (block, block_state) in &self.block_states {
             // A block is of one zone, so this holds even when the machine meant is gone: its holder may choose
             // another one.
-            let Some(zone) = cache.grants.get(block).map(|grant| &grant.value.zone) else {
+            let Some(zone) = cache.block_leases.get(block).map(|lease| &lease.value.zone) else {
                 continue;
             };
             for release in block_state.releases.values() {
--- a/src/store/cache.rs
+++ b/src/store/cache.rs
@@ -7,8 +7,8 @@
 use tracing::{info, warn};
 
 use super::records::{
-    CHUNK, Change, FormatSwitch, Grant, JobRecord, Leader, MachineState, Member, NOWHERE, Order,
-    Part, PlacedText, Places, Progress, ROOT, Ranges, Record, Records, Roster, Token,
+    BlockLease, CHUNK, Change, FormatSwitch, JobRecord, Leader, MachineState, Member, NOWHERE,
+    Order, Part, PlacedText, Places, Progress, ROOT, Ranges, Record, Records, Roster, Token,
 };
 use super::{Op, Outcome};
 use crate::config::StateLimits;
@@ -86,7 +86,7 @@
 pub struct ChangedRecords {
     /// The copy was read anew.
     pub all: bool,
-    pub grants: bool,
+    pub block_leases: bool,
     pub machines: BTreeSet<MachineId>,
     /// Jobs that were cancelled or are over.
     pub ended: BTreeSet<JobId>,
@@ -104,7 +104,7 @@
     Loading,
     Following,
     /// Too far behind to follow: everything is read once more, beside the copy as it is. A holder goes on answering its
-    /// workers from it for the life of its grant.
+    /// workers from it for the life of its block lease.
     Reloading,
 }
 
@@ -155,7 +155,7 @@
     pub leader: Option<Versioned<Leader>>,
     pub token: Option<Versioned<Token>>,
     pub members: BTreeMap<ControllerName, Versioned<Member>>,
-    pub grants: BTreeMap<BlockId, Versioned<Grant>>,
+    pub block_leases: BTreeMap<BlockId, Versioned<BlockLease>>,
     format: Option<Versioned<FormatSwitch>>,
     /// The tasks of each block, all parts together; the version is that of its last change.
     pub places: BTreeMap<BlockId, Versioned<Places>>,
@@ -206,7 +206,7 @@
 }
 
 const RETRY: Duration = Duration::from_millis(400);
-/// Cancellations kept beside a copy that is too old to show them. Beyond that the grants' life must do.
+/// Cancellations kept beside a copy that is too old to show them. Beyond that the block leases' life must do.
 const MOST_CANCELLATIONS: usize = 10_000;
 /// A copy that was not brought up to date for so long may be far behind: watches return more often than that.
 const DOUBTFUL_AFTER: Duration = Duration::from_secs(6);
@@ -246,7 +246,7 @@
             leader: None,
             token: None,
             members: BTreeMap::new(),
-            grants: BTreeMap::new(),
+            block_leases: BTreeMap::new(),
             format: None,
             places: BTreeMap::new(),
             places_parts: BTreeMap::new(),
@@ -614,9 +614,9 @@
             Records::Member(controller) => {
                 set_in(&mut self.members, controller, change);
             }
-            Records::Grant(block) => {
-                self.changed.grants = true;
-                set_in(&mut self.grants, block, change);
+            Records::BlockLease(block) => {
+                self.changed.block_leases = true;
+                set_in(&mut self.block_leases, block, change);
             }
             Records::Format => set(&mut self.format, change),
             Records::Drain(id) => {
--- a/src/store/records.rs
+++ b/src/store/records.rs
@@ -24,7 +24,7 @@
 pub fn member_key(controller: &ControllerName) -> String {
     format!("{ROOT}node/{controller}")
 }
-pub fn grant_key(block: &BlockId) -> String {
+pub fn block_lease_key(block: &BlockId) -> String {
     format!("{ROOT}grant/{block}")
 }
 pub fn places_key(block: &BlockId) -> String {
@@ -151,7 +151,7 @@
 /// The lease of a block to a controller. Each new leader writes it again, which makes every write that an
 /// older leader asked for fail.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Grant {
+pub struct BlockLease {
     pub zone: Zone,
     pub holder: ControllerName,
     pub boot: u64,
@@ -610,7 +610,7 @@
     Token,
     Member,
     FormatSwitch,
-    Grant,
+    BlockLease,
     Roster,
     Order,
     Places,
@@ -636,7 +636,7 @@
     Leader,
     Token,
     Member(ControllerName),
-    Grant(BlockId),
+    BlockLease(BlockId),
     Format,
     Places(BlockId, Part),
     Roster(BlockId, Part),
@@ -657,7 +657,7 @@
             None if key == FORMAT_KEY => Some(Records::Format),
             None => None,
             Some(("node", rest)) => Some(Records::Member(rest.into())),
-            Some(("grant", rest)) => Some(Records::Grant(rest.into())),
+            Some(("grant", rest)) => Some(Records::BlockLease(rest.into())),
             Some(("places", rest)) => Some(Records::Places(rest.into(), FIRST_PART)),
             Some(("machines", rest)) => Some(Records::Roster(rest.into(), FIRST_PART)),
             Some(("places_part", rest)) => {
--- a/src/store/records/tests.rs
+++ b/src/store/records/tests.rs
@@ -166,7 +166,7 @@
             Some(Records::Leader) => comes_back::<Leader>(&value),
             Some(Records::Token) => comes_back::<Token>(&value),
             Some(Records::Member(_)) => comes_back::<Member>(&value),
-            Some(Records::Grant(_)) => comes_back::<Grant>(&value),
+            Some(Records::BlockLease(_)) => comes_back::<BlockLease>(&value),
             Some(Records::Places(_, FIRST_PART)) => comes_back::<Places>(&value),
             Some(Records::Roster(_, FIRST_PART)) => comes_back::<Roster>(&value),
             Some(Records::Order(_)) => comes_back::<Order>(&value),
--- a/tests/simulation/drains.rs
+++ b/tests/simulation/drains.rs
@@ -457,7 +457,7 @@
     with_trouble(848, |world, eviction| {
         let cache = world.any_cache().expect("a controller is up");
         let block = &cache.machines[&eviction.machine].block;
-        let holder = cache.grants[block].value.holder.clone();
+        let holder = cache.block_leases[block].value.holder.clone();
         let holder = holder
             .0
             .trim_start_matches("node-")
--- a/tests/simulation/meetings.rs
+++ b/tests/simulation/meetings.rs
@@ -8,7 +8,7 @@
 
 /// When the state service goes out for everybody.
 const OUT_AT: Duration = Duration::from_secs(60);
-/// Longer than `cancel_s` of the settings (50 s), and than a grant and a lease together.
+/// Longer than `cancel_s` of the settings (50 s), and than a block lease and a lease together.
 const OUT_FOR: Duration = Duration::from_secs(68);
 
 pub fn seconds(seconds: f64) -> Duration {
