--- a/crates/domain/src/lib.rs
+++ b/crates/domain/src/lib.rs
@@ -13,14 +13,14 @@
 /// Deadlines are kept on the steady clock; the time of day only orders jobs.
 #[derive(Debug, Clone, Copy)]
 pub struct Now {
-    pub steady: Instant,
+    pub monotonic: Instant,
     pub wall: SystemTime,
 }
 
 impl Now {
     pub fn read() -> Self {
         Now {
-            steady: Instant::now(),
+            monotonic: Instant::now(),
             wall: SystemTime::now(),
         }
     }
@@ -36,7 +36,7 @@
 
 /// Time since `then`, zero when the clock was read in another order.
 pub fn since(now: Now, then: Instant) -> Duration {
-    now.steady.saturating_duration_since(then)
+    now.monotonic.saturating_duration_since(then)
 }
 
 macro_rules! as_text {
@@ -50,7 +50,7 @@
             fn deserialize<D: Deserializer<'de>>(deserializer: D) -> Result<Self, D::Error> {
                 let text = String::deserialize(deserializer)?;
                 text.parse()
-                    .map_err(|NotAName| D::Error::custom("malformed name"))
+                    .map_err(|MalformedName| D::Error::custom("malformed name"))
             }
         }
     };
@@ -59,7 +59,7 @@
 /// A text that does not have the form of the name it should be.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 #[error("malformed name")]
-pub struct NotAName;
+pub struct MalformedName;
 
 /// A job id: `j-` and at least six digits. Kept as its number, since final states are kept for good.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -72,17 +72,17 @@
 }
 
 impl FromStr for JobId {
-    type Err = NotAName;
+    type Err = MalformedName;
 
     /// Only the canonical spelling is an id, so that two spellings never mean one job.
-    fn from_str(text: &str) -> Result<Self, NotAName> {
-        let digits = text.strip_prefix("j-").ok_or(NotAName)?;
+    fn from_str(text: &str) -> Result<Self, MalformedName> {
+        let digits = text.strip_prefix("j-").ok_or(MalformedName)?;
         let plain = digits.bytes().all(|b| b.is_ascii_digit());
         let canonical = digits.len() == 6 || (digits.len() > 6 && !digits.starts_with('0'));
         if !plain || !canonical || digits.len() > 18 {
-            return Err(NotAName);
+            return Err(MalformedName);
         }
-        digits.parse().map(JobId).map_err(|_| NotAName)
+        digits.parse().map(JobId).map_err(|_| MalformedName)
     }
 }
 
@@ -102,13 +102,13 @@
 }
 
 impl FromStr for TaskId {
-    type Err = NotAName;
+    type Err = MalformedName;
 
-    fn from_str(text: &str) -> Result<Self, NotAName> {
-        let (job, index) = text.split_once('/').ok_or(NotAName)?;
+    fn from_str(text: &str) -> Result<Self, MalformedName> {
+        let (job, index) = text.split_once('/').ok_or(MalformedName)?;
         Ok(TaskId {
             job: job.parse()?,
-            index: index.parse().map_err(|_| NotAName)?,
+            index: index.parse().map_err(|_| MalformedName)?,
         })
     }
 }
@@ -210,7 +210,7 @@
 );
 text_name!(
     /// A machine type.
-    TypeName
+    InstanceTypeName
 );
 text_name!(
     /// A team.
@@ -255,7 +255,7 @@
 
 /// What a task takes of a machine, or what a machine has.
 #[derive(Debug, Clone, Copy, PartialEq, Default, Serialize, Deserialize)]
-pub struct Room {
+pub struct Resources {
     pub cpus: f64,
     pub gpus: f64,
     pub memory_gb: f64,
@@ -264,27 +264,27 @@
 /// Sums of decimals such as 0.1 miss by a little; a task that fits exactly must still fit.
 const SLACK: f64 = 1e-6;
 
-impl Room {
-    pub fn fits(&self, need: &Room) -> bool {
+impl Resources {
+    pub fn fits(&self, need: &Resources) -> bool {
         need.cpus <= self.cpus + SLACK
             && need.gpus <= self.gpus + SLACK
             && need.memory_gb <= self.memory_gb + SLACK
     }
 
-    pub fn add(&mut self, other: &Room) {
+    pub fn add(&mut self, other: &Resources) {
         self.cpus += other.cpus;
         self.gpus += other.gpus;
         self.memory_gb += other.memory_gb;
     }
 
-    pub fn take(&mut self, other: &Room) {
+    pub fn take(&mut self, other: &Resources) {
         self.cpus -= other.cpus;
         self.gpus -= other.gpus;
         self.memory_gb -= other.memory_gb;
     }
 
-    pub fn times(&self, count: f64) -> Room {
-        Room {
+    pub fn times(&self, count: f64) -> Resources {
+        Resources {
             cpus: self.cpus * count,
             gpus: self.gpus * count,
             memory_gb: self.memory_gb * count,
@@ -292,7 +292,7 @@
     }
 
     /// How many tasks of `need` an empty machine of this size holds.
-    pub fn count_of(&self, need: &Room) -> u32 {
+    pub fn count_of(&self, need: &Resources) -> u32 {
         let of = |have: f64, need: f64| {
             if need <= SLACK {
                 f64::INFINITY
@@ -308,7 +308,7 @@
     }
 
     /// What is left of a machine of size `self`, summed over its resources: each counts 1 when all of it is.
-    pub fn left_over(&self, left: &Room) -> f64 {
+    pub fn left_over(&self, left: &Resources) -> f64 {
         let of = |have: f64, left: f64| if have <= SLACK { 0.0 } else { left / have };
         of(self.cpus, left.cpus) + of(self.gpus, left.gpus) + of(self.memory_gb, left.memory_gb)
     }
@@ -316,18 +316,23 @@
 
 /// Ordinary machines, or spot machines that the cloud may take back.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub enum Tenure {
-    Ordinary,
+pub enum CapacityType {
+    #[serde(rename = "Ordinary")]
+    OnDemand,
     Spot,
 }
 
-impl Tenure {
-    pub fn spot(spot: bool) -> Self {
-        if spot { Tenure::Spot } else { Tenure::Ordinary }
+impl CapacityType {
+    pub fn from_spot(spot: bool) -> Self {
+        if spot {
+            CapacityType::Spot
+        } else {
+            CapacityType::OnDemand
+        }
     }
 
     pub fn is_spot(self) -> bool {
-        self == Tenure::Spot
+        self == CapacityType::Spot
     }
 }
 
@@ -345,7 +350,7 @@
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Kind {
+pub enum JobKind {
     #[serde(rename = "sweep")]
     Array,
     #[serde(rename = "service")]
@@ -363,15 +368,15 @@
     #[serde(rename = "t")]
     pub team: Team,
     #[serde(rename = "k")]
-    pub kind: Kind,
+    pub kind: JobKind,
     #[serde(rename = "p")]
     pub priority: Priority,
     #[serde(rename = "n")]
     pub tasks: u32,
     #[serde(rename = "r")]
-    pub need: Room,
+    pub need: Resources,
     #[serde(rename = "ty")]
-    pub types: Option<Vec<TypeName>>,
+    pub types: Option<Vec<InstanceTypeName>>,
     #[serde(rename = "z")]
     pub zone: Option<Zone>,
     #[serde(rename = "oz")]
@@ -398,7 +403,7 @@
 }
 
 impl Job {
-    pub fn allows_type(&self, name: &TypeName) -> bool {
+    pub fn allows_type(&self, name: &InstanceTypeName) -> bool {
         self.types.as_ref().is_none_or(|types| types.contains(name))
     }
 
@@ -406,8 +411,8 @@
         self.zone.as_ref().is_none_or(|only| only == zone)
     }
 
-    pub fn allows_tenure(&self, tenure: Tenure) -> bool {
-        self.spot || !tenure.is_spot()
+    pub fn allows_capacity_type(&self, capacity_type: CapacityType) -> bool {
+        self.spot || !capacity_type.is_spot()
     }
 
     /// The most tasks of this job that may be in one zone.
@@ -421,7 +426,7 @@
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Final {
+pub enum JobOutcome {
     #[serde(rename = "done")]
     Done,
     #[serde(rename = "cancelled")]
--- a/crates/domain/src/tests.rs
+++ b/crates/domain/src/tests.rs
@@ -13,7 +13,7 @@
         "j-+00412",
         "j-9999999999999999999",
     ] {
-        assert_eq!(wrong.parse::<JobId>(), Err(NotAName), "{wrong}");
+        assert_eq!(wrong.parse::<JobId>(), Err(MalformedName), "{wrong}");
     }
     assert_eq!(
         TaskId {
@@ -34,13 +34,13 @@
 
 #[test]
 fn room_is_counted_by_the_scarcest_resource() {
-    let machine = Room {
+    let machine = Resources {
         cpus: 32.0,
         gpus: 0.0,
         memory_gb: 128.0,
     };
     assert_eq!(
-        machine.count_of(&Room {
+        machine.count_of(&Resources {
             cpus: 8.0,
             gpus: 0.0,
             memory_gb: 27.0
@@ -48,7 +48,7 @@
         4
     );
     assert_eq!(
-        machine.count_of(&Room {
+        machine.count_of(&Resources {
             cpus: 1.0,
             gpus: 0.0,
             memory_gb: 64.0
@@ -56,20 +56,20 @@
         2
     );
     assert_eq!(
-        machine.count_of(&Room {
+        machine.count_of(&Resources {
             cpus: 1.0,
             gpus: 1.0,
             memory_gb: 1.0
         }),
         0
     );
-    let tenth = Room {
+    let tenth = Resources {
         cpus: 0.1,
-        ..Room::default()
+        ..Resources::default()
     };
-    let mut free = Room {
+    let mut free = Resources {
         cpus: 0.3,
-        ..Room::default()
+        ..Resources::default()
     };
     for _ in 0..3 {
         assert!(free.fits(&tenth));
--- a/crates/drain/src/planner.rs
+++ b/crates/drain/src/planner.rs
@@ -8,7 +8,7 @@
 use std::time::{Duration, Instant};
 
 use dappleshore_domain::{
-    Attempt, BlockId, JobId, MachineId, Now, TaskId, Team, TypeName, Zone, since,
+    Attempt, BlockId, InstanceTypeName, JobId, MachineId, Now, TaskId, Team, Zone, since,
 };
 
 use crate::budget::{Budgets, Limit};
@@ -31,7 +31,7 @@
 pub struct MachineView {
     pub id: MachineId,
     pub block: BlockId,
-    pub type_name: TypeName,
+    pub type_name: InstanceTypeName,
     pub zone: Zone,
     pub state: ServiceState,
     /// It reports, hears us, and is not being taken away.
@@ -382,7 +382,7 @@
                 let began = *self
                     .blocked_since
                     .entry(id.clone())
-                    .or_insert(pass.now.steady);
+                    .or_insert(pass.now.monotonic);
                 if since(pass.now, began) >= pass.bounds.room_timeout {
                     return pass.halt(id, record, HaltReason::NoRoom { task });
                 }
@@ -546,7 +546,7 @@
                     Err(Refused::Budget(exceeded)) => {
                         blocked.budget.get_or_insert(exceeded);
                     }
-                    Err(Refused::Room(task, reason)) => {
+                    Err(Refused::Resources(task, reason)) => {
                         blocked.room.get_or_insert((task, reason));
                     }
                 }
@@ -608,7 +608,7 @@
         let first = subject.tasks().next();
         let reservations = match (self.fleet.reserve(&subject), first) {
             (Ok(reservations), _) => reservations,
-            (Err(reason), Some(task)) => return Err(Refused::Room(task, reason)),
+            (Err(reason), Some(task)) => return Err(Refused::Resources(task, reason)),
             (Err(_), None) => return Ok(false),
         };
         if record.phase != Phase::Active {
@@ -689,5 +689,5 @@
 /// Why a task is not evicted now.
 enum Refused {
     Budget(Exceeded),
-    Room(TaskId, NoRoom),
+    Resources(TaskId, NoRoom),
 }
--- a/crates/drain/src/requests.rs
+++ b/crates/drain/src/requests.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use dappleshore_domain::{BlockId, MachineId, Team, TypeName, Zone};
+use dappleshore_domain::{BlockId, InstanceTypeName, MachineId, Team, Zone};
 
 use crate::budget::{Limit, TeamBudget};
 use crate::id::DrainId;
@@ -28,7 +28,7 @@
     pub budgets: &'a BTreeMap<Team, TeamBudget>,
     pub machines: &'a [MachineView],
     pub blocks: BTreeSet<BlockId>,
-    pub types: BTreeSet<TypeName>,
+    pub types: BTreeSet<InstanceTypeName>,
     pub zones: BTreeSet<Zone>,
     pub teams: BTreeSet<Team>,
     /// Changes that one transaction may have.
--- a/crates/drain/src/scope.rs
+++ b/crates/drain/src/scope.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeSet;
 use std::fmt;
 
-use dappleshore_domain::{BlockId, MachineId, TypeName, Zone};
+use dappleshore_domain::{BlockId, InstanceTypeName, MachineId, Zone};
 use serde::{Deserialize, Serialize};
 
 /// The machines that are meant. A block, a type or a zone means those that join it later, too.
@@ -17,7 +17,7 @@
     Block(BlockId),
     /// All machines of a type.
     #[serde(rename = "type")]
-    Type(TypeName),
+    Type(InstanceTypeName),
     /// All machines of a zone.
     #[serde(rename = "zone")]
     Zone(Zone),
@@ -28,7 +28,7 @@
 pub struct Membership<'a> {
     pub id: &'a MachineId,
     pub block: &'a BlockId,
-    pub type_name: &'a TypeName,
+    pub type_name: &'a InstanceTypeName,
     pub zone: &'a Zone,
 }
 
@@ -44,7 +44,7 @@
     }
 
     /// Whether every machine of this type in this zone would be meant, so that none should be rented there.
-    pub fn closes(&self, type_name: &TypeName, zone: &Zone) -> bool {
+    pub fn closes(&self, type_name: &InstanceTypeName, zone: &Zone) -> bool {
         match self {
             Scope::Machines(_) | Scope::Block(_) => false,
             Scope::Type(closed) => closed == type_name,
--- a/crates/drain/tests/planner.rs
+++ b/crates/drain/tests/planner.rs
@@ -120,7 +120,7 @@
 
     fn now(&self) -> Now {
         Now {
-            steady: self.start + self.passed,
+            monotonic: self.start + self.passed,
             wall: SystemTime::UNIX_EPOCH + Duration::from_secs(1_800_000_000) + self.passed,
         }
     }
--- a/src/block_leases/mod.rs
+++ b/src/block_leases/mod.rs
@@ -71,7 +71,7 @@
     }
 
     pub fn heard_from(&mut self, now: Now, controller: &ControllerName, boot: u64) {
-        self.heard.insert(controller.clone(), (boot, now.steady));
+        self.heard.insert(controller.clone(), (boot, now.monotonic));
     }
 
     /// A holder has lost track of a command: only a higher token makes sure that it can't be executed late.
@@ -96,8 +96,8 @@
             .unfit
             .get(controller)
             .copied()
-            .unwrap_or((now.steady, 0));
-        if now.steady < until {
+            .unwrap_or((now.monotonic, 0));
+        if now.monotonic < until {
             return;
         }
         let times = if since(now, until) < UNFIT_FOR * 4 {
@@ -108,7 +108,7 @@
         let pause = UNFIT_FOR * 2u32.pow(times.min(UNFIT_DOUBLINGS));
         info!(holder = %controller, ?pause, "holder can't reach its machines");
         self.unfit
-            .insert(controller.clone(), (now.steady + pause, times + 1));
+            .insert(controller.clone(), (now.monotonic + pause, times + 1));
     }
 
     fn trusted(
@@ -147,11 +147,13 @@
         } = *lead;
         let zones = &lead.flavors.zones(config);
         if self.leading_since.is_none_or(|(known, _)| known != term) {
-            self.leading_since = Some((term, now.steady));
+            self.leading_since = Some((term, now.monotonic));
             self.heard.clear();
             self.renew.clear();
             self.unfit.clear();
-            self.writer = Writer::Unsure { since: now.steady };
+            self.writer = Writer::Unsure {
+                since: now.monotonic,
+            };
         }
         if !self.writer.ready(now, cache) {
             return None;
@@ -165,7 +167,7 @@
         let fit = |controller: &ControllerName| {
             self.unfit
                 .get(controller)
-                .is_none_or(|(until, _)| now.steady >= *until)
+                .is_none_or(|(until, _)| now.monotonic >= *until)
         };
         if members.iter().any(fit) {
             members.retain(fit);
--- a/src/block_leases/tests.rs
+++ b/src/block_leases/tests.rs
@@ -17,7 +17,7 @@
     }));
     let start = Now::read();
     let at = |seconds: u64| Now {
-        steady: start.steady + Duration::from_secs(seconds),
+        monotonic: start.monotonic + Duration::from_secs(seconds),
         ..start
     };
     let mut cache = WatchCache::following();
--- a/src/cancellation/mod.rs
+++ b/src/cancellation/mod.rs
@@ -110,7 +110,7 @@
         reaches_state: bool,
     ) -> Alive {
         let number = self.sent.back().map_or(1, |(number, _)| number + 1);
-        self.sent.push_back((number, now.steady));
+        self.sent.push_back((number, now.monotonic));
         if self.sent.len() > MOST_SENT {
             self.sent.pop_front();
         }
@@ -169,14 +169,14 @@
         let out = if *reaches_state {
             known.and_then(|peer| peer.out)
         } else {
-            Some(now.steady)
+            Some(now.monotonic)
         };
         self.peers.insert(
             controller.clone(),
             Peer {
                 boot: *boot,
                 number: *number,
-                at: now.steady,
+                at: now.monotonic,
                 out,
                 covers,
             },
@@ -224,8 +224,8 @@
         if self.open.is_empty() || self.looked.is_some_and(|at| since(now, at) < LOOK_EVERY) {
             return None;
         }
-        self.looked = Some(now.steady);
-        if !self.deleting.is_empty() || self.retry_at.is_some_and(|at| now.steady < at) {
+        self.looked = Some(now.monotonic);
+        if !self.deleting.is_empty() || self.retry_at.is_some_and(|at| now.monotonic < at) {
             return None;
         }
         let mut due = BTreeSet::new();
@@ -278,7 +278,7 @@
         let machines = std::mem::take(&mut self.deleting);
         match outcome {
             CallOutcome::Deleted => self.deleted.extend(machines),
-            _ => self.retry_at = Some(now.steady + RETRY),
+            _ => self.retry_at = Some(now.monotonic + RETRY),
         }
     }
 }
--- a/src/cancellation/tests.rs
+++ b/src/cancellation/tests.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 use crate::config::tests::SETTINGS;
-use crate::domain::{TaskId, Tenure};
+use crate::domain::{CapacityType, TaskId};
 use crate::placement::tests::job;
 use crate::store::Change;
 use crate::store::records::{
@@ -44,7 +44,7 @@
         ] {
             let entry = || Rostered {
                 type_name: "large".into(),
-                tenure: Tenure::Spot,
+                capacity_type: CapacityType::Spot,
                 state: MachineState::InService,
                 rented_s: 0,
             };
@@ -96,7 +96,7 @@
 
     fn at(&self, after: Duration) -> Now {
         Now {
-            steady: self.start.steady + after,
+            monotonic: self.start.monotonic + after,
             wall: self.start.wall + after,
         }
     }
@@ -235,7 +235,7 @@
         [JobId(1)]
     );
     assert_eq!(told[0].version, copy.cache.open[&JobId(1)].version);
-    let end = encode(&JobRecord::Ended(crate::domain::Final::Cancelled, 2));
+    let end = encode(&JobRecord::Ended(crate::domain::JobOutcome::Cancelled, 2));
     copy.cache.apply(Change {
         key: job_key(JobId(1)),
         version: 90,
@@ -255,7 +255,7 @@
         let known = copy
             .cancellations
             .known_until(copy.at(seconds(13)), &copy.config);
-        known.map(|at| at.saturating_duration_since(copy.start.steady))
+        known.map(|at| at.saturating_duration_since(copy.start.monotonic))
     };
     for second in 1..=9 {
         assert_eq!(copy.sign(seconds(second)).number, second);
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -229,7 +229,7 @@
             leading: None,
             stale_plan: true,
             metrics: Metrics::new(),
-            reported: now.steady,
+            reported: now.monotonic,
             told: None,
             told_all: None,
             peers_reach_state: BTreeMap::new(),
@@ -238,7 +238,7 @@
             status_due: true,
             seen_revision: 0,
             plans: 0,
-            last_event: now.steady,
+            last_event: now.monotonic,
         }
     }
 
@@ -259,7 +259,7 @@
         if let Some(leading) = self
             .leading
             .as_mut()
-            .filter(|leading| leading.planned == Some(now.steady))
+            .filter(|leading| leading.planned == Some(now.monotonic))
         {
             let pause = took.div_f64(PLAN_PART).clamp(PLAN_SPACING, PLAN_SLOWEST);
             leading.pause = (leading.pause * 3 + pause) / 4;
@@ -279,7 +279,7 @@
         if since(now, self.reported) < SUMMARY_EVERY {
             return;
         }
-        self.reported = now.steady;
+        self.reported = now.monotonic;
         let Metrics {
             accept_ms,
             start_ms,
@@ -310,9 +310,9 @@
                 .known_until(now, &self.config)
                 .max(Some(fresh))
         });
-        fresh
-            .flatten()
-            .map_or(now.steady, |known| known + self.policy.block_lease_duration)
+        fresh.flatten().map_or(now.monotonic, |known| {
+            known + self.policy.block_lease_duration
+        })
     }
 
     /// Whether users should come here. Not if only we can't reach the state service; during an outage for all,
@@ -330,7 +330,7 @@
 
     pub fn handle(&mut self, now: Now, event: Event) -> Vec<Effect> {
         let mut effects = Vec::new();
-        let gap = since(now, std::mem::replace(&mut self.last_event, now.steady));
+        let gap = since(now, std::mem::replace(&mut self.last_event, now.monotonic));
         if gap > STOOD_STILL {
             info!(?gap, "stood still");
             self.fleet.stood_still(gap);
@@ -372,7 +372,7 @@
             }
             Event::Report { id, report } => {
                 let until = self.entitled_until(now);
-                let entitled = now.steady < until;
+                let entitled = now.monotonic < until;
                 if !self.cache.machines.contains_key(&report.machine)
                     && let Some(leading) = &mut self.leading
                 {
@@ -575,7 +575,7 @@
                     .map(|peer| peer.zone.clone());
                 self.heard_zones.extend(zone);
                 if reaches_state {
-                    self.peers_reach_state.insert(controller, now.steady);
+                    self.peers_reach_state.insert(controller, now.monotonic);
                 } else {
                     self.peers_reach_state.remove(&controller);
                 }
@@ -650,7 +650,7 @@
             effects.extend(ready.into_iter().map(|(tag, op)| Effect::Store { tag, op }));
         }
         let until = self.entitled_until(now);
-        let entitled = now.steady < until;
+        let entitled = now.monotonic < until;
         let commands = self
             .fleet
             .commands(now, &self.config, &self.cache, entitled);
@@ -737,7 +737,7 @@
         let Some(until) = self
             .leadership
             .certain_until()
-            .filter(|until| now.steady < *until)
+            .filter(|until| now.monotonic < *until)
         else {
             return;
         };
@@ -774,13 +774,13 @@
             }
             return;
         }
-        leading.planned = Some(now.steady);
+        leading.planned = Some(now.monotonic);
         self.plans += 1;
         if leading
             .summary
             .is_none_or(|at| since(now, at) >= SUMMARY_EVERY)
         {
-            leading.summary = Some(now.steady);
+            leading.summary = Some(now.monotonic);
             let gauges = &mut self.metrics.gauges;
             gauges.clear();
             leading
@@ -883,7 +883,7 @@
         let leads = self
             .leadership
             .leading(&self.cache)
-            .filter(|_| certain.is_some_and(|until| now.steady < until));
+            .filter(|_| certain.is_some_and(|until| now.monotonic < until));
         let (Some((term, version)), Some(leading)) = (leads, &self.leading) else {
             let replies = self.operations.refer(self.leader_elsewhere());
             effects.extend(
@@ -927,7 +927,7 @@
         self.cut_off = if reaches_state {
             None
         } else {
-            self.cut_off.or(Some(now.steady))
+            self.cut_off.or(Some(now.monotonic))
         };
         if self
             .told_all
@@ -935,7 +935,7 @@
         {
             return;
         }
-        self.told_all = Some(now.steady);
+        self.told_all = Some(now.monotonic);
         let alive = self.cancellations.sign(
             now,
             &self.config.name,
@@ -986,7 +986,7 @@
         else {
             return;
         };
-        self.told = Some(now.steady);
+        self.told = Some(now.monotonic);
         self.status_due = false;
         let status = Status {
             controller: self.config.name.clone(),
--- a/src/controller/tests.rs
+++ b/src/controller/tests.rs
@@ -8,7 +8,7 @@
     let policy = Policy::defaults(&config);
     let start = Now::read();
     let at = |ms| Now {
-        steady: start.steady + Duration::from_millis(ms),
+        monotonic: start.monotonic + Duration::from_millis(ms),
         ..start
     };
     let mut controller = Controller::new(config, policy, 1, start);
@@ -36,7 +36,7 @@
                 at(5),
                 Event::Store {
                     tag,
-                    sent: start.steady,
+                    sent: start.monotonic,
                     outcome,
                 },
             );
@@ -46,7 +46,7 @@
     controller.budget.note(at(2000), &Outcome::Refused);
     let mut healthy = |now: Now, reaches_state: bool| {
         let number =
-            now.unix_ms() + u64::try_from(since(now, start.steady).as_millis()).expect("short");
+            now.unix_ms() + u64::try_from(since(now, start.monotonic).as_millis()).expect("short");
         let (cancelled, heard) = (Vec::new(), BTreeMap::new());
         let node_1 = ControllerName::from("node-1");
         let alive = Alive {
--- a/src/fleet/block.rs
+++ b/src/fleet/block.rs
@@ -10,7 +10,7 @@
 use super::wire::{Cause, Order, Orders, Report, TaskState};
 use super::worker::{Launch, QUIET, Seen, Worker};
 use crate::config::Config;
-use crate::domain::{Attempt, BlockId, JobId, Kind, MachineId, Now, Room, TaskId, since};
+use crate::domain::{Attempt, BlockId, JobId, JobKind, MachineId, Now, Resources, TaskId, since};
 use crate::peer::{BlockStatus, MachineStatus, Wanted};
 use crate::placement::{self, Candidate};
 use crate::policy::Policy;
@@ -272,7 +272,7 @@
         worker.seq = report.seq;
         match source {
             ReportSource::Report => {
-                worker.heard = now.steady;
+                worker.heard = now.monotonic;
                 if worker.deaf.is_none() {
                     worker.probed = None;
                 }
@@ -432,7 +432,7 @@
                             .map(|open| &open.job);
                         let grace_s = job
                             // What is left of a gang that has lost a task can't save any more.
-                            .filter(|job| job.kind != Kind::Gang)
+                            .filter(|job| job.kind != JobKind::Gang)
                             .filter(|job| job.checkpoint_every_s > 0.0 && recorded)
                             .map_or(0.0, |job| job.checkpoint_s);
                         orders.push(Order::Stop {
@@ -466,7 +466,7 @@
                         debug!(%attempt, %machine, token, worker.session, "launch");
                         worker
                             .launches
-                            .insert(attempt, Launch::Sent { at: now.steady });
+                            .insert(attempt, Launch::Sent { at: now.monotonic });
                         worker.launched.insert(attempt);
                         orders.push(Order::Launch {
                             task: *task,
@@ -507,7 +507,7 @@
             let next = match &outcome {
                 CommandOutcome::Executed(_) => Some(Launch::Confirmed),
                 CommandOutcome::Rejected(_) => None,
-                CommandOutcome::Unknown => Some(Launch::Lost { at: now.steady }),
+                CommandOutcome::Unknown => Some(Launch::Lost { at: now.monotonic }),
             };
             match next {
                 _ if !current => {}
@@ -531,8 +531,8 @@
                 }
             }
             CommandOutcome::Unknown => {
-                worker.deaf.get_or_insert(now.steady);
-                worker.probed = Some((worker.probed.map_or(now.steady, |(at, _)| at), true));
+                worker.deaf.get_or_insert(now.monotonic);
+                worker.probed = Some((worker.probed.map_or(now.monotonic, |(at, _)| at), true));
                 self.unsaid.insert(machine.clone());
             }
         }
@@ -556,7 +556,7 @@
             if !machine.state.takes_tasks() || !worker.usable(now, self.token) {
                 continue;
             }
-            let mut taken = Room::default();
+            let mut taken = Resources::default();
             for open in places
                 .on
                 .get(id)
@@ -585,7 +585,7 @@
         if !self.writer.ready(now, cache) {
             return None;
         }
-        self.looked = Some(now.steady);
+        self.looked = Some(now.monotonic);
         if unsure {
             self.take_recorded(cache);
         }
@@ -763,7 +763,9 @@
         let draft = self.draft.take();
         if lease_version != self.lease_version {
             // The answer to a write under an older leader: our copy already holds it if it was committed.
-            self.writer = Writer::Unsure { since: now.steady };
+            self.writer = Writer::Unsure {
+                since: now.monotonic,
+            };
             return;
         }
         match (outcome, draft) {
@@ -924,7 +926,7 @@
         self.blocked_since = self
             .blocked_since
             .filter(|_| blocked)
-            .or_else(|| blocked.then_some(now.steady));
+            .or_else(|| blocked.then_some(now.monotonic));
     }
 }
 
--- a/src/fleet/mod.rs
+++ b/src/fleet/mod.rs
@@ -203,7 +203,7 @@
                 .block_leases
                 .get(block_id)
                 .map(|lease| lease.value.holder.clone());
-            self.strays.insert(report.machine, now.steady);
+            self.strays.insert(report.machine, now.monotonic);
             return Answer::Elsewhere(holder.filter(|holder| *holder != config.name));
         };
         if report.token > block.token {
@@ -315,7 +315,7 @@
             };
             self.looked += (block.pending.len() + block.ended.len()) as u64;
             if let Some(op) = block.write(now, config, writes.most, cache, flavors) {
-                block.wrote = Some(now.steady);
+                block.wrote = Some(now.monotonic);
                 self.looked += block.places.attempts().count() as u64;
                 return Some((id, op));
             }
@@ -383,7 +383,7 @@
                     continue;
                 }
                 if probe {
-                    worker.probed = Some((now.steady, false));
+                    worker.probed = Some((now.monotonic, false));
                 }
                 worker.busy = true;
                 let addr = worker.addr.clone().unwrap_or_default();
@@ -484,7 +484,7 @@
         {
             return;
         }
-        self.reviewed = Some(now.steady);
+        self.reviewed = Some(now.monotonic);
         let quiet = config.report_every.mul_f64(OVERDUE);
         for block in self.blocks.values_mut() {
             block.review(now, quiet, policy);
--- a/src/fleet/tests.rs
+++ b/src/fleet/tests.rs
@@ -8,7 +8,7 @@
 use super::worker::PROBE_AGAIN;
 use super::*;
 use crate::config::tests::SETTINGS;
-use crate::domain::{Attempt, Job, JobId, Tenure};
+use crate::domain::{Attempt, CapacityType, Job, JobId};
 use crate::peer::Wanted;
 use crate::placement::tests::job;
 use crate::provisioning::wire::FlavorList;
@@ -55,7 +55,7 @@
         };
         let entry = || Rostered {
             type_name: "large".into(),
-            tenure: Tenure::Ordinary,
+            capacity_type: CapacityType::OnDemand,
             state: MachineState::InService,
             rented_s: 0,
         };
@@ -160,7 +160,7 @@
 
     /// Writes and commits what is due. Returns where the attempts are then.
     fn write(&mut self) -> Vec<(String, u64)> {
-        self.now.steady += LOOK_AGAIN;
+        self.now.monotonic += LOOK_AGAIN;
         while let Some((block, op)) = self.fleet.write(
             self.now,
             &self.config,
@@ -254,7 +254,7 @@
     let running = [(9, TaskState::Running, None)];
     let shown = holder.message("m-1", 4, &running);
     holder.answer(&command, CommandOutcome::Executed(shown));
-    holder.now.steady += REVIEW_EVERY;
+    holder.now.monotonic += REVIEW_EVERY;
     holder.tick();
     assert_eq!(holder.unentitled(), []);
     // What the leader wants stopped to make room, which another leader may see otherwise by now.
@@ -368,7 +368,7 @@
 fn a_placement_is_conditioned_on_its_jobs() {
     let mut holder = Holder::new(job(1, 1.0));
     holder.want(9, "m-1", 1);
-    holder.now.steady += LOOK_AGAIN;
+    holder.now.monotonic += LOOK_AGAIN;
     let write = holder.fleet.write(
         holder.now,
         &holder.config,
@@ -461,7 +461,7 @@
         "away from the machine it was meant for"
     );
     holder.tick();
-    holder.now.steady += RENEW_AFTER + Duration::from_secs(1);
+    holder.now.monotonic += RENEW_AFTER + Duration::from_secs(1);
     holder.tick();
     let policy = Policy::defaults(&holder.config);
     assert!(holder.fleet.status(holder.now, &policy)[0].wants_new_token);
@@ -479,7 +479,7 @@
     });
     let entry = Rostered {
         type_name: "large".into(),
-        tenure: Tenure::Ordinary,
+        capacity_type: CapacityType::OnDemand,
         state: MachineState::InService,
         rented_s: 0,
     };
@@ -521,7 +521,7 @@
             };
             assert!(holder.fleet.work(work));
         }
-        holder.now.steady += LOOK_AGAIN;
+        holder.now.monotonic += LOOK_AGAIN;
         let next = holder.fleet.write(
             holder.now,
             &holder.config,
@@ -567,7 +567,7 @@
     assert_eq!(usable(&mut holder), Some((false, false)));
     let mut asked = 0;
     for _ in 0..20 {
-        holder.now.steady += Duration::from_secs(1);
+        holder.now.monotonic += Duration::from_secs(1);
         holder.report("m-1", 4, &[]);
         holder.report("m-2", 4, &[]);
         holder.tick();
@@ -612,7 +612,7 @@
         "the worker keeps one attempt of a task in mind"
     );
     holder.tick();
-    holder.now.steady += RENEW_AFTER * 2;
+    holder.now.monotonic += RENEW_AFTER * 2;
     holder.tick();
     let policy = Policy::defaults(&holder.config);
     assert!(
@@ -668,7 +668,7 @@
     holder.put(block_lease_key(&"a.0".into()), ciborium::Value::Null);
     holder.lease(6);
     assert_eq!(holder.commands(), [], "nothing is known of them");
-    holder.now.steady += policy.unheard_after + Duration::from_secs(1);
+    holder.now.monotonic += policy.unheard_after + Duration::from_secs(1);
     assert!(
         holder.fleet.status(holder.now, &policy)[0]
             .machines
@@ -714,10 +714,10 @@
             .count()
     };
     let gap = policy.unheard_after * 2;
-    holder.now.steady += gap;
+    holder.now.monotonic += gap;
     holder.fleet.stood_still(gap);
     assert_eq!(silent(&mut holder), 0);
-    holder.now.steady += gap;
+    holder.now.monotonic += gap;
     assert_eq!(silent(&mut holder), 2);
 }
 
@@ -729,7 +729,7 @@
     let most = holder.config.max_sockets / COMMAND_PART;
     let entry = || Rostered {
         type_name: "large".into(),
-        tenure: Tenure::Ordinary,
+        capacity_type: CapacityType::OnDemand,
         state: MachineState::InService,
         rented_s: 0,
     };
@@ -753,7 +753,7 @@
     for command in &first {
         holder.answer(command, CommandOutcome::Unknown);
     }
-    holder.now.steady += PROBE_AGAIN * 2;
+    holder.now.monotonic += PROBE_AGAIN * 2;
     holder.tick();
     let again: BTreeSet<MachineId> = holder
         .commands()
@@ -855,7 +855,7 @@
         ..PLENTY
     };
     let mut next = |writes: Writes, after: Duration| {
-        holder.now.steady += after;
+        holder.now.monotonic += after;
         let Holder {
             fleet,
             now,
@@ -883,7 +883,7 @@
         if starts {
             holder.want(21, "m-2", 2);
         }
-        holder.now.steady += LOOK_AGAIN;
+        holder.now.monotonic += LOOK_AGAIN;
         let writes = Writes {
             plenty: !starts,
             ..PLENTY
@@ -906,8 +906,8 @@
     let mut holder = Holder::new(job(1, 1.0));
     holder.want(20, "m-1", 1);
     let write = |holder: &mut Holder, outcome: Outcome| {
-        holder.now.steady += Duration::from_secs(1);
-        holder.cache.assume_fresh(holder.now.steady);
+        holder.now.monotonic += Duration::from_secs(1);
+        holder.cache.assume_fresh(holder.now.monotonic);
         let Holder {
             fleet,
             now,
--- a/src/fleet/wire.rs
+++ b/src/fleet/wire.rs
@@ -2,7 +2,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::domain::{Amount, MachineId, TaskId, TypeName, Zone};
+use crate::domain::{Amount, InstanceTypeName, MachineId, TaskId, Zone};
 
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Report {
@@ -11,7 +11,7 @@
     #[serde(rename = "endpoint")]
     pub addr: String,
     #[serde(rename = "berthKind")]
-    pub type_name: TypeName,
+    pub type_name: InstanceTypeName,
     #[serde(rename = "wing")]
     pub zone: Zone,
     #[serde(rename = "loaner")]
--- a/src/fleet/worker.rs
+++ b/src/fleet/worker.rs
@@ -78,7 +78,7 @@
             session: 0,
             seq: 0,
             token: 0,
-            heard: now.steady,
+            heard: now.monotonic,
             reported: false,
             notice: false,
             tasks: BTreeMap::new(),
--- a/src/http/server.rs
+++ b/src/http/server.rs
@@ -205,7 +205,7 @@
     // We may have stood still since the answer was decided: a worker's lease is not renewed on an authority that is over.
     let show = |(answer, until)| {
         answer_worker(
-            if Now::read().steady < until || !matches!(answer, Answer::Orders(_)) {
+            if Now::read().monotonic < until || !matches!(answer, Answer::Orders(_)) {
                 answer
             } else {
                 Answer::Unavailable
--- a/src/intake/mod.rs
+++ b/src/intake/mod.rs
@@ -9,7 +9,7 @@
 use std::time::{Duration, Instant};
 
 use crate::config::Config;
-use crate::domain::{Final, Job, JobId, Kind, Now, Room};
+use crate::domain::{Job, JobId, JobKind, JobOutcome, Now, Resources};
 use crate::peer::CancelledJob;
 use crate::provisioning::Flavors;
 use crate::store::budget::{Budget, Urgency};
@@ -131,7 +131,7 @@
         if let Some(response) = self.unable(now, cx) {
             return Some(response);
         }
-        if job.kind == Kind::Gang && cx.cache.format() < PARTS_FORMAT {
+        if job.kind == JobKind::Gang && cx.cache.format() < PARTS_FORMAT {
             return Some(later(503, "not all controllers know this shape yet"));
         }
         if known {
@@ -166,8 +166,8 @@
             Pending {
                 question,
                 state: State::Committing { txn, at_ms },
-                asked: now.steady,
-                deadline: now.steady + SUBMIT_WITHIN,
+                asked: now.monotonic,
+                deadline: now.monotonic + SUBMIT_WITHIN,
             },
         );
         None
@@ -238,8 +238,8 @@
             Pending {
                 question,
                 state: State::Refreshing,
-                asked: now.steady,
-                deadline: now.steady + within,
+                asked: now.monotonic,
+                deadline: now.monotonic + within,
             },
         );
         None
@@ -288,7 +288,7 @@
             },
             // Not executed, for all controllers together asked too much just then: most often it goes a moment later.
             (_, Outcome::Refused)
-                if cx.budget.available(now) && now.steady + LONGEST_QUEUE < pending.deadline =>
+                if cx.budget.available(now) && now.monotonic + LONGEST_QUEUE < pending.deadline =>
             {
                 let State::Committing { txn, .. } = &pending.state else {
                     return None;
@@ -305,7 +305,7 @@
             (_, Outcome::Conflict) => {
                 // Somebody was first: see what they did.
                 pending.state = State::Refreshing;
-                pending.asked = now.steady;
+                pending.asked = now.monotonic;
                 cx.cache.want_fresh();
                 return None;
             }
@@ -329,9 +329,11 @@
             .iter()
             .filter(|(_, pending)| match pending.state {
                 State::Refreshing => {
-                    !available || cx.cache.covers(pending.asked) || now.steady >= pending.deadline
+                    !available
+                        || cx.cache.covers(pending.asked)
+                        || now.monotonic >= pending.deadline
                 }
-                State::Committing { .. } => now.steady >= pending.deadline,
+                State::Committing { .. } => now.monotonic >= pending.deadline,
             })
             .map(|(id, _)| *id)
             .collect();
@@ -406,8 +408,8 @@
     }
     let (end, tasks) = cache.ended.get(&job)?;
     let (status, done) = match end {
-        Final::Done => ("done", u64::from(*tasks)),
-        Final::Cancelled => ("cancelled", 0),
+        JobOutcome::Done => ("done", u64::from(*tasks)),
+        JobOutcome::Cancelled => ("cancelled", 0),
     };
     Some(Response::State {
         status: 200,
@@ -429,10 +431,10 @@
         return Some("a task fits no allowed machine type");
     }
     let at_once = match job.kind {
-        Kind::Service | Kind::Gang => f64::from(job.tasks),
-        Kind::Array => 1.0,
+        JobKind::Service | JobKind::Gang => f64::from(job.tasks),
+        JobKind::Array => 1.0,
     };
-    let Room { cpus, gpus, .. } = job.need;
+    let Resources { cpus, gpus, .. } = job.need;
     if cpus * at_once > limits.cpus_max + 1e-6 || gpus * at_once > limits.gpus_max + 1e-6 {
         return Some("needs more than the team's limit");
     }
--- a/src/intake/tests.rs
+++ b/src/intake/tests.rs
@@ -40,7 +40,7 @@
 
     fn after(&mut self, passed: Duration) {
         self.now = Now {
-            steady: self.now.steady + passed,
+            monotonic: self.now.monotonic + passed,
             wall: self.now.wall + passed,
         };
     }
@@ -114,7 +114,7 @@
     assert_eq!(desk.submit(&unfit), None, "answered once the copy is fresh");
     desk.outage();
     assert_eq!(desk.submit(&unfit), Some(503));
-    let end = JobRecord::Ended(Final::Done, 1);
+    let end = JobRecord::Ended(JobOutcome::Done, 1);
     desk.cache.apply(Change {
         key,
         version: 2,
--- a/src/intake/wire.rs
+++ b/src/intake/wire.rs
@@ -5,14 +5,16 @@
 use ciborium::Value;
 use serde::{Deserialize, Serialize};
 
-use crate::domain::{Amount, Image, Job, JobId, Kind, Priority, Room, Team, TypeName, Zone};
+use crate::domain::{
+    Amount, Image, InstanceTypeName, Job, JobId, JobKind, Priority, Resources, Team, Zone,
+};
 
 #[derive(Debug, Clone, Deserialize)]
 struct Submission {
     id: JobId,
     docket: String,
     desk: String,
-    shape: Kind,
+    shape: JobKind,
     precedence: Priority,
     entries: u64,
     cpus: Amount,
@@ -107,7 +109,7 @@
         kind: s.shape,
         priority: s.precedence,
         tasks: u32::try_from(s.entries).map_err(|_| Malformed("entries must be 1 to 100000"))?,
-        need: Room {
+        need: Resources {
             cpus: s.cpus.0,
             gpus: s.cards.0,
             memory_gb: s.ram_gb.0,
@@ -115,7 +117,12 @@
         types: if types.is_empty() {
             None
         } else {
-            Some(types.iter().map(|t| TypeName::from(t.as_str())).collect())
+            Some(
+                types
+                    .iter()
+                    .map(|t| InstanceTypeName::from(t.as_str()))
+                    .collect(),
+            )
         },
         zone: s.wing.as_deref().map(Zone::from),
         one_zone: s.same_place,
--- a/src/leadership/mod.rs
+++ b/src/leadership/mod.rs
@@ -145,7 +145,7 @@
     fn poll_member(&mut self, now: Now, cache: &WatchCache, ops: &mut Vec<(Tag, Op)>) {
         match &mut self.member {
             KeyLease::NotHeld => {
-                if cache.ready() && self.member_retry.is_none_or(|at| now.steady >= at) {
+                if cache.ready() && self.member_retry.is_none_or(|at| now.monotonic >= at) {
                     self.member = KeyLease::BlockLeaseManager;
                     ops.push((
                         Tag::GrantLease(LeaseRole::Member),
@@ -248,9 +248,10 @@
         let began = *self.vacant_since.get_or_insert_with(|| {
             // Not everyone at once: the first to ask usually wins.
             self.patience = Duration::from_millis(rng.random_range(0..200));
-            now.steady
+            now.monotonic
         });
-        if since(now, began) >= self.patience && self.leader_retry.is_none_or(|at| now.steady >= at)
+        if since(now, began) >= self.patience
+            && self.leader_retry.is_none_or(|at| now.monotonic >= at)
         {
             self.leader = KeyLease::BlockLeaseManager;
             ops.push((
@@ -308,7 +309,7 @@
         cache: &WatchCache,
     ) -> Vec<(Tag, Op)> {
         let mut ops = Vec::new();
-        let retry = Some(now.steady + RETRY);
+        let retry = Some(now.monotonic + RETRY);
         match (tag, outcome) {
             (Tag::GrantLease(LeaseRole::Member), Outcome::LeaseGranted { id }) => {
                 self.member = KeyLease::AttachingKey {
@@ -345,7 +346,7 @@
                     // Unknown may mean committed: keep the lease and see what our copy says.
                     Outcome::Committed { .. } | Outcome::Unknown => KeyLease::Held {
                         id,
-                        renewed: now.steady,
+                        renewed: now.monotonic,
                         last_confirmed,
                         renewing: false,
                     },
@@ -378,7 +379,8 @@
                         }
                         // Asked again soon, not at once.
                         _ => {
-                            *renewed = (*renewed).max(now.steady - LEADER_LEASE_TTL / 4 + RETRY / 2)
+                            *renewed =
+                                (*renewed).max(now.monotonic - LEADER_LEASE_TTL / 4 + RETRY / 2)
                         }
                     }
                 }
--- a/src/leadership/tests.rs
+++ b/src/leadership/tests.rs
@@ -6,18 +6,18 @@
 fn leading_is_certain_only_for_the_life_of_the_hold_counted_from_before_it_was_asked_for() {
     let start = Now::read();
     let at = |ms: u64| Now {
-        steady: start.steady + Duration::from_millis(ms),
+        monotonic: start.monotonic + Duration::from_millis(ms),
         ..start
     };
     let cache = WatchCache::following();
     let mut leadership = Leadership::new("node-0".into(), 1, 0);
     let answer = |leadership: &mut Leadership, now: Now, sent: Now, tag: Tag, outcome: Outcome| {
-        leadership.handle(now, sent.steady, tag, &outcome, &cache);
+        leadership.handle(now, sent.monotonic, tag, &outcome, &cache);
     };
     let certain = |leadership: &Leadership, now: Now| {
         leadership
             .certain_until()
-            .is_some_and(|until| now.steady < until)
+            .is_some_and(|until| now.monotonic < until)
     };
     answer(
         &mut leadership,
--- a/src/operations/mod.rs
+++ b/src/operations/mod.rs
@@ -84,7 +84,7 @@
         self.pending.push_back(Pending {
             id,
             request,
-            asked: now.steady,
+            asked: now.monotonic,
             sent: false,
             uncordoned: BTreeSet::new(),
         });
--- a/src/placement/mod.rs
+++ b/src/placement/mod.rs
@@ -2,7 +2,7 @@
 
 use std::cmp::Ordering;
 
-use crate::domain::{Image, Job, MachineId, Room, Tenure, TypeName, Zone};
+use crate::domain::{CapacityType, Image, InstanceTypeName, Job, MachineId, Resources, Zone};
 use crate::provisioning::wire::Flavor;
 use crate::store::Machine;
 
@@ -10,11 +10,11 @@
 #[derive(Debug, Clone)]
 pub struct Candidate {
     pub machine: MachineId,
-    pub type_name: TypeName,
+    pub type_name: InstanceTypeName,
     pub zone: Zone,
-    pub tenure: Tenure,
-    pub size: Room,
-    pub free: Room,
+    pub capacity_type: CapacityType,
+    pub size: Resources,
+    pub free: Resources,
     pub images: Vec<Image>,
     /// How long a fetch of a gigabyte takes here.
     pub fetch_s_per_gb: f64,
@@ -26,7 +26,7 @@
         id: &MachineId,
         machine: &Machine,
         flavor: &Flavor,
-        taken: &Room,
+        taken: &Resources,
         images: Vec<Image>,
     ) -> Self {
         let size = flavor.room();
@@ -36,7 +36,7 @@
             machine: id.clone(),
             type_name: machine.type_name.clone(),
             zone: machine.zone.clone(),
-            tenure: machine.tenure,
+            capacity_type: machine.capacity_type,
             size,
             free,
             images,
@@ -47,7 +47,7 @@
     pub fn allows(&self, job: &Job) -> bool {
         job.allows_type(&self.type_name)
             && job.allows_zone(&self.zone)
-            && job.allows_tenure(self.tenure)
+            && job.allows_capacity_type(self.capacity_type)
     }
 }
 
@@ -136,7 +136,7 @@
             job.image_gb * candidate.fetch_s_per_gb
         },
         // Work that may run on spot machines leaves the ordinary ones to work that may not.
-        misplaced: job.spot && !candidate.tenure.is_spot(),
+        misplaced: job.spot && !candidate.capacity_type.is_spot(),
         left_over: candidate.size.left_over(&left),
     }
 }
--- a/src/placement/tests.rs
+++ b/src/placement/tests.rs
@@ -1,14 +1,14 @@
 use super::*;
-use crate::domain::{Kind, Priority};
+use crate::domain::{JobKind, Priority};
 
 pub fn job(tasks: u32, cpus: f64) -> Job {
     Job {
         class: "c".into(),
         team: "red".into(),
-        kind: Kind::Array,
+        kind: JobKind::Array,
         priority: Priority::Standard,
         tasks,
-        need: Room {
+        need: Resources {
             cpus,
             gpus: 0.0,
             memory_gb: 1.0,
@@ -28,18 +28,18 @@
     }
 }
 
-fn machine(name: &str, tenure: Tenure, free: f64, images: &[&str]) -> Candidate {
+fn machine(name: &str, capacity_type: CapacityType, free: f64, images: &[&str]) -> Candidate {
     Candidate {
         machine: name.into(),
         type_name: "small".into(),
         zone: "a".into(),
-        tenure,
-        size: Room {
+        capacity_type,
+        size: Resources {
             cpus: 8.0,
             gpus: 0.0,
             memory_gb: 32.0,
         },
-        free: Room {
+        free: Resources {
             cpus: free,
             gpus: 0.0,
             memory_gb: 32.0,
@@ -52,17 +52,17 @@
 #[test]
 fn images_first_then_the_tightest_fit_and_never_a_forbidden_machine() {
     let mut list = vec![
-        machine("m-1", Tenure::Ordinary, 8.0, &[]),
-        machine("m-2", Tenure::Ordinary, 4.0, &[]),
-        machine("m-3", Tenure::Ordinary, 1.0, &["img"]),
-        machine("m-4", Tenure::Spot, 4.0, &["img"]),
+        machine("m-1", CapacityType::OnDemand, 8.0, &[]),
+        machine("m-2", CapacityType::OnDemand, 4.0, &[]),
+        machine("m-3", CapacityType::OnDemand, 1.0, &["img"]),
+        machine("m-4", CapacityType::Spot, 4.0, &["img"]),
     ];
     let chosen = |list: &[Candidate], job: &Job| {
         choose(list.iter(), job, |_| true).map(|c| c.machine.clone())
     };
     let mut work = job(1, 2.0);
     assert_eq!(chosen(&list, &work), Some("m-2".into()));
-    list.push(machine("m-5", Tenure::Ordinary, 8.0, &["img"]));
+    list.push(machine("m-5", CapacityType::OnDemand, 8.0, &["img"]));
     assert_eq!(chosen(&list, &work), Some("m-5".into()));
     work.spot = true;
     assert_eq!(chosen(&list, &work), Some("m-4".into()));
@@ -82,8 +82,8 @@
 #[test]
 fn a_machine_that_is_avoided_is_taken_only_when_there_is_room_nowhere_else() {
     let mut list = vec![
-        machine("m-1", Tenure::Ordinary, 8.0, &["img"]),
-        machine("m-2", Tenure::Ordinary, 8.0, &[]),
+        machine("m-1", CapacityType::OnDemand, 8.0, &["img"]),
+        machine("m-2", CapacityType::OnDemand, 8.0, &[]),
     ];
     let work = job(1, 2.0);
     let best = |list: &[Candidate]| {
--- a/src/provisioning/boot_times.rs
+++ b/src/provisioning/boot_times.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
 
-use crate::domain::TypeName;
+use crate::domain::InstanceTypeName;
 
 /// The boots that an estimate rests on: the last ones.
 const SAMPLES: usize = 21;
@@ -19,13 +19,13 @@
 /// move it, while it follows as soon as most of them do.
 #[derive(Debug, Default)]
 pub struct BootTimes {
-    measured: BTreeMap<TypeName, VecDeque<Duration>>,
-    expected: BTreeMap<TypeName, Duration>,
+    measured: BTreeMap<InstanceTypeName, VecDeque<Duration>>,
+    expected: BTreeMap<InstanceTypeName, Duration>,
 }
 
 impl BootTimes {
     /// Notes that a machine has come up.
-    pub fn record(&mut self, type_name: &TypeName, took: Duration) {
+    pub fn record(&mut self, type_name: &InstanceTypeName, took: Duration) {
         let samples = self.measured.entry(type_name.clone()).or_default();
         samples.push_back(took);
         if samples.len() > SAMPLES {
@@ -36,7 +36,7 @@
     /// Updates the estimate for a type. `booting`: the ages of its machines that are not up yet. They are known to take
     /// at least that long, which counts as soon as it is longer than usual: when all machines are late, none has to come
     /// up before that is noticed.
-    pub fn update(&mut self, type_name: &TypeName, stated: Duration, booting: &[Duration]) {
+    pub fn update(&mut self, type_name: &InstanceTypeName, stated: Duration, booting: &[Duration]) {
         let measured = self.measured.get(type_name).into_iter().flatten().copied();
         let mut known: Vec<Duration> = std::iter::repeat_n(stated, PRIOR).chain(measured).collect();
         let usual = median(&mut known);
@@ -45,23 +45,23 @@
     }
 
     /// The boot time to expect; the stated one as long as nothing is known.
-    pub fn expected(&self, type_name: &TypeName, stated: Duration) -> Duration {
+    pub fn expected(&self, type_name: &InstanceTypeName, stated: Duration) -> Duration {
         self.expected.get(type_name).copied().unwrap_or(stated)
     }
 
     /// Whether a machine of this age that is not up should no longer be waited for when machines are short. It may come
     /// up all the same.
-    pub fn is_late(&self, type_name: &TypeName, stated: Duration, age: Duration) -> bool {
+    pub fn is_late(&self, type_name: &InstanceTypeName, stated: Duration, age: Duration) -> bool {
         age > self.patience(type_name, stated).mul_f64(LATE)
     }
 
     /// Whether a machine of this age that is not up never will be.
-    pub fn is_lost(&self, type_name: &TypeName, stated: Duration, age: Duration) -> bool {
+    pub fn is_lost(&self, type_name: &InstanceTypeName, stated: Duration, age: Duration) -> bool {
         age > self.patience(type_name, stated).mul_f64(NEVER) + NEVER_EXTRA
     }
 
     /// Boots that were quick for a while are no reason to give up one that takes its usual time.
-    fn patience(&self, type_name: &TypeName, stated: Duration) -> Duration {
+    fn patience(&self, type_name: &InstanceTypeName, stated: Duration) -> Duration {
         self.expected(type_name, stated).max(stated)
     }
 }
--- a/src/provisioning/boot_times/tests.rs
+++ b/src/provisioning/boot_times/tests.rs
@@ -9,8 +9,8 @@
 }
 
 /// Boot times after these boots, with machines of these ages still booting.
-fn after(boots: &[u64], booting: &[u64]) -> (BootTimes, TypeName) {
-    let name = TypeName::from("large");
+fn after(boots: &[u64], booting: &[u64]) -> (BootTimes, InstanceTypeName) {
+    let name = InstanceTypeName::from("large");
     let mut times = BootTimes::default();
     for took in boots {
         times.record(&name, seconds(*took));
--- a/src/provisioning/edits.rs
+++ b/src/provisioning/edits.rs
@@ -4,7 +4,7 @@
 
 use super::Demand;
 use crate::block_leases;
-use crate::domain::{BlockId, MachineId, TypeName, Zone};
+use crate::domain::{BlockId, InstanceTypeName, MachineId, Zone};
 use crate::leadership::Lead;
 use crate::store::records::{FIRST_PART, PARTS_FORMAT, Part, Roster, Rostered, roster_part_key};
 use crate::store::{Txn, WatchCache};
@@ -20,7 +20,7 @@
     /// The blocks of each zone, and how full each is for its value: by its machines, and by the tasks they may get.
     pub(super) blocks: BTreeMap<Zone, BTreeMap<BlockId, f64>>,
     pub(super) value_bytes: f64,
-    pub(super) tasks: HashMap<TypeName, f64>,
+    pub(super) tasks: HashMap<InstanceTypeName, f64>,
 }
 
 /// How full a block may be of what its machines may hold before a new one is opened: what a value can't hold can't
@@ -40,7 +40,7 @@
             flavors,
             ..
         } = *lead;
-        let mut seen: HashMap<&TypeName, (usize, usize)> = HashMap::new();
+        let mut seen: HashMap<&InstanceTypeName, (usize, usize)> = HashMap::new();
         for live in cache.live_places() {
             let (machines, tasks) = seen.entry(&live.machine.type_name).or_default();
             *machines += 1;
--- a/src/provisioning/flavors.rs
+++ b/src/provisioning/flavors.rs
@@ -5,12 +5,12 @@
 
 use super::wire::{Flavor, FlavorList};
 use crate::config::Config;
-use crate::domain::{Job, Now, TypeName, Zone, since};
+use crate::domain::{InstanceTypeName, Job, Now, Zone, since};
 
 /// The machine types, once the cloud has told them.
 #[derive(Debug, Default)]
 pub struct Flavors {
-    types: BTreeMap<TypeName, Flavor>,
+    types: BTreeMap<InstanceTypeName, Flavor>,
     asked: Option<Instant>,
     busy: bool,
 }
@@ -23,7 +23,7 @@
         !self.types.is_empty()
     }
 
-    pub fn get(&self, name: &TypeName) -> Option<&Flavor> {
+    pub fn get(&self, name: &InstanceTypeName) -> Option<&Flavor> {
         self.types.get(name)
     }
 
@@ -55,7 +55,7 @@
         let due = !self.busy && self.asked.is_none_or(|asked| since(now, asked) >= pause);
         if due {
             self.busy = true;
-            self.asked = Some(now.steady);
+            self.asked = Some(now.monotonic);
         }
         due
     }
--- a/src/provisioning/mod.rs
+++ b/src/provisioning/mod.rs
@@ -20,7 +20,8 @@
 use crate::cancellation;
 use crate::config::Config;
 use crate::domain::{
-    Amount, Attempt, BlockId, MachineId, Now, Room, TaskId, Tenure, TypeName, Zone, since,
+    Amount, Attempt, BlockId, CapacityType, InstanceTypeName, MachineId, Now, Resources, TaskId,
+    Zone, since,
 };
 use crate::fleet::wire::Report;
 use crate::leadership::Lead;
@@ -59,7 +60,7 @@
 }
 
 /// Machines that are rented, priced and run out alike: to the rule, a type.
-pub type Pool = (TypeName, Tenure);
+pub type Pool = (InstanceTypeName, CapacityType);
 
 /// How long tasks have run in a pool, and how many of them have ended: time over ends is their mean run time,
 /// those that still run included.
@@ -80,7 +81,7 @@
     pub occupied: HashSet<MachineId>,
     pub runs: BTreeMap<Pool, Runs>,
     /// The least that any open job's task takes.
-    pub smallest: Option<Room>,
+    pub smallest: Option<Resources>,
 }
 
 /// What the holders tell about a machine.
@@ -102,13 +103,13 @@
     term: u64,
     term_since: Instant,
     next_request: u64,
-    stockouts: HashMap<(TypeName, Zone, Tenure), Instant>,
+    stockouts: HashMap<(InstanceTypeName, Zone, CapacityType), Instant>,
     /// When a type that has run out was last asked for all the same.
-    asked_again: BTreeMap<TypeName, Instant>,
-    renting: BTreeMap<TypeName, Instant>,
-    rent_retry: BTreeMap<TypeName, Instant>,
+    asked_again: BTreeMap<InstanceTypeName, Instant>,
+    renting: BTreeMap<InstanceTypeName, Instant>,
+    rent_retry: BTreeMap<InstanceTypeName, Instant>,
     /// Rented machines that are not yet recorded.
-    rented: BTreeMap<TypeName, (Order, u64, Vec<MachineId>)>,
+    rented: BTreeMap<InstanceTypeName, (Order, u64, Vec<MachineId>)>,
     deleting: Option<Vec<MachineId>>,
     delete_retry: Option<Instant>,
     deleted: BTreeSet<MachineId>,
@@ -184,7 +185,7 @@
 pub enum Tag {
     Flavors,
     Rent {
-        type_name: TypeName,
+        type_name: InstanceTypeName,
         order: Order,
         version: u64,
     },
@@ -197,10 +198,12 @@
 impl Provisioner {
     pub fn new(now: Now, term: u64) -> Self {
         Provisioner {
-            writer: Writer::Unsure { since: now.steady },
+            writer: Writer::Unsure {
+                since: now.monotonic,
+            },
             round: None,
             term,
-            term_since: now.steady,
+            term_since: now.monotonic,
             next_request: 0,
             stockouts: HashMap::new(),
             asked_again: BTreeMap::new(),
@@ -226,7 +229,7 @@
             booting: HashMap::new(),
             late: BTreeSet::new(),
             calls: 1.0,
-            calls_filled: now.steady,
+            calls_filled: now.monotonic,
         }
     }
 
@@ -234,18 +237,24 @@
         self.term
     }
 
-    /// Whether a machine of this type, zone and tenure can be had, as far as is known.
-    pub fn available(&self, now: Now, type_name: &TypeName, zone: &Zone, tenure: Tenure) -> bool {
-        let key = (type_name.clone(), zone.clone(), tenure);
+    /// Whether a machine of this type, zone and capacity type can be had, as far as is known.
+    pub fn available(
+        &self,
+        now: Now,
+        type_name: &InstanceTypeName,
+        zone: &Zone,
+        capacity_type: CapacityType,
+    ) -> bool {
+        let key = (type_name.clone(), zone.clone(), capacity_type);
         let in_stock = self
             .stockouts
             .get(&key)
-            .is_none_or(|until| now.steady >= *until);
+            .is_none_or(|until| now.monotonic >= *until);
         in_stock && !self.is_closed(type_name, zone)
     }
 
     /// Whether operators empty all machines of this type in this zone.
-    pub fn is_closed(&self, type_name: &TypeName, zone: &Zone) -> bool {
+    pub fn is_closed(&self, type_name: &InstanceTypeName, zone: &Zone) -> bool {
         self.closed
             .iter()
             .any(|scope| scope.closes(type_name, zone))
@@ -285,7 +294,7 @@
         if !self.recently_deleted.contains_key(&listed.id) {
             self.unexpected
                 .entry(listed.id.clone())
-                .or_insert((listed, now.steady));
+                .or_insert((listed, now.monotonic));
         }
     }
 
@@ -346,7 +355,7 @@
             // When the cut ends, the first half of the zone's machines that are heard again must not condemn the rest.
             let suspected = cut_off.contains(&machine.zone) || self.silent.contains_key(id);
             if silent && known_up && suspected {
-                let since_when = *self.silent.entry(id.clone()).or_insert(now.steady);
+                let since_when = *self.silent.entry(id.clone()).or_insert(now.monotonic);
                 silent = since(now, since_when) >= patience;
             }
             if (silent || health.faulty) && self.lost.insert(id.clone()) {
@@ -365,7 +374,7 @@
         health: &BTreeMap<MachineId, Health>,
     ) {
         self.note_up(now, cache, health);
-        let mut booting: BTreeMap<&TypeName, Vec<(&MachineId, Duration)>> = BTreeMap::new();
+        let mut booting: BTreeMap<&InstanceTypeName, Vec<(&MachineId, Duration)>> = BTreeMap::new();
         for (id, rented) in &self.booting {
             if let Some(machine) = cache.machines.get(id).filter(|_| !self.lost.contains(id)) {
                 booting
@@ -449,7 +458,7 @@
     fn pass(&mut self, now: Now, rps: f64) -> bool {
         self.calls =
             (self.calls + since(now, self.calls_filled).as_secs_f64() * rps * 0.8).min(rps);
-        self.calls_filled = now.steady;
+        self.calls_filled = now.monotonic;
         if self.calls < 1.0 {
             return false;
         }
@@ -474,17 +483,17 @@
             let waiting = self
                 .rent_retry
                 .get(type_name)
-                .is_some_and(|at| now.steady < *at);
+                .is_some_and(|at| now.monotonic < *at);
             if busy || waiting || !self.pass(now, config.cloud_rps) {
                 continue;
             }
-            self.renting.insert(type_name.clone(), now.steady);
+            self.renting.insert(type_name.clone(), now.monotonic);
             let order = order.clone();
             let request = RentRequest {
                 request: order.value.request.clone(),
                 type_name: type_name.clone(),
                 zone: order.value.zone.clone(),
-                spot: order.value.tenure.is_spot(),
+                spot: order.value.capacity_type.is_spot(),
                 count: order.value.count,
             };
             let tag = Tag::Rent {
@@ -494,7 +503,7 @@
             };
             calls.push((tag, Call::Rent(request)));
         }
-        if self.deleting.is_none() && self.delete_retry.is_none_or(|at| now.steady >= at) {
+        if self.deleting.is_none() && self.delete_retry.is_none_or(|at| now.monotonic >= at) {
             let due: Vec<MachineId> = cache
                 .machines
                 .iter()
@@ -519,7 +528,7 @@
             self.listed.is_none_or(|at| since(now, at) >= LIST_EVERY) || self.list_after.is_some();
         if !self.list_busy && list_due && self.pass(now, config.cloud_rps) {
             self.list_busy = true;
-            self.listed = Some(now.steady);
+            self.listed = Some(now.monotonic);
             calls.push((
                 Tag::List,
                 Call::List {
@@ -552,7 +561,7 @@
                 match outcome {
                     CallOutcome::Rented(names) => {
                         let got = names.machines.len();
-                        info!(%type_name, zone = %order.zone, tenure = ?order.tenure, wanted = order.count, got, "rented");
+                        info!(%type_name, zone = %order.zone, capacity_type = ?order.capacity_type, wanted = order.count, got, "rented");
                         if got < order.count as usize {
                             self.out_of_stock(now, policy, &type_name, &order);
                         }
@@ -560,31 +569,31 @@
                             names
                                 .machines
                                 .iter()
-                                .map(|machine| (machine.clone(), now.steady)),
+                                .map(|machine| (machine.clone(), now.monotonic)),
                         );
                         self.rented
                             .insert(type_name, (order, version, names.machines));
                     }
                     CallOutcome::NoCapacity => {
-                        debug!(%type_name, zone = %order.zone, tenure = ?order.tenure, "no capacity");
+                        debug!(%type_name, zone = %order.zone, capacity_type = ?order.capacity_type, "no capacity");
                         self.out_of_stock(now, policy, &type_name, &order);
                         self.rented.insert(type_name, (order, version, Vec::new()));
                     }
                     _ => {
-                        self.rent_retry.insert(type_name, now.steady + RETRY);
+                        self.rent_retry.insert(type_name, now.monotonic + RETRY);
                     }
                 }
             }
             (Tag::Delete(machines), CallOutcome::Deleted) => {
                 self.deleting = None;
                 for machine in machines {
-                    self.recently_deleted.insert(machine.clone(), now.steady);
+                    self.recently_deleted.insert(machine.clone(), now.monotonic);
                     self.deleted.insert(machine);
                 }
             }
             (Tag::Delete(_), _) => {
                 self.deleting = None;
-                self.delete_retry = Some(now.steady + RETRY);
+                self.delete_retry = Some(now.monotonic + RETRY);
             }
             (Tag::List, CallOutcome::Listed(list)) => {
                 self.list_busy = false;
@@ -601,10 +610,16 @@
         }
     }
 
-    fn out_of_stock(&mut self, now: Now, policy: &Policy, type_name: &TypeName, order: &Order) {
-        let key = (type_name.clone(), order.zone.clone(), order.tenure);
+    fn out_of_stock(
+        &mut self,
+        now: Now,
+        policy: &Policy,
+        type_name: &InstanceTypeName,
+        order: &Order,
+    ) {
+        let key = (type_name.clone(), order.zone.clone(), order.capacity_type);
         self.stockouts
-            .insert(key, now.steady + policy.stockout_memory);
+            .insert(key, now.monotonic + policy.stockout_memory);
     }
 
     fn take_list(&mut self, now: Now, config: &Config, cache: &WatchCache, list: MachineList) {
@@ -625,7 +640,7 @@
                 // What an earlier leader deleted is listed a while longer; only what stays is unexpected.
                 self.unexpected
                     .entry(listed.id.clone())
-                    .or_insert((listed, now.steady));
+                    .or_insert((listed, now.monotonic));
             }
         }
     }
@@ -646,7 +661,7 @@
             .keys()
             .filter(|id| !demand.occupied.contains(*id))
         {
-            self.idle.entry(id.clone()).or_insert(now.steady);
+            self.idle.entry(id.clone()).or_insert(now.monotonic);
         }
         if !self.writer.ready(now, cache) || !flavors.known() {
             return None;
@@ -699,7 +714,7 @@
         {
             let entry = Rostered {
                 type_name: name.clone(),
-                tenure: order.tenure,
+                capacity_type: order.capacity_type,
                 state: MachineState::InService,
                 rented_s: now.unix_ms() / 1000,
             };
@@ -778,7 +793,7 @@
         for listed in take {
             let entry = Rostered {
                 type_name: listed.type_name.clone(),
-                tenure: Tenure::spot(listed.spot),
+                capacity_type: CapacityType::from_spot(listed.spot),
                 state: MachineState::InService,
                 rented_s: (now.unix_ms() / 1000)
                     .saturating_sub(listed.age_s.0.clamp(0.0, 1e9) as u64),
@@ -834,7 +849,7 @@
                 cache
                     .machines
                     .get(id)
-                    .is_some_and(|m| (&m.type_name, m.tenure) == (&pool.0, pool.1))
+                    .is_some_and(|m| (&m.type_name, m.capacity_type) == (&pool.0, pool.1))
             };
             let up = self.up.iter().filter(|id| of_pool(id)).count();
             let idle = self
@@ -848,7 +863,7 @@
                 .filter(|(id, m)| m.state == MachineState::Returning && of_pool(id))
                 .count();
             let demand = demand.machines.get(&pool).copied().unwrap_or(0.0);
-            info!(type_name = %pool.0, tenure = ?pool.1, machines, up, idle, returning, demand, "pool");
+            info!(type_name = %pool.0, capacity_type = ?pool.1, machines, up, idle, returning, demand, "pool");
             for (state, count) in [
                 ("all", f64::from(machines)),
                 ("up", up as f64),
@@ -856,7 +871,7 @@
             ] {
                 gauges.insert(
                     format!(
-                        "machines{{type=\"{}\",tenure=\"{:?}\",state=\"{state}\"}}",
+                        "machines{{type=\"{}\",capacity_type=\"{:?}\",state=\"{state}\"}}",
                         pool.0, pool.1
                     ),
                     count,
@@ -871,7 +886,7 @@
         for (id, machine) in &cache.machines {
             if machine.state.takes_tasks() && !self.lost.contains(id) && !self.late.contains(id) {
                 *count
-                    .entry((machine.type_name.clone(), machine.tenure))
+                    .entry((machine.type_name.clone(), machine.capacity_type))
                     .or_default() += 1;
             }
         }
--- a/src/provisioning/round.rs
+++ b/src/provisioning/round.rs
@@ -9,7 +9,7 @@
 use super::edits::Edits;
 use super::wire::Flavor;
 use super::{ASK_AGAIN, Demand, MOST_RENTED, Pool, Provisioner, Runs, rule};
-use crate::domain::{BlockId, MachineId, Now, Tenure, Zone, since};
+use crate::domain::{BlockId, CapacityType, MachineId, Now, Zone, since};
 use crate::leadership::Lead;
 use crate::store::records::{MachineState, Order, order_key};
 use crate::store::{Machine, Txn, WatchCache};
@@ -26,7 +26,7 @@
 /// Machines that a pool lacks.
 #[derive(Debug, Clone, PartialEq)]
 pub(super) struct Shortage {
-    pub(super) tenure: Tenure,
+    pub(super) capacity_type: CapacityType,
     /// The only zone that will do for some of the tasks that wait.
     zone: Option<Zone>,
     count: i64,
@@ -63,7 +63,7 @@
         {
             return None;
         }
-        self.round = Some(now.steady);
+        self.round = Some(now.monotonic);
         let machines = self.machines(cache);
         let mut edits = Edits::new(lead, cache, demand);
         // One change for each type's order, the rest for the blocks of machines that are returned.
@@ -74,8 +74,8 @@
             .all()
             .filter(|flavor| !cache.orders.contains_key(&flavor.name))
         {
-            let shortages = [Tenure::Ordinary, Tenure::Spot].map(|tenure| {
-                let pool = (flavor.name.clone(), tenure);
+            let shortages = [CapacityType::OnDemand, CapacityType::Spot].map(|capacity_type| {
+                let pool = (flavor.name.clone(), capacity_type);
                 let available = machines.get(&pool).copied().unwrap_or(0);
                 self.return_surplus(round, &pool, available, &mut edits);
                 self.shortage(round, flavor, &pool, available)
@@ -105,7 +105,7 @@
                 }
             });
             if drained {
-                info!(machine = %id, type_name = %pool.0, tenure = ?pool.1, needed, available, "returning");
+                info!(machine = %id, type_name = %pool.0, capacity_type = ?pool.1, needed, available, "returning");
             }
         }
     }
@@ -145,9 +145,9 @@
             Some(zone) => in_stock(zone),
             None => flavor.zones.iter().any(in_stock),
         };
-        debug!(type_name = %pool.0, tenure = ?pool.1, needed, available, count, obtainable, "short of machines");
+        debug!(type_name = %pool.0, capacity_type = ?pool.1, needed, available, count, obtainable, "short of machines");
         Some(Shortage {
-            tenure: pool.1,
+            capacity_type: pool.1,
             zone,
             count,
             tasks_wait: needed > f64::from(available),
@@ -161,31 +161,31 @@
             now, lead, cache, ..
         } = round;
         let Shortage {
-            tenure,
+            capacity_type,
             zone,
             count,
             tasks_wait,
             ..
         } = shortage;
-        let zone = zone.or_else(|| self.zone_for(now, flavor, tenure, tasks_wait, cache))?;
+        let zone = zone.or_else(|| self.zone_for(now, flavor, capacity_type, tasks_wait, cache))?;
         if self.is_closed(&flavor.name, &zone) {
             return None;
         }
-        if !self.available(now, &flavor.name, &zone, tenure) {
+        if !self.available(now, &flavor.name, &zone, capacity_type) {
             let again = self.asked_again.get(&flavor.name);
             if !lead.spare && again.is_some_and(|at| since(now, *at) < ASK_AGAIN) {
                 return None;
             }
-            self.asked_again.insert(flavor.name.clone(), now.steady);
+            self.asked_again.insert(flavor.name.clone(), now.monotonic);
         }
         self.next_request += 1;
         let order = Order {
             request: format!("r-{}-{}", self.term, self.next_request),
             zone,
-            tenure,
+            capacity_type,
             count: u32::try_from(count.min(MOST_RENTED)).unwrap_or(1),
         };
-        info!(request = %order.request, type_name = %flavor.name, zone = %order.zone, ?tenure, count, "order");
+        info!(request = %order.request, type_name = %flavor.name, zone = %order.zone, ?capacity_type, count, "order");
         Some(order)
     }
 
@@ -196,7 +196,7 @@
         } = round;
         let coming = |zone: &Zone| {
             let here = |m: &Machine| {
-                (&m.type_name, m.tenure, &m.zone) == (&pool.0, pool.1, zone)
+                (&m.type_name, m.capacity_type, &m.zone) == (&pool.0, pool.1, zone)
                     && m.state.takes_tasks()
             };
             let booting = |id: &MachineId| {
@@ -254,7 +254,7 @@
             .iter()
             .filter(|(id, machine)| {
                 machine.type_name == pool.0
-                    && machine.tenure == pool.1
+                    && machine.capacity_type == pool.1
                     && machine.state.takes_tasks()
                     && !demand.occupied.contains(*id)
                     && rested(id)
@@ -285,20 +285,20 @@
         &self,
         now: Now,
         flavor: &Flavor,
-        tenure: Tenure,
+        capacity_type: CapacityType,
         wanted: bool,
         cache: &WatchCache,
     ) -> Option<Zone> {
         let out_until = |zone: &Zone| {
             self.stockouts
-                .get(&(flavor.name.clone(), zone.clone(), tenure))
+                .get(&(flavor.name.clone(), zone.clone(), capacity_type))
                 .copied()
         };
         let count = |zone: &Zone| cache.machines.values().filter(|m| m.zone == *zone).count();
         flavor
             .zones
             .iter()
-            .filter(|zone| self.available(now, &flavor.name, zone, tenure))
+            .filter(|zone| self.available(now, &flavor.name, zone, capacity_type))
             .min_by_key(|zone| count(zone))
             .or_else(|| {
                 flavor
--- a/src/provisioning/tests.rs
+++ b/src/provisioning/tests.rs
@@ -32,7 +32,7 @@
     let block = block_leases::name(&"a".into(), 0);
     let entry = || Rostered {
         type_name: "large".into(),
-        tenure: Tenure::Spot,
+        capacity_type: CapacityType::Spot,
         state: MachineState::InService,
         rented_s: 0,
     };
@@ -107,7 +107,7 @@
                 id,
                 Rostered {
                     type_name: "large".into(),
-                    tenure: Tenure::Ordinary,
+                    capacity_type: CapacityType::OnDemand,
                     state: MachineState::InService,
                     rented_s,
                 },
@@ -143,7 +143,7 @@
             (after, zones),
         ] {
             let now = Now {
-                steady: start.steady + passed,
+                monotonic: start.monotonic + passed,
                 ..start
             };
             let health = cache.machines.keys().map(|id| {
@@ -175,7 +175,7 @@
     let mut provisioner = Provisioner::new(start, 1);
     for (seconds, zones) in [(0, &[] as &[&str]), (1, &["a"]), (2, &["a0", "a1"])] {
         let now = Now {
-            steady: start.steady + Duration::from_secs(seconds),
+            monotonic: start.monotonic + Duration::from_secs(seconds),
             ..start
         };
         let health = cache.machines.keys().map(|id| {
@@ -238,8 +238,8 @@
     };
     let name = flavor().name;
     let machines = [
-        ((name.clone(), Tenure::Spot), 1000.0),
-        ((name.clone(), Tenure::Ordinary), 10.0),
+        ((name.clone(), CapacityType::Spot), 1000.0),
+        ((name.clone(), CapacityType::OnDemand), 10.0),
     ]
     .into();
     let demand = Demand {
@@ -252,13 +252,13 @@
             let order = Order {
                 request: "r".into(),
                 zone: "a".into(),
-                tenure: Tenure::Spot,
+                capacity_type: CapacityType::Spot,
                 count: 50,
             };
             provisioner.out_of_stock(now, &policy, &name, &order);
         }
-        let worst = [Tenure::Ordinary, Tenure::Spot].map(|tenure| {
-            let pool = (name.clone(), tenure);
+        let worst = [CapacityType::OnDemand, CapacityType::Spot].map(|capacity_type| {
+            let pool = (name.clone(), capacity_type);
             provisioner.shortage(
                 Round {
                     now,
@@ -271,10 +271,10 @@
                 0,
             )
         });
-        round::Shortage::worst(worst).map(|shortage| shortage.tenure)
+        round::Shortage::worst(worst).map(|shortage| shortage.capacity_type)
     };
-    assert_eq!(ordered(false), Some(Tenure::Spot));
-    assert_eq!(ordered(true), Some(Tenure::Ordinary));
+    assert_eq!(ordered(false), Some(CapacityType::Spot));
+    assert_eq!(ordered(true), Some(CapacityType::OnDemand));
 }
 
 /// A roster that is larger than the state service will take can't be written again, so it could not even be drained.
@@ -302,7 +302,7 @@
     let block = block_leases::name(&"a".into(), 0);
     let entry = || Rostered {
         type_name: "large".into(),
-        tenure: Tenure::Spot,
+        capacity_type: CapacityType::Spot,
         state: MachineState::InService,
         rented_s: 1_800_000_000,
     };
--- a/src/provisioning/wire.rs
+++ b/src/provisioning/wire.rs
@@ -5,7 +5,7 @@
 use serde::{Deserialize, Serialize};
 
 use super::{Call, CallOutcome};
-use crate::domain::{Amount, MachineId, Room, TypeName, Zone};
+use crate::domain::{Amount, InstanceTypeName, MachineId, Resources, Zone};
 use crate::http::{Reply, Request, read, write};
 
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
@@ -17,7 +17,7 @@
 /// A machine type.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Flavor {
-    pub name: TypeName,
+    pub name: InstanceTypeName,
     pub cpus: Amount,
     #[serde(rename = "cards", default)]
     pub gpus: Amount,
@@ -47,8 +47,8 @@
             .map_or(LONGEST_BOOT, |boot| boot.min(LONGEST_BOOT))
     }
 
-    pub fn room(&self) -> Room {
-        Room {
+    pub fn room(&self) -> Resources {
+        Resources {
             cpus: self.cpus.0,
             gpus: self.gpus.0,
             memory_gb: self.memory_gb.0,
@@ -65,7 +65,7 @@
     #[serde(rename = "requisition")]
     pub request: String,
     #[serde(rename = "berthKind")]
-    pub type_name: TypeName,
+    pub type_name: InstanceTypeName,
     #[serde(rename = "wing")]
     pub zone: Zone,
     #[serde(rename = "loaner")]
@@ -95,7 +95,7 @@
     #[serde(rename = "endpoint", default)]
     pub addr: Option<String>,
     #[serde(rename = "berthKind")]
-    pub type_name: TypeName,
+    pub type_name: InstanceTypeName,
     #[serde(rename = "wing")]
     pub zone: Zone,
     #[serde(rename = "loaner")]
--- a/src/queueing/block_state.rs
+++ b/src/queueing/block_state.rs
@@ -53,7 +53,7 @@
             .iter()
             .any(|attempt| stops.contains_key(attempt))
         {
-            self.placeable_since = now.steady;
+            self.placeable_since = now.monotonic;
             return since(now, self.since) > PREEMPTION_TIMEOUT;
         }
         let waited = since(now, self.placeable_since);
@@ -94,11 +94,11 @@
         let release = Release {
             attempt,
             machine,
-            since: now.steady,
+            since: now.monotonic,
             withdrawn: false,
             message: u64::MAX,
             preempted,
-            placeable_since: now.steady,
+            placeable_since: now.monotonic,
         };
         self.releases.insert(attempt.number, release);
         self.dirty = true;
@@ -174,7 +174,7 @@
             let number = self.next_message;
             block_state.dirty = false;
             block_state.ack_due = false;
-            block_state.sent = Some(now.steady);
+            block_state.sent = Some(now.monotonic);
             block_state.last_message = number;
             for release in block_state
                 .releases
--- a/src/queueing/demand.rs
+++ b/src/queueing/demand.rs
@@ -43,11 +43,11 @@
         self.usage.add(&open.job);
         let flavor = lead.flavors.get(&machine.type_name)?;
         let share = 1.0 / f64::from(flavor.room().count_of(&open.job.need).max(1));
-        let pool = (machine.type_name.clone(), machine.tenure);
+        let pool = (machine.type_name.clone(), machine.capacity_type);
         if !is_opportunistic(lead.config, &open.job) {
             *self.guaranteed.entry(pool.clone()).or_default() += share;
         }
-        if open.job.spot && !machine.tenure.is_spot() {
+        if open.job.spot && !machine.capacity_type.is_spot() {
             return Some(Misplaced { open, pool, share });
         }
         *self.demand.machines.entry(pool).or_default() += share;
--- a/src/queueing/draining/fleet_view.rs
+++ b/src/queueing/draining/fleet_view.rs
@@ -10,7 +10,7 @@
 use super::super::stock::Stock;
 use super::super::waiting::{Waiting, zone_open};
 use super::super::{Plan, Queues};
-use crate::domain::{Attempt, Job, JobId, Kind, MachineId, TaskId, Zone};
+use crate::domain::{Attempt, Job, JobId, JobKind, MachineId, TaskId, Zone};
 use crate::provisioning::wire::Flavor;
 use crate::store::WatchCache;
 use crate::store::cache::OpenJob;
@@ -126,7 +126,7 @@
 
     fn job(&self, job: JobId) -> Option<JobFacts> {
         let open = self.open(job)?;
-        let gang = open.job.kind == Kind::Gang;
+        let gang = open.job.kind == JobKind::Gang;
         Some(JobFacts {
             team: open.job.team.clone(),
             class: open.job.class.clone(),
--- a/src/queueing/draining/mod.rs
+++ b/src/queueing/draining/mod.rs
@@ -25,7 +25,7 @@
 
 use super::stock::Stock;
 use super::{Plan, Queues, STATUS_LIFE};
-use crate::domain::{Attempt, BlockId, Job, Kind, MachineId, Now, TaskId, Team, Zone, since};
+use crate::domain::{Attempt, BlockId, Job, JobKind, MachineId, Now, TaskId, Team, Zone, since};
 use crate::leadership::Lead;
 use crate::provisioning::Provisioner;
 use crate::store::cache::{values, version_of};
@@ -62,7 +62,9 @@
         Draining {
             settings,
             planner: Planner::default(),
-            writer: Writer::Unsure { since: now.steady },
+            writer: Writer::Unsure {
+                since: now.monotonic,
+            },
             reserved: BTreeMap::new(),
             proposed: BTreeSet::new(),
             without_room: BTreeMap::new(),
@@ -205,7 +207,7 @@
 
 /// Whether a task of the job can save its progress when it is stopped. What is left of a gang cannot.
 fn saves(job: &Job) -> bool {
-    job.kind != Kind::Gang && job.checkpoint_every_s > 0.0
+    job.kind != JobKind::Gang && job.checkpoint_every_s > 0.0
 }
 
 fn budgets(settings: &DrainSettings, cache: &WatchCache) -> Budgets {
@@ -490,7 +492,7 @@
         draining.proposed.clear();
         let txn = draining.transaction(now, lead, cache)?;
         draining.log_decided(cache);
-        draining.upkeep = Some(now.steady);
+        draining.upkeep = Some(now.monotonic);
         for effect in &draining.decided {
             match effect {
                 Effect::Reserve(Reservation { task, machine }) => {
@@ -524,7 +526,7 @@
         if self.upkeep.is_some_and(|at| since(now, at) < UPKEEP_EVERY) {
             return;
         }
-        self.upkeep = Some(now.steady);
+        self.upkeep = Some(now.monotonic);
         let is_wanted = |task: TaskId| {
             let open = cache.open.get(&task.job);
             open.is_some_and(|open| !open.cancelled && !open.done.contains(task.index))
--- a/src/queueing/draining/replacement.rs
+++ b/src/queueing/draining/replacement.rs
@@ -10,7 +10,7 @@
 use super::super::waiting::{Waiting, zone_open};
 use super::super::{Plan, Queues};
 use super::fleet_view::{attempts_of, gang_waiting, no_room};
-use crate::domain::{Attempt, Job, JobId, MachineId, Now, Room, TaskId, Team, Zone};
+use crate::domain::{Attempt, Job, JobId, MachineId, Now, Resources, TaskId, Team, Zone};
 use crate::placement;
 use crate::store::WatchCache;
 use crate::store::cache::OpenJob;
@@ -36,7 +36,7 @@
     }
 
     /// Takes room of a machine, and of its block's value.
-    pub(super) fn take_room(&mut self, cache: &WatchCache, candidate: usize, need: &Room) {
+    pub(super) fn take_room(&mut self, cache: &WatchCache, candidate: usize, need: &Resources) {
         let chosen = &mut self.candidates[candidate];
         chosen.free.take(need);
         let block = cache.machines.get(&chosen.machine).map(|m| &m.block);
@@ -75,7 +75,7 @@
                     continue;
                 };
                 if subject.covers(&attempt) && !block_state.stops.contains_key(&attempt) {
-                    block_state.stops.insert(attempt, now.steady);
+                    block_state.stops.insert(attempt, now.monotonic);
                     block_state.dirty = true;
                 }
             }
--- a/src/queueing/failures.rs
+++ b/src/queueing/failures.rs
@@ -9,7 +9,7 @@
 
 use tracing::info;
 
-use crate::domain::{Final, JobId, MachineId, Now};
+use crate::domain::{JobId, JobOutcome, MachineId, Now};
 use crate::peer::MachineStatus;
 use crate::store::WatchCache;
 
@@ -66,10 +66,10 @@
             return;
         }
         // Tasks that began together fail together: they are one reason to wait longer, not many.
-        if failures.retry_at.is_none_or(|at| now.steady >= at) {
+        if failures.retry_at.is_none_or(|at| now.monotonic >= at) {
             let doublings = (failures.count - TOLERATED - 1).min(8);
             let backoff = SHORTEST_BACKOFF * 2u32.pow(doublings);
-            failures.retry_at = Some(now.steady + backoff.min(LONGEST_BACKOFF));
+            failures.retry_at = Some(now.monotonic + backoff.min(LONGEST_BACKOFF));
         }
         if before <= TOLERATED {
             info!(%job, %machine, "tasks of this job keep failing: one is tried at a time");
@@ -97,7 +97,7 @@
         self.jobs
             .get(&job)
             .and_then(|failures| failures.retry_at)
-            .is_some_and(|at| now.steady < at)
+            .is_some_and(|at| now.monotonic < at)
     }
 
     /// Whether a task of the job has failed on this machine, and none has been done since anywhere.
@@ -123,7 +123,7 @@
     /// cancelled without one.
     fn fails_elsewhere(&self, job: JobId, cache: &WatchCache) -> bool {
         match cache.ended.get(&job) {
-            Some((end, _)) => *end == Final::Cancelled,
+            Some((end, _)) => *end == JobOutcome::Cancelled,
             None => self
                 .jobs
                 .get(&job)
--- a/src/queueing/failures/tests.rs
+++ b/src/queueing/failures/tests.rs
@@ -40,7 +40,7 @@
 
 fn later(now: Now, seconds: u64) -> Now {
     Now {
-        steady: now.steady + Duration::from_secs(seconds),
+        monotonic: now.monotonic + Duration::from_secs(seconds),
         ..now
     }
 }
@@ -121,10 +121,10 @@
 fn jobs_that_were_cancelled_without_a_success_do_not_blame_machines_and_done_ones_do() {
     let mut cache = view_with_open(&[1, 2, 3, 4]);
     for (version, id, end) in [
-        (11, 1, Final::Cancelled),
-        (12, 2, Final::Cancelled),
-        (13, 3, Final::Done),
-        (14, 4, Final::Done),
+        (11, 1, JobOutcome::Cancelled),
+        (12, 2, JobOutcome::Cancelled),
+        (13, 3, JobOutcome::Done),
+        (14, 4, JobOutcome::Done),
     ] {
         let value = Some(encode(&JobRecord::Ended(end, 10)));
         cache.apply(Change {
--- a/src/queueing/gangs.rs
+++ b/src/queueing/gangs.rs
@@ -11,7 +11,7 @@
 
 use super::waiting::{Shape, Waiting};
 use super::{Plan, Queues};
-use crate::domain::{Attempt, BlockId, JobId, Kind, MachineId, Now, TaskId, Zone};
+use crate::domain::{Attempt, BlockId, JobId, JobKind, MachineId, Now, TaskId, Zone};
 use crate::leadership::Lead;
 use crate::placement::{self, Candidate};
 use crate::store::WatchCache;
@@ -182,7 +182,7 @@
                 continue;
             };
             if !block_state.stops.contains_key(attempt) {
-                block_state.stops.insert(*attempt, now.steady);
+                block_state.stops.insert(*attempt, now.monotonic);
                 block_state.dirty = true;
                 stopped += 1;
             }
@@ -207,7 +207,7 @@
 
 /// Whether a waiting gang has the room kept that there is.
 pub(super) fn keeps_room(waiting: &Waiting<'_>) -> bool {
-    waiting.open.job.kind == Kind::Gang && waiting.waited >= KEEP_ROOM_AFTER
+    waiting.open.job.kind == JobKind::Gang && waiting.waited >= KEEP_ROOM_AFTER
 }
 
 /// What room there is for a gang.
--- a/src/queueing/gangs/tests.rs
+++ b/src/queueing/gangs/tests.rs
@@ -8,7 +8,7 @@
 
 fn gang(tasks: u32, cpus: f64) -> Job {
     Job {
-        kind: Kind::Gang,
+        kind: JobKind::Gang,
         checkpoint_every_s: 20.0,
         checkpoint_s: 2.0,
         ..job(tasks, cpus)
--- a/src/queueing/holders.rs
+++ b/src/queueing/holders.rs
@@ -39,7 +39,7 @@
     /// Machines that reported to a controller that is not their holder.
     pub fn strayed(&mut self, now: Now, machines: Vec<MachineId>) {
         self.strays
-            .extend(machines.into_iter().map(|machine| (machine, now.steady)));
+            .extend(machines.into_iter().map(|machine| (machine, now.monotonic)));
     }
 
     /// Holders that hear hardly any of their machines, although others hear them.
--- a/src/queueing/mod.rs
+++ b/src/queueing/mod.rs
@@ -25,8 +25,8 @@
 
 use crate::config::Config;
 use crate::domain::{
-    Attempt, BlockId, ControllerName, Final, Image, Job, JobId, Kind, MachineId, Now, Priority,
-    Room, TaskId, Team, since,
+    Attempt, BlockId, ControllerName, Image, Job, JobId, JobKind, JobOutcome, MachineId, Now,
+    Priority, Resources, TaskId, Team, since,
 };
 use crate::leadership::Lead;
 use crate::peer::{BlockStatus, MachineStatus};
@@ -122,7 +122,7 @@
         self.usage.add(job);
         self.kept.add(job);
         let each = f64::from(chosen.size.count_of(&job.need).max(1));
-        let pool = (chosen.type_name.clone(), chosen.tenure);
+        let pool = (chosen.type_name.clone(), chosen.capacity_type);
         *self.demand.machines.entry(pool).or_default() += 1.0 / each;
         self.demand.occupied.insert(chosen.machine.clone());
     }
@@ -136,12 +136,14 @@
             next_attempt: term << 20,
             next_message: 0,
             block_states: BTreeMap::new(),
-            writer: Writer::Unsure { since: now.steady },
+            writer: Writer::Unsure {
+                since: now.monotonic,
+            },
             placed: HashMap::new(),
             looks: 0,
             failures: Failures::default(),
             runs: BTreeMap::new(),
-            measured: now.steady,
+            measured: now.monotonic,
             strays: HashMap::new(),
             draining: None,
             waiting: BTreeMap::new(),
@@ -166,7 +168,7 @@
                 .machines
                 .insert(machine.machine.clone(), machine);
         }
-        block_state.status = Some((status, now.steady));
+        block_state.status = Some((status, now.monotonic));
     }
 
     /// Whether a placed attempt's holder has proven it gone. None: it has not spoken under its present block lease.
@@ -254,7 +256,7 @@
         self.looks += 1;
         let look = self.looks;
         let passed = since(now, self.measured);
-        self.measured = now.steady;
+        self.measured = now.monotonic;
         for live in cache.live_places() {
             let mut count = 0;
             for attempt in live.attempts() {
@@ -265,12 +267,12 @@
                     .or_insert_with(|| PlacedSince {
                         task: attempt.task,
                         machine: live.id.clone(),
-                        at: now.steady,
+                        at: now.monotonic,
                         look,
                     });
                 seen.look = look;
             }
-            let pool = (live.machine.type_name.clone(), live.machine.tenure);
+            let pool = (live.machine.type_name.clone(), live.machine.capacity_type);
             self.runs.entry(pool).or_default().time += passed * count;
         }
         let mut gone = Vec::new();
@@ -336,7 +338,7 @@
                 && let Some(machine) = cache.machines.get(&machine)
             {
                 self.runs
-                    .entry((machine.type_name.clone(), machine.tenure))
+                    .entry((machine.type_name.clone(), machine.capacity_type))
                     .or_default()
                     .ended += 1;
             }
@@ -351,7 +353,7 @@
         flavors: &Flavors,
         provisioner: &Provisioner,
     ) -> Vec<Candidate> {
-        let mut taken: HashMap<&MachineId, Room> = HashMap::new();
+        let mut taken: HashMap<&MachineId, Resources> = HashMap::new();
         let statuses = self
             .block_states
             .values()
@@ -514,15 +516,15 @@
             let tasks = open.job.tasks;
             let end = if open.cancelled {
                 let clear = cache.placed(*id).is_empty() && !self.released(*id);
-                clear.then_some(Final::Cancelled)
+                clear.then_some(JobOutcome::Cancelled)
             } else {
                 // The tasks of a gang complete together: if one is done, all are.
-                let enough = if open.job.kind == Kind::Gang {
+                let enough = if open.job.kind == JobKind::Gang {
                     1
                 } else {
                     u64::from(tasks)
                 };
-                (open.done.len() >= enough).then_some(Final::Done)
+                (open.done.len() >= enough).then_some(JobOutcome::Done)
             };
             let Some(end) = end else { continue };
             debug!(job = %id, ?end, tasks, "job over");
--- a/src/queueing/opportunistic.rs
+++ b/src/queueing/opportunistic.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use crate::config::Config;
-use crate::domain::{Job, MachineId, Priority, Tenure};
+use crate::domain::{CapacityType, Job, MachineId, Priority};
 use crate::leadership::Lead;
 use crate::placement::Candidate;
 use crate::provisioning::wire::Flavor;
@@ -40,10 +40,11 @@
 }
 
 /// What a task of the job costs on machines of a pool. None: it does not fit there or may not go there.
-fn price_of(job: &Job, flavor: &Flavor, tenure: Tenure) -> Option<f64> {
+fn price_of(job: &Job, flavor: &Flavor, capacity_type: CapacityType) -> Option<f64> {
     let each = flavor.room().count_of(&job.need);
-    let allowed = each > 0 && job.allows_type(&flavor.name) && job.allows_tenure(tenure);
-    let price = if tenure.is_spot() {
+    let allowed =
+        each > 0 && job.allows_type(&flavor.name) && job.allows_capacity_type(capacity_type);
+    let price = if capacity_type.is_spot() {
         flavor.spot_price.0
     } else {
         flavor.price.0
@@ -66,10 +67,10 @@
     if !is_opportunistic(config, job) || starved {
         return f64::INFINITY;
     }
-    let pools = flavors
-        .all()
-        .flat_map(|flavor| [Tenure::Ordinary, Tenure::Spot].map(|tenure| (flavor, tenure)));
-    let prices = pools.filter_map(|(flavor, tenure)| price_of(job, flavor, tenure));
+    let pools = flavors.all().flat_map(|flavor| {
+        [CapacityType::OnDemand, CapacityType::Spot].map(|capacity_type| (flavor, capacity_type))
+    });
+    let prices = pools.filter_map(|(flavor, capacity_type)| price_of(job, flavor, capacity_type));
     // A little more, since equal prices may be computed in different ways.
     prices.fold(f64::INFINITY, f64::min) * policy.opportunistic_price * (1.0 + 1e-9)
 }
@@ -109,7 +110,7 @@
     /// Whether a task of an opportunistic job may go to this machine.
     pub(super) fn allow(&self, job: &Job, price_limit: f64, candidate: &Candidate) -> bool {
         let flavor = self.flavors.get(&candidate.type_name);
-        let price = flavor.and_then(|flavor| price_of(job, flavor, candidate.tenure));
+        let price = flavor.and_then(|flavor| price_of(job, flavor, candidate.capacity_type));
         let cheap = price.is_some_and(|price| price <= price_limit);
         cheap && !self.reserved.contains(&candidate.machine)
     }
@@ -124,7 +125,7 @@
 ) -> impl Iterator<Item = MachineId> {
     let of_pool = candidates
         .iter()
-        .filter(|candidate| (&candidate.type_name, candidate.tenure) == (&pool.0, pool.1));
+        .filter(|candidate| (&candidate.type_name, candidate.capacity_type) == (&pool.0, pool.1));
     let mut by_room: Vec<(Reverse<u64>, &MachineId)> = of_pool
         .map(|candidate| {
             // In thousandths, to compare as equal what is.
--- a/src/queueing/opportunistic/tests.rs
+++ b/src/queueing/opportunistic/tests.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 use crate::config::tests::SETTINGS;
-use crate::domain::{Image, Now, Room};
+use crate::domain::{Image, Now, Resources};
 use crate::placement::tests::job;
 use crate::policy::Policy;
 use crate::provisioning::Flavors;
@@ -25,15 +25,15 @@
     }
 }
 
-fn candidate(name: &str, tenure: Tenure, free: f64) -> Candidate {
+fn candidate(name: &str, capacity_type: CapacityType, free: f64) -> Candidate {
     let size = flavor().room();
     Candidate {
         machine: name.into(),
         type_name: flavor().name,
         zone: "a".into(),
-        tenure,
+        capacity_type,
         size,
-        free: Room { cpus: free, ..size },
+        free: Resources { cpus: free, ..size },
         images: vec![Image::from("img")],
         fetch_s_per_gb: 1.0,
     }
@@ -80,7 +80,7 @@
     policy.opportunistic_price = flavor().price.0 / flavor().spot_price.0 - 0.1;
     let now = Now::read();
     let patience = policy.opportunistic_patience;
-    let allowed = |policy: &Policy, job: &Job, tenure, waited, begun| {
+    let allowed = |policy: &Policy, job: &Job, capacity_type, waited, begun| {
         let lead = Lead {
             config: &config,
             policy,
@@ -94,38 +94,38 @@
         let opportunities =
             Opportunities::new(&lead, &provisioner, &BTreeMap::new(), &BTreeMap::new(), &[]);
         let limit = price_limit(&lead, job, waited, begun);
-        opportunities.allow(job, limit, &candidate("m-1", tenure, 16.0))
+        opportunities.allow(job, limit, &candidate("m-1", capacity_type, 16.0))
     };
     let fresh = Duration::ZERO;
     let job = Job {
         tasks: 10,
         ..guests(Priority::Low)
     };
-    assert!(allowed(&policy, &job, Tenure::Spot, fresh, 0));
-    assert!(!allowed(&policy, &job, Tenure::Ordinary, fresh, 0));
+    assert!(allowed(&policy, &job, CapacityType::Spot, fresh, 0));
+    assert!(!allowed(&policy, &job, CapacityType::OnDemand, fresh, 0));
     let ordinary_only = Job {
         spot: false,
         ..job.clone()
     };
     assert!(
-        allowed(&policy, &ordinary_only, Tenure::Ordinary, fresh, 0),
+        allowed(&policy, &ordinary_only, CapacityType::OnDemand, fresh, 0),
         "the cheapest that it may go to"
     );
     // Found in an incident: the others' work took all cheap machines for good, and three quarters of the guests' never ran.
     assert!(!allowed(
         &policy,
         &job,
-        Tenure::Ordinary,
+        CapacityType::OnDemand,
         patience - Duration::from_millis(1),
         0
     ));
-    assert!(allowed(&policy, &job, Tenure::Ordinary, patience, 4));
+    assert!(allowed(&policy, &job, CapacityType::OnDemand, patience, 4));
     assert!(
-        !allowed(&policy, &job, Tenure::Ordinary, patience, 5),
+        !allowed(&policy, &job, CapacityType::OnDemand, patience, 5),
         "half of it got somewhere"
     );
     policy.opportunistic_price += 0.2;
-    assert!(allowed(&policy, &job, Tenure::Ordinary, fresh, 0));
+    assert!(allowed(&policy, &job, CapacityType::OnDemand, fresh, 0));
 }
 
 #[test]
@@ -142,10 +142,10 @@
         spare: true,
     };
     let candidates: Vec<Candidate> = (0..20)
-        .map(|n| candidate(&format!("m-{n:02}"), Tenure::Spot, f64::from(n % 16)))
+        .map(|n| candidate(&format!("m-{n:02}"), CapacityType::Spot, f64::from(n % 16)))
         .collect();
     let reserved = |demand: f64| {
-        let pool = (flavor().name, Tenure::Spot);
+        let pool = (flavor().name, CapacityType::Spot);
         let now = Now::read();
         let provisioner = Provisioner::new(now, 1);
         let guaranteed = BTreeMap::from([(pool, demand)]);
--- a/src/queueing/preemption.rs
+++ b/src/queueing/preemption.rs
@@ -7,7 +7,7 @@
 
 use super::Queues;
 use super::usage::Usage;
-use crate::domain::{Attempt, BlockId, Job, Kind, MachineId, Now, Zone, since};
+use crate::domain::{Attempt, BlockId, Job, JobKind, MachineId, Now, Zone, since};
 use crate::leadership::Lead;
 use crate::placement::Candidate;
 use crate::store::WatchCache;
@@ -114,7 +114,7 @@
             info!(%attempt, machine = %candidate.machine, class = %job.class, lost, "preempted");
             kept.remove(other);
             if let Some(block_state) = self.block_states.get_mut(block) {
-                block_state.stops.insert(attempt, now.steady);
+                block_state.stops.insert(attempt, now.monotonic);
                 block_state.dirty = true;
             }
         }
@@ -143,7 +143,7 @@
                 .block_states
                 .get(live.block)
                 .is_none_or(|block_state| block_state.stops.contains_key(&attempt));
-            if stopping || open.job.kind != Kind::Array {
+            if stopping || open.job.kind != JobKind::Array {
                 continue;
             }
             let ran = self
--- a/src/queueing/releases.rs
+++ b/src/queueing/releases.rs
@@ -9,7 +9,7 @@
 use super::turns::Turns;
 use super::waiting::{Shape, Waiting, zone_open};
 use super::{Plan, Queues};
-use crate::domain::{Attempt, BlockId, Image, JobId, Kind, Now, Room, TaskId, Zone};
+use crate::domain::{Attempt, BlockId, Image, JobId, JobKind, Now, Resources, TaskId, Zone};
 use crate::leadership::Lead;
 use crate::placement::{Candidate, Ranking};
 use crate::store::WatchCache;
@@ -17,7 +17,7 @@
 /// Releases decided in one go, so that a large job can't hold up everything else.
 const RELEASES: usize = 150;
 /// The room of a machine whose block can't hold another task.
-const BLOCK_IS_FULL: Room = Room {
+const BLOCK_IS_FULL: Resources = Resources {
     cpus: -1.0,
     gpus: -1.0,
     memory_gb: -1.0,
@@ -91,7 +91,7 @@
             let Some(waiting) = queue.get_mut(next) else {
                 break;
             };
-            released += if waiting.open.job.kind == Kind::Gang {
+            released += if waiting.open.job.kind == JobKind::Gang {
                 self.release_next_gang(releases, waiting, plan)
             } else {
                 self.release_next_task(releases, waiting, plan)
--- a/src/queueing/stock.rs
+++ b/src/queueing/stock.rs
@@ -4,7 +4,7 @@
 
 use super::gangs::keeps_room;
 use super::waiting::{Waiting, zone_open};
-use crate::domain::{Job, Now, Tenure, Zone};
+use crate::domain::{CapacityType, Job, Now, Zone};
 use crate::leadership::Lead;
 use crate::provisioning::{Demand, Pool, Provisioner};
 
@@ -45,10 +45,10 @@
                 .all()
                 .filter(|flavor| job.allows_type(&flavor.name))
                 .any(|flavor| {
-                    let tenures = [Tenure::Ordinary, Tenure::Spot]
+                    let capacity_types = [CapacityType::OnDemand, CapacityType::Spot]
                         .into_iter()
-                        .filter(|t| job.allows_tenure(*t));
-                    tenures
+                        .filter(|t| job.allows_capacity_type(*t));
+                    capacity_types
                         .into_iter()
                         .any(|t| self.provisioner.available(self.now, &flavor.name, zone, t))
                 })
@@ -85,22 +85,22 @@
                 continue;
             }
             let share = 1.0 / f64::from(each);
-            for tenure in [Tenure::Ordinary, Tenure::Spot]
+            for capacity_type in [CapacityType::OnDemand, CapacityType::Spot]
                 .into_iter()
-                .filter(|tenure| job.allows_tenure(*tenure))
+                .filter(|capacity_type| job.allows_capacity_type(*capacity_type))
             {
-                let pool = (flavor.name.clone(), tenure);
+                let pool = (flavor.name.clone(), capacity_type);
                 let room = f64::from(self.machines.get(&pool).copied().unwrap_or(0))
                     - demand.machines.get(&pool).copied().unwrap_or(0.0);
                 let available = |zone: &Zone| {
                     pinned.map_or(job.allows_zone(zone), |only| only == zone)
                         && self
                             .provisioner
-                            .available(self.now, &flavor.name, zone, tenure)
+                            .available(self.now, &flavor.name, zone, capacity_type)
                 };
                 let has_room = pinned.is_none() && room + 1e-9 >= share;
                 let can_be_had = has_room || flavor.zones.iter().any(available);
-                let price = if tenure.is_spot() {
+                let price = if capacity_type.is_spot() {
                     flavor.spot_price.0
                 } else {
                     flavor.price.0
--- a/src/queueing/tests.rs
+++ b/src/queueing/tests.rs
@@ -4,7 +4,7 @@
 use super::waiting::BEGIN_WITHIN;
 use super::*;
 use crate::config::tests::SETTINGS;
-use crate::domain::{Job, Kind, Tenure};
+use crate::domain::{CapacityType, Job, JobKind};
 use crate::peer::Work;
 use crate::placement::tests::job;
 use crate::policy::Policy;
@@ -76,7 +76,7 @@
     fn roster(&mut self, machines: std::ops::Range<u32>) {
         let entry = || Rostered {
             type_name: "large".into(),
-            tenure: Tenure::Ordinary,
+            capacity_type: CapacityType::OnDemand,
             state: MachineState::InService,
             rented_s: 0,
         };
@@ -429,7 +429,7 @@
         ..job(1, cpus)
     };
     let service = |job: Job| Job {
-        kind: Kind::Service,
+        kind: JobKind::Service,
         ..job
     };
     // Two machines of 16 CPUs, full. Red's guarantee is 16 CPUs, blue's 32.
@@ -527,7 +527,7 @@
             .is_some_and(|r| !r.withdrawn)
     };
     fixture.version += 1;
-    fixture.now.steady += Duration::from_secs(4);
+    fixture.now.monotonic += Duration::from_secs(4);
     assert!(still_wanted(&mut fixture), "they still save");
     // They are gone now, but the holder has no room all the same.
     fixture.put(places_key(&"a.0".into()), encode(&Places::default()));
@@ -536,7 +536,7 @@
         "the holder may not have seen it yet"
     );
     fixture.version += 1;
-    fixture.now.steady += Duration::from_secs(1);
+    fixture.now.monotonic += Duration::from_secs(1);
     assert!(!still_wanted(&mut fixture), "it has had a second");
 }
 
@@ -565,7 +565,7 @@
     let (_, work) = fixture.plan();
     let number = work[0].want[0].attempt.number;
     let withdrawn = |fixture: &mut Fixture, after: u64| {
-        fixture.now.steady += Duration::from_secs(after);
+        fixture.now.monotonic += Duration::from_secs(after);
         fixture.version += 1;
         fixture.status(1, work[0].number, &[number]);
         fixture.plan();
--- a/src/queueing/turns.rs
+++ b/src/queueing/turns.rs
@@ -4,7 +4,7 @@
 
 use super::usage::Usage;
 use super::waiting::Waiting;
-use crate::domain::{Job, Kind, Priority, Team};
+use crate::domain::{Job, JobKind, Priority, Team};
 use crate::leadership::Lead;
 
 /// The order in which waiting tasks are served: replicas first, then teams within their guarantee, then by priority,
@@ -87,5 +87,5 @@
 }
 
 pub(super) fn is_replica(job: &Job) -> bool {
-    job.kind == Kind::Service && job.priority == Priority::Production
+    job.kind == JobKind::Service && job.priority == Priority::Production
 }
--- a/src/queueing/usage.rs
+++ b/src/queueing/usage.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 
 use crate::config::{Config, TeamLimits};
-use crate::domain::{Job, Room, Team};
+use crate::domain::{Job, Resources, Team};
 
 /// Sums of decimals miss by a little: a task that fits exactly must still fit.
 const SLACK: f64 = 1e-6;
@@ -12,8 +12,8 @@
 /// Resources in use by team, and within each team by class.
 #[derive(Debug, Clone, Default)]
 pub(super) struct Usage {
-    teams: BTreeMap<Team, Room>,
-    classes: HashMap<(Team, Arc<str>), Room>,
+    teams: BTreeMap<Team, Resources>,
+    classes: HashMap<(Team, Arc<str>), Resources>,
 }
 
 impl Usage {
@@ -43,11 +43,11 @@
             .take(&job.need);
     }
 
-    pub(super) fn of_team(&self, team: &Team) -> Room {
+    pub(super) fn of_team(&self, team: &Team) -> Resources {
         self.teams.get(team).copied().unwrap_or_default()
     }
 
-    pub(super) fn of_class(&self, job: &Job) -> Room {
+    pub(super) fn of_class(&self, job: &Job) -> Resources {
         self.classes
             .get(&(job.team.clone(), job.class.clone()))
             .copied()
@@ -60,7 +60,7 @@
             return 0;
         };
         let used = self.of_team(&job.team);
-        let left = Room {
+        let left = Resources {
             cpus: (limits.cpus_max - used.cpus).max(0.0),
             gpus: (limits.gpus_max - used.gpus).max(0.0),
             memory_gb: f64::INFINITY,
--- a/src/queueing/waiting.rs
+++ b/src/queueing/waiting.rs
@@ -5,7 +5,7 @@
 
 use super::Queues;
 use super::opportunistic::{RESTRICTED_FOR, Reach, is_opportunistic, price_limit};
-use crate::domain::{Job, JobId, Kind, Now, Room, TypeName, Zone};
+use crate::domain::{InstanceTypeName, Job, JobId, JobKind, Now, Resources, Zone};
 use crate::leadership::Lead;
 use crate::store::WatchCache;
 use crate::store::cache::OpenJob;
@@ -19,7 +19,7 @@
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub(super) struct Shape {
     need: [u64; 3],
-    types: Option<Vec<TypeName>>,
+    types: Option<Vec<InstanceTypeName>>,
     zone: Option<Zone>,
     spot: bool,
     /// The zones that the job's other tasks leave open.
@@ -127,7 +127,7 @@
                 *zones.entry(zone).or_default() += 1;
             }
             let mut left = u64::from(open.job.tasks).saturating_sub(taken.len());
-            let is_gang = open.job.kind == Kind::Gang;
+            let is_gang = open.job.kind == JobKind::Gang;
             if is_gang && !taken.is_empty() {
                 // It is under way, or over, or has to go first.
                 continue;
@@ -174,9 +174,9 @@
 }
 
 /// The least that any waiting task takes, each resource for itself.
-pub(super) fn smallest(queue: &[Waiting<'_>]) -> Option<Room> {
+pub(super) fn smallest(queue: &[Waiting<'_>]) -> Option<Resources> {
     let needs = queue.iter().map(|waiting| waiting.open.job.need);
-    needs.reduce(|a, b| Room {
+    needs.reduce(|a, b| Resources {
         cpus: a.cpus.min(b.cpus),
         gpus: a.gpus.min(b.gpus),
         memory_gb: a.memory_gb.min(b.memory_gb),
--- a/src/service.rs
+++ b/src/service.rs
@@ -161,7 +161,7 @@
     fn take(&mut self, request: Incoming) {
         self.next += 1;
         let id = self.next;
-        let now = Now::read().steady;
+        let now = Now::read().monotonic;
         let (waiting, event) = match request {
             Incoming::Submit(body, reply) => (
                 Waiting::User(reply, now),
@@ -193,7 +193,7 @@
     fn handle(&mut self, event: Event) {
         let began = Now::read();
         let effects = self.controller.handle(began, event);
-        self.controller.took(began, began.steady.elapsed());
+        self.controller.took(began, began.monotonic.elapsed());
         for effect in effects {
             self.perform(effect);
         }
@@ -228,7 +228,7 @@
                 }
             }
             Effect::Store { tag, op } => {
-                let sent = Now::read().steady;
+                let sent = Now::read().monotonic;
                 let request = store::wire::request(&op);
                 self.exchange(&self.client, self.state, request, None, move |reply| {
                     let outcome = store::wire::outcome(&op, reply.as_ref());
@@ -259,7 +259,7 @@
                         outcome,
                     });
                 };
-                let close = self.commanded.crowded(Now::read().steady);
+                let close = self.commanded.crowded(Now::read().monotonic);
                 let request = Request::post(
                     "/commands".to_owned(),
                     write(&command.body),
@@ -309,7 +309,7 @@
         tokio::spawn(async move {
             // We may have stood still since this was decided.
             let reply = match until {
-                Some(until) if Now::read().steady >= until => None,
+                Some(until) if Now::read().monotonic >= until => None,
                 _ => client.send(addr, request).await,
             };
             // The receiver lives as long as the process.
--- a/src/store/budget.rs
+++ b/src/store/budget.rs
@@ -39,14 +39,14 @@
             tokens: rate,
             rate,
             burst: rate,
-            filled: now.steady,
+            filled: now.monotonic,
         }
     }
 
     fn fill(&mut self, now: Now) {
         self.tokens =
             (self.tokens + since(now, self.filled).as_secs_f64() * self.rate).min(self.burst);
-        self.filled = now.steady;
+        self.filled = now.monotonic;
     }
 
     /// What writes that can wait leave in the bucket.
@@ -162,7 +162,9 @@
         self.requests.fill(now);
         self.writes.fill(now);
         let mut ready = Vec::new();
-        let holding_off = self.hold_off_until.is_some_and(|until| now.steady < until);
+        let holding_off = self
+            .hold_off_until
+            .is_some_and(|until| now.monotonic < until);
         // What is more urgent and too dear for now must not be overtaken for ever by what is cheap.
         let mut saving = false;
         for (lane, queue) in self.lanes.iter_mut().enumerate() {
@@ -196,7 +198,9 @@
     pub fn idle(&mut self, now: Now, urgency: Urgency) -> bool {
         self.requests.fill(now);
         self.writes.fill(now);
-        let holding_off = self.hold_off_until.is_some_and(|until| now.steady < until);
+        let holding_off = self
+            .hold_off_until
+            .is_some_and(|until| now.monotonic < until);
         let clear = self.lanes[..=urgency as usize]
             .iter()
             .all(VecDeque::is_empty);
@@ -207,11 +211,11 @@
     pub fn note(&mut self, now: Now, outcome: &Outcome) {
         match outcome {
             Outcome::Refused | Outcome::Unknown => {
-                self.last_refusal = Some(now.steady);
-                self.hold_off_until = Some(now.steady + HOLD_OFF);
+                self.last_refusal = Some(now.monotonic);
+                self.hold_off_until = Some(now.monotonic + HOLD_OFF);
             }
             _ => {
-                self.last_answer = Some(now.steady);
+                self.last_answer = Some(now.monotonic);
             }
         }
     }
--- a/src/store/budget/tests.rs
+++ b/src/store/budget/tests.rs
@@ -16,7 +16,7 @@
 fn writes_wait_for_their_rate_and_the_urgent_go_first() {
     let start = Now::read();
     let later = |ms| Now {
-        steady: start.steady + Duration::from_millis(ms),
+        monotonic: start.monotonic + Duration::from_millis(ms),
         ..start
     };
     let mut budget = Budget::new(&LIMITS, 1, start);
@@ -46,7 +46,7 @@
 fn several_submissions_at_once_find_writes_that_less_urgent_work_has_left() {
     let start = Now::read();
     let later = |ms| Now {
-        steady: start.steady + Duration::from_millis(ms),
+        monotonic: start.monotonic + Duration::from_millis(ms),
         ..start
     };
     let mut budget = Budget::new(
@@ -83,7 +83,7 @@
 fn a_dear_write_is_not_overtaken_by_cheap_ones() {
     let start = Now::read();
     let later = |ms| Now {
-        steady: start.steady + Duration::from_millis(ms),
+        monotonic: start.monotonic + Duration::from_millis(ms),
         ..start
     };
     let mut budget = Budget::new(
@@ -118,7 +118,7 @@
 fn an_outage_is_told_from_a_single_refusal() {
     let start = Now::read();
     let later = |ms| Now {
-        steady: start.steady + Duration::from_millis(ms),
+        monotonic: start.monotonic + Duration::from_millis(ms),
         ..start
     };
     let mut budget: Budget<()> = Budget::new(&LIMITS, 1, start);
--- a/src/store/cache.rs
+++ b/src/store/cache.rs
@@ -13,8 +13,8 @@
 use super::{Op, Outcome};
 use crate::config::StateLimits;
 use crate::domain::{
-    Attempt, BlockId, ControllerName, Final, Job, JobId, MachineId, Now, Team, Tenure, TypeName,
-    Zone, since,
+    Attempt, BlockId, CapacityType, ControllerName, InstanceTypeName, Job, JobId, JobOutcome,
+    MachineId, Now, Team, Zone, since,
 };
 
 #[derive(Debug, Clone, PartialEq)]
@@ -53,9 +53,9 @@
 /// A machine as its block's roster has it.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Machine {
-    pub type_name: TypeName,
+    pub type_name: InstanceTypeName,
     pub zone: Zone,
-    pub tenure: Tenure,
+    pub capacity_type: CapacityType,
     pub block: BlockId,
     pub state: MachineState,
     pub rented_s: u64,
@@ -166,9 +166,9 @@
     roster_parts: BTreeMap<BlockId, Parts<Roster>>,
     /// All machines of all rosters.
     pub machines: BTreeMap<MachineId, Machine>,
-    pub orders: BTreeMap<TypeName, Versioned<Order>>,
+    pub orders: BTreeMap<InstanceTypeName, Versioned<Order>>,
     pub open: BTreeMap<JobId, OpenJob>,
-    pub ended: HashMap<JobId, (Final, u32)>,
+    pub ended: HashMap<JobId, (JobOutcome, u32)>,
     pub progress: BTreeMap<(JobId, u32), Versioned<Progress>>,
     /// What operators want of machines.
     pub drains: BTreeMap<DrainId, Versioned<DrainRecord>>,
@@ -321,16 +321,18 @@
             if spaced {
                 self.barrier.wanted = false;
                 self.barrier.busy = true;
-                self.barrier.sent = Some(now.steady);
+                self.barrier.sent = Some(now.monotonic);
                 ops.push((
-                    Tag::Barrier { sent: now.steady },
+                    Tag::Barrier {
+                        sent: now.monotonic,
+                    },
                     Op::Get {
                         key: NOWHERE.to_owned(),
                     },
                 ));
             }
         }
-        if self.busy || self.retry_at.is_some_and(|at| now.steady < at) {
+        if self.busy || self.retry_at.is_some_and(|at| now.monotonic < at) {
             return ops;
         }
         self.retry_at = None;
@@ -339,7 +341,7 @@
                 self.clear();
                 self.load += 1;
                 self.busy = true;
-                self.asked = Some(now.steady);
+                self.asked = Some(now.monotonic);
                 ops.push((
                     Tag::Page {
                         load: self.load,
@@ -382,7 +384,7 @@
                     .is_none_or(|asked| since(now, asked) >= self.pace.follow);
                 if spaced {
                     self.busy = true;
-                    self.asked = Some(now.steady);
+                    self.asked = Some(now.monotonic);
                     let op = Op::Follow {
                         prefix: ROOT.to_owned(),
                         after: self.revision,
@@ -433,7 +435,7 @@
                 self.busy = false;
                 match outcome {
                     Outcome::Missing { revision } => self.measured(now, revision),
-                    _ => self.retry_at = Some(now.steady + RETRY),
+                    _ => self.retry_at = Some(now.monotonic + RETRY),
                 }
                 Vec::new()
             }
@@ -453,7 +455,7 @@
             info!(missed, "far behind; reading everything anew");
             self.state = State::Reloading;
         } else {
-            self.near = Some(now.steady);
+            self.near = Some(now.monotonic);
         }
     }
 
@@ -516,7 +518,7 @@
             }
             _ => {
                 self.busy = false;
-                self.retry_at = Some(now.steady + RETRY);
+                self.retry_at = Some(now.monotonic + RETRY);
             }
         }
         Vec::new()
@@ -543,7 +545,7 @@
             }
             _ => {
                 self.doubtful = true;
-                self.retry_at = Some(now.steady + RETRY);
+                self.retry_at = Some(now.monotonic + RETRY);
             }
         }
     }
@@ -685,7 +687,7 @@
             let machine = Machine {
                 type_name: entry.type_name.clone(),
                 zone: new.map_or_else(|| Zone::from(""), |new| new.zone.clone()),
-                tenure: entry.tenure,
+                capacity_type: entry.capacity_type,
                 block: block.clone(),
                 state: entry.state,
                 rented_s: entry.rented_s,
--- a/src/store/cache/tests.rs
+++ b/src/store/cache/tests.rs
@@ -9,12 +9,12 @@
 fn a_copy_that_is_far_behind_is_read_anew_while_the_old_one_is_still_in_use() {
     let start = Now::read();
     let at = |seconds: u64| Now {
-        steady: start.steady + Duration::from_secs(seconds),
+        monotonic: start.monotonic + Duration::from_secs(seconds),
         ..start
     };
     let mut cache = WatchCache::following();
     cache.revision = 5;
-    cache.fresh = Some(start.steady);
+    cache.fresh = Some(start.monotonic);
     cache.apply(Change {
         key: job_key(JobId(1)),
         version: 5,
@@ -50,7 +50,7 @@
     assert!(cache.ready() && cache.open.contains_key(&JobId(1)));
     assert_eq!(
         cache.fresh_since(),
-        Some(start.steady),
+        Some(start.monotonic),
         "no newer than it was"
     );
     let rows = vec![(
@@ -85,7 +85,7 @@
     };
     let entry = || Rostered {
         type_name: "small".into(),
-        tenure: Tenure::Spot,
+        capacity_type: CapacityType::Spot,
         state: MachineState::InService,
         rented_s: 0,
     };
--- a/src/store/records.rs
+++ b/src/store/records.rs
@@ -10,8 +10,8 @@
 use serde::{Deserialize, Serialize};
 
 use crate::domain::{
-    Attempt, BlockId, ControllerName, Final, Job, JobId, MachineId, TaskId, Team, Tenure, TypeName,
-    Zone,
+    Attempt, BlockId, CapacityType, ControllerName, InstanceTypeName, Job, JobId, JobOutcome,
+    MachineId, TaskId, Team, Zone,
 };
 
 /// Everything of ours lies under this prefix, so that one watch sees all of it.
@@ -77,7 +77,7 @@
 pub fn drain_ledger_key(team: &Team) -> String {
     format!("{ROOT}drain_ledger/{team}")
 }
-pub fn order_key(name: &TypeName) -> String {
+pub fn order_key(name: &InstanceTypeName) -> String {
     format!("{ROOT}order/{name}")
 }
 pub fn job_key(job: JobId) -> String {
@@ -187,14 +187,14 @@
 
 #[derive(Debug, Clone, PartialEq)]
 pub struct Rostered {
-    pub type_name: TypeName,
-    pub tenure: Tenure,
+    pub type_name: InstanceTypeName,
+    pub capacity_type: CapacityType,
     pub state: MachineState,
     /// Seconds since the epoch.
     pub rented_s: u64,
 }
 
-/// A roster as it is stored: each machine as `0s1800000000`, which is the number of its type, its tenure (`s` for
+/// A roster as it is stored: each machine as `0s1800000000`, which is the number of its type, its capacity type (`s` for
 /// spot, `o` for ordinary, in capitals if it is being returned; `p` and `c` if it is cordoned) and when it was rented. With every name in full, the
 /// rosters needed more blocks than the tasks did, and each block costs a change of its own.
 #[derive(Clone, Serialize, Deserialize)]
@@ -202,14 +202,14 @@
     #[serde(rename = "z")]
     zone: Zone,
     #[serde(rename = "ty")]
-    types: Vec<TypeName>,
+    types: Vec<InstanceTypeName>,
     #[serde(rename = "on")]
     on: BTreeMap<MachineId, String>,
 }
 
 impl From<Roster> for RosterText {
     fn from(roster: Roster) -> Self {
-        let mut types: Vec<TypeName> = Vec::new();
+        let mut types: Vec<InstanceTypeName> = Vec::new();
         let mut on = BTreeMap::new();
         for (id, machine) in roster.on {
             let index = types
@@ -219,7 +219,7 @@
                     types.push(machine.type_name.clone());
                     types.len() - 1
                 });
-            let letter = state_letter(machine.tenure, machine.state);
+            let letter = state_letter(machine.capacity_type, machine.state);
             on.insert(id, format!("{index}{letter}{}", machine.rented_s));
         }
         RosterText {
@@ -242,11 +242,11 @@
                 .ok_or(malformed)?;
             let (index, rest) = entry.split_at(at);
             let (letter, rented) = rest.split_at(1);
-            let (tenure, state) = parse_state_letter(letter).ok_or(malformed)?;
+            let (capacity_type, state) = parse_state_letter(letter).ok_or(malformed)?;
             let index: usize = index.parse().map_err(|_| malformed)?;
             let machine = Rostered {
                 type_name: text.types.get(index).ok_or(malformed)?.clone(),
-                tenure,
+                capacity_type,
                 state,
                 rented_s: rented.parse().map_err(|_| malformed)?,
             };
@@ -259,28 +259,28 @@
     }
 }
 
-/// A machine's tenure and state, as they are stored together.
-const STATE_LETTERS: [(char, Tenure, MachineState); 6] = [
-    ('o', Tenure::Ordinary, MachineState::InService),
-    ('c', Tenure::Ordinary, MachineState::Cordoned),
-    ('O', Tenure::Ordinary, MachineState::Returning),
-    ('s', Tenure::Spot, MachineState::InService),
-    ('p', Tenure::Spot, MachineState::Cordoned),
-    ('S', Tenure::Spot, MachineState::Returning),
+/// A machine's capacity type and state, as they are stored together.
+const STATE_LETTERS: [(char, CapacityType, MachineState); 6] = [
+    ('o', CapacityType::OnDemand, MachineState::InService),
+    ('c', CapacityType::OnDemand, MachineState::Cordoned),
+    ('O', CapacityType::OnDemand, MachineState::Returning),
+    ('s', CapacityType::Spot, MachineState::InService),
+    ('p', CapacityType::Spot, MachineState::Cordoned),
+    ('S', CapacityType::Spot, MachineState::Returning),
 ];
 
-fn state_letter(tenure: Tenure, state: MachineState) -> char {
+fn state_letter(capacity_type: CapacityType, state: MachineState) -> char {
     STATE_LETTERS
         .iter()
-        .find(|(_, of, is)| (*of, *is) == (tenure, state))
+        .find(|(_, of, is)| (*of, *is) == (capacity_type, state))
         .map_or('o', |(letter, _, _)| *letter)
 }
 
-fn parse_state_letter(text: &str) -> Option<(Tenure, MachineState)> {
+fn parse_state_letter(text: &str) -> Option<(CapacityType, MachineState)> {
     STATE_LETTERS
         .iter()
         .find(|(letter, _, _)| text.starts_with(*letter))
-        .map(|(_, tenure, state)| (*tenure, *state))
+        .map(|(_, capacity_type, state)| (*capacity_type, *state))
 }
 
 impl Roster {
@@ -295,7 +295,8 @@
 impl Roster {
     /// The most that this value can measure in the form that the state service counts.
     pub fn size(&self) -> usize {
-        let types: BTreeSet<&TypeName> = self.on.values().map(|entry| &entry.type_name).collect();
+        let types: BTreeSet<&InstanceTypeName> =
+            self.on.values().map(|entry| &entry.type_name).collect();
         let types: usize = types.iter().map(|name| name.0.len() + 3).sum();
         let machines: usize = self.on.iter().map(|(id, entry)| entry.size(id)).sum();
         32 + self.zone.0.len() + types + machines
@@ -321,7 +322,8 @@
 pub struct Order {
     pub request: String,
     pub zone: Zone,
-    pub tenure: Tenure,
+    #[serde(rename = "tenure")]
+    pub capacity_type: CapacityType,
     pub count: u32,
 }
 
@@ -570,7 +572,7 @@
     #[serde(rename = "c")]
     Cancelled(Job, u64),
     #[serde(rename = "e")]
-    Ended(Final, u32),
+    Ended(JobOutcome, u32),
 }
 
 impl JobRecord {
@@ -640,7 +642,7 @@
     Format,
     Places(BlockId, Part),
     Roster(BlockId, Part),
-    Order(TypeName),
+    Order(InstanceTypeName),
     Job(JobId),
     Progress(JobId, u32),
     Drain(DrainId),
--- a/src/store/records/tests.rs
+++ b/src/store/records/tests.rs
@@ -97,11 +97,11 @@
         } else {
             "type-of-a-long-name"
         };
-        let tenure = Tenure::spot(n % 3 == 0);
+        let capacity_type = CapacityType::from_spot(n % 3 == 0);
         let rented_s = 1_800_000_000 + u64::from(n);
         let entry = Rostered {
             type_name: type_name.into(),
-            tenure,
+            capacity_type,
             state: [
                 MachineState::InService,
                 MachineState::Cordoned,
--- a/src/store/writer.rs
+++ b/src/store/writer.rs
@@ -70,8 +70,12 @@
             Outcome::Committed { revision } => Writer::Settling {
                 revision: *revision,
             },
-            Outcome::Invalid => Writer::Rejected { since: now.steady },
-            _ => Writer::Unsure { since: now.steady },
+            Outcome::Invalid => Writer::Rejected {
+                since: now.monotonic,
+            },
+            _ => Writer::Unsure {
+                since: now.monotonic,
+            },
         };
     }
 }
--- a/src/store/writer/tests.rs
+++ b/src/store/writer/tests.rs
@@ -4,7 +4,7 @@
 
 fn at(start: Now, millis: u64) -> Now {
     Now {
-        steady: start.steady + Duration::from_millis(millis),
+        monotonic: start.monotonic + Duration::from_millis(millis),
         ..start
     }
 }
@@ -13,7 +13,7 @@
 fn ready_after(outcome: &Outcome, millis: u64) -> bool {
     let start = Now::read();
     let mut cache = WatchCache::following();
-    cache.assume_fresh(at(start, 60_000).steady);
+    cache.assume_fresh(at(start, 60_000).monotonic);
     let mut writer = Writer::Idle;
     writer.sent();
     assert!(!writer.ready(start, &mut cache), "one at a time");
--- a/tests/loopback/cloud.rs
+++ b/tests/loopback/cloud.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use ciborium::{Value, cbor};
-use dappleshore::domain::{Room, Tenure};
+use dappleshore::domain::{CapacityType, Resources};
 use dappleshore::http::read;
 use dappleshore::provisioning::wire::{MachineNames, RentRequest};
 use warp::Filter;
@@ -19,7 +19,7 @@
 
 const BOOT: Duration = Duration::from_millis(500);
 const CPUS: f64 = 4.0;
-/// Machines of a zone and a tenure.
+/// Machines of a zone and a capacity type.
 const STOCK: usize = 6;
 
 /// Serves until the test ends.
@@ -97,7 +97,8 @@
     let mut names = Vec::new();
     for _ in 0..request.count {
         let alike = |machine: &&Machine| {
-            machine.zone == request.zone && machine.tenure == Tenure::spot(request.spot)
+            machine.zone == request.zone
+                && machine.capacity_type == CapacityType::from_spot(request.spot)
         };
         let taken = lock(fleet).machines.values().filter(alike).count();
         if taken >= STOCK {
@@ -133,8 +134,8 @@
         id: name.to_owned(),
         type_name: request.type_name.clone(),
         zone: request.zone.clone(),
-        tenure: Tenure::spot(request.spot),
-        size: Room {
+        capacity_type: CapacityType::from_spot(request.spot),
+        size: Resources {
             cpus: CPUS,
             gpus: 0.0,
             memory_gb: 16.0,
@@ -170,7 +171,7 @@
         let held = (fleet.now().saturating_sub(machine.rented)).as_secs_f64();
         let entry = cbor!({
             "id" => machine.id, "endpoint" => addr, "berthKind" => &*machine.type_name.0,
-            "wing" => &*machine.zone.0, "loaner" => machine.tenure.is_spot(), "status" => status,
+            "wing" => &*machine.zone.0, "loaner" => machine.capacity_type.is_spot(), "status" => status,
             "heldS" => held,
         });
         entry.expect("has a form")
--- a/tests/loopback/site.rs
+++ b/tests/loopback/site.rs
@@ -7,7 +7,7 @@
 
 use ciborium::cbor;
 use dappleshore::config::StateLimits;
-use dappleshore::domain::{Job, JobId, Kind, Priority, Room, TaskId, Team};
+use dappleshore::domain::{Job, JobId, JobKind, Priority, Resources, TaskId, Team};
 use dappleshore::fleet::wire::TaskState;
 use dappleshore::http::{Client, Request};
 
@@ -142,7 +142,7 @@
                         machine: machine.to_owned(),
                         type_name: on.type_name.clone(),
                         zone: on.zone.clone(),
-                        tenure: on.tenure,
+                        capacity_type: on.capacity_type,
                     };
                     self.rules.starts(now, task, place);
                 }
@@ -194,10 +194,10 @@
     Job {
         class: LASTING.into(),
         team: team.into(),
-        kind: Kind::Service,
+        kind: JobKind::Service,
         priority: Priority::Production,
         tasks: replicas,
-        need: Room {
+        need: Resources {
             cpus: 2.0,
             gpus: 0.0,
             memory_gb: 1.0,
--- a/tests/simulation/drains.rs
+++ b/tests/simulation/drains.rs
@@ -3,7 +3,7 @@
 
 use std::time::Duration;
 
-use dappleshore::domain::{Job, Kind, Priority, Room, TaskId};
+use dappleshore::domain::{Job, JobKind, Priority, Resources, TaskId};
 use dappleshore::features::Features;
 use dappleshore::fleet::wire::TaskState;
 use dappleshore::store::Machine;
@@ -56,10 +56,10 @@
 
 fn service(team: &str, tasks: u32, cpus: f64) -> Job {
     Job {
-        kind: Kind::Service,
+        kind: JobKind::Service,
         tasks,
         spread: true,
-        need: Room {
+        need: Resources {
             cpus,
             gpus: 0.0,
             memory_gb: 1.0,
@@ -123,7 +123,7 @@
     let services = |zone: &&str| {
         let here = world.machines.values().filter(|m| *m.zone.0 == **zone);
         let tasks = here.flat_map(|machine| machine.tasks.keys());
-        let of_service = |task: &&TaskId| world.job(task.job).kind == Kind::Service;
+        let of_service = |task: &&TaskId| world.job(task.job).kind == JobKind::Service;
         tasks.filter(of_service).count()
     };
     ["a", "b", "c"]
--- a/tests/simulation/gangs.rs
+++ b/tests/simulation/gangs.rs
@@ -4,7 +4,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-use dappleshore::domain::{Job, JobId, Kind, Priority, Room, TaskId};
+use dappleshore::domain::{Job, JobId, JobKind, Priority, Resources, TaskId};
 use dappleshore::fleet::wire::{Cause, TaskState};
 
 use super::machine::{Machine, MachineEvent};
@@ -118,7 +118,7 @@
         for (task, t) in &machine.tasks {
             let of_gang = jobs
                 .get(&task.job)
-                .is_some_and(|job| job.kind == Kind::Gang);
+                .is_some_and(|job| job.kind == JobKind::Gang);
             if !of_gang || t.state == TaskState::Exited {
                 continue;
             }
@@ -182,9 +182,9 @@
 /// A gang of so many tasks, in one zone if it asks for that.
 pub fn gang(tasks: u32, cpus: f64, one_zone: bool) -> Job {
     Job {
-        kind: Kind::Gang,
+        kind: JobKind::Gang,
         tasks,
-        need: Room {
+        need: Resources {
             cpus,
             gpus: 0.0,
             memory_gb: 1.0,
--- a/tests/simulation/machine.rs
+++ b/tests/simulation/machine.rs
@@ -3,7 +3,9 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-use dappleshore::domain::{Amount, Job, JobId, Kind, Room, TaskId, Tenure, TypeName, Zone};
+use dappleshore::domain::{
+    Amount, CapacityType, InstanceTypeName, Job, JobId, JobKind, Resources, TaskId, Zone,
+};
 use dappleshore::fleet::wire::{Cause, Order, Orders, Report, ReportedTask, TaskState};
 
 #[derive(Debug)]
@@ -18,10 +20,10 @@
 #[derive(Debug)]
 pub struct Machine {
     pub id: String,
-    pub type_name: TypeName,
+    pub type_name: InstanceTypeName,
     pub zone: Zone,
-    pub tenure: Tenure,
-    pub size: Room,
+    pub capacity_type: CapacityType,
+    pub size: Resources,
     pub rented: Duration,
     /// None: never comes up.
     pub up_at: Option<Duration>,
@@ -88,7 +90,7 @@
             addr: self.addr(),
             type_name: self.type_name.clone(),
             zone: self.zone.clone(),
-            spot: self.tenure.is_spot(),
+            spot: self.capacity_type.is_spot(),
             session: self.session,
             seq: self.seq,
             token: self.token,
@@ -114,7 +116,7 @@
         up && self.runs(now) && self.notice.is_none() && !self.faulty
     }
 
-    pub fn free(&self, jobs: &BTreeMap<JobId, Job>) -> Room {
+    pub fn free(&self, jobs: &BTreeMap<JobId, Job>) -> Resources {
         let mut free = self.size;
         for (task, t) in &self.tasks {
             if t.state != TaskState::Exited
@@ -305,5 +307,5 @@
 
 fn is_gang(jobs: &BTreeMap<JobId, Job>, task: TaskId) -> bool {
     jobs.get(&task.job)
-        .is_some_and(|job| job.kind == Kind::Gang)
+        .is_some_and(|job| job.kind == JobKind::Gang)
 }
--- a/tests/simulation/measure.rs
+++ b/tests/simulation/measure.rs
@@ -5,7 +5,7 @@
 
 use std::time::Duration;
 
-use dappleshore::domain::{Job, Kind, Priority, Room};
+use dappleshore::domain::{Job, JobKind, Priority, Resources};
 use dappleshore::features::Features;
 use dappleshore_drain::operator::StateName;
 use dappleshore_drain::{DrainSettings, Limit, Purpose, Scope};
@@ -69,9 +69,9 @@
 
 fn service(team: &str) -> Job {
     Job {
-        kind: Kind::Service,
+        kind: JobKind::Service,
         tasks: REPLICAS,
-        need: Room {
+        need: Resources {
             cpus: 2.0,
             gpus: 0.0,
             memory_gb: 1.0,
--- a/tests/simulation/rules.rs
+++ b/tests/simulation/rules.rs
@@ -3,7 +3,9 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-use dappleshore::domain::{Job, JobId, Kind, Room, TaskId, Team, Tenure, TypeName, Zone};
+use dappleshore::domain::{
+    CapacityType, InstanceTypeName, Job, JobId, JobKind, Resources, TaskId, Team, Zone,
+};
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Told {
@@ -15,9 +17,9 @@
 #[derive(Debug)]
 pub struct Place {
     pub machine: String,
-    pub type_name: TypeName,
+    pub type_name: InstanceTypeName,
     pub zone: Zone,
-    pub tenure: Tenure,
+    pub capacity_type: CapacityType,
 }
 
 #[derive(Debug)]
@@ -97,7 +99,7 @@
             let task = |index: u32| TaskId { job: *id, index };
             let gone = known.lost.iter().filter(|(_, at)| long(at));
             let mut gone: BTreeSet<TaskId> = gone.map(|(index, _)| task(*index)).collect();
-            if known.job.kind == Kind::Gang && !gone.is_empty() {
+            if known.job.kind == JobKind::Gang && !gone.is_empty() {
                 gone = (0..known.job.tasks).map(task).collect();
             }
             lost.extend(gone);
@@ -192,7 +194,7 @@
         let elsewhere = others().any(|other| other.zone != place.zone);
         if !job.allows_type(&place.type_name)
             || !job.allows_zone(&place.zone)
-            || !job.allows_tenure(place.tenure)
+            || !job.allows_capacity_type(place.capacity_type)
             || in_zone + 1 > job.zone_limit()
             || (job.one_zone && elsewhere)
         {
@@ -219,7 +221,7 @@
     }
 
     fn check_limit(&mut self, now: Duration, team: &Team) {
-        let mut used = Room::default();
+        let mut used = Resources::default();
         for known in self.jobs.values().filter(|known| known.job.team == *team) {
             for _ in known.on.values().flatten() {
                 used.add(&known.job.need);
@@ -269,7 +271,8 @@
             }
             let all = known.done.len() == known.job.tasks as usize;
             let served = all
-                || known.began.is_some() && (known.job.kind == Kind::Service || known.cancel_asked);
+                || known.began.is_some()
+                    && (known.job.kind == JobKind::Service || known.cancel_asked);
             for group in [
                 format!("class {}", known.job.class),
                 format!("team {}", known.job.team),
--- a/tests/simulation/rules_checked.rs
+++ b/tests/simulation/rules_checked.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use dappleshore::domain::{Job, JobId, Room, TaskId, Tenure};
+use dappleshore::domain::{CapacityType, Job, JobId, Resources, TaskId};
 
 use super::rules::{Place, Rules};
 
@@ -12,7 +12,7 @@
     use dappleshore::domain::Priority;
     let job = |tasks, cpus| Job {
         tasks,
-        need: Room {
+        need: Resources {
             cpus,
             gpus: 0.0,
             memory_gb: 1.0,
@@ -20,11 +20,11 @@
         spot: false,
         ..super::world::array("class", "red", Priority::Standard)
     };
-    let place = |zone: &str, tenure| Place {
+    let place = |zone: &str, capacity_type| Place {
         machine: zone.into(),
         type_name: "small".into(),
         zone: zone.into(),
-        tenure,
+        capacity_type,
     };
     let task = |index| TaskId {
         job: JobId(1),
@@ -41,7 +41,7 @@
             .first()
             .map(|text| text.split(' ').nth(1).unwrap_or_default().to_owned())
     };
-    let ordinary = Tenure::Ordinary;
+    let ordinary = CapacityType::OnDemand;
     let expect = |rule: &str, found: Option<String>| assert_eq!(found, Some(format!("{rule}:")));
     assert_eq!(
         broken(job(2, 4.0), &|r| (0..2).for_each(|n| r.starts(
@@ -68,7 +68,7 @@
     expect(
         "wrong_place",
         broken(job(1, 1.0), &|r| {
-            r.starts(at(1), task(0), place("a", Tenure::Spot))
+            r.starts(at(1), task(0), place("a", CapacityType::Spot))
         }),
     );
     let spread = Job {
--- a/tests/simulation/world.rs
+++ b/tests/simulation/world.rs
@@ -7,7 +7,9 @@
 
 use dappleshore::config::{Config, StateLimits, TeamLimits};
 use dappleshore::controller::{Controller, Effect, Event, StoreTag};
-use dappleshore::domain::{Amount, Job, JobId, Kind, Now, Priority, Room, TaskId, Tenure, Zone};
+use dappleshore::domain::{
+    Amount, CapacityType, Job, JobId, JobKind, Now, Priority, Resources, TaskId, Zone,
+};
 use dappleshore::features::Features;
 use dappleshore::fleet::wire::{Orders, Report, TaskState};
 use dappleshore::fleet::{Answer, Command, CommandOutcome};
@@ -220,7 +222,7 @@
 #[derive(Debug, Clone, Copy)]
 pub struct Size {
     pub jobs: usize,
-    /// Machines of the small and the large type that each zone has, of each tenure.
+    /// Machines of the small and the large type that each zone has, of each capacity type.
     pub stock: [usize; 2],
     /// Tasks of a large array.
     pub tasks: u32,
@@ -622,13 +624,17 @@
             ("array", Priority::Standard)
         };
         let job = Job {
-            kind: if service { Kind::Service } else { Kind::Array },
+            kind: if service {
+                JobKind::Service
+            } else {
+                JobKind::Array
+            },
             tasks: if service {
                 rng.random_range(1..4)
             } else {
                 rng.random_range(1..self.size.tasks)
             },
-            need: Room {
+            need: Resources {
                 cpus: [1.0, 2.0, 4.0][rng.random_range(0..3)],
                 gpus: 0.0,
                 memory_gb: 2.0,
@@ -725,10 +731,10 @@
     }
 
     fn clock(&self, controller: usize) -> Now {
-        let steady = self.now.mul_f64(1.0 + self.slots[controller].drift);
+        let monotonic = self.now.mul_f64(1.0 + self.slots[controller].drift);
         let off = Duration::from_millis(300 * controller as u64);
         Now {
-            steady: self.base + steady,
+            monotonic: self.base + monotonic,
             wall: self.wall + self.now + off,
         }
     }
@@ -801,7 +807,7 @@
     fn perform(&mut self, controller: usize, boot: u64, effect: Effect) {
         match effect {
             Effect::Store { tag, op } => {
-                let sent = self.clock(controller).steady;
+                let sent = self.clock(controller).monotonic;
                 let (mut at, mut answer) = self.fate();
                 if self.now < self.state_slow_until && !matches!(op, Op::Follow { .. }) {
                     at += Duration::from_millis(self.rng.random_range(50..1000));
@@ -862,7 +868,7 @@
             Effect::Command { command, until } => {
                 self.slots[controller].commands += 1;
                 self.most_commands = self.most_commands.max(self.slots[controller].commands);
-                if until.is_some_and(|until| self.clock(controller).steady >= until) {
+                if until.is_some_and(|until| self.clock(controller).monotonic >= until) {
                     return self.unanswered(controller, boot, &command);
                 }
                 let (at, answer) = self.fate();
@@ -891,7 +897,7 @@
                 );
             }
             Effect::Call { tag, call, until } => {
-                if until.is_some_and(|until| self.clock(controller).steady >= until) {
+                if until.is_some_and(|until| self.clock(controller).monotonic >= until) {
                     let event = Event::Called {
                         tag,
                         outcome: CallOutcome::Unknown,
@@ -984,8 +990,8 @@
                 _ => {}
             },
             Effect::AnswerWorker { id, answer, until } => {
-                let over =
-                    self.clock(controller).steady >= until && matches!(answer, Answer::Orders(_));
+                let over = self.clock(controller).monotonic >= until
+                    && matches!(answer, Answer::Orders(_));
                 let answer = if over { Answer::Unavailable } else { answer };
                 if let Some(Asker::Worker {
                     machine,
@@ -1401,7 +1407,7 @@
                         machine: id.to_owned(),
                         type_name: machine.type_name.clone(),
                         zone: machine.zone.clone(),
-                        tenure: machine.tenure,
+                        capacity_type: machine.capacity_type,
                     };
                     self.rules.starts(self.now, task, place);
                 }
@@ -1526,7 +1532,8 @@
         };
         // Alike in all else, so that it is the first rule that breaks.
         let alike = |m: &Machine| {
-            (&m.type_name, &m.zone, m.tenure) == (&meant.type_name, &meant.zone, meant.tenure)
+            (&m.type_name, &m.zone, m.capacity_type)
+                == (&meant.type_name, &meant.zone, meant.capacity_type)
         };
         let other = self
             .machines
@@ -1556,9 +1563,11 @@
                     let machines = names.iter().map(|name| name.as_str().into()).collect();
                     return CallOutcome::Rented(MachineNames { machines });
                 }
-                let tenure = Tenure::spot(rent.spot);
+                let capacity_type = CapacityType::from_spot(rent.spot);
                 let alike = |m: &&Machine| {
-                    m.type_name == rent.type_name && m.zone == rent.zone && m.tenure == tenure
+                    m.type_name == rent.type_name
+                        && m.zone == rent.zone
+                        && m.capacity_type == capacity_type
                 };
                 let stock = self.size.stock[usize::from(&*rent.type_name.0 != "small")];
                 let left = stock.saturating_sub(self.machines.values().filter(alike).count());
@@ -1567,7 +1576,7 @@
                     return CallOutcome::NoCapacity;
                 }
                 let names: Vec<String> = (0..count)
-                    .map(|_| self.rent(&rent.type_name.0, &rent.zone.0, tenure))
+                    .map(|_| self.rent(&rent.type_name.0, &rent.zone.0, capacity_type))
                     .collect();
                 self.requests.insert(rent.request.clone(), names.clone());
                 let machines = names.iter().map(|name| name.as_str().into()).collect();
@@ -1602,7 +1611,7 @@
                         addr: Some(m.addr()),
                         type_name: m.type_name.clone(),
                         zone: m.zone.clone(),
-                        spot: m.tenure.is_spot(),
+                        spot: m.capacity_type.is_spot(),
                         state: if m.up {
                             ListedState::Running
                         } else {
@@ -1618,7 +1627,7 @@
         }
     }
 
-    fn rent(&mut self, type_name: &str, zone: &str, tenure: Tenure) -> String {
+    fn rent(&mut self, type_name: &str, zone: &str, capacity_type: CapacityType) -> String {
         self.rented += 1;
         self.most_machines = self.most_machines.max(self.machines.len() + 1);
         self.next_machine += 1;
@@ -1635,8 +1644,8 @@
             id: id.clone(),
             type_name: type_name.into(),
             zone: zone.into(),
-            tenure,
-            size: Room {
+            capacity_type,
+            size: Resources {
                 cpus,
                 gpus: 0.0,
                 memory_gb: cpus * 4.0,
@@ -1986,7 +1995,7 @@
                 body_of(
                     id,
                     &Job {
-                        need: Room {
+                        need: Resources {
                             cpus: 17.0,
                             ..job.need
                         },
@@ -1999,7 +2008,7 @@
                 body_of(
                     id,
                     &Job {
-                        need: Room {
+                        need: Resources {
                             cpus: -1.0,
                             ..job.need
                         },
@@ -2043,7 +2052,7 @@
 
     fn look_for_idle_room(&mut self) {
         let out_of_service = self.cordoned();
-        let mut free: Vec<(&Machine, Room)> = Vec::new();
+        let mut free: Vec<(&Machine, Resources)> = Vec::new();
         for machine in self
             .machines
             .values()
@@ -2072,16 +2081,16 @@
             if all + self.rules.done(id) >= job.tasks {
                 continue;
             }
-            if job.kind == Kind::Gang {
+            if job.kind == JobKind::Gang {
                 let alone = all == 0 && self.gang_fits(job, &free) && self.rules.team_has_room(id);
                 beside.extend(alone.then_some(id));
                 continue;
             }
-            let fits = |machine: &Machine, room: &Room| {
+            let fits = |machine: &Machine, room: &Resources| {
                 let here = listed.get(&machine.zone).copied().unwrap_or(0);
                 job.allows_type(&machine.type_name)
                     && job.allows_zone(&machine.zone)
-                    && job.allows_tenure(machine.tenure)
+                    && job.allows_capacity_type(machine.capacity_type)
                     && here < job.zone_limit()
                     && (!job.one_zone || here == all)
                     && room.fits(&job.need)
@@ -2096,12 +2105,12 @@
     }
 
     /// Whether there is room for all tasks of a gang at once.
-    fn gang_fits(&self, job: &Job, free: &[(&Machine, Room)]) -> bool {
+    fn gang_fits(&self, job: &Job, free: &[(&Machine, Resources)]) -> bool {
         let mut zones: BTreeMap<Option<&Zone>, u32> = BTreeMap::new();
         for (machine, room) in free {
             let allowed = job.allows_type(&machine.type_name)
                 && job.allows_zone(&machine.zone)
-                && job.allows_tenure(machine.tenure);
+                && job.allows_capacity_type(machine.capacity_type);
             if allowed {
                 let zone = job.one_zone.then_some(&machine.zone);
                 *zones.entry(zone).or_default() += room.count_of(&job.need);
@@ -2267,7 +2276,7 @@
     pub fn add_guests_job(&mut self, tasks: u32, cpus: f64) -> JobId {
         let job = Job {
             tasks,
-            need: Room {
+            need: Resources {
                 cpus,
                 gpus: 0.0,
                 memory_gb: 1.0,
@@ -2325,7 +2334,7 @@
             let Some(job) = self
                 .jobs
                 .get_mut(&user.job)
-                .filter(|job| job.kind == Kind::Array)
+                .filter(|job| job.kind == JobKind::Array)
             else {
                 continue;
             };
@@ -2433,7 +2442,7 @@
             | Fault::MachineMute
             | Fault::MachineRestarts => {
                 let spot = fault == Fault::SpotTaken;
-                let fits = |m: &&Machine| m.up && !m.dead && (!spot || m.tenure.is_spot());
+                let fits = |m: &&Machine| m.up && !m.dead && (!spot || m.capacity_type.is_spot());
                 let ids: Vec<String> = self
                     .machines
                     .values()
@@ -2539,10 +2548,10 @@
     Job {
         class: class.into(),
         team: team.into(),
-        kind: Kind::Array,
+        kind: JobKind::Array,
         priority,
         tasks: 1,
-        need: Room {
+        need: Resources {
             cpus: 1.0,
             gpus: 0.0,
             memory_gb: 1.0,
@@ -2565,9 +2574,9 @@
 fn body_of(id: JobId, job: &Job) -> Vec<u8> {
     use ciborium::Value;
     let kind = match job.kind {
-        Kind::Service => "service",
-        Kind::Array => "sweep",
-        Kind::Gang => "ensemble",
+        JobKind::Service => "service",
+        JobKind::Array => "sweep",
+        JobKind::Gang => "ensemble",
     };
     let priority = match job.priority {
         Priority::Production => "prod",
