--- a/src/block_leases/mod.rs
+++ b/src/block_leases/mod.rs
@@ -145,7 +145,7 @@
             version: leader_version,
             ..
         } = *lead;
-        let zones = &lead.flavors.zones(config);
+        let zones = &lead.catalog.zones(config);
         if self.leading_since.is_none_or(|(known, _)| known != term) {
             self.leading_since = Some((term, now.monotonic));
             self.heard.clear();
--- a/src/block_leases/tests.rs
+++ b/src/block_leases/tests.rs
@@ -1,8 +1,8 @@
 use super::*;
 use crate::config::tests::SETTINGS;
-use crate::provisioning::Flavors;
-use crate::provisioning::wire::FlavorList;
-use crate::provisioning::wire::tests::flavor;
+use crate::provisioning::InstanceCatalog;
+use crate::provisioning::wire::InstanceTypeList;
+use crate::provisioning::wire::tests::instance_type;
 use crate::store::records::{Member, encode, member_key};
 use crate::store::{Change, TxnChange};
 
@@ -11,9 +11,9 @@
 fn blocks_leave_a_holder_that_is_cut_off_and_stay_away_longer_each_time() {
     let config = Config::parse("s.toml", SETTINGS).expect("valid");
     let policy = Policy::defaults(&config);
-    let mut flavors = Flavors::default();
-    flavors.answered(Some(FlavorList {
-        types: vec![flavor()],
+    let mut catalog = InstanceCatalog::default();
+    catalog.answered(Some(InstanceTypeList {
+        types: vec![instance_type()],
     }));
     let start = Now::read();
     let at = |seconds: u64| Now {
@@ -37,7 +37,7 @@
         let lead = Lead {
             config: &config,
             policy: &policy,
-            flavors: &flavors,
+            catalog: &catalog,
             term: 1,
             version: 1,
             batch: 16,
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -22,7 +22,7 @@
 use crate::operations::{self, Operations};
 use crate::peer::{Alive, CancelledJob, Message, Status, Work};
 use crate::policy::Policy;
-use crate::provisioning::{self, Call, CallOutcome, Demand, Flavors, Provisioner};
+use crate::provisioning::{self, Call, CallOutcome, Demand, InstanceCatalog, Provisioner};
 use crate::queueing::Queues;
 use crate::queueing::draining::Draining;
 use crate::store::budget::{Budget, Urgency};
@@ -159,7 +159,7 @@
     /// The format that this process has taken up.
     format: u32,
     cancellations: Cancellations,
-    flavors: Flavors,
+    catalog: InstanceCatalog,
     fleet: Fleet,
     intake: Intake,
     leading: Option<Leading>,
@@ -223,7 +223,7 @@
             upgrade: Upgrade::new(),
             format: 0,
             cancellations: Cancellations::new(),
-            flavors: Flavors::default(),
+            catalog: InstanceCatalog::default(),
             fleet: Fleet::new(),
             intake: Intake::new(),
             leading: None,
@@ -325,7 +325,7 @@
                 .peers_reach_state
                 .values()
                 .any(|at| since(now, *at) < CUT_OFF_AFTER);
-        self.cache.ready() && self.flavors.known() && !alone
+        self.cache.ready() && self.catalog.known() && !alone
     }
 
     pub fn handle(&mut self, now: Now, event: Event) -> Vec<Effect> {
@@ -416,7 +416,7 @@
     fn intake(&mut self) -> (&mut Intake, intake::Context<'_, StoreTag>) {
         let cx = intake::Context {
             config: &self.config,
-            flavors: &self.flavors,
+            catalog: &self.catalog,
             cache: &mut self.cache,
             budget: &mut self.budget,
             tag: StoreTag::Intake,
@@ -513,9 +513,9 @@
     fn called(&mut self, now: Now, tag: provisioning::Tag, outcome: CallOutcome) {
         if tag == provisioning::Tag::DeleteCancelled {
             self.cancellations.called(now, &outcome);
-        } else if tag == provisioning::Tag::Flavors {
-            self.flavors.answered(match outcome {
-                CallOutcome::Flavors(list) => Some(list),
+        } else if tag == provisioning::Tag::InstanceCatalog {
+            self.catalog.answered(match outcome {
+                CallOutcome::InstanceCatalog(list) => Some(list),
                 _ => None,
             });
         } else if let Some(leading) = &mut self.leading {
@@ -608,10 +608,10 @@
             return;
         }
         self.take_up_format(now);
-        if self.flavors.due(now) {
+        if self.catalog.due(now) {
             effects.push(Effect::Call {
-                tag: provisioning::Tag::Flavors,
-                call: Call::Flavors,
+                tag: provisioning::Tag::InstanceCatalog,
+                call: Call::InstanceCatalog,
                 until: None,
             });
         }
@@ -635,7 +635,7 @@
             && let writes = self.writes(now)
             && let Some((block, op)) =
                 self.fleet
-                    .write(now, &self.config, writes, &mut self.cache, &self.flavors)
+                    .write(now, &self.config, writes, &mut self.cache, &self.catalog)
         {
             let lease_version = self.fleet.lease_version(&block);
             self.ask(
@@ -746,7 +746,7 @@
         let lead = Lead {
             config: &self.config,
             policy: &self.policy,
-            flavors: &self.flavors,
+            catalog: &self.catalog,
             term,
             version,
             batch,
@@ -755,7 +755,7 @@
         let mut ops = Vec::new();
         let op = self.upgrade.poll(now, &lead, &mut self.cache);
         ops.extend(op.map(|op| (Urgency::Authority, StoreTag::Upgrade, op)));
-        if self.flavors.known() {
+        if self.catalog.known() {
             let op = self.block_lease_manager.poll(now, &lead, &mut self.cache);
             ops.extend(op.map(|op| (Urgency::Authority, StoreTag::BlockLeaseManager(term), op)));
         }
@@ -768,7 +768,7 @@
         } else {
             leading.pause.max(PLAN_AT_LEAST)
         };
-        if !self.flavors.known() || !rested(pause) {
+        if !self.catalog.known() || !rested(pause) {
             for (urgency, tag, op) in ops {
                 self.ask(urgency, tag, op);
             }
@@ -896,7 +896,7 @@
         let lead = Lead {
             config: &self.config,
             policy: &self.policy,
-            flavors: &self.flavors,
+            catalog: &self.catalog,
             term,
             version,
             batch: self.budget.batch(self.config.state_limits.txn_ops),
--- a/src/controller/tests.rs
+++ b/src/controller/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 use crate::config::tests::SETTINGS;
-use crate::provisioning::wire::FlavorList;
+use crate::provisioning::wire::InstanceTypeList;
 
 #[test]
 fn users_are_sent_elsewhere_only_if_the_others_reach_the_state_service() {
@@ -13,12 +13,12 @@
     };
     let mut controller = Controller::new(config, policy, 1, start);
     assert!(!controller.healthy(at(1)), "nothing is known yet");
-    let list = FlavorList {
-        types: vec![crate::provisioning::wire::tests::flavor()],
+    let list = InstanceTypeList {
+        types: vec![crate::provisioning::wire::tests::instance_type()],
     };
     let event = Event::Called {
-        tag: provisioning::Tag::Flavors,
-        outcome: CallOutcome::Flavors(list),
+        tag: provisioning::Tag::InstanceCatalog,
+        outcome: CallOutcome::InstanceCatalog(list),
     };
     // An empty state service.
     for effect in controller.handle(start, event) {
--- a/src/fleet/block.rs
+++ b/src/fleet/block.rs
@@ -14,7 +14,7 @@
 use crate::peer::{BlockStatus, MachineStatus, Wanted};
 use crate::placement::{self, Candidate};
 use crate::policy::Policy;
-use crate::provisioning::Flavors;
+use crate::provisioning::InstanceCatalog;
 use crate::store::cache::Parts;
 use crate::store::records::{
     BlockLease, PARTS_FORMAT, Part, Places, block_lease_key, job_key, roster_part_key,
@@ -542,7 +542,7 @@
         &self,
         now: Now,
         cache: &WatchCache,
-        flavors: &Flavors,
+        catalog: &InstanceCatalog,
         places: &Places,
     ) -> Vec<Candidate> {
         let mut candidates = Vec::new();
@@ -550,7 +550,7 @@
             let Some(machine) = cache.machines.get(id) else {
                 continue;
             };
-            let Some(flavor) = flavors.get(&machine.type_name) else {
+            let Some(instance_type) = catalog.get(&machine.type_name) else {
                 continue;
             };
             if !machine.state.takes_tasks() || !worker.usable(now, self.token) {
@@ -567,7 +567,7 @@
                 taken.add(&open.job.need);
             }
             let images = worker.images.iter().cloned().collect();
-            candidates.push(Candidate::new(id, machine, flavor, &taken, images));
+            candidates.push(Candidate::new(id, machine, instance_type, &taken, images));
         }
         candidates
     }
@@ -579,7 +579,7 @@
         config: &Config,
         most: usize,
         cache: &mut WatchCache,
-        flavors: &Flavors,
+        catalog: &InstanceCatalog,
     ) -> Option<Op> {
         let unsure = self.writer.is_unsure();
         if !self.writer.ready(now, cache) {
@@ -600,7 +600,7 @@
             }
             None => {
                 let mut draft = self.draft_ends(cache, limits);
-                placed = self.place(now, config, cache, flavors, &mut draft);
+                placed = self.place(now, config, cache, catalog, &mut draft);
                 draft
             }
         };
@@ -686,7 +686,7 @@
         now: Now,
         config: &Config,
         cache: &WatchCache,
-        flavors: &Flavors,
+        catalog: &InstanceCatalog,
         draft: &mut PartsDraft,
     ) -> Placed {
         self.refused.clear();
@@ -697,7 +697,7 @@
             .saturating_sub(1 + draft.most_changes())
             .max(2);
         if !self.pending.is_empty() {
-            let mut candidates = self.candidates(now, cache, flavors, &draft.merged());
+            let mut candidates = self.candidates(now, cache, catalog, &draft.merged());
             for wanted in &self.pending {
                 let Some(open) = cache
                     .open
--- a/src/fleet/mod.rs
+++ b/src/fleet/mod.rs
@@ -18,7 +18,7 @@
 use crate::domain::{Attempt, BlockId, MachineId, Now, TaskId, since};
 use crate::peer::{BlockStatus, Work};
 use crate::policy::Policy;
-use crate::provisioning::Flavors;
+use crate::provisioning::InstanceCatalog;
 use crate::store::cache::ChangedRecords;
 use crate::store::{Op, Outcome, WatchCache, Writer};
 use block::{Block, ReportSource, recorded, still_there, wanted_alive};
@@ -299,7 +299,7 @@
         config: &Config,
         writes: Writes,
         cache: &mut WatchCache,
-        flavors: &Flavors,
+        catalog: &InstanceCatalog,
     ) -> Option<(BlockId, Op)> {
         let mut waiting: Vec<(Option<Instant>, BlockId)> = self
             .blocks
@@ -314,7 +314,7 @@
                 continue;
             };
             self.looked += (block.pending.len() + block.ended.len()) as u64;
-            if let Some(op) = block.write(now, config, writes.most, cache, flavors) {
+            if let Some(op) = block.write(now, config, writes.most, cache, catalog) {
                 block.wrote = Some(now.monotonic);
                 self.looked += block.places.attempts().count() as u64;
                 return Some((id, op));
--- a/src/fleet/tests.rs
+++ b/src/fleet/tests.rs
@@ -11,8 +11,8 @@
 use crate::domain::{Attempt, CapacityType, Job, JobId};
 use crate::peer::Wanted;
 use crate::placement::tests::job;
-use crate::provisioning::wire::FlavorList;
-use crate::provisioning::wire::tests::flavor;
+use crate::provisioning::wire::InstanceTypeList;
+use crate::provisioning::wire::tests::instance_type;
 use crate::store::Change;
 use crate::store::records::{
     BlockLease, JobRecord, MachineState, Roster, Rostered, block_lease_key, encode, job_key,
@@ -27,7 +27,7 @@
 
 struct Holder {
     config: Config,
-    flavors: Flavors,
+    catalog: InstanceCatalog,
     cache: WatchCache,
     fleet: Fleet,
     now: Now,
@@ -39,14 +39,14 @@
     /// Holds block `a.0` under token 4, with `m-1` and `m-2` that have shown it, and job 1.
     fn new(job: Job) -> Self {
         let config = Config::parse("s.toml", SETTINGS).expect("valid");
-        let mut flavors = Flavors::default();
-        flavors.answered(Some(FlavorList {
-            types: vec![flavor()],
+        let mut catalog = InstanceCatalog::default();
+        catalog.answered(Some(InstanceTypeList {
+            types: vec![instance_type()],
         }));
         let (cache, fleet) = (WatchCache::following(), Fleet::new());
         let mut holder = Holder {
             config,
-            flavors,
+            catalog,
             cache,
             fleet,
             now: Now::read(),
@@ -166,7 +166,7 @@
             &self.config,
             PLENTY,
             &mut self.cache,
-            &self.flavors,
+            &self.catalog,
         ) {
             let Op::Commit(txn) = op else {
                 panic!("{op:?}")
@@ -374,7 +374,7 @@
         &holder.config,
         PLENTY,
         &mut holder.cache,
-        &holder.flavors,
+        &holder.catalog,
     );
     let Some((_, Op::Commit(txn))) = write else {
         panic!("{write:?}")
@@ -527,7 +527,7 @@
             &holder.config,
             PLENTY,
             &mut holder.cache,
-            &holder.flavors,
+            &holder.catalog,
         );
         let (block, _) = next.expect("there is work");
         let lease_version = holder.fleet.lease_version(&block);
@@ -861,10 +861,10 @@
             now,
             config,
             cache,
-            flavors,
+            catalog,
             ..
         } = &mut holder;
-        fleet.write(*now, config, writes, cache, flavors).is_some()
+        fleet.write(*now, config, writes, cache, catalog).is_some()
     };
     assert!(!next(scarce, LOOK_AGAIN), "it has just written");
     assert!(next(scarce, Duration::from_secs(1)), "but not for long");
@@ -893,7 +893,7 @@
             &holder.config,
             writes,
             &mut holder.cache,
-            &holder.flavors,
+            &holder.catalog,
         );
         assert!(write.is_some(), "starts: {starts}");
     }
@@ -913,11 +913,11 @@
             now,
             config,
             cache,
-            flavors,
+            catalog,
             ..
         } = holder;
         let (block, _) = fleet
-            .write(*now, config, PLENTY, cache, flavors)
+            .write(*now, config, PLENTY, cache, catalog)
             .expect("something to write");
         let lease_version = fleet.lease_version(&block);
         fleet.written(*now, &block, lease_version, &outcome);
--- a/src/intake/mod.rs
+++ b/src/intake/mod.rs
@@ -11,7 +11,7 @@
 use crate::config::Config;
 use crate::domain::{Job, JobId, JobKind, JobOutcome, Now, Resources};
 use crate::peer::CancelledJob;
-use crate::provisioning::Flavors;
+use crate::provisioning::InstanceCatalog;
 use crate::store::budget::{Budget, Urgency};
 use crate::store::records::{JobRecord, PARTS_FORMAT, encode, job_key, json_size};
 use crate::store::{Op, Outcome, Txn, WatchCache};
@@ -74,7 +74,7 @@
 
 pub struct Context<'a, Tag> {
     pub config: &'a Config,
-    pub flavors: &'a Flavors,
+    pub catalog: &'a InstanceCatalog,
     pub cache: &'a mut WatchCache,
     pub budget: &'a mut Budget<Tag>,
     pub tag: fn(RequestId) -> Tag,
@@ -118,9 +118,9 @@
         // What can't run is refused at once in an outage as well, unless it may be a job that was accepted once.
         let known = cx.cache.open.contains_key(&job_id);
         if cx.cache.ready()
-            && cx.flavors.known()
+            && cx.catalog.known()
             && !known
-            && let Some(problem) = never_runs(cx.config, cx.flavors, &job)
+            && let Some(problem) = never_runs(cx.config, cx.catalog, &job)
         {
             return Some(refuse(422, problem));
         }
@@ -137,7 +137,7 @@
         if known {
             return self.wait(now, id, Question::Submit(job_id), SUBMIT_WITHIN, cx);
         }
-        if !cx.flavors.known() {
+        if !cx.catalog.known() {
             return Some(later(503, "the machine types are not known yet"));
         }
         let delay = cx.budget.user_delay();
@@ -423,11 +423,11 @@
 }
 
 /// Why a well-formed job can never run.
-fn never_runs(config: &Config, flavors: &Flavors, job: &Job) -> Option<&'static str> {
+fn never_runs(config: &Config, catalog: &InstanceCatalog, job: &Job) -> Option<&'static str> {
     let Some(limits) = config.team(&job.team) else {
         return Some("unknown team");
     };
-    if !flavors.fit(job) {
+    if !catalog.fit(job) {
         return Some("a task fits no allowed machine type");
     }
     let at_once = match job.kind {
--- a/src/intake/tests.rs
+++ b/src/intake/tests.rs
@@ -4,14 +4,14 @@
 use crate::config::tests::SETTINGS;
 use crate::intake::wire::tests::{body, sample};
 use crate::placement::tests::job;
-use crate::provisioning::wire::FlavorList;
-use crate::provisioning::wire::tests::flavor;
+use crate::provisioning::wire::InstanceTypeList;
+use crate::provisioning::wire::tests::instance_type;
 use crate::store::Change;
 use crate::store::records::encode;
 
 struct Desk {
     config: Config,
-    flavors: Flavors,
+    catalog: InstanceCatalog,
     cache: WatchCache,
     budget: Budget<RequestId>,
     intake: Intake,
@@ -21,16 +21,16 @@
 impl Desk {
     fn new() -> Self {
         let config = Config::parse("s.toml", SETTINGS).expect("valid");
-        let mut flavors = Flavors::default();
-        flavors.answered(Some(FlavorList {
-            types: vec![flavor()],
+        let mut catalog = InstanceCatalog::default();
+        catalog.answered(Some(InstanceTypeList {
+            types: vec![instance_type()],
         }));
         let now = Now::read();
         let mut budget = Budget::new(&config.state_limits, config.controllers(), now);
         budget.note(now, &Outcome::Missing { revision: 1 });
         Desk {
             config,
-            flavors,
+            catalog,
             cache: WatchCache::following(),
             budget,
             intake: Intake::new(),
@@ -61,7 +61,7 @@
         fields.dedup_by_key(|(name, _)| *name);
         let mut cx = Context {
             config: &self.config,
-            flavors: &self.flavors,
+            catalog: &self.catalog,
             cache: &mut self.cache,
             budget: &mut self.budget,
             tag: |id| id,
@@ -95,7 +95,7 @@
     assert_eq!(desk.submit(&unfit), Some(422));
     assert_eq!(desk.submit(&missing), Some(400));
     assert_eq!(desk.submit(&fits), Some(503));
-    desk.flavors = Flavors::default();
+    desk.catalog = InstanceCatalog::default();
     assert_eq!(desk.submit(&unfit), Some(503), "can't decide");
 }
 
@@ -140,7 +140,7 @@
     let at_ms = desk.now.unix_ms();
     let mut cx = Context {
         config: &desk.config,
-        flavors: &desk.flavors,
+        catalog: &desk.catalog,
         cache: &mut desk.cache,
         budget: &mut desk.budget,
         tag: |id| id,
--- a/src/leadership/mod.rs
+++ b/src/leadership/mod.rs
@@ -13,7 +13,7 @@
 use crate::config::Config;
 use crate::domain::{ControllerName, Now, since};
 use crate::policy::Policy;
-use crate::provisioning::Flavors;
+use crate::provisioning::InstanceCatalog;
 use crate::store::records::{LEADER, Leader, Member, TOKEN, Token, member_key};
 use crate::store::{Op, Outcome, Txn, WatchCache};
 
@@ -30,7 +30,7 @@
 pub struct Lead<'a> {
     pub config: &'a Config,
     pub policy: &'a Policy,
-    pub flavors: &'a Flavors,
+    pub catalog: &'a InstanceCatalog,
     pub term: u64,
     /// The leader record's version: the authority of every write.
     pub version: u64,
--- a/src/operations/mod.rs
+++ b/src/operations/mod.rs
@@ -217,7 +217,7 @@
         return Err(Problem::new(ProblemKind::Unavailable, message));
     }
     let Lead {
-        config, flavors, ..
+        config, catalog, ..
     } = *cx.lead;
     let drains = values(&cache.drains);
     let budgets = values(&cache.drain_budgets);
@@ -236,8 +236,11 @@
             .chain(cache.rosters.keys())
             .cloned()
             .collect(),
-        types: flavors.all().map(|flavor| flavor.name.clone()).collect(),
-        zones: flavors.zones(config).into_iter().collect(),
+        types: catalog
+            .all()
+            .map(|instance_type| instance_type.name.clone())
+            .collect(),
+        zones: catalog.zones(config).into_iter().collect(),
         teams: config.teams.iter().map(|team| team.name.clone()).collect(),
         most_changes: cx.lead.batch,
         fits: &fits,
--- a/src/placement/mod.rs
+++ b/src/placement/mod.rs
@@ -3,7 +3,7 @@
 use std::cmp::Ordering;
 
 use crate::domain::{CapacityType, Image, InstanceTypeName, Job, MachineId, Resources, Zone};
-use crate::provisioning::wire::Flavor;
+use crate::provisioning::wire::InstanceType;
 use crate::store::Machine;
 
 /// A machine that takes tasks, as the leader or its holder knows it.
@@ -25,11 +25,11 @@
     pub fn new(
         id: &MachineId,
         machine: &Machine,
-        flavor: &Flavor,
+        instance_type: &InstanceType,
         taken: &Resources,
         images: Vec<Image>,
     ) -> Self {
-        let size = flavor.room();
+        let size = instance_type.room();
         let mut free = size;
         free.take(taken);
         Candidate {
@@ -40,7 +40,7 @@
             size,
             free,
             images,
-            fetch_s_per_gb: flavor.fetch_s_per_gb(),
+            fetch_s_per_gb: instance_type.fetch_s_per_gb(),
         }
     }
 
--- a/src/provisioning/edits.rs
+++ b/src/provisioning/edits.rs
@@ -37,7 +37,7 @@
         let Lead {
             config,
             policy,
-            flavors,
+            catalog,
             ..
         } = *lead;
         let mut seen: HashMap<&InstanceTypeName, (usize, usize)> = HashMap::new();
@@ -46,19 +46,22 @@
             *machines += 1;
             *tasks += live.attempts().count();
         }
-        let tasks = flavors
+        let tasks = catalog
             .all()
-            .map(|flavor| {
+            .map(|instance_type| {
                 let most = demand.smallest.map_or(TASKS_UNKNOWN, |need| {
-                    f64::from(flavor.room().count_of(&need))
+                    f64::from(instance_type.room().count_of(&need))
                 });
                 let usual = seen
-                    .get(&flavor.name)
+                    .get(&instance_type.name)
                     .filter(|(machines, _)| *machines >= ENOUGH_SEEN)
                     .map_or(most, |(machines, tasks)| {
                         *tasks as f64 / *machines as f64 * TASKS_SPARE
                     });
-                (flavor.name.clone(), usual.min(most).clamp(1.0, MOST_TASKS))
+                (
+                    instance_type.name.clone(),
+                    usual.min(most).clamp(1.0, MOST_TASKS),
+                )
             })
             .collect();
         let mut edits = Edits {
@@ -70,7 +73,7 @@
             value_bytes: config.block_bytes as f64,
             tasks,
         };
-        for (block, zone) in block_leases::wanted(&flavors.zones(config), config, policy, cache) {
+        for (block, zone) in block_leases::wanted(&catalog.zones(config), config, policy, cache) {
             let fill = cache.rosters.get(&block).map_or(0.0, |roster| {
                 roster
                     .value
--- a/src/provisioning/mod.rs
+++ b/src/provisioning/mod.rs
@@ -6,7 +6,7 @@
 
 mod boot_times;
 mod edits;
-mod flavors;
+mod instance_catalog;
 mod round;
 pub mod rule;
 pub mod wire;
@@ -32,16 +32,17 @@
 use crate::store::{Op, Outcome, Txn, WatchCache, Writer};
 use boot_times::BootTimes;
 use edits::{Edits, too_large};
-pub use flavors::Flavors;
+pub use instance_catalog::InstanceCatalog;
 use round::Round;
 use wire::{
-    Flavor, FlavorList, ListedMachine, ListedState, MachineList, MachineNames, RentRequest,
+    InstanceType, InstanceTypeList, ListedMachine, ListedState, MachineList, MachineNames,
+    RentRequest,
 };
 
 /// A request to the cloud.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Call {
-    Flavors,
+    InstanceCatalog,
     Rent(RentRequest),
     Delete(MachineNames),
     List { after: Option<MachineId> },
@@ -49,7 +50,7 @@
 
 #[derive(Debug, Clone, PartialEq)]
 pub enum CallOutcome {
-    Flavors(FlavorList),
+    InstanceCatalog(InstanceTypeList),
     Rented(MachineNames),
     NoCapacity,
     Deleted,
@@ -183,7 +184,7 @@
 
 #[derive(Debug, Clone, PartialEq)]
 pub enum Tag {
-    Flavors,
+    InstanceCatalog,
     Rent {
         type_name: InstanceTypeName,
         order: Order,
@@ -311,7 +312,7 @@
         let Lead {
             config,
             policy,
-            flavors,
+            catalog,
             ..
         } = *lead;
         // Where no controller was heard since this process began, all may have ended together, and nobody answers the
@@ -336,7 +337,7 @@
             .retain(|machine| cache.machines.contains_key(machine));
         self.recently_deleted
             .retain(|_, at| since(now, *at) < Duration::from_secs(120));
-        self.observe_boots(now, flavors, cache, health);
+        self.observe_boots(now, catalog, cache, health);
         for (id, machine) in &cache.machines {
             let Some(health) = health.get(id) else {
                 continue;
@@ -345,9 +346,9 @@
                 .places
                 .get(&machine.block)
                 .is_some_and(|p| p.value.on.contains_key(id));
-            let stated = flavors
+            let stated = catalog
                 .get(&machine.type_name)
-                .map_or(BOOT_UNKNOWN, Flavor::boot_time);
+                .map_or(BOOT_UNKNOWN, InstanceType::boot_time);
             let age = Duration::from_millis(now.unix_ms().saturating_sub(machine.rented_s * 1000));
             let never_up = self.boot_times.is_lost(&machine.type_name, stated, age);
             let known_up = self.up.contains(id) || occupied;
@@ -369,7 +370,7 @@
     fn observe_boots(
         &mut self,
         now: Now,
-        flavors: &Flavors,
+        catalog: &InstanceCatalog,
         cache: &WatchCache,
         health: &BTreeMap<MachineId, Health>,
     ) {
@@ -383,15 +384,15 @@
                     .push((id, since(now, *rented)));
             }
         }
-        for flavor in flavors.all() {
-            let booting = booting.remove(&flavor.name).unwrap_or_default();
+        for instance_type in catalog.all() {
+            let booting = booting.remove(&instance_type.name).unwrap_or_default();
             let ages: Vec<Duration> = booting.iter().map(|(_, age)| *age).collect();
             self.boot_times
-                .update(&flavor.name, flavor.boot_time(), &ages);
+                .update(&instance_type.name, instance_type.boot_time(), &ages);
             for (id, age) in booting {
-                let late = self
-                    .boot_times
-                    .is_late(&flavor.name, flavor.boot_time(), age);
+                let late =
+                    self.boot_times
+                        .is_late(&instance_type.name, instance_type.boot_time(), age);
                 if late && self.late.insert(id.clone()) {
                     info!(machine = %id, ?age, "machine is late: another may be ordered in its place");
                 }
@@ -606,7 +607,7 @@
             }
             (Tag::List, _) => self.list_busy = false,
             // Not the leader's own.
-            (Tag::Flavors | Tag::DeleteCancelled, _) => {}
+            (Tag::InstanceCatalog | Tag::DeleteCancelled, _) => {}
         }
     }
 
@@ -653,7 +654,7 @@
         cache: &mut WatchCache,
         demand: &Demand,
     ) -> Option<Op> {
-        let Lead { flavors, .. } = *lead;
+        let Lead { catalog, .. } = *lead;
         self.idle
             .retain(|id, _| cache.machines.contains_key(id) && !demand.occupied.contains(id));
         for id in cache
@@ -663,7 +664,7 @@
         {
             self.idle.entry(id.clone()).or_insert(now.monotonic);
         }
-        if !self.writer.ready(now, cache) || !flavors.known() {
+        if !self.writer.ready(now, cache) || !catalog.known() {
             return None;
         }
         let txn = Txn::default().when(LEADER, lead.version);
--- a/src/provisioning/round.rs
+++ b/src/provisioning/round.rs
@@ -7,7 +7,7 @@
 use tracing::{debug, info};
 
 use super::edits::Edits;
-use super::wire::Flavor;
+use super::wire::InstanceType;
 use super::{ASK_AGAIN, Demand, MOST_RENTED, Pool, Provisioner, Runs, rule};
 use crate::domain::{BlockId, CapacityType, MachineId, Now, Zone, since};
 use crate::leadership::Lead;
@@ -67,25 +67,25 @@
         let machines = self.machines(cache);
         let mut edits = Edits::new(lead, cache, demand);
         // One change for each type's order, the rest for the blocks of machines that are returned.
-        edits.most = lead.batch.saturating_sub(lead.flavors.all().count()).max(1);
+        edits.most = lead.batch.saturating_sub(lead.catalog.all().count()).max(1);
         let mut ordered = false;
-        for flavor in lead
-            .flavors
+        for instance_type in lead
+            .catalog
             .all()
-            .filter(|flavor| !cache.orders.contains_key(&flavor.name))
+            .filter(|instance_type| !cache.orders.contains_key(&instance_type.name))
         {
             let shortages = [CapacityType::OnDemand, CapacityType::Spot].map(|capacity_type| {
-                let pool = (flavor.name.clone(), capacity_type);
+                let pool = (instance_type.name.clone(), capacity_type);
                 let available = machines.get(&pool).copied().unwrap_or(0);
                 self.return_surplus(round, &pool, available, &mut edits);
-                self.shortage(round, flavor, &pool, available)
+                self.shortage(round, instance_type, &pool, available)
             });
-            if let Some(order) =
-                Shortage::worst(shortages).and_then(|shortage| self.order(round, flavor, shortage))
+            if let Some(order) = Shortage::worst(shortages)
+                .and_then(|shortage| self.order(round, instance_type, shortage))
             {
                 txn = txn
-                    .when(order_key(&flavor.name), 0)
-                    .put(order_key(&flavor.name), &order);
+                    .when(order_key(&instance_type.name), 0)
+                    .put(order_key(&instance_type.name), &order);
                 ordered = true;
             }
         }
@@ -114,10 +114,9 @@
     fn change(&self, round: Round<'_>, pool: &Pool, available: u32) -> (i64, f64) {
         let Round { lead, demand, .. } = round;
         let needed = demand.machines.get(pool).copied().unwrap_or(0.0);
-        let eta = lead
-            .flavors
-            .get(&pool.0)
-            .map_or(1.0, |flavor| self.eta(flavor, demand.runs.get(pool)));
+        let eta = lead.catalog.get(&pool.0).map_or(1.0, |instance_type| {
+            self.eta(instance_type, demand.runs.get(pool))
+        });
         (
             rule::change(needed, available, eta, lead.policy.headroom),
             needed,
@@ -127,7 +126,7 @@
     pub(super) fn shortage(
         &self,
         round: Round<'_>,
-        flavor: &Flavor,
+        instance_type: &InstanceType,
         pool: &Pool,
         available: u32,
     ) -> Option<Shortage> {
@@ -139,11 +138,11 @@
         if count <= 0 {
             return None;
         }
-        let in_stock = |zone: &Zone| self.available(round.now, &flavor.name, zone, pool.1);
+        let in_stock = |zone: &Zone| self.available(round.now, &instance_type.name, zone, pool.1);
         let zone = pinned.map(|(zone, _)| zone);
         let obtainable = match &zone {
             Some(zone) => in_stock(zone),
-            None => flavor.zones.iter().any(in_stock),
+            None => instance_type.zones.iter().any(in_stock),
         };
         debug!(type_name = %pool.0, capacity_type = ?pool.1, needed, available, count, obtainable, "short of machines");
         Some(Shortage {
@@ -156,7 +155,12 @@
     }
 
     /// The order for a shortage, unless it was asked for in vain just now.
-    fn order(&mut self, round: Round<'_>, flavor: &Flavor, shortage: Shortage) -> Option<Order> {
+    fn order(
+        &mut self,
+        round: Round<'_>,
+        instance_type: &InstanceType,
+        shortage: Shortage,
+    ) -> Option<Order> {
         let Round {
             now, lead, cache, ..
         } = round;
@@ -167,16 +171,18 @@
             tasks_wait,
             ..
         } = shortage;
-        let zone = zone.or_else(|| self.zone_for(now, flavor, capacity_type, tasks_wait, cache))?;
-        if self.is_closed(&flavor.name, &zone) {
+        let zone =
+            zone.or_else(|| self.zone_for(now, instance_type, capacity_type, tasks_wait, cache))?;
+        if self.is_closed(&instance_type.name, &zone) {
             return None;
         }
-        if !self.available(now, &flavor.name, &zone, capacity_type) {
-            let again = self.asked_again.get(&flavor.name);
+        if !self.available(now, &instance_type.name, &zone, capacity_type) {
+            let again = self.asked_again.get(&instance_type.name);
             if !lead.spare && again.is_some_and(|at| since(now, *at) < ASK_AGAIN) {
                 return None;
             }
-            self.asked_again.insert(flavor.name.clone(), now.monotonic);
+            self.asked_again
+                .insert(instance_type.name.clone(), now.monotonic);
         }
         self.next_request += 1;
         let order = Order {
@@ -185,7 +191,7 @@
             capacity_type,
             count: u32::try_from(count.min(MOST_RENTED)).unwrap_or(1),
         };
-        info!(request = %order.request, type_name = %flavor.name, zone = %order.zone, ?capacity_type, count, "order");
+        info!(request = %order.request, type_name = %instance_type.name, zone = %order.zone, ?capacity_type, count, "order");
         Some(order)
     }
 
@@ -219,10 +225,10 @@
 
     /// Boot time over mean run time. Both are measured; the run time starts as if one task had run for one
     /// boot, which makes eta 1 until there is more to go by.
-    pub fn eta(&self, flavor: &Flavor, runs: Option<&Runs>) -> f64 {
+    pub fn eta(&self, instance_type: &InstanceType, runs: Option<&Runs>) -> f64 {
         let boot = self
             .boot_times
-            .expected(&flavor.name, flavor.boot_time())
+            .expected(&instance_type.name, instance_type.boot_time())
             .as_secs_f64()
             .max(0.1);
         let Runs { time, ended } = runs.copied().unwrap_or_default();
@@ -240,9 +246,9 @@
         } = round;
         let least_ms = u64::try_from(lead.policy.least_rental.as_millis()).unwrap_or(u64::MAX);
         let boot = lead
-            .flavors
+            .catalog
             .get(&pool.0)
-            .map_or(0.0, |flavor| flavor.boot_s.0);
+            .map_or(0.0, |instance_type| instance_type.boot_s.0);
         let patience = Duration::from_secs_f64(boot * lead.policy.idle_boots);
         let rested = |id: &MachineId| {
             self.idle
@@ -284,27 +290,27 @@
     fn zone_for(
         &self,
         now: Now,
-        flavor: &Flavor,
+        instance_type: &InstanceType,
         capacity_type: CapacityType,
         wanted: bool,
         cache: &WatchCache,
     ) -> Option<Zone> {
         let out_until = |zone: &Zone| {
             self.stockouts
-                .get(&(flavor.name.clone(), zone.clone(), capacity_type))
+                .get(&(instance_type.name.clone(), zone.clone(), capacity_type))
                 .copied()
         };
         let count = |zone: &Zone| cache.machines.values().filter(|m| m.zone == *zone).count();
-        flavor
+        instance_type
             .zones
             .iter()
-            .filter(|zone| self.available(now, &flavor.name, zone, capacity_type))
+            .filter(|zone| self.available(now, &instance_type.name, zone, capacity_type))
             .min_by_key(|zone| count(zone))
             .or_else(|| {
-                flavor
+                instance_type
                     .zones
                     .iter()
-                    .filter(|zone| wanted && !self.is_closed(&flavor.name, zone))
+                    .filter(|zone| wanted && !self.is_closed(&instance_type.name, zone))
                     .min_by_key(|zone| out_until(zone))
             })
             .cloned()
--- a/src/provisioning/tests.rs
+++ b/src/provisioning/tests.rs
@@ -6,7 +6,7 @@
 use crate::domain::{Attempt, JobId, TaskId};
 use crate::placement::tests::job;
 use crate::policy::Policy;
-use crate::provisioning::wire::tests::flavor;
+use crate::provisioning::wire::tests::instance_type;
 use crate::store::Change;
 use crate::store::records::Order;
 use crate::store::records::{
@@ -93,9 +93,9 @@
 fn machines_of_a_zone_that_may_be_cut_off_are_given_up_only_when_their_tasks_must_be_gone() {
     let config = Config::parse("s.toml", SETTINGS).expect("valid");
     let policy = Policy::defaults(&config);
-    let mut flavors = Flavors::default();
-    flavors.answered(Some(FlavorList {
-        types: vec![flavor()],
+    let mut catalog = InstanceCatalog::default();
+    catalog.answered(Some(InstanceTypeList {
+        types: vec![instance_type()],
     }));
     let start = Now::read();
     let mut cache = WatchCache::following();
@@ -127,7 +127,7 @@
     let lead = Lead {
         config: &config,
         policy: &policy,
-        flavors: &flavors,
+        catalog: &catalog,
         term: 1,
         version: 1,
         batch: 16,
@@ -221,22 +221,22 @@
 fn what_has_run_out_does_not_keep_the_other_kind_from_being_ordered() {
     let config = Config::parse("s.toml", SETTINGS).expect("valid");
     let policy = Policy::defaults(&config);
-    let mut flavors = Flavors::default();
-    flavors.answered(Some(FlavorList {
-        types: vec![flavor()],
+    let mut catalog = InstanceCatalog::default();
+    catalog.answered(Some(InstanceTypeList {
+        types: vec![instance_type()],
     }));
     let now = Now::read();
     let cache = WatchCache::following();
     let lead = Lead {
         config: &config,
         policy: &policy,
-        flavors: &flavors,
+        catalog: &catalog,
         term: 1,
         version: 1,
         batch: 16,
         spare: true,
     };
-    let name = flavor().name;
+    let name = instance_type().name;
     let machines = [
         ((name.clone(), CapacityType::Spot), 1000.0),
         ((name.clone(), CapacityType::OnDemand), 10.0),
@@ -266,7 +266,7 @@
                     cache: &cache,
                     demand: &demand,
                 },
-                &flavor(),
+                &instance_type(),
                 &pool,
                 0,
             )
@@ -285,14 +285,14 @@
     let mut config = Config::parse("s.toml", SETTINGS).expect("valid");
     (config.state_limits.value_bytes, config.state_limits.txn_ops) = (2048, 5);
     let policy = Policy::defaults(&config);
-    let mut flavors = Flavors::default();
-    flavors.answered(Some(FlavorList {
-        types: vec![flavor()],
+    let mut catalog = InstanceCatalog::default();
+    catalog.answered(Some(InstanceTypeList {
+        types: vec![instance_type()],
     }));
     let lead = Lead {
         config: &config,
         policy: &policy,
-        flavors: &flavors,
+        catalog: &catalog,
         term: 1,
         version: 1,
         batch: 5,
--- a/src/provisioning/wire.rs
+++ b/src/provisioning/wire.rs
@@ -9,14 +9,14 @@
 use crate::http::{Reply, Request, read, write};
 
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct FlavorList {
+pub struct InstanceTypeList {
     #[serde(rename = "berthKinds")]
-    pub types: Vec<Flavor>,
+    pub types: Vec<InstanceType>,
 }
 
 /// A machine type.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Flavor {
+pub struct InstanceType {
     pub name: InstanceTypeName,
     pub cpus: Amount,
     #[serde(rename = "cards", default)]
@@ -40,7 +40,7 @@
 /// Boot times beyond this are taken for mistakes.
 const LONGEST_BOOT: Duration = Duration::from_secs(3600);
 
-impl Flavor {
+impl InstanceType {
     /// The boot time that the cloud states.
     pub fn boot_time(&self) -> Duration {
         Duration::try_from_secs_f64(self.boot_s.0)
@@ -123,7 +123,7 @@
 
 pub fn request(call: &Call) -> Request {
     match call {
-        Call::Flavors => Request::get("/flavors".to_owned(), TIMEOUT),
+        Call::InstanceCatalog => Request::get("/flavors".to_owned(), TIMEOUT),
         Call::Rent(rent) => Request::post("/machines".to_owned(), write(rent), TIMEOUT),
         Call::Delete(names) => Request::post("/machines/delete".to_owned(), write(names), TIMEOUT),
         Call::List { after } => {
@@ -141,8 +141,8 @@
         return CallOutcome::Unknown;
     };
     match (reply.status, call) {
-        (200, Call::Flavors) => {
-            read(&reply.body).map_or(CallOutcome::Refused, CallOutcome::Flavors)
+        (200, Call::InstanceCatalog) => {
+            read(&reply.body).map_or(CallOutcome::Refused, CallOutcome::InstanceCatalog)
         }
         (200, Call::Rent(_)) => read(&reply.body).map_or(CallOutcome::Unknown, CallOutcome::Rented),
         (200, Call::Delete(_)) => CallOutcome::Deleted,
--- a/src/provisioning/wire/tests.rs
+++ b/src/provisioning/wire/tests.rs
@@ -3,8 +3,8 @@
 use super::*;
 
 /// A machine type of 16 CPUs in zone `a`.
-pub fn flavor() -> Flavor {
-    Flavor {
+pub fn instance_type() -> InstanceType {
+    InstanceType {
         name: "large".into(),
         cpus: Amount(16.0),
         gpus: Amount(0.0),
--- a/src/queueing/demand.rs
+++ b/src/queueing/demand.rs
@@ -41,8 +41,8 @@
         open: &'v OpenJob,
     ) -> Option<Misplaced<'v>> {
         self.usage.add(&open.job);
-        let flavor = lead.flavors.get(&machine.type_name)?;
-        let share = 1.0 / f64::from(flavor.room().count_of(&open.job.need).max(1));
+        let instance_type = lead.catalog.get(&machine.type_name)?;
+        let share = 1.0 / f64::from(instance_type.room().count_of(&open.job.need).max(1));
         let pool = (machine.type_name.clone(), machine.capacity_type);
         if !is_opportunistic(lead.config, &open.job) {
             *self.guaranteed.entry(pool.clone()).or_default() += share;
--- a/src/queueing/draining/fleet_view.rs
+++ b/src/queueing/draining/fleet_view.rs
@@ -11,7 +11,7 @@
 use super::super::waiting::{Waiting, zone_open};
 use super::super::{Plan, Queues};
 use crate::domain::{Attempt, Job, JobId, JobKind, MachineId, TaskId, Zone};
-use crate::provisioning::wire::Flavor;
+use crate::provisioning::wire::InstanceType;
 use crate::store::WatchCache;
 use crate::store::cache::OpenJob;
 use crate::store::records::Ranges;
@@ -90,14 +90,18 @@
 
 /// Why there is no room for a task whose job's others are in these zones: whether machines can be had where it may go.
 pub(super) fn no_room(stock: &Stock<'_>, job: &Job, zones: &BTreeMap<Zone, u32>) -> NoRoom {
-    let open = |flavor: &Flavor, zone: &Zone| {
+    let open = |instance_type: &InstanceType, zone: &Zone| {
         job.allows_zone(zone)
             && zone_open(job, zones, zone)
-            && !stock.provisioner.is_closed(&flavor.name, zone)
+            && !stock.provisioner.is_closed(&instance_type.name, zone)
     };
-    let obtainable = stock.lead.flavors.all().any(|flavor| {
-        let fits = job.allows_type(&flavor.name) && flavor.room().count_of(&job.need) > 0;
-        fits && flavor.zones.iter().any(|zone| open(flavor, zone))
+    let obtainable = stock.lead.catalog.all().any(|instance_type| {
+        let fits =
+            job.allows_type(&instance_type.name) && instance_type.room().count_of(&job.need) > 0;
+        fits && instance_type
+            .zones
+            .iter()
+            .any(|zone| open(instance_type, zone))
     });
     if obtainable {
         NoRoom::Yet
--- a/src/queueing/mod.rs
+++ b/src/queueing/mod.rs
@@ -31,7 +31,7 @@
 use crate::leadership::Lead;
 use crate::peer::{BlockStatus, MachineStatus};
 use crate::placement::Candidate;
-use crate::provisioning::{Demand, Flavors, Health, Pool, Provisioner, Runs};
+use crate::provisioning::{Demand, Health, InstanceCatalog, Pool, Provisioner, Runs};
 use crate::store::records::{JobRecord, LEADER, job_key, progress_key};
 use crate::store::{Op, Outcome, Txn, WatchCache, Writer};
 use block_state::BlockState;
@@ -350,7 +350,7 @@
         &self,
         now: Now,
         cache: &WatchCache,
-        flavors: &Flavors,
+        catalog: &InstanceCatalog,
         provisioner: &Provisioner,
     ) -> Vec<Candidate> {
         let mut taken: HashMap<&MachineId, Resources> = HashMap::new();
@@ -391,7 +391,7 @@
             let Some(machine) = cache.machines.get(&status.machine) else {
                 continue;
             };
-            let Some(flavor) = flavors.get(&machine.type_name) else {
+            let Some(instance_type) = catalog.get(&machine.type_name) else {
                 continue;
             };
             if !machine.state.takes_tasks() || provisioner.is_lost(&status.machine) {
@@ -402,7 +402,7 @@
             candidates.push(Candidate::new(
                 &status.machine,
                 machine,
-                flavor,
+                instance_type,
                 &taken,
                 images,
             ));
@@ -446,7 +446,7 @@
         provisioner: &Provisioner,
     ) -> Demand {
         let Lead {
-            config, flavors, ..
+            config, catalog, ..
         } = *lead;
         self.settle(now, cache);
         self.take_back_broken_gangs(now, cache);
@@ -461,7 +461,7 @@
             guaranteed,
             demand,
         } = self.present(&stock, cache);
-        let candidates = self.candidates(now, cache, flavors, provisioner);
+        let candidates = self.candidates(now, cache, catalog, provisioner);
         let opportunities =
             Opportunities::new(lead, provisioner, &self.runs, &guaranteed, &candidates);
         let mut plan = Plan {
--- a/src/queueing/opportunistic.rs
+++ b/src/queueing/opportunistic.rs
@@ -9,8 +9,8 @@
 use crate::domain::{CapacityType, Job, MachineId, Priority};
 use crate::leadership::Lead;
 use crate::placement::Candidate;
-use crate::provisioning::wire::Flavor;
-use crate::provisioning::{Flavors, Pool, Provisioner, Runs, rule};
+use crate::provisioning::wire::InstanceType;
+use crate::provisioning::{InstanceCatalog, Pool, Provisioner, Runs, rule};
 
 /// A job of which nothing has run for this long gets its first task wherever there is room.
 pub(super) const RESTRICTED_FOR: Duration = Duration::from_secs(45);
@@ -40,14 +40,14 @@
 }
 
 /// What a task of the job costs on machines of a pool. None: it does not fit there or may not go there.
-fn price_of(job: &Job, flavor: &Flavor, capacity_type: CapacityType) -> Option<f64> {
-    let each = flavor.room().count_of(&job.need);
+fn price_of(job: &Job, instance_type: &InstanceType, capacity_type: CapacityType) -> Option<f64> {
+    let each = instance_type.room().count_of(&job.need);
     let allowed =
-        each > 0 && job.allows_type(&flavor.name) && job.allows_capacity_type(capacity_type);
+        each > 0 && job.allows_type(&instance_type.name) && job.allows_capacity_type(capacity_type);
     let price = if capacity_type.is_spot() {
-        flavor.spot_price.0
+        instance_type.spot_price.0
     } else {
-        flavor.price.0
+        instance_type.price.0
     };
     allowed.then(|| price / f64::from(each))
 }
@@ -60,24 +60,26 @@
     let Lead {
         config,
         policy,
-        flavors,
+        catalog,
         ..
     } = *lead;
     let starved = waited >= policy.opportunistic_patience && begun * 2 < u64::from(job.tasks);
     if !is_opportunistic(config, job) || starved {
         return f64::INFINITY;
     }
-    let pools = flavors.all().flat_map(|flavor| {
-        [CapacityType::OnDemand, CapacityType::Spot].map(|capacity_type| (flavor, capacity_type))
+    let pools = catalog.all().flat_map(|instance_type| {
+        [CapacityType::OnDemand, CapacityType::Spot]
+            .map(|capacity_type| (instance_type, capacity_type))
     });
-    let prices = pools.filter_map(|(flavor, capacity_type)| price_of(job, flavor, capacity_type));
+    let prices = pools
+        .filter_map(|(instance_type, capacity_type)| price_of(job, instance_type, capacity_type));
     // A little more, since equal prices may be computed in different ways.
     prices.fold(f64::INFINITY, f64::min) * policy.opportunistic_price * (1.0 + 1e-9)
 }
 
 /// Where opportunistic work may go.
 pub(super) struct Opportunities<'a> {
-    flavors: &'a Flavors,
+    catalog: &'a InstanceCatalog,
     /// Machines whose room is left for the next starts of guaranteed work.
     reserved: HashSet<MachineId>,
 }
@@ -94,23 +96,24 @@
     ) -> Self {
         let mut reserved = HashSet::new();
         for (pool, demand) in guaranteed {
-            let Some(flavor) = lead.flavors.get(&pool.0) else {
+            let Some(instance_type) = lead.catalog.get(&pool.0) else {
                 continue;
             };
-            let eta = provisioner.eta(flavor, runs.get(pool));
+            let eta = provisioner.eta(instance_type, runs.get(pool));
             let margin = rule::headroom(*demand, eta) * lead.policy.headroom;
             reserved.extend(emptiest(candidates, pool, (margin - 1e-9).ceil() as usize));
         }
         Opportunities {
-            flavors: lead.flavors,
+            catalog: lead.catalog,
             reserved,
         }
     }
 
     /// Whether a task of an opportunistic job may go to this machine.
     pub(super) fn allow(&self, job: &Job, price_limit: f64, candidate: &Candidate) -> bool {
-        let flavor = self.flavors.get(&candidate.type_name);
-        let price = flavor.and_then(|flavor| price_of(job, flavor, candidate.capacity_type));
+        let instance_type = self.catalog.get(&candidate.type_name);
+        let price = instance_type
+            .and_then(|instance_type| price_of(job, instance_type, candidate.capacity_type));
         let cheap = price.is_some_and(|price| price <= price_limit);
         cheap && !self.reserved.contains(&candidate.machine)
     }
--- a/src/queueing/opportunistic/tests.rs
+++ b/src/queueing/opportunistic/tests.rs
@@ -5,9 +5,9 @@
 use crate::domain::{Image, Now, Resources};
 use crate::placement::tests::job;
 use crate::policy::Policy;
-use crate::provisioning::Flavors;
-use crate::provisioning::wire::FlavorList;
-use crate::provisioning::wire::tests::flavor;
+use crate::provisioning::InstanceCatalog;
+use crate::provisioning::wire::InstanceTypeList;
+use crate::provisioning::wire::tests::instance_type;
 
 /// The sample's teams and one without a guarantee.
 fn config() -> Config {
@@ -26,10 +26,10 @@
 }
 
 fn candidate(name: &str, capacity_type: CapacityType, free: f64) -> Candidate {
-    let size = flavor().room();
+    let size = instance_type().room();
     Candidate {
         machine: name.into(),
-        type_name: flavor().name,
+        type_name: instance_type().name,
         zone: "a".into(),
         capacity_type,
         size,
@@ -39,12 +39,12 @@
     }
 }
 
-fn flavors() -> Flavors {
-    let mut flavors = Flavors::default();
-    flavors.answered(Some(FlavorList {
-        types: vec![flavor()],
+fn catalog() -> InstanceCatalog {
+    let mut catalog = InstanceCatalog::default();
+    catalog.answered(Some(InstanceTypeList {
+        types: vec![instance_type()],
     }));
-    flavors
+    catalog
 }
 
 #[test]
@@ -75,16 +75,16 @@
 /// Found on the bench: the guests' arrays had every ordinary machine of the cloud rented, at four times the price.
 #[test]
 fn work_without_a_guarantee_goes_only_where_it_is_cheap() {
-    let (config, flavors) = (config(), flavors());
+    let (config, catalog) = (config(), catalog());
     let mut policy = Policy::defaults(&config);
-    policy.opportunistic_price = flavor().price.0 / flavor().spot_price.0 - 0.1;
+    policy.opportunistic_price = instance_type().price.0 / instance_type().spot_price.0 - 0.1;
     let now = Now::read();
     let patience = policy.opportunistic_patience;
     let allowed = |policy: &Policy, job: &Job, capacity_type, waited, begun| {
         let lead = Lead {
             config: &config,
             policy,
-            flavors: &flavors,
+            catalog: &catalog,
             term: 1,
             version: 1,
             batch: 16,
@@ -130,12 +130,12 @@
 
 #[test]
 fn the_margin_of_guaranteed_work_is_kept_free_on_the_emptiest_machines() {
-    let (config, flavors) = (config(), flavors());
+    let (config, catalog) = (config(), catalog());
     let policy = Policy::defaults(&config);
     let lead = Lead {
         config: &config,
         policy: &policy,
-        flavors: &flavors,
+        catalog: &catalog,
         term: 1,
         version: 1,
         batch: 16,
@@ -145,7 +145,7 @@
         .map(|n| candidate(&format!("m-{n:02}"), CapacityType::Spot, f64::from(n % 16)))
         .collect();
     let reserved = |demand: f64| {
-        let pool = (flavor().name, CapacityType::Spot);
+        let pool = (instance_type().name, CapacityType::Spot);
         let now = Now::read();
         let provisioner = Provisioner::new(now, 1);
         let guaranteed = BTreeMap::from([(pool, demand)]);
--- a/src/queueing/stock.rs
+++ b/src/queueing/stock.rs
@@ -27,9 +27,9 @@
         let job = &waiting.open.job;
         let zones: BTreeSet<&Zone> = self
             .lead
-            .flavors
+            .catalog
             .all()
-            .flat_map(|flavor| &flavor.zones)
+            .flat_map(|instance_type| &instance_type.zones)
             .collect();
         let open = |zone: &&Zone| job.allows_zone(zone) && zone_open(job, &waiting.zones, zone);
         let allowed: Vec<&Zone> = zones.iter().copied().filter(open).collect();
@@ -41,16 +41,17 @@
         }
         let obtainable = |zone: &&Zone| {
             self.lead
-                .flavors
+                .catalog
                 .all()
-                .filter(|flavor| job.allows_type(&flavor.name))
-                .any(|flavor| {
+                .filter(|instance_type| job.allows_type(&instance_type.name))
+                .any(|instance_type| {
                     let capacity_types = [CapacityType::OnDemand, CapacityType::Spot]
                         .into_iter()
                         .filter(|t| job.allows_capacity_type(*t));
-                    capacity_types
-                        .into_iter()
-                        .any(|t| self.provisioner.available(self.now, &flavor.name, zone, t))
+                    capacity_types.into_iter().any(|t| {
+                        self.provisioner
+                            .available(self.now, &instance_type.name, zone, t)
+                    })
                 })
         };
         allowed
@@ -74,13 +75,13 @@
         price_limit: f64,
     ) -> Option<(Pool, f64)> {
         let mut best: Option<(Cost, (Pool, f64))> = None;
-        for flavor in self
+        for instance_type in self
             .lead
-            .flavors
+            .catalog
             .all()
-            .filter(|flavor| job.allows_type(&flavor.name))
+            .filter(|instance_type| job.allows_type(&instance_type.name))
         {
-            let each = flavor.room().count_of(&job.need);
+            let each = instance_type.room().count_of(&job.need);
             if each == 0 {
                 continue;
             }
@@ -89,21 +90,24 @@
                 .into_iter()
                 .filter(|capacity_type| job.allows_capacity_type(*capacity_type))
             {
-                let pool = (flavor.name.clone(), capacity_type);
+                let pool = (instance_type.name.clone(), capacity_type);
                 let room = f64::from(self.machines.get(&pool).copied().unwrap_or(0))
                     - demand.machines.get(&pool).copied().unwrap_or(0.0);
                 let available = |zone: &Zone| {
                     pinned.map_or(job.allows_zone(zone), |only| only == zone)
-                        && self
-                            .provisioner
-                            .available(self.now, &flavor.name, zone, capacity_type)
+                        && self.provisioner.available(
+                            self.now,
+                            &instance_type.name,
+                            zone,
+                            capacity_type,
+                        )
                 };
                 let has_room = pinned.is_none() && room + 1e-9 >= share;
-                let can_be_had = has_room || flavor.zones.iter().any(available);
+                let can_be_had = has_room || instance_type.zones.iter().any(available);
                 let price = if capacity_type.is_spot() {
-                    flavor.spot_price.0
+                    instance_type.spot_price.0
                 } else {
-                    flavor.price.0
+                    instance_type.price.0
                 };
                 if price * share > price_limit {
                     continue;
--- a/src/queueing/tests.rs
+++ b/src/queueing/tests.rs
@@ -8,8 +8,8 @@
 use crate::peer::Work;
 use crate::placement::tests::job;
 use crate::policy::Policy;
-use crate::provisioning::wire::FlavorList;
-use crate::provisioning::wire::tests::flavor;
+use crate::provisioning::wire::InstanceTypeList;
+use crate::provisioning::wire::tests::instance_type;
 use crate::store::Change;
 use crate::store::records::{
     BlockLease, MachineState, Places, Roster, Rostered, block_lease_key, encode, job_key,
@@ -19,7 +19,7 @@
 pub(super) struct Fixture {
     config: Config,
     policy: Policy,
-    flavors: Flavors,
+    catalog: InstanceCatalog,
     pub(super) cache: WatchCache,
     pub(super) now: Now,
     version: u64,
@@ -34,13 +34,13 @@
     pub(super) fn new(machines: u32) -> Self {
         let config = Config::parse("s.toml", SETTINGS).expect("valid");
         let now = Now::read();
-        let mut flavors = Flavors::default();
-        flavors.answered(Some(FlavorList {
-            types: vec![flavor()],
+        let mut catalog = InstanceCatalog::default();
+        catalog.answered(Some(InstanceTypeList {
+            types: vec![instance_type()],
         }));
         let mut fixture = Fixture {
             policy: Policy::defaults(&config),
-            flavors,
+            catalog,
             cache: WatchCache::following(),
             now,
             version: 0,
@@ -138,14 +138,14 @@
         let Fixture {
             config,
             policy,
-            flavors,
+            catalog,
             cache,
             now,
             queues,
             provisioner,
             ..
         } = self;
-        let lead = lead_of(config, policy, flavors);
+        let lead = lead_of(config, policy, catalog);
         let demand = queues.plan(*now, &lead, cache, provisioner);
         (
             demand,
@@ -158,12 +158,12 @@
         let Fixture {
             config,
             policy,
-            flavors,
+            catalog,
             cache,
             queues,
             ..
         } = self;
-        let lead = lead_of(config, policy, flavors);
+        let lead = lead_of(config, policy, catalog);
         queues.writer = Writer::Idle;
         let Some(Op::Commit(txn)) = queues.write(self.now, &lead, cache) else {
             return Vec::new();
@@ -190,11 +190,11 @@
     }
 }
 
-fn lead_of<'a>(config: &'a Config, policy: &'a Policy, flavors: &'a Flavors) -> Lead<'a> {
+fn lead_of<'a>(config: &'a Config, policy: &'a Policy, catalog: &'a InstanceCatalog) -> Lead<'a> {
     Lead {
         config,
         policy,
-        flavors,
+        catalog,
         term: TERM,
         version: 1,
         batch: 16,
@@ -613,13 +613,13 @@
         let Fixture {
             config,
             policy,
-            flavors,
+            catalog,
             cache,
             now,
             queues,
             ..
         } = &fixture;
-        let lead = lead_of(config, policy, flavors);
+        let lead = lead_of(config, policy, catalog);
         queues.queue(*now, cache)[0].reach(&lead)
     };
     let late = opportunistic::RESTRICTED_FOR + Duration::from_secs(1);
--- a/src/upgrade/tests.rs
+++ b/src/upgrade/tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 use crate::config::tests::SETTINGS;
 use crate::policy::Policy;
-use crate::provisioning::Flavors;
+use crate::provisioning::InstanceCatalog;
 use crate::store::Change;
 use crate::store::records::{Member, PARTS_FORMAT, encode};
 
@@ -36,7 +36,7 @@
         let lead = Lead {
             config: &self.config,
             policy: &policy,
-            flavors: &Flavors::default(),
+            catalog: &InstanceCatalog::default(),
             term: 1,
             version: 9,
             batch: 16,
--- a/tests/loopback/cloud.rs
+++ b/tests/loopback/cloud.rs
@@ -26,7 +26,7 @@
 pub async fn serve(fleet: Arc<Mutex<Fleet>>) -> SocketAddr {
     let with = warp::any().map(move || fleet.clone());
     let body = warp::body::bytes();
-    let flavors = warp::path!("flavors").and(warp::get()).map(flavors);
+    let instance_types = warp::path!("flavors").and(warp::get()).map(instance_types);
     let rent = warp::path!("machines")
         .and(warp::post())
         .and(body)
@@ -57,7 +57,13 @@
         .and(warp::get())
         .and(with)
         .map(|fleet: Arc<Mutex<Fleet>>| list(&lock(&fleet)));
-    let routes = flavors.or(rent).unify().or(delete).unify().or(list).unify();
+    let routes = instance_types
+        .or(rent)
+        .unify()
+        .or(delete)
+        .unify()
+        .or(list)
+        .unify();
     let listener = tokio::net::TcpListener::bind("127.0.0.1:0")
         .await
         .expect("a port");
@@ -66,7 +72,7 @@
     addr
 }
 
-fn flavors() -> Response {
+fn instance_types() -> Response {
     let zones = Value::Array(ZONES.into_iter().map(Value::from).collect());
     reply(
         200,
--- a/tests/simulation/world.rs
+++ b/tests/simulation/world.rs
@@ -17,7 +17,7 @@
 use dappleshore::peer::Message;
 use dappleshore::policy::Policy;
 use dappleshore::provisioning::wire::{
-    Flavor, FlavorList, ListedMachine, ListedState, MachineList, MachineNames,
+    InstanceType, InstanceTypeList, ListedMachine, ListedState, MachineList, MachineNames,
 };
 use dappleshore::provisioning::{Call, CallOutcome, Tag as CallTag};
 use dappleshore::store::records::{FORMAT, MachineState};
@@ -400,8 +400,8 @@
 /// Cuts, hangs and held messages last for up to a minute after the last fault.
 const LAST_TROUBLES: Duration = Duration::from_secs(60);
 
-fn flavors() -> FlavorList {
-    let flavor = |name: &str, cpus: f64, price: f64| Flavor {
+fn instance_types() -> InstanceTypeList {
+    let instance_type = |name: &str, cpus: f64, price: f64| InstanceType {
         name: name.into(),
         cpus: Amount(cpus),
         gpus: Amount(0.0),
@@ -413,8 +413,11 @@
         boot_s: Amount(6.0),
         zones: vec!["a".into(), "b".into(), "c".into()],
     };
-    FlavorList {
-        types: vec![flavor("small", 4.0, 0.3), flavor("large", 16.0, 1.3)],
+    InstanceTypeList {
+        types: vec![
+            instance_type("small", 4.0, 0.3),
+            instance_type("large", 16.0, 1.3),
+        ],
     }
 }
 
@@ -1557,7 +1560,7 @@
             return CallOutcome::Refused;
         }
         match call {
-            Call::Flavors => CallOutcome::Flavors(flavors()),
+            Call::InstanceCatalog => CallOutcome::InstanceCatalog(instance_types()),
             Call::Rent(rent) => {
                 if let Some(names) = self.requests.get(&rent.request) {
                     let machines = names.iter().map(|name| name.as_str().into()).collect();
