--- a/src/config/mod.rs
+++ b/src/config/mod.rs
@@ -36,7 +36,7 @@
     pub state: SocketAddr,
     pub zones: Vec<Zone>,
     pub teams: Vec<TeamLimits>,
-    pub report_every: Duration,
+    pub heartbeat_interval: Duration,
     pub worker_lease: Duration,
     pub cancel_within: Duration,
     /// What the state service takes, as far as this process reckons with it: see [`Config::adopt_next_limits`].
@@ -278,7 +278,7 @@
             state: check.address("external.state", &file.external.state)?,
             zones,
             teams,
-            report_every: check.duration("params.workers.report_s", workers.report_s)?,
+            heartbeat_interval: check.duration("params.workers.report_s", workers.report_s)?,
             worker_lease,
             cancel_within,
             block_bytes: state_limits.value_bytes,
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -14,7 +14,7 @@
 use crate::config::Config;
 use crate::domain::{Attempt, BlockId, ControllerName, MachineId, Now, Zone, since};
 use crate::features::Features;
-use crate::fleet::wire::{Orders, Report};
+use crate::fleet::wire::{Heartbeat, Orders};
 use crate::fleet::{Answer, Command, CommandOutcome, Fleet, Writes};
 use crate::intake::{self, Intake, RequestId, Response};
 use crate::leadership::{self, Lead, Leadership};
@@ -68,9 +68,9 @@
         id: RequestId,
         request: operator::Request,
     },
-    Report {
+    Heartbeat {
         id: RequestId,
-        report: Report,
+        heartbeat: Heartbeat,
     },
     Store {
         tag: StoreTag,
@@ -370,17 +370,17 @@
                 let reply = self.operations.ask(now, id, request);
                 effects.extend(reply.map(|reply| Effect::AnswerOperator { id, reply }));
             }
-            Event::Report { id, report } => {
+            Event::Heartbeat { id, heartbeat } => {
                 let until = self.entitled_until(now);
                 let entitled = now.monotonic < until;
-                if !self.cache.machines.contains_key(&report.machine)
+                if !self.cache.machines.contains_key(&heartbeat.machine)
                     && let Some(leading) = &mut self.leading
                 {
-                    leading.provisioner.unexpected(now, &report);
+                    leading.provisioner.unexpected(now, &heartbeat);
                 }
-                let answer = self
-                    .fleet
-                    .report(now, report, &self.config, &self.cache, entitled);
+                let answer =
+                    self.fleet
+                        .heartbeat(now, heartbeat, &self.config, &self.cache, entitled);
                 self.status_due = true;
                 effects.push(Effect::AnswerWorker { id, answer, until });
             }
--- a/src/fleet/block.rs
+++ b/src/fleet/block.rs
@@ -7,8 +7,8 @@
 
 use super::CommandOutcome;
 use super::parts::{Ended, PartLimits, PartsDraft, merged};
-use super::wire::{Cause, Order, Orders, Report, TaskState};
-use super::worker::{Launch, QUIET, Seen, Worker};
+use super::wire::{Cause, Heartbeat, Order, Orders, TaskState};
+use super::worker::{Launch, ObservedTask, QUIET, Worker};
 use crate::config::Config;
 use crate::domain::{Attempt, BlockId, JobId, JobKind, MachineId, Now, Resources, TaskId, since};
 use crate::peer::{BlockStatus, MachineStatus, Wanted};
@@ -26,7 +26,7 @@
 /// A command of unknown outcome that stands in the way this long is fenced by a new token.
 pub(super) const RENEW_AFTER: Duration = Duration::from_secs(3);
 /// Ended tasks that a worker remembers, so that no copy of a launch starts them again, before a new token lets it forget
-/// them. Each makes its reports longer.
+/// them. Each makes its heartbeats longer.
 const MOST_REMEMBERED: usize = 40;
 /// A block that found nothing to write looks again after this long.
 pub(super) const LOOK_AGAIN: Duration = Duration::from_millis(100);
@@ -38,11 +38,11 @@
 /// The protocol's limit for the conditions of a transaction, by that for its changes.
 const CONDITIONS_PER_CHANGE: usize = 4;
 
-/// How a worker came to say something. Only a report that reached us can renew its lease: a worker that answers commands
+/// How a worker came to say something. Only a heartbeat that reached us can renew its lease: a worker that answers commands
 /// and reaches no controller loses its tasks again and again, so that its answers are no sign of its being well.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(super) enum ReportSource {
-    Report,
+pub(super) enum HeartbeatSource {
+    Heartbeat,
     CommandAnswer,
 }
 
@@ -86,7 +86,7 @@
     pub(super) blocked_since: Option<Instant>,
     /// A task waits for a machine of ours that must not forget an earlier attempt of it yet.
     pub(super) fenced: bool,
-    /// Workers whose reports are overdue, when last counted.
+    /// Workers whose heartbeats are overdue, when last counted.
     pub(super) overdue: u32,
     /// Workers with something to be told, or to be told of; so that no event costs a look at all of them.
     pub(super) due: BTreeSet<MachineId>,
@@ -244,51 +244,53 @@
     }
 
     /// The one place where what a worker says is taken in.
-    pub(super) fn take_report(
+    pub(super) fn apply_heartbeat(
         &mut self,
         now: Now,
-        report: Report,
+        heartbeat: Heartbeat,
         cache: &WatchCache,
-        source: ReportSource,
+        source: HeartbeatSource,
     ) {
         let token = self.token;
-        let Some(worker) = self.workers.get_mut(&report.machine) else {
+        let Some(worker) = self.workers.get_mut(&heartbeat.machine) else {
             return;
         };
-        let newer = (report.session, report.seq) > (worker.session, worker.seq);
+        let newer = (heartbeat.session, heartbeat.seq) > (worker.session, worker.seq);
         if !newer {
             // Late: its task list is as old as it is.
             return;
         }
-        if worker.session != 0 && report.session != worker.session {
+        if worker.session != 0 && heartbeat.session != worker.session {
             // Commands for the old session are not executed any more.
-            info!(machine = %report.machine, session = report.session, "worker's lease had expired");
+            info!(machine = %heartbeat.machine, session = heartbeat.session, "worker's lease had expired");
             worker.launches.clear();
             worker.tainted.clear();
             worker.launched.clear();
         }
-        self.unsaid.insert(report.machine.clone());
-        worker.session = report.session;
-        worker.seq = report.seq;
+        self.unsaid.insert(heartbeat.machine.clone());
+        worker.session = heartbeat.session;
+        worker.seq = heartbeat.seq;
         match source {
-            ReportSource::Report => {
+            HeartbeatSource::Heartbeat => {
                 worker.heard = now.monotonic;
                 if worker.deaf.is_none() {
                     worker.probed = None;
                 }
             }
-            ReportSource::CommandAnswer => worker.probed = worker.probed.map(|(at, _)| (at, false)),
+            HeartbeatSource::CommandAnswer => {
+                worker.probed = worker.probed.map(|(at, _)| (at, false))
+            }
         }
         worker.reported = true;
-        worker.notice = report.notice_s.is_some();
-        worker.addr = Some(report.addr);
-        let tasks: BTreeMap<TaskId, Seen> = report
+        worker.notice = heartbeat.notice_s.is_some();
+        worker.addr = Some(heartbeat.addr);
+        let tasks: BTreeMap<TaskId, ObservedTask> = heartbeat
             .tasks
             .iter()
             .map(|task| {
                 (
                     task.task,
-                    Seen {
+                    ObservedTask {
                         number: Attempt::from_wire(task.task, task.number).number,
                         state: task.state,
                         cause: task.cause,
@@ -314,8 +316,8 @@
             }
         }
         worker.tasks = tasks;
-        let raised = report.token >= token && worker.token < token;
-        worker.token = report.token;
+        let raised = heartbeat.token >= token && worker.token < token;
+        worker.token = heartbeat.token;
         if worker.token < token || raised {
             // Raise its token, or start what waited for it.
             worker.due = true;
@@ -329,18 +331,18 @@
                 worker.images.insert(open.job.image.clone());
             }
         }
-        let placed = self.places.on.get(&report.machine);
+        let placed = self.places.on.get(&heartbeat.machine);
         worker.forget_launches(|attempt| {
             placed.is_some_and(|list| list.iter().any(|placed| placed.0 == *attempt))
         });
         let here: Vec<Attempt> = self
             .places
             .on
-            .get(&report.machine)
+            .get(&heartbeat.machine)
             .map(|list| list.iter().map(|placed| placed.0).collect())
             .unwrap_or_default();
         for attempt in here {
-            let key = (report.machine.clone(), attempt);
+            let key = (heartbeat.machine.clone(), attempt);
             let seen = worker
                 .tasks
                 .get(&attempt.task)
@@ -379,11 +381,11 @@
             }
         }
         if worker.due {
-            self.due.insert(report.machine);
+            self.due.insert(heartbeat.machine);
         }
     }
 
-    /// All that the worker should be told now. `session`: for a direct command, else for a report's answer. `entitled`:
+    /// All that the worker should be told now. `session`: for a direct command, else for a heartbeat's answer. `entitled`:
     /// whether tasks may be started.
     pub(super) fn orders(
         &mut self,
@@ -524,10 +526,10 @@
             }
         }
         match outcome {
-            CommandOutcome::Executed(report) | CommandOutcome::Rejected(report) => {
-                if report.machine == *machine {
+            CommandOutcome::Executed(heartbeat) | CommandOutcome::Rejected(heartbeat) => {
+                if heartbeat.machine == *machine {
                     worker.deaf = None;
-                    self.take_report(now, report, cache, ReportSource::CommandAnswer);
+                    self.apply_heartbeat(now, heartbeat, cache, HeartbeatSource::CommandAnswer);
                 }
             }
             CommandOutcome::Unknown => {
@@ -880,7 +882,7 @@
             .collect()
     }
 
-    /// What follows from the clock alone. `quiet`: how long after its last report a worker is overdue.
+    /// What follows from the clock alone. `quiet`: how long after its last heartbeat a worker is overdue.
     pub(super) fn review(&mut self, now: Now, quiet: Duration, policy: &Policy) {
         self.note_blocked(now);
         self.overdue = 0;
--- a/src/fleet/mod.rs
+++ b/src/fleet/mod.rs
@@ -1,4 +1,4 @@
-//! The holder's side of a block: its machines' reports, the tasks on them, and the record of both.
+//! The holder's side of a block: its machines' heartbeats, the tasks on them, and the record of both.
 //!
 //! Every task is in the block's places before it is launched, and leaves them only when it is proven gone:
 //! its worker, having seen our token, reports its exit; or the machine's record is removed, which the leader
@@ -21,12 +21,12 @@
 use crate::provisioning::InstanceCatalog;
 use crate::store::cache::ChangedRecords;
 use crate::store::{Op, Outcome, WatchCache, Writer};
-use block::{Block, ReportSource, recorded, still_there, wanted_alive};
-use wire::{Order, Orders, Report, TaskState};
+use block::{Block, HeartbeatSource, recorded, still_there, wanted_alive};
+use wire::{Heartbeat, Order, Orders, TaskState};
 
-/// A report is overdue after this many times its interval.
+/// A heartbeat is overdue after this many times its interval.
 const OVERDUE: f64 = 1.5;
-/// How often the clock alone is looked at: overdue reports, launches to be repeated.
+/// How often the clock alone is looked at: overdue heartbeats, launches to be repeated.
 const REVIEW_EVERY: Duration = Duration::from_millis(400);
 /// The part of our sockets that direct commands may hold: one in so many. Others wait for their turn.
 pub const COMMAND_PART: usize = 8;
@@ -44,13 +44,13 @@
 
 #[derive(Debug, Clone, PartialEq)]
 pub enum CommandOutcome {
-    Executed(Report),
+    Executed(Heartbeat),
     /// The worker's token or session is another.
-    Rejected(Report),
+    Rejected(Heartbeat),
     Unknown,
 }
 
-/// What a controller answers to a report.
+/// What a controller answers to a heartbeat.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Answer {
     Orders(Orders),
@@ -166,12 +166,12 @@
         }
     }
 
-    /// A worker's report. `entitled`: our copy of the block leases is recent enough to act on. If it is not, the report still
+    /// A worker's heartbeat. `entitled`: our copy of the block leases is recent enough to act on. If it is not, the heartbeat still
     /// tells what is gone, and which machines are alive.
-    pub fn report(
+    pub fn heartbeat(
         &mut self,
         now: Now,
-        report: Report,
+        heartbeat: Heartbeat,
         config: &Config,
         cache: &WatchCache,
         entitled: bool,
@@ -182,14 +182,14 @@
         if !entitled {
             let block = cache
                 .machines
-                .get(&report.machine)
+                .get(&heartbeat.machine)
                 .and_then(|machine| self.blocks.get_mut(&machine.block));
-            if let Some(block) = block.filter(|block| report.token <= block.token) {
-                block.take_report(now, report, cache, ReportSource::Report);
+            if let Some(block) = block.filter(|block| heartbeat.token <= block.token) {
+                block.apply_heartbeat(now, heartbeat, cache, HeartbeatSource::Heartbeat);
             }
             return Answer::Unavailable;
         }
-        let Some(machine) = cache.machines.get(&report.machine) else {
+        let Some(machine) = cache.machines.get(&heartbeat.machine) else {
             // Unknown so far: the leader takes it up.
             let leader = cache
                 .leader
@@ -203,17 +203,17 @@
                 .block_leases
                 .get(block_id)
                 .map(|lease| lease.value.holder.clone());
-            self.strays.insert(report.machine, now.monotonic);
+            self.strays.insert(heartbeat.machine, now.monotonic);
             return Answer::Elsewhere(holder.filter(|holder| *holder != config.name));
         };
-        if report.token > block.token {
+        if heartbeat.token > block.token {
             // Somebody was granted the block after us. A 200 from us would be dropped and the lease run out.
             return Answer::Elsewhere(None);
         }
-        let id = report.machine.clone();
+        let id = heartbeat.machine.clone();
         let here = block.places.on.get(&id).map_or(0, Vec::len);
-        self.looked += (1 + report.tasks.len() + here) as u64;
-        block.take_report(now, report, cache, ReportSource::Report);
+        self.looked += (1 + heartbeat.tasks.len() + here) as u64;
+        block.apply_heartbeat(now, heartbeat, cache, HeartbeatSource::Heartbeat);
         match block.workers.get(&id) {
             Some(_) => Answer::Orders(block.orders(now, &id, cache, None, true)),
             None => Answer::Unavailable,
@@ -335,7 +335,7 @@
             .map_or(0, |block| block.lease_version)
     }
 
-    /// Commands that should not wait for the next report. Without a block lease that is known to last (`entitled`) only those
+    /// Commands that should not wait for the next heartbeat. Without a block lease that is known to last (`entitled`) only those
     /// that end tasks of cancelled jobs: a cancellation is final, whoever may hold the block by now.
     pub fn commands(
         &mut self,
@@ -344,7 +344,7 @@
         cache: &WatchCache,
         entitled: bool,
     ) -> Vec<Command> {
-        let quiet = config.report_every.mul_f64(OVERDUE);
+        let quiet = config.heartbeat_interval.mul_f64(OVERDUE);
         let most = (config.max_sockets / COMMAND_PART).max(1);
         let mut commands = Vec::new();
         for block in self.blocks.values_mut() {
@@ -357,7 +357,7 @@
                 };
                 let probe = entitled && worker.probe_due(now, quiet);
                 if worker.busy || worker.addr.is_none() || !(worker.due || probe) {
-                    // It comes back here with its answer, or its first report.
+                    // It comes back here with its answer, or its first heartbeat.
                     continue;
                 }
                 if worker.deaf.is_some() && self.in_flight >= most / 2 {
@@ -485,7 +485,7 @@
             return;
         }
         self.reviewed = Some(now.monotonic);
-        let quiet = config.report_every.mul_f64(OVERDUE);
+        let quiet = config.heartbeat_interval.mul_f64(OVERDUE);
         for block in self.blocks.values_mut() {
             block.review(now, quiet, policy);
         }
@@ -503,7 +503,7 @@
 /// How long a machine that has reported to another controller than its holder counts as heard there: a worker whose
 /// holder does not answer comes round once in its time-out (4 s), a second's pause and the way there and back.
 pub fn stray_for(config: &Config) -> Duration {
-    config.report_every + Duration::from_secs(8)
+    config.heartbeat_interval + Duration::from_secs(8)
 }
 
 #[cfg(test)]
--- a/src/fleet/tests.rs
+++ b/src/fleet/tests.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use super::block::{LOOK_AGAIN, RENEW_AFTER};
-use super::wire::{Cause, Order, ReportedTask};
+use super::wire::{Cause, Order, TaskStatus};
 use super::worker::PROBE_AGAIN;
 use super::*;
 use crate::config::tests::SETTINGS;
@@ -69,8 +69,8 @@
         );
         holder.put(job_key(JobId(1)), encode(&JobRecord::Open(job)));
         holder.lease(4);
-        holder.report("m-1", 4, &[]);
-        holder.report("m-2", 4, &[]);
+        holder.heartbeat("m-1", 4, &[]);
+        holder.heartbeat("m-2", 4, &[]);
         holder
     }
 
@@ -107,19 +107,19 @@
         machine: &str,
         token: u64,
         tasks: &[(u64, TaskState, Option<Cause>)],
-    ) -> Report {
+    ) -> Heartbeat {
         self.seq += 1;
         let task = TaskId {
             job: JobId(1),
             index: 0,
         };
-        let of = |(number, state, cause): &(u64, TaskState, Option<Cause>)| ReportedTask {
+        let of = |(number, state, cause): &(u64, TaskState, Option<Cause>)| TaskStatus {
             task,
             number: *number,
             state: *state,
             cause: *cause,
         };
-        Report {
+        Heartbeat {
             machine: machine.into(),
             addr: "10.1.0.1:9000".to_owned(),
             type_name: "large".into(),
@@ -133,15 +133,15 @@
         }
     }
 
-    fn report(
+    fn heartbeat(
         &mut self,
         machine: &str,
         token: u64,
         tasks: &[(u64, TaskState, Option<Cause>)],
     ) -> Answer {
-        let report = self.message(machine, token, tasks);
+        let heartbeat = self.message(machine, token, tasks);
         self.fleet
-            .report(self.now, report, &self.config, &self.cache, true)
+            .heartbeat(self.now, heartbeat, &self.config, &self.cache, true)
     }
 
     fn want(&mut self, number: u64, machine: &str, message: u64) {
@@ -281,11 +281,11 @@
         grace_s: 0.0,
     };
     assert_eq!(holder.unentitled(), [stop]);
-    // The report is not answered, but what it says counts.
+    // The heartbeat is not answered, but what it says counts.
     let gone = holder.message("m-1", 4, &[(9, TaskState::Exited, Some(Cause::Stopped))]);
     let answer = holder
         .fleet
-        .report(holder.now, gone, &holder.config, &holder.cache, false);
+        .heartbeat(holder.now, gone, &holder.config, &holder.cache, false);
     assert_eq!(answer, Answer::Unavailable);
     assert!(
         holder
@@ -321,9 +321,9 @@
     );
 }
 
-/// A copy of an old report, or one that was held back until a new holder had acted, shows what was once so.
+/// A copy of an old heartbeat, or one that was held back until a new holder had acted, shows what was once so.
 #[test]
-fn a_report_that_is_older_than_the_last_proves_nothing() {
+fn a_heartbeat_that_is_older_than_the_last_proves_nothing() {
     let mut holder = Holder::new(job(1, 1.0));
     holder.want(9, "m-1", 1);
     let before = holder.message("m-1", 4, &[]);
@@ -344,7 +344,7 @@
     for late in [before, of_another_session] {
         holder
             .fleet
-            .report(holder.now, late, &holder.config, &holder.cache, true);
+            .heartbeat(holder.now, late, &holder.config, &holder.cache, true);
         assert!(
             !holder
                 .fleet
@@ -354,7 +354,7 @@
     let gone = holder.message("m-1", 4, &[]);
     holder
         .fleet
-        .report(holder.now, gone, &holder.config, &holder.cache, true);
+        .heartbeat(holder.now, gone, &holder.config, &holder.cache, true);
     assert!(
         holder
             .fleet
@@ -441,7 +441,7 @@
     let command = holder.commands().remove(0);
     holder.answer(&command, CommandOutcome::Unknown);
     let failed = [(9, TaskState::Exited, Some(Cause::Error))];
-    holder.report("m-1", 4, &failed);
+    holder.heartbeat("m-1", 4, &failed);
     assert_eq!(holder.write(), []);
     let reaped = |answer: Answer| match answer {
         Answer::Orders(orders) => orders
@@ -451,7 +451,7 @@
         other => panic!("{other:?}"),
     };
     assert!(
-        !reaped(holder.report("m-1", 4, &failed)),
+        !reaped(holder.heartbeat("m-1", 4, &failed)),
         "the lost launch could start it again"
     );
     holder.want(10, "m-1", 2);
@@ -466,7 +466,7 @@
     let policy = Policy::defaults(&holder.config);
     assert!(holder.fleet.status(holder.now, &policy)[0].wants_new_token);
     holder.lease(6);
-    assert!(reaped(holder.report("m-1", 6, &failed)));
+    assert!(reaped(holder.heartbeat("m-1", 6, &failed)));
 }
 
 /// Found on the bench: blocks that the leader kept sending work to went first each time, and the ends of another
@@ -496,7 +496,7 @@
         term: 3,
     };
     holder.put(block_lease_key(&"a.1".into()), encode(&lease));
-    holder.report("m-3", 5, &[]);
+    holder.heartbeat("m-3", 5, &[]);
     // Each round brings new work for both, but only one write can be sent.
     let mut written: HashMap<BlockId, usize> = HashMap::new();
     for round in 0..8 {
@@ -563,13 +563,13 @@
     assert_eq!(usable(&mut holder), Some((true, false)));
     let command = holder.commands().remove(0);
     holder.answer(&command, CommandOutcome::Unknown);
-    holder.report("m-1", 4, &[]);
+    holder.heartbeat("m-1", 4, &[]);
     assert_eq!(usable(&mut holder), Some((false, false)));
     let mut asked = 0;
     for _ in 0..20 {
         holder.now.monotonic += Duration::from_secs(1);
-        holder.report("m-1", 4, &[]);
-        holder.report("m-2", 4, &[]);
+        holder.heartbeat("m-1", 4, &[]);
+        holder.heartbeat("m-2", 4, &[]);
         holder.tick();
         for command in holder.commands() {
             asked += 1;
@@ -595,7 +595,7 @@
     let running = holder.message("m-1", 4, &[(9, TaskState::Running, None)]);
     holder.answer(&command, CommandOutcome::Executed(running));
     let stopped = [(9, TaskState::Exited, Some(Cause::Stopped))];
-    holder.report("m-1", 4, &stopped);
+    holder.heartbeat("m-1", 4, &stopped);
     assert_eq!(holder.write(), []);
     let reaped = |answer: Answer| match answer {
         Answer::Orders(orders) => orders
@@ -604,7 +604,7 @@
             .any(|order| matches!(order, Order::Reap { .. })),
         other => panic!("{other:?}"),
     };
-    assert!(!reaped(holder.report("m-1", 4, &stopped)));
+    assert!(!reaped(holder.heartbeat("m-1", 4, &stopped)));
     holder.want(10, "m-1", 2);
     assert_eq!(
         holder.write(),
@@ -620,7 +620,7 @@
         "nothing waits for it"
     );
     holder.lease(6);
-    assert!(reaped(holder.report("m-1", 6, &stopped)));
+    assert!(reaped(holder.heartbeat("m-1", 6, &stopped)));
     // What is done ends again at once, so it may be forgotten.
     let command = holder
         .commands()
@@ -630,9 +630,9 @@
     let running = holder.message("m-2", 6, &[(10, TaskState::Running, None)]);
     holder.answer(&command, CommandOutcome::Executed(running));
     let done = [(10, TaskState::Exited, Some(Cause::Done))];
-    holder.report("m-2", 6, &done);
+    holder.heartbeat("m-2", 6, &done);
     holder.write();
-    assert!(reaped(holder.report("m-2", 6, &done)));
+    assert!(reaped(holder.heartbeat("m-2", 6, &done)));
 }
 
 /// Else every task that ever ran on a machine would be kept in mind there, and be gone through for each placement.
@@ -648,14 +648,14 @@
     holder.write();
     let command = holder.commands().remove(0);
     // Sent before the launch came.
-    holder.report("m-1", 4, &[]);
+    holder.heartbeat("m-1", 4, &[]);
     assert_eq!(remembered(&holder), 1);
     let running = holder.message("m-1", 4, &[(9, TaskState::Running, None)]);
     holder.answer(&command, CommandOutcome::Executed(running));
-    holder.report("m-1", 4, &[(9, TaskState::Exited, Some(Cause::Done))]);
+    holder.heartbeat("m-1", 4, &[(9, TaskState::Exited, Some(Cause::Done))]);
     holder.write();
     assert_eq!(remembered(&holder), 1, "not reaped yet");
-    holder.report("m-1", 4, &[]);
+    holder.heartbeat("m-1", 4, &[]);
     assert_eq!(remembered(&holder), 0);
 }
 
@@ -746,7 +746,7 @@
         }),
     );
     for name in &names {
-        holder.report(name, 3, &[]);
+        holder.heartbeat(name, 3, &[]);
     }
     let first = holder.commands();
     assert_eq!((first.len(), holder.commands().len()), (most, 0));
@@ -768,18 +768,18 @@
 }
 
 #[test]
-fn what_a_report_does_not_list_is_gone_only_if_unwanted_and_fenced() {
+fn a_task_missing_from_a_heartbeat_is_gone_only_if_unwanted_and_fenced() {
     let mut holder = Holder::new(job(1, 1.0));
     holder.want(9, "m-1", 1);
     holder.write();
     let command = holder.commands().remove(0);
-    holder.report("m-1", 4, &[]);
+    holder.heartbeat("m-1", 4, &[]);
     assert_eq!(holder.write().len(), 1, "its launch is on its way");
     holder.put(
         job_key(JobId(1)),
         encode(&JobRecord::Cancelled(job(1, 1.0), 0)),
     );
-    holder.report("m-1", 4, &[]);
+    holder.heartbeat("m-1", 4, &[]);
     assert_eq!(
         holder.write().len(),
         1,
@@ -817,11 +817,11 @@
             (TaskState::Running, None),
             (TaskState::Exited, Some(Cause::Error)),
         ] {
-            let mut report = holder.message("m-1", 4, &[(number, state, cause)]);
-            report.tasks[0].task = attempt.task;
+            let mut heartbeat = holder.message("m-1", 4, &[(number, state, cause)]);
+            heartbeat.tasks[0].task = attempt.task;
             holder
                 .fleet
-                .report(holder.now, report, &holder.config, &holder.cache, true);
+                .heartbeat(holder.now, heartbeat, &holder.config, &holder.cache, true);
         }
         holder.write();
         errors.push(holder.fleet.status(holder.now, &policy)[0].machines[0].errors);
@@ -830,13 +830,14 @@
 }
 
 #[test]
-fn a_report_with_a_higher_token_or_an_old_grant_is_not_answered_with_orders() {
+fn a_heartbeat_with_a_higher_token_or_an_old_block_lease_is_not_answered_with_commands() {
     let mut holder = Holder::new(job(1, 1.0));
-    assert_eq!(holder.report("m-1", 5, &[]), Answer::Elsewhere(None));
-    let report = holder.message("m-1", 4, &[]);
-    let answer = holder
-        .fleet
-        .report(holder.now, report, &holder.config, &holder.cache, false);
+    assert_eq!(holder.heartbeat("m-1", 5, &[]), Answer::Elsewhere(None));
+    let heartbeat = holder.message("m-1", 4, &[]);
+    let answer =
+        holder
+            .fleet
+            .heartbeat(holder.now, heartbeat, &holder.config, &holder.cache, false);
     assert_eq!(answer, Answer::Unavailable);
 }
 
@@ -849,7 +850,7 @@
     });
     holder.want(20, "m-1", 1);
     assert_eq!(holder.write().len(), 1);
-    holder.report("m-1", 4, &[(20, TaskState::Exited, Some(Cause::Done))]);
+    holder.heartbeat("m-1", 4, &[(20, TaskState::Exited, Some(Cause::Done))]);
     let scarce = Writes {
         plenty: false,
         ..PLENTY
@@ -879,7 +880,7 @@
         });
         holder.want(20, "m-1", 1);
         assert_eq!(holder.write().len(), 1);
-        holder.report("m-1", 4, &[(20, TaskState::Exited, Some(Cause::Done))]);
+        holder.heartbeat("m-1", 4, &[(20, TaskState::Exited, Some(Cause::Done))]);
         if starts {
             holder.want(21, "m-2", 2);
         }
--- a/src/fleet/wire.rs
+++ b/src/fleet/wire.rs
@@ -5,7 +5,7 @@
 use crate::domain::{Amount, InstanceTypeName, MachineId, TaskId, Zone};
 
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Report {
+pub struct Heartbeat {
     #[serde(rename = "berth")]
     pub machine: MachineId,
     #[serde(rename = "endpoint")]
@@ -25,11 +25,11 @@
     #[serde(rename = "recallS", default)]
     pub notice_s: Option<Amount>,
     #[serde(rename = "entries")]
-    pub tasks: Vec<ReportedTask>,
+    pub tasks: Vec<TaskStatus>,
 }
 
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct ReportedTask {
+pub struct TaskStatus {
     #[serde(rename = "entry")]
     pub task: TaskId,
     #[serde(rename = "try")]
@@ -82,7 +82,7 @@
     Other,
 }
 
-/// The answer to a report, and the body of a direct command.
+/// The answer to a heartbeat, and the body of a direct command.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Orders {
     #[serde(rename = "seal")]
@@ -122,7 +122,7 @@
     },
 }
 
-/// 421: reports of this machine belong elsewhere.
+/// 421: heartbeats of this machine belong elsewhere.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Redirect {
     #[serde(rename = "clerk", skip_serializing_if = "Option::is_none")]
--- a/src/fleet/wire/tests.rs
+++ b/src/fleet/wire/tests.rs
@@ -9,7 +9,7 @@
 }
 
 #[test]
-fn reports_with_more_or_fewer_fields_are_read() {
+fn heartbeats_with_more_or_fewer_fields_are_read() {
     let value = cbor!({
         "berth" => "m-000231", "endpoint" => "10.1.0.232:9000", "berthKind" => "g8", "wing" => "a",
         "loaner" => true, "shift" => 1, "folio" => 88, "seal" => 41, "later" => [1, 2],
@@ -20,11 +20,12 @@
         ]
     })
     .expect("valid");
-    let report: Report = ciborium::from_reader(bytes_of(&value).as_slice()).expect("readable");
-    assert_eq!(report.notice_s, None);
-    assert_eq!(report.tasks[1].cause, Some(Cause::Done));
-    assert_eq!(report.tasks[2].state, TaskState::Other);
-    assert_eq!(report.tasks[2].cause, Some(Cause::Other));
+    let heartbeat: Heartbeat =
+        ciborium::from_reader(bytes_of(&value).as_slice()).expect("readable");
+    assert_eq!(heartbeat.notice_s, None);
+    assert_eq!(heartbeat.tasks[1].cause, Some(Cause::Done));
+    assert_eq!(heartbeat.tasks[2].state, TaskState::Other);
+    assert_eq!(heartbeat.tasks[2].cause, Some(Cause::Other));
 }
 
 #[test]
--- a/src/fleet/worker.rs
+++ b/src/fleet/worker.rs
@@ -26,7 +26,7 @@
 }
 
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub(super) struct Seen {
+pub(super) struct ObservedTask {
     pub(super) number: u64,
     pub(super) state: TaskState,
     pub(super) cause: Option<Cause>,
@@ -39,11 +39,11 @@
     pub(super) session: u64,
     pub(super) seq: u64,
     pub(super) token: u64,
-    /// Steady time of the last report that reached us, or of the block lease if there was none yet. Answers don't count.
+    /// Steady time of the last heartbeat that reached us, or of the block lease if there was none yet. Answers don't count.
     pub(super) heard: Instant,
     pub(super) reported: bool,
     pub(super) notice: bool,
-    pub(super) tasks: BTreeMap<TaskId, Seen>,
+    pub(super) tasks: BTreeMap<TaskId, ObservedTask>,
     pub(super) launches: HashMap<Attempt, Launch>,
     /// Attempts of which some launch went unanswered: it may still be executed, minutes later, as long as
     /// token and session stay the same. Only the worker's memory of the attempt keeps it from starting again.
@@ -54,12 +54,12 @@
     pub(super) launched: HashSet<Attempt>,
     /// A direct command is on its way.
     pub(super) busy: bool,
-    /// Something to tell the worker that should not wait for its next report.
+    /// Something to tell the worker that should not wait for its next heartbeat.
     pub(super) due: bool,
-    /// Since when commands have gone unanswered. Its reports may still come: then what we say does not reach it,
+    /// Since when commands have gone unanswered. Its heartbeats may still come: then what we say does not reach it,
     /// its lease runs out whatever we answer, and a task that is launched there never starts.
     pub(super) deaf: Option<Instant>,
-    /// Asked for a sign of life since its last report: when, and whether it failed to give one.
+    /// Asked for a sign of life since its last heartbeat: when, and whether it failed to give one.
     pub(super) probed: Option<(Instant, bool)>,
     /// Tasks that failed since one was done here. A job with a mistake fails on every machine, so it takes two jobs to
     /// tell a faulty machine.
@@ -134,7 +134,7 @@
         (errors, failures)
     }
 
-    /// Whether it should be asked for a sign of life: its report is overdue, or it did not answer lately.
+    /// Whether it should be asked for a sign of life: its heartbeat is overdue, or it did not answer lately.
     pub(super) fn probe_due(&self, now: Now, quiet: Duration) -> bool {
         (self.reported || self.addr.is_some())
             && (since(now, self.heard) > quiet || self.deaf.is_some())
@@ -149,14 +149,14 @@
         self.reported && reachable && !self.notice && since(now, self.heard) < QUIET
     }
 
-    /// Whether it gives no sign of life: reports are missing and a question went unanswered.
+    /// Whether it gives no sign of life: heartbeats are missing and a question went unanswered.
     pub(super) fn silent(&self, now: Now, policy: &Policy) -> bool {
         let unanswered = self.probed.is_some_and(|(_, failed)| failed);
         let patience = match (unanswered, &self.addr) {
             (true, _) => policy.silent_after,
             (false, Some(_)) => policy.unheard_after,
             // Nobody knows where it is, so it can't be asked, and the block's last holder, if it lost only the state
-            // service, answers its reports for the life of its block lease.
+            // service, answers its heartbeats for the life of its block lease.
             (false, None) => policy
                 .unheard_after
                 .max(policy.block_lease_duration + policy.silent_after),
--- a/src/http/server.rs
+++ b/src/http/server.rs
@@ -20,7 +20,7 @@
 use super::{read, write};
 use crate::domain::Now;
 use crate::fleet::Answer;
-use crate::fleet::wire::{Redirect, Report};
+use crate::fleet::wire::{Heartbeat, Redirect};
 use crate::intake::Response;
 use crate::peer::Message;
 
@@ -32,7 +32,7 @@
     Cancel(String, oneshot::Sender<Response>),
     Health(oneshot::Sender<bool>),
     /// The answer comes with the time until which it may be given.
-    Report(Report, oneshot::Sender<(Answer, Instant)>),
+    Heartbeat(Heartbeat, oneshot::Sender<(Answer, Instant)>),
     Peer(Message),
     Operate(operator::Request, oneshot::Sender<operator::Reply>),
     Metrics(oneshot::Sender<String>),
@@ -169,14 +169,14 @@
             };
             ask(events, Incoming::Health, show).into_rejection()
         });
-    let report = warp::path!("v1" / "report")
+    let heartbeat = warp::path!("v1" / "report")
         .and(warp::post())
         .and(body(LARGEST_BODY))
         .and(with)
         .and_then(move |body: Bytes, events| {
-            take_report(body, events, door.clone()).into_rejection()
+            apply_heartbeat(body, events, door.clone()).into_rejection()
         });
-    report
+    heartbeat
         .or(poll)
         .unify()
         .or(submit)
@@ -189,12 +189,12 @@
         .unify()
 }
 
-async fn take_report(
+async fn apply_heartbeat(
     body: Bytes,
     events: mpsc::Sender<Incoming>,
     door: Door,
 ) -> Result<HttpResponse, Infallible> {
-    let Some(report) = read::<Report>(&body) else {
+    let Some(heartbeat) = read::<Heartbeat>(&body) else {
         return Ok(reply_cbor(
             400,
             &Problem {
@@ -212,7 +212,7 @@
             },
         )
     };
-    let mut response = ask(events, |reply| Incoming::Report(report, reply), show).await?;
+    let mut response = ask(events, |reply| Incoming::Heartbeat(heartbeat, reply), show).await?;
     if door.crowded() {
         let close = warp::http::HeaderValue::from_static("close");
         response
--- a/src/http/server/tests.rs
+++ b/src/http/server/tests.rs
@@ -24,7 +24,7 @@
                 Incoming::Submit(_, reply) => reply.send(wait).is_ok(),
                 Incoming::Poll(_, reply) | Incoming::Cancel(_, reply) => reply.send(found).is_ok(),
                 Incoming::Health(reply) => reply.send(true).is_ok(),
-                Incoming::Report(_, reply) => {
+                Incoming::Heartbeat(_, reply) => {
                     let until = Instant::now() + Duration::from_secs(9);
                     reply
                         .send((Answer::Elsewhere(Some("node-2".into())), until))
@@ -77,12 +77,12 @@
     }
 }
 
-fn report() -> Vec<u8> {
-    let report = cbor!({
+fn heartbeat() -> Vec<u8> {
+    let heartbeat = cbor!({
         "berth" => "m-000231", "endpoint" => "10.1.0.232:9000", "berthKind" => "g8", "wing" => "a",
         "loaner" => true, "shift" => 1, "folio" => 88, "seal" => 41, "entries" => []
     });
-    write(&report.expect("valid"))
+    write(&heartbeat.expect("valid"))
 }
 
 /// At one and a half times the fleets' machines one controller for all has more workers than sockets.
@@ -94,7 +94,7 @@
         let reply = warp::test::request()
             .method("POST")
             .path("/v1/report")
-            .body(report())
+            .body(heartbeat())
             .reply(&routes)
             .await;
         reply
@@ -160,11 +160,11 @@
 }
 
 #[tokio::test]
-async fn a_report_for_another_holder_is_sent_there() {
+async fn a_heartbeat_for_another_holder_is_redirected_there() {
     let reply = warp::test::request()
         .method("POST")
         .path("/v1/report")
-        .body(report())
+        .body(heartbeat())
         .reply(&public(events(), Door::new(10)))
         .await;
     assert_eq!(reply.status().as_u16(), 421);
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -122,7 +122,7 @@
             entries,
             variables: variables(config),
         };
-        let report_s = config.report_every.as_secs_f64();
+        let report_s = config.heartbeat_interval.as_secs_f64();
         let lease_s = config.worker_lease.as_secs_f64();
         let longest_block_lease_s = Self::longest_block_lease(config).as_secs_f64();
         let shortest_block_lease_s = report_s.min(longest_block_lease_s);
@@ -160,7 +160,7 @@
 fn variables(config: &Config) -> Vec<(&'static str, f64)> {
     let count = |number: usize| number as f64;
     vec![
-        ("report_s", config.report_every.as_secs_f64()),
+        ("report_s", config.heartbeat_interval.as_secs_f64()),
         ("lease_s", config.worker_lease.as_secs_f64()),
         ("cancel_s", config.cancel_within.as_secs_f64()),
         ("list_lag_s", config.list_lag.as_secs_f64()),
--- a/src/provisioning/mod.rs
+++ b/src/provisioning/mod.rs
@@ -23,7 +23,7 @@
     Amount, Attempt, BlockId, CapacityType, InstanceTypeName, MachineId, Now, Resources, TaskId,
     Zone, since,
 };
-use crate::fleet::wire::Report;
+use crate::fleet::wire::Heartbeat;
 use crate::leadership::Lead;
 use crate::policy::Policy;
 use crate::store::records::{
@@ -282,13 +282,13 @@
 
     /// A worker reports whose machine nobody has recorded: a rental request executed late, or a machine that
     /// was there before us.
-    pub fn unexpected(&mut self, now: Now, report: &Report) {
+    pub fn unexpected(&mut self, now: Now, heartbeat: &Heartbeat) {
         let listed = ListedMachine {
-            id: report.machine.clone(),
-            addr: Some(report.addr.clone()),
-            type_name: report.type_name.clone(),
-            zone: report.zone.clone(),
-            spot: report.spot,
+            id: heartbeat.machine.clone(),
+            addr: Some(heartbeat.addr.clone()),
+            type_name: heartbeat.type_name.clone(),
+            zone: heartbeat.zone.clone(),
+            spot: heartbeat.spot,
             state: ListedState::Running,
             age_s: Amount(0.0),
         };
--- a/src/service.rs
+++ b/src/service.rs
@@ -12,7 +12,7 @@
 use crate::controller::{Controller, Effect, Event};
 use crate::domain::{ControllerName, Now};
 use crate::features::Features;
-use crate::fleet::wire::Report;
+use crate::fleet::wire::Heartbeat;
 use crate::fleet::{Answer, COMMAND_PART, Command, CommandOutcome};
 use crate::http::server::{self, Door, Incoming, MOST_WAITING};
 use crate::http::{Client, Request, read, write};
@@ -173,8 +173,8 @@
             Incoming::Poll(job, reply) => (Waiting::User(reply, now), Event::Poll { id, job }),
             Incoming::Cancel(job, reply) => (Waiting::User(reply, now), Event::Cancel { id, job }),
             Incoming::Health(reply) => (Waiting::Health(reply), Event::Health { id }),
-            Incoming::Report(report, reply) => {
-                (Waiting::Worker(reply), Event::Report { id, report })
+            Incoming::Heartbeat(heartbeat, reply) => {
+                (Waiting::Worker(reply), Event::Heartbeat { id, heartbeat })
             }
             Incoming::Operate(request, reply) => {
                 (Waiting::Operator(reply), Event::Operate { id, request })
@@ -268,9 +268,9 @@
                 let request = Request { close, ..request };
                 self.exchange(&self.workers, addr, request, until, move |reply| {
                     let outcome = match reply {
-                        Some(reply) => match (reply.status, read::<Report>(&reply.body)) {
-                            (200, Some(report)) => CommandOutcome::Executed(report),
-                            (409, Some(report)) => CommandOutcome::Rejected(report),
+                        Some(reply) => match (reply.status, read::<Heartbeat>(&reply.body)) {
+                            (200, Some(heartbeat)) => CommandOutcome::Executed(heartbeat),
+                            (409, Some(heartbeat)) => CommandOutcome::Rejected(heartbeat),
                             _ => CommandOutcome::Unknown,
                         },
                         None => CommandOutcome::Unknown,
--- a/tests/loopback/cloud.rs
+++ b/tests/loopback/cloud.rs
@@ -162,9 +162,9 @@
         tasks: BTreeMap::new(),
         images: BTreeSet::new(),
         controller: 0,
-        report: None,
-        next_report: now + BOOT,
-        last_report: Duration::ZERO,
+        heartbeat: None,
+        next_heartbeat: now + BOOT,
+        last_heartbeat: Duration::ZERO,
         changed: false,
         backlog: Vec::new(),
     }
--- a/tests/loopback/processes.rs
+++ b/tests/loopback/processes.rs
@@ -9,7 +9,7 @@
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_dappleshore");
 
-/// Where controllers take reports.
+/// Where controllers take heartbeats.
 pub static PUBLIC: OnceLock<Vec<SocketAddr>> = OnceLock::new();
 
 /// The controllers, and their files.
--- a/tests/loopback/workers.rs
+++ b/tests/loopback/workers.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use dappleshore::domain::TaskId;
-use dappleshore::fleet::wire::{Orders, Redirect, Report};
+use dappleshore::fleet::wire::{Heartbeat, Orders, Redirect};
 use dappleshore::http::{Client, Request, read, write};
 use tokio::net::TcpListener;
 use warp::Filter;
@@ -18,7 +18,7 @@
 
 const STEP: Duration = Duration::from_millis(50);
 const REPORT_EVERY: Duration = Duration::from_secs(1);
-const REPORT_TIMEOUT: Duration = Duration::from_secs(4);
+const HEARTBEAT_TIMEOUT: Duration = Duration::from_secs(4);
 const TRY_NEXT: Duration = Duration::from_secs(1);
 
 /// Starts a machine's worker: it runs until the machine is deleted.
@@ -38,11 +38,11 @@
     Duration::from_secs(1)
 }
 
-fn report(fleet: &mut Fleet, name: &str) -> Option<Report> {
+fn heartbeat(fleet: &mut Fleet, name: &str) -> Option<Heartbeat> {
     let addr = fleet.addresses[name].to_string();
     let machine = fleet.machines.get_mut(name)?;
-    let report = machine.message();
-    Some(Report { addr, ..report })
+    let heartbeat = machine.message();
+    Some(Heartbeat { addr, ..heartbeat })
 }
 
 /// Executes orders that come with a token that is not too low.
@@ -75,8 +75,8 @@
         Some(orders) => execute(&mut fleet, name, &orders),
         None => false,
     };
-    let report = report(&mut fleet, name);
-    let mut response = Response::new(write(&report).into());
+    let heartbeat = heartbeat(&mut fleet, name);
+    let mut response = Response::new(write(&heartbeat).into());
     let status = if executed { 200 } else { 409 };
     *response.status_mut() = StatusCode::from_u16(status).expect("a status");
     response
@@ -94,14 +94,18 @@
                 None => return,
             }
         };
-        let Some(report) = due else { continue };
+        let Some(heartbeat) = due else { continue };
         let to: Vec<SocketAddr> = PUBLIC.get().cloned().unwrap_or_default();
         let Some(addr) = to.get(controller).copied() else {
             continue;
         };
         let sent = lock(&fleet).now();
-        let session = report.session;
-        let request = Request::post("/v1/report".to_owned(), write(&report), REPORT_TIMEOUT);
+        let session = heartbeat.session;
+        let request = Request::post(
+            "/v1/report".to_owned(),
+            write(&heartbeat),
+            HEARTBEAT_TIMEOUT,
+        );
         let answer = client.send(addr, request).await;
         let next = match answer {
             Some(reply) if reply.status == 200 => {
@@ -138,8 +142,8 @@
     }
 }
 
-/// Time passes. None: the machine is gone. A report, if one is due.
-fn step(fleet: &mut Fleet, name: &str) -> Option<Option<Report>> {
+/// Time passes. None: the machine is gone. A heartbeat, if one is due.
+fn step(fleet: &mut Fleet, name: &str) -> Option<Option<Heartbeat>> {
     let now = fleet.now();
     let Fleet {
         machines,
@@ -157,15 +161,15 @@
     }
     let mut happened = machine.check_lease(now, LEASE);
     happened.extend(machine.progress(STEP, jobs, results, runs_for));
-    let rested = now >= machine.last_report + Duration::from_millis(500);
-    let due = now >= machine.next_report || (machine.changed && rested);
+    let rested = now >= machine.last_heartbeat + Duration::from_millis(500);
+    let due = now >= machine.next_heartbeat || (machine.changed && rested);
     if due {
         machine.changed = false;
-        machine.last_report = now;
-        machine.next_report = now + REPORT_EVERY;
+        machine.last_heartbeat = now;
+        machine.next_heartbeat = now + REPORT_EVERY;
     }
     fleet.happened(name, happened);
-    Some(if due { report(fleet, name) } else { None })
+    Some(if due { heartbeat(fleet, name) } else { None })
 }
 
 fn answered(fleet: &mut Fleet, name: &str, session: u64, sent: Duration, orders: Option<Orders>) {
--- a/tests/simulation/machine.rs
+++ b/tests/simulation/machine.rs
@@ -6,7 +6,7 @@
 use dappleshore::domain::{
     Amount, CapacityType, InstanceTypeName, Job, JobId, JobKind, Resources, TaskId, Zone,
 };
-use dappleshore::fleet::wire::{Cause, Order, Orders, Report, ReportedTask, TaskState};
+use dappleshore::fleet::wire::{Cause, Heartbeat, Order, Orders, TaskState, TaskStatus};
 
 #[derive(Debug)]
 pub struct Task {
@@ -30,7 +30,7 @@
     pub up: bool,
     pub dead: bool,
     pub hung_until: Option<Duration>,
-    /// Until then its reports arrive, but answers and commands don't reach it.
+    /// Until then its heartbeats arrive, but answers and commands don't reach it.
     pub deaf_until: Duration,
     /// Until then it reaches no controller.
     pub mute_until: Duration,
@@ -39,15 +39,15 @@
     pub session: u64,
     pub seq: u64,
     pub token: u64,
-    /// When the last answered report was sent, or the session began.
+    /// When the last answered heartbeat was sent, or the session began.
     pub lease_from: Duration,
     pub tasks: BTreeMap<TaskId, Task>,
     pub images: BTreeSet<String>,
     pub controller: usize,
-    /// The report in flight: its number and when it was sent.
-    pub report: Option<(u64, Duration)>,
-    pub next_report: Duration,
-    pub last_report: Duration,
+    /// The heartbeat in flight: its number and when it was sent.
+    pub heartbeat: Option<(u64, Duration)>,
+    pub next_heartbeat: Duration,
+    pub last_heartbeat: Duration,
     pub changed: bool,
     /// What came while it hung.
     pub backlog: Vec<Orders>,
@@ -83,9 +83,9 @@
         )
     }
 
-    pub fn message(&mut self) -> Report {
+    pub fn message(&mut self) -> Heartbeat {
         self.seq += 1;
-        Report {
+        Heartbeat {
             machine: self.id.as_str().into(),
             addr: self.addr(),
             type_name: self.type_name.clone(),
@@ -98,7 +98,7 @@
             tasks: self
                 .tasks
                 .iter()
-                .map(|(task, t)| ReportedTask {
+                .map(|(task, t)| TaskStatus {
                     task: *task,
                     number: t.number,
                     state: t.state,
@@ -153,7 +153,7 @@
                         left: Duration::ZERO,
                     };
                     if known.is_some_and(|known| known.state != TaskState::Exited) {
-                        // The protocol's report has one entry for each task and attempt; the refusal is not
+                        // The protocol's heartbeat has one entry for each task and attempt; the refusal is not
                         // shown here, since the attempt that is there goes on.
                         continue;
                     }
@@ -284,7 +284,7 @@
     pub fn restart(&mut self, now: Duration) -> Vec<MachineEvent> {
         self.session += 1;
         self.lease_from = now;
-        self.report = None;
+        self.heartbeat = None;
         self.changed = true;
         self.gone()
     }
--- a/tests/simulation/meetings.rs
+++ b/tests/simulation/meetings.rs
@@ -409,9 +409,9 @@
     }
 }
 
-/// Old reports arrive after newer ones, also from an earlier session or attempt.
+/// Old heartbeats arrive after newer ones, also from an earlier session or attempt.
 #[test]
-fn old_reports_arrive_after_newer_ones() {
+fn old_heartbeats_arrive_after_newer_ones() {
     for seed in 250..=253 {
         let faults = Faults {
             copies: 0.5,
@@ -542,9 +542,9 @@
     }
 }
 
-/// A report is held back until a new leader has acted, and then arrives there.
+/// A heartbeat is held back until a new leader has acted, and then arrives there.
 #[test]
-fn reports_arrive_after_a_new_leader_has_acted() {
+fn heartbeats_arrive_after_a_new_leader_has_acted() {
     for seed in 280..=283 {
         play(
             seed,
@@ -555,11 +555,11 @@
             Size::SMALL,
             |world| {
                 every(world, 30, 145, 22, |world| {
-                    world.hold_reports(seconds(3.0));
+                    world.hold_heartbeats(seconds(3.0));
                     end_leader(world, 12.0);
                 });
                 world.plan(seconds(70.0), |world| {
-                    world.hold_reports(seconds(24.0));
+                    world.hold_heartbeats(seconds(24.0));
                 });
             },
         );
--- a/tests/simulation/world.rs
+++ b/tests/simulation/world.rs
@@ -11,7 +11,7 @@
     Amount, CapacityType, Job, JobId, JobKind, Now, Priority, Resources, TaskId, Zone,
 };
 use dappleshore::features::Features;
-use dappleshore::fleet::wire::{Orders, Report, TaskState};
+use dappleshore::fleet::wire::{Heartbeat, Orders, TaskState};
 use dappleshore::fleet::{Answer, Command, CommandOutcome};
 use dappleshore::intake::Response;
 use dappleshore::peer::Message;
@@ -40,7 +40,7 @@
 const TICK: Duration = Duration::from_millis(50);
 /// Machines and users move in steps of this.
 const STEP: Duration = Duration::from_millis(100);
-const REPORT_TIMEOUT: Duration = Duration::from_secs(4);
+const HEARTBEAT_TIMEOUT: Duration = Duration::from_secs(4);
 
 /// What can go wrong, and how often.
 #[derive(Debug, Clone, Copy, Default)]
@@ -62,11 +62,11 @@
     /// A zone is cut off: what crosses its border is held and delivered when the cut is over.
     pub zone_cut: f64,
     pub faulty_machines: f64,
-    /// A machine's reports arrive, but answers and commands don't reach it for up to a minute.
+    /// A machine's heartbeats arrive, but answers and commands don't reach it for up to a minute.
     pub machine_deaf: f64,
     /// A machine is off and on again within a moment.
     pub machine_restarts: f64,
-    /// Of all reports: a copy comes up to three leases later, to any controller. Of everything else that was carried
+    /// Of all heartbeats: a copy comes up to three leases later, to any controller. Of everything else that was carried
     /// out (commands, rentals, deletions, transactions, what users ask and controllers say): it is carried out again.
     pub copies: f64,
     /// A controller stands still for up to 45 s, in the middle of something, while its clocks run on.
@@ -164,14 +164,14 @@
         call: Call,
         answer: bool,
     },
-    Report {
+    Heartbeat {
         controller: usize,
-        report: Box<Report>,
+        heartbeat: Box<Heartbeat>,
     },
-    /// A late copy: whoever sent the report no longer waits for its answer.
+    /// A late copy: whoever sent the heartbeat no longer waits for its answer.
     Copy {
         controller: usize,
-        report: Box<Report>,
+        heartbeat: Box<Heartbeat>,
     },
     /// What a user or an operator asked before, once more.
     Repeat {
@@ -381,7 +381,7 @@
     /// The most that a message takes.
     pub latency: Duration,
     /// Reports sent until then arrive then, at whoever leads by that time.
-    reports_held_until: Duration,
+    heartbeats_held_until: Duration,
     /// Leases that ran out on machines that were up.
     pub leases_over: usize,
     pub events_handled: u64,
@@ -488,7 +488,7 @@
             longer: Duration::ZERO,
             apart: Duration::ZERO,
             latency: Duration::from_millis(6),
-            reports_held_until: Duration::ZERO,
+            heartbeats_held_until: Duration::ZERO,
             leases_over: 0,
             events_handled: 0,
             peer_bytes: 0,
@@ -1135,13 +1135,22 @@
                     });
                 }
             }
-            WorldEvent::Report { controller, report } => {
-                let Some(machine) = self.machines.get(&*report.machine.0) else {
+            WorldEvent::Heartbeat {
+                controller,
+                heartbeat,
+            } => {
+                let Some(machine) = self.machines.get(&*heartbeat.machine.0) else {
                     return;
                 };
-                let sent = machine.report.map_or(self.now, |(_, sent)| sent);
+                let sent = machine.heartbeat.map_or(self.now, |(_, sent)| sent);
                 if let Some(until) = self.cut(controller, Some(&machine.zone)) {
-                    self.at(until, WorldEvent::Report { controller, report });
+                    self.at(
+                        until,
+                        WorldEvent::Heartbeat {
+                            controller,
+                            heartbeat,
+                        },
+                    );
                     return;
                 }
                 let slot = &mut self.slots[controller];
@@ -1151,29 +1160,32 @@
                 slot.next_request += 1;
                 let id = slot.next_request;
                 let asker = Asker::Worker {
-                    machine: report.machine.0.to_string(),
-                    session: report.session,
-                    seq: report.seq,
+                    machine: heartbeat.machine.0.to_string(),
+                    session: heartbeat.session,
+                    seq: heartbeat.seq,
                     sent,
                 };
                 slot.waiting.insert(id, asker);
                 self.handle(
                     controller,
-                    Event::Report {
+                    Event::Heartbeat {
                         id,
-                        report: *report,
+                        heartbeat: *heartbeat,
                     },
                 );
             }
-            WorldEvent::Copy { controller, report } => {
+            WorldEvent::Copy {
+                controller,
+                heartbeat,
+            } => {
                 let slot = &mut self.slots[controller];
                 slot.next_request += 1;
                 let id = slot.next_request;
                 self.handle(
                     controller,
-                    Event::Report {
+                    Event::Heartbeat {
                         id,
-                        report: *report,
+                        heartbeat: *heartbeat,
                     },
                 );
             }
@@ -1486,11 +1498,11 @@
             let Some(machine) = self.machines.get_mut(&id) else {
                 return;
             };
-            let report = machine.message();
+            let heartbeat = machine.message();
             let outcome = if executed {
-                CommandOutcome::Executed(report)
+                CommandOutcome::Executed(heartbeat)
             } else {
-                CommandOutcome::Rejected(report)
+                CommandOutcome::Rejected(heartbeat)
             };
             let event = Event::Commanded {
                 block: command.block,
@@ -1669,9 +1681,9 @@
             tasks: BTreeMap::new(),
             images: BTreeSet::new(),
             controller: self.rng.random_range(0..CONTROLLERS),
-            report: None,
-            next_report: self.now + boot,
-            last_report: Duration::ZERO,
+            heartbeat: None,
+            next_heartbeat: self.now + boot,
+            last_heartbeat: Duration::ZERO,
             changed: false,
             backlog: Vec::new(),
         };
@@ -1707,8 +1719,8 @@
     fn step_machine(&mut self, id: &str) {
         let now = self.now;
         let worker_lease = self.config.worker_lease;
-        let report_every = self.config.report_every;
-        let jitter = report_every.mul_f64(self.rng.random_range(0.75..1.25));
+        let heartbeat_interval = self.config.heartbeat_interval;
+        let jitter = heartbeat_interval.mul_f64(self.rng.random_range(0.75..1.25));
         let Some(machine) = self.machines.get_mut(id) else {
             return;
         };
@@ -1746,23 +1758,25 @@
             run_for(self.longer, self.apart),
         ));
         if machine
-            .report
-            .is_some_and(|(_, sent)| now > sent + REPORT_TIMEOUT)
+            .heartbeat
+            .is_some_and(|(_, sent)| now > sent + HEARTBEAT_TIMEOUT)
         {
-            machine.report = None;
+            machine.heartbeat = None;
             machine.controller = (machine.controller + 1) % CONTROLLERS;
-            machine.next_report = now + Duration::from_secs(1);
+            machine.next_heartbeat = now + Duration::from_secs(1);
         }
-        let rested = now >= machine.last_report + Duration::from_millis(500);
-        if machine.report.is_none() && (now >= machine.next_report || (machine.changed && rested)) {
+        let rested = now >= machine.last_heartbeat + Duration::from_millis(500);
+        if machine.heartbeat.is_none()
+            && (now >= machine.next_heartbeat || (machine.changed && rested))
+        {
             machine.changed = false;
-            machine.last_report = now;
-            machine.next_report = now + jitter;
-            let report = machine.message();
-            machine.report = Some((report.seq, now));
+            machine.last_heartbeat = now;
+            machine.next_heartbeat = now + jitter;
+            let heartbeat = machine.message();
+            machine.heartbeat = Some((heartbeat.seq, now));
             let controller = machine.controller;
             let up = self.slots[controller].controller.is_some();
-            let (session, seq) = (report.session, report.seq);
+            let (session, seq) = (heartbeat.session, heartbeat.seq);
             self.happened(id, happened);
             if let Some(late) = self.copied() {
                 let controller = self.rng.random_range(0..CONTROLLERS);
@@ -1770,18 +1784,18 @@
                     late,
                     WorldEvent::Copy {
                         controller,
-                        report: Box::new(report.clone()),
+                        heartbeat: Box::new(heartbeat.clone()),
                     },
                 );
             }
             let mute = now < self.machines[id].mute_until;
-            if now < self.reports_held_until {
-                let held = self.reports_held_until;
+            if now < self.heartbeats_held_until {
+                let held = self.heartbeats_held_until;
                 self.plan(held, move |world| {
                     if let Some(controller) = world.leader() {
                         world.take(WorldEvent::Copy {
                             controller,
-                            report: Box::new(report),
+                            heartbeat: Box::new(heartbeat),
                         });
                     }
                 });
@@ -1789,9 +1803,9 @@
                 let (at, _) = self.fate();
                 self.at(
                     at,
-                    WorldEvent::Report {
+                    WorldEvent::Heartbeat {
                         controller,
-                        report: Box::new(report),
+                        heartbeat: Box::new(heartbeat),
                     },
                 );
             } else {
@@ -1822,12 +1836,12 @@
         let Some(machine) = self.machines.get_mut(id) else {
             return;
         };
-        let waited_for =
-            machine.session == session && machine.report.is_some_and(|(number, _)| number == seq);
-        if !waited_for || now > sent + REPORT_TIMEOUT || !machine.runs(now) {
+        let waited_for = machine.session == session
+            && machine.heartbeat.is_some_and(|(number, _)| number == seq);
+        if !waited_for || now > sent + HEARTBEAT_TIMEOUT || !machine.runs(now) {
             return;
         }
-        machine.report = None;
+        machine.heartbeat = None;
         tracing::debug!(
             at = now.as_secs_f64(),
             machine = id,
@@ -1861,11 +1875,11 @@
                 } else {
                     target
                 };
-                machine.next_report = now + Duration::from_millis(if same { 1000 } else { 200 });
+                machine.next_heartbeat = now + Duration::from_millis(if same { 1000 } else { 200 });
             }
             _ => {
                 machine.controller = (controller + 1) % CONTROLLERS;
-                machine.next_report = now + Duration::from_secs(1);
+                machine.next_heartbeat = now + Duration::from_secs(1);
             }
         }
     }
@@ -2218,8 +2232,8 @@
     }
 
     /// Reports on their way from now on arrive when this is over, at whoever leads by then.
-    pub fn hold_reports(&mut self, how_long: Duration) {
-        self.reports_held_until = self.now + how_long;
+    pub fn hold_heartbeats(&mut self, how_long: Duration) {
+        self.heartbeats_held_until = self.now + how_long;
     }
 
     /// Everything that crosses the zone's border is held for so long.
