--- a/src/cancellation/mod.rs
+++ b/src/cancellation/mod.rs
@@ -234,12 +234,12 @@
             .iter()
             .filter(|(_, (_, at_ms))| overdue(now, config, *at_ms))
         {
-            for ((index, number), place) in cache.placed(*job) {
-                let left = cache.machines.contains_key(&place.machine)
-                    && !self.deleted.contains(&place.machine);
+            for ((index, number), placement) in cache.placed(*job) {
+                let left = cache.machines.contains_key(&placement.machine)
+                    && !self.deleted.contains(&placement.machine);
                 let Some(lease) = cache
                     .block_leases
-                    .get(&place.block)
+                    .get(&placement.block)
                     .filter(|_| left)
                     .map(|lease| &lease.value)
                 else {
@@ -253,12 +253,12 @@
                     number: *number,
                 };
                 let settled = if lease.holder == config.name && lease.boot == boot {
-                    proven(&place.block, &place.machine, &attempt)
+                    proven(&placement.block, &placement.machine, &attempt)
                 } else {
                     self.holder_heard(now, lease)
                 };
-                if !settled && due.insert(place.machine.clone()) {
-                    warn!(machine = %place.machine, %attempt, "machine deleted: its cancelled task must be gone");
+                if !settled && due.insert(placement.machine.clone()) {
+                    warn!(machine = %placement.machine, %attempt, "machine deleted: its cancelled task must be gone");
                 }
             }
         }
--- a/src/cancellation/tests.rs
+++ b/src/cancellation/tests.rs
@@ -6,8 +6,8 @@
 use crate::placement::tests::job;
 use crate::store::Change;
 use crate::store::records::{
-    JobRecord, MachineState, Places, Roster, Rostered, block_lease_key, encode, job_key,
-    places_key, roster_key,
+    BlockPlacements, JobRecord, MachineState, Roster, Rostered, block_lease_key, encode, job_key,
+    placements_key, roster_key,
 };
 
 const BOOT: u64 = 7;
@@ -67,15 +67,15 @@
                 term: 3,
             };
             put(block_lease_key(&block.into()), encode(&lease));
-            let mut places = Places::default();
+            let mut placements = BlockPlacements::default();
             for (machine, job) in on {
                 let task = TaskId {
                     job: JobId(*job),
                     index: u32::from(block == "b.0"),
                 };
-                places.add(&(*machine).into(), Attempt { task, number: 9 });
+                placements.add(&(*machine).into(), Attempt { task, number: 9 });
             }
-            put(places_key(&block.into()), encode(&places));
+            put(placements_key(&block.into()), encode(&placements));
         }
         put(
             job_key(JobId(1)),
--- a/src/fleet/block.rs
+++ b/src/fleet/block.rs
@@ -17,7 +17,7 @@
 use crate::provisioning::InstanceCatalog;
 use crate::store::cache::Parts;
 use crate::store::records::{
-    BlockLease, PARTS_FORMAT, Part, Places, block_lease_key, job_key, roster_part_key,
+    BlockLease, BlockPlacements, PARTS_FORMAT, Part, block_lease_key, job_key, roster_part_key,
 };
 use crate::store::{Op, Outcome, Txn, Versioned, WatchCache, Writer};
 
@@ -59,9 +59,9 @@
     pub(super) token: u64,
     pub(super) lease_version: u64,
     /// All parts together, and the version of the last change to any of them.
-    pub(super) places: Places,
-    pub(super) places_version: u64,
-    pub(super) parts: Parts<Places>,
+    pub(super) placements: BlockPlacements,
+    pub(super) placements_version: u64,
+    pub(super) parts: Parts<BlockPlacements>,
     pub(super) writer: Writer,
     pub(super) workers: BTreeMap<MachineId, Worker>,
     pub(super) last_work: u64,
@@ -108,8 +108,8 @@
             id,
             token: lease.value.token,
             lease_version: lease.version,
-            places: recorded.places,
-            places_version: recorded.version,
+            placements: recorded.placements,
+            placements_version: recorded.version,
             parts: recorded.parts,
             writer: Writer::Idle,
             workers: BTreeMap::new(),
@@ -181,8 +181,8 @@
 
     /// Whether there may be something to write.
     fn has_news(&self, now: Now) -> bool {
-        let prune =
-            !self.places.done.is_empty() && self.looked.is_none_or(|at| since(now, at) > RELAUNCH);
+        let prune = !self.placements.done.is_empty()
+            && self.looked.is_none_or(|at| since(now, at) > RELAUNCH);
         !self.pending.is_empty() || !self.ended.is_empty() || !self.unsure.is_empty() || prune
     }
 
@@ -205,7 +205,7 @@
         let mut known: BTreeSet<MachineId> = self
             .workers
             .keys()
-            .chain(self.places.on.keys())
+            .chain(self.placements.on.keys())
             .cloned()
             .collect();
         known.extend(
@@ -234,7 +234,7 @@
         }
         self.workers.remove(id);
         // The record of a machine is removed after the cloud has deleted it: its tasks are gone.
-        for placed in self.places.on.get(id).into_iter().flatten() {
+        for placed in self.placements.on.get(id).into_iter().flatten() {
             let attempt = placed.0;
             self.ended.entry((id.clone(), attempt)).or_insert_with(|| {
                 info!(%attempt, proof = "machine deleted", "task lost");
@@ -331,12 +331,12 @@
                 worker.images.insert(open.job.image.clone());
             }
         }
-        let placed = self.places.on.get(&heartbeat.machine);
+        let placed = self.placements.on.get(&heartbeat.machine);
         worker.forget_launches(|attempt| {
             placed.is_some_and(|list| list.iter().any(|placed| placed.0 == *attempt))
         });
         let here: Vec<Attempt> = self
-            .places
+            .placements
             .on
             .get(&heartbeat.machine)
             .map(|list| list.iter().map(|placed| placed.0).collect())
@@ -399,7 +399,7 @@
         let token = self.token;
         if let Some(worker) = self.workers.get_mut(machine) {
             let here: BTreeMap<TaskId, u64> = self
-                .places
+                .placements
                 .on
                 .get(machine)
                 .map(|list| {
@@ -545,7 +545,7 @@
         now: Now,
         cache: &WatchCache,
         catalog: &InstanceCatalog,
-        places: &Places,
+        placements: &BlockPlacements,
     ) -> Vec<Candidate> {
         let mut candidates = Vec::new();
         for (id, worker) in &self.workers {
@@ -559,7 +559,7 @@
                 continue;
             }
             let mut taken = Resources::default();
-            for open in places
+            for open in placements
                 .on
                 .get(id)
                 .into_iter()
@@ -609,7 +609,7 @@
         // A write of unknown outcome is made sure of by the next one, needed or not.
         if !draft.any() {
             self.ended
-                .retain(|(machine, attempt), _| still_there(&self.places, machine, attempt));
+                .retain(|(machine, attempt), _| still_there(&self.placements, machine, attempt));
             return None;
         }
         for part in placed.roster_parts {
@@ -637,14 +637,14 @@
         // Nothing of ours is under way that our copy does not show, but for a late repeat of the last
         // transaction, which fails once another one has been committed.
         let recorded = recorded(cache, &self.id);
-        if recorded.version > self.places_version {
+        if recorded.version > self.placements_version {
             self.unsure.clear();
             self.unsure_parts.clear();
         }
-        self.places = recorded.places;
-        self.places_version = recorded.version;
+        self.placements = recorded.placements;
+        self.placements_version = recorded.version;
         self.parts = recorded.parts;
-        for (machine, attempt) in self.places.attempts() {
+        for (machine, attempt) in self.placements.attempts() {
             if self
                 .pending
                 .iter()
@@ -773,25 +773,26 @@
         match (outcome, draft) {
             (Outcome::Committed { revision }, Some(draft)) => {
                 let old: HashSet<u64> = self
-                    .places
+                    .placements
                     .attempts()
                     .map(|(_, attempt)| attempt.number)
                     .collect();
                 self.parts = draft.committed(*revision);
-                self.places = merged(&self.parts);
-                self.places_version = *revision;
+                self.placements = merged(&self.parts);
+                self.placements_version = *revision;
                 let started: Vec<(MachineId, Attempt)> = self
-                    .places
+                    .placements
                     .attempts()
                     .filter(|(_, attempt)| !old.contains(&attempt.number))
                     .map(|(machine, attempt)| (machine.clone(), attempt))
                     .collect();
-                // We know our own places; only others' records are waited for.
+                // We know our own placements; only others' records are waited for.
                 self.writer = Writer::Idle;
                 self.unsure.clear();
                 self.unsure_parts.clear();
-                self.ended
-                    .retain(|(machine, attempt), _| still_there(&self.places, machine, attempt));
+                self.ended.retain(|(machine, attempt), _| {
+                    still_there(&self.placements, machine, attempt)
+                });
                 for (machine, attempt) in started {
                     debug!(%attempt, %machine, "placed");
                     self.handled.insert(attempt.number);
@@ -852,7 +853,7 @@
                 .keys()
                 .map(|(_, attempt)| attempt.number)
                 .collect(),
-            revision: self.places_version,
+            revision: self.placements_version,
             wants_new_token: self
                 .blocked_since
                 .is_some_and(|at| since(now, at) > RENEW_AFTER),
@@ -888,7 +889,7 @@
         self.overdue = 0;
         for (id, worker) in &mut self.workers {
             self.overdue += u32::from(worker.addr.is_some() && since(now, worker.heard) > quiet);
-            let placed = self.places.on.get(id);
+            let placed = self.placements.on.get(id);
             worker.launches.retain(|attempt, _| {
                 placed.is_some_and(|list| list.iter().any(|placed| placed.0 == *attempt))
             });
@@ -932,7 +933,7 @@
     }
 }
 
-/// What a transaction places, and what it is conditioned on for that.
+/// What a transaction placements, and what it is conditioned on for that.
 #[derive(Debug, Default)]
 struct Placed {
     attempts: Vec<u64>,
@@ -957,24 +958,28 @@
 
 /// What the records say of a block's tasks.
 pub(super) struct Recorded {
-    pub(super) places: Places,
+    pub(super) placements: BlockPlacements,
     pub(super) version: u64,
-    pub(super) parts: Parts<Places>,
+    pub(super) parts: Parts<BlockPlacements>,
 }
 
 pub(super) fn recorded(cache: &WatchCache, block: &BlockId) -> Recorded {
-    let places = cache.places.get(block);
+    let placements = cache.placements.get(block);
     Recorded {
-        places: places
-            .map(|places| places.value.clone())
+        placements: placements
+            .map(|placements| placements.value.clone())
             .unwrap_or_default(),
-        version: places.map_or(0, |places| places.version),
-        parts: cache.places_parts(block).cloned().unwrap_or_default(),
+        version: placements.map_or(0, |placements| placements.version),
+        parts: cache.placements_parts(block).cloned().unwrap_or_default(),
     }
 }
 
-pub(super) fn still_there(places: &Places, machine: &MachineId, attempt: &Attempt) -> bool {
-    places
+pub(super) fn still_there(
+    placements: &BlockPlacements,
+    machine: &MachineId,
+    attempt: &Attempt,
+) -> bool {
+    placements
         .on
         .get(machine)
         .is_some_and(|list| list.iter().any(|placed| placed.0 == *attempt))
--- a/src/fleet/mod.rs
+++ b/src/fleet/mod.rs
@@ -1,6 +1,6 @@
 //! The holder's side of a block: its machines' heartbeats, the tasks on them, and the record of both.
 //!
-//! Every task is in the block's places before it is launched, and leaves them only when it is proven gone:
+//! Every task is in the block's placements before it is launched, and leaves them only when it is proven gone:
 //! its worker, having seen our token, reports its exit; or the machine's record is removed, which the leader
 //! does only after the cloud has deleted it.
 
@@ -140,8 +140,8 @@
                     // be committed any more, so our copy holds all that were.
                     block.lease_version = lease.version;
                     block.raise(lease.value.token);
-                    block.places = recorded.places;
-                    block.places_version = recorded.version;
+                    block.placements = recorded.placements;
+                    block.placements_version = recorded.version;
                     block.parts = recorded.parts;
                     block.unsure_parts.clear();
                     block.last_work = 0;
@@ -157,7 +157,7 @@
                     }
                 }
                 None => {
-                    info!(block = %id, token = lease.value.token, tasks = recorded.places.attempts().count(), "block taken up");
+                    info!(block = %id, token = lease.value.token, tasks = recorded.placements.attempts().count(), "block taken up");
                     let mut block = Block::new(id.clone(), lease, recorded);
                     block.sync_machines(now, cache);
                     self.blocks.insert(id.clone(), block);
@@ -211,7 +211,7 @@
             return Answer::Elsewhere(None);
         }
         let id = heartbeat.machine.clone();
-        let here = block.places.on.get(&id).map_or(0, Vec::len);
+        let here = block.placements.on.get(&id).map_or(0, Vec::len);
         self.looked += (1 + heartbeat.tasks.len() + here) as u64;
         block.apply_heartbeat(now, heartbeat, cache, HeartbeatSource::Heartbeat);
         match block.workers.get(&id) {
@@ -257,7 +257,7 @@
             .collect();
         block.handled.retain(|number| wanted.contains(number));
         let placed: HashSet<u64> = block
-            .places
+            .placements
             .attempts()
             .map(|(_, attempt)| attempt.number)
             .collect();
@@ -281,7 +281,7 @@
         block.stops = work.stop.into_iter().collect();
         block.watch = work.watch.into_iter().collect();
         let changed: BTreeSet<MachineId> = block
-            .places
+            .placements
             .attempts()
             .filter(|(_, attempt)| block.stops.contains(attempt))
             .map(|(machine, _)| machine.clone())
@@ -316,7 +316,7 @@
             self.looked += (block.pending.len() + block.ended.len()) as u64;
             if let Some(op) = block.write(now, config, writes.most, cache, catalog) {
                 block.wrote = Some(now.monotonic);
-                self.looked += block.places.attempts().count() as u64;
+                self.looked += block.placements.attempts().count() as u64;
                 return Some((id, op));
             }
         }
@@ -403,7 +403,7 @@
     pub fn proven_gone(&self, block: &BlockId, machine: &MachineId, attempt: &Attempt) -> bool {
         self.blocks.get(block).is_some_and(|block| {
             block.ended.contains_key(&(machine.clone(), *attempt))
-                || !still_there(&block.places, machine, attempt)
+                || !still_there(&block.placements, machine, attempt)
         })
     }
 
@@ -428,26 +428,26 @@
 
     /// Tells workers at once when jobs end that have tasks on them.
     fn jobs_ended(&mut self, cache: &WatchCache, changed: &ChangedRecords) {
-        for (task, place) in changed.ended.iter().flat_map(|job| {
-            cache.placed(*job).iter().map(|((index, _), place)| {
+        for (task, placement) in changed.ended.iter().flat_map(|job| {
+            cache.placed(*job).iter().map(|((index, _), placement)| {
                 (
                     TaskId {
                         job: *job,
                         index: *index,
                     },
-                    place,
+                    placement,
                 )
             })
         }) {
-            let Some(block) = self.blocks.get_mut(&place.block) else {
+            let Some(block) = self.blocks.get_mut(&placement.block) else {
                 continue;
             };
             let there = block
                 .workers
-                .get(&place.machine)
+                .get(&placement.machine)
                 .and_then(|worker| worker.tasks.get(&task));
             if there.is_some_and(|seen| seen.state != TaskState::Exited) {
-                block.mark_due([place.machine.clone()]);
+                block.mark_due([placement.machine.clone()]);
             }
         }
     }
--- a/src/fleet/parts.rs
+++ b/src/fleet/parts.rs
@@ -11,7 +11,7 @@
 use crate::domain::{Attempt, BlockId, JobId, MachineId};
 use crate::store::cache::Parts;
 use crate::store::records::{
-    FIRST_PART, Part, PlacedText, Places, Ranges, done_entry, places_part_key,
+    AttemptEncoding, BlockPlacements, FIRST_PART, Part, Ranges, done_entry, placements_part_key,
 };
 use crate::store::{Txn, Versioned, WatchCache};
 
@@ -60,8 +60,8 @@
 }
 
 /// All parts together.
-pub(super) fn merged(parts: &Parts<Places>) -> Places {
-    let mut merged = Places::default();
+pub(super) fn merged(parts: &Parts<BlockPlacements>) -> BlockPlacements {
+    let mut merged = BlockPlacements::default();
     parts.values().for_each(|part| merged.merge(&part.value));
     merged
 }
@@ -70,14 +70,18 @@
 #[derive(Debug, Clone)]
 pub(super) struct PartsDraft {
     limits: PartLimits,
-    parts: Parts<Places>,
+    parts: Parts<BlockPlacements>,
     changed: BTreeSet<Part>,
     deleted: BTreeSet<Part>,
 }
 
 impl PartsDraft {
     /// `settle`: parts of a transaction of unknown outcome. Writing them once more decides it: either of the two fails.
-    pub(super) fn new(parts: &Parts<Places>, limits: PartLimits, settle: &BTreeSet<Part>) -> Self {
+    pub(super) fn new(
+        parts: &Parts<BlockPlacements>,
+        limits: PartLimits,
+        settle: &BTreeSet<Part>,
+    ) -> Self {
         let mut draft = PartsDraft {
             limits,
             parts: parts.clone(),
@@ -98,7 +102,7 @@
         &self.changed
     }
 
-    pub(super) fn merged(&self) -> Places {
+    pub(super) fn merged(&self) -> BlockPlacements {
         merged(&self.parts)
     }
 
@@ -225,7 +229,7 @@
 
     /// A draft that only brings a value which is too large into others, if there is one.
     pub(super) fn dividing(
-        parts: &Parts<Places>,
+        parts: &Parts<BlockPlacements>,
         limits: PartLimits,
         settle: &BTreeSet<Part>,
     ) -> Option<Self> {
@@ -269,9 +273,9 @@
     }
 
     /// Adds the conditions and changes to a transaction.
-    pub(super) fn apply(&self, block: &BlockId, old: &Parts<Places>, mut txn: Txn) -> Txn {
+    pub(super) fn apply(&self, block: &BlockId, old: &Parts<BlockPlacements>, mut txn: Txn) -> Txn {
         for index in &self.changed {
-            let key = places_part_key(block, *index);
+            let key = placements_part_key(block, *index);
             txn = txn.when(key.clone(), old.get(index).map_or(0, |part| part.version));
             txn = match self.parts.get(index) {
                 Some(part) => txn.put(key, &part.value),
@@ -282,7 +286,7 @@
     }
 
     /// The parts once the transaction is committed.
-    pub(super) fn committed(mut self, revision: u64) -> Parts<Places> {
+    pub(super) fn committed(mut self, revision: u64) -> Parts<BlockPlacements> {
         for index in &self.changed {
             if let Some(part) = self.parts.get_mut(index) {
                 part.version = revision;
@@ -292,38 +296,38 @@
     }
 }
 
-fn empty_part() -> Versioned<Places> {
+fn empty_part() -> Versioned<BlockPlacements> {
     Versioned {
-        value: Places::default(),
+        value: BlockPlacements::default(),
         version: 0,
     }
 }
 
-fn holds(places: &Places, machine: &MachineId, attempt: Attempt) -> bool {
-    places
+fn holds(placements: &BlockPlacements, machine: &MachineId, attempt: Attempt) -> bool {
+    placements
         .on
         .get(machine)
-        .is_some_and(|list| list.contains(&PlacedText(attempt)))
+        .is_some_and(|list| list.contains(&AttemptEncoding(attempt)))
 }
 
 /// By how much a part may grow with one more attempt, until that has ended.
-fn growth(places: &Places, machine: &MachineId, attempt: Attempt) -> usize {
-    let entry = if places.on.contains_key(machine) {
+fn growth(placements: &BlockPlacements, machine: &MachineId, attempt: Attempt) -> usize {
+    let entry = if placements.on.contains_key(machine) {
         0
     } else {
         machine.0.len() + 8
     };
-    entry + PlacedText(attempt).size() + done_entry(attempt.task.job) + RESERVE_BYTES
+    entry + AttemptEncoding(attempt).size() + done_entry(attempt.task.job) + RESERVE_BYTES
 }
 
 /// Removes what the other part holds too.
-fn subtract(places: &mut Places, other: &Places) {
+fn subtract(placements: &mut BlockPlacements, other: &BlockPlacements) {
     for (machine, list) in &other.on {
         for placed in list {
-            places.remove(machine, placed.0);
+            placements.remove(machine, placed.0);
         }
     }
-    places.done.retain(|job, done| {
+    placements.done.retain(|job, done| {
         if let Some(known) = other.done.get(job) {
             known
                 .0
@@ -335,25 +339,25 @@
 }
 
 /// Takes out what makes a part of this size.
-fn take_up_to(places: &mut Places, bytes: usize) -> Places {
-    let mut taken = Places::default();
-    while let Some((machine, list)) = places.on.pop_first() {
+fn take_up_to(placements: &mut BlockPlacements, bytes: usize) -> BlockPlacements {
+    let mut taken = BlockPlacements::default();
+    while let Some((machine, list)) = placements.on.pop_first() {
         let mut rest = list;
         while let Some(placed) = rest.pop() {
             if taken.worst() + growth(&taken, &machine, placed.0) > bytes && !taken.is_empty() {
                 rest.push(placed);
-                places.on.insert(machine, rest);
+                placements.on.insert(machine, rest);
                 return taken;
             }
             taken.add(&machine, placed.0);
         }
     }
-    take_done(places, &mut taken, bytes);
+    take_done(placements, &mut taken, bytes);
     taken
 }
 
-fn take_done(places: &mut Places, taken: &mut Places, bytes: usize) {
-    let jobs: BTreeMap<JobId, Ranges> = std::mem::take(&mut places.done);
+fn take_done(placements: &mut BlockPlacements, taken: &mut BlockPlacements, bytes: usize) {
+    let jobs: BTreeMap<JobId, Ranges> = std::mem::take(&mut placements.done);
     let mut size = taken.worst();
     for (job, done) in jobs {
         size += done_entry(job);
@@ -361,7 +365,7 @@
             let one = Ranges([range.clone()].into_iter().collect());
             size += one.size();
             let target = if size + RESERVE_BYTES > bytes && !taken.is_empty() {
-                &mut places.done
+                &mut placements.done
             } else {
                 &mut taken.done
             };
--- a/src/fleet/parts/tests.rs
+++ b/src/fleet/parts/tests.rs
@@ -30,7 +30,11 @@
 }
 
 /// What the state service holds after the draft's transaction; checks what it must keep to.
-fn commit(old: &Parts<Places>, draft: PartsDraft, revision: u64) -> Parts<Places> {
+fn commit(
+    old: &Parts<BlockPlacements>,
+    draft: PartsDraft,
+    revision: u64,
+) -> Parts<BlockPlacements> {
     let txn = draft.apply(&"a.0".into(), old, Txn::default());
     assert!(
         txn.changes.len() <= LIMITS.changes,
@@ -46,9 +50,9 @@
     draft.committed(revision)
 }
 
-fn one_part(places: Places) -> Parts<Places> {
+fn one_part(placements: BlockPlacements) -> Parts<BlockPlacements> {
     let part = Versioned {
-        value: places,
+        value: placements,
         version: 1,
     };
     [(FIRST_PART, part)].into()
@@ -58,7 +62,7 @@
 fn no_value_and_no_transaction_exceeds_its_limit_whatever_starts_and_ends() {
     for seed in 0..3 {
         let mut rng = SmallRng::seed_from_u64(seed);
-        let mut parts: Parts<Places> = Parts::new();
+        let mut parts: Parts<BlockPlacements> = Parts::new();
         let mut placed: Vec<(MachineId, Attempt)> = Vec::new();
         let mut finished: BTreeMap<JobId, BTreeSet<u32>> = BTreeMap::new();
         for step in 0..120u64 {
@@ -101,7 +105,7 @@
 
 #[test]
 fn a_value_that_is_too_large_is_divided_step_by_step_and_loses_nothing() {
-    let mut large = Places::default();
+    let mut large = BlockPlacements::default();
     for n in 0..500 {
         large.add(&machine(n % 150), attempt(n, 0));
     }
@@ -126,10 +130,10 @@
     );
 }
 
-fn assert_same(found: &Places, expected: &Places) {
+fn assert_same(found: &BlockPlacements, expected: &BlockPlacements) {
     assert_eq!(found.done, expected.done);
-    let sorted = |places: &Places| {
-        let mut all: Vec<(MachineId, Attempt)> = places
+    let sorted = |placements: &BlockPlacements| {
+        let mut all: Vec<(MachineId, Attempt)> = placements
             .attempts()
             .map(|(machine, attempt)| (machine.clone(), attempt))
             .collect();
@@ -146,7 +150,7 @@
         divided: false,
         ..LIMITS
     };
-    let mut large = Places::default();
+    let mut large = BlockPlacements::default();
     (0..200).for_each(|n| {
         large.add(&machine(n), attempt(n, 0));
     });
@@ -167,12 +171,12 @@
 /// Without it a late copy of the first transaction would be carried out after the second one.
 #[test]
 fn a_transaction_of_unknown_outcome_excludes_the_next_one_and_the_other_way_round() {
-    let parts: Parts<Places> = (0..3)
+    let parts: Parts<BlockPlacements> = (0..3)
         .map(|index| {
-            let mut places = Places::default();
-            places.add(&machine(u64::from(index)), attempt(u64::from(index), 0));
+            let mut placements = BlockPlacements::default();
+            placements.add(&machine(u64::from(index)), attempt(u64::from(index), 0));
             let part = Versioned {
-                value: places,
+                value: placements,
                 version: 4,
             };
             (index, part)
--- a/src/fleet/tests.rs
+++ b/src/fleet/tests.rs
@@ -192,8 +192,8 @@
                 },
             );
         }
-        let places = &self.fleet.blocks[&BlockId::from("a.0")].places;
-        places
+        let placements = &self.fleet.blocks[&BlockId::from("a.0")].placements;
+        placements
             .attempts()
             .map(|(machine, attempt)| (machine.to_string(), attempt.number))
             .collect()
--- a/src/peer/mod.rs
+++ b/src/peer/mod.rs
@@ -115,11 +115,11 @@
     /// The last work message seen under this block lease.
     pub last_work: u64,
     /// Attempts that may still be recorded as placed. What the leader wanted by `last_work` and is neither
-    /// here nor in the block's places of `revision` never will be.
+    /// here nor in the block's placements of `revision` never will be.
     pub pending: Vec<u64>,
     /// Those of them for which no machine here has room.
     pub refused: Vec<u64>,
-    /// Attempts proven gone whose record still stands. The next write removes them, so that what it places may
+    /// Attempts proven gone whose record still stands. The next write removes them, so that what it placements may
     /// have their room.
     pub ended: Vec<u64>,
     pub revision: u64,
--- a/src/provisioning/edits.rs
+++ b/src/provisioning/edits.rs
@@ -41,7 +41,7 @@
             ..
         } = *lead;
         let mut seen: HashMap<&InstanceTypeName, (usize, usize)> = HashMap::new();
-        for live in cache.live_places() {
+        for live in cache.live_placements() {
             let (machines, tasks) = seen.entry(&live.machine.type_name).or_default();
             *machines += 1;
             *tasks += live.attempts().count();
@@ -94,8 +94,8 @@
             .get(&entry.type_name)
             .copied()
             .unwrap_or(TASKS_UNKNOWN);
-        let places = (id.0.len() + 8) as f64 + tasks * TASK_BYTES;
-        (entry.size(id) as f64).max(places) / self.value_bytes
+        let placements = (id.0.len() + 8) as f64 + tasks * TASK_BYTES;
+        (entry.size(id) as f64).max(placements) / self.value_bytes
     }
 
     /// Puts a machine into the emptiest block of its zone, or a new one if all are full. False: the transaction
--- a/src/provisioning/mod.rs
+++ b/src/provisioning/mod.rs
@@ -343,7 +343,7 @@
                 continue;
             };
             let occupied = cache
-                .places
+                .placements
                 .get(&machine.block)
                 .is_some_and(|p| p.value.on.contains_key(id));
             let stated = catalog
@@ -439,7 +439,7 @@
             if !cancellation::overdue(now, config, open.cancelled_ms) {
                 continue;
             }
-            for ((index, number), place) in cache.placed(*id) {
+            for ((index, number), placement) in cache.placed(*id) {
                 let attempt = Attempt {
                     task: TaskId {
                         job: *id,
@@ -447,10 +447,10 @@
                     },
                     number: *number,
                 };
-                let left =
-                    cache.machines.contains_key(&place.machine) && !settled(&place.block, &attempt);
-                if left && self.lost.insert(place.machine.clone()) {
-                    warn!(machine = %place.machine, job = %id, "machine given up: its cancelled task must be gone");
+                let left = cache.machines.contains_key(&placement.machine)
+                    && !settled(&placement.block, &attempt);
+                if left && self.lost.insert(placement.machine.clone()) {
+                    warn!(machine = %placement.machine, job = %id, "machine given up: its cancelled task must be gone");
                 }
             }
         }
@@ -742,8 +742,8 @@
         let with_tasks = |id: &MachineId| {
             let block = cache.machines.get(id).map(|machine| &machine.block);
             block
-                .and_then(|block| cache.places.get(block))
-                .is_some_and(|places| places.value.on.contains_key(id))
+                .and_then(|block| cache.placements.get(block))
+                .is_some_and(|placements| placements.value.on.contains_key(id))
         };
         let waits = |id: &MachineId| {
             self.recently_deleted
--- a/src/provisioning/tests.rs
+++ b/src/provisioning/tests.rs
@@ -10,7 +10,7 @@
 use crate::store::Change;
 use crate::store::records::Order;
 use crate::store::records::{
-    JobRecord, MachineState, Places, Roster, encode, job_key, places_key, roster_key,
+    BlockPlacements, JobRecord, MachineState, Roster, encode, job_key, placements_key, roster_key,
 };
 
 /// Found by a search of seeds: a machine hung with a cancelled task on it, and its block changed hands so often that
@@ -45,15 +45,15 @@
             on,
         }),
     );
-    let mut places = Places::default();
+    let mut placements = BlockPlacements::default();
     for (machine, id) in [("m-1", 1), ("m-2", 2)] {
         let task = TaskId {
             job: JobId(id),
             index: 0,
         };
-        places.add(&machine.into(), Attempt { task, number: id });
+        placements.add(&machine.into(), Attempt { task, number: id });
     }
-    put(&mut cache, places_key(&block), encode(&places));
+    put(&mut cache, placements_key(&block), encode(&placements));
     put(
         &mut cache,
         job_key(JobId(1)),
--- a/src/queueing/demand.rs
+++ b/src/queueing/demand.rs
@@ -61,7 +61,7 @@
         let mut present = Present::default();
         present.demand.runs = self.runs.clone();
         let mut misplaced = Vec::new();
-        for live in cache.live_places() {
+        for live in cache.live_placements() {
             present.demand.occupied.insert(live.id.clone());
             for open in live
                 .attempts()
--- a/src/queueing/draining/fleet_view.rs
+++ b/src/queueing/draining/fleet_view.rs
@@ -182,9 +182,9 @@
     cache
         .placed(task.job)
         .range((task.index, 0)..=(task.index, u64::MAX))
-        .filter(|(_, place)| cache.machines.contains_key(&place.machine))
-        .map(move |((_, number), place)| {
+        .filter(|(_, placement)| cache.machines.contains_key(&placement.machine))
+        .map(move |((_, number), placement)| {
             let number = *number;
-            (Attempt { task, number }, &place.machine)
+            (Attempt { task, number }, &placement.machine)
         })
 }
--- a/src/queueing/draining/mod.rs
+++ b/src/queueing/draining/mod.rs
@@ -252,7 +252,7 @@
         };
         machines.insert(id, seen);
     }
-    for live in cache.live_places() {
+    for live in cache.live_placements() {
         if let Some(machine) = machines.get_mut(live.id) {
             machine.tasks.extend(live.attempts());
         }
@@ -297,7 +297,7 @@
         let mut zones: BTreeMap<Zone, u32> = BTreeMap::new();
         let placed = cache.placed(task.job).iter();
         let others = placed.filter(|((index, _), _)| *index != task.index);
-        for machine in others.filter_map(|(_, place)| cache.machines.get(&place.machine)) {
+        for machine in others.filter_map(|(_, placement)| cache.machines.get(&placement.machine)) {
             *zones.entry(machine.zone.clone()).or_default() += 1;
         }
         for (block, block_state) in &self.block_states {
@@ -442,10 +442,10 @@
                 continue;
             }
             let told: HashSet<u64> = status.running.iter().copied().collect();
-            let Some(places) = cache.places.get(block) else {
+            let Some(placements) = cache.placements.get(block) else {
                 continue;
             };
-            let here = places.value.attempts();
+            let here = placements.value.attempts();
             let well = here.filter(|(machine, _)| usable.contains(*machine));
             running.extend(
                 well.map(|(_, attempt)| attempt.number)
--- a/src/queueing/draining/replacement.rs
+++ b/src/queueing/draining/replacement.rs
@@ -63,7 +63,7 @@
     ) {
         let subjects = ledgers.values().flat_map(|ledger| &ledger.evictions);
         for subject in subjects.map(|eviction| eviction.subject) {
-            for ((index, number), place) in cache.placed(subject.job()) {
+            for ((index, number), placement) in cache.placed(subject.job()) {
                 let attempt = Attempt {
                     task: TaskId {
                         job: subject.job(),
@@ -71,7 +71,7 @@
                     },
                     number: *number,
                 };
-                let Some(block_state) = self.block_states.get_mut(&place.block) else {
+                let Some(block_state) = self.block_states.get_mut(&placement.block) else {
                     continue;
                 };
                 if subject.covers(&attempt) && !block_state.stops.contains_key(&attempt) {
--- a/src/queueing/folding.rs
+++ b/src/queueing/folding.rs
@@ -8,7 +8,7 @@
 
 use crate::config::Config;
 use crate::domain::JobId;
-use crate::store::records::{CHUNK, PARTS_FORMAT, Places, Progress, Ranges, progress_key};
+use crate::store::records::{BlockPlacements, CHUNK, PARTS_FORMAT, Progress, Ranges, progress_key};
 use crate::store::{Txn, WatchCache};
 
 /// A block's finished tasks are folded when its value is this full of all that it may come to hold ...
@@ -27,11 +27,11 @@
     } else {
         WORTH_FOLDING
     };
-    for places in cache
-        .all_places_parts()
-        .filter(|places| places.value.worst() as f64 > limit * FULL)
+    for placements in cache
+        .all_placements_parts()
+        .filter(|placements| placements.value.worst() as f64 > limit * FULL)
     {
-        let mut left = places.value.clone();
+        let mut left = placements.value.clone();
         cache.forget_recorded_ends(&mut left);
         if (left.done_size() as f64) < limit * worth {
             continue;
@@ -47,8 +47,8 @@
 }
 
 /// The chunks of progress that finished tasks of a block belong to; of the largest sets first, for they free the most.
-fn chunks(places: &Places) -> Vec<(JobId, u32)> {
-    let mut sets: Vec<(&JobId, &Ranges)> = places.done.iter().collect();
+fn chunks(placements: &BlockPlacements) -> Vec<(JobId, u32)> {
+    let mut sets: Vec<(&JobId, &Ranges)> = placements.done.iter().collect();
     sets.sort_by_key(|(_, done)| Reverse(done.size()));
     let mut chunks = Vec::new();
     for (job, done) in sets {
--- a/src/queueing/folding/tests.rs
+++ b/src/queueing/folding/tests.rs
@@ -5,7 +5,7 @@
 use crate::domain::{Attempt, MachineId, TaskId};
 use crate::placement::tests::job;
 use crate::store::Change;
-use crate::store::records::{JobRecord, encode, job_key, places_key};
+use crate::store::records::{JobRecord, encode, job_key, placements_key};
 
 const BLOCK: &str = "a.0";
 const JOB: JobId = JobId(1);
@@ -26,14 +26,14 @@
             config,
         };
         block.put(job_key(JOB), encode(&JobRecord::Open(job(100_000, 0.1))));
-        let mut places = Places::default();
+        let mut placements = BlockPlacements::default();
         let limit = block.config.state_limits.value_bytes as f64;
         let machine = MachineId::from("m-1");
         for index in 50_000.. {
-            if places.worst() as f64 >= limit * running {
+            if placements.worst() as f64 >= limit * running {
                 break;
             }
-            places.add(
+            placements.add(
                 &machine,
                 Attempt {
                     task: TaskId { job: JOB, index },
@@ -42,9 +42,9 @@
             );
         }
         for index in done {
-            places.done.entry(JOB).or_default().insert(index);
+            placements.done.entry(JOB).or_default().insert(index);
         }
-        block.put(places_key(&BLOCK.into()), encode(&places));
+        block.put(placements_key(&BLOCK.into()), encode(&placements));
         block
     }
 
@@ -105,10 +105,10 @@
     }
     assert_eq!(block.folded(), [] as [String; 0]);
     // A few more have ended since.
-    let mut places = block.cache.places[&BLOCK.into()].value.clone();
+    let mut placements = block.cache.placements[&BLOCK.into()].value.clone();
     for index in [1001, 1003, 1005] {
-        places.done.entry(JOB).or_default().insert(index);
+        placements.done.entry(JOB).or_default().insert(index);
     }
-    block.put(places_key(&BLOCK.into()), encode(&places));
+    block.put(placements_key(&BLOCK.into()), encode(&placements));
     assert_eq!(block.folded(), [] as [String; 0]);
 }
--- a/src/queueing/gangs.rs
+++ b/src/queueing/gangs.rs
@@ -144,7 +144,7 @@
 
     fn gangs_under_way(&self, cache: &WatchCache) -> BTreeMap<JobId, UnderWay> {
         let mut gangs: BTreeMap<JobId, UnderWay> = BTreeMap::new();
-        for live in cache.live_places() {
+        for live in cache.live_placements() {
             for attempt in live.attempts() {
                 let Some(start) = attempt.gang_start() else {
                     continue;
--- a/src/queueing/gangs/tests.rs
+++ b/src/queueing/gangs/tests.rs
@@ -4,7 +4,7 @@
 use super::*;
 use crate::domain::Job;
 use crate::placement::tests::job;
-use crate::store::records::{JobRecord, Places, encode, job_key, places_key};
+use crate::store::records::{BlockPlacements, JobRecord, encode, job_key, placements_key};
 
 fn gang(tasks: u32, cpus: f64) -> Job {
     Job {
@@ -70,7 +70,7 @@
     // The team `red` may use 64 CPUs.
     fixture.job(1, job(1, 16.0));
     let (_, work) = fixture.plan();
-    fixture.place(&work[0]);
+    fixture.placement(&work[0]);
     fixture.job(2, gang(4, 16.0));
     fixture.status(6, work[0].number, &[]);
     assert!(fixture.plan().1.iter().all(|work| work.want.is_empty()));
@@ -86,7 +86,7 @@
     fixture.job(1, gang(3, 16.0));
     let (_, work) = fixture.plan();
     let first = work[0].want[0].attempt.gang_start();
-    fixture.place(&work[0]);
+    fixture.placement(&work[0]);
     fixture.status(3, work[0].number, &[]);
     assert_eq!(
         fixture
@@ -99,10 +99,10 @@
     );
     // One of them is gone.
     let block: BlockId = "a.0".into();
-    let mut places = fixture.cache.places[&block].value.clone();
+    let mut placements = fixture.cache.placements[&block].value.clone();
     let lost = work[0].want[1].clone();
-    assert!(places.remove(&lost.machine, lost.attempt));
-    fixture.put(places_key(&block), encode(&places));
+    assert!(placements.remove(&lost.machine, lost.attempt));
+    fixture.put(placements_key(&block), encode(&placements));
     fixture.status(3, work[0].number, &[]);
     let (_, stopping) = fixture.plan();
     let stopped: Vec<Attempt> = stopping.iter().flat_map(|work| work.stop.clone()).collect();
@@ -111,7 +111,7 @@
         stopping.iter().all(|work| work.want.is_empty()),
         "not before they are gone"
     );
-    fixture.put(places_key(&block), encode(&Places::default()));
+    fixture.put(placements_key(&block), encode(&BlockPlacements::default()));
     fixture.status(3, stopping[0].number, &[]);
     let (_, anew) = fixture.plan();
     let want: Vec<_> = anew.iter().flat_map(|work| &work.want).collect();
@@ -127,17 +127,17 @@
     let mut fixture = Fixture::new(3);
     fixture.job(1, gang(3, 16.0));
     let (_, work) = fixture.plan();
-    fixture.place(&work[0]);
+    fixture.placement(&work[0]);
     let block: BlockId = "a.0".into();
-    let mut places = fixture.cache.places[&block].value.clone();
+    let mut placements = fixture.cache.placements[&block].value.clone();
     let done = work[0].want[1].clone();
-    places.remove(&done.machine, done.attempt);
-    places
+    placements.remove(&done.machine, done.attempt);
+    placements
         .done
         .entry(JobId(1))
         .or_default()
         .insert(done.attempt.task.index);
-    fixture.put(places_key(&block), encode(&places));
+    fixture.put(placements_key(&block), encode(&placements));
     fixture.status(3, work[0].number, &[]);
     let (_, messages) = fixture.plan();
     assert!(
@@ -155,7 +155,7 @@
     let mut fixture = Fixture::new(2);
     fixture.job(1, job(1, 16.0));
     let (_, work) = fixture.plan();
-    fixture.place(&work[0]);
+    fixture.placement(&work[0]);
     let waited = u64::try_from(KEEP_ROOM_AFTER.as_millis()).expect("short") + 1;
     let accepted_ms = fixture.now.unix_ms() - waited;
     fixture.job(
--- a/src/queueing/mod.rs
+++ b/src/queueing/mod.rs
@@ -257,7 +257,7 @@
         let look = self.looks;
         let passed = since(now, self.measured);
         self.measured = now.monotonic;
-        for live in cache.live_places() {
+        for live in cache.live_placements() {
             let mut count = 0;
             for attempt in live.attempts() {
                 count += 1;
@@ -291,7 +291,7 @@
             block_state
                 .addressed
                 .retain(|machine| cache.machines.contains_key(machine));
-            let places = cache.places_known_to(block);
+            let placements = cache.placements_known_to(block);
             let status = block_state.status.as_ref().map(|(status, _)| status);
             block_state.releases.retain(|number, release| {
                 if live.contains_key(number) {
@@ -300,7 +300,7 @@
                 // Its holder has heard of it, does not hold it any more, and our copy shows all it recorded.
                 let settled = status.is_some_and(|status| {
                     status.last_work >= release.message
-                        && places >= status.revision
+                        && placements >= status.revision
                         && !status.pending.contains(number)
                 });
                 !settled
@@ -361,9 +361,9 @@
         let ended: HashSet<u64> = statuses
             .flat_map(|(status, _)| status.ended.iter().copied())
             .collect();
-        for live in cache.live_places() {
+        for live in cache.live_placements() {
             let taken = taken.entry(live.id).or_default();
-            // Their holder removes them in the write that places what takes their room.
+            // Their holder removes them in the write that placements what takes their room.
             let there = live
                 .attempts()
                 .filter(|attempt| !ended.contains(&attempt.number));
@@ -413,8 +413,8 @@
     /// How many more tasks each block's value holds: what does not fit it can't be placed there.
     fn spaces(&self, config: &Config, cache: &WatchCache) -> BTreeMap<BlockId, usize> {
         let space = |(block, block_state): (&BlockId, &BlockState)| {
-            let places = cache.places.get(block);
-            let size = places.map_or(0, |places| places.value.worst());
+            let placements = cache.placements.get(block);
+            let size = placements.map_or(0, |placements| placements.value.worst());
             let space = config.block_bytes.saturating_sub(size) / ATTEMPT_BYTES;
             (
                 block.clone(),
--- a/src/queueing/preemption.rs
+++ b/src/queueing/preemption.rs
@@ -129,7 +129,7 @@
     pub(super) fn victims<'v>(&self, now: Now, cache: &'v WatchCache) -> Victims<'v> {
         let mut victims: Victims<'v> = HashMap::new();
         for (live, attempt) in cache
-            .live_places()
+            .live_placements()
             .flat_map(|live| live.attempts().map(move |attempt| (live, attempt)))
         {
             let Some(open) = cache
--- a/src/queueing/tests.rs
+++ b/src/queueing/tests.rs
@@ -12,8 +12,8 @@
 use crate::provisioning::wire::tests::instance_type;
 use crate::store::Change;
 use crate::store::records::{
-    BlockLease, MachineState, Places, Roster, Rostered, block_lease_key, encode, job_key,
-    places_key, roster_key,
+    BlockLease, BlockPlacements, MachineState, Roster, Rostered, block_lease_key, encode, job_key,
+    placements_key, roster_key,
 };
 
 pub(super) struct Fixture {
@@ -110,9 +110,9 @@
             ended: Vec::new(),
             revision: self
                 .cache
-                .places
+                .placements
                 .get(&"a.0".into())
-                .map_or(0, |places| places.version),
+                .map_or(0, |placements| placements.version),
             wants_new_token: false,
             expected: machines,
             overdue: 0,
@@ -177,16 +177,16 @@
     }
 
     /// Everything that is wanted is placed where the leader meant it.
-    pub(super) fn place(&mut self, work: &Work) {
-        let mut places = self
+    pub(super) fn placement(&mut self, work: &Work) {
+        let mut placements = self
             .cache
-            .places
+            .placements
             .get(&work.block)
-            .map_or(Places::default(), |p| p.value.clone());
+            .map_or(BlockPlacements::default(), |p| p.value.clone());
         for wanted in &work.want {
-            places.add(&wanted.machine, wanted.attempt);
+            placements.add(&wanted.machine, wanted.attempt);
         }
-        self.put(places_key(&work.block), encode(&places));
+        self.put(placements_key(&work.block), encode(&placements));
     }
 }
 
@@ -251,7 +251,7 @@
     fixture.job(1, job(1, 16.0));
     let (_, work) = fixture.plan();
     let number = work[0].want[0].attempt.number;
-    fixture.place(&work[0]);
+    fixture.placement(&work[0]);
     fixture.job(2, job(1, 16.0));
     fixture.status(1, work[0].number, &[]);
     let wanted = |fixture: &mut Fixture| {
@@ -334,11 +334,13 @@
         };
         fixture.job(1, job(100, accepted_ms - 1000));
         let (_, work) = fixture.plan();
-        fixture.place(&work[0]);
+        fixture.placement(&work[0]);
         fixture.status(1, work[0].number, &[]);
         fixture.job(2, job(100, accepted_ms));
         // Four tasks end: room for as many.
-        let placed = fixture.cache.places[&BlockId::from("a.0")].value.clone();
+        let placed = fixture.cache.placements[&BlockId::from("a.0")]
+            .value
+            .clone();
         let ended: Vec<u64> = placed
             .attempts()
             .map(|(_, attempt)| attempt.number)
@@ -383,7 +385,7 @@
         let room: f64 = demand.machines.values().sum();
         assert!(room <= 3.0 + 1e-6, "{room} machines for 48 CPUs");
         for work in &work {
-            fixture.place(work);
+            fixture.placement(work);
             fixture.status(30, work.number, &[]);
         }
     }
@@ -396,13 +398,13 @@
     fixture.job(1, job(100_000, 0.0));
     for _ in 0..30 {
         for work in fixture.plan().1 {
-            fixture.place(&work);
+            fixture.placement(&work);
             fixture.status(3, work.number, &[]);
         }
     }
-    let places = &fixture.cache.places[&BlockId::from("a.0")];
-    assert!(places.value.attempts().count() > 100);
-    assert!(places.value.size() <= fixture.config.state_limits.value_bytes);
+    let placements = &fixture.cache.placements[&BlockId::from("a.0")];
+    assert!(placements.value.attempts().count() > 100);
+    assert!(placements.value.size() <= fixture.config.state_limits.value_bytes);
 }
 
 /// Found on the bench: two teams stopped each other's tasks in turn, over a thousand in eight minutes.
@@ -412,7 +414,7 @@
         let mut fixture = Fixture::new(2);
         fixture.job(1, Job { tasks, ..running });
         let (_, work) = fixture.plan();
-        fixture.place(&work[0]);
+        fixture.placement(&work[0]);
         fixture.status(2, work[0].number, &[]);
         fixture.job(2, waiting);
         let (_, work) = fixture.plan();
@@ -484,7 +486,7 @@
         },
     );
     let work = fixture.plan().1;
-    fixture.place(&work[0]);
+    fixture.placement(&work[0]);
     fixture.status(1, work[0].number, &[]);
     fixture.job(
         2,
@@ -530,7 +532,10 @@
     fixture.now.monotonic += Duration::from_secs(4);
     assert!(still_wanted(&mut fixture), "they still save");
     // They are gone now, but the holder has no room all the same.
-    fixture.put(places_key(&"a.0".into()), encode(&Places::default()));
+    fixture.put(
+        placements_key(&"a.0".into()),
+        encode(&BlockPlacements::default()),
+    );
     assert!(
         still_wanted(&mut fixture),
         "the holder may not have seen it yet"
@@ -553,7 +558,7 @@
         },
     );
     let work = fixture.plan().1;
-    fixture.place(&work[0]);
+    fixture.placement(&work[0]);
     fixture.status(1, work[0].number, &[]);
     fixture.job(
         2,
@@ -597,18 +602,18 @@
             ..job(10, 1.0)
         };
         fixture.job(1, low);
-        let mut places = Places::default();
+        let mut placements = BlockPlacements::default();
         for index in 0..done {
-            places.done.entry(JobId(1)).or_default().insert(index);
+            placements.done.entry(JobId(1)).or_default().insert(index);
         }
         if placed {
             let task = TaskId {
                 job: JobId(1),
                 index: done,
             };
-            places.add(&name(0), Attempt { task, number: 1 });
+            placements.add(&name(0), Attempt { task, number: 1 });
         }
-        fixture.put(places_key(&"a.0".into()), encode(&places));
+        fixture.put(placements_key(&"a.0".into()), encode(&placements));
         fixture.now.wall += waited;
         let Fixture {
             config,
--- a/src/queueing/waiting.rs
+++ b/src/queueing/waiting.rs
@@ -15,7 +15,7 @@
 /// far too much work, large jobs would else not begin for many minutes.
 pub(super) const BEGIN_WITHIN: Duration = Duration::from_secs(90);
 
-/// What decides where a task may go: tasks of one shape can go to the same places.
+/// What decides where a task may go: tasks of one shape can go to the same placements.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub(super) struct Shape {
     need: [u64; 3],
@@ -100,7 +100,7 @@
             }
         }
         let mut live: HashMap<JobId, u64> = HashMap::new();
-        for attempt in cache.live_places().flat_map(|live| live.attempts()) {
+        for attempt in cache.live_placements().flat_map(|live| live.attempts()) {
             *live.entry(attempt.task.job).or_default() += 1;
         }
         let mut queue = Vec::new();
@@ -115,9 +115,9 @@
             }
             let mut taken = open.done.clone();
             let mut zones: BTreeMap<Zone, u32> = BTreeMap::new();
-            for ((index, _), place) in cache.placed(*id) {
+            for ((index, _), placement) in cache.placed(*id) {
                 // Places on a machine whose record is gone are void.
-                if let Some(machine) = cache.machines.get(&place.machine) {
+                if let Some(machine) = cache.machines.get(&placement.machine) {
                     taken.insert(*index);
                     *zones.entry(machine.zone.clone()).or_default() += 1;
                 }
--- a/src/store/cache.rs
+++ b/src/store/cache.rs
@@ -7,8 +7,9 @@
 use tracing::{info, warn};
 
 use super::records::{
-    BlockLease, CHUNK, Change, FormatSwitch, JobRecord, Leader, MachineState, Member, NOWHERE,
-    Order, Part, PlacedText, Places, Progress, ROOT, Ranges, Record, Records, Roster, Token,
+    AttemptEncoding, BlockLease, BlockPlacements, CHUNK, Change, FormatSwitch, JobRecord, Leader,
+    MachineState, Member, NOWHERE, Order, Part, Progress, ROOT, Ranges, Record, Records, Roster,
+    Token,
 };
 use super::{Op, Outcome};
 use crate::config::StateLimits;
@@ -61,9 +62,9 @@
     pub rented_s: u64,
 }
 
-/// A job's tasks in all blocks' places, by task and attempt: a lost attempt, whose machine's record is gone
+/// A job's tasks in all blocks' placements, by task and attempt: a lost attempt, whose machine's record is gone
 /// already, can stand there beside the one that follows it.
-pub type Placed = BTreeMap<(u32, u64), Place>;
+pub type Placed = BTreeMap<(u32, u64), Placement>;
 
 /// A machine that tasks may be on.
 #[derive(Debug, Clone, Copy)]
@@ -71,7 +72,7 @@
     pub block: &'v BlockId,
     pub id: &'v MachineId,
     pub machine: &'v Machine,
-    attempts: &'v [PlacedText],
+    attempts: &'v [AttemptEncoding],
 }
 
 impl<'v> Live<'v> {
@@ -93,7 +94,7 @@
 }
 
 #[derive(Debug, Clone, PartialEq)]
-pub struct Place {
+pub struct Placement {
     pub block: BlockId,
     pub machine: MachineId,
 }
@@ -158,9 +159,9 @@
     pub block_leases: BTreeMap<BlockId, Versioned<BlockLease>>,
     format: Option<Versioned<FormatSwitch>>,
     /// The tasks of each block, all parts together; the version is that of its last change.
-    pub places: BTreeMap<BlockId, Versioned<Places>>,
+    pub placements: BTreeMap<BlockId, Versioned<BlockPlacements>>,
     /// The values that they are kept in.
-    places_parts: BTreeMap<BlockId, Parts<Places>>,
+    placements_parts: BTreeMap<BlockId, Parts<BlockPlacements>>,
     /// The machines of each block, all parts together.
     pub rosters: BTreeMap<BlockId, Versioned<Roster>>,
     roster_parts: BTreeMap<BlockId, Parts<Roster>>,
@@ -248,8 +249,8 @@
             members: BTreeMap::new(),
             block_leases: BTreeMap::new(),
             format: None,
-            places: BTreeMap::new(),
-            places_parts: BTreeMap::new(),
+            placements: BTreeMap::new(),
+            placements_parts: BTreeMap::new(),
             rosters: BTreeMap::new(),
             roster_parts: BTreeMap::new(),
             machines: BTreeMap::new(),
@@ -634,7 +635,7 @@
             Records::Order(name) => {
                 set_in(&mut self.orders, name, change);
             }
-            Records::Places(block, part) => self.apply_places(block, part, change),
+            Records::BlockPlacements(block, part) => self.apply_placements(block, part, change),
             Records::Job(job) => self.apply_job(job, version, change),
             Records::Progress(job, chunk) => {
                 set_in(&mut self.progress, (job, chunk), change);
@@ -697,19 +698,19 @@
         }
     }
 
-    fn apply_places(&mut self, block: BlockId, part: Part, change: Change) {
+    fn apply_placements(&mut self, block: BlockId, part: Part, change: Change) {
         let version = change.version;
-        let parts = self.places_parts.entry(block.clone()).or_default();
+        let parts = self.placements_parts.entry(block.clone()).or_default();
         if !set_in(parts, part, change) {
             return;
         }
-        let mut merged = Places::default();
+        let mut merged = BlockPlacements::default();
         parts.values().for_each(|part| merged.merge(&part.value));
         let empty = parts.is_empty();
-        let old = self.places.remove(&block);
+        let old = self.placements.remove(&block);
         if !empty {
             let version = old.as_ref().map_or(version, |old| old.version.max(version));
-            self.places.insert(
+            self.placements.insert(
                 block.clone(),
                 Versioned {
                     value: merged,
@@ -718,9 +719,13 @@
             );
         }
         let old = old.map(|old| old.value).unwrap_or_default();
-        let Some(new) = self.places.get(&block).map(|places| &places.value) else {
+        let Some(new) = self
+            .placements
+            .get(&block)
+            .map(|placements| &placements.value)
+        else {
             for (_, attempt) in old.attempts() {
-                unplace(&mut self.placed, attempt);
+                remove_placement(&mut self.placed, attempt);
             }
             return;
         };
@@ -735,7 +740,7 @@
                 .iter()
                 .filter(|placed| now.is_none_or(|now| !now.contains(placed)))
             {
-                unplace(&mut self.placed, placed.0);
+                remove_placement(&mut self.placed, placed.0);
             }
         }
         for (machine, list) in new
@@ -805,9 +810,9 @@
             done: Ranges::default(),
         };
         for done in self
-            .places
+            .placements
             .values()
-            .filter_map(|places| places.value.done.get(&id))
+            .filter_map(|placements| placements.value.done.get(&id))
         {
             open.done.merge(done);
         }
@@ -831,8 +836,8 @@
     }
 
     /// The values that a block's tasks are kept in.
-    pub fn places_parts(&self, block: &BlockId) -> Option<&Parts<Places>> {
-        self.places_parts.get(block)
+    pub fn placements_parts(&self, block: &BlockId) -> Option<&Parts<BlockPlacements>> {
+        self.placements_parts.get(block)
     }
 
     /// The values that a block's machines are kept in.
@@ -848,15 +853,18 @@
     }
 
     /// All values that tasks are kept in.
-    pub fn all_places_parts(&self) -> impl Iterator<Item = &Versioned<Places>> {
-        self.places_parts.values().flat_map(BTreeMap::values)
+    pub fn all_placements_parts(&self) -> impl Iterator<Item = &Versioned<BlockPlacements>> {
+        self.placements_parts.values().flat_map(BTreeMap::values)
     }
 
     /// Up to which revision this copy holds all changes of a block's tasks. Parts that were read while the copy was being
     /// loaded can be newer than others: until the copy has caught up, what they show is not all.
-    pub fn places_known_to(&self, block: &BlockId) -> u64 {
-        let version = self.places.get(block).map_or(0, |places| places.version);
-        let parts = self.places_parts.get(block).map_or(0, BTreeMap::len);
+    pub fn placements_known_to(&self, block: &BlockId) -> u64 {
+        let version = self
+            .placements
+            .get(block)
+            .map_or(0, |placements| placements.version);
+        let parts = self.placements_parts.get(block).map_or(0, BTreeMap::len);
         if parts > 1 {
             version.min(self.revision)
         } else {
@@ -879,25 +887,29 @@
         std::mem::take(&mut self.changed)
     }
 
-    /// The machines that tasks may still be on, with their attempts: the places, without machines that are proven
+    /// The machines that tasks may still be on, with their attempts: the placements, without machines that are proven
     /// gone.
-    pub fn live_places(&self) -> impl Iterator<Item = Live<'_>> {
-        self.places.iter().flat_map(move |(block, places)| {
-            places.value.on.iter().filter_map(move |(id, attempts)| {
-                let machine = self.machines.get(id)?;
-                Some(Live {
-                    block,
-                    id,
-                    machine,
-                    attempts,
+    pub fn live_placements(&self) -> impl Iterator<Item = Live<'_>> {
+        self.placements.iter().flat_map(move |(block, placements)| {
+            placements
+                .value
+                .on
+                .iter()
+                .filter_map(move |(id, attempts)| {
+                    let machine = self.machines.get(id)?;
+                    Some(Live {
+                        block,
+                        id,
+                        machine,
+                        attempts,
+                    })
                 })
-            })
         })
     }
 
     /// Removes finished tasks that are recorded elsewhere: their job has ended, or its progress holds them.
-    pub fn forget_recorded_ends(&self, places: &mut Places) {
-        places.done.retain(|job, done| {
+    pub fn forget_recorded_ends(&self, placements: &mut BlockPlacements) {
+        placements.done.retain(|job, done| {
             if self.ended.contains_key(job) {
                 return false;
             }
@@ -930,7 +942,7 @@
     }
 }
 
-fn unplace(placed: &mut HashMap<JobId, Placed>, attempt: Attempt) {
+fn remove_placement(placed: &mut HashMap<JobId, Placed>, attempt: Attempt) {
     if let Some(of_job) = placed.get_mut(&attempt.task.job) {
         of_job.remove(&(attempt.task.index, attempt.number));
         if of_job.is_empty() {
@@ -939,8 +951,8 @@
     }
 }
 
-fn place(block: &BlockId, machine: &MachineId) -> Place {
-    Place {
+fn place(block: &BlockId, machine: &MachineId) -> Placement {
+    Placement {
         block: block.clone(),
         machine: machine.clone(),
     }
--- a/src/store/cache/tests.rs
+++ b/src/store/cache/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 use crate::domain::TaskId;
 use crate::placement::tests::job;
-use crate::store::records::{MachineState, Rostered, encode, job_key, places_key, roster_key};
+use crate::store::records::{MachineState, Rostered, encode, job_key, placements_key, roster_key};
 
 /// Found on the bench: a controller that had been cut off from the state service for 46 s asked for all changes since,
 /// more than it could take in one answer, and asked again for ever.
@@ -114,18 +114,18 @@
         },
         number,
     };
-    let mut places = Places::default();
-    places.add(&first, attempt(7));
-    cache.apply(put(places_key(&"a.0".into()), 3, encode(&places)));
+    let mut placements = BlockPlacements::default();
+    placements.add(&first, attempt(7));
+    cache.apply(put(placements_key(&"a.0".into()), 3, encode(&placements)));
     cache.apply(put(
         roster_key(&"a.0".into()),
         4,
         encode(&roster(&[&second])),
     ));
-    places.add(&second, attempt(8));
-    cache.apply(put(places_key(&"a.0".into()), 5, encode(&places)));
+    placements.add(&second, attempt(8));
+    cache.apply(put(placements_key(&"a.0".into()), 5, encode(&placements)));
     let live: Vec<u64> = cache
-        .live_places()
+        .live_placements()
         .flat_map(|live| live.attempts())
         .map(|attempt| attempt.number)
         .collect();
@@ -135,8 +135,8 @@
         placed.values().any(|place| place.machine == second),
         "{placed:?}"
     );
-    places.remove(&first, attempt(7));
-    cache.apply(put(places_key(&"a.0".into()), 6, encode(&places)));
+    placements.remove(&first, attempt(7));
+    cache.apply(put(placements_key(&"a.0".into()), 6, encode(&placements)));
     assert_eq!(cache.placed(JobId(1)).len(), 1);
 }
 
--- a/src/store/records.rs
+++ b/src/store/records.rs
@@ -27,7 +27,7 @@
 pub fn block_lease_key(block: &BlockId) -> String {
     format!("{ROOT}grant/{block}")
 }
-pub fn places_key(block: &BlockId) -> String {
+pub fn placements_key(block: &BlockId) -> String {
     format!("{ROOT}places/{block}")
 }
 pub fn roster_key(block: &BlockId) -> String {
@@ -43,9 +43,9 @@
 
 /// All first parts come before all others in the order of keys, in which pages are read. What moves from a first part to
 /// another is therefore read at least once by whoever reads everything while it moves.
-pub fn places_part_key(block: &BlockId, part: Part) -> String {
+pub fn placements_part_key(block: &BlockId, part: Part) -> String {
     match part {
-        FIRST_PART => places_key(block),
+        FIRST_PART => placements_key(block),
         part => format!("{ROOT}places_part/{block}/{part:05}"),
     }
 }
@@ -330,14 +330,14 @@
 /// The tasks of a block, machine by machine, and the tasks it has finished that are not yet folded into
 /// their job's progress. One value for each block, so that a batch of starts and ends is one change.
 #[derive(Debug, Clone, PartialEq, Default, Serialize, Deserialize)]
-pub struct Places {
+pub struct BlockPlacements {
     #[serde(rename = "on")]
-    pub on: BTreeMap<MachineId, Vec<PlacedText>>,
+    pub on: BTreeMap<MachineId, Vec<AttemptEncoding>>,
     #[serde(rename = "done")]
     pub done: BTreeMap<JobId, Ranges>,
 }
 
-impl Places {
+impl BlockPlacements {
     pub fn attempts(&self) -> impl Iterator<Item = (&MachineId, Attempt)> {
         self.on
             .iter()
@@ -345,7 +345,7 @@
     }
 
     /// Takes in another part. An attempt that both have counts once.
-    pub fn merge(&mut self, part: &Places) {
+    pub fn merge(&mut self, part: &BlockPlacements) {
         for (machine, list) in &part.on {
             let known = self.on.entry(machine.clone()).or_default();
             for placed in list {
@@ -365,7 +365,7 @@
 
     /// Returns by how much the value may have grown.
     pub fn add(&mut self, machine: &MachineId, attempt: Attempt) -> usize {
-        let placed = PlacedText(attempt);
+        let placed = AttemptEncoding(attempt);
         let list = self.on.entry(machine.clone()).or_default();
         let entry = if list.is_empty() {
             machine.0.len() + 8
@@ -411,7 +411,7 @@
         let on: usize = self
             .on
             .iter()
-            .map(|(m, list)| m.0.len() + 8 + list.iter().map(PlacedText::size).sum::<usize>())
+            .map(|(m, list)| m.0.len() + 8 + list.iter().map(AttemptEncoding::size).sum::<usize>())
             .sum();
         32 + on + self.done_size()
     }
@@ -432,9 +432,9 @@
 
 /// An attempt as `412/3:17`, or `412/3:g17` for a task of a gang that was started as the 17th.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct PlacedText(pub Attempt);
+pub struct AttemptEncoding(pub Attempt);
 
-impl PlacedText {
+impl AttemptEncoding {
     pub fn size(&self) -> usize {
         let number = match self.0.gang_start() {
             Some(start) => digits(start) + 1,
@@ -448,7 +448,7 @@
     number.checked_ilog10().map_or(1, |log| log as usize + 1)
 }
 
-impl Serialize for PlacedText {
+impl Serialize for AttemptEncoding {
     fn serialize<S: serde::Serializer>(&self, serializer: S) -> Result<S::Ok, S::Error> {
         let Attempt { task, number } = self.0;
         let TaskId { job, index } = task;
@@ -459,14 +459,14 @@
     }
 }
 
-impl<'de> Deserialize<'de> for PlacedText {
+impl<'de> Deserialize<'de> for AttemptEncoding {
     fn deserialize<D: serde::Deserializer<'de>>(deserializer: D) -> Result<Self, D::Error> {
         let text = String::deserialize(deserializer)?;
-        parse_placed(&text).ok_or_else(|| serde::de::Error::custom("malformed attempt"))
+        parse_attempt(&text).ok_or_else(|| serde::de::Error::custom("malformed attempt"))
     }
 }
 
-fn parse_placed(text: &str) -> Option<PlacedText> {
+fn parse_attempt(text: &str) -> Option<AttemptEncoding> {
     let (task, number) = text.split_once(':')?;
     let (job, index) = task.split_once('/')?;
     let task = TaskId {
@@ -480,7 +480,7 @@
             number: number.parse().ok()?,
         },
     };
-    Some(PlacedText(attempt))
+    Some(AttemptEncoding(attempt))
 }
 
 /// A set of task numbers, stored as `0-4,7`.
@@ -615,7 +615,7 @@
     BlockLease,
     Roster,
     Order,
-    Places,
+    BlockPlacements,
     JobRecord,
     Progress,
     DrainRecord,
@@ -640,7 +640,7 @@
     Member(ControllerName),
     BlockLease(BlockId),
     Format,
-    Places(BlockId, Part),
+    BlockPlacements(BlockId, Part),
     Roster(BlockId, Part),
     Order(InstanceTypeName),
     Job(JobId),
@@ -660,11 +660,11 @@
             None => None,
             Some(("node", rest)) => Some(Records::Member(rest.into())),
             Some(("grant", rest)) => Some(Records::BlockLease(rest.into())),
-            Some(("places", rest)) => Some(Records::Places(rest.into(), FIRST_PART)),
+            Some(("places", rest)) => Some(Records::BlockPlacements(rest.into(), FIRST_PART)),
             Some(("machines", rest)) => Some(Records::Roster(rest.into(), FIRST_PART)),
             Some(("places_part", rest)) => {
                 let (block, part) = rest.split_once('/')?;
-                Some(Records::Places(block.into(), part.parse().ok()?))
+                Some(Records::BlockPlacements(block.into(), part.parse().ok()?))
             }
             Some(("machines_part", rest)) => {
                 let (block, part) = rest.split_once('/')?;
--- a/src/store/records/tests.rs
+++ b/src/store/records/tests.rs
@@ -36,7 +36,7 @@
 /// Guards against a block that can't be written any more: ends of tasks need room too.
 #[test]
 fn a_block_never_outgrows_its_worst_case_by_ends_of_tasks() {
-    let mut places = Places::default();
+    let mut placements = BlockPlacements::default();
     for n in 0..200u32 {
         let attempt = Attempt {
             task: TaskId {
@@ -45,24 +45,28 @@
             },
             number: 1,
         };
-        places.add(&"m-000001".into(), attempt);
+        placements.add(&"m-000001".into(), attempt);
     }
-    let worst = places.worst();
-    let attempts: Vec<Attempt> = places.attempts().map(|(_, attempt)| attempt).collect();
+    let worst = placements.worst();
+    let attempts: Vec<Attempt> = placements.attempts().map(|(_, attempt)| attempt).collect();
     for attempt in attempts {
-        places.remove(&"m-000001".into(), attempt);
-        places
+        placements.remove(&"m-000001".into(), attempt);
+        placements
             .done
             .entry(attempt.task.job)
             .or_default()
             .insert(attempt.task.index);
-        assert!(places.size() <= worst, "{} > {worst}", places.size());
+        assert!(
+            placements.size() <= worst,
+            "{} > {worst}",
+            placements.size()
+        );
     }
 }
 
 #[test]
-fn the_size_of_places_is_never_underestimated() {
-    let mut places = Places::default();
+fn the_size_of_placements_is_never_underestimated() {
+    let mut placements = BlockPlacements::default();
     for n in 0..50u32 {
         let machine = MachineId::from(format!("m-{n:06}").as_str());
         for index in 0..n {
@@ -70,22 +74,22 @@
                 job: JobId(u64::from(n) * 977),
                 index,
             };
-            places.add(
+            placements.add(
                 &machine,
                 Attempt {
                     task,
                     number: u64::from(index) << 20,
                 },
             );
-            places
+            placements
                 .done
                 .entry(JobId(u64::from(n)))
                 .or_default()
                 .insert(index * 2);
         }
     }
-    let json = json_size(&encode(&places));
-    assert!(json <= places.size(), "{json} > {}", places.size());
+    let json = json_size(&encode(&placements));
+    assert!(json <= placements.size(), "{json} > {}", placements.size());
 }
 
 #[test]
@@ -167,7 +171,7 @@
             Some(Records::Token) => comes_back::<Token>(&value),
             Some(Records::Member(_)) => comes_back::<Member>(&value),
             Some(Records::BlockLease(_)) => comes_back::<BlockLease>(&value),
-            Some(Records::Places(_, FIRST_PART)) => comes_back::<Places>(&value),
+            Some(Records::BlockPlacements(_, FIRST_PART)) => comes_back::<BlockPlacements>(&value),
             Some(Records::Roster(_, FIRST_PART)) => comes_back::<Roster>(&value),
             Some(Records::Order(_)) => comes_back::<Order>(&value),
             Some(Records::Job(_)) => comes_back::<JobRecord>(&value),
@@ -209,11 +213,11 @@
 #[test]
 fn first_parts_come_before_all_others_in_the_order_of_keys() {
     let block = BlockId::from("z.9");
-    assert!(places_part_key(&block, FIRST_PART) < places_part_key(&"a.0".into(), 1));
+    assert!(placements_part_key(&block, FIRST_PART) < placements_part_key(&"a.0".into(), 1));
     assert!(roster_part_key(&block, FIRST_PART) < roster_part_key(&"a.0".into(), 1));
     assert_eq!(
-        Records::of(&places_part_key(&block, 12)),
-        Some(Records::Places(block.clone(), 12))
+        Records::of(&placements_part_key(&block, 12)),
+        Some(Records::BlockPlacements(block.clone(), 12))
     );
     assert_eq!(
         Records::of(&roster_part_key(&block, 0)),
@@ -256,10 +260,10 @@
     for (attempt, number) in attempts.into_iter().zip(wire) {
         assert_eq!(Attempt::from_wire(attempt.task, number), attempt);
         assert_eq!(attempt.gang_start(), Some(5 << 20));
-        let text = ciborium::Value::serialized(&PlacedText(attempt)).expect("text");
+        let text = ciborium::Value::serialized(&AttemptEncoding(attempt)).expect("text");
         assert_eq!(
-            text.deserialized::<PlacedText>().expect("read"),
-            PlacedText(attempt)
+            text.deserialized::<AttemptEncoding>().expect("read"),
+            AttemptEncoding(attempt)
         );
     }
     assert_ne!(attempts[0].number, attempts[1].number);
@@ -269,6 +273,6 @@
     };
     assert_eq!(Attempt::from_wire(task(3), plain.wire_number()), plain);
     assert_eq!(plain.gang_start(), None);
-    let text = ciborium::Value::serialized(&PlacedText(attempts[1])).expect("text");
+    let text = ciborium::Value::serialized(&AttemptEncoding(attempts[1])).expect("text");
     assert_eq!(text, ciborium::Value::from("412/3:g5242880"));
 }
--- a/tests/simulation/rules.rs
+++ b/tests/simulation/rules.rs
@@ -236,9 +236,9 @@
         let Some(known) = self.jobs.get_mut(&task.job) else {
             return;
         };
-        if let Some(places) = known.on.get_mut(&task.index) {
-            places.retain(|place| place.machine != machine);
-            if places.is_empty() {
+        if let Some(placements) = known.on.get_mut(&task.index) {
+            placements.retain(|place| place.machine != machine);
+            if placements.is_empty() {
                 known.on.remove(&task.index);
             }
         }
@@ -481,12 +481,12 @@
 
     /// Where a job's tasks are.
     pub fn machines_of(&self, id: JobId) -> BTreeSet<String> {
-        let places = self
+        let placements = self
             .jobs
             .get(&id)
             .into_iter()
             .flat_map(|known| known.on.values().flatten());
-        places.map(|place| place.machine.clone()).collect()
+        placements.map(|place| place.machine.clone()).collect()
     }
 
     /// How often tasks of a job have started.
