--- a/src/block_leases/mod.rs
+++ b/src/block_leases/mod.rs
@@ -36,9 +36,9 @@
         .collect();
     wanted.extend(
         cache
-            .rosters
+            .inventories
             .iter()
-            .map(|(block, roster)| (block.clone(), roster.value.zone.clone())),
+            .map(|(block, inventory)| (block.clone(), inventory.value.zone.clone())),
     );
     wanted
 }
--- a/src/cancellation/mod.rs
+++ b/src/cancellation/mod.rs
@@ -71,7 +71,7 @@
     /// The deletion that is under way.
     deleting: Vec<MachineId>,
     retry_at: Option<Instant>,
-    /// Deleted by us; the roster still has them.
+    /// Deleted by us; the inventory still has them.
     deleted: BTreeSet<MachineId>,
 }
 
@@ -273,7 +273,7 @@
         ))
     }
 
-    /// The cloud's answer. The roster is changed by the leader, which finds the machine overdue as well.
+    /// The cloud's answer. The inventory is changed by the leader, which finds the machine overdue as well.
     pub fn called(&mut self, now: Now, outcome: &CallOutcome) {
         let machines = std::mem::take(&mut self.deleting);
         match outcome {
--- a/src/cancellation/tests.rs
+++ b/src/cancellation/tests.rs
@@ -6,8 +6,8 @@
 use crate::placement::tests::job;
 use crate::store::Change;
 use crate::store::records::{
-    BlockPlacements, JobRecord, MachineState, Roster, Rostered, block_lease_key, encode, job_key,
-    placements_key, roster_key,
+    BlockPlacements, InventoryEntry, JobRecord, MachineInventory, MachineState, block_lease_key,
+    encode, inventory_key, job_key, placements_key,
 };
 
 const BOOT: u64 = 7;
@@ -42,7 +42,7 @@
             ("a.0", &config.name, BOOT, &[("m-1", 1), ("m-3", 2)][..]),
             ("b.0", &other, 3, &[("m-2", 1)]),
         ] {
-            let entry = || Rostered {
+            let entry = || InventoryEntry {
                 type_name: "large".into(),
                 capacity_type: CapacityType::Spot,
                 state: MachineState::InService,
@@ -53,8 +53,8 @@
                 .map(|(machine, _)| ((*machine).into(), entry()))
                 .collect();
             put(
-                roster_key(&block.into()),
-                encode(&Roster {
+                inventory_key(&block.into()),
+                encode(&MachineInventory {
                     zone: "a".into(),
                     on: machines,
                 }),
--- a/src/fleet/block.rs
+++ b/src/fleet/block.rs
@@ -17,7 +17,7 @@
 use crate::provisioning::InstanceCatalog;
 use crate::store::cache::Parts;
 use crate::store::records::{
-    BlockLease, BlockPlacements, PARTS_FORMAT, Part, block_lease_key, job_key, roster_part_key,
+    BlockLease, BlockPlacements, PARTS_FORMAT, Part, block_lease_key, inventory_part_key, job_key,
 };
 use crate::store::{Op, Outcome, Txn, Versioned, WatchCache, Writer};
 
@@ -210,10 +210,10 @@
             .collect();
         known.extend(
             cache
-                .rosters
+                .inventories
                 .get(&self.id)
                 .iter()
-                .flat_map(|roster| roster.value.on.keys().cloned()),
+                .flat_map(|inventory| inventory.value.on.keys().cloned()),
         );
         let known: Vec<(MachineId, bool)> = known
             .into_iter()
@@ -612,13 +612,13 @@
                 .retain(|(machine, attempt), _| still_there(&self.placements, machine, attempt));
             return None;
         }
-        for part in placed.roster_parts {
+        for part in placed.inventory_parts {
             // Nothing is placed on a machine that the leader has begun to drain or has deleted meanwhile.
             let version = cache
-                .roster_parts(&self.id)
+                .inventory_parts(&self.id)
                 .and_then(|parts| parts.get(&part));
             let version = version.map_or(0, |part| part.version);
-            txn = txn.when(roster_part_key(&self.id, part), version);
+            txn = txn.when(inventory_part_key(&self.id, part), version);
         }
         for (job, version) in placed.jobs {
             txn = txn.when(job_key(job), version);
@@ -737,10 +737,10 @@
                     self.refused.push(wanted.attempt.number);
                     continue;
                 };
-                let Some(roster_part) = cache.roster_part_of(&self.id, &machine) else {
+                let Some(inventory_part) = cache.inventory_part_of(&self.id, &machine) else {
                     continue;
                 };
-                if placed.conditions_with(task.job, roster_part) > most_conditions {
+                if placed.conditions_with(task.job, inventory_part) > most_conditions {
                     // Left to the next write.
                     continue;
                 }
@@ -752,7 +752,7 @@
                 }
                 // A task is placed only if its job was not cancelled before: our copy may not show that yet.
                 placed.jobs.insert(task.job, open.version);
-                placed.roster_parts.insert(roster_part);
+                placed.inventory_parts.insert(inventory_part);
                 placed.attempts.push(wanted.attempt.number);
             }
         }
@@ -933,21 +933,21 @@
     }
 }
 
-/// What a transaction placements, and what it is conditioned on for that.
+/// What a transaction places, and what it is conditioned on for that.
 #[derive(Debug, Default)]
 struct Placed {
     attempts: Vec<u64>,
     jobs: BTreeMap<JobId, u64>,
-    roster_parts: BTreeSet<Part>,
+    inventory_parts: BTreeSet<Part>,
 }
 
 impl Placed {
     /// The conditions that it comes to with one more task.
-    fn conditions_with(&self, job: JobId, roster_part: Part) -> usize {
+    fn conditions_with(&self, job: JobId, inventory_part: Part) -> usize {
         self.jobs.len()
-            + self.roster_parts.len()
+            + self.inventory_parts.len()
             + usize::from(!self.jobs.contains_key(&job))
-            + usize::from(!self.roster_parts.contains(&roster_part))
+            + usize::from(!self.inventory_parts.contains(&inventory_part))
     }
 }
 
--- a/src/fleet/tests.rs
+++ b/src/fleet/tests.rs
@@ -15,8 +15,8 @@
 use crate::provisioning::wire::tests::instance_type;
 use crate::store::Change;
 use crate::store::records::{
-    BlockLease, JobRecord, MachineState, Roster, Rostered, block_lease_key, encode, job_key,
-    roster_key,
+    BlockLease, InventoryEntry, JobRecord, MachineInventory, MachineState, block_lease_key, encode,
+    inventory_key, job_key,
 };
 
 const BOOT: u64 = 7;
@@ -53,7 +53,7 @@
             version: 0,
             seq: 0,
         };
-        let entry = || Rostered {
+        let entry = || InventoryEntry {
             type_name: "large".into(),
             capacity_type: CapacityType::OnDemand,
             state: MachineState::InService,
@@ -61,8 +61,8 @@
         };
         let on = ["m-1", "m-2"].map(|machine| (machine.into(), entry()));
         holder.put(
-            roster_key(&"a.0".into()),
-            encode(&Roster {
+            inventory_key(&"a.0".into()),
+            encode(&MachineInventory {
                 zone: "a".into(),
                 on: on.into(),
             }),
@@ -477,17 +477,17 @@
         tasks: 50,
         ..job(1, 0.1)
     });
-    let entry = Rostered {
+    let entry = InventoryEntry {
         type_name: "large".into(),
         capacity_type: CapacityType::OnDemand,
         state: MachineState::InService,
         rented_s: 0,
     };
-    let roster = Roster {
+    let inventory = MachineInventory {
         zone: "a".into(),
         on: [("m-3".into(), entry)].into(),
     };
-    holder.put(roster_key(&"a.1".into()), encode(&roster));
+    holder.put(inventory_key(&"a.1".into()), encode(&inventory));
     let lease = BlockLease {
         zone: "a".into(),
         holder: holder.config.name.clone(),
@@ -727,7 +727,7 @@
 fn commands_under_way_are_bounded_and_those_without_answers_leave_room_for_others() {
     let mut holder = Holder::new(job(1, 1.0));
     let most = holder.config.max_sockets / COMMAND_PART;
-    let entry = || Rostered {
+    let entry = || InventoryEntry {
         type_name: "large".into(),
         capacity_type: CapacityType::OnDemand,
         state: MachineState::InService,
@@ -739,8 +739,8 @@
         .map(|name| (name.as_str().into(), entry()))
         .collect();
     holder.put(
-        roster_key(&"a.0".into()),
-        encode(&Roster {
+        inventory_key(&"a.0".into()),
+        encode(&MachineInventory {
             zone: "a".into(),
             on,
         }),
--- a/src/operations/mod.rs
+++ b/src/operations/mod.rs
@@ -233,7 +233,7 @@
         blocks: cache
             .block_leases
             .keys()
-            .chain(cache.rosters.keys())
+            .chain(cache.inventories.keys())
             .cloned()
             .collect(),
         types: catalog
--- a/src/peer/mod.rs
+++ b/src/peer/mod.rs
@@ -119,7 +119,7 @@
     pub pending: Vec<u64>,
     /// Those of them for which no machine here has room.
     pub refused: Vec<u64>,
-    /// Attempts proven gone whose record still stands. The next write removes them, so that what it placements may
+    /// Attempts proven gone whose record still stands. The next write removes them, so that what it places may
     /// have their room.
     pub ended: Vec<u64>,
     pub revision: u64,
--- a/src/provisioning/edits.rs
+++ b/src/provisioning/edits.rs
@@ -1,4 +1,4 @@
-//! Which block a machine goes to, and changes to rosters so that each block's value is written once.
+//! Which block a machine goes to, and changes to inventories so that each block's value is written once.
 
 use std::collections::{BTreeMap, HashMap};
 
@@ -6,13 +6,15 @@
 use crate::block_leases;
 use crate::domain::{BlockId, InstanceTypeName, MachineId, Zone};
 use crate::leadership::Lead;
-use crate::store::records::{FIRST_PART, PARTS_FORMAT, Part, Roster, Rostered, roster_part_key};
+use crate::store::records::{
+    FIRST_PART, InventoryEntry, MachineInventory, PARTS_FORMAT, Part, inventory_part_key,
+};
 use crate::store::{Txn, WatchCache};
 
-/// Changes to rosters, gathered so that each value is written once.
+/// Changes to inventories, gathered so that each value is written once.
 pub(super) struct Edits<'v> {
     pub(super) cache: &'v WatchCache,
-    rosters: BTreeMap<(BlockId, Part), Roster>,
+    inventories: BTreeMap<(BlockId, Part), MachineInventory>,
     /// Values that one transaction may change.
     pub(super) most: usize,
     /// What one of them may measure; None: blocks are not divided yet.
@@ -66,7 +68,7 @@
             .collect();
         let mut edits = Edits {
             cache,
-            rosters: BTreeMap::new(),
+            inventories: BTreeMap::new(),
             part_bytes: (cache.format() >= PARTS_FORMAT).then_some(config.state_limits.value_bytes),
             most: config.state_limits.txn_ops - 1,
             blocks: BTreeMap::new(),
@@ -74,8 +76,8 @@
             tasks,
         };
         for (block, zone) in block_leases::wanted(&catalog.zones(config), config, policy, cache) {
-            let fill = cache.rosters.get(&block).map_or(0.0, |roster| {
-                roster
+            let fill = cache.inventories.get(&block).map_or(0.0, |inventory| {
+                inventory
                     .value
                     .on
                     .iter()
@@ -88,7 +90,7 @@
     }
 
     /// The part of a block's values that a machine may come to need.
-    pub(super) fn share(&self, id: &MachineId, entry: &Rostered) -> f64 {
+    pub(super) fn share(&self, id: &MachineId, entry: &InventoryEntry) -> f64 {
         let tasks = self
             .tasks
             .get(&entry.type_name)
@@ -104,11 +106,11 @@
         &mut self,
         zone: &Zone,
         id: &MachineId,
-        entry: Rostered,
+        entry: InventoryEntry,
         reserved: usize,
     ) -> bool {
         let share = self.share(id, &entry);
-        let full = self.rosters.len() + reserved >= self.most;
+        let full = self.inventories.len() + reserved >= self.most;
         let of_zone = self.blocks.entry(zone.clone()).or_default();
         let fills: Vec<(BlockId, f64)> = of_zone
             .iter()
@@ -120,7 +122,7 @@
             .into_iter()
             .filter_map(|(block, fill)| {
                 let part = self.part_for(&block, id, &entry)?;
-                let open = !full || self.rosters.contains_key(&(block.clone(), part));
+                let open = !full || self.inventories.contains_key(&(block.clone(), part));
                 open.then_some((block, part, fill))
             })
             .min_by(|a, b| a.2.total_cmp(&b.2));
@@ -135,7 +137,7 @@
             .or_default()
             .entry(block.clone())
             .or_default() += share;
-        self.roster_mut(&block, part, zone)
+        self.inventory_mut(&block, part, zone)
             .on
             .insert(id.clone(), entry);
         true
@@ -143,51 +145,60 @@
 
     /// The part of a block that has room for a machine, or a new one: those that are changed anyway first. None: the
     /// block has a single value, and is full.
-    fn part_for(&self, block: &BlockId, id: &MachineId, entry: &Rostered) -> Option<Part> {
+    fn part_for(&self, block: &BlockId, id: &MachineId, entry: &InventoryEntry) -> Option<Part> {
         let Some(most) = self.part_bytes else {
             return Some(FIRST_PART);
         };
-        let known = self.cache.roster_parts(block);
+        let known = self.cache.inventory_parts(block);
         let parts = known.into_iter().flat_map(|parts| parts.keys().copied());
-        let edited = self.rosters.keys().filter(|(of, _)| of == block);
+        let edited = self.inventories.keys().filter(|(of, _)| of == block);
         let mut parts: Vec<Part> = edited.map(|(_, part)| *part).chain(parts).collect();
         let next = parts.iter().max().map_or(FIRST_PART, |last| last + 1);
         parts.push(next);
         let needed = entry.size(id) + entry.type_name.0.len() + ROSTER_RESERVE_BYTES;
         let fits = |part: &Part| {
-            let edited = self.rosters.get(&(block.clone(), *part));
+            let edited = self.inventories.get(&(block.clone(), *part));
             let recorded = || Some(&known?.get(part)?.value);
-            let size = edited.or_else(recorded).map_or(0, Roster::size);
+            let size = edited.or_else(recorded).map_or(0, MachineInventory::size);
             size + needed <= most
         };
         parts.into_iter().find(fits)
     }
 
-    fn roster_mut(&mut self, block: &BlockId, part: Part, zone: &Zone) -> &mut Roster {
+    fn inventory_mut(&mut self, block: &BlockId, part: Part, zone: &Zone) -> &mut MachineInventory {
         let cache = self.cache;
         let recorded = || {
-            let recorded = cache.roster_parts(block).and_then(|parts| parts.get(&part));
-            recorded.map_or_else(|| Roster::new(zone.clone()), |roster| roster.value.clone())
+            let recorded = cache
+                .inventory_parts(block)
+                .and_then(|parts| parts.get(&part));
+            recorded.map_or_else(
+                || MachineInventory::new(zone.clone()),
+                |inventory| inventory.value.clone(),
+            )
         };
-        self.rosters
+        self.inventories
             .entry((block.clone(), part))
             .or_insert_with(recorded)
     }
 
-    /// Changes the roster that a machine is in. False: the transaction has no room, or there is no such machine.
-    pub(super) fn change(&mut self, id: &MachineId, change: impl FnOnce(&mut Roster)) -> bool {
+    /// Changes the inventory that a machine is in. False: the transaction has no room, or there is no such machine.
+    pub(super) fn change(
+        &mut self,
+        id: &MachineId,
+        change: impl FnOnce(&mut MachineInventory),
+    ) -> bool {
         let Some(machine) = self.cache.machines.get(id) else {
             return false;
         };
         let (block, zone) = (machine.block.clone(), machine.zone.clone());
-        let Some(part) = self.cache.roster_part_of(&block, id) else {
+        let Some(part) = self.cache.inventory_part_of(&block, id) else {
             return false;
         };
-        let open = self.rosters.contains_key(&(block.clone(), part));
-        if !open && self.rosters.len() >= self.most {
+        let open = self.inventories.contains_key(&(block.clone(), part));
+        if !open && self.inventories.len() >= self.most {
             return false;
         }
-        change(self.roster_mut(&block, part, &zone));
+        change(self.inventory_mut(&block, part, &zone));
         true
     }
 
@@ -195,13 +206,13 @@
     /// is no such value.
     pub(super) fn divide(&mut self) -> Option<Division> {
         let (block, large) = too_large(self.cache, self.part_bytes?)?;
-        let parts = self.cache.roster_parts(&block)?;
+        let parts = self.cache.inventory_parts(&block)?;
         let whole = &parts.get(&large)?.value;
         let elsewhere = |id: &MachineId| {
             let mut others = parts.iter().filter(|(part, _)| **part != large);
             others.any(|(_, part)| part.value.on.contains_key(id))
         };
-        let mut left: Vec<(&MachineId, &Rostered)> =
+        let mut left: Vec<(&MachineId, &InventoryEntry)> =
             whole.on.iter().filter(|(id, _)| !elsewhere(id)).collect();
         left.reverse();
         let zone = whole.zone.clone();
@@ -210,15 +221,15 @@
                 break;
             };
             // One change is left for the deletion.
-            let open = self.rosters.contains_key(&(block.clone(), part));
-            if !open && self.rosters.len() + 1 >= self.most {
+            let open = self.inventories.contains_key(&(block.clone(), part));
+            if !open && self.inventories.len() + 1 >= self.most {
                 return Some(Division {
                     block,
                     finished: None,
                 });
             }
             let (id, entry) = ((*id).clone(), (*entry).clone());
-            self.roster_mut(&block, part, &zone).on.insert(id, entry);
+            self.inventory_mut(&block, part, &zone).on.insert(id, entry);
             left.pop();
         }
         Some(Division {
@@ -228,28 +239,28 @@
     }
 
     pub(super) fn any(&self) -> bool {
-        !self.rosters.is_empty()
+        !self.inventories.is_empty()
     }
 
     pub(super) fn apply(self, mut txn: Txn) -> Txn {
-        for ((block, part), roster) in &self.rosters {
+        for ((block, part), inventory) in &self.inventories {
             let old = self
                 .cache
-                .roster_parts(block)
+                .inventory_parts(block)
                 .and_then(|parts| parts.get(part));
-            let key = roster_part_key(block, *part);
+            let key = inventory_part_key(block, *part);
             txn = txn
                 .when(key.clone(), old.map_or(0, |old| old.version))
-                .put(key, roster);
+                .put(key, inventory);
         }
         txn
     }
 }
 
-/// A roster's value that is larger than this.
+/// An inventory's value that is larger than this.
 pub(super) fn too_large(cache: &WatchCache, bytes: usize) -> Option<(BlockId, Part)> {
-    cache.rosters.keys().find_map(|block| {
-        let mut parts = cache.roster_parts(block)?.iter();
+    cache.inventories.keys().find_map(|block| {
+        let mut parts = cache.inventory_parts(block)?.iter();
         let (part, _) = parts.find(|(_, part)| part.value.size() > bytes)?;
         Some((block.clone(), *part))
     })
@@ -262,7 +273,7 @@
     pub(super) finished: Option<Part>,
 }
 
-/// Room left in each part of a roster.
+/// Room left in each part of an inventory.
 const ROSTER_RESERVE_BYTES: usize = 64;
 
 /// What one placed task takes of its block's value, and the most of them that are reckoned with on one machine.
--- a/src/provisioning/mod.rs
+++ b/src/provisioning/mod.rs
@@ -27,7 +27,8 @@
 use crate::leadership::Lead;
 use crate::policy::Policy;
 use crate::store::records::{
-    DRAIN_FORMAT, LEADER, MachineState, Order, PARTS_FORMAT, Rostered, order_key, roster_part_key,
+    DRAIN_FORMAT, InventoryEntry, LEADER, MachineState, Order, PARTS_FORMAT, inventory_part_key,
+    order_key,
 };
 use crate::store::{Op, Outcome, Txn, WatchCache, Writer};
 use boot_times::BootTimes;
@@ -668,7 +669,7 @@
             return None;
         }
         let txn = Txn::default().when(LEADER, lead.version);
-        let txn = divide_roster(lead, cache, demand, &txn)
+        let txn = divide_inventory(lead, cache, demand, &txn)
             .or_else(|| self.record_rented(now, lead, cache, demand, &txn))
             .or_else(|| self.record_deleted(now, lead, cache, demand, &txn))
             .or_else(|| self.record_unexpected(now, lead, cache, demand, &txn))
@@ -713,7 +714,7 @@
             .iter()
             .filter(|machine| !cache.machines.contains_key(*machine))
         {
-            let entry = Rostered {
+            let entry = InventoryEntry {
                 type_name: name.clone(),
                 capacity_type: order.capacity_type,
                 state: MachineState::InService,
@@ -759,8 +760,8 @@
         let mut edits = Edits::new(lead, cache, demand);
         edits.most = lead.batch;
         for machine in lost.into_iter().chain(empty) {
-            edits.change(machine, |roster| {
-                roster.on.remove(machine);
+            edits.change(machine, |inventory| {
+                inventory.on.remove(machine);
             });
         }
         edits.any().then(|| edits.apply(txn.clone()))
@@ -792,7 +793,7 @@
         let mut edits = Edits::new(lead, cache, demand);
         edits.most = lead.batch;
         for listed in take {
-            let entry = Rostered {
+            let entry = InventoryEntry {
                 type_name: listed.type_name.clone(),
                 capacity_type: CapacityType::from_spot(listed.spot),
                 state: MachineState::InService,
@@ -831,8 +832,8 @@
             if *state == MachineState::Returning && occupied {
                 continue;
             }
-            let changed = edits.change(id, |roster| {
-                if let Some(entry) = roster.on.get_mut(id) {
+            let changed = edits.change(id, |inventory| {
+                if let Some(entry) = inventory.on.get_mut(id) {
                     entry.state = *state;
                 }
             });
@@ -895,8 +896,13 @@
     }
 }
 
-/// Brings the value of a roster that is too large for the limits in force into parts.
-fn divide_roster(lead: &Lead<'_>, cache: &WatchCache, demand: &Demand, txn: &Txn) -> Option<Txn> {
+/// Brings the value of an inventory that is too large for the limits in force into parts.
+fn divide_inventory(
+    lead: &Lead<'_>,
+    cache: &WatchCache,
+    demand: &Demand,
+    txn: &Txn,
+) -> Option<Txn> {
     // Seldom is there one, and the edits look at all tasks there are.
     if cache.format() < PARTS_FORMAT
         || too_large(cache, lead.config.state_limits.value_bytes).is_none()
@@ -908,9 +914,9 @@
     info!(block = %division.block, "a value is too large: divided");
     let mut txn = edits.apply(txn.clone());
     if let Some(part) = division.finished {
-        let parts = cache.roster_parts(&division.block);
+        let parts = cache.inventory_parts(&division.block);
         let version = parts.and_then(|parts| parts.get(&part));
-        let key = roster_part_key(&division.block, part);
+        let key = inventory_part_key(&division.block, part);
         txn = txn
             .when(key.clone(), version.map_or(0, |part| part.version))
             .delete(key);
--- a/src/provisioning/round.rs
+++ b/src/provisioning/round.rs
@@ -99,8 +99,8 @@
             return;
         };
         for id in self.returnable(round, pool, surplus) {
-            let drained = edits.change(&id, |roster| {
-                if let Some(entry) = roster.on.get_mut(&id) {
+            let drained = edits.change(&id, |inventory| {
+                if let Some(entry) = inventory.on.get_mut(&id) {
                     entry.state = MachineState::Returning;
                 }
             });
--- a/src/provisioning/tests.rs
+++ b/src/provisioning/tests.rs
@@ -10,7 +10,8 @@
 use crate::store::Change;
 use crate::store::records::Order;
 use crate::store::records::{
-    BlockPlacements, JobRecord, MachineState, Roster, encode, job_key, placements_key, roster_key,
+    BlockPlacements, JobRecord, MachineInventory, MachineState, encode, inventory_key, job_key,
+    placements_key,
 };
 
 /// Found by a search of seeds: a machine hung with a cancelled task on it, and its block changed hands so often that
@@ -30,7 +31,7 @@
         });
     };
     let block = block_leases::name(&"a".into(), 0);
-    let entry = || Rostered {
+    let entry = || InventoryEntry {
         type_name: "large".into(),
         capacity_type: CapacityType::Spot,
         state: MachineState::InService,
@@ -39,8 +40,8 @@
     let on = ["m-1", "m-2"].map(|id| (id.into(), entry())).into();
     put(
         &mut cache,
-        roster_key(&block),
-        encode(&Roster {
+        inventory_key(&block),
+        encode(&MachineInventory {
             zone: "a".into(),
             on,
         }),
@@ -105,7 +106,7 @@
             let rented_s = start.unix_ms() / 1000;
             (
                 id,
-                Rostered {
+                InventoryEntry {
                     type_name: "large".into(),
                     capacity_type: CapacityType::OnDemand,
                     state: MachineState::InService,
@@ -113,15 +114,15 @@
                 },
             )
         };
-        let roster = Roster {
+        let inventory = MachineInventory {
             zone: zone.into(),
             on: (0..6).map(entry).collect(),
         };
-        let key = roster_key(&block_leases::name(&zone.into(), 0));
+        let key = inventory_key(&block_leases::name(&zone.into(), 0));
         cache.apply(Change {
             key,
             version,
-            value: Some(encode(&roster)),
+            value: Some(encode(&inventory)),
         });
     }
     let lead = Lead {
@@ -277,9 +278,9 @@
     assert_eq!(ordered(true), Some(CapacityType::OnDemand));
 }
 
-/// A roster that is larger than the state service will take can't be written again, so it could not even be drained.
+/// An inventory that is larger than the state service will take can't be written again, so it could not even be drained.
 #[test]
-fn a_roster_that_is_too_large_is_divided_step_by_step_and_loses_no_machine() {
+fn an_inventory_that_is_too_large_is_divided_step_by_step_and_loses_no_machine() {
     use crate::store::TxnChange;
     use crate::store::records::{FORMAT, FORMAT_KEY, FormatSwitch, encode, json_size};
     let mut config = Config::parse("s.toml", SETTINGS).expect("valid");
@@ -300,14 +301,14 @@
     };
     let mut cache = WatchCache::following();
     let block = block_leases::name(&"a".into(), 0);
-    let entry = || Rostered {
+    let entry = || InventoryEntry {
         type_name: "large".into(),
         capacity_type: CapacityType::Spot,
         state: MachineState::InService,
         rented_s: 1_800_000_000,
     };
     let on = (0..600).map(|n| (format!("m-{n:06}").as_str().into(), entry()));
-    let roster = Roster {
+    let inventory = MachineInventory {
         zone: "a".into(),
         on: on.collect(),
     };
@@ -320,9 +321,9 @@
             value,
         });
     };
-    put(&mut cache, roster_key(&block), Some(encode(&roster)));
+    put(&mut cache, inventory_key(&block), Some(encode(&inventory)));
     let next =
-        |cache: &WatchCache| divide_roster(&lead, cache, &Demand::default(), &Txn::default());
+        |cache: &WatchCache| divide_inventory(&lead, cache, &Demand::default(), &Txn::default());
     assert_eq!(next(&cache), None, "not before the format is on");
     let switch = FormatSwitch { version: FORMAT };
     put(&mut cache, FORMAT_KEY.to_owned(), Some(encode(&switch)));
@@ -339,11 +340,11 @@
                 }
                 TxnChange::Delete { key } => put(&mut cache, key, None),
             }
-            assert_eq!(cache.rosters[&block].value, roster, "step {steps}");
+            assert_eq!(cache.inventories[&block].value, inventory, "step {steps}");
             assert_eq!(cache.machines.len(), 600);
         }
     }
     assert!(steps > 1, "more than one transaction holds");
-    let parts = cache.roster_parts(&block).expect("known");
+    let parts = cache.inventory_parts(&block).expect("known");
     assert!(!parts.contains_key(&0), "deleted, for it can't be written");
 }
--- a/src/queueing/block_state.rs
+++ b/src/queueing/block_state.rs
@@ -7,7 +7,7 @@
 use crate::domain::{Attempt, MachineId, Now, since};
 use crate::peer::{BlockStatus, MachineStatus, Wanted, Work};
 use crate::store::WatchCache;
-use crate::store::records::Roster;
+use crate::store::records::MachineInventory;
 
 /// An unanswered work message is repeated after this long.
 const RESEND: Duration = Duration::from_millis(400);
@@ -108,16 +108,18 @@
     pub(super) fn note_addresses(
         &mut self,
         addresses: &HashMap<MachineId, String>,
-        roster: Option<&Roster>,
+        inventory: Option<&MachineInventory>,
     ) {
-        let Some(roster) = roster.filter(|roster| roster.on.len() > self.addressed.len()) else {
+        let Some(inventory) =
+            inventory.filter(|inventory| inventory.on.len() > self.addressed.len())
+        else {
             return;
         };
         if self.status.is_none() {
             // It may know them already: a new leader hears of that first.
             return;
         }
-        for id in roster
+        for id in inventory
             .on
             .keys()
             .filter(|id| !self.addressed.contains(*id))
@@ -157,7 +159,10 @@
         for (block, block_state) in &mut self.block_states {
             block_state.note_addresses(
                 addresses,
-                cache.rosters.get(block).map(|roster| &roster.value),
+                cache
+                    .inventories
+                    .get(block)
+                    .map(|inventory| &inventory.value),
             );
             let acked = block_state
                 .status
--- a/src/queueing/mod.rs
+++ b/src/queueing/mod.rs
@@ -363,7 +363,7 @@
             .collect();
         for live in cache.live_placements() {
             let taken = taken.entry(live.id).or_default();
-            // Their holder removes them in the write that placements what takes their room.
+            // Their holder removes them in the write that places what takes their room.
             let there = live
                 .attempts()
                 .filter(|attempt| !ended.contains(&attempt.number));
--- a/src/queueing/tests.rs
+++ b/src/queueing/tests.rs
@@ -12,8 +12,8 @@
 use crate::provisioning::wire::tests::instance_type;
 use crate::store::Change;
 use crate::store::records::{
-    BlockLease, BlockPlacements, MachineState, Roster, Rostered, block_lease_key, encode, job_key,
-    placements_key, roster_key,
+    BlockLease, BlockPlacements, InventoryEntry, MachineInventory, MachineState, block_lease_key,
+    encode, inventory_key, job_key, placements_key,
 };
 
 pub(super) struct Fixture {
@@ -57,7 +57,7 @@
             term: TERM,
         };
         fixture.put(block_lease_key(&"a.0".into()), encode(&lease));
-        fixture.roster(0..machines);
+        fixture.inventory(0..machines);
         fixture.plan();
         fixture.status(machines, 0, &[]);
         fixture
@@ -73,8 +73,8 @@
         self.version
     }
 
-    fn roster(&mut self, machines: std::ops::Range<u32>) {
-        let entry = || Rostered {
+    fn inventory(&mut self, machines: std::ops::Range<u32>) {
+        let entry = || InventoryEntry {
             type_name: "large".into(),
             capacity_type: CapacityType::OnDemand,
             state: MachineState::InService,
@@ -82,8 +82,8 @@
         };
         let on = machines.map(|n| (name(n), entry())).collect();
         self.put(
-            roster_key(&"a.0".into()),
-            encode(&Roster {
+            inventory_key(&"a.0".into()),
+            encode(&MachineInventory {
                 zone: "a".into(),
                 on,
             }),
@@ -218,7 +218,7 @@
     };
     let number = wanted.attempt.number;
     // The machine it was meant for goes.
-    fixture.roster(if wanted.machine == name(0) {
+    fixture.inventory(if wanted.machine == name(0) {
         1..2
     } else {
         0..1
--- a/src/queueing/waiting.rs
+++ b/src/queueing/waiting.rs
@@ -15,7 +15,7 @@
 /// far too much work, large jobs would else not begin for many minutes.
 pub(super) const BEGIN_WITHIN: Duration = Duration::from_secs(90);
 
-/// What decides where a task may go: tasks of one shape can go to the same placements.
+/// What decides where a task may go: tasks of one shape can go to the same machines.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub(super) struct Shape {
     need: [u64; 3],
--- a/src/store/cache.rs
+++ b/src/store/cache.rs
@@ -8,8 +8,8 @@
 
 use super::records::{
     AttemptEncoding, BlockLease, BlockPlacements, CHUNK, Change, FormatSwitch, JobRecord, Leader,
-    MachineState, Member, NOWHERE, Order, Part, Progress, ROOT, Ranges, Record, Records, Roster,
-    Token,
+    MachineInventory, MachineState, Member, NOWHERE, Order, Part, Progress, ROOT, Ranges, Record,
+    Records, Token,
 };
 use super::{Op, Outcome};
 use crate::config::StateLimits;
@@ -51,7 +51,7 @@
     pub done: Ranges,
 }
 
-/// A machine as its block's roster has it.
+/// A machine as its block's inventory has it.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Machine {
     pub type_name: InstanceTypeName,
@@ -163,9 +163,9 @@
     /// The values that they are kept in.
     placements_parts: BTreeMap<BlockId, Parts<BlockPlacements>>,
     /// The machines of each block, all parts together.
-    pub rosters: BTreeMap<BlockId, Versioned<Roster>>,
-    roster_parts: BTreeMap<BlockId, Parts<Roster>>,
-    /// All machines of all rosters.
+    pub inventories: BTreeMap<BlockId, Versioned<MachineInventory>>,
+    inventory_parts: BTreeMap<BlockId, Parts<MachineInventory>>,
+    /// All machines of all inventories.
     pub machines: BTreeMap<MachineId, Machine>,
     pub orders: BTreeMap<InstanceTypeName, Versioned<Order>>,
     pub open: BTreeMap<JobId, OpenJob>,
@@ -251,8 +251,8 @@
             format: None,
             placements: BTreeMap::new(),
             placements_parts: BTreeMap::new(),
-            rosters: BTreeMap::new(),
-            roster_parts: BTreeMap::new(),
+            inventories: BTreeMap::new(),
+            inventory_parts: BTreeMap::new(),
             machines: BTreeMap::new(),
             orders: BTreeMap::new(),
             open: BTreeMap::new(),
@@ -631,7 +631,7 @@
             Records::DrainLedger(team) => {
                 set_in(&mut self.drain_ledgers, team, change);
             }
-            Records::Roster(block, part) => self.apply_roster(block, part, change),
+            Records::MachineInventory(block, part) => self.apply_inventory(block, part, change),
             Records::Order(name) => {
                 set_in(&mut self.orders, name, change);
             }
@@ -648,26 +648,29 @@
         }
     }
 
-    fn apply_roster(&mut self, block: BlockId, part: Part, change: Change) {
+    fn apply_inventory(&mut self, block: BlockId, part: Part, change: Change) {
         let version = change.version;
-        let parts = self.roster_parts.entry(block.clone()).or_default();
+        let parts = self.inventory_parts.entry(block.clone()).or_default();
         if !set_in(parts, part, change) {
             return;
         }
-        let mut merged: Option<Roster> = None;
+        let mut merged: Option<MachineInventory> = None;
         for part in parts.values() {
             match &mut merged {
                 Some(merged) => merged.merge(&part.value),
                 None => merged = Some(part.value.clone()),
             }
         }
-        let old = self.rosters.remove(&block);
+        let old = self.inventories.remove(&block);
         if let Some(value) = merged {
             let version = old.as_ref().map_or(version, |old| old.version.max(version));
-            self.rosters
+            self.inventories
                 .insert(block.clone(), Versioned { value, version });
         }
-        let new = self.rosters.get(&block).map(|roster| &roster.value);
+        let new = self
+            .inventories
+            .get(&block)
+            .map(|inventory| &inventory.value);
         for id in old.iter().flat_map(|old| old.value.on.keys()) {
             let kept = new.is_some_and(|new| new.on.contains_key(id));
             if !kept
@@ -841,13 +844,13 @@
     }
 
     /// The values that a block's machines are kept in.
-    pub fn roster_parts(&self, block: &BlockId) -> Option<&Parts<Roster>> {
-        self.roster_parts.get(block)
+    pub fn inventory_parts(&self, block: &BlockId) -> Option<&Parts<MachineInventory>> {
+        self.inventory_parts.get(block)
     }
 
-    /// The part of the block's roster that a machine is in: the last one, if it is being moved.
-    pub fn roster_part_of(&self, block: &BlockId, machine: &MachineId) -> Option<Part> {
-        let mut parts = self.roster_parts(block)?.iter().rev();
+    /// The part of the block's inventory that a machine is in: the last one, if it is being moved.
+    pub fn inventory_part_of(&self, block: &BlockId, machine: &MachineId) -> Option<Part> {
+        let mut parts = self.inventory_parts(block)?.iter().rev();
         let (part, _) = parts.find(|(_, part)| part.value.on.contains_key(machine))?;
         Some(*part)
     }
--- a/src/store/cache/tests.rs
+++ b/src/store/cache/tests.rs
@@ -1,7 +1,9 @@
 use super::*;
 use crate::domain::TaskId;
 use crate::placement::tests::job;
-use crate::store::records::{MachineState, Rostered, encode, job_key, placements_key, roster_key};
+use crate::store::records::{
+    InventoryEntry, MachineState, encode, inventory_key, job_key, placements_key,
+};
 
 /// Found on the bench: a controller that had been cut off from the state service for 46 s asked for all changes since,
 /// more than it could take in one answer, and asked again for ever.
@@ -83,13 +85,13 @@
         version,
         value: Some(value),
     };
-    let entry = || Rostered {
+    let entry = || InventoryEntry {
         type_name: "small".into(),
         capacity_type: CapacityType::Spot,
         state: MachineState::InService,
         rented_s: 0,
     };
-    let roster = |machines: &[&MachineId]| Roster {
+    let inventory = |machines: &[&MachineId]| MachineInventory {
         zone: "a".into(),
         on: machines
             .iter()
@@ -103,9 +105,9 @@
         encode(&JobRecord::Open(job(1, 1.0))),
     ));
     cache.apply(put(
-        roster_key(&"a.0".into()),
+        inventory_key(&"a.0".into()),
         2,
-        encode(&roster(&[&first, &second])),
+        encode(&inventory(&[&first, &second])),
     ));
     let attempt = |number| Attempt {
         task: TaskId {
@@ -118,9 +120,9 @@
     placements.add(&first, attempt(7));
     cache.apply(put(placements_key(&"a.0".into()), 3, encode(&placements)));
     cache.apply(put(
-        roster_key(&"a.0".into()),
+        inventory_key(&"a.0".into()),
         4,
-        encode(&roster(&[&second])),
+        encode(&inventory(&[&second])),
     ));
     placements.add(&second, attempt(8));
     cache.apply(put(placements_key(&"a.0".into()), 5, encode(&placements)));
--- a/src/store/records.rs
+++ b/src/store/records.rs
@@ -30,7 +30,7 @@
 pub fn placements_key(block: &BlockId) -> String {
     format!("{ROOT}places/{block}")
 }
-pub fn roster_key(block: &BlockId) -> String {
+pub fn inventory_key(block: &BlockId) -> String {
     format!("{ROOT}machines/{block}")
 }
 
@@ -49,9 +49,9 @@
         part => format!("{ROOT}places_part/{block}/{part:05}"),
     }
 }
-pub fn roster_part_key(block: &BlockId, part: Part) -> String {
+pub fn inventory_part_key(block: &BlockId, part: Part) -> String {
     match part {
-        FIRST_PART => roster_key(block),
+        FIRST_PART => inventory_key(block),
         part => format!("{ROOT}machines_part/{block}/{part:05}"),
     }
 }
@@ -162,10 +162,10 @@
 /// The machines of a block. One value for each block, so that many rented or returned at once are few changes:
 /// with a record for each, a few hundred machines took the state service's writes for half a minute.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-#[serde(try_from = "RosterText", into = "RosterText")]
-pub struct Roster {
+#[serde(try_from = "InventoryEncoding", into = "InventoryEncoding")]
+pub struct MachineInventory {
     pub zone: Zone,
-    pub on: BTreeMap<MachineId, Rostered>,
+    pub on: BTreeMap<MachineId, InventoryEntry>,
 }
 
 /// Whether a machine takes tasks, and what becomes of it.
@@ -186,7 +186,7 @@
 }
 
 #[derive(Debug, Clone, PartialEq)]
-pub struct Rostered {
+pub struct InventoryEntry {
     pub type_name: InstanceTypeName,
     pub capacity_type: CapacityType,
     pub state: MachineState,
@@ -194,11 +194,11 @@
     pub rented_s: u64,
 }
 
-/// A roster as it is stored: each machine as `0s1800000000`, which is the number of its type, its capacity type (`s` for
+/// An inventory as it is stored: each machine as `0s1800000000`, which is the number of its type, its capacity type (`s` for
 /// spot, `o` for ordinary, in capitals if it is being returned; `p` and `c` if it is cordoned) and when it was rented. With every name in full, the
-/// rosters needed more blocks than the tasks did, and each block costs a change of its own.
+/// inventories needed more blocks than the tasks did, and each block costs a change of its own.
 #[derive(Clone, Serialize, Deserialize)]
-struct RosterText {
+struct InventoryEncoding {
     #[serde(rename = "z")]
     zone: Zone,
     #[serde(rename = "ty")]
@@ -207,11 +207,11 @@
     on: BTreeMap<MachineId, String>,
 }
 
-impl From<Roster> for RosterText {
-    fn from(roster: Roster) -> Self {
+impl From<MachineInventory> for InventoryEncoding {
+    fn from(inventory: MachineInventory) -> Self {
         let mut types: Vec<InstanceTypeName> = Vec::new();
         let mut on = BTreeMap::new();
-        for (id, machine) in roster.on {
+        for (id, machine) in inventory.on {
             let index = types
                 .iter()
                 .position(|known| *known == machine.type_name)
@@ -222,18 +222,18 @@
             let letter = state_letter(machine.capacity_type, machine.state);
             on.insert(id, format!("{index}{letter}{}", machine.rented_s));
         }
-        RosterText {
-            zone: roster.zone,
+        InventoryEncoding {
+            zone: inventory.zone,
             types,
             on,
         }
     }
 }
 
-impl TryFrom<RosterText> for Roster {
+impl TryFrom<InventoryEncoding> for MachineInventory {
     type Error = &'static str;
 
-    fn try_from(text: RosterText) -> Result<Self, Self::Error> {
+    fn try_from(text: InventoryEncoding) -> Result<Self, Self::Error> {
         let malformed = "malformed machine";
         let mut on = BTreeMap::new();
         for (id, entry) in text.on {
@@ -244,7 +244,7 @@
             let (letter, rented) = rest.split_at(1);
             let (capacity_type, state) = parse_state_letter(letter).ok_or(malformed)?;
             let index: usize = index.parse().map_err(|_| malformed)?;
-            let machine = Rostered {
+            let machine = InventoryEntry {
                 type_name: text.types.get(index).ok_or(malformed)?.clone(),
                 capacity_type,
                 state,
@@ -252,7 +252,7 @@
             };
             on.insert(id, machine);
         }
-        Ok(Roster {
+        Ok(MachineInventory {
             zone: text.zone,
             on,
         })
@@ -283,16 +283,16 @@
         .map(|(_, capacity_type, state)| (*capacity_type, *state))
 }
 
-impl Roster {
+impl MachineInventory {
     pub fn new(zone: Zone) -> Self {
-        Roster {
+        MachineInventory {
             zone,
             on: BTreeMap::new(),
         }
     }
 }
 
-impl Roster {
+impl MachineInventory {
     /// The most that this value can measure in the form that the state service counts.
     pub fn size(&self) -> usize {
         let types: BTreeSet<&InstanceTypeName> =
@@ -303,15 +303,15 @@
     }
 
     /// Takes in the machines of another part.
-    pub fn merge(&mut self, part: &Roster) {
+    pub fn merge(&mut self, part: &MachineInventory) {
         let machines = part.on.iter();
         self.on
             .extend(machines.map(|(id, entry)| (id.clone(), entry.clone())));
     }
 }
 
-impl Rostered {
-    /// What a machine takes of its roster's value, in the form that the state service counts.
+impl InventoryEntry {
+    /// What a machine takes of its inventory's value, in the form that the state service counts.
     pub fn size(&self, id: &MachineId) -> usize {
         id.0.len() + 10 + digits(self.rented_s)
     }
@@ -613,7 +613,7 @@
     Member,
     FormatSwitch,
     BlockLease,
-    Roster,
+    MachineInventory,
     Order,
     BlockPlacements,
     JobRecord,
@@ -641,7 +641,7 @@
     BlockLease(BlockId),
     Format,
     BlockPlacements(BlockId, Part),
-    Roster(BlockId, Part),
+    MachineInventory(BlockId, Part),
     Order(InstanceTypeName),
     Job(JobId),
     Progress(JobId, u32),
@@ -661,14 +661,14 @@
             Some(("node", rest)) => Some(Records::Member(rest.into())),
             Some(("grant", rest)) => Some(Records::BlockLease(rest.into())),
             Some(("places", rest)) => Some(Records::BlockPlacements(rest.into(), FIRST_PART)),
-            Some(("machines", rest)) => Some(Records::Roster(rest.into(), FIRST_PART)),
+            Some(("machines", rest)) => Some(Records::MachineInventory(rest.into(), FIRST_PART)),
             Some(("places_part", rest)) => {
                 let (block, part) = rest.split_once('/')?;
                 Some(Records::BlockPlacements(block.into(), part.parse().ok()?))
             }
             Some(("machines_part", rest)) => {
                 let (block, part) = rest.split_once('/')?;
-                Some(Records::Roster(block.into(), part.parse().ok()?))
+                Some(Records::MachineInventory(block.into(), part.parse().ok()?))
             }
             Some(("drain", rest)) => rest.parse().ok().map(Records::Drain),
             Some(("drain_budget", rest)) => Some(Records::DrainBudget(rest.into())),
--- a/src/store/records/tests.rs
+++ b/src/store/records/tests.rs
@@ -93,8 +93,8 @@
 }
 
 #[test]
-fn a_roster_is_kept_as_it_was_and_its_size_is_not_underestimated() {
-    let mut roster = Roster::new("zone".into());
+fn an_inventory_is_kept_as_it_was_and_its_size_is_not_underestimated() {
+    let mut inventory = MachineInventory::new("zone".into());
     for n in 0..50u32 {
         let type_name = if n % 2 == 0 {
             "small"
@@ -103,7 +103,7 @@
         };
         let capacity_type = CapacityType::from_spot(n % 3 == 0);
         let rented_s = 1_800_000_000 + u64::from(n);
-        let entry = Rostered {
+        let entry = InventoryEntry {
             type_name: type_name.into(),
             capacity_type,
             state: [
@@ -113,24 +113,29 @@
             ][n as usize / 3 % 3],
             rented_s,
         };
-        roster.on.insert(format!("m-{n:06}").as_str().into(), entry);
+        inventory
+            .on
+            .insert(format!("m-{n:06}").as_str().into(), entry);
     }
-    let value = encode(&roster);
-    assert_eq!(value.deserialized::<Roster>().ok(), Some(roster.clone()));
+    let value = encode(&inventory);
+    assert_eq!(
+        value.deserialized::<MachineInventory>().ok(),
+        Some(inventory.clone())
+    );
     let names = 100;
     let size: usize = names
-        + roster
+        + inventory
             .on
             .iter()
             .map(|(id, entry)| entry.size(id))
             .sum::<usize>();
     assert!(json_size(&value) <= size, "{} > {size}", json_size(&value));
     assert!(size < 50 * 40, "{size}");
-    let wrong = RosterText {
+    let wrong = InventoryEncoding {
         on: [("m-1".into(), "7s1".to_owned())].into(),
-        ..RosterText::from(roster)
+        ..InventoryEncoding::from(inventory)
     };
-    assert!(Roster::try_from(wrong).is_err());
+    assert!(MachineInventory::try_from(wrong).is_err());
 }
 
 fn json_size(value: &ciborium::Value) -> usize {
@@ -172,7 +177,9 @@
             Some(Records::Member(_)) => comes_back::<Member>(&value),
             Some(Records::BlockLease(_)) => comes_back::<BlockLease>(&value),
             Some(Records::BlockPlacements(_, FIRST_PART)) => comes_back::<BlockPlacements>(&value),
-            Some(Records::Roster(_, FIRST_PART)) => comes_back::<Roster>(&value),
+            Some(Records::MachineInventory(_, FIRST_PART)) => {
+                comes_back::<MachineInventory>(&value)
+            }
             Some(Records::Order(_)) => comes_back::<Order>(&value),
             Some(Records::Job(_)) => comes_back::<JobRecord>(&value),
             Some(Records::Progress(..)) => comes_back::<Progress>(&value),
@@ -214,14 +221,14 @@
 fn first_parts_come_before_all_others_in_the_order_of_keys() {
     let block = BlockId::from("z.9");
     assert!(placements_part_key(&block, FIRST_PART) < placements_part_key(&"a.0".into(), 1));
-    assert!(roster_part_key(&block, FIRST_PART) < roster_part_key(&"a.0".into(), 1));
+    assert!(inventory_part_key(&block, FIRST_PART) < inventory_part_key(&"a.0".into(), 1));
     assert_eq!(
         Records::of(&placements_part_key(&block, 12)),
         Some(Records::BlockPlacements(block.clone(), 12))
     );
     assert_eq!(
-        Records::of(&roster_part_key(&block, 0)),
-        Some(Records::Roster(block, 0))
+        Records::of(&inventory_part_key(&block, 0)),
+        Some(Records::MachineInventory(block, 0))
     );
 }
 
