--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -20,7 +20,7 @@
 use crate::leadership::{self, Lead, Leadership};
 use crate::metrics::Metrics;
 use crate::operations::{self, Operations};
-use crate::peer::{Alive, CancelledJob, Message, Status, Work};
+use crate::peer::{Alive, AssignmentUpdate, CancelledJob, Message, Status};
 use crate::policy::Policy;
 use crate::provisioning::{self, Call, CallOutcome, Demand, InstanceCatalog, Provisioner};
 use crate::queueing::Queues;
@@ -580,7 +580,7 @@
                     self.peers_reach_state.remove(&controller);
                 }
             }
-            Message::Work(blocks) => {
+            Message::AssignmentUpdates(blocks) => {
                 for work in blocks {
                     self.fleet.work(work);
                 }
@@ -853,7 +853,7 @@
         for (urgency, tag, op) in ops {
             self.ask(urgency, tag, op);
         }
-        let mut by_holder: BTreeMap<ControllerName, Vec<Work>> = BTreeMap::new();
+        let mut by_holder: BTreeMap<ControllerName, Vec<AssignmentUpdate>> = BTreeMap::new();
         for work in messages {
             if let Some(lease) = self.cache.block_leases.get(&work.block) {
                 by_holder
@@ -864,11 +864,11 @@
         }
         for (holder, blocks) in by_holder {
             if holder == self.config.name {
-                self.peer(now, Message::Work(blocks));
+                self.peer(now, Message::AssignmentUpdates(blocks));
             } else {
                 effects.push(Effect::Peer {
                     to: holder,
-                    message: Message::Work(blocks),
+                    message: Message::AssignmentUpdates(blocks),
                 });
             }
         }
--- a/src/fleet/block.rs
+++ b/src/fleet/block.rs
@@ -11,7 +11,7 @@
 use super::worker::{Launch, ObservedTask, QUIET, Worker};
 use crate::config::Config;
 use crate::domain::{Attempt, BlockId, JobId, JobKind, MachineId, Now, Resources, TaskId, since};
-use crate::peer::{BlockStatus, MachineStatus, Wanted};
+use crate::peer::{Assignment, BlockStatus, MachineStatus};
 use crate::placement::{self, Candidate};
 use crate::policy::Policy;
 use crate::provisioning::InstanceCatalog;
@@ -64,8 +64,8 @@
     pub(super) parts: Parts<BlockPlacements>,
     pub(super) writer: Writer,
     pub(super) workers: BTreeMap<MachineId, Worker>,
-    pub(super) last_work: u64,
-    pub(super) pending: Vec<Wanted>,
+    pub(super) last_assignment_update: u64,
+    pub(super) pending: Vec<Assignment>,
     /// Attempts already dealt with that the leader may not know of yet.
     pub(super) handled: HashSet<u64>,
     /// Those for which the last look found no machine.
@@ -113,7 +113,7 @@
             parts: recorded.parts,
             writer: Writer::Idle,
             workers: BTreeMap::new(),
-            last_work: 0,
+            last_assignment_update: 0,
             pending: Vec::new(),
             handled: HashSet::new(),
             refused: Vec::new(),
@@ -845,7 +845,7 @@
             block: self.id.clone(),
             token: self.token,
             lease_version: self.lease_version,
-            last_work: self.last_work,
+            last_assignment_update: self.last_assignment_update,
             pending,
             refused: self.refused.clone(),
             ended: self
--- a/src/fleet/mod.rs
+++ b/src/fleet/mod.rs
@@ -16,7 +16,7 @@
 
 use crate::config::Config;
 use crate::domain::{Attempt, BlockId, MachineId, Now, TaskId, since};
-use crate::peer::{BlockStatus, Work};
+use crate::peer::{AssignmentUpdate, BlockStatus};
 use crate::policy::Policy;
 use crate::provisioning::InstanceCatalog;
 use crate::store::cache::ChangedRecords;
@@ -144,7 +144,7 @@
                     block.placements_version = recorded.version;
                     block.parts = recorded.parts;
                     block.unsure_parts.clear();
-                    block.last_work = 0;
+                    block.last_assignment_update = 0;
                     block.pending.clear();
                     block.handled.clear();
                     block.unsure.clear();
@@ -237,21 +237,21 @@
     }
 
     /// What the leader wants. False if our block lease is not the one it means.
-    pub fn work(&mut self, work: Work) -> bool {
+    pub fn work(&mut self, work: AssignmentUpdate) -> bool {
         let Some(block) = self.blocks.get_mut(&work.block) else {
             return false;
         };
         if block.lease_version != work.lease_version {
             return false;
         }
-        if work.number <= block.last_work {
+        if work.number <= block.last_assignment_update {
             return true;
         }
-        block.last_work = work.number;
+        block.last_assignment_update = work.number;
         block.heard = block.heard.max(work.heard);
         block.looked = None;
         let wanted: HashSet<u64> = work
-            .want
+            .assignments
             .iter()
             .map(|wanted| wanted.attempt.number)
             .collect();
@@ -262,7 +262,7 @@
             .map(|(_, attempt)| attempt.number)
             .collect();
         block.pending = work
-            .want
+            .assignments
             .into_iter()
             .filter(|wanted| !block.handled.contains(&wanted.attempt.number))
             .filter(|wanted| !placed.contains(&wanted.attempt.number))
--- a/src/fleet/tests.rs
+++ b/src/fleet/tests.rs
@@ -9,7 +9,7 @@
 use super::*;
 use crate::config::tests::SETTINGS;
 use crate::domain::{Attempt, CapacityType, Job, JobId};
-use crate::peer::Wanted;
+use crate::peer::Assignment;
 use crate::placement::tests::job;
 use crate::provisioning::wire::InstanceTypeList;
 use crate::provisioning::wire::tests::instance_type;
@@ -144,17 +144,17 @@
             .heartbeat(self.now, heartbeat, &self.config, &self.cache, true)
     }
 
-    fn want(&mut self, number: u64, machine: &str, message: u64) {
+    fn assignments(&mut self, number: u64, machine: &str, message: u64) {
         let task = TaskId {
             job: JobId(1),
             index: 0,
         };
         let lease_version = self.fleet.lease_version(&"a.0".into());
-        let want = vec![Wanted {
+        let assignments = vec![Assignment {
             attempt: Attempt { task, number },
             machine: machine.into(),
         }];
-        let work = work_of(lease_version, message, want);
+        let work = work_of(lease_version, message, assignments);
         assert!(self.fleet.work(work));
     }
 
@@ -246,7 +246,7 @@
 #[test]
 fn a_cancelled_task_is_stopped_without_a_grant_that_lasts_and_nothing_else_is_done() {
     let mut holder = Holder::new(job(1, 1.0));
-    holder.want(9, "m-1", 1);
+    holder.assignments(9, "m-1", 1);
     holder.write();
     assert_eq!(holder.unentitled(), [], "no launch");
     holder.tick();
@@ -266,7 +266,7 @@
         number: 9,
     };
     let version = holder.fleet.lease_version(&"a.0".into());
-    assert!(holder.fleet.work(Work {
+    assert!(holder.fleet.work(AssignmentUpdate {
         stop: vec![attempt],
         ..work_of(version, 2, Vec::new())
     }));
@@ -304,7 +304,7 @@
 #[test]
 fn a_task_that_appears_after_its_cancellation_is_stopped_at_once() {
     let mut holder = Holder::new(job(1, 1.0));
-    holder.want(9, "m-1", 1);
+    holder.assignments(9, "m-1", 1);
     holder.write();
     let command = holder.commands().remove(0);
     holder.cancel();
@@ -325,7 +325,7 @@
 #[test]
 fn a_heartbeat_that_is_older_than_the_last_proves_nothing() {
     let mut holder = Holder::new(job(1, 1.0));
-    holder.want(9, "m-1", 1);
+    holder.assignments(9, "m-1", 1);
     let before = holder.message("m-1", 4, &[]);
     holder.write();
     let command = holder.commands().remove(0);
@@ -367,7 +367,7 @@
 #[test]
 fn a_placement_is_conditioned_on_its_jobs() {
     let mut holder = Holder::new(job(1, 1.0));
-    holder.want(9, "m-1", 1);
+    holder.assignments(9, "m-1", 1);
     holder.now.monotonic += LOOK_AGAIN;
     let write = holder.fleet.write(
         holder.now,
@@ -387,14 +387,14 @@
     );
 }
 
-fn work_of(lease_version: u64, number: u64, want: Vec<Wanted>) -> Work {
+fn work_of(lease_version: u64, number: u64, assignments: Vec<Assignment>) -> AssignmentUpdate {
     let (stop, addresses) = (Vec::new(), Vec::new());
-    Work {
+    AssignmentUpdate {
         block: "a.0".into(),
         lease_version,
         number,
         heard: 0,
-        want,
+        assignments,
         stop,
         addresses,
         watch: Vec::new(),
@@ -411,13 +411,13 @@
 #[test]
 fn nothing_is_launched_before_it_is_recorded_nor_before_the_worker_has_shown_the_token() {
     let mut holder = Holder::new(job(1, 1.0));
-    holder.want(9, "m-1", 1);
+    holder.assignments(9, "m-1", 1);
     assert_eq!(launches(&holder.commands()), 0, "not recorded yet");
     assert_eq!(holder.write(), [("m-1".to_owned(), 9)]);
     assert_eq!(launches(&holder.commands()), 1);
 
     let mut holder = Holder::new(job(1, 1.0));
-    holder.want(9, "m-1", 1);
+    holder.assignments(9, "m-1", 1);
     holder.write();
     holder.lease(6);
     let raising = holder.commands();
@@ -436,7 +436,7 @@
 #[test]
 fn an_unanswered_launch_holds_back_reaping_and_the_next_attempt_until_a_new_token() {
     let mut holder = Holder::new(job(1, 1.0));
-    holder.want(9, "m-1", 1);
+    holder.assignments(9, "m-1", 1);
     holder.write();
     let command = holder.commands().remove(0);
     holder.answer(&command, CommandOutcome::Unknown);
@@ -454,7 +454,7 @@
         !reaped(holder.heartbeat("m-1", 4, &failed)),
         "the lost launch could start it again"
     );
-    holder.want(10, "m-1", 2);
+    holder.assignments(10, "m-1", 2);
     assert_eq!(
         holder.write(),
         [("m-2".to_owned(), 10)],
@@ -510,14 +510,14 @@
                 },
                 number: u64::from(index) + 20,
             };
-            let want = vec![Wanted {
+            let assignments = vec![Assignment {
                 attempt,
                 machine: machine.into(),
             }];
             let number = u64::from(round) + 1;
-            let work = Work {
+            let work = AssignmentUpdate {
                 block: block.into(),
-                ..work_of(lease_version, number, want)
+                ..work_of(lease_version, number, assignments)
             };
             assert!(holder.fleet.work(work));
         }
@@ -550,7 +550,7 @@
 fn a_machine_that_reports_but_does_not_answer_is_noticed() {
     let mut holder = Holder::new(job(1, 1.0));
     let policy = Policy::defaults(&holder.config);
-    holder.want(9, "m-1", 1);
+    holder.assignments(9, "m-1", 1);
     holder.write();
     let usable = |holder: &mut Holder| {
         let status = holder.fleet.status(holder.now, &policy).remove(0);
@@ -589,7 +589,7 @@
 #[test]
 fn an_attempt_that_could_be_launched_by_a_copy_is_remembered_until_a_new_token() {
     let mut holder = Holder::new(job(1, 1.0));
-    holder.want(9, "m-1", 1);
+    holder.assignments(9, "m-1", 1);
     holder.write();
     let command = holder.commands().remove(0);
     let running = holder.message("m-1", 4, &[(9, TaskState::Running, None)]);
@@ -605,7 +605,7 @@
         other => panic!("{other:?}"),
     };
     assert!(!reaped(holder.heartbeat("m-1", 4, &stopped)));
-    holder.want(10, "m-1", 2);
+    holder.assignments(10, "m-1", 2);
     assert_eq!(
         holder.write(),
         [("m-2".to_owned(), 10)],
@@ -644,7 +644,7 @@
             .launched
             .len()
     };
-    holder.want(9, "m-1", 1);
+    holder.assignments(9, "m-1", 1);
     holder.write();
     let command = holder.commands().remove(0);
     // Sent before the launch came.
@@ -677,7 +677,7 @@
     );
     let lease_version = holder.fleet.lease_version(&"a.0".into());
     let addresses = vec![("m-1".into(), "10.1.0.1:9000".to_owned())];
-    assert!(holder.fleet.work(Work {
+    assert!(holder.fleet.work(AssignmentUpdate {
         addresses,
         ..work_of(lease_version, 1, Vec::new())
     }));
@@ -770,7 +770,7 @@
 #[test]
 fn a_task_missing_from_a_heartbeat_is_gone_only_if_unwanted_and_fenced() {
     let mut holder = Holder::new(job(1, 1.0));
-    holder.want(9, "m-1", 1);
+    holder.assignments(9, "m-1", 1);
     holder.write();
     let command = holder.commands().remove(0);
     holder.heartbeat("m-1", 4, &[]);
@@ -807,11 +807,15 @@
             number,
         };
         let lease_version = holder.fleet.lease_version(&"a.0".into());
-        let want = vec![Wanted {
+        let assignments = vec![Assignment {
             attempt,
             machine: "m-1".into(),
         }];
-        assert!(holder.fleet.work(work_of(lease_version, number, want)));
+        assert!(
+            holder
+                .fleet
+                .work(work_of(lease_version, number, assignments))
+        );
         holder.write();
         for (state, cause) in [
             (TaskState::Running, None),
@@ -848,7 +852,7 @@
         tasks: 3,
         ..job(1, 0.1)
     });
-    holder.want(20, "m-1", 1);
+    holder.assignments(20, "m-1", 1);
     assert_eq!(holder.write().len(), 1);
     holder.heartbeat("m-1", 4, &[(20, TaskState::Exited, Some(Cause::Done))]);
     let scarce = Writes {
@@ -878,11 +882,11 @@
             tasks: 3,
             ..job(1, 0.1)
         });
-        holder.want(20, "m-1", 1);
+        holder.assignments(20, "m-1", 1);
         assert_eq!(holder.write().len(), 1);
         holder.heartbeat("m-1", 4, &[(20, TaskState::Exited, Some(Cause::Done))]);
         if starts {
-            holder.want(21, "m-2", 2);
+            holder.assignments(21, "m-2", 2);
         }
         holder.now.monotonic += LOOK_AGAIN;
         let writes = Writes {
@@ -905,7 +909,7 @@
 #[test]
 fn a_placement_of_unknown_outcome_stays_pending_when_the_next_write_is_refused() {
     let mut holder = Holder::new(job(1, 1.0));
-    holder.want(20, "m-1", 1);
+    holder.assignments(20, "m-1", 1);
     let write = |holder: &mut Holder, outcome: Outcome| {
         holder.now.monotonic += Duration::from_secs(1);
         holder.cache.assume_fresh(holder.now.monotonic);
--- a/src/peer/mod.rs
+++ b/src/peer/mod.rs
@@ -16,7 +16,8 @@
     /// To everyone, at once: these were just committed.
     Cancelled(Vec<CancelledJob>),
     /// Leader to holder: all the tasks it wants placed in those of its blocks where something is new.
-    Work(Vec<Work>),
+    #[serde(rename = "Work")]
+    AssignmentUpdates(Vec<AssignmentUpdate>),
 }
 
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
@@ -68,7 +69,7 @@
 
 /// Machines and attempts told of in one message. A body between controllers is limited, and one controller may have to
 /// hold all machines there are.
-pub const MOST_TOLD_AT_ONCE: usize = 1000;
+pub const STATUS_ITEMS_PER_MESSAGE: usize = 1000;
 
 impl Status {
     /// The same in as many messages as it takes, each about some of the blocks.
@@ -88,7 +89,7 @@
         let mut told = 0;
         for block in blocks {
             let more = block.machines.len() + block.pending.len() + block.ended.len();
-            if told > 0 && told + more > MOST_TOLD_AT_ONCE {
+            if told > 0 && told + more > STATUS_ITEMS_PER_MESSAGE {
                 told = 0;
                 messages.push(Status {
                     controller: controller.clone(),
@@ -113,8 +114,9 @@
     #[serde(rename = "grant_version")]
     pub lease_version: u64,
     /// The last work message seen under this block lease.
-    pub last_work: u64,
-    /// Attempts that may still be recorded as placed. What the leader wanted by `last_work` and is neither
+    #[serde(rename = "last_work")]
+    pub last_assignment_update: u64,
+    /// Attempts that may still be recorded as placed. What the leader wanted by `last_assignment_update` and is neither
     /// here nor in the block's placements of `revision` never will be.
     pub pending: Vec<u64>,
     /// Those of them for which no machine here has room.
@@ -163,7 +165,7 @@
 
 /// The whole of what the leader wants of a block, so that a lost message needs no repeat of its own.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Work {
+pub struct AssignmentUpdate {
     pub block: BlockId,
     #[serde(rename = "grant_version")]
     pub lease_version: u64,
@@ -171,7 +173,8 @@
     pub number: u64,
     /// The last status of this block that the leader has taken in.
     pub heard: u64,
-    pub want: Vec<Wanted>,
+    #[serde(rename = "want")]
+    pub assignments: Vec<Assignment>,
     /// Tasks to be stopped, to make room or to drain a machine.
     pub stop: Vec<Attempt>,
     /// Where workers are that this holder has not heard from yet, so that it can raise their token at once.
@@ -182,7 +185,7 @@
 }
 
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Wanted {
+pub struct Assignment {
     pub attempt: Attempt,
     /// Where the leader found room. The holder takes it unless it knows better.
     pub machine: MachineId,
--- a/src/peer/tests.rs
+++ b/src/peer/tests.rs
@@ -30,7 +30,7 @@
         block: format!("zone.{number}").as_str().into(),
         token: 1 << 30,
         lease_version: 1 << 30,
-        last_work: 1 << 20,
+        last_assignment_update: 1 << 20,
         pending: (0..150).map(|n| (1 << 50) + n).collect(),
         refused: Vec::new(),
         ended: Vec::new(),
--- a/src/queueing/block_state.rs
+++ b/src/queueing/block_state.rs
@@ -5,7 +5,7 @@
 
 use super::Queues;
 use crate::domain::{Attempt, MachineId, Now, since};
-use crate::peer::{BlockStatus, MachineStatus, Wanted, Work};
+use crate::peer::{Assignment, AssignmentUpdate, BlockStatus, MachineStatus};
 use crate::store::WatchCache;
 use crate::store::records::MachineInventory;
 
@@ -154,7 +154,7 @@
         now: Now,
         cache: &WatchCache,
         addresses: &HashMap<MachineId, String>,
-    ) -> Vec<Work> {
+    ) -> Vec<AssignmentUpdate> {
         let mut messages = Vec::new();
         for (block, block_state) in &mut self.block_states {
             block_state.note_addresses(
@@ -164,10 +164,9 @@
                     .get(block)
                     .map(|inventory| &inventory.value),
             );
-            let acked = block_state
-                .status
-                .as_ref()
-                .is_some_and(|(status, _)| status.last_work >= block_state.last_message);
+            let acked = block_state.status.as_ref().is_some_and(|(status, _)| {
+                status.last_assignment_update >= block_state.last_message
+            });
             let overdue = !acked
                 && block_state
                     .sent
@@ -188,22 +187,22 @@
             {
                 release.message = number;
             }
-            let want = block_state
+            let assignments = block_state
                 .releases
                 .values()
                 .filter(|release| !release.withdrawn)
-                .map(|release| Wanted {
+                .map(|release| Assignment {
                     attempt: release.attempt,
                     machine: release.machine.clone(),
                 })
                 .collect();
             let stop = block_state.stops.keys().copied().collect();
-            messages.push(Work {
+            messages.push(AssignmentUpdate {
                 block: block.clone(),
                 lease_version: block_state.lease_version,
                 number,
                 heard: block_state.heard,
-                want,
+                assignments,
                 stop,
                 addresses: block_state.unseen_addresses(addresses),
                 watch: block_state.watch.clone(),
--- a/src/queueing/gangs/tests.rs
+++ b/src/queueing/gangs/tests.rs
@@ -52,12 +52,16 @@
     fixture.job(1, gang(5, 8.0));
     let released = fixture.plan().1;
     assert!(
-        released.iter().all(|work| work.want.is_empty()),
+        released.iter().all(|work| work.assignments.is_empty()),
         "room for four only"
     );
     fixture.job(2, gang(4, 8.0));
     let (_, work) = fixture.plan();
-    let attempts: Vec<Attempt> = work[0].want.iter().map(|wanted| wanted.attempt).collect();
+    let attempts: Vec<Attempt> = work[0]
+        .assignments
+        .iter()
+        .map(|wanted| wanted.attempt)
+        .collect();
     let indexes: BTreeSet<u32> = attempts.iter().map(|attempt| attempt.task.index).collect();
     assert_eq!(indexes, (0..4).collect());
     let numbers: BTreeSet<u64> = attempts.iter().map(Attempt::wire_number).collect();
@@ -73,9 +77,20 @@
     fixture.placement(&work[0]);
     fixture.job(2, gang(4, 16.0));
     fixture.status(6, work[0].number, &[]);
-    assert!(fixture.plan().1.iter().all(|work| work.want.is_empty()));
+    assert!(
+        fixture
+            .plan()
+            .1
+            .iter()
+            .all(|work| work.assignments.is_empty())
+    );
     fixture.job(3, gang(3, 16.0));
-    let released: usize = fixture.plan().1.iter().map(|work| work.want.len()).sum();
+    let released: usize = fixture
+        .plan()
+        .1
+        .iter()
+        .map(|work| work.assignments.len())
+        .sum();
     assert_eq!(released, 3);
 }
 
@@ -85,7 +100,7 @@
     let mut fixture = Fixture::new(3);
     fixture.job(1, gang(3, 16.0));
     let (_, work) = fixture.plan();
-    let first = work[0].want[0].attempt.gang_start();
+    let first = work[0].assignments[0].attempt.gang_start();
     fixture.placement(&work[0]);
     fixture.status(3, work[0].number, &[]);
     assert_eq!(
@@ -100,7 +115,7 @@
     // One of them is gone.
     let block: BlockId = "a.0".into();
     let mut placements = fixture.cache.placements[&block].value.clone();
-    let lost = work[0].want[1].clone();
+    let lost = work[0].assignments[1].clone();
     assert!(placements.remove(&lost.machine, lost.attempt));
     fixture.put(placements_key(&block), encode(&placements));
     fixture.status(3, work[0].number, &[]);
@@ -108,16 +123,17 @@
     let stopped: Vec<Attempt> = stopping.iter().flat_map(|work| work.stop.clone()).collect();
     assert_eq!(stopped.len(), 2);
     assert!(
-        stopping.iter().all(|work| work.want.is_empty()),
+        stopping.iter().all(|work| work.assignments.is_empty()),
         "not before they are gone"
     );
     fixture.put(placements_key(&block), encode(&BlockPlacements::default()));
     fixture.status(3, stopping[0].number, &[]);
     let (_, anew) = fixture.plan();
-    let want: Vec<_> = anew.iter().flat_map(|work| &work.want).collect();
-    assert_eq!(want.len(), 3);
+    let assignments: Vec<_> = anew.iter().flat_map(|work| &work.assignments).collect();
+    assert_eq!(assignments.len(), 3);
     assert!(
-        want.iter()
+        assignments
+            .iter()
             .all(|wanted| wanted.attempt.gang_start() > first)
     );
 }
@@ -130,7 +146,7 @@
     fixture.placement(&work[0]);
     let block: BlockId = "a.0".into();
     let mut placements = fixture.cache.placements[&block].value.clone();
-    let done = work[0].want[1].clone();
+    let done = work[0].assignments[1].clone();
     placements.remove(&done.machine, done.attempt);
     placements
         .done
@@ -143,7 +159,7 @@
     assert!(
         messages
             .iter()
-            .all(|work| work.stop.is_empty() && work.want.is_empty())
+            .all(|work| work.stop.is_empty() && work.assignments.is_empty())
     );
     let ended = fixture.ended_jobs();
     assert_eq!(ended, [JobId(1)]);
@@ -167,8 +183,14 @@
     );
     fixture.job(3, job(1, 4.0));
     fixture.status(2, work[0].number, &[]);
-    assert!(fixture.plan().1.iter().all(|work| work.want.is_empty()));
+    assert!(
+        fixture
+            .plan()
+            .1
+            .iter()
+            .all(|work| work.assignments.is_empty())
+    );
     let gone = JobRecord::Cancelled(gang(2, 16.0), 0);
     fixture.put(job_key(JobId(2)), encode(&gone));
-    assert_eq!(fixture.plan().1[0].want.len(), 1, "{}", name(0));
+    assert_eq!(fixture.plan().1[0].assignments.len(), 1, "{}", name(0));
 }
--- a/src/queueing/mod.rs
+++ b/src/queueing/mod.rs
@@ -299,7 +299,7 @@
                 }
                 // Its holder has heard of it, does not hold it any more, and our copy shows all it recorded.
                 let settled = status.is_some_and(|status| {
-                    status.last_work >= release.message
+                    status.last_assignment_update >= release.message
                         && placements >= status.revision
                         && !status.pending.contains(number)
                 });
--- a/src/queueing/tests.rs
+++ b/src/queueing/tests.rs
@@ -5,7 +5,7 @@
 use super::*;
 use crate::config::tests::SETTINGS;
 use crate::domain::{CapacityType, Job, JobKind};
-use crate::peer::Work;
+use crate::peer::AssignmentUpdate;
 use crate::placement::tests::job;
 use crate::policy::Policy;
 use crate::provisioning::wire::InstanceTypeList;
@@ -98,13 +98,13 @@
         self.put(job_key(JobId(id)), encode(&JobRecord::Open(job)));
     }
 
-    pub(super) fn status(&mut self, machines: u32, last_work: u64, pending: &[u64]) {
+    pub(super) fn status(&mut self, machines: u32, last_assignment_update: u64, pending: &[u64]) {
         let lease = &self.cache.block_leases[&BlockId::from("a.0")];
         let status = BlockStatus {
             block: "a.0".into(),
             token: lease.value.token,
             lease_version: lease.version,
-            last_work,
+            last_assignment_update,
             pending: pending.to_vec(),
             refused: Vec::new(),
             ended: Vec::new(),
@@ -116,7 +116,7 @@
             wants_new_token: false,
             expected: machines,
             overdue: 0,
-            number: self.version * 1000 + last_work + 1,
+            number: self.version * 1000 + last_assignment_update + 1,
             machines: (0..machines)
                 .map(|n| MachineStatus {
                     machine: name(n),
@@ -134,7 +134,7 @@
         self.queues.status(self.now, status);
     }
 
-    pub(super) fn plan(&mut self) -> (Demand, Vec<Work>) {
+    pub(super) fn plan(&mut self) -> (Demand, Vec<AssignmentUpdate>) {
         let Fixture {
             config,
             policy,
@@ -177,13 +177,13 @@
     }
 
     /// Everything that is wanted is placed where the leader meant it.
-    pub(super) fn placement(&mut self, work: &Work) {
+    pub(super) fn placement(&mut self, work: &AssignmentUpdate) {
         let mut placements = self
             .cache
             .placements
             .get(&work.block)
             .map_or(BlockPlacements::default(), |p| p.value.clone());
-        for wanted in &work.want {
+        for wanted in &work.assignments {
             placements.add(&wanted.machine, wanted.attempt);
         }
         self.put(placements_key(&work.block), encode(&placements));
@@ -213,7 +213,7 @@
     let mut fixture = Fixture::new(2);
     fixture.job(1, job(1, 4.0));
     let (_, work) = fixture.plan();
-    let [wanted] = work[0].want.as_slice() else {
+    let [wanted] = work[0].assignments.as_slice() else {
         panic!("{work:?}")
     };
     let number = wanted.attempt.number;
@@ -223,14 +223,14 @@
     } else {
         0..1
     });
-    for (last_work, pending) in [(0, vec![]), (work[0].number, vec![number])] {
-        fixture.status(2, last_work, &pending);
+    for (last_assignment_update, pending) in [(0, vec![]), (work[0].number, vec![number])] {
+        fixture.status(2, last_assignment_update, &pending);
         assert!(
             fixture
                 .plan()
                 .1
                 .iter()
-                .all(|work| work.want.iter().all(|w| w.attempt.number == number))
+                .all(|work| work.assignments.iter().all(|w| w.attempt.number == number))
         );
     }
     // Heard, and neither pending nor placed: now it is free.
@@ -239,7 +239,7 @@
     let (_, work) = fixture.plan();
     assert!(
         work.iter()
-            .flat_map(|work| &work.want)
+            .flat_map(|work| &work.assignments)
             .all(|wanted| wanted.attempt.number != number)
     );
 }
@@ -250,7 +250,7 @@
     let mut fixture = Fixture::new(1);
     fixture.job(1, job(1, 16.0));
     let (_, work) = fixture.plan();
-    let number = work[0].want[0].attempt.number;
+    let number = work[0].assignments[0].attempt.number;
     fixture.placement(&work[0]);
     fixture.job(2, job(1, 16.0));
     fixture.status(1, work[0].number, &[]);
@@ -259,7 +259,7 @@
             .plan()
             .1
             .iter()
-            .map(|work| work.want.len())
+            .map(|work| work.assignments.len())
             .sum::<usize>()
     };
     assert_eq!(wanted(&mut fixture), 0);
@@ -355,7 +355,7 @@
         fixture.now.wall += waited;
         let work = fixture.plan().1;
         work.iter()
-            .flat_map(|work| &work.want)
+            .flat_map(|work| &work.assignments)
             .filter(|wanted| wanted.attempt.task.job == JobId(2))
             .count()
     };
@@ -381,7 +381,10 @@
     let mut placed = 0;
     for _ in 0..5 {
         let (demand, work) = fixture.plan();
-        placed += work.iter().map(|work| work.want.len()).sum::<usize>();
+        placed += work
+            .iter()
+            .map(|work| work.assignments.len())
+            .sum::<usize>();
         let room: f64 = demand.machines.values().sum();
         assert!(room <= 3.0 + 1e-6, "{room} machines for 48 CPUs");
         for work in &work {
@@ -498,7 +501,7 @@
     let (_, work) = fixture.plan();
     let stop = work[0].stop.clone();
     assert_eq!(stop.len(), 4);
-    let release = work[0].want[0].attempt;
+    let release = work[0].assignments[0].attempt;
     let refuse = |fixture: &mut Fixture| {
         fixture.status(1, work[0].number, &[release.number]);
         let block_state = fixture
@@ -519,7 +522,7 @@
         let work = fixture.plan().1;
         let others = work
             .iter()
-            .flat_map(|work| &work.want)
+            .flat_map(|work| &work.assignments)
             .filter(|wanted| wanted.attempt != release)
             .count();
         assert_eq!(others, 0, "the room is not for others");
@@ -568,7 +571,7 @@
         },
     );
     let (_, work) = fixture.plan();
-    let number = work[0].want[0].attempt.number;
+    let number = work[0].assignments[0].attempt.number;
     let withdrawn = |fixture: &mut Fixture, after: u64| {
         fixture.now.monotonic += Duration::from_secs(after);
         fixture.version += 1;
--- a/tests/simulation/world.rs
+++ b/tests/simulation/world.rs
@@ -1094,7 +1094,7 @@
                 let from = match &message {
                     Message::Status(status) => Some(status.controller.clone()),
                     Message::Alive(alive) => Some(alive.controller.clone()),
-                    Message::Work(_) | Message::Cancelled(_) => None,
+                    Message::AssignmentUpdates(_) | Message::Cancelled(_) => None,
                 };
                 let from =
                     from.and_then(|name| name.0.trim_start_matches("node-").parse::<usize>().ok());
