--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -14,8 +14,8 @@
 use crate::config::Config;
 use crate::domain::{Attempt, BlockId, ControllerName, MachineId, Now, Zone, since};
 use crate::features::Features;
-use crate::fleet::wire::{Heartbeat, Orders};
-use crate::fleet::{Answer, Command, CommandOutcome, Fleet, Writes};
+use crate::fleet::wire::{Heartbeat, WorkerCommands};
+use crate::fleet::{Command, CommandOutcome, Fleet, HeartbeatResponse, Writes};
 use crate::intake::{self, Intake, RequestId, Response};
 use crate::leadership::{self, Lead, Leadership};
 use crate::metrics::Metrics;
@@ -80,7 +80,7 @@
     Commanded {
         block: BlockId,
         machine: MachineId,
-        body: Orders,
+        body: WorkerCommands,
         outcome: CommandOutcome,
     },
     Called {
@@ -111,20 +111,20 @@
         to: ControllerName,
         message: Message,
     },
-    Answer {
+    RespondToUser {
         id: RequestId,
         response: Response,
     },
-    AnswerWorker {
+    RespondToWorker {
         id: RequestId,
-        answer: Answer,
+        answer: HeartbeatResponse,
         until: Instant,
     },
-    AnswerHealth {
+    RespondToHealthCheck {
         id: RequestId,
         healthy: bool,
     },
-    AnswerOperator {
+    RespondToOperator {
         id: RequestId,
         reply: operator::Reply,
     },
@@ -350,25 +350,25 @@
             Event::Submit { id, body } => {
                 let (intake, mut cx) = self.intake();
                 let response = intake.submit(now, id, &body, &mut cx);
-                effects.extend(response.map(|response| Effect::Answer { id, response }));
+                effects.extend(response.map(|response| Effect::RespondToUser { id, response }));
             }
             Event::Poll { id, job } => {
                 let (intake, mut cx) = self.intake();
                 let response = intake.poll(now, id, &job, &mut cx);
-                effects.extend(response.map(|response| Effect::Answer { id, response }));
+                effects.extend(response.map(|response| Effect::RespondToUser { id, response }));
             }
             Event::Cancel { id, job } => {
                 let (intake, mut cx) = self.intake();
                 let response = intake.cancel(now, id, &job, &mut cx);
-                effects.extend(response.map(|response| Effect::Answer { id, response }));
+                effects.extend(response.map(|response| Effect::RespondToUser { id, response }));
             }
-            Event::Health { id } => effects.push(Effect::AnswerHealth {
+            Event::Health { id } => effects.push(Effect::RespondToHealthCheck {
                 id,
                 healthy: self.healthy(now),
             }),
             Event::Operate { id, request } => {
                 let reply = self.operations.ask(now, id, request);
-                effects.extend(reply.map(|reply| Effect::AnswerOperator { id, reply }));
+                effects.extend(reply.map(|reply| Effect::RespondToOperator { id, reply }));
             }
             Event::Heartbeat { id, heartbeat } => {
                 let until = self.entitled_until(now);
@@ -382,7 +382,7 @@
                     self.fleet
                         .heartbeat(now, heartbeat, &self.config, &self.cache, entitled);
                 self.status_due = true;
-                effects.push(Effect::AnswerWorker { id, answer, until });
+                effects.push(Effect::RespondToWorker { id, answer, until });
             }
             Event::Store { tag, sent, outcome } => {
                 self.stored(now, tag, sent, outcome, &mut effects)
@@ -402,7 +402,7 @@
         }
         self.advance(now, &mut effects);
         for effect in &effects {
-            if let Effect::Answer {
+            if let Effect::RespondToUser {
                 response: Response::Problem { status, .. },
                 ..
             } = effect
@@ -468,7 +468,7 @@
                 let (intake, mut cx) = self.intake();
                 let cancelled = intake.cancelled(id, &outcome);
                 let response = intake.committed(now, id, &outcome, &mut cx);
-                effects.extend(response.map(|response| Effect::Answer { id, response }));
+                effects.extend(response.map(|response| Effect::RespondToUser { id, response }));
                 if let Some(cancelled) = cancelled {
                     self.note_cancellations([cancelled]);
                     self.tell_peers(&Message::Cancelled(vec![cancelled]), effects);
@@ -675,7 +675,7 @@
         self.tell_leader(now, effects);
         let (intake, mut cx) = self.intake();
         for (id, response) in intake.advance(now, &mut cx) {
-            effects.push(Effect::Answer { id, response });
+            effects.push(Effect::RespondToUser { id, response });
         }
         for (tag, op) in self.cache.poll(now) {
             self.ask(Urgency::Authority, StoreTag::WatchCache(tag), op);
@@ -889,7 +889,7 @@
             effects.extend(
                 replies
                     .into_iter()
-                    .map(|(id, reply)| Effect::AnswerOperator { id, reply }),
+                    .map(|(id, reply)| Effect::RespondToOperator { id, reply }),
             );
             return;
         };
@@ -911,7 +911,7 @@
             self.ask(Urgency::User, StoreTag::Operations, op);
         }
         let replies = progress.replies.into_iter();
-        effects.extend(replies.map(|(id, reply)| Effect::AnswerOperator { id, reply }));
+        effects.extend(replies.map(|(id, reply)| Effect::RespondToOperator { id, reply }));
     }
 
     /// The controller that leads, if it is another one, and its address.
--- a/src/controller/tests.rs
+++ b/src/controller/tests.rs
@@ -62,7 +62,7 @@
         let effects = controller.handle(now, Event::Health { id: 2 });
         effects
             .iter()
-            .any(|effect| matches!(effect, Effect::AnswerHealth { healthy: true, .. }))
+            .any(|effect| matches!(effect, Effect::RespondToHealthCheck { healthy: true, .. }))
     };
     assert!(healthy(at(2100), true), "it may pass");
     assert!(healthy(at(6000), false), "an outage for all");
--- a/src/fleet/block.rs
+++ b/src/fleet/block.rs
@@ -7,7 +7,7 @@
 
 use super::CommandOutcome;
 use super::parts::{Ended, PartLimits, PartsDraft, merged};
-use super::wire::{Cause, Heartbeat, Order, Orders, TaskState};
+use super::wire::{Cause, Heartbeat, TaskState, WorkerCommand, WorkerCommands};
 use super::worker::{Launch, ObservedTask, QUIET, Worker};
 use crate::config::Config;
 use crate::domain::{Attempt, BlockId, JobId, JobKind, MachineId, Now, Resources, TaskId, since};
@@ -387,15 +387,15 @@
 
     /// All that the worker should be told now. `session`: for a direct command, else for a heartbeat's answer. `entitled`:
     /// whether tasks may be started.
-    pub(super) fn orders(
+    pub(super) fn commands(
         &mut self,
         now: Now,
         machine: &MachineId,
         cache: &WatchCache,
         session: Option<u64>,
         entitled: bool,
-    ) -> Orders {
-        let mut orders = Vec::new();
+    ) -> WorkerCommands {
+        let mut commands = Vec::new();
         let token = self.token;
         if let Some(worker) = self.workers.get_mut(machine) {
             let here: BTreeMap<TaskId, u64> = self
@@ -419,7 +419,7 @@
                 match seen.state {
                     // Reaped only once its end is recorded, and never while an old launch of it may come late.
                     TaskState::Exited if !recorded && worker.may_forget(&attempt, seen.cause) => {
-                        orders.push(Order::Reap {
+                        commands.push(WorkerCommand::Reap {
                             task: *task,
                             number: attempt.wire_number(),
                         });
@@ -437,7 +437,7 @@
                             .filter(|job| job.kind != JobKind::Gang)
                             .filter(|job| job.checkpoint_every_s > 0.0 && recorded)
                             .map_or(0.0, |job| job.checkpoint_s);
-                        orders.push(Order::Stop {
+                        commands.push(WorkerCommand::Stop {
                             task: *task,
                             number: attempt.wire_number(),
                             grace_s,
@@ -470,7 +470,7 @@
                             .launches
                             .insert(attempt, Launch::Sent { at: now.monotonic });
                         worker.launched.insert(attempt);
-                        orders.push(Order::Launch {
+                        commands.push(WorkerCommand::Launch {
                             task: *task,
                             number: attempt.wire_number(),
                         });
@@ -478,10 +478,10 @@
                 }
             }
         }
-        Orders {
+        WorkerCommands {
             token,
             session,
-            orders,
+            commands,
         }
     }
 
@@ -489,7 +489,7 @@
         &mut self,
         now: Now,
         machine: &MachineId,
-        body: &Orders,
+        body: &WorkerCommands,
         outcome: CommandOutcome,
         cache: &WatchCache,
     ) {
@@ -500,8 +500,8 @@
         if worker.due {
             self.due.insert(machine.clone());
         }
-        let launched = body.orders.iter().filter_map(|order| match order {
-            Order::Launch { task, number } => Some(Attempt::from_wire(*task, *number)),
+        let launched = body.commands.iter().filter_map(|command| match command {
+            WorkerCommand::Launch { task, number } => Some(Attempt::from_wire(*task, *number)),
             _ => None,
         });
         let current = body.session == Some(worker.session) && body.token == self.token;
--- a/src/fleet/mod.rs
+++ b/src/fleet/mod.rs
@@ -22,7 +22,7 @@
 use crate::store::cache::ChangedRecords;
 use crate::store::{Op, Outcome, WatchCache, Writer};
 use block::{Block, HeartbeatSource, recorded, still_there, wanted_alive};
-use wire::{Heartbeat, Order, Orders, TaskState};
+use wire::{Heartbeat, TaskState, WorkerCommand, WorkerCommands};
 
 /// A heartbeat is overdue after this many times its interval.
 const OVERDUE: f64 = 1.5;
@@ -39,7 +39,7 @@
     pub block: BlockId,
     pub machine: MachineId,
     pub addr: String,
-    pub body: Orders,
+    pub body: WorkerCommands,
 }
 
 #[derive(Debug, Clone, PartialEq)]
@@ -52,8 +52,8 @@
 
 /// What a controller answers to a heartbeat.
 #[derive(Debug, Clone, PartialEq)]
-pub enum Answer {
-    Orders(Orders),
+pub enum HeartbeatResponse {
+    WorkerCommands(WorkerCommands),
     /// Not ours: to that controller, if known.
     Elsewhere(Option<crate::domain::ControllerName>),
     /// Not entitled to answer.
@@ -175,9 +175,9 @@
         config: &Config,
         cache: &WatchCache,
         entitled: bool,
-    ) -> Answer {
+    ) -> HeartbeatResponse {
         if !cache.ready() {
-            return Answer::Unavailable;
+            return HeartbeatResponse::Unavailable;
         }
         if !entitled {
             let block = cache
@@ -187,7 +187,7 @@
             if let Some(block) = block.filter(|block| heartbeat.token <= block.token) {
                 block.apply_heartbeat(now, heartbeat, cache, HeartbeatSource::Heartbeat);
             }
-            return Answer::Unavailable;
+            return HeartbeatResponse::Unavailable;
         }
         let Some(machine) = cache.machines.get(&heartbeat.machine) else {
             // Unknown so far: the leader takes it up.
@@ -195,7 +195,7 @@
                 .leader
                 .as_ref()
                 .map(|leader| leader.value.controller.clone());
-            return Answer::Elsewhere(leader.filter(|leader| *leader != config.name));
+            return HeartbeatResponse::Elsewhere(leader.filter(|leader| *leader != config.name));
         };
         let block_id = &machine.block;
         let Some(block) = self.blocks.get_mut(block_id) else {
@@ -204,19 +204,21 @@
                 .get(block_id)
                 .map(|lease| lease.value.holder.clone());
             self.strays.insert(heartbeat.machine, now.monotonic);
-            return Answer::Elsewhere(holder.filter(|holder| *holder != config.name));
+            return HeartbeatResponse::Elsewhere(holder.filter(|holder| *holder != config.name));
         };
         if heartbeat.token > block.token {
             // Somebody was granted the block after us. A 200 from us would be dropped and the lease run out.
-            return Answer::Elsewhere(None);
+            return HeartbeatResponse::Elsewhere(None);
         }
         let id = heartbeat.machine.clone();
         let here = block.placements.on.get(&id).map_or(0, Vec::len);
         self.looked += (1 + heartbeat.tasks.len() + here) as u64;
         block.apply_heartbeat(now, heartbeat, cache, HeartbeatSource::Heartbeat);
         match block.workers.get(&id) {
-            Some(_) => Answer::Orders(block.orders(now, &id, cache, None, true)),
-            None => Answer::Unavailable,
+            Some(_) => {
+                HeartbeatResponse::WorkerCommands(block.commands(now, &id, cache, None, true))
+            }
+            None => HeartbeatResponse::Unavailable,
         }
     }
 
@@ -225,7 +227,7 @@
         now: Now,
         block: &BlockId,
         machine: &MachineId,
-        body: &Orders,
+        body: &WorkerCommands,
         outcome: CommandOutcome,
         cache: &WatchCache,
     ) {
@@ -368,9 +370,9 @@
                 // Of a worker that has not reported yet only the address is known. If its session is another than the
                 // first, it says so, and executes nothing.
                 let session = worker.session.max(1);
-                let mut body = block.orders(now, &machine, cache, Some(session), entitled);
+                let mut body = block.commands(now, &machine, cache, Some(session), entitled);
                 if !entitled {
-                    body.orders.retain(|order| is_final(order, cache));
+                    body.commands.retain(|command| is_final(command, cache));
                 }
                 let id = block.id.clone();
                 let token = block.token;
@@ -379,7 +381,7 @@
                 };
                 // What else it is to be told waits until we are entitled again: the next review finds it.
                 worker.due = !entitled;
-                if body.orders.is_empty() && (worker.token >= token || !entitled) && !probe {
+                if body.commands.is_empty() && (worker.token >= token || !entitled) && !probe {
                     continue;
                 }
                 if probe {
@@ -493,11 +495,11 @@
 }
 
 /// Whether a command only ends a task whose job is known to be cancelled or over.
-fn is_final(order: &Order, cache: &WatchCache) -> bool {
+fn is_final(command: &WorkerCommand, cache: &WatchCache) -> bool {
     let over = |job| {
         cache.ended.contains_key(&job) || cache.open.contains_key(&job) && !wanted_alive(cache, job)
     };
-    matches!(order, Order::Stop { task, .. } if over(task.job))
+    matches!(command, WorkerCommand::Stop { task, .. } if over(task.job))
 }
 
 /// How long a machine that has reported to another controller than its holder counts as heard there: a worker whose
--- a/src/fleet/tests.rs
+++ b/src/fleet/tests.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use super::block::{LOOK_AGAIN, RENEW_AFTER};
-use super::wire::{Cause, Order, TaskStatus};
+use super::wire::{Cause, TaskStatus, WorkerCommand};
 use super::worker::PROBE_AGAIN;
 use super::*;
 use crate::config::tests::SETTINGS;
@@ -138,7 +138,7 @@
         machine: &str,
         token: u64,
         tasks: &[(u64, TaskState, Option<Cause>)],
-    ) -> Answer {
+    ) -> HeartbeatResponse {
         let heartbeat = self.message(machine, token, tasks);
         self.fleet
             .heartbeat(self.now, heartbeat, &self.config, &self.cache, true)
@@ -231,13 +231,13 @@
     }
 
     /// The orders that go out without a block lease that is known to last.
-    fn unentitled(&mut self) -> Vec<Order> {
+    fn unentitled(&mut self) -> Vec<WorkerCommand> {
         let commands = self
             .fleet
             .commands(self.now, &self.config, &self.cache, false);
         commands
             .into_iter()
-            .flat_map(|command| command.body.orders)
+            .flat_map(|command| command.body.commands)
             .collect()
     }
 }
@@ -272,7 +272,7 @@
     }));
     assert_eq!(holder.unentitled(), []);
     holder.cancel();
-    let stop = Order::Stop {
+    let stop = WorkerCommand::Stop {
         task: TaskId {
             job: JobId(1),
             index: 0,
@@ -286,7 +286,7 @@
     let answer = holder
         .fleet
         .heartbeat(holder.now, gone, &holder.config, &holder.cache, false);
-    assert_eq!(answer, Answer::Unavailable);
+    assert_eq!(answer, HeartbeatResponse::Unavailable);
     assert!(
         holder
             .fleet
@@ -310,14 +310,14 @@
     holder.cancel();
     let shown = holder.message("m-1", 4, &[(9, TaskState::Fetching, None)]);
     holder.answer(&command, CommandOutcome::Executed(shown));
-    let orders: Vec<Order> = holder
+    let commands: Vec<WorkerCommand> = holder
         .commands()
         .into_iter()
-        .flat_map(|command| command.body.orders)
+        .flat_map(|command| command.body.commands)
         .collect();
     assert!(
-        matches!(orders[..], [Order::Stop { number: 9, .. }]),
-        "{orders:?}"
+        matches!(commands[..], [WorkerCommand::Stop { number: 9, .. }]),
+        "{commands:?}"
     );
 }
 
@@ -402,9 +402,9 @@
 }
 
 fn launches(commands: &[Command]) -> usize {
-    let orders = commands.iter().flat_map(|command| &command.body.orders);
-    orders
-        .filter(|order| matches!(order, Order::Launch { .. }))
+    let commands = commands.iter().flat_map(|command| &command.body.commands);
+    commands
+        .filter(|command| matches!(command, WorkerCommand::Launch { .. }))
         .count()
 }
 
@@ -443,11 +443,11 @@
     let failed = [(9, TaskState::Exited, Some(Cause::Error))];
     holder.heartbeat("m-1", 4, &failed);
     assert_eq!(holder.write(), []);
-    let reaped = |answer: Answer| match answer {
-        Answer::Orders(orders) => orders
-            .orders
+    let reaped = |answer: HeartbeatResponse| match answer {
+        HeartbeatResponse::WorkerCommands(commands) => commands
+            .commands
             .iter()
-            .any(|order| matches!(order, Order::Reap { .. })),
+            .any(|command| matches!(command, WorkerCommand::Reap { .. })),
         other => panic!("{other:?}"),
     };
     assert!(
@@ -597,11 +597,11 @@
     let stopped = [(9, TaskState::Exited, Some(Cause::Stopped))];
     holder.heartbeat("m-1", 4, &stopped);
     assert_eq!(holder.write(), []);
-    let reaped = |answer: Answer| match answer {
-        Answer::Orders(orders) => orders
-            .orders
+    let reaped = |answer: HeartbeatResponse| match answer {
+        HeartbeatResponse::WorkerCommands(commands) => commands
+            .commands
             .iter()
-            .any(|order| matches!(order, Order::Reap { .. })),
+            .any(|command| matches!(command, WorkerCommand::Reap { .. })),
         other => panic!("{other:?}"),
     };
     assert!(!reaped(holder.heartbeat("m-1", 4, &stopped)));
@@ -686,7 +686,7 @@
         (
             command.body.token,
             command.body.session,
-            command.body.orders.len()
+            command.body.commands.len()
         ),
         (6, Some(1), 0)
     );
@@ -836,13 +836,16 @@
 #[test]
 fn a_heartbeat_with_a_higher_token_or_an_old_block_lease_is_not_answered_with_commands() {
     let mut holder = Holder::new(job(1, 1.0));
-    assert_eq!(holder.heartbeat("m-1", 5, &[]), Answer::Elsewhere(None));
+    assert_eq!(
+        holder.heartbeat("m-1", 5, &[]),
+        HeartbeatResponse::Elsewhere(None)
+    );
     let heartbeat = holder.message("m-1", 4, &[]);
     let answer =
         holder
             .fleet
             .heartbeat(holder.now, heartbeat, &holder.config, &holder.cache, false);
-    assert_eq!(answer, Answer::Unavailable);
+    assert_eq!(answer, HeartbeatResponse::Unavailable);
 }
 
 /// Found on the bench: each end was recorded by itself as it came, and starts waited up to two seconds for a write.
--- a/src/fleet/wire.rs
+++ b/src/fleet/wire.rs
@@ -84,19 +84,19 @@
 
 /// The answer to a heartbeat, and the body of a direct command.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Orders {
+pub struct WorkerCommands {
     #[serde(rename = "seal")]
     pub token: u64,
     /// Only in direct commands.
     #[serde(rename = "shift", skip_serializing_if = "Option::is_none")]
     pub session: Option<u64>,
     #[serde(rename = "orders")]
-    pub orders: Vec<Order>,
+    pub commands: Vec<WorkerCommand>,
 }
 
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "order")]
-pub enum Order {
+pub enum WorkerCommand {
     #[serde(rename = "launch")]
     Launch {
         #[serde(rename = "entry")]
--- a/src/fleet/wire/tests.rs
+++ b/src/fleet/wire/tests.rs
@@ -31,17 +31,17 @@
 #[test]
 fn orders_have_the_form_of_the_protocol() {
     let task = "j-000377/1".parse().expect("valid");
-    let orders = Orders {
+    let commands = WorkerCommands {
         token: 41,
         session: Some(1),
-        orders: vec![Order::Stop {
+        commands: vec![WorkerCommand::Stop {
             task,
             number: 1,
             grace_s: 10.0,
         }],
     };
     let value: ciborium::Value =
-        ciborium::from_reader(bytes_of(&orders).as_slice()).expect("readable");
+        ciborium::from_reader(bytes_of(&commands).as_slice()).expect("readable");
     let expected = cbor!({
         "seal" => 41, "shift" => 1,
         "orders" => [{"order" => "stop", "entry" => "j-000377/1", "try" => 1, "leaveS" => 10.0}]
--- a/src/http/server.rs
+++ b/src/http/server.rs
@@ -19,7 +19,7 @@
 
 use super::{read, write};
 use crate::domain::Now;
-use crate::fleet::Answer;
+use crate::fleet::HeartbeatResponse;
 use crate::fleet::wire::{Heartbeat, Redirect};
 use crate::intake::Response;
 use crate::peer::Message;
@@ -32,7 +32,7 @@
     Cancel(String, oneshot::Sender<Response>),
     Health(oneshot::Sender<bool>),
     /// The answer comes with the time until which it may be given.
-    Heartbeat(Heartbeat, oneshot::Sender<(Answer, Instant)>),
+    Heartbeat(Heartbeat, oneshot::Sender<(HeartbeatResponse, Instant)>),
     Peer(Message),
     Operate(operator::Request, oneshot::Sender<operator::Reply>),
     Metrics(oneshot::Sender<String>),
@@ -205,10 +205,12 @@
     // We may have stood still since the answer was decided: a worker's lease is not renewed on an authority that is over.
     let show = |(answer, until)| {
         answer_worker(
-            if Now::read().monotonic < until || !matches!(answer, Answer::Orders(_)) {
+            if Now::read().monotonic < until
+                || !matches!(answer, HeartbeatResponse::WorkerCommands(_))
+            {
                 answer
             } else {
-                Answer::Unavailable
+                HeartbeatResponse::Unavailable
             },
         )
     };
@@ -222,11 +224,11 @@
     Ok(response)
 }
 
-fn answer_worker(answer: Answer) -> HttpResponse {
+fn answer_worker(answer: HeartbeatResponse) -> HttpResponse {
     match answer {
-        Answer::Orders(orders) => reply_cbor(200, &orders),
-        Answer::Elsewhere(holder) => reply_cbor(421, &Redirect { holder }),
-        Answer::Unavailable => busy(),
+        HeartbeatResponse::WorkerCommands(commands) => reply_cbor(200, &commands),
+        HeartbeatResponse::Elsewhere(holder) => reply_cbor(421, &Redirect { holder }),
+        HeartbeatResponse::Unavailable => busy(),
     }
 }
 
--- a/src/provisioning/mod.rs
+++ b/src/provisioning/mod.rs
@@ -27,8 +27,8 @@
 use crate::leadership::Lead;
 use crate::policy::Policy;
 use crate::store::records::{
-    DRAIN_FORMAT, InventoryEntry, LEADER, MachineState, Order, PARTS_FORMAT, inventory_part_key,
-    order_key,
+    DRAIN_FORMAT, InventoryEntry, LEADER, MachineState, PARTS_FORMAT, PendingRental,
+    inventory_part_key, pending_rental_key,
 };
 use crate::store::{Op, Outcome, Txn, WatchCache, Writer};
 use boot_times::BootTimes;
@@ -111,7 +111,7 @@
     renting: BTreeMap<InstanceTypeName, Instant>,
     rent_retry: BTreeMap<InstanceTypeName, Instant>,
     /// Rented machines that are not yet recorded.
-    rented: BTreeMap<InstanceTypeName, (Order, u64, Vec<MachineId>)>,
+    rented: BTreeMap<InstanceTypeName, (PendingRental, u64, Vec<MachineId>)>,
     deleting: Option<Vec<MachineId>>,
     delete_retry: Option<Instant>,
     deleted: BTreeSet<MachineId>,
@@ -188,7 +188,7 @@
     InstanceCatalog,
     Rent {
         type_name: InstanceTypeName,
-        order: Order,
+        pending_rental: PendingRental,
         version: u64,
     },
     Delete(Vec<MachineId>),
@@ -480,7 +480,7 @@
         if !cache.covers(self.term_since) {
             return calls;
         }
-        for (type_name, order) in &cache.orders {
+        for (type_name, pending_rental) in &cache.pending_rentals {
             let busy = self.renting.contains_key(type_name) || self.rented.contains_key(type_name);
             let waiting = self
                 .rent_retry
@@ -490,18 +490,18 @@
                 continue;
             }
             self.renting.insert(type_name.clone(), now.monotonic);
-            let order = order.clone();
+            let pending_rental = pending_rental.clone();
             let request = RentRequest {
-                request: order.value.request.clone(),
+                request: pending_rental.value.request.clone(),
                 type_name: type_name.clone(),
-                zone: order.value.zone.clone(),
-                spot: order.value.capacity_type.is_spot(),
-                count: order.value.count,
+                zone: pending_rental.value.zone.clone(),
+                spot: pending_rental.value.capacity_type.is_spot(),
+                count: pending_rental.value.count,
             };
             let tag = Tag::Rent {
                 type_name: type_name.clone(),
-                order: order.value,
-                version: order.version,
+                pending_rental: pending_rental.value,
+                version: pending_rental.version,
             };
             calls.push((tag, Call::Rent(request)));
         }
@@ -554,7 +554,7 @@
             (
                 Tag::Rent {
                     type_name,
-                    order,
+                    pending_rental,
                     version,
                 },
                 outcome,
@@ -563,9 +563,9 @@
                 match outcome {
                     CallOutcome::Rented(names) => {
                         let got = names.machines.len();
-                        info!(%type_name, zone = %order.zone, capacity_type = ?order.capacity_type, wanted = order.count, got, "rented");
-                        if got < order.count as usize {
-                            self.out_of_stock(now, policy, &type_name, &order);
+                        info!(%type_name, zone = %pending_rental.zone, capacity_type = ?pending_rental.capacity_type, wanted = pending_rental.count, got, "rented");
+                        if got < pending_rental.count as usize {
+                            self.mark_unavailable(now, policy, &type_name, &pending_rental);
                         }
                         self.booting.extend(
                             names
@@ -574,12 +574,13 @@
                                 .map(|machine| (machine.clone(), now.monotonic)),
                         );
                         self.rented
-                            .insert(type_name, (order, version, names.machines));
+                            .insert(type_name, (pending_rental, version, names.machines));
                     }
                     CallOutcome::NoCapacity => {
-                        debug!(%type_name, zone = %order.zone, capacity_type = ?order.capacity_type, "no capacity");
-                        self.out_of_stock(now, policy, &type_name, &order);
-                        self.rented.insert(type_name, (order, version, Vec::new()));
+                        debug!(%type_name, zone = %pending_rental.zone, capacity_type = ?pending_rental.capacity_type, "no capacity");
+                        self.mark_unavailable(now, policy, &type_name, &pending_rental);
+                        self.rented
+                            .insert(type_name, (pending_rental, version, Vec::new()));
                     }
                     _ => {
                         self.rent_retry.insert(type_name, now.monotonic + RETRY);
@@ -612,14 +613,18 @@
         }
     }
 
-    fn out_of_stock(
+    fn mark_unavailable(
         &mut self,
         now: Now,
         policy: &Policy,
         type_name: &InstanceTypeName,
-        order: &Order,
+        pending_rental: &PendingRental,
     ) {
-        let key = (type_name.clone(), order.zone.clone(), order.capacity_type);
+        let key = (
+            type_name.clone(),
+            pending_rental.zone.clone(),
+            pending_rental.capacity_type,
+        );
         self.stockouts
             .insert(key, now.monotonic + policy.stockout_memory);
     }
@@ -704,11 +709,11 @@
         // Recorded already, if our copy no longer has the order.
         self.rented.retain(|name, (_, version, _)| {
             cache
-                .orders
+                .pending_rentals
                 .get(name)
                 .is_some_and(|o| o.version == *version)
         });
-        let (name, (order, version, machines)) = self.rented.iter().next()?;
+        let (name, (pending_rental, version, machines)) = self.rented.iter().next()?;
         let mut edits = Edits::new(lead, cache, demand);
         for machine in machines
             .iter()
@@ -716,18 +721,18 @@
         {
             let entry = InventoryEntry {
                 type_name: name.clone(),
-                capacity_type: order.capacity_type,
+                capacity_type: pending_rental.capacity_type,
                 state: MachineState::InService,
                 rented_s: now.unix_ms() / 1000,
             };
             // What does not fit this transaction reports, or is listed, and is taken up then.
-            edits.add(&order.zone, machine, entry, 1);
+            edits.add(&pending_rental.zone, machine, entry, 1);
         }
         Some(
             edits.apply(
                 txn.clone()
-                    .when(order_key(name), *version)
-                    .delete(order_key(name)),
+                    .when(pending_rental_key(name), *version)
+                    .delete(pending_rental_key(name)),
             ),
         )
     }
@@ -779,7 +784,8 @@
             .retain(|id, _| !cache.machines.contains_key(id));
         // An order under way may explain it.
         let known = |listed: &ListedMachine, at: Instant| {
-            !cache.orders.contains_key(&listed.type_name) || since(now, at) > Duration::from_secs(5)
+            !cache.pending_rentals.contains_key(&listed.type_name)
+                || since(now, at) > Duration::from_secs(5)
         };
         let take: Vec<ListedMachine> = self
             .unexpected
--- a/src/provisioning/round.rs
+++ b/src/provisioning/round.rs
@@ -11,7 +11,7 @@
 use super::{ASK_AGAIN, Demand, MOST_RENTED, Pool, Provisioner, Runs, rule};
 use crate::domain::{BlockId, CapacityType, MachineId, Now, Zone, since};
 use crate::leadership::Lead;
-use crate::store::records::{MachineState, Order, order_key};
+use crate::store::records::{MachineState, PendingRental, pending_rental_key};
 use crate::store::{Machine, Txn, WatchCache};
 
 /// What a round goes by.
@@ -72,7 +72,7 @@
         for instance_type in lead
             .catalog
             .all()
-            .filter(|instance_type| !cache.orders.contains_key(&instance_type.name))
+            .filter(|instance_type| !cache.pending_rentals.contains_key(&instance_type.name))
         {
             let shortages = [CapacityType::OnDemand, CapacityType::Spot].map(|capacity_type| {
                 let pool = (instance_type.name.clone(), capacity_type);
@@ -80,12 +80,12 @@
                 self.return_surplus(round, &pool, available, &mut edits);
                 self.shortage(round, instance_type, &pool, available)
             });
-            if let Some(order) = Shortage::worst(shortages)
-                .and_then(|shortage| self.order(round, instance_type, shortage))
+            if let Some(pending_rental) = Shortage::worst(shortages)
+                .and_then(|shortage| self.pending_rental(round, instance_type, shortage))
             {
                 txn = txn
-                    .when(order_key(&instance_type.name), 0)
-                    .put(order_key(&instance_type.name), &order);
+                    .when(pending_rental_key(&instance_type.name), 0)
+                    .put(pending_rental_key(&instance_type.name), &pending_rental);
                 ordered = true;
             }
         }
@@ -155,12 +155,12 @@
     }
 
     /// The order for a shortage, unless it was asked for in vain just now.
-    fn order(
+    fn pending_rental(
         &mut self,
         round: Round<'_>,
         instance_type: &InstanceType,
         shortage: Shortage,
-    ) -> Option<Order> {
+    ) -> Option<PendingRental> {
         let Round {
             now, lead, cache, ..
         } = round;
@@ -185,14 +185,14 @@
                 .insert(instance_type.name.clone(), now.monotonic);
         }
         self.next_request += 1;
-        let order = Order {
+        let pending_rental = PendingRental {
             request: format!("r-{}-{}", self.term, self.next_request),
             zone,
             capacity_type,
             count: u32::try_from(count.min(MOST_RENTED)).unwrap_or(1),
         };
-        info!(request = %order.request, type_name = %instance_type.name, zone = %order.zone, ?capacity_type, count, "order");
-        Some(order)
+        info!(request = %pending_rental.request, type_name = %instance_type.name, zone = %pending_rental.zone, ?capacity_type, count, "order");
+        Some(pending_rental)
     }
 
     /// A zone in which tasks wait that may not go elsewhere, and the machines that are not yet on order for them.
--- a/src/provisioning/tests.rs
+++ b/src/provisioning/tests.rs
@@ -8,7 +8,7 @@
 use crate::policy::Policy;
 use crate::provisioning::wire::tests::instance_type;
 use crate::store::Change;
-use crate::store::records::Order;
+use crate::store::records::PendingRental;
 use crate::store::records::{
     BlockPlacements, JobRecord, MachineInventory, MachineState, encode, inventory_key, job_key,
     placements_key,
@@ -250,13 +250,13 @@
     let ordered = |spot_is_out: bool| {
         let mut provisioner = Provisioner::new(now, 1);
         if spot_is_out {
-            let order = Order {
+            let pending_rental = PendingRental {
                 request: "r".into(),
                 zone: "a".into(),
                 capacity_type: CapacityType::Spot,
                 count: 50,
             };
-            provisioner.out_of_stock(now, &policy, &name, &order);
+            provisioner.mark_unavailable(now, &policy, &name, &pending_rental);
         }
         let worst = [CapacityType::OnDemand, CapacityType::Spot].map(|capacity_type| {
             let pool = (name.clone(), capacity_type);
--- a/src/service.rs
+++ b/src/service.rs
@@ -13,7 +13,7 @@
 use crate::domain::{ControllerName, Now};
 use crate::features::Features;
 use crate::fleet::wire::Heartbeat;
-use crate::fleet::{Answer, COMMAND_PART, Command, CommandOutcome};
+use crate::fleet::{COMMAND_PART, Command, CommandOutcome, HeartbeatResponse};
 use crate::http::server::{self, Door, Incoming, MOST_WAITING};
 use crate::http::{Client, Request, read, write};
 use crate::intake::{RequestId, Response};
@@ -82,7 +82,7 @@
 
 enum Waiting {
     User(oneshot::Sender<Response>, Instant),
-    Worker(oneshot::Sender<(Answer, Instant)>),
+    Worker(oneshot::Sender<(HeartbeatResponse, Instant)>),
     Health(oneshot::Sender<bool>),
     Operator(oneshot::Sender<operator::Reply>),
 }
@@ -201,7 +201,7 @@
 
     fn perform(&mut self, effect: Effect) {
         match effect {
-            Effect::Answer { id, response } => {
+            Effect::RespondToUser { id, response } => {
                 if let Some(Waiting::User(reply, since)) = self.waiting.remove(&id) {
                     if matches!(response, Response::State { status: 201, .. }) {
                         let took = u64::try_from(since.elapsed().as_millis()).unwrap_or(u64::MAX);
@@ -211,17 +211,17 @@
                     let _ = reply.send(response);
                 }
             }
-            Effect::AnswerWorker { id, answer, until } => {
+            Effect::RespondToWorker { id, answer, until } => {
                 if let Some(Waiting::Worker(reply)) = self.waiting.remove(&id) {
                     let _ = reply.send((answer, until));
                 }
             }
-            Effect::AnswerHealth { id, healthy } => {
+            Effect::RespondToHealthCheck { id, healthy } => {
                 if let Some(Waiting::Health(reply)) = self.waiting.remove(&id) {
                     let _ = reply.send(healthy);
                 }
             }
-            Effect::AnswerOperator { id, reply } => {
+            Effect::RespondToOperator { id, reply } => {
                 if let Some(Waiting::Operator(waiting)) = self.waiting.remove(&id) {
                     // Whoever asked may be gone.
                     let _ = waiting.send(reply);
--- a/src/store/cache.rs
+++ b/src/store/cache.rs
@@ -8,8 +8,8 @@
 
 use super::records::{
     AttemptEncoding, BlockLease, BlockPlacements, CHUNK, Change, FormatSwitch, JobRecord, Leader,
-    MachineInventory, MachineState, Member, NOWHERE, Order, Part, Progress, ROOT, Ranges, Record,
-    Records, Token,
+    MachineInventory, MachineState, Member, NOWHERE, Part, PendingRental, Progress, ROOT, Ranges,
+    Record, Records, Token,
 };
 use super::{Op, Outcome};
 use crate::config::StateLimits;
@@ -167,7 +167,7 @@
     inventory_parts: BTreeMap<BlockId, Parts<MachineInventory>>,
     /// All machines of all inventories.
     pub machines: BTreeMap<MachineId, Machine>,
-    pub orders: BTreeMap<InstanceTypeName, Versioned<Order>>,
+    pub pending_rentals: BTreeMap<InstanceTypeName, Versioned<PendingRental>>,
     pub open: BTreeMap<JobId, OpenJob>,
     pub ended: HashMap<JobId, (JobOutcome, u32)>,
     pub progress: BTreeMap<(JobId, u32), Versioned<Progress>>,
@@ -254,7 +254,7 @@
             inventories: BTreeMap::new(),
             inventory_parts: BTreeMap::new(),
             machines: BTreeMap::new(),
-            orders: BTreeMap::new(),
+            pending_rentals: BTreeMap::new(),
             open: BTreeMap::new(),
             ended: HashMap::new(),
             progress: BTreeMap::new(),
@@ -632,8 +632,8 @@
                 set_in(&mut self.drain_ledgers, team, change);
             }
             Records::MachineInventory(block, part) => self.apply_inventory(block, part, change),
-            Records::Order(name) => {
-                set_in(&mut self.orders, name, change);
+            Records::PendingRental(name) => {
+                set_in(&mut self.pending_rentals, name, change);
             }
             Records::BlockPlacements(block, part) => self.apply_placements(block, part, change),
             Records::Job(job) => self.apply_job(job, version, change),
--- a/src/store/records.rs
+++ b/src/store/records.rs
@@ -77,7 +77,7 @@
 pub fn drain_ledger_key(team: &Team) -> String {
     format!("{ROOT}drain_ledger/{team}")
 }
-pub fn order_key(name: &InstanceTypeName) -> String {
+pub fn pending_rental_key(name: &InstanceTypeName) -> String {
     format!("{ROOT}order/{name}")
 }
 pub fn job_key(job: JobId) -> String {
@@ -319,7 +319,7 @@
 
 /// A rental request that may have been sent. Written before it is.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Order {
+pub struct PendingRental {
     pub request: String,
     pub zone: Zone,
     #[serde(rename = "tenure")]
@@ -614,7 +614,7 @@
     FormatSwitch,
     BlockLease,
     MachineInventory,
-    Order,
+    PendingRental,
     BlockPlacements,
     JobRecord,
     Progress,
@@ -642,7 +642,7 @@
     Format,
     BlockPlacements(BlockId, Part),
     MachineInventory(BlockId, Part),
-    Order(InstanceTypeName),
+    PendingRental(InstanceTypeName),
     Job(JobId),
     Progress(JobId, u32),
     Drain(DrainId),
@@ -673,7 +673,7 @@
             Some(("drain", rest)) => rest.parse().ok().map(Records::Drain),
             Some(("drain_budget", rest)) => Some(Records::DrainBudget(rest.into())),
             Some(("drain_ledger", rest)) => Some(Records::DrainLedger(rest.into())),
-            Some(("order", rest)) => Some(Records::Order(rest.into())),
+            Some(("order", rest)) => Some(Records::PendingRental(rest.into())),
             Some(("job", rest)) => rest.parse().ok().map(Records::Job),
             Some(("progress", rest)) => {
                 let (job, chunk) = rest.split_once('/')?;
--- a/src/store/records/tests.rs
+++ b/src/store/records/tests.rs
@@ -180,7 +180,7 @@
             Some(Records::MachineInventory(_, FIRST_PART)) => {
                 comes_back::<MachineInventory>(&value)
             }
-            Some(Records::Order(_)) => comes_back::<Order>(&value),
+            Some(Records::PendingRental(_)) => comes_back::<PendingRental>(&value),
             Some(Records::Job(_)) => comes_back::<JobRecord>(&value),
             Some(Records::Progress(..)) => comes_back::<Progress>(&value),
             Some(other) => panic!("production does not know {other:?}"),
--- a/tests/loopback/workers.rs
+++ b/tests/loopback/workers.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use dappleshore::domain::TaskId;
-use dappleshore::fleet::wire::{Heartbeat, Orders, Redirect};
+use dappleshore::fleet::wire::{Heartbeat, Redirect, WorkerCommands};
 use dappleshore::http::{Client, Request, read, write};
 use tokio::net::TcpListener;
 use warp::Filter;
@@ -45,8 +45,8 @@
     Some(Heartbeat { addr, ..heartbeat })
 }
 
-/// Executes orders that come with a token that is not too low.
-fn execute(fleet: &mut Fleet, name: &str, orders: &Orders) -> bool {
+/// Executes commands that come with a token that is not too low.
+fn execute(fleet: &mut Fleet, name: &str, commands: &WorkerCommands) -> bool {
     let Fleet {
         machines,
         jobs,
@@ -56,23 +56,23 @@
     let Some(machine) = machines.get_mut(name) else {
         return false;
     };
-    let other_session = orders
+    let other_session = commands
         .session
         .is_some_and(|session| session != machine.session);
-    if orders.token < machine.token || other_session {
+    if commands.token < machine.token || other_session {
         return false;
     }
-    machine.changed |= orders.token > machine.token;
-    machine.token = orders.token;
-    let happened = machine.execute(&orders.orders, jobs, results, runs_for);
+    machine.changed |= commands.token > machine.token;
+    machine.token = commands.token;
+    let happened = machine.execute(&commands.commands, jobs, results, runs_for);
     fleet.happened(name, happened);
     true
 }
 
 fn command(name: &str, body: &[u8], fleet: &Mutex<Fleet>) -> Response {
     let mut fleet = lock(fleet);
-    let executed = match read::<Orders>(body) {
-        Some(orders) => execute(&mut fleet, name, &orders),
+    let executed = match read::<WorkerCommands>(body) {
+        Some(commands) => execute(&mut fleet, name, &commands),
         None => false,
     };
     let heartbeat = heartbeat(&mut fleet, name);
@@ -115,7 +115,7 @@
                     &name,
                     session,
                     sent,
-                    read::<Orders>(&reply.body),
+                    read::<WorkerCommands>(&reply.body),
                 );
                 None
             }
@@ -172,14 +172,20 @@
     Some(if due { heartbeat(fleet, name) } else { None })
 }
 
-fn answered(fleet: &mut Fleet, name: &str, session: u64, sent: Duration, orders: Option<Orders>) {
+fn answered(
+    fleet: &mut Fleet,
+    name: &str,
+    session: u64,
+    sent: Duration,
+    commands: Option<WorkerCommands>,
+) {
     let Some(machine) = fleet.machines.get_mut(name) else {
         return;
     };
-    let Some(orders) = orders.filter(|_| machine.session == session) else {
+    let Some(commands) = commands.filter(|_| machine.session == session) else {
         return;
     };
-    if execute(fleet, name, &orders)
+    if execute(fleet, name, &commands)
         && let Some(machine) = fleet.machines.get_mut(name)
     {
         machine.lease_from = sent;
--- a/tests/simulation/machine.rs
+++ b/tests/simulation/machine.rs
@@ -6,7 +6,9 @@
 use dappleshore::domain::{
     Amount, CapacityType, InstanceTypeName, Job, JobId, JobKind, Resources, TaskId, Zone,
 };
-use dappleshore::fleet::wire::{Cause, Heartbeat, Order, Orders, TaskState, TaskStatus};
+use dappleshore::fleet::wire::{
+    Cause, Heartbeat, TaskState, TaskStatus, WorkerCommand, WorkerCommands,
+};
 
 #[derive(Debug)]
 pub struct Task {
@@ -50,7 +52,7 @@
     pub last_heartbeat: Duration,
     pub changed: bool,
     /// What came while it hung.
-    pub backlog: Vec<Orders>,
+    pub backlog: Vec<WorkerCommands>,
 }
 
 /// What a machine's doings mean to the rules.
@@ -128,18 +130,18 @@
         free
     }
 
-    /// Executes commands in order.
+    /// Executes commands in command.
     pub fn execute(
         &mut self,
-        orders: &[Order],
+        commands: &[WorkerCommand],
         jobs: &BTreeMap<JobId, Job>,
         results: &BTreeSet<TaskId>,
         run_for: impl Fn(TaskId) -> Duration,
     ) -> Vec<MachineEvent> {
         let mut happened = Vec::new();
-        for order in orders {
-            match order {
-                Order::Launch { task, number } => {
+        for command in commands {
+            match command {
+                WorkerCommand::Launch { task, number } => {
                     let free = self.free(jobs);
                     let known = self.tasks.get(task);
                     if known.is_some_and(|known| known.number == *number) {
@@ -178,7 +180,7 @@
                         happened.extend(self.has_image(*task, jobs, results, &run_for));
                     }
                 }
-                Order::Stop { task, number, .. } => {
+                WorkerCommand::Stop { task, number, .. } => {
                     if let Some(t) = self.tasks.get_mut(task).filter(|t| t.number == *number)
                         && t.state != TaskState::Exited
                     {
@@ -190,7 +192,7 @@
                         self.changed = true;
                     }
                 }
-                Order::Reap { task, number } => {
+                WorkerCommand::Reap { task, number } => {
                     let exited = |t: &Task| t.number == *number && t.state == TaskState::Exited;
                     if self.tasks.get(task).is_some_and(exited) {
                         self.tasks.remove(task);
--- a/tests/simulation/world.rs
+++ b/tests/simulation/world.rs
@@ -11,8 +11,8 @@
     Amount, CapacityType, Job, JobId, JobKind, Now, Priority, Resources, TaskId, Zone,
 };
 use dappleshore::features::Features;
-use dappleshore::fleet::wire::{Heartbeat, Orders, TaskState};
-use dappleshore::fleet::{Answer, Command, CommandOutcome};
+use dappleshore::fleet::wire::{Heartbeat, TaskState, WorkerCommands};
+use dappleshore::fleet::{Command, CommandOutcome, HeartbeatResponse};
 use dappleshore::intake::Response;
 use dappleshore::peer::Message;
 use dappleshore::policy::Policy;
@@ -190,7 +190,7 @@
         seq: u64,
         sent: Duration,
         controller: usize,
-        answer: Option<Answer>,
+        answer: Option<HeartbeatResponse>,
     },
     Fault(Fault),
     /// What a test has planned for this moment.
@@ -983,19 +983,25 @@
                 }
             }
             Effect::Unsupported { format } => panic!("format {format} is not known"),
-            Effect::Answer { id, response } => match self.slots[controller].waiting.remove(&id) {
-                Some(Asker::User { user, asked }) => self.user_answered(user, asked, &response),
-                Some(Asker::Odd { expected }) => {
-                    let (Response::State { status, .. } | Response::Problem { status, .. }) =
-                        response;
-                    self.rules.odd_answered(self.now, expected, status);
+            Effect::RespondToUser { id, response } => {
+                match self.slots[controller].waiting.remove(&id) {
+                    Some(Asker::User { user, asked }) => self.user_answered(user, asked, &response),
+                    Some(Asker::Odd { expected }) => {
+                        let (Response::State { status, .. } | Response::Problem { status, .. }) =
+                            response;
+                        self.rules.odd_answered(self.now, expected, status);
+                    }
+                    _ => {}
                 }
-                _ => {}
-            },
-            Effect::AnswerWorker { id, answer, until } => {
+            }
+            Effect::RespondToWorker { id, answer, until } => {
                 let over = self.clock(controller).monotonic >= until
-                    && matches!(answer, Answer::Orders(_));
-                let answer = if over { Answer::Unavailable } else { answer };
+                    && matches!(answer, HeartbeatResponse::WorkerCommands(_));
+                let answer = if over {
+                    HeartbeatResponse::Unavailable
+                } else {
+                    answer
+                };
                 if let Some(Asker::Worker {
                     machine,
                     session,
@@ -1024,8 +1030,8 @@
                     }
                 }
             }
-            Effect::AnswerHealth { .. } => {}
-            Effect::AnswerOperator { id, reply } => {
+            Effect::RespondToHealthCheck { .. } => {}
+            Effect::RespondToOperator { id, reply } => {
                 if let Some(Asker::Operator(operator)) = self.slots[controller].waiting.remove(&id)
                 {
                     self.operator_answered(operator, controller, reply);
@@ -1519,7 +1525,7 @@
     }
 
     /// A direct command at a machine that runs. False: token or session did not match.
-    fn direct(&mut self, id: &str, body: &Orders) -> bool {
+    fn direct(&mut self, id: &str, body: &WorkerCommands) -> bool {
         let Some(machine) = self.machines.get_mut(id) else {
             return false;
         };
@@ -1531,7 +1537,7 @@
             machine.changed = true;
         }
         let happened = machine.execute(
-            &body.orders,
+            &body.commands,
             &self.jobs,
             &self.results,
             run_for(self.longer, self.apart),
@@ -1541,7 +1547,7 @@
     }
 
     /// Breaks the first rule on purpose: whatever one machine is told, another executes as well.
-    fn sabotage(&mut self, id: &str, body: &Orders) {
+    fn sabotage(&mut self, id: &str, body: &WorkerCommands) {
         let Some(meant) = self.machines.get(id) else {
             return;
         };
@@ -1558,7 +1564,7 @@
         if let Some(other) = other {
             let machine = self.machines.get_mut(&other).expect("just found");
             let happened = machine.execute(
-                &body.orders,
+                &body.commands,
                 &self.jobs,
                 &self.results,
                 run_for(self.longer, self.apart),
@@ -1830,7 +1836,7 @@
         seq: u64,
         sent: Duration,
         controller: usize,
-        answer: Option<Answer>,
+        answer: Option<HeartbeatResponse>,
     ) {
         let now = self.now;
         let Some(machine) = self.machines.get_mut(id) else {
@@ -1850,7 +1856,7 @@
             "hears"
         );
         match answer {
-            Some(Answer::Orders(orders)) => {
+            Some(HeartbeatResponse::WorkerCommands(orders)) => {
                 if orders.token < machine.token {
                     return;
                 }
@@ -1860,14 +1866,14 @@
                 }
                 machine.lease_from = sent;
                 let happened = machine.execute(
-                    &orders.orders,
+                    &orders.commands,
                     &self.jobs,
                     &self.results,
                     run_for(self.longer, self.apart),
                 );
                 self.happened(id, happened);
             }
-            Some(Answer::Elsewhere(Some(holder))) => {
+            Some(HeartbeatResponse::Elsewhere(Some(holder))) => {
                 let target = holder.0.trim_start_matches("node-").parse().unwrap_or(0);
                 let same = target == controller;
                 machine.controller = if same {
