--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -532,7 +532,7 @@
                 self.block_lease_manager
                     .heard_from(now, &status.controller, status.boot);
                 if let Some(leading) = &mut self.leading {
-                    leading.queues.strayed(now, status.strays);
+                    leading.queues.note_misrouted(now, status.misrouted);
                 }
                 for block in status.blocks {
                     let granted = self.cache.block_leases.get(&block.block);
@@ -992,7 +992,7 @@
             controller: self.config.name.clone(),
             boot: self.boot,
             blocks: self.fleet.status(now, &self.policy),
-            strays: self.fleet.strays(now, &self.config),
+            misrouted: self.fleet.misrouted(now, &self.config),
         };
         if leader == self.config.name {
             self.peer(now, Message::Status(status));
--- a/src/fleet/mod.rs
+++ b/src/fleet/mod.rs
@@ -31,7 +31,7 @@
 /// The part of our sockets that direct commands may hold: one in so many. Others wait for their turn.
 pub const COMMAND_PART: usize = 8;
 /// Strays named in one message.
-const MOST_STRAYS: usize = 64;
+const MAX_MISROUTED_PER_STATUS: usize = 64;
 
 /// Direct commands to a worker.
 #[derive(Debug, Clone, PartialEq)]
@@ -74,7 +74,7 @@
     blocks: BTreeMap<BlockId, Block>,
     reviewed: Option<Instant>,
     /// Machines of others' blocks that have reported here, and when they did last.
-    strays: HashMap<MachineId, Instant>,
+    misrouted: HashMap<MachineId, Instant>,
     /// Direct commands on their way: each holds a socket.
     in_flight: usize,
     /// Machines and tasks looked at so far, the reviews by the clock apart: what an event costs must follow from what
@@ -203,7 +203,7 @@
                 .block_leases
                 .get(block_id)
                 .map(|lease| lease.value.holder.clone());
-            self.strays.insert(heartbeat.machine, now.monotonic);
+            self.misrouted.insert(heartbeat.machine, now.monotonic);
             return HeartbeatResponse::Elsewhere(holder.filter(|holder| *holder != config.name));
         };
         if heartbeat.token > block.token {
@@ -422,10 +422,14 @@
     }
 
     /// Some of the machines of others' blocks that have reported here lately.
-    pub fn strays(&mut self, now: Now, config: &Config) -> Vec<MachineId> {
-        let lately = stray_for(config);
-        self.strays.retain(|_, at| since(now, *at) < lately);
-        self.strays.keys().take(MOST_STRAYS).cloned().collect()
+    pub fn misrouted(&mut self, now: Now, config: &Config) -> Vec<MachineId> {
+        let lately = misrouted_for(config);
+        self.misrouted.retain(|_, at| since(now, *at) < lately);
+        self.misrouted
+            .keys()
+            .take(MAX_MISROUTED_PER_STATUS)
+            .cloned()
+            .collect()
     }
 
     /// Tells workers at once when jobs end that have tasks on them.
@@ -504,7 +508,7 @@
 
 /// How long a machine that has reported to another controller than its holder counts as heard there: a worker whose
 /// holder does not answer comes round once in its time-out (4 s), a second's pause and the way there and back.
-pub fn stray_for(config: &Config) -> Duration {
+pub fn misrouted_for(config: &Config) -> Duration {
     config.heartbeat_interval + Duration::from_secs(8)
 }
 
--- a/src/peer/mod.rs
+++ b/src/peer/mod.rs
@@ -64,7 +64,8 @@
     pub blocks: Vec<BlockStatus>,
     /// Machines of others' blocks that have reported here lately, some of them if they are many: they go from
     /// controller to controller if their holder does not answer.
-    pub strays: Vec<MachineId>,
+    #[serde(rename = "strays")]
+    pub misrouted: Vec<MachineId>,
 }
 
 /// Machines and attempts told of in one message. A body between controllers is limited, and one controller may have to
@@ -78,13 +79,13 @@
             controller,
             boot,
             blocks,
-            strays,
+            misrouted,
         } = self;
         let mut messages = vec![Status {
             controller: controller.clone(),
             boot,
             blocks: Vec::new(),
-            strays,
+            misrouted,
         }];
         let mut told = 0;
         for block in blocks {
@@ -95,7 +96,7 @@
                     controller: controller.clone(),
                     boot,
                     blocks: Vec::new(),
-                    strays: Vec::new(),
+                    misrouted: Vec::new(),
                 });
             }
             told += more;
--- a/src/peer/tests.rs
+++ b/src/peer/tests.rs
@@ -52,7 +52,7 @@
         controller: "node-1".into(),
         boot: 7,
         blocks: (0..20).map(|number| block(number, 200)).collect(),
-        strays: vec!["m-1".into()],
+        misrouted: vec!["m-1".into()],
     };
     let whole = http::write(&Message::Status(status.clone())).len();
     assert!(
@@ -79,7 +79,7 @@
         controller: "node-1".into(),
         boot: 7,
         blocks: Vec::new(),
-        strays: Vec::new(),
+        misrouted: Vec::new(),
     };
     assert_eq!(status.clone().in_messages(), [status]);
 }
--- a/src/queueing/holders.rs
+++ b/src/queueing/holders.rs
@@ -5,7 +5,7 @@
 use super::{Queues, STATUS_LIFE};
 use crate::config::Config;
 use crate::domain::{ControllerName, MachineId, Now, since};
-use crate::fleet::stray_for;
+use crate::fleet::misrouted_for;
 use crate::store::WatchCache;
 
 /// A holder that does not hear most of its machines, and at least so many, is suspected; if others hear most of those
@@ -13,7 +13,7 @@
 /// nothing: machines that no answer reaches go from controller to controller too.
 const UNHEARD_LEAST: u32 = 4;
 const STRAYS_LEAST: u32 = 3;
-/// Of a large holder's machines not all are named as strays at a time: so many are enough.
+/// Of a large holder's machines not all are named as misrouted workers at a time: so many are enough.
 const STRAYS_ENOUGH: u32 = 24;
 
 /// The machines of a holder that it does not hear, and how many of them others hear.
@@ -37,8 +37,8 @@
 
 impl Queues {
     /// Machines that reported to a controller that is not their holder.
-    pub fn strayed(&mut self, now: Now, machines: Vec<MachineId>) {
-        self.strays
+    pub fn note_misrouted(&mut self, now: Now, machines: Vec<MachineId>) {
+        self.misrouted
             .extend(machines.into_iter().map(|machine| (machine, now.monotonic)));
     }
 
@@ -49,13 +49,13 @@
         config: &Config,
         cache: &WatchCache,
     ) -> BTreeSet<ControllerName> {
-        let lately = stray_for(config);
-        self.strays.retain(|_, at| since(now, *at) < lately);
+        let lately = misrouted_for(config);
+        self.misrouted.retain(|_, at| since(now, *at) < lately);
         let mut holders = self.unheard(now, cache);
         if !holders.values().any(|unheard| unheard.is_suspicious()) {
             return BTreeSet::new();
         }
-        for machine in self.strays.keys() {
+        for machine in self.misrouted.keys() {
             let Some(block) = cache.machines.get(machine).map(|machine| &machine.block) else {
                 continue;
             };
--- a/src/queueing/mod.rs
+++ b/src/queueing/mod.rs
@@ -72,7 +72,7 @@
     runs: BTreeMap<Pool, Runs>,
     measured: Instant,
     /// Machines heard by another controller than their holder, and when.
-    strays: HashMap<MachineId, Instant>,
+    misrouted: HashMap<MachineId, Instant>,
     /// What operators want emptied. None: draining is switched off.
     draining: Option<Draining>,
     pub waiting: BTreeMap<Team, u64>,
@@ -144,7 +144,7 @@
             failures: Failures::default(),
             runs: BTreeMap::new(),
             measured: now.monotonic,
-            strays: HashMap::new(),
+            misrouted: HashMap::new(),
             draining: None,
             waiting: BTreeMap::new(),
         }
--- a/src/queueing/tests.rs
+++ b/src/queueing/tests.rs
@@ -284,7 +284,7 @@
 fn a_holder_whose_machines_are_heard_elsewhere_is_cut_off_and_they_are_not_dead() {
     let mut fixture = Fixture::new(6);
     let holder = fixture.config.name.clone();
-    let mut judged = |overdue: u32, strays: u32| {
+    let mut judged = |overdue: u32, misrouted: u32| {
         let block_state = fixture
             .queues
             .block_states
@@ -294,10 +294,10 @@
         for status in block_state.machines.values_mut() {
             status.usable = false;
         }
-        fixture.queues.strays.clear();
+        fixture.queues.misrouted.clear();
         fixture
             .queues
-            .strayed(fixture.now, (0..strays).map(name).collect());
+            .note_misrouted(fixture.now, (0..misrouted).map(name).collect());
         let unreaching = fixture
             .queues
             .unreaching(fixture.now, &fixture.config, &fixture.cache);
