--- a/src/block_leases/mod.rs
+++ b/src/block_leases/mod.rs
@@ -10,7 +10,7 @@
 
 use crate::config::Config;
 use crate::domain::{BlockId, ControllerName, Now, Zone, since};
-use crate::leadership::Lead;
+use crate::leadership::LeaderContext;
 use crate::policy::Policy;
 use crate::store::records::{BlockLease, LEADER, TOKEN, Token, block_lease_key};
 use crate::store::{Op, Outcome, Txn, WatchCache, Writer};
@@ -137,15 +137,20 @@
     }
 
     /// Grants what is not held, or held by a controller that is gone. One transaction at a time.
-    pub fn poll(&mut self, now: Now, lead: &Lead<'_>, cache: &mut WatchCache) -> Option<Op> {
-        let Lead {
+    pub fn poll(
+        &mut self,
+        now: Now,
+        leader: &LeaderContext<'_>,
+        cache: &mut WatchCache,
+    ) -> Option<Op> {
+        let LeaderContext {
             config,
             policy,
             term,
             version: leader_version,
             ..
-        } = *lead;
-        let zones = &lead.catalog.zones(config);
+        } = *leader;
+        let zones = &leader.catalog.zones(config);
         if self.leading_since.is_none_or(|(known, _)| known != term) {
             self.leading_since = Some((term, now.monotonic));
             self.heard.clear();
@@ -255,7 +260,7 @@
         }
         if changes.is_empty() {
             if let Some((block, controller, version)) =
-                self.unbalanced(now, lead, zones, &held, cache)
+                self.unbalanced(now, leader, zones, &held, cache)
             {
                 let zone = cache
                     .block_leases
@@ -299,12 +304,12 @@
     fn unbalanced(
         &self,
         now: Now,
-        lead: &Lead<'_>,
+        leader: &LeaderContext<'_>,
         zones: &[Zone],
         held: &BTreeMap<&ControllerName, usize>,
         cache: &WatchCache,
     ) -> Option<(BlockId, ControllerName, u64)> {
-        let Lead { config, policy, .. } = *lead;
+        let LeaderContext { config, policy, .. } = *leader;
         let settled = self
             .leading_since
             .is_some_and(|(_, at)| since(now, at) > Duration::from_secs(5));
--- a/src/block_leases/tests.rs
+++ b/src/block_leases/tests.rs
@@ -34,7 +34,7 @@
     let mut version = 2;
     // Grants what is due and commits it. Returns how many blocks the other one holds.
     let mut lease = |block_lease_manager: &mut BlockLeaseManager, now: Now| {
-        let lead = Lead {
+        let leader = LeaderContext {
             config: &config,
             policy: &policy,
             catalog: &catalog,
@@ -46,7 +46,7 @@
         for _ in 0..40 {
             block_lease_manager.heard_from(now, &other, 1);
             block_lease_manager.writer = Writer::Idle;
-            let Some(Op::Commit(txn)) = block_lease_manager.poll(now, &lead, &mut cache) else {
+            let Some(Op::Commit(txn)) = block_lease_manager.poll(now, &leader, &mut cache) else {
                 break;
             };
             version += 1;
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -17,7 +17,7 @@
 use crate::fleet::wire::{Heartbeat, WorkerCommands};
 use crate::fleet::{Command, CommandOutcome, Fleet, HeartbeatResponse, Writes};
 use crate::intake::{self, Intake, RequestId, Response};
-use crate::leadership::{self, Lead, Leadership};
+use crate::leadership::{self, LeaderContext, Leadership};
 use crate::metrics::Metrics;
 use crate::operations::{self, Operations};
 use crate::peer::{Alive, AssignmentUpdate, CancelledJob, Message, Status};
@@ -134,7 +134,7 @@
     },
 }
 
-struct Leading {
+struct LeaderState {
     queues: Queues,
     provisioner: Provisioner,
     demand: Demand,
@@ -162,7 +162,7 @@
     catalog: InstanceCatalog,
     fleet: Fleet,
     intake: Intake,
-    leading: Option<Leading>,
+    leader_state: Option<LeaderState>,
     /// Something changed that the leader's plan depends on.
     stale_plan: bool,
     metrics: Metrics,
@@ -226,7 +226,7 @@
             catalog: InstanceCatalog::default(),
             fleet: Fleet::new(),
             intake: Intake::new(),
-            leading: None,
+            leader_state: None,
             stale_plan: true,
             metrics: Metrics::new(),
             reported: now.monotonic,
@@ -256,13 +256,13 @@
     pub fn took(&mut self, now: Now, took: Duration) {
         self.metrics.step(took);
         // The event in which a plan was made: its time is nearly all the plan's.
-        if let Some(leading) = self
-            .leading
+        if let Some(leader_state) = self
+            .leader_state
             .as_mut()
-            .filter(|leading| leading.planned == Some(now.monotonic))
+            .filter(|leader_state| leader_state.planned == Some(now.monotonic))
         {
             let pause = took.div_f64(PLAN_PART).clamp(PLAN_SPACING, PLAN_SLOWEST);
-            leading.pause = (leading.pause * 3 + pause) / 4;
+            leader_state.pause = (leader_state.pause * 3 + pause) / 4;
         }
     }
 
@@ -374,9 +374,9 @@
                 let until = self.entitled_until(now);
                 let entitled = now.monotonic < until;
                 if !self.cache.machines.contains_key(&heartbeat.machine)
-                    && let Some(leading) = &mut self.leading
+                    && let Some(leader_state) = &mut self.leader_state
                 {
-                    leading.provisioner.unexpected(now, &heartbeat);
+                    leader_state.provisioner.unexpected(now, &heartbeat);
                 }
                 let answer =
                     self.fleet
@@ -481,22 +481,30 @@
             }
             StoreTag::Upgrade => self.upgrade.answered(now, &outcome),
             StoreTag::Provisioning(term) => {
-                if let Some(leading) = self
-                    .leading
+                if let Some(leader_state) = self
+                    .leader_state
                     .as_mut()
                     .filter(|l| l.provisioner.term() == term)
                 {
-                    leading.provisioner.answered(now, &outcome);
+                    leader_state.provisioner.answered(now, &outcome);
                 }
             }
             StoreTag::Queueing(term) => {
-                if let Some(leading) = self.leading.as_mut().filter(|l| l.queues.term() == term) {
-                    leading.queues.answered(now, &outcome);
+                if let Some(leader_state) = self
+                    .leader_state
+                    .as_mut()
+                    .filter(|l| l.queues.term() == term)
+                {
+                    leader_state.queues.answered(now, &outcome);
                 }
             }
             StoreTag::Draining(term) => {
-                if let Some(leading) = self.leading.as_mut().filter(|l| l.queues.term() == term) {
-                    leading.queues.drains_written(now, &outcome);
+                if let Some(leader_state) = self
+                    .leader_state
+                    .as_mut()
+                    .filter(|l| l.queues.term() == term)
+                {
+                    leader_state.queues.drains_written(now, &outcome);
                 }
             }
             StoreTag::Operations => self.operations.written(now, &outcome),
@@ -518,10 +526,15 @@
                 CallOutcome::InstanceCatalog(list) => Some(list),
                 _ => None,
             });
-        } else if let Some(leading) = &mut self.leading {
-            leading
-                .provisioner
-                .called(now, &self.policy, &self.config, &self.cache, tag, outcome);
+        } else if let Some(leader_state) = &mut self.leader_state {
+            leader_state.provisioner.called(
+                now,
+                &self.policy,
+                &self.config,
+                &self.cache,
+                tag,
+                outcome,
+            );
         }
         self.stale_plan = true;
     }
@@ -531,8 +544,8 @@
             Message::Status(status) => {
                 self.block_lease_manager
                     .heard_from(now, &status.controller, status.boot);
-                if let Some(leading) = &mut self.leading {
-                    leading.queues.note_misrouted(now, status.misrouted);
+                if let Some(leader_state) = &mut self.leader_state {
+                    leader_state.queues.note_misrouted(now, status.misrouted);
                 }
                 for block in status.blocks {
                     let granted = self.cache.block_leases.get(&block.block);
@@ -548,8 +561,8 @@
                         self.block_lease_manager
                             .wants_new_token(&block.block, block.token);
                     }
-                    if let Some(leading) = &mut self.leading {
-                        leading.queues.status(now, block);
+                    if let Some(leader_state) = &mut self.leader_state {
+                        leader_state.queues.status(now, block);
                         self.stale_plan = true;
                     }
                 }
@@ -700,21 +713,21 @@
         self.format = self.cache.format();
         self.config.adopt_next_limits();
         let limits = self.config.state_limits;
-        self.budget.limit(now, &limits, self.leading.is_some());
+        self.budget.limit(now, &limits, self.leader_state.is_some());
         info!(format = self.format, ?limits, "new format of records");
     }
 
     fn lead(&mut self, now: Now, effects: &mut Vec<Effect>) {
         let Some((term, version)) = self.leadership.leading(&self.cache) else {
-            if self.leading.take().is_some() {
+            if self.leader_state.take().is_some() {
                 self.budget.lead(now, false);
             }
             return;
         };
         if self
-            .leading
+            .leader_state
             .as_ref()
-            .is_none_or(|leading| leading.queues.term() != term)
+            .is_none_or(|leader_state| leader_state.queues.term() != term)
         {
             self.budget.lead(now, true);
             let queues = Queues::new(now, term);
@@ -724,7 +737,7 @@
             } else {
                 queues
             };
-            self.leading = Some(Leading {
+            self.leader_state = Some(LeaderState {
                 queues,
                 provisioner: Provisioner::new(now, term),
                 demand: Demand::default(),
@@ -743,7 +756,7 @@
         };
         let batch = self.budget.batch(self.config.state_limits.txn_ops);
         let spare = self.budget.spare(now);
-        let lead = Lead {
+        let lead = LeaderContext {
             config: &self.config,
             policy: &self.policy,
             catalog: &self.catalog,
@@ -759,14 +772,18 @@
             let op = self.block_lease_manager.poll(now, &lead, &mut self.cache);
             ops.extend(op.map(|op| (Urgency::Authority, StoreTag::BlockLeaseManager(term), op)));
         }
-        let Some(leading) = &mut self.leading else {
+        let Some(leader_state) = &mut self.leader_state else {
             return;
         };
-        let rested = |pause| leading.planned.is_none_or(|at| since(now, at) >= pause);
+        let rested = |pause| {
+            leader_state
+                .planned
+                .is_none_or(|at| since(now, at) >= pause)
+        };
         let pause = if self.stale_plan {
-            leading.pause
+            leader_state.pause
         } else {
-            leading.pause.max(PLAN_AT_LEAST)
+            leader_state.pause.max(PLAN_AT_LEAST)
         };
         if !self.catalog.known() || !rested(pause) {
             for (urgency, tag, op) in ops {
@@ -774,27 +791,27 @@
             }
             return;
         }
-        leading.planned = Some(now.monotonic);
+        leader_state.planned = Some(now.monotonic);
         self.plans += 1;
-        if leading
+        if leader_state
             .summary
             .is_none_or(|at| since(now, at) >= SUMMARY_EVERY)
         {
-            leading.summary = Some(now.monotonic);
+            leader_state.summary = Some(now.monotonic);
             let gauges = &mut self.metrics.gauges;
             gauges.clear();
-            leading
+            leader_state
                 .provisioner
-                .summary(&self.cache, &leading.demand, gauges);
-            if let Some(draining) = leading.queues.draining() {
+                .summary(&self.cache, &leader_state.demand, gauges);
+            if let Some(draining) = leader_state.queues.draining() {
                 draining.summary(&self.cache, gauges);
             }
-            for (team, count) in &leading.queues.waiting {
+            for (team, count) in &leader_state.queues.waiting {
                 gauges.insert(format!("waiting{{team=\"{team}\"}}"), *count as f64);
             }
             gauges.insert("jobs_open".to_owned(), self.cache.open.len() as f64);
             gauges.insert("jobs_ended".to_owned(), self.cache.ended.len() as f64);
-            let waiting: u64 = leading.queues.waiting.values().sum();
+            let waiting: u64 = leader_state.queues.waiting.values().sum();
             info!(
                 open = self.cache.open.len(),
                 ended = self.cache.ended.len(),
@@ -803,32 +820,40 @@
             );
         }
         self.stale_plan = false;
-        let unreaching = leading.queues.unreaching(now, &self.config, &self.cache);
+        let unreaching = leader_state
+            .queues
+            .unreaching(now, &self.config, &self.cache);
         for holder in &unreaching {
             self.block_lease_manager.unfit(now, holder);
         }
-        let health = leading.queues.health(now, &self.cache, &unreaching);
+        let health = leader_state.queues.health(now, &self.cache, &unreaching);
         let settled = |block: &BlockId, attempt: &Attempt| {
             let heard = || {
                 let lease = self.cache.block_leases.get(block);
                 lease.is_some_and(|lease| self.cancellations.holder_heard(now, &lease.value))
             };
-            leading
+            leader_state
                 .queues
                 .proven_gone(block, attempt)
                 .unwrap_or_else(heard)
         };
-        leading
-            .provisioner
-            .observe(now, &lead, &self.cache, &health, &self.heard_zones, settled);
-        leading.provisioner.note_drains(&self.cache);
-        leading.demand = leading
-            .queues
-            .plan(now, &lead, &self.cache, &leading.provisioner);
+        leader_state.provisioner.observe(
+            now,
+            &lead,
+            &self.cache,
+            &health,
+            &self.heard_zones,
+            settled,
+        );
+        leader_state.provisioner.note_drains(&self.cache);
+        leader_state.demand =
+            leader_state
+                .queues
+                .plan(now, &lead, &self.cache, &leader_state.provisioner);
         for (tag, call) in
-            leading
+            leader_state
                 .provisioner
-                .calls(now, &self.config, &self.cache, &leading.demand)
+                .calls(now, &self.config, &self.cache, &leader_state.demand)
         {
             effects.push(Effect::Call {
                 tag,
@@ -836,20 +861,25 @@
                 until: Some(until),
             });
         }
-        if let Some(draining) = leading.queues.draining() {
-            leading.provisioner.want_states(draining.machine_states());
+        if let Some(draining) = leader_state.queues.draining() {
+            leader_state
+                .provisioner
+                .want_states(draining.machine_states());
         }
-        let op = leading.queues.write_drains(now, &lead, &mut self.cache);
+        let op = leader_state
+            .queues
+            .write_drains(now, &lead, &mut self.cache);
         ops.extend(op.map(|op| (Urgency::Work, StoreTag::Draining(term), op)));
-        let op = leading.queues.write(now, &lead, &mut self.cache);
+        let op = leader_state.queues.write(now, &lead, &mut self.cache);
         ops.extend(op.map(|op| (Urgency::Ends, StoreTag::Queueing(term), op)));
-        let op = leading
+        let op = leader_state
             .provisioner
-            .write(now, &lead, &mut self.cache, &leading.demand);
+            .write(now, &lead, &mut self.cache, &leader_state.demand);
         ops.extend(op.map(|op| (Urgency::Work, StoreTag::Provisioning(term), op)));
-        let messages = leading
-            .queues
-            .messages(now, &self.cache, leading.provisioner.addresses());
+        let messages =
+            leader_state
+                .queues
+                .messages(now, &self.cache, leader_state.provisioner.addresses());
         for (urgency, tag, op) in ops {
             self.ask(urgency, tag, op);
         }
@@ -884,7 +914,7 @@
             .leadership
             .leading(&self.cache)
             .filter(|_| certain.is_some_and(|until| now.monotonic < until));
-        let (Some((term, version)), Some(leading)) = (leads, &self.leading) else {
+        let (Some((term, version)), Some(leader_state)) = (leads, &self.leader_state) else {
             let replies = self.operations.refer(self.leader_elsewhere());
             effects.extend(
                 replies
@@ -893,7 +923,7 @@
             );
             return;
         };
-        let lead = Lead {
+        let lead = LeaderContext {
             config: &self.config,
             policy: &self.policy,
             catalog: &self.catalog,
@@ -903,8 +933,8 @@
             spare: false,
         };
         let cx = operations::Context {
-            lead: &lead,
-            draining: leading.queues.draining(),
+            leader: &lead,
+            draining: leader_state.queues.draining(),
         };
         let progress = self.operations.poll(now, &cx, &mut self.cache);
         if let Some(op) = progress.op {
--- a/src/leadership/mod.rs
+++ b/src/leadership/mod.rs
@@ -27,7 +27,7 @@
 
 /// What the leader's slices need to know to act for this term.
 #[derive(Clone, Copy)]
-pub struct Lead<'a> {
+pub struct LeaderContext<'a> {
     pub config: &'a Config,
     pub policy: &'a Policy,
     pub catalog: &'a InstanceCatalog,
--- a/src/operations/mod.rs
+++ b/src/operations/mod.rs
@@ -16,7 +16,7 @@
 
 use crate::domain::{ControllerName, Now, Team, since};
 use crate::intake::RequestId;
-use crate::leadership::Lead;
+use crate::leadership::LeaderContext;
 use crate::queueing::draining::{Draining, machine_views};
 use crate::store::cache::{values, version_of};
 use crate::store::records::{DRAIN_FORMAT, LEADER, drain_budget_key, drain_key, encode, json_size};
@@ -49,7 +49,7 @@
 
 /// What the leader goes by.
 pub struct Context<'a> {
-    pub lead: &'a Lead<'a>,
+    pub leader: &'a LeaderContext<'a>,
     /// None: draining is switched off.
     pub draining: Option<&'a Draining>,
 }
@@ -145,7 +145,7 @@
                     }
                 }
                 self.writer.sent();
-                progress.op = Some(Op::Commit(transaction(cx.lead, cache, &changes)));
+                progress.op = Some(Op::Commit(transaction(cx.leader, cache, &changes)));
             }
         }
         let answered: BTreeSet<RequestId> = progress.replies.iter().map(|(id, _)| *id).collect();
@@ -209,16 +209,16 @@
         ));
     }
     if cache.format() < DRAIN_FORMAT {
-        let old: Vec<String> = lagging_controllers(cx.lead, cache);
+        let old: Vec<String> = lagging_controllers(cx.leader, cache);
         let message = format!(
             "not before all controllers know drains; {} can't say so yet",
             old.join(", ")
         );
         return Err(Problem::new(ProblemKind::Unavailable, message));
     }
-    let Lead {
+    let LeaderContext {
         config, catalog, ..
-    } = *cx.lead;
+    } = *cx.leader;
     let drains = values(&cache.drains);
     let budgets = values(&cache.drain_budgets);
     let machines = machine_views(cache, |_| true, |_| false, |_| false);
@@ -242,28 +242,28 @@
             .collect(),
         zones: catalog.zones(config).into_iter().collect(),
         teams: config.teams.iter().map(|team| team.name.clone()).collect(),
-        most_changes: cx.lead.batch,
+        most_changes: cx.leader.batch,
         fits: &fits,
     };
     requests::changes(request, &known)
 }
 
 /// Controllers that do not know drains, or are not up.
-fn lagging_controllers(lead: &Lead<'_>, cache: &WatchCache) -> Vec<String> {
-    let peers = lead.config.peers.iter().map(|peer| &peer.name);
+fn lagging_controllers(leader: &LeaderContext<'_>, cache: &WatchCache) -> Vec<String> {
+    let peers = leader.config.peers.iter().map(|peer| &peer.name);
     let knows = |controller: &ControllerName| {
         let member = cache.members.get(controller);
         member.is_some_and(|member| member.value.format >= DRAIN_FORMAT)
     };
     peers
-        .chain([&lead.config.name])
+        .chain([&leader.config.name])
         .filter(|controller| !knows(controller))
         .map(|controller| controller.to_string())
         .collect()
 }
 
-fn transaction(lead: &Lead<'_>, cache: &WatchCache, changes: &[Change]) -> Txn {
-    let mut txn = Txn::default().when(LEADER, lead.version);
+fn transaction(leader: &LeaderContext<'_>, cache: &WatchCache, changes: &[Change]) -> Txn {
+    let mut txn = Txn::default().when(LEADER, leader.version);
     for change in changes {
         let (key, version) = match change {
             Change::PutDrain(id, _) | Change::DeleteDrain(id) => {
@@ -339,7 +339,7 @@
     };
     let budgets = draining.budgets(cache);
     let mut statuses = Vec::new();
-    for team in cx.lead.config.teams.iter().map(|team| &team.name) {
+    for team in cx.leader.config.teams.iter().map(|team| &team.name) {
         let limit = budgets.of_team(team);
         let stated = |by: &BTreeMap<Team, TeamBudget>| {
             by.get(team).is_some_and(|budget| budget.limit.is_some())
--- a/src/provisioning/edits.rs
+++ b/src/provisioning/edits.rs
@@ -5,7 +5,7 @@
 use super::Demand;
 use crate::block_leases;
 use crate::domain::{BlockId, InstanceTypeName, MachineId, Zone};
-use crate::leadership::Lead;
+use crate::leadership::LeaderContext;
 use crate::store::records::{
     FIRST_PART, InventoryEntry, MachineInventory, PARTS_FORMAT, Part, inventory_part_key,
 };
@@ -35,13 +35,13 @@
 pub(super) const TASKS_SPARE: f64 = 1.25;
 
 impl<'v> Edits<'v> {
-    pub(super) fn new(lead: &Lead<'_>, cache: &'v WatchCache, demand: &Demand) -> Self {
-        let Lead {
+    pub(super) fn new(leader: &LeaderContext<'_>, cache: &'v WatchCache, demand: &Demand) -> Self {
+        let LeaderContext {
             config,
             policy,
             catalog,
             ..
-        } = *lead;
+        } = *leader;
         let mut seen: HashMap<&InstanceTypeName, (usize, usize)> = HashMap::new();
         for live in cache.live_placements() {
             let (machines, tasks) = seen.entry(&live.machine.type_name).or_default();
--- a/src/provisioning/mod.rs
+++ b/src/provisioning/mod.rs
@@ -24,7 +24,7 @@
     Zone, since,
 };
 use crate::fleet::wire::Heartbeat;
-use crate::leadership::Lead;
+use crate::leadership::LeaderContext;
 use crate::policy::Policy;
 use crate::store::records::{
     DRAIN_FORMAT, InventoryEntry, LEADER, MachineState, PARTS_FORMAT, PendingRental,
@@ -304,18 +304,18 @@
     pub fn observe(
         &mut self,
         now: Now,
-        lead: &Lead<'_>,
+        leader: &LeaderContext<'_>,
         cache: &WatchCache,
         health: &BTreeMap<MachineId, Health>,
         heard: &BTreeSet<Zone>,
         settled: impl Fn(&BlockId, &Attempt) -> bool,
     ) {
-        let Lead {
+        let LeaderContext {
             config,
             policy,
             catalog,
             ..
-        } = *lead;
+        } = *leader;
         // Where no controller was heard since this process began, all may have ended together, and nobody answers the
         // workers there: their leases are over by the time that they are called silent.
         let cut_off: BTreeSet<Zone> = cut_off(cache, health)
@@ -656,11 +656,11 @@
     pub fn write(
         &mut self,
         now: Now,
-        lead: &Lead<'_>,
+        leader: &LeaderContext<'_>,
         cache: &mut WatchCache,
         demand: &Demand,
     ) -> Option<Op> {
-        let Lead { catalog, .. } = *lead;
+        let LeaderContext { catalog, .. } = *leader;
         self.idle
             .retain(|id, _| cache.machines.contains_key(id) && !demand.occupied.contains(id));
         for id in cache
@@ -673,17 +673,17 @@
         if !self.writer.ready(now, cache) || !catalog.known() {
             return None;
         }
-        let txn = Txn::default().when(LEADER, lead.version);
-        let txn = divide_inventory(lead, cache, demand, &txn)
-            .or_else(|| self.record_rented(now, lead, cache, demand, &txn))
-            .or_else(|| self.record_deleted(now, lead, cache, demand, &txn))
-            .or_else(|| self.record_unexpected(now, lead, cache, demand, &txn))
-            .or_else(|| self.record_states(lead, cache, demand, &txn))
+        let txn = Txn::default().when(LEADER, leader.version);
+        let txn = divide_inventory(leader, cache, demand, &txn)
+            .or_else(|| self.record_rented(now, leader, cache, demand, &txn))
+            .or_else(|| self.record_deleted(now, leader, cache, demand, &txn))
+            .or_else(|| self.record_unexpected(now, leader, cache, demand, &txn))
+            .or_else(|| self.record_states(leader, cache, demand, &txn))
             .or_else(|| {
                 self.round(
                     Round {
                         now,
-                        lead,
+                        leader,
                         cache,
                         demand,
                     },
@@ -701,7 +701,7 @@
     fn record_rented(
         &mut self,
         now: Now,
-        lead: &Lead<'_>,
+        leader: &LeaderContext<'_>,
         cache: &WatchCache,
         demand: &Demand,
         txn: &Txn,
@@ -714,7 +714,7 @@
                 .is_some_and(|o| o.version == *version)
         });
         let (name, (pending_rental, version, machines)) = self.rented.iter().next()?;
-        let mut edits = Edits::new(lead, cache, demand);
+        let mut edits = Edits::new(leader, cache, demand);
         for machine in machines
             .iter()
             .filter(|machine| !cache.machines.contains_key(*machine))
@@ -740,7 +740,7 @@
     fn record_deleted(
         &mut self,
         now: Now,
-        lead: &Lead<'_>,
+        leader: &LeaderContext<'_>,
         cache: &WatchCache,
         demand: &Demand,
         txn: &Txn,
@@ -762,8 +762,8 @@
         if lost.is_empty() && empty.iter().all(|id| waits(id)) {
             return None;
         }
-        let mut edits = Edits::new(lead, cache, demand);
-        edits.most = lead.batch;
+        let mut edits = Edits::new(leader, cache, demand);
+        edits.most = leader.batch;
         for machine in lost.into_iter().chain(empty) {
             edits.change(machine, |inventory| {
                 inventory.on.remove(machine);
@@ -775,7 +775,7 @@
     fn record_unexpected(
         &mut self,
         now: Now,
-        lead: &Lead<'_>,
+        leader: &LeaderContext<'_>,
         cache: &WatchCache,
         demand: &Demand,
         txn: &Txn,
@@ -796,8 +796,8 @@
         if take.is_empty() {
             return None;
         }
-        let mut edits = Edits::new(lead, cache, demand);
-        edits.most = lead.batch;
+        let mut edits = Edits::new(leader, cache, demand);
+        edits.most = leader.batch;
         for listed in take {
             let entry = InventoryEntry {
                 type_name: listed.type_name.clone(),
@@ -818,7 +818,7 @@
     /// Machines that operators take out of service or put back.
     fn record_states(
         &mut self,
-        lead: &Lead<'_>,
+        leader: &LeaderContext<'_>,
         cache: &WatchCache,
         demand: &Demand,
         txn: &Txn,
@@ -831,8 +831,8 @@
         if self.wanted_states.is_empty() || cache.format() < DRAIN_FORMAT {
             return None;
         }
-        let mut edits = Edits::new(lead, cache, demand);
-        edits.most = lead.batch;
+        let mut edits = Edits::new(leader, cache, demand);
+        edits.most = leader.batch;
         for (id, state) in &self.wanted_states {
             let occupied = demand.occupied.contains(id);
             if *state == MachineState::Returning && occupied {
@@ -904,18 +904,18 @@
 
 /// Brings the value of an inventory that is too large for the limits in force into parts.
 fn divide_inventory(
-    lead: &Lead<'_>,
+    leader: &LeaderContext<'_>,
     cache: &WatchCache,
     demand: &Demand,
     txn: &Txn,
 ) -> Option<Txn> {
     // Seldom is there one, and the edits look at all tasks there are.
     if cache.format() < PARTS_FORMAT
-        || too_large(cache, lead.config.state_limits.value_bytes).is_none()
+        || too_large(cache, leader.config.state_limits.value_bytes).is_none()
     {
         return None;
     }
-    let mut edits = Edits::new(lead, cache, demand);
+    let mut edits = Edits::new(leader, cache, demand);
     let division = edits.divide()?;
     info!(block = %division.block, "a value is too large: divided");
     let mut txn = edits.apply(txn.clone());
--- a/src/provisioning/round.rs
+++ b/src/provisioning/round.rs
@@ -10,7 +10,7 @@
 use super::wire::InstanceType;
 use super::{ASK_AGAIN, Demand, MOST_RENTED, Pool, Provisioner, Runs, rule};
 use crate::domain::{BlockId, CapacityType, MachineId, Now, Zone, since};
-use crate::leadership::Lead;
+use crate::leadership::LeaderContext;
 use crate::store::records::{MachineState, PendingRental, pending_rental_key};
 use crate::store::{Machine, Txn, WatchCache};
 
@@ -18,7 +18,7 @@
 #[derive(Clone, Copy)]
 pub(super) struct Round<'a> {
     pub(super) now: Now,
-    pub(super) lead: &'a Lead<'a>,
+    pub(super) leader: &'a LeaderContext<'a>,
     pub(super) cache: &'a WatchCache,
     pub(super) demand: &'a Demand,
 }
@@ -52,24 +52,27 @@
     pub(super) fn round(&mut self, round: Round<'_>, mut txn: Txn) -> Option<Txn> {
         let Round {
             now,
-            lead,
+            leader,
             cache,
             demand,
         } = round;
         if !cache.covers(self.term_since)
             || self
                 .round
-                .is_some_and(|at| since(now, at) < lead.policy.round)
+                .is_some_and(|at| since(now, at) < leader.policy.round)
         {
             return None;
         }
         self.round = Some(now.monotonic);
         let machines = self.machines(cache);
-        let mut edits = Edits::new(lead, cache, demand);
+        let mut edits = Edits::new(leader, cache, demand);
         // One change for each type's order, the rest for the blocks of machines that are returned.
-        edits.most = lead.batch.saturating_sub(lead.catalog.all().count()).max(1);
+        edits.most = leader
+            .batch
+            .saturating_sub(leader.catalog.all().count())
+            .max(1);
         let mut ordered = false;
-        for instance_type in lead
+        for instance_type in leader
             .catalog
             .all()
             .filter(|instance_type| !cache.pending_rentals.contains_key(&instance_type.name))
@@ -112,13 +115,13 @@
 
     /// What the rule says of a pool, and the demand that it is about.
     fn change(&self, round: Round<'_>, pool: &Pool, available: u32) -> (i64, f64) {
-        let Round { lead, demand, .. } = round;
+        let Round { leader, demand, .. } = round;
         let needed = demand.machines.get(pool).copied().unwrap_or(0.0);
-        let eta = lead.catalog.get(&pool.0).map_or(1.0, |instance_type| {
+        let eta = leader.catalog.get(&pool.0).map_or(1.0, |instance_type| {
             self.eta(instance_type, demand.runs.get(pool))
         });
         (
-            rule::change(needed, available, eta, lead.policy.headroom),
+            rule::change(needed, available, eta, leader.policy.headroom),
             needed,
         )
     }
@@ -162,7 +165,7 @@
         shortage: Shortage,
     ) -> Option<PendingRental> {
         let Round {
-            now, lead, cache, ..
+            now, leader, cache, ..
         } = round;
         let Shortage {
             capacity_type,
@@ -178,7 +181,7 @@
         }
         if !self.available(now, &instance_type.name, &zone, capacity_type) {
             let again = self.asked_again.get(&instance_type.name);
-            if !lead.spare && again.is_some_and(|at| since(now, *at) < ASK_AGAIN) {
+            if !leader.spare && again.is_some_and(|at| since(now, *at) < ASK_AGAIN) {
                 return None;
             }
             self.asked_again
@@ -240,16 +243,16 @@
     fn returnable(&self, round: Round<'_>, pool: &Pool, count: usize) -> Vec<MachineId> {
         let Round {
             now,
-            lead,
+            leader,
             cache,
             demand,
         } = round;
-        let least_ms = u64::try_from(lead.policy.least_rental.as_millis()).unwrap_or(u64::MAX);
-        let boot = lead
+        let least_ms = u64::try_from(leader.policy.least_rental.as_millis()).unwrap_or(u64::MAX);
+        let boot = leader
             .catalog
             .get(&pool.0)
             .map_or(0.0, |instance_type| instance_type.boot_s.0);
-        let patience = Duration::from_secs_f64(boot * lead.policy.idle_boots);
+        let patience = Duration::from_secs_f64(boot * leader.policy.idle_boots);
         let rested = |id: &MachineId| {
             self.idle
                 .get(id)
--- a/src/provisioning/tests.rs
+++ b/src/provisioning/tests.rs
@@ -125,7 +125,7 @@
             value: Some(encode(&inventory)),
         });
     }
-    let lead = Lead {
+    let leader = LeaderContext {
         config: &config,
         policy: &policy,
         catalog: &catalog,
@@ -159,7 +159,7 @@
                     },
                 )
             });
-            provisioner.observe(now, &lead, &cache, &health.collect(), heard, |_, _| false);
+            provisioner.observe(now, &leader, &cache, &health.collect(), heard, |_, _| false);
         }
         provisioner.lost.len()
     };
@@ -191,7 +191,9 @@
                 },
             )
         });
-        provisioner.observe(now, &lead, &cache, &health.collect(), &heard, |_, _| false);
+        provisioner.observe(now, &leader, &cache, &health.collect(), &heard, |_, _| {
+            false
+        });
     }
     assert_eq!(
         provisioner.lost.len(),
@@ -228,7 +230,7 @@
     }));
     let now = Now::read();
     let cache = WatchCache::following();
-    let lead = Lead {
+    let leader = LeaderContext {
         config: &config,
         policy: &policy,
         catalog: &catalog,
@@ -263,7 +265,7 @@
             provisioner.shortage(
                 Round {
                     now,
-                    lead: &lead,
+                    leader: &leader,
                     cache: &cache,
                     demand: &demand,
                 },
@@ -290,7 +292,7 @@
     catalog.answered(Some(InstanceTypeList {
         types: vec![instance_type()],
     }));
-    let lead = Lead {
+    let leader = LeaderContext {
         config: &config,
         policy: &policy,
         catalog: &catalog,
@@ -323,7 +325,7 @@
     };
     put(&mut cache, inventory_key(&block), Some(encode(&inventory)));
     let next =
-        |cache: &WatchCache| divide_inventory(&lead, cache, &Demand::default(), &Txn::default());
+        |cache: &WatchCache| divide_inventory(&leader, cache, &Demand::default(), &Txn::default());
     assert_eq!(next(&cache), None, "not before the format is on");
     let switch = FormatSwitch { version: FORMAT };
     put(&mut cache, FORMAT_KEY.to_owned(), Some(encode(&switch)));
--- a/src/queueing/demand.rs
+++ b/src/queueing/demand.rs
@@ -8,7 +8,7 @@
 use super::usage::Usage;
 use super::waiting::{Shape, Waiting};
 use crate::domain::{Job, Team, Zone};
-use crate::leadership::Lead;
+use crate::leadership::LeaderContext;
 use crate::provisioning::{Demand, Pool};
 use crate::store::cache::OpenJob;
 use crate::store::{Machine, WatchCache};
@@ -36,15 +36,15 @@
     /// Counts a task. What could run on spot machines is no reason to have ordinary ones: it is returned.
     fn count<'v>(
         &mut self,
-        lead: &Lead<'_>,
+        leader: &LeaderContext<'_>,
         machine: &Machine,
         open: &'v OpenJob,
     ) -> Option<Misplaced<'v>> {
         self.usage.add(&open.job);
-        let instance_type = lead.catalog.get(&machine.type_name)?;
+        let instance_type = leader.catalog.get(&machine.type_name)?;
         let share = 1.0 / f64::from(instance_type.room().count_of(&open.job.need).max(1));
         let pool = (machine.type_name.clone(), machine.capacity_type);
-        if !is_opportunistic(lead.config, &open.job) {
+        if !is_opportunistic(leader.config, &open.job) {
             *self.guaranteed.entry(pool.clone()).or_default() += share;
         }
         if open.job.spot && !machine.capacity_type.is_spot() {
@@ -67,7 +67,7 @@
                 .attempts()
                 .filter_map(|attempt| cache.open.get(&attempt.task.job))
             {
-                misplaced.extend(present.count(stock.lead, live.machine, open));
+                misplaced.extend(present.count(stock.leader, live.machine, open));
             }
         }
         for release in self
@@ -80,7 +80,7 @@
                 continue;
             };
             match cache.machines.get(&release.machine) {
-                Some(machine) => misplaced.extend(present.count(stock.lead, machine, open)),
+                Some(machine) => misplaced.extend(present.count(stock.leader, machine, open)),
                 // Its machine is gone, but its holder may still choose another.
                 None => present.usage.add(&open.job),
             }
@@ -107,7 +107,7 @@
     for waiting in queue {
         let job = &waiting.open.job;
         let pinned = stock.pinned(waiting);
-        let limit = waiting.price_limit(stock.lead);
+        let limit = waiting.price_limit(stock.leader);
         let reach = if limit.is_finite() {
             Reach::CheapAndUnreserved
         } else {
@@ -123,7 +123,7 @@
         groups[index].3 += waiting.left;
     }
     for (job, pinned, limit, left) in groups {
-        let mut left = left.min(usage.room_within_limit(stock.lead.config, job));
+        let mut left = left.min(usage.room_within_limit(stock.leader.config, job));
         // A few tasks at a time, but no more than so many steps: jobs have up to 100,000 tasks.
         let step = left.div_ceil(COUNTING_STEPS).max(1);
         while left > 0 {
--- a/src/queueing/draining/fleet_view.rs
+++ b/src/queueing/draining/fleet_view.rs
@@ -95,7 +95,7 @@
             && zone_open(job, zones, zone)
             && !stock.provisioner.is_closed(&instance_type.name, zone)
     };
-    let obtainable = stock.lead.catalog.all().any(|instance_type| {
+    let obtainable = stock.leader.catalog.all().any(|instance_type| {
         let fits =
             job.allows_type(&instance_type.name) && instance_type.room().count_of(&job.need) > 0;
         fits && instance_type
--- a/src/queueing/draining/mod.rs
+++ b/src/queueing/draining/mod.rs
@@ -26,7 +26,7 @@
 use super::stock::Stock;
 use super::{Plan, Queues, STATUS_LIFE};
 use crate::domain::{Attempt, BlockId, Job, JobKind, MachineId, Now, TaskId, Team, Zone, since};
-use crate::leadership::Lead;
+use crate::leadership::LeaderContext;
 use crate::provisioning::Provisioner;
 use crate::store::cache::{values, version_of};
 use crate::store::records::{LEADER, MachineState, drain_budget_key, drain_key, drain_ledger_key};
@@ -126,10 +126,10 @@
     }
 
     /// The transaction that records what was decided.
-    fn transaction(&self, now: Now, lead: &Lead<'_>, cache: &WatchCache) -> Option<Txn> {
-        let mut txn = Txn::default().when(LEADER, lead.version);
+    fn transaction(&self, now: Now, leader: &LeaderContext<'_>, cache: &WatchCache) -> Option<Txn> {
+        let mut txn = Txn::default().when(LEADER, leader.version);
         let mut drains: BTreeSet<&DrainId> = BTreeSet::new();
-        let most = lead.batch.max(1);
+        let most = leader.batch.max(1);
         let upkeep_due = self.upkeep.is_none_or(|at| since(now, at) >= UPKEEP_EVERY);
         for effect in &self.decided {
             if txn.changes.len() >= most {
@@ -379,14 +379,14 @@
             |id| expecting.contains(id),
         );
         let running = self.running_attempts(stock.now, cache, &usable);
-        let lead = stock.lead;
-        let limits = &lead.config.state_limits;
+        let leader = stock.leader;
+        let limits = &leader.config.state_limits;
         let bounds = Bounds {
             step: settings.step,
             room_timeout: settings.room_timeout_s.duration(),
             replacement_timeout: settings.replacement_timeout_s.duration(),
             ledger_entries: (limits.value_bytes / LEDGER_ENTRY_BYTES).max(1),
-            ledgers_at_once: (lead.batch / 2).max(1),
+            ledgers_at_once: (leader.batch / 2).max(1),
         };
         // Room for replacements is only kept while the plan is made: what is decided is taken up below.
         let mut fleet = FleetView {
@@ -482,7 +482,7 @@
     pub fn write_drains(
         &mut self,
         now: Now,
-        lead: &Lead<'_>,
+        leader: &LeaderContext<'_>,
         cache: &mut WatchCache,
     ) -> Option<Op> {
         let draining = self.draining.as_mut()?;
@@ -490,7 +490,7 @@
             return None;
         }
         draining.proposed.clear();
-        let txn = draining.transaction(now, lead, cache)?;
+        let txn = draining.transaction(now, leader, cache)?;
         draining.log_decided(cache);
         draining.upkeep = Some(now.monotonic);
         for effect in &draining.decided {
--- a/src/queueing/draining/replacement.rs
+++ b/src/queueing/draining/replacement.rs
@@ -192,7 +192,7 @@
         };
         draining.reserved.insert(task, machine.clone());
         let gone = attempts_of(cache, task).next().is_none();
-        let within_limit = plan.usage.within_limit(stock.lead.config, &open.job);
+        let within_limit = plan.usage.within_limit(stock.leader.config, &open.job);
         if gone && within_limit && !self.failures.backs_off(stock.now, task.job) {
             self.release_replacement(stock.now, cache, plan, open, task, &machine);
         }
@@ -270,7 +270,7 @@
             }
             return;
         }
-        let within = plan.usage.room_within_limit(stock.lead.config, &open.job);
+        let within = plan.usage.room_within_limit(stock.leader.config, &open.job);
         if placed.is_empty() && within >= u64::from(open.job.tasks) {
             self.release_gang_replacement(stock.now, cache, plan, open, job, &machines);
         }
--- a/src/queueing/gangs.rs
+++ b/src/queueing/gangs.rs
@@ -12,7 +12,7 @@
 use super::waiting::{Shape, Waiting};
 use super::{Plan, Queues};
 use crate::domain::{Attempt, BlockId, JobId, JobKind, MachineId, Now, TaskId, Zone};
-use crate::leadership::Lead;
+use crate::leadership::LeaderContext;
 use crate::placement::{self, Candidate};
 use crate::store::WatchCache;
 
@@ -73,7 +73,7 @@
     pub(super) fn release_gang(
         &mut self,
         now: Now,
-        lead: &Lead<'_>,
+        leader: &LeaderContext<'_>,
         cache: &WatchCache,
         waiting: &mut Waiting<'_>,
         shape: Shape,
@@ -81,7 +81,7 @@
         plan: &mut Plan,
     ) -> usize {
         let job = &waiting.open.job;
-        if plan.usage.room_within_limit(lead.config, job) < u64::from(job.tasks) {
+        if plan.usage.room_within_limit(leader.config, job) < u64::from(job.tasks) {
             return 0;
         }
         let keeps_room = keeps_room(waiting) && !plan.room_kept;
--- a/src/queueing/mod.rs
+++ b/src/queueing/mod.rs
@@ -28,7 +28,7 @@
     Attempt, BlockId, ControllerName, Image, Job, JobId, JobKind, JobOutcome, MachineId, Now,
     Priority, Resources, TaskId, Team, since,
 };
-use crate::leadership::Lead;
+use crate::leadership::LeaderContext;
 use crate::peer::{BlockStatus, MachineStatus};
 use crate::placement::Candidate;
 use crate::provisioning::{Demand, Health, InstanceCatalog, Pool, Provisioner, Runs};
@@ -441,18 +441,18 @@
     pub fn plan(
         &mut self,
         now: Now,
-        lead: &Lead<'_>,
+        leader: &LeaderContext<'_>,
         cache: &WatchCache,
         provisioner: &Provisioner,
     ) -> Demand {
-        let Lead {
+        let LeaderContext {
             config, catalog, ..
-        } = *lead;
+        } = *leader;
         self.settle(now, cache);
         self.take_back_broken_gangs(now, cache);
         let stock = Stock {
             now,
-            lead,
+            leader,
             provisioner,
             machines: provisioner.machines(cache),
         };
@@ -463,7 +463,7 @@
         } = self.present(&stock, cache);
         let candidates = self.candidates(now, cache, catalog, provisioner);
         let opportunities =
-            Opportunities::new(lead, provisioner, &self.runs, &guaranteed, &candidates);
+            Opportunities::new(leader, provisioner, &self.runs, &guaranteed, &candidates);
         let mut plan = Plan {
             spaces: self.spaces(config, cache),
             kept: self.usage_after_stops(&usage, cache),
@@ -486,7 +486,7 @@
         self.count_waiting(&queue);
         plan.demand.smallest = smallest(&queue);
         if complete {
-            let mut releases = Releases::new(now, lead, cache, opportunities);
+            let mut releases = Releases::new(now, leader, cache, opportunities);
             self.release_in_turn(&mut releases, &mut queue, &mut plan);
         }
         demand::count_waiting(&stock, &queue, &mut plan.usage, &mut plan.demand);
@@ -503,8 +503,13 @@
     }
 
     /// The next write: jobs that are over, and progress to be folded.
-    pub fn write(&mut self, now: Now, lead: &Lead<'_>, cache: &mut WatchCache) -> Option<Op> {
-        let (config, leader_version, most) = (lead.config, lead.version, lead.batch);
+    pub fn write(
+        &mut self,
+        now: Now,
+        leader: &LeaderContext<'_>,
+        cache: &mut WatchCache,
+    ) -> Option<Op> {
+        let (config, leader_version, most) = (leader.config, leader.version, leader.batch);
         if !self.writer.ready(now, cache) {
             return None;
         }
--- a/src/queueing/opportunistic.rs
+++ b/src/queueing/opportunistic.rs
@@ -7,7 +7,7 @@
 
 use crate::config::Config;
 use crate::domain::{CapacityType, Job, MachineId, Priority};
-use crate::leadership::Lead;
+use crate::leadership::LeaderContext;
 use crate::placement::Candidate;
 use crate::provisioning::wire::InstanceType;
 use crate::provisioning::{InstanceCatalog, Pool, Provisioner, Runs, rule};
@@ -56,13 +56,18 @@
 /// machines, whether these can be had or not. Those may all be taken for good: if less than half of it got anywhere in
 /// a while, the rest may cost what it will. `waited`: since it was accepted; `begun`: its tasks that are done, placed or
 /// released.
-pub(super) fn price_limit(lead: &Lead<'_>, job: &Job, waited: Duration, begun: u64) -> f64 {
-    let Lead {
+pub(super) fn price_limit(
+    leader: &LeaderContext<'_>,
+    job: &Job,
+    waited: Duration,
+    begun: u64,
+) -> f64 {
+    let LeaderContext {
         config,
         policy,
         catalog,
         ..
-    } = *lead;
+    } = *leader;
     let starved = waited >= policy.opportunistic_patience && begun * 2 < u64::from(job.tasks);
     if !is_opportunistic(config, job) || starved {
         return f64::INFINITY;
@@ -88,7 +93,7 @@
     /// `guaranteed`: the demand of all other work, in machines. What the rule adds to it as its margin is reserved, on
     /// the machines with the most room.
     pub(super) fn new(
-        lead: &Lead<'a>,
+        leader: &LeaderContext<'a>,
         provisioner: &Provisioner,
         runs: &BTreeMap<Pool, Runs>,
         guaranteed: &BTreeMap<Pool, f64>,
@@ -96,15 +101,15 @@
     ) -> Self {
         let mut reserved = HashSet::new();
         for (pool, demand) in guaranteed {
-            let Some(instance_type) = lead.catalog.get(&pool.0) else {
+            let Some(instance_type) = leader.catalog.get(&pool.0) else {
                 continue;
             };
             let eta = provisioner.eta(instance_type, runs.get(pool));
-            let margin = rule::headroom(*demand, eta) * lead.policy.headroom;
+            let margin = rule::headroom(*demand, eta) * leader.policy.headroom;
             reserved.extend(emptiest(candidates, pool, (margin - 1e-9).ceil() as usize));
         }
         Opportunities {
-            catalog: lead.catalog,
+            catalog: leader.catalog,
             reserved,
         }
     }
--- a/src/queueing/opportunistic/tests.rs
+++ b/src/queueing/opportunistic/tests.rs
@@ -81,7 +81,7 @@
     let now = Now::read();
     let patience = policy.opportunistic_patience;
     let allowed = |policy: &Policy, job: &Job, capacity_type, waited, begun| {
-        let lead = Lead {
+        let leader = LeaderContext {
             config: &config,
             policy,
             catalog: &catalog,
@@ -91,9 +91,14 @@
             spare: true,
         };
         let provisioner = Provisioner::new(now, 1);
-        let opportunities =
-            Opportunities::new(&lead, &provisioner, &BTreeMap::new(), &BTreeMap::new(), &[]);
-        let limit = price_limit(&lead, job, waited, begun);
+        let opportunities = Opportunities::new(
+            &leader,
+            &provisioner,
+            &BTreeMap::new(),
+            &BTreeMap::new(),
+            &[],
+        );
+        let limit = price_limit(&leader, job, waited, begun);
         opportunities.allow(job, limit, &candidate("m-1", capacity_type, 16.0))
     };
     let fresh = Duration::ZERO;
@@ -132,7 +137,7 @@
 fn the_margin_of_guaranteed_work_is_kept_free_on_the_emptiest_machines() {
     let (config, catalog) = (config(), catalog());
     let policy = Policy::defaults(&config);
-    let lead = Lead {
+    let leader = LeaderContext {
         config: &config,
         policy: &policy,
         catalog: &catalog,
@@ -150,7 +155,7 @@
         let provisioner = Provisioner::new(now, 1);
         let guaranteed = BTreeMap::from([(pool, demand)]);
         let opportunities = Opportunities::new(
-            &lead,
+            &leader,
             &provisioner,
             &BTreeMap::new(),
             &guaranteed,
--- a/src/queueing/preemption.rs
+++ b/src/queueing/preemption.rs
@@ -8,7 +8,7 @@
 use super::Queues;
 use super::usage::Usage;
 use crate::domain::{Attempt, BlockId, Job, JobKind, MachineId, Now, Zone, since};
-use crate::leadership::Lead;
+use crate::leadership::LeaderContext;
 use crate::placement::Candidate;
 use crate::store::WatchCache;
 
@@ -43,7 +43,7 @@
     pub(super) fn make_room<'c>(
         &mut self,
         now: Now,
-        lead: &Lead<'_>,
+        leader: &LeaderContext<'_>,
         candidates: &'c [Candidate],
         kept: &mut Usage,
         victims: &mut Victims<'_>,
@@ -60,7 +60,7 @@
         {
             return None;
         }
-        let Lead { config, policy, .. } = *lead;
+        let LeaderContext { config, policy, .. } = *leader;
         let owed = kept.within_guarantee(config, job);
         let may_stop = |other: &Job| {
             let beyond = kept.beyond_guarantee(config, other);
--- a/src/queueing/releases.rs
+++ b/src/queueing/releases.rs
@@ -10,7 +10,7 @@
 use super::waiting::{Shape, Waiting, zone_open};
 use super::{Plan, Queues};
 use crate::domain::{Attempt, BlockId, Image, JobId, JobKind, Now, Resources, TaskId, Zone};
-use crate::leadership::Lead;
+use crate::leadership::LeaderContext;
 use crate::placement::{Candidate, Ranking};
 use crate::store::WatchCache;
 
@@ -26,7 +26,7 @@
 /// What the releases of one plan go by, and what was worked out for several of them.
 pub(super) struct Releases<'a, 'v> {
     now: Now,
-    lead: &'a Lead<'a>,
+    leader: &'a LeaderContext<'a>,
     cache: &'v WatchCache,
     zones: BTreeSet<Zone>,
     opportunities: Opportunities<'a>,
@@ -39,7 +39,7 @@
     /// Of a plan that begins.
     pub(super) fn new(
         now: Now,
-        lead: &'a Lead<'a>,
+        leader: &'a LeaderContext<'a>,
         cache: &'v WatchCache,
         opportunities: Opportunities<'a>,
     ) -> Self {
@@ -49,7 +49,7 @@
             .map(|lease| lease.value.zone.clone());
         Releases {
             now,
-            lead,
+            leader,
             cache,
             zones: zones.collect(),
             opportunities,
@@ -85,7 +85,7 @@
         let mut released = 0;
         let mut turns = Turns::new(queue);
         while released < RELEASES {
-            let Some(next) = turns.next(queue, &plan.usage, releases.lead) else {
+            let Some(next) = turns.next(queue, &plan.usage, releases.leader) else {
                 break;
             };
             let Some(waiting) = queue.get_mut(next) else {
@@ -106,16 +106,16 @@
         plan: &mut Plan,
     ) -> usize {
         let Releases {
-            now, lead, cache, ..
+            now, leader, cache, ..
         } = *releases;
         waiting.blocked = true;
-        let reach = waiting.reach(lead);
-        let limit = waiting.price_limit(lead);
+        let reach = waiting.reach(leader);
+        let limit = waiting.price_limit(leader);
         let job = &waiting.open.job;
         let opportunities = &releases.opportunities;
         let allowed = |c: &Candidate| reach == Reach::All || opportunities.allow(job, limit, c);
         let shape = Shape::of(job, &releases.zones, |zone| job.allows_zone(zone), reach);
-        self.release_gang(now, lead, cache, waiting, shape, allowed, plan)
+        self.release_gang(now, leader, cache, waiting, shape, allowed, plan)
     }
 
     /// Releases a task of the job, if there is a place for it. Returns how many.
@@ -194,11 +194,11 @@
         plan: &mut Plan,
     ) -> Option<Choice> {
         let job = &waiting.open.job;
-        if !plan.usage.within_limit(releases.lead.config, job) {
+        if !plan.usage.within_limit(releases.leader.config, job) {
             return None;
         }
         let open_zone = |zone: &Zone| zone_open(job, &waiting.zones, zone);
-        let reach = waiting.reach(releases.lead);
+        let reach = waiting.reach(releases.leader);
         let shape = Shape::of(job, &releases.zones, open_zone, reach);
         // Jobs alike find no room where one of them found none: room only shrinks while tasks are released.
         if !plan.exhausted.no_room.contains(&shape) {
@@ -215,14 +215,14 @@
             return None;
         }
         let Releases {
-            now, lead, cache, ..
+            now, leader, cache, ..
         } = *releases;
         let victims = releases
             .victims
             .get_or_insert_with(|| self.victims(now, cache));
         let candidates = &plan.candidates;
         let kept = &mut plan.kept;
-        let room = self.make_room(now, lead, candidates, kept, victims, job, &open_zone);
+        let room = self.make_room(now, leader, candidates, kept, victims, job, &open_zone);
         if room.is_none() {
             plan.exhausted.no_way.insert(urgency);
         }
@@ -242,9 +242,9 @@
         let id = waiting.id;
         let failing = self.failures.keeps_failing(id).then_some(id);
         let key = (shape.clone(), job.image.clone(), failing);
-        let (lead, opportunities) = (releases.lead, &releases.opportunities);
+        let (leader, opportunities) = (releases.leader, &releases.opportunities);
         let ranking = releases.rankings.entry(key).or_insert_with(|| {
-            let limit = waiting.price_limit(lead);
+            let limit = waiting.price_limit(leader);
             let open = |c: &Candidate| reach == Reach::All || opportunities.allow(job, limit, c);
             let allowed = |c: &Candidate| zone_open(job, &waiting.zones, &c.zone) && open(c);
             let avoided =
--- a/src/queueing/stock.rs
+++ b/src/queueing/stock.rs
@@ -5,7 +5,7 @@
 use super::gangs::keeps_room;
 use super::waiting::{Waiting, zone_open};
 use crate::domain::{CapacityType, Job, Now, Zone};
-use crate::leadership::Lead;
+use crate::leadership::LeaderContext;
 use crate::provisioning::{Demand, Pool, Provisioner};
 
 /// Whether a pool has run out, what a task costs there, and what a machine does.
@@ -14,7 +14,7 @@
 /// What machines there are and can be had.
 pub(super) struct Stock<'a> {
     pub(super) now: Now,
-    pub(super) lead: &'a Lead<'a>,
+    pub(super) leader: &'a LeaderContext<'a>,
     pub(super) provisioner: &'a Provisioner,
     /// Machines of each pool, those on order included.
     pub(super) machines: BTreeMap<Pool, u32>,
@@ -26,7 +26,7 @@
     pub(super) fn pinned(&self, waiting: &Waiting<'_>) -> Option<Zone> {
         let job = &waiting.open.job;
         let zones: BTreeSet<&Zone> = self
-            .lead
+            .leader
             .catalog
             .all()
             .flat_map(|instance_type| &instance_type.zones)
@@ -40,7 +40,7 @@
             return None;
         }
         let obtainable = |zone: &&Zone| {
-            self.lead
+            self.leader
                 .catalog
                 .all()
                 .filter(|instance_type| job.allows_type(&instance_type.name))
@@ -76,7 +76,7 @@
     ) -> Option<(Pool, f64)> {
         let mut best: Option<(Cost, (Pool, f64))> = None;
         for instance_type in self
-            .lead
+            .leader
             .catalog
             .all()
             .filter(|instance_type| job.allows_type(&instance_type.name))
--- a/src/queueing/tests.rs
+++ b/src/queueing/tests.rs
@@ -145,8 +145,8 @@
             provisioner,
             ..
         } = self;
-        let lead = lead_of(config, policy, catalog);
-        let demand = queues.plan(*now, &lead, cache, provisioner);
+        let leader = lead_of(config, policy, catalog);
+        let demand = queues.plan(*now, &leader, cache, provisioner);
         (
             demand,
             queues.messages(*now, cache, provisioner.addresses()),
@@ -163,9 +163,9 @@
             queues,
             ..
         } = self;
-        let lead = lead_of(config, policy, catalog);
+        let leader = lead_of(config, policy, catalog);
         queues.writer = Writer::Idle;
-        let Some(Op::Commit(txn)) = queues.write(self.now, &lead, cache) else {
+        let Some(Op::Commit(txn)) = queues.write(self.now, &leader, cache) else {
             return Vec::new();
         };
         let keys = txn.conditions.iter().map(|(key, _)| key);
@@ -190,8 +190,12 @@
     }
 }
 
-fn lead_of<'a>(config: &'a Config, policy: &'a Policy, catalog: &'a InstanceCatalog) -> Lead<'a> {
-    Lead {
+fn lead_of<'a>(
+    config: &'a Config,
+    policy: &'a Policy,
+    catalog: &'a InstanceCatalog,
+) -> LeaderContext<'a> {
+    LeaderContext {
         config,
         policy,
         catalog,
@@ -627,8 +631,8 @@
             queues,
             ..
         } = &fixture;
-        let lead = lead_of(config, policy, catalog);
-        queues.queue(*now, cache)[0].reach(&lead)
+        let leader = lead_of(config, policy, catalog);
+        queues.queue(*now, cache)[0].reach(&leader)
     };
     let late = opportunistic::RESTRICTED_FOR + Duration::from_secs(1);
     assert_eq!(reach(0, false, Duration::ZERO), Reach::CheapAndUnreserved);
--- a/src/queueing/turns.rs
+++ b/src/queueing/turns.rs
@@ -5,7 +5,7 @@
 use super::usage::Usage;
 use super::waiting::Waiting;
 use crate::domain::{Job, JobKind, Priority, Team};
-use crate::leadership::Lead;
+use crate::leadership::LeaderContext;
 
 /// The order in which waiting tasks are served: replicas first, then teams within their guarantee, then by priority,
 /// then the team that has the least for its share, then the class of that team that has the least. Jobs of one team,
@@ -43,7 +43,7 @@
         &mut self,
         queue: &[Waiting<'_>],
         usage: &Usage,
-        lead: &Lead<'_>,
+        leader: &LeaderContext<'_>,
     ) -> Option<usize> {
         let mut best: Option<(usize, Rank)> = None;
         for line in &mut self.lines {
@@ -56,7 +56,7 @@
             let Some(index) = line.front().copied() else {
                 continue;
             };
-            let Some(rank) = rank(&queue[index].open.job, usage, lead) else {
+            let Some(rank) = rank(&queue[index].open.job, usage, leader) else {
                 continue;
             };
             if best.as_ref().is_none_or(|(_, least)| rank < *least) {
@@ -68,9 +68,9 @@
 }
 
 /// None: its team is unknown.
-fn rank(job: &Job, usage: &Usage, lead: &Lead<'_>) -> Option<Rank> {
-    let limits = lead.config.team(&job.team)?;
-    let weight = lead
+fn rank(job: &Job, usage: &Usage, leader: &LeaderContext<'_>) -> Option<Rank> {
+    let limits = leader.config.team(&job.team)?;
+    let weight = leader
         .policy
         .team_shares
         .get(&job.team)
@@ -79,7 +79,7 @@
     let of_class = usage.of_class(job);
     Some(Rank {
         not_replica: !is_replica(job),
-        beyond_guarantee: !usage.within_guarantee(lead.config, job),
+        beyond_guarantee: !usage.within_guarantee(leader.config, job),
         priority: job.priority,
         team_share: usage.share(limits) / weight,
         class_share: of_class.cpus + of_class.gpus,
--- a/src/queueing/waiting.rs
+++ b/src/queueing/waiting.rs
@@ -6,7 +6,7 @@
 use super::Queues;
 use super::opportunistic::{RESTRICTED_FOR, Reach, is_opportunistic, price_limit};
 use crate::domain::{InstanceTypeName, Job, JobId, JobKind, Now, Resources, Zone};
-use crate::leadership::Lead;
+use crate::leadership::LeaderContext;
 use crate::store::WatchCache;
 use crate::store::cache::OpenJob;
 use crate::store::records::Ranges;
@@ -63,12 +63,12 @@
 impl Waiting<'_> {
     /// Where its next task may go. A job that has waited for long, and of which nothing is under way, gets one task
     /// wherever there is room.
-    pub(super) fn reach(&self, lead: &Lead<'_>) -> Reach {
+    pub(super) fn reach(&self, leader: &LeaderContext<'_>) -> Reach {
         let under_way = self.taken.len() > self.open.done.len();
         let begins_late = !under_way && self.waited > RESTRICTED_FOR;
-        if !is_opportunistic(lead.config, &self.open.job) || begins_late {
+        if !is_opportunistic(leader.config, &self.open.job) || begins_late {
             Reach::All
-        } else if self.price_limit(lead).is_finite() {
+        } else if self.price_limit(leader).is_finite() {
             Reach::CheapAndUnreserved
         } else {
             Reach::Unreserved
@@ -76,8 +76,8 @@
     }
 
     /// The most that its tasks may cost.
-    pub(super) fn price_limit(&self, lead: &Lead<'_>) -> f64 {
-        price_limit(lead, &self.open.job, self.waited, self.taken.len())
+    pub(super) fn price_limit(&self, leader: &LeaderContext<'_>) -> f64 {
+        price_limit(leader, &self.open.job, self.waited, self.taken.len())
     }
 }
 
--- a/src/upgrade/mod.rs
+++ b/src/upgrade/mod.rs
@@ -9,7 +9,7 @@
 
 use crate::config::Config;
 use crate::domain::{ControllerName, Now};
-use crate::leadership::Lead;
+use crate::leadership::LeaderContext;
 use crate::store::records::{FORMAT, FORMAT_KEY, FormatSwitch, LEADER, member_key};
 use crate::store::{Op, Outcome, Txn, WatchCache, Writer};
 
@@ -28,16 +28,21 @@
     }
 
     /// The transaction that switches the new format on, if it is time.
-    pub fn poll(&mut self, now: Now, lead: &Lead<'_>, cache: &mut WatchCache) -> Option<Op> {
+    pub fn poll(
+        &mut self,
+        now: Now,
+        leader: &LeaderContext<'_>,
+        cache: &mut WatchCache,
+    ) -> Option<Op> {
         if cache.format() >= FORMAT || !self.writer.ready(now, cache) {
             return None;
         }
-        let Members { format, versions } = members(lead.config, cache)?;
+        let Members { format, versions } = members(leader.config, cache)?;
         if format <= cache.format() {
             return None;
         }
         let mut txn = Txn::default()
-            .when(LEADER, lead.version)
+            .when(LEADER, leader.version)
             .when(FORMAT_KEY, cache.format_version());
         for (controller, version) in versions {
             txn = txn.when(member_key(&controller), version);
--- a/src/upgrade/tests.rs
+++ b/src/upgrade/tests.rs
@@ -33,7 +33,7 @@
 
     fn poll(&mut self, upgrade: &mut Upgrade) -> Option<Txn> {
         let policy = Policy::defaults(&self.config);
-        let lead = Lead {
+        let leader = LeaderContext {
             config: &self.config,
             policy: &policy,
             catalog: &InstanceCatalog::default(),
@@ -42,7 +42,7 @@
             batch: 16,
             spare: true,
         };
-        match upgrade.poll(Now::read(), &lead, &mut self.cache)? {
+        match upgrade.poll(Now::read(), &leader, &mut self.cache)? {
             Op::Commit(txn) => Some(txn),
             op => panic!("{op:?}"),
         }
