--- a/src/block_leases/mod.rs
+++ b/src/block_leases/mod.rs
@@ -10,7 +10,7 @@
 
 use crate::config::Config;
 use crate::domain::{BlockId, ControllerName, Now, Zone, since};
-use crate::leadership::LeaderContext;
+use crate::leader_context::LeaderContext;
 use crate::policy::Policy;
 use crate::store::records::{BlockLease, LEADER, TOKEN, Token, block_lease_key};
 use crate::store::{Op, Outcome, Txn, WatchCache, Writer};
--- a/src/block_leases/tests.rs
+++ b/src/block_leases/tests.rs
@@ -1,8 +1,8 @@
 use super::*;
+use crate::cloud::InstanceCatalog;
+use crate::cloud::wire::InstanceTypeList;
+use crate::cloud::wire::tests::instance_type;
 use crate::config::tests::SETTINGS;
-use crate::provisioning::InstanceCatalog;
-use crate::provisioning::wire::InstanceTypeList;
-use crate::provisioning::wire::tests::instance_type;
 use crate::store::records::{Member, encode, member_key};
 use crate::store::{Change, TxnChange};
 
--- a/src/cancellation/mod.rs
+++ b/src/cancellation/mod.rs
@@ -10,11 +10,12 @@
 
 use tracing::warn;
 
+use crate::cloud::wire::MachineNames;
+use crate::cloud::{CloudRequest, CloudResponse};
 use crate::config::Config;
 use crate::domain::{Attempt, BlockId, ControllerName, JobId, MachineId, Now, since};
 use crate::peer::{Alive, CancelledJob};
-use crate::provisioning::wire::MachineNames;
-use crate::provisioning::{Call, CallOutcome, Tag};
+use crate::provisioning::Tag;
 use crate::store::WatchCache;
 use crate::store::cache::ChangedRecords;
 use crate::store::records::BlockLease;
@@ -220,7 +221,7 @@
         boot: u64,
         cache: &WatchCache,
         proven: impl Fn(&BlockId, &MachineId, &Attempt) -> bool,
-    ) -> Option<(Tag, Call)> {
+    ) -> Option<(Tag, CloudRequest)> {
         if self.open.is_empty() || self.looked.is_some_and(|at| since(now, at) < LOOK_EVERY) {
             return None;
         }
@@ -269,15 +270,15 @@
         self.deleting.clone_from(&due);
         Some((
             Tag::DeleteCancelled,
-            Call::Delete(MachineNames { machines: due }),
+            CloudRequest::Delete(MachineNames { machines: due }),
         ))
     }
 
     /// The cloud's answer. The inventory is changed by the leader, which finds the machine overdue as well.
-    pub fn called(&mut self, now: Now, outcome: &CallOutcome) {
+    pub fn cloud_responded(&mut self, now: Now, outcome: &CloudResponse) {
         let machines = std::mem::take(&mut self.deleting);
         match outcome {
-            CallOutcome::Deleted => self.deleted.extend(machines),
+            CloudResponse::Deleted => self.deleted.extend(machines),
             _ => self.retry_at = Some(now.monotonic + RETRY),
         }
     }
--- a/src/cancellation/tests.rs
+++ b/src/cancellation/tests.rs
@@ -141,7 +141,7 @@
             .cancellations
             .poll(now, &self.config, BOOT, &self.cache, |_, _, _| proven);
         match call {
-            Some((Tag::DeleteCancelled, Call::Delete(names))) => names
+            Some((Tag::DeleteCancelled, CloudRequest::Delete(names))) => names
                 .machines
                 .iter()
                 .map(|machine| machine.0.to_string())
@@ -171,7 +171,7 @@
     let later = late + LOOK_EVERY;
     assert_eq!(copy.deleted(later, false), ["m-1"]);
     copy.cancellations
-        .called(copy.at(later), &CallOutcome::Unknown);
+        .cloud_responded(copy.at(later), &CloudResponse::Unknown);
     assert_eq!(
         copy.deleted(later + LOOK_EVERY, false),
         [] as [&str; 0],
@@ -183,7 +183,7 @@
         "the call may be lost"
     );
     copy.cancellations
-        .called(copy.at(later + RETRY), &CallOutcome::Deleted);
+        .cloud_responded(copy.at(later + RETRY), &CloudResponse::Deleted);
     assert_eq!(
         copy.deleted(later + RETRY * 2, false),
         [] as [&str; 0],
--- a/src/provisioning/wire.rs
+++ b/src/cloud/wire.rs
@@ -4,7 +4,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use super::{Call, CallOutcome};
+use super::{CloudRequest, CloudResponse};
 use crate::domain::{Amount, InstanceTypeName, MachineId, Resources, Zone};
 use crate::http::{Reply, Request, read, write};
 
@@ -61,7 +61,7 @@
 }
 
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct RentRequest {
+pub struct ScaleOutRequest {
     #[serde(rename = "requisition")]
     pub request: String,
     #[serde(rename = "berthKind")]
@@ -121,12 +121,14 @@
 const TIMEOUT: Duration = Duration::from_secs(5);
 const PAGE: u32 = 500;
 
-pub fn request(call: &Call) -> Request {
+pub fn request(call: &CloudRequest) -> Request {
     match call {
-        Call::InstanceCatalog => Request::get("/flavors".to_owned(), TIMEOUT),
-        Call::Rent(rent) => Request::post("/machines".to_owned(), write(rent), TIMEOUT),
-        Call::Delete(names) => Request::post("/machines/delete".to_owned(), write(names), TIMEOUT),
-        Call::List { after } => {
+        CloudRequest::ListInstanceTypes => Request::get("/flavors".to_owned(), TIMEOUT),
+        CloudRequest::Rent(rent) => Request::post("/machines".to_owned(), write(rent), TIMEOUT),
+        CloudRequest::Delete(names) => {
+            Request::post("/machines/delete".to_owned(), write(names), TIMEOUT)
+        }
+        CloudRequest::List { after } => {
             let after = after
                 .as_ref()
                 .map(|id| format!("after={id}&"))
@@ -136,27 +138,29 @@
     }
 }
 
-pub fn outcome(call: &Call, reply: Option<&Reply>) -> CallOutcome {
+pub fn outcome(call: &CloudRequest, reply: Option<&Reply>) -> CloudResponse {
     let Some(reply) = reply else {
-        return CallOutcome::Unknown;
+        return CloudResponse::Unknown;
     };
     match (reply.status, call) {
-        (200, Call::InstanceCatalog) => {
-            read(&reply.body).map_or(CallOutcome::Refused, CallOutcome::InstanceCatalog)
+        (200, CloudRequest::ListInstanceTypes) => {
+            read(&reply.body).map_or(CloudResponse::Refused, CloudResponse::InstanceTypes)
+        }
+        (200, CloudRequest::Rent(_)) => {
+            read(&reply.body).map_or(CloudResponse::Unknown, CloudResponse::Rented)
         }
-        (200, Call::Rent(_)) => read(&reply.body).map_or(CallOutcome::Unknown, CallOutcome::Rented),
-        (200, Call::Delete(_)) => CallOutcome::Deleted,
-        (200, Call::List { .. }) => {
-            read(&reply.body).map_or(CallOutcome::Refused, CallOutcome::Listed)
+        (200, CloudRequest::Delete(_)) => CloudResponse::Deleted,
+        (200, CloudRequest::List { .. }) => {
+            read(&reply.body).map_or(CloudResponse::Refused, CloudResponse::Listed)
         }
         // An outage is a 503 too, but says so.
-        (503, Call::Rent(_)) => match read::<Problem>(&reply.body) {
-            Some(problem) if problem.error == "no capacity" => CallOutcome::NoCapacity,
-            _ => CallOutcome::Refused,
+        (503, CloudRequest::Rent(_)) => match read::<Problem>(&reply.body) {
+            Some(problem) if problem.error == "no capacity" => CloudResponse::NoCapacity,
+            _ => CloudResponse::Refused,
         },
         // A request that the cloud calls malformed would be so for ever.
-        (400, Call::Rent(_)) => CallOutcome::NoCapacity,
-        _ => CallOutcome::Refused,
+        (400, CloudRequest::Rent(_)) => CloudResponse::NoCapacity,
+        _ => CloudResponse::Refused,
     }
 }
 
--- a/src/provisioning/wire/tests.rs
+++ b/src/cloud/wire/tests.rs
@@ -20,7 +20,7 @@
 
 #[test]
 fn no_capacity_is_told_from_an_outage() {
-    let rent = Call::Rent(RentRequest {
+    let rent = CloudRequest::Rent(ScaleOutRequest {
         request: "r-1-1".into(),
         type_name: "g8".into(),
         zone: "a".into(),
@@ -33,11 +33,11 @@
     };
     assert_eq!(
         outcome(&rent, Some(&reply("no capacity"))),
-        CallOutcome::NoCapacity
+        CloudResponse::NoCapacity
     );
     assert_eq!(
         outcome(&rent, Some(&reply("trouble"))),
-        CallOutcome::Refused
+        CloudResponse::Refused
     );
-    assert_eq!(outcome(&rent, None), CallOutcome::Unknown);
+    assert_eq!(outcome(&rent, None), CloudResponse::Unknown);
 }
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -11,18 +11,20 @@
 
 use crate::block_leases::BlockLeaseManager;
 use crate::cancellation::Cancellations;
+use crate::cloud::{CloudRequest, CloudResponse, InstanceCatalog};
 use crate::config::Config;
 use crate::domain::{Attempt, BlockId, ControllerName, MachineId, Now, Zone, since};
 use crate::features::Features;
 use crate::fleet::wire::{Heartbeat, WorkerCommands};
 use crate::fleet::{Command, CommandOutcome, Fleet, HeartbeatResponse, Writes};
 use crate::intake::{self, Intake, RequestId, Response};
-use crate::leadership::{self, LeaderContext, Leadership};
+use crate::leader_context::LeaderContext;
+use crate::leadership::{self, Leadership};
 use crate::metrics::Metrics;
 use crate::operations::{self, Operations};
 use crate::peer::{Alive, AssignmentUpdate, CancelledJob, Message, Status};
 use crate::policy::Policy;
-use crate::provisioning::{self, Call, CallOutcome, Demand, InstanceCatalog, Provisioner};
+use crate::provisioning::{self, Demand, Provisioner};
 use crate::queueing::Queues;
 use crate::queueing::draining::Draining;
 use crate::store::budget::{Budget, Urgency};
@@ -83,9 +85,9 @@
         body: WorkerCommands,
         outcome: CommandOutcome,
     },
-    Called {
+    CloudResponse {
         tag: provisioning::Tag,
-        outcome: CallOutcome,
+        outcome: CloudResponse,
     },
     Peer(Message),
 }
@@ -102,9 +104,9 @@
         command: Command,
         until: Option<Instant>,
     },
-    Call {
+    Cloud {
         tag: provisioning::Tag,
-        call: Call,
+        call: CloudRequest,
         until: Option<Instant>,
     },
     Peer {
@@ -397,7 +399,7 @@
                     .commanded(now, &block, &machine, &body, outcome, &self.cache);
                 self.status_due = true;
             }
-            Event::Called { tag, outcome } => self.called(now, tag, outcome),
+            Event::CloudResponse { tag, outcome } => self.cloud_responded(now, tag, outcome),
             Event::Peer(message) => self.peer(now, message),
         }
         self.advance(now, &mut effects);
@@ -518,16 +520,16 @@
         }
     }
 
-    fn called(&mut self, now: Now, tag: provisioning::Tag, outcome: CallOutcome) {
+    fn cloud_responded(&mut self, now: Now, tag: provisioning::Tag, outcome: CloudResponse) {
         if tag == provisioning::Tag::DeleteCancelled {
-            self.cancellations.called(now, &outcome);
+            self.cancellations.cloud_responded(now, &outcome);
         } else if tag == provisioning::Tag::InstanceCatalog {
             self.catalog.answered(match outcome {
-                CallOutcome::InstanceCatalog(list) => Some(list),
+                CloudResponse::InstanceTypes(list) => Some(list),
                 _ => None,
             });
         } else if let Some(leader_state) = &mut self.leader_state {
-            leader_state.provisioner.called(
+            leader_state.provisioner.cloud_responded(
                 now,
                 &self.policy,
                 &self.config,
@@ -622,9 +624,9 @@
         }
         self.take_up_format(now);
         if self.catalog.due(now) {
-            effects.push(Effect::Call {
+            effects.push(Effect::Cloud {
                 tag: provisioning::Tag::InstanceCatalog,
-                call: Call::InstanceCatalog,
+                call: CloudRequest::ListInstanceTypes,
                 until: None,
             });
         }
@@ -679,7 +681,7 @@
         let call = self
             .cancellations
             .poll(now, &self.config, self.boot, &self.cache, proven);
-        effects.extend(call.map(|(tag, call)| Effect::Call {
+        effects.extend(call.map(|(tag, call)| Effect::Cloud {
             tag,
             call,
             until: None,
@@ -855,7 +857,7 @@
                 .provisioner
                 .calls(now, &self.config, &self.cache, &leader_state.demand)
         {
-            effects.push(Effect::Call {
+            effects.push(Effect::Cloud {
                 tag,
                 call,
                 until: Some(until),
--- a/src/controller/tests.rs
+++ b/src/controller/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
+use crate::cloud::wire::InstanceTypeList;
 use crate::config::tests::SETTINGS;
-use crate::provisioning::wire::InstanceTypeList;
 
 #[test]
 fn users_are_sent_elsewhere_only_if_the_others_reach_the_state_service() {
@@ -14,11 +14,11 @@
     let mut controller = Controller::new(config, policy, 1, start);
     assert!(!controller.healthy(at(1)), "nothing is known yet");
     let list = InstanceTypeList {
-        types: vec![crate::provisioning::wire::tests::instance_type()],
+        types: vec![crate::cloud::wire::tests::instance_type()],
     };
-    let event = Event::Called {
+    let event = Event::CloudResponse {
         tag: provisioning::Tag::InstanceCatalog,
-        outcome: CallOutcome::InstanceCatalog(list),
+        outcome: CloudResponse::InstanceTypes(list),
     };
     // An empty state service.
     for effect in controller.handle(start, event) {
--- a/src/fleet/block.rs
+++ b/src/fleet/block.rs
@@ -9,12 +9,12 @@
 use super::parts::{Ended, PartLimits, PartsDraft, merged};
 use super::wire::{Cause, Heartbeat, TaskState, WorkerCommand, WorkerCommands};
 use super::worker::{Launch, ObservedTask, QUIET, Worker};
+use crate::cloud::InstanceCatalog;
 use crate::config::Config;
 use crate::domain::{Attempt, BlockId, JobId, JobKind, MachineId, Now, Resources, TaskId, since};
 use crate::peer::{Assignment, BlockStatus, MachineStatus};
 use crate::placement::{self, Candidate};
 use crate::policy::Policy;
-use crate::provisioning::InstanceCatalog;
 use crate::store::cache::Parts;
 use crate::store::records::{
     BlockLease, BlockPlacements, PARTS_FORMAT, Part, block_lease_key, inventory_part_key, job_key,
--- a/src/fleet/mod.rs
+++ b/src/fleet/mod.rs
@@ -14,11 +14,11 @@
 
 use tracing::info;
 
+use crate::cloud::InstanceCatalog;
 use crate::config::Config;
 use crate::domain::{Attempt, BlockId, MachineId, Now, TaskId, since};
 use crate::peer::{AssignmentUpdate, BlockStatus};
 use crate::policy::Policy;
-use crate::provisioning::InstanceCatalog;
 use crate::store::cache::ChangedRecords;
 use crate::store::{Op, Outcome, WatchCache, Writer};
 use block::{Block, HeartbeatSource, recorded, still_there, wanted_alive};
--- a/src/fleet/tests.rs
+++ b/src/fleet/tests.rs
@@ -7,12 +7,12 @@
 use super::wire::{Cause, TaskStatus, WorkerCommand};
 use super::worker::PROBE_AGAIN;
 use super::*;
+use crate::cloud::wire::InstanceTypeList;
+use crate::cloud::wire::tests::instance_type;
 use crate::config::tests::SETTINGS;
 use crate::domain::{Attempt, CapacityType, Job, JobId};
 use crate::peer::Assignment;
 use crate::placement::tests::job;
-use crate::provisioning::wire::InstanceTypeList;
-use crate::provisioning::wire::tests::instance_type;
 use crate::store::Change;
 use crate::store::records::{
     BlockLease, InventoryEntry, JobRecord, MachineInventory, MachineState, block_lease_key, encode,
--- a/src/intake/mod.rs
+++ b/src/intake/mod.rs
@@ -8,10 +8,10 @@
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
 
+use crate::cloud::InstanceCatalog;
 use crate::config::Config;
 use crate::domain::{Job, JobId, JobKind, JobOutcome, Now, Resources};
 use crate::peer::CancelledJob;
-use crate::provisioning::InstanceCatalog;
 use crate::store::budget::{Budget, Urgency};
 use crate::store::records::{JobRecord, PARTS_FORMAT, encode, job_key, json_size};
 use crate::store::{Op, Outcome, Txn, WatchCache};
--- a/src/intake/tests.rs
+++ b/src/intake/tests.rs
@@ -1,11 +1,11 @@
 //! What users are answered, and when.
 
 use super::*;
+use crate::cloud::wire::InstanceTypeList;
+use crate::cloud::wire::tests::instance_type;
 use crate::config::tests::SETTINGS;
 use crate::intake::wire::tests::{body, sample};
 use crate::placement::tests::job;
-use crate::provisioning::wire::InstanceTypeList;
-use crate::provisioning::wire::tests::instance_type;
 use crate::store::Change;
 use crate::store::records::encode;
 
--- /dev/null
+++ b/src/leader_context.rs
@@ -0,0 +1,20 @@
+//! What every component of the leader needs to act: settings, the catalogue and the authority of its term.
+
+use crate::cloud::InstanceCatalog;
+use crate::config::Config;
+use crate::policy::Policy;
+
+/// What the leader's slices need to know to act for this term.
+#[derive(Clone, Copy)]
+pub struct LeaderContext<'a> {
+    pub config: &'a Config,
+    pub policy: &'a Policy,
+    pub catalog: &'a InstanceCatalog,
+    pub term: u64,
+    /// The leader record's version: the authority of every write.
+    pub version: u64,
+    /// The changes that one transaction should not exceed, by the state service's rate.
+    pub batch: usize,
+    /// Whether there are writes to spare just now.
+    pub spare: bool,
+}
--- a/src/leadership/mod.rs
+++ b/src/leadership/mod.rs
@@ -10,10 +10,7 @@
 use rand::rngs::SmallRng;
 use tracing::info;
 
-use crate::config::Config;
 use crate::domain::{ControllerName, Now, since};
-use crate::policy::Policy;
-use crate::provisioning::InstanceCatalog;
 use crate::store::records::{LEADER, Leader, Member, TOKEN, Token, member_key};
 use crate::store::{Op, Outcome, Txn, WatchCache};
 
@@ -25,21 +22,6 @@
 const CLOCK_DRIFT: f64 = 0.0005;
 const RETRY: Duration = Duration::from_millis(500);
 
-/// What the leader's slices need to know to act for this term.
-#[derive(Clone, Copy)]
-pub struct LeaderContext<'a> {
-    pub config: &'a Config,
-    pub policy: &'a Policy,
-    pub catalog: &'a InstanceCatalog,
-    pub term: u64,
-    /// The leader record's version: the authority of every write.
-    pub version: u64,
-    /// The changes that one transaction should not exceed, by the state service's rate.
-    pub batch: usize,
-    /// Whether there are writes to spare just now.
-    pub spare: bool,
-}
-
 /// A lease and the record attached to it.
 #[derive(Debug, Clone, Copy, PartialEq)]
 enum KeyLease {
--- a/src/operations/mod.rs
+++ b/src/operations/mod.rs
@@ -16,7 +16,7 @@
 
 use crate::domain::{ControllerName, Now, Team, since};
 use crate::intake::RequestId;
-use crate::leadership::LeaderContext;
+use crate::leader_context::LeaderContext;
 use crate::queueing::draining::{Draining, machine_views};
 use crate::store::cache::{values, version_of};
 use crate::store::records::{DRAIN_FORMAT, LEADER, drain_budget_key, drain_key, encode, json_size};
--- a/src/placement/mod.rs
+++ b/src/placement/mod.rs
@@ -2,8 +2,8 @@
 
 use std::cmp::Ordering;
 
+use crate::cloud::wire::InstanceType;
 use crate::domain::{CapacityType, Image, InstanceTypeName, Job, MachineId, Resources, Zone};
-use crate::provisioning::wire::InstanceType;
 use crate::store::Machine;
 
 /// A machine that takes tasks, as the leader or its holder knows it.
--- a/src/provisioning/edits.rs
+++ b/src/provisioning/edits.rs
@@ -5,7 +5,7 @@
 use super::Demand;
 use crate::block_leases;
 use crate::domain::{BlockId, InstanceTypeName, MachineId, Zone};
-use crate::leadership::LeaderContext;
+use crate::leader_context::LeaderContext;
 use crate::store::records::{
     FIRST_PART, InventoryEntry, MachineInventory, PARTS_FORMAT, Part, inventory_part_key,
 };
--- a/src/provisioning/mod.rs
+++ b/src/provisioning/mod.rs
@@ -6,10 +6,8 @@
 
 mod boot_times;
 mod edits;
-mod instance_catalog;
 mod round;
 pub mod rule;
-pub mod wire;
 
 use std::collections::{BTreeMap, BTreeSet, HashMap, HashSet};
 use std::time::{Duration, Instant};
@@ -18,13 +16,17 @@
 use tracing::{debug, info, warn};
 
 use crate::cancellation;
+use crate::cloud::wire::{
+    InstanceType, ListedMachine, ListedState, MachineList, MachineNames, ScaleOutRequest,
+};
+use crate::cloud::{CloudRequest, CloudResponse, InstanceCatalog};
 use crate::config::Config;
 use crate::domain::{
     Amount, Attempt, BlockId, CapacityType, InstanceTypeName, MachineId, Now, Resources, TaskId,
     Zone, since,
 };
 use crate::fleet::wire::Heartbeat;
-use crate::leadership::LeaderContext;
+use crate::leader_context::LeaderContext;
 use crate::policy::Policy;
 use crate::store::records::{
     DRAIN_FORMAT, InventoryEntry, LEADER, MachineState, PARTS_FORMAT, PendingRental,
@@ -33,33 +35,7 @@
 use crate::store::{Op, Outcome, Txn, WatchCache, Writer};
 use boot_times::BootTimes;
 use edits::{Edits, too_large};
-pub use instance_catalog::InstanceCatalog;
 use round::Round;
-use wire::{
-    InstanceType, InstanceTypeList, ListedMachine, ListedState, MachineList, MachineNames,
-    RentRequest,
-};
-
-/// A request to the cloud.
-#[derive(Debug, Clone, PartialEq)]
-pub enum Call {
-    InstanceCatalog,
-    Rent(RentRequest),
-    Delete(MachineNames),
-    List { after: Option<MachineId> },
-}
-
-#[derive(Debug, Clone, PartialEq)]
-pub enum CallOutcome {
-    InstanceCatalog(InstanceTypeList),
-    Rented(MachineNames),
-    NoCapacity,
-    Deleted,
-    Listed(MachineList),
-    /// Rate limit, outage or an answer that makes no sense.
-    Refused,
-    Unknown,
-}
 
 /// Machines that are rented, priced and run out alike: to the rule, a type.
 pub type Pool = (InstanceTypeName, CapacityType);
@@ -475,7 +451,7 @@
         config: &Config,
         cache: &WatchCache,
         demand: &Demand,
-    ) -> Vec<(Tag, Call)> {
+    ) -> Vec<(Tag, CloudRequest)> {
         let mut calls = Vec::new();
         if !cache.covers(self.term_since) {
             return calls;
@@ -491,7 +467,7 @@
             }
             self.renting.insert(type_name.clone(), now.monotonic);
             let pending_rental = pending_rental.clone();
-            let request = RentRequest {
+            let request = ScaleOutRequest {
                 request: pending_rental.value.request.clone(),
                 type_name: type_name.clone(),
                 zone: pending_rental.value.zone.clone(),
@@ -503,7 +479,7 @@
                 pending_rental: pending_rental.value,
                 version: pending_rental.version,
             };
-            calls.push((tag, Call::Rent(request)));
+            calls.push((tag, CloudRequest::Rent(request)));
         }
         if self.deleting.is_none() && self.delete_retry.is_none_or(|at| now.monotonic >= at) {
             let due: Vec<MachineId> = cache
@@ -522,7 +498,7 @@
                 self.deleting = Some(due.clone());
                 calls.push((
                     Tag::Delete(due.clone()),
-                    Call::Delete(MachineNames { machines: due }),
+                    CloudRequest::Delete(MachineNames { machines: due }),
                 ));
             }
         }
@@ -533,7 +509,7 @@
             self.listed = Some(now.monotonic);
             calls.push((
                 Tag::List,
-                Call::List {
+                CloudRequest::List {
                     after: self.list_after.clone(),
                 },
             ));
@@ -541,14 +517,14 @@
         calls
     }
 
-    pub fn called(
+    pub fn cloud_responded(
         &mut self,
         now: Now,
         policy: &Policy,
         config: &Config,
         cache: &WatchCache,
         tag: Tag,
-        outcome: CallOutcome,
+        outcome: CloudResponse,
     ) {
         match (tag, outcome) {
             (
@@ -561,7 +537,7 @@
             ) => {
                 self.renting.remove(&type_name);
                 match outcome {
-                    CallOutcome::Rented(names) => {
+                    CloudResponse::Rented(names) => {
                         let got = names.machines.len();
                         info!(%type_name, zone = %pending_rental.zone, capacity_type = ?pending_rental.capacity_type, wanted = pending_rental.count, got, "rented");
                         if got < pending_rental.count as usize {
@@ -576,7 +552,7 @@
                         self.rented
                             .insert(type_name, (pending_rental, version, names.machines));
                     }
-                    CallOutcome::NoCapacity => {
+                    CloudResponse::NoCapacity => {
                         debug!(%type_name, zone = %pending_rental.zone, capacity_type = ?pending_rental.capacity_type, "no capacity");
                         self.mark_unavailable(now, policy, &type_name, &pending_rental);
                         self.rented
@@ -587,7 +563,7 @@
                     }
                 }
             }
-            (Tag::Delete(machines), CallOutcome::Deleted) => {
+            (Tag::Delete(machines), CloudResponse::Deleted) => {
                 self.deleting = None;
                 for machine in machines {
                     self.recently_deleted.insert(machine.clone(), now.monotonic);
@@ -598,7 +574,7 @@
                 self.deleting = None;
                 self.delete_retry = Some(now.monotonic + RETRY);
             }
-            (Tag::List, CallOutcome::Listed(list)) => {
+            (Tag::List, CloudResponse::Listed(list)) => {
                 self.list_busy = false;
                 self.list_after = if list.more {
                     list.machines.last().map(|m| m.id.clone())
--- a/src/provisioning/round.rs
+++ b/src/provisioning/round.rs
@@ -7,10 +7,10 @@
 use tracing::{debug, info};
 
 use super::edits::Edits;
-use super::wire::InstanceType;
 use super::{ASK_AGAIN, Demand, MOST_RENTED, Pool, Provisioner, Runs, rule};
+use crate::cloud::wire::InstanceType;
 use crate::domain::{BlockId, CapacityType, MachineId, Now, Zone, since};
-use crate::leadership::LeaderContext;
+use crate::leader_context::LeaderContext;
 use crate::store::records::{MachineState, PendingRental, pending_rental_key};
 use crate::store::{Machine, Txn, WatchCache};
 
--- a/src/provisioning/tests.rs
+++ b/src/provisioning/tests.rs
@@ -2,11 +2,12 @@
 
 use super::*;
 use crate::block_leases;
+use crate::cloud::wire::InstanceTypeList;
+use crate::cloud::wire::tests::instance_type;
 use crate::config::tests::SETTINGS;
 use crate::domain::{Attempt, JobId, TaskId};
 use crate::placement::tests::job;
 use crate::policy::Policy;
-use crate::provisioning::wire::tests::instance_type;
 use crate::store::Change;
 use crate::store::records::PendingRental;
 use crate::store::records::{
--- a/src/queueing/demand.rs
+++ b/src/queueing/demand.rs
@@ -8,7 +8,7 @@
 use super::usage::Usage;
 use super::waiting::{Shape, Waiting};
 use crate::domain::{Job, Team, Zone};
-use crate::leadership::LeaderContext;
+use crate::leader_context::LeaderContext;
 use crate::provisioning::{Demand, Pool};
 use crate::store::cache::OpenJob;
 use crate::store::{Machine, WatchCache};
--- a/src/queueing/draining/mod.rs
+++ b/src/queueing/draining/mod.rs
@@ -26,7 +26,7 @@
 use super::stock::Stock;
 use super::{Plan, Queues, STATUS_LIFE};
 use crate::domain::{Attempt, BlockId, Job, JobKind, MachineId, Now, TaskId, Team, Zone, since};
-use crate::leadership::LeaderContext;
+use crate::leader_context::LeaderContext;
 use crate::provisioning::Provisioner;
 use crate::store::cache::{values, version_of};
 use crate::store::records::{LEADER, MachineState, drain_budget_key, drain_key, drain_ledger_key};
--- a/src/queueing/gangs.rs
+++ b/src/queueing/gangs.rs
@@ -12,7 +12,7 @@
 use super::waiting::{Shape, Waiting};
 use super::{Plan, Queues};
 use crate::domain::{Attempt, BlockId, JobId, JobKind, MachineId, Now, TaskId, Zone};
-use crate::leadership::LeaderContext;
+use crate::leader_context::LeaderContext;
 use crate::placement::{self, Candidate};
 use crate::store::WatchCache;
 
--- a/src/queueing/mod.rs
+++ b/src/queueing/mod.rs
@@ -23,15 +23,16 @@
 
 use tracing::debug;
 
+use crate::cloud::InstanceCatalog;
 use crate::config::Config;
 use crate::domain::{
     Attempt, BlockId, ControllerName, Image, Job, JobId, JobKind, JobOutcome, MachineId, Now,
     Priority, Resources, TaskId, Team, since,
 };
-use crate::leadership::LeaderContext;
+use crate::leader_context::LeaderContext;
 use crate::peer::{BlockStatus, MachineStatus};
 use crate::placement::Candidate;
-use crate::provisioning::{Demand, Health, InstanceCatalog, Pool, Provisioner, Runs};
+use crate::provisioning::{Demand, Health, Pool, Provisioner, Runs};
 use crate::store::records::{JobRecord, LEADER, job_key, progress_key};
 use crate::store::{Op, Outcome, Txn, WatchCache, Writer};
 use block_state::BlockState;
--- a/src/queueing/opportunistic.rs
+++ b/src/queueing/opportunistic.rs
@@ -5,12 +5,13 @@
 use std::collections::{BTreeMap, HashSet};
 use std::time::Duration;
 
+use crate::cloud::InstanceCatalog;
+use crate::cloud::wire::InstanceType;
 use crate::config::Config;
 use crate::domain::{CapacityType, Job, MachineId, Priority};
-use crate::leadership::LeaderContext;
+use crate::leader_context::LeaderContext;
 use crate::placement::Candidate;
-use crate::provisioning::wire::InstanceType;
-use crate::provisioning::{InstanceCatalog, Pool, Provisioner, Runs, rule};
+use crate::provisioning::{Pool, Provisioner, Runs, rule};
 
 /// A job of which nothing has run for this long gets its first task wherever there is room.
 pub(super) const RESTRICTED_FOR: Duration = Duration::from_secs(45);
--- a/src/queueing/opportunistic/tests.rs
+++ b/src/queueing/opportunistic/tests.rs
@@ -1,13 +1,13 @@
 //! Work without a guarantee keeps to cheap machines and out of the margin.
 
 use super::*;
+use crate::cloud::InstanceCatalog;
+use crate::cloud::wire::InstanceTypeList;
+use crate::cloud::wire::tests::instance_type;
 use crate::config::tests::SETTINGS;
 use crate::domain::{Image, Now, Resources};
 use crate::placement::tests::job;
 use crate::policy::Policy;
-use crate::provisioning::InstanceCatalog;
-use crate::provisioning::wire::InstanceTypeList;
-use crate::provisioning::wire::tests::instance_type;
 
 /// The sample's teams and one without a guarantee.
 fn config() -> Config {
--- a/src/queueing/preemption.rs
+++ b/src/queueing/preemption.rs
@@ -8,7 +8,7 @@
 use super::Queues;
 use super::usage::Usage;
 use crate::domain::{Attempt, BlockId, Job, JobKind, MachineId, Now, Zone, since};
-use crate::leadership::LeaderContext;
+use crate::leader_context::LeaderContext;
 use crate::placement::Candidate;
 use crate::store::WatchCache;
 
--- a/src/queueing/releases.rs
+++ b/src/queueing/releases.rs
@@ -10,7 +10,7 @@
 use super::waiting::{Shape, Waiting, zone_open};
 use super::{Plan, Queues};
 use crate::domain::{Attempt, BlockId, Image, JobId, JobKind, Now, Resources, TaskId, Zone};
-use crate::leadership::LeaderContext;
+use crate::leader_context::LeaderContext;
 use crate::placement::{Candidate, Ranking};
 use crate::store::WatchCache;
 
--- a/src/queueing/stock.rs
+++ b/src/queueing/stock.rs
@@ -5,7 +5,7 @@
 use super::gangs::keeps_room;
 use super::waiting::{Waiting, zone_open};
 use crate::domain::{CapacityType, Job, Now, Zone};
-use crate::leadership::LeaderContext;
+use crate::leader_context::LeaderContext;
 use crate::provisioning::{Demand, Pool, Provisioner};
 
 /// Whether a pool has run out, what a task costs there, and what a machine does.
--- a/src/queueing/tests.rs
+++ b/src/queueing/tests.rs
@@ -3,13 +3,13 @@
 use super::opportunistic::Reach;
 use super::waiting::BEGIN_WITHIN;
 use super::*;
+use crate::cloud::wire::InstanceTypeList;
+use crate::cloud::wire::tests::instance_type;
 use crate::config::tests::SETTINGS;
 use crate::domain::{CapacityType, Job, JobKind};
 use crate::peer::AssignmentUpdate;
 use crate::placement::tests::job;
 use crate::policy::Policy;
-use crate::provisioning::wire::InstanceTypeList;
-use crate::provisioning::wire::tests::instance_type;
 use crate::store::Change;
 use crate::store::records::{
     BlockLease, BlockPlacements, InventoryEntry, MachineInventory, MachineState, block_lease_key,
--- a/src/queueing/turns.rs
+++ b/src/queueing/turns.rs
@@ -5,7 +5,7 @@
 use super::usage::Usage;
 use super::waiting::Waiting;
 use crate::domain::{Job, JobKind, Priority, Team};
-use crate::leadership::LeaderContext;
+use crate::leader_context::LeaderContext;
 
 /// The order in which waiting tasks are served: replicas first, then teams within their guarantee, then by priority,
 /// then the team that has the least for its share, then the class of that team that has the least. Jobs of one team,
--- a/src/queueing/waiting.rs
+++ b/src/queueing/waiting.rs
@@ -6,7 +6,7 @@
 use super::Queues;
 use super::opportunistic::{RESTRICTED_FOR, Reach, is_opportunistic, price_limit};
 use crate::domain::{InstanceTypeName, Job, JobId, JobKind, Now, Resources, Zone};
-use crate::leadership::LeaderContext;
+use crate::leader_context::LeaderContext;
 use crate::store::WatchCache;
 use crate::store::cache::OpenJob;
 use crate::store::records::Ranges;
--- a/src/service.rs
+++ b/src/service.rs
@@ -19,7 +19,7 @@
 use crate::intake::{RequestId, Response};
 use crate::policy::Policy;
 use crate::store::records::FORMAT;
-use crate::{provisioning, store};
+use crate::{cloud, store};
 
 const TICK: Duration = Duration::from_millis(40);
 const COMMAND_TIMEOUT: Duration = Duration::from_secs(3);
@@ -235,11 +235,11 @@
                     Event::Store { tag, sent, outcome }
                 });
             }
-            Effect::Call { tag, call, until } => {
-                let request = provisioning::wire::request(&call);
+            Effect::Cloud { tag, call, until } => {
+                let request = cloud::wire::request(&call);
                 self.exchange(&self.client, self.cloud, request, until, move |reply| {
-                    let outcome = provisioning::wire::outcome(&call, reply.as_ref());
-                    Event::Called { tag, outcome }
+                    let outcome = cloud::wire::outcome(&call, reply.as_ref());
+                    Event::CloudResponse { tag, outcome }
                 });
             }
             Effect::Command { command, until } => {
--- a/src/upgrade/mod.rs
+++ b/src/upgrade/mod.rs
@@ -9,7 +9,7 @@
 
 use crate::config::Config;
 use crate::domain::{ControllerName, Now};
-use crate::leadership::LeaderContext;
+use crate::leader_context::LeaderContext;
 use crate::store::records::{FORMAT, FORMAT_KEY, FormatSwitch, LEADER, member_key};
 use crate::store::{Op, Outcome, Txn, WatchCache, Writer};
 
--- a/src/upgrade/tests.rs
+++ b/src/upgrade/tests.rs
@@ -1,9 +1,9 @@
 //! When the new format is switched on, and when not.
 
 use super::*;
+use crate::cloud::InstanceCatalog;
 use crate::config::tests::SETTINGS;
 use crate::policy::Policy;
-use crate::provisioning::InstanceCatalog;
 use crate::store::Change;
 use crate::store::records::{Member, PARTS_FORMAT, encode};
 
--- a/tests/loopback/cloud.rs
+++ b/tests/loopback/cloud.rs
@@ -6,9 +6,9 @@
 use std::time::Duration;
 
 use ciborium::{Value, cbor};
+use dappleshore::cloud::wire::{MachineNames, ScaleOutRequest};
 use dappleshore::domain::{CapacityType, Resources};
 use dappleshore::http::read;
-use dappleshore::provisioning::wire::{MachineNames, RentRequest};
 use warp::Filter;
 use warp::reply::Response;
 
@@ -32,7 +32,7 @@
         .and(body)
         .and(with.clone())
         .then(|body: bytes::Bytes, fleet: Arc<Mutex<Fleet>>| async move {
-            match read::<RentRequest>(&body) {
+            match read::<ScaleOutRequest>(&body) {
                 Some(request) => rent(&request, &fleet).await,
                 None => reply(400, &cbor!({"error" => "malformed"})),
             }
@@ -83,7 +83,7 @@
     )
 }
 
-async fn rent(request: &RentRequest, fleet: &Arc<Mutex<Fleet>>) -> Response {
+async fn rent(request: &ScaleOutRequest, fleet: &Arc<Mutex<Fleet>>) -> Response {
     let known = lock(fleet).requests.get(&request.request).cloned();
     let names = match known {
         Some(names) => names,
@@ -99,7 +99,7 @@
     reply(200, &cbor!({"berths" => names}))
 }
 
-async fn rent_new(request: &RentRequest, fleet: &Arc<Mutex<Fleet>>) -> Vec<String> {
+async fn rent_new(request: &ScaleOutRequest, fleet: &Arc<Mutex<Fleet>>) -> Vec<String> {
     let mut names = Vec::new();
     for _ in 0..request.count {
         let alike = |machine: &&Machine| {
@@ -135,7 +135,7 @@
     names
 }
 
-fn machine(name: &str, request: &RentRequest, now: Duration) -> Machine {
+fn machine(name: &str, request: &ScaleOutRequest, now: Duration) -> Machine {
     Machine {
         id: name.to_owned(),
         type_name: request.type_name.clone(),
--- a/tests/simulation/world.rs
+++ b/tests/simulation/world.rs
@@ -5,6 +5,10 @@
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap, HashMap};
 use std::time::{Duration, Instant, SystemTime};
 
+use dappleshore::cloud::wire::{
+    InstanceType, InstanceTypeList, ListedMachine, ListedState, MachineList, MachineNames,
+};
+use dappleshore::cloud::{CloudRequest, CloudResponse};
 use dappleshore::config::{Config, StateLimits, TeamLimits};
 use dappleshore::controller::{Controller, Effect, Event, StoreTag};
 use dappleshore::domain::{
@@ -16,10 +20,7 @@
 use dappleshore::intake::Response;
 use dappleshore::peer::Message;
 use dappleshore::policy::Policy;
-use dappleshore::provisioning::wire::{
-    InstanceType, InstanceTypeList, ListedMachine, ListedState, MachineList, MachineNames,
-};
-use dappleshore::provisioning::{Call, CallOutcome, Tag as CallTag};
+use dappleshore::provisioning::Tag as CloudTag;
 use dappleshore::store::records::{FORMAT, MachineState};
 use dappleshore::store::{Op, Outcome};
 use dappleshore_drain::operator::Request;
@@ -157,11 +158,11 @@
         command: Command,
         answer: bool,
     },
-    Call {
+    Cloud {
         controller: usize,
         boot: u64,
-        tag: CallTag,
-        call: Call,
+        tag: CloudTag,
+        call: CloudRequest,
         answer: bool,
     },
     Heartbeat {
@@ -899,11 +900,11 @@
                     },
                 );
             }
-            Effect::Call { tag, call, until } => {
+            Effect::Cloud { tag, call, until } => {
                 if until.is_some_and(|until| self.clock(controller).monotonic >= until) {
-                    let event = Event::Called {
+                    let event = Event::CloudResponse {
                         tag,
-                        outcome: CallOutcome::Unknown,
+                        outcome: CloudResponse::Unknown,
                     };
                     return self.soon(WorldEvent::Deliver {
                         controller,
@@ -913,9 +914,9 @@
                 }
                 let (at, answer) = self.fate();
                 if !answer {
-                    let event = Event::Called {
+                    let event = Event::CloudResponse {
                         tag: tag.clone(),
-                        outcome: CallOutcome::Unknown,
+                        outcome: CloudResponse::Unknown,
                     };
                     self.at(
                         self.now + Duration::from_secs(5),
@@ -930,7 +931,7 @@
                 if let Some(late) = self.copied() {
                     self.at(
                         late,
-                        WorldEvent::Call {
+                        WorldEvent::Cloud {
                             controller,
                             boot,
                             tag: tag.clone(),
@@ -941,7 +942,7 @@
                 }
                 self.at(
                     at,
-                    WorldEvent::Call {
+                    WorldEvent::Cloud {
                         controller,
                         boot,
                         tag,
@@ -1124,7 +1125,7 @@
                 command,
                 answer,
             } => self.command(controller, boot, command, answer),
-            WorldEvent::Call {
+            WorldEvent::Cloud {
                 controller,
                 boot,
                 tag,
@@ -1133,7 +1134,7 @@
             } => {
                 let outcome = self.cloud(&call);
                 if answer {
-                    let event = Box::new(Event::Called { tag, outcome });
+                    let event = Box::new(Event::CloudResponse { tag, outcome });
                     self.soon(WorldEvent::Deliver {
                         controller,
                         boot,
@@ -1573,16 +1574,16 @@
         }
     }
 
-    fn cloud(&mut self, call: &Call) -> CallOutcome {
+    fn cloud(&mut self, call: &CloudRequest) -> CloudResponse {
         if self.now < self.cloud_out_until {
-            return CallOutcome::Refused;
+            return CloudResponse::Refused;
         }
         match call {
-            Call::InstanceCatalog => CallOutcome::InstanceCatalog(instance_types()),
-            Call::Rent(rent) => {
+            CloudRequest::ListInstanceTypes => CloudResponse::InstanceTypes(instance_types()),
+            CloudRequest::Rent(rent) => {
                 if let Some(names) = self.requests.get(&rent.request) {
                     let machines = names.iter().map(|name| name.as_str().into()).collect();
-                    return CallOutcome::Rented(MachineNames { machines });
+                    return CloudResponse::Rented(MachineNames { machines });
                 }
                 let capacity_type = CapacityType::from_spot(rent.spot);
                 let alike = |m: &&Machine| {
@@ -1594,16 +1595,16 @@
                 let left = stock.saturating_sub(self.machines.values().filter(alike).count());
                 let count = left.min(rent.count as usize);
                 if count == 0 {
-                    return CallOutcome::NoCapacity;
+                    return CloudResponse::NoCapacity;
                 }
                 let names: Vec<String> = (0..count)
                     .map(|_| self.rent(&rent.type_name.0, &rent.zone.0, capacity_type))
                     .collect();
                 self.requests.insert(rent.request.clone(), names.clone());
                 let machines = names.iter().map(|name| name.as_str().into()).collect();
-                CallOutcome::Rented(MachineNames { machines })
+                CloudResponse::Rented(MachineNames { machines })
             }
-            Call::Delete(names) => {
+            CloudRequest::Delete(names) => {
                 for name in &names.machines {
                     if let Some(mut machine) = self.machines.remove(&*name.0) {
                         self.deleted_up += usize::from(machine.runs(self.now));
@@ -1614,9 +1615,9 @@
                         }
                     }
                 }
-                CallOutcome::Deleted
+                CloudResponse::Deleted
             }
-            Call::List { after } => {
+            CloudRequest::List { after } => {
                 let old = |m: &&Machine| self.now > m.rented + Duration::from_secs(8);
                 let after = after
                     .as_ref()
@@ -1640,7 +1641,7 @@
                         },
                         age_s: Amount((self.now - m.rented).as_secs_f64()),
                     });
-                CallOutcome::Listed(MachineList {
+                CloudResponse::Listed(MachineList {
                     machines: machines.collect(),
                     more: false,
                 })
