--- a/crates/domain/src/lib.rs
+++ b/crates/domain/src/lib.rs
@@ -1,5 +1,7 @@
 //! The names every slice shares: jobs, tasks, machines and the time they are seen at.
 
+#![allow(missing_docs, reason = "not reached yet: #30")]
+
 use std::fmt;
 use std::str::FromStr;
 use std::sync::Arc;
--- a/crates/drain/src/lib.rs
+++ b/crates/drain/src/lib.rs
@@ -4,14 +4,22 @@
 //! ([`planner`]) compares the records with what is observed and says what follows. Who calls it stores the records,
 //! moves the tasks and reads the clock.
 
+#[allow(missing_docs, reason = "not reached yet: #30")]
 pub mod budget;
+#[allow(missing_docs, reason = "not reached yet: #30")]
 pub mod disruption;
 pub mod id;
+#[allow(missing_docs, reason = "not reached yet: #30")]
 pub mod ledger;
+#[allow(missing_docs, reason = "not reached yet: #30")]
 pub mod operator;
+#[allow(missing_docs, reason = "not reached yet: #30")]
 pub mod planner;
+#[allow(missing_docs, reason = "not reached yet: #30")]
 pub mod record;
+#[allow(missing_docs, reason = "not reached yet: #30")]
 pub mod requests;
+#[allow(missing_docs, reason = "not reached yet: #30")]
 pub mod scope;
 pub mod settings;
 
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -3,24 +3,58 @@
 
 pub use dappleshore_domain as domain;
 
+#[allow(missing_docs, clippy::too_many_lines, reason = "not reached yet: #30")]
 pub mod blocks;
+#[allow(missing_docs, clippy::too_many_lines, reason = "not reached yet: #30")]
 pub mod cancellation;
+#[allow(missing_docs, reason = "not reached yet: #30")]
 pub mod cli;
 pub mod client;
+#[allow(missing_docs, clippy::too_many_lines, reason = "not reached yet: #30")]
 pub mod config;
+#[allow(missing_docs, reason = "not reached yet: #30")]
 pub mod features;
+#[allow(
+    missing_docs,
+    clippy::cognitive_complexity,
+    clippy::struct_excessive_bools,
+    clippy::too_many_lines,
+    reason = "not reached yet: #30"
+)]
 pub mod fleet;
+#[allow(missing_docs, reason = "not reached yet: #30")]
 pub mod http;
+#[allow(missing_docs, clippy::too_many_lines, reason = "not reached yet: #30")]
 pub mod intake;
+#[allow(missing_docs, clippy::too_many_lines, reason = "not reached yet: #30")]
 pub mod leadership;
+#[allow(missing_docs, reason = "not reached yet: #30")]
 pub mod metrics;
+#[allow(missing_docs, clippy::too_many_lines, reason = "not reached yet: #30")]
 pub mod node;
+#[allow(missing_docs, reason = "not reached yet: #30")]
 pub mod operations;
+#[allow(
+    missing_docs,
+    clippy::struct_excessive_bools,
+    reason = "not reached yet: #30"
+)]
 pub mod peer;
+#[allow(missing_docs, reason = "not reached yet: #30")]
 pub mod placement;
+#[allow(missing_docs, reason = "not reached yet: #30")]
 pub mod policy;
+#[allow(
+    missing_docs,
+    clippy::struct_excessive_bools,
+    clippy::too_many_lines,
+    reason = "not reached yet: #30"
+)]
 pub mod provisioning;
+#[allow(missing_docs, clippy::too_many_lines, reason = "not reached yet: #30")]
 pub mod queueing;
+#[allow(clippy::too_many_lines, reason = "not reached yet: #30")]
 pub mod service;
+#[allow(missing_docs, clippy::too_many_lines, reason = "not reached yet: #30")]
 pub mod store;
 pub mod upgrade;
--- a/src/main.rs
+++ b/src/main.rs
@@ -1,3 +1,5 @@
+//! The command line of dappleshore.
+
 use std::path::Path;
 use std::process::ExitCode;
 
--- a/tests/loopback/main.rs
+++ b/tests/loopback/main.rs
@@ -3,6 +3,11 @@
 
 #[path = "../simulation/machine.rs"]
 #[allow(dead_code, reason = "shared with the simulation")]
+#[allow(
+    clippy::struct_excessive_bools,
+    clippy::too_many_lines,
+    reason = "not reached yet: #30"
+)]
 mod machine;
 #[path = "../simulation/rules.rs"]
 #[allow(dead_code, reason = "shared with the simulation")]
@@ -14,6 +19,7 @@
 mod cloud;
 mod processes;
 mod site;
+#[allow(clippy::too_many_lines, reason = "not reached yet: #30")]
 mod state_service;
 mod workers;
 
--- a/tests/simulation/main.rs
+++ b/tests/simulation/main.rs
@@ -3,6 +3,11 @@
 
 mod drains;
 mod gangs;
+#[allow(
+    clippy::struct_excessive_bools,
+    clippy::too_many_lines,
+    reason = "not reached yet: #30"
+)]
 mod machine;
 mod measure;
 mod meetings;
@@ -12,8 +17,10 @@
 mod report;
 mod rollout;
 mod rules;
+#[allow(clippy::too_many_lines, reason = "not reached yet: #30")]
 mod rules_checked;
 mod state;
+#[allow(clippy::too_many_lines, reason = "not reached yet: #30")]
 mod world;
 
 use std::time::Duration;
