--- a/src/leader_context.rs
+++ b/src/leader_context.rs
@@ -7,9 +7,13 @@
 /// What the leader's slices need to know to act for this term.
 #[derive(Clone, Copy)]
 pub struct LeaderContext<'a> {
+    /// The settings.
     pub config: &'a Config,
+    /// What operators may tune.
     pub policy: &'a Policy,
+    /// The instance types that the cloud offers.
     pub catalog: &'a InstanceCatalog,
+    /// The term in which the leader acts.
     pub term: u64,
     /// The leader record's version: the authority of every write.
     pub version: u64,
