--- a/src/block_leases/mod.rs
+++ b/src/block_leases/mod.rs
@@ -13,7 +13,7 @@
 use crate::leader_context::LeaderContext;
 use crate::policy::Policy;
 use crate::store::records::{BlockLease, LEADER, TOKEN, Token, block_lease_key};
-use crate::store::{Op, Outcome, Txn, WatchCache, Writer};
+use crate::store::{StoreRequest, StoreResponse, Transaction, WatchCache, Writer};
 
 /// A zone's block by its number.
 pub fn name(zone: &Zone, number: usize) -> BlockId {
@@ -142,7 +142,7 @@
         now: Now,
         leader: &LeaderContext<'_>,
         cache: &mut WatchCache,
-    ) -> Option<Op> {
+    ) -> Option<StoreRequest> {
         let LeaderContext {
             config,
             policy,
@@ -284,7 +284,7 @@
             }
         }
         changes.truncate(config.state_limits.txn_ops - 1);
-        let mut txn = Txn::default().when(LEADER, leader_version);
+        let mut txn = Transaction::default().when(LEADER, leader_version);
         if last > cache.max_token() {
             txn = txn
                 .when(TOKEN, cache.token.as_ref().map_or(0, |token| token.version))
@@ -297,7 +297,7 @@
                 .put(block_lease_key(block), lease);
         }
         self.writer.sent();
-        Some(Op::Commit(txn))
+        Some(StoreRequest::Commit(txn))
     }
 
     /// A controller that came back gets blocks again, once it has been heard for a while.
@@ -336,7 +336,7 @@
         Some((block, (*idle).clone(), version))
     }
 
-    pub fn answered(&mut self, now: Now, outcome: &Outcome) {
+    pub fn answered(&mut self, now: Now, outcome: &StoreResponse) {
         self.writer.answered(now, outcome);
     }
 }
--- a/src/block_leases/tests.rs
+++ b/src/block_leases/tests.rs
@@ -4,7 +4,7 @@
 use crate::cloud::wire::tests::instance_type;
 use crate::config::tests::SETTINGS;
 use crate::store::records::{Member, encode, member_key};
-use crate::store::{Change, TxnChange};
+use crate::store::{Change, TransactionChange};
 
 /// A controller that can't do a holder's work must not win blocks back at once: they would go to and fro.
 #[test]
@@ -46,12 +46,14 @@
         for _ in 0..40 {
             block_lease_manager.heard_from(now, &other, 1);
             block_lease_manager.writer = Writer::Idle;
-            let Some(Op::Commit(txn)) = block_lease_manager.poll(now, &leader, &mut cache) else {
+            let Some(StoreRequest::Commit(txn)) =
+                block_lease_manager.poll(now, &leader, &mut cache)
+            else {
                 break;
             };
             version += 1;
             for change in txn.changes {
-                let TxnChange::Put { key, value, .. } = change else {
+                let TransactionChange::Put { key, value, .. } = change else {
                     panic!("{change:?}")
                 };
                 cache.apply(Change {
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -29,7 +29,7 @@
 use crate::queueing::draining::Draining;
 use crate::store::budget::{Budget, Urgency};
 use crate::store::records::FORMAT;
-use crate::store::{Op, Outcome, WatchCache, cache};
+use crate::store::{StoreRequest, StoreResponse, WatchCache, cache};
 use crate::upgrade::Upgrade;
 
 /// Which slice a request to the state service belongs to.
@@ -77,7 +77,7 @@
     Store {
         tag: StoreTag,
         sent: Instant,
-        outcome: Outcome,
+        outcome: StoreResponse,
     },
     Commanded {
         block: BlockId,
@@ -96,7 +96,7 @@
 pub enum Effect {
     Store {
         tag: StoreTag,
-        op: Op,
+        op: StoreRequest,
     },
     /// `until`, here and below: our authority ends then. Whoever sends this looks at the clock once more before. None:
     /// it needs no authority.
@@ -431,7 +431,7 @@
         now: Now,
         tag: StoreTag,
         sent: Instant,
-        outcome: Outcome,
+        outcome: StoreResponse,
         effects: &mut Vec<Effect>,
     ) {
         self.budget.note(now, &outcome);
@@ -448,7 +448,7 @@
         };
         if let Some(slice) = slice {
             self.metrics.transaction(slice, &outcome);
-            if outcome == Outcome::Invalid {
+            if outcome == StoreResponse::Invalid {
                 warn!(slice, "a transaction is refused as malformed or too large");
             }
         }
@@ -608,7 +608,7 @@
         self.leadership.leading(&self.cache).map(|(term, _)| term)
     }
 
-    fn ask(&mut self, urgency: Urgency, tag: StoreTag, op: Op) {
+    fn ask(&mut self, urgency: Urgency, tag: StoreTag, op: StoreRequest) {
         if let Err(tag) = self.budget.push(urgency, tag, op) {
             // Only slices with one request at a time come here; their lane can't be full.
             warn!(?tag, "no room for a request to the state service");
--- a/src/controller/tests.rs
+++ b/src/controller/tests.rs
@@ -27,7 +27,7 @@
             ..
         } = effect
         {
-            let outcome = Outcome::Rows {
+            let outcome = StoreResponse::Rows {
                 rows: Vec::new(),
                 more: false,
                 revision: 0,
@@ -43,7 +43,7 @@
         }
     }
     assert!(controller.healthy(at(20)));
-    controller.budget.note(at(2000), &Outcome::Refused);
+    controller.budget.note(at(2000), &StoreResponse::Refused);
     let mut healthy = |now: Now, reaches_state: bool| {
         let number =
             now.unix_ms() + u64::try_from(since(now, start.monotonic).as_millis()).expect("short");
--- a/src/fleet/block.rs
+++ b/src/fleet/block.rs
@@ -19,7 +19,7 @@
 use crate::store::records::{
     BlockLease, BlockPlacements, PARTS_FORMAT, Part, block_lease_key, inventory_part_key, job_key,
 };
-use crate::store::{Op, Outcome, Txn, Versioned, WatchCache, Writer};
+use crate::store::{StoreRequest, StoreResponse, Transaction, Versioned, WatchCache, Writer};
 
 /// A lost launch is repeated after this long.
 const RELAUNCH: Duration = Duration::from_millis(1500);
@@ -582,7 +582,7 @@
         most: usize,
         cache: &mut WatchCache,
         catalog: &InstanceCatalog,
-    ) -> Option<Op> {
+    ) -> Option<StoreRequest> {
         let unsure = self.writer.is_unsure();
         if !self.writer.ready(now, cache) {
             return None;
@@ -592,7 +592,7 @@
             self.take_recorded(cache);
         }
         let limits = PartLimits::new(&config.state_limits, most, cache.format() >= PARTS_FORMAT);
-        let mut txn = Txn::default().when(block_lease_key(&self.id), self.lease_version);
+        let mut txn = Transaction::default().when(block_lease_key(&self.id), self.lease_version);
         let mut placed = Placed::default();
         let dividing = PartsDraft::dividing(&self.parts, limits, &self.unsure_parts);
         let draft = match dividing {
@@ -629,7 +629,7 @@
         self.unsure_parts = draft.changed().clone();
         self.draft = Some(draft);
         self.writer.sent();
-        Some(Op::Commit(txn))
+        Some(StoreRequest::Commit(txn))
     }
 
     /// After a write that failed or whose outcome is unknown: goes by what our copy of the records shows.
@@ -760,7 +760,7 @@
         placed
     }
 
-    pub(super) fn written(&mut self, now: Now, lease_version: u64, outcome: &Outcome) {
+    pub(super) fn written(&mut self, now: Now, lease_version: u64, outcome: &StoreResponse) {
         self.writer.answered(now, outcome);
         let draft = self.draft.take();
         if lease_version != self.lease_version {
@@ -771,7 +771,7 @@
             return;
         }
         match (outcome, draft) {
-            (Outcome::Committed { revision }, Some(draft)) => {
+            (StoreResponse::Committed { revision }, Some(draft)) => {
                 let old: HashSet<u64> = self
                     .placements
                     .attempts()
@@ -801,7 +801,7 @@
                     self.mark_due([machine]);
                 }
             }
-            (Outcome::Unknown, _) => {}
+            (StoreResponse::Unknown, _) => {}
             // Not executed.
             _ => (self.unsure, self.unsure_parts) = std::mem::take(&mut self.unsure_before),
         }
--- a/src/fleet/mod.rs
+++ b/src/fleet/mod.rs
@@ -20,7 +20,7 @@
 use crate::peer::{AssignmentUpdate, BlockStatus};
 use crate::policy::Policy;
 use crate::store::cache::ChangedRecords;
-use crate::store::{Op, Outcome, WatchCache, Writer};
+use crate::store::{StoreRequest, StoreResponse, WatchCache, Writer};
 use block::{Block, HeartbeatSource, recorded, still_there, wanted_alive};
 use wire::{Heartbeat, TaskState, WorkerCommand, WorkerCommands};
 
@@ -302,7 +302,7 @@
         writes: Writes,
         cache: &mut WatchCache,
         catalog: &InstanceCatalog,
-    ) -> Option<(BlockId, Op)> {
+    ) -> Option<(BlockId, StoreRequest)> {
         let mut waiting: Vec<(Option<Instant>, BlockId)> = self
             .blocks
             .values()
@@ -325,7 +325,13 @@
         None
     }
 
-    pub fn written(&mut self, now: Now, block: &BlockId, lease_version: u64, outcome: &Outcome) {
+    pub fn written(
+        &mut self,
+        now: Now,
+        block: &BlockId,
+        lease_version: u64,
+        outcome: &StoreResponse,
+    ) {
         if let Some(block) = self.blocks.get_mut(block) {
             block.written(now, lease_version, outcome);
         }
--- a/src/fleet/parts.rs
+++ b/src/fleet/parts.rs
@@ -13,7 +13,7 @@
 use crate::store::records::{
     AttemptEncoding, BlockPlacements, FIRST_PART, Part, Ranges, done_entry, placements_part_key,
 };
-use crate::store::{Txn, Versioned, WatchCache};
+use crate::store::{Transaction, Versioned, WatchCache};
 
 /// How full a part is made when a large value is divided. The rest is for tasks that end there.
 const DIVIDED_FULL: f64 = 0.7;
@@ -273,7 +273,12 @@
     }
 
     /// Adds the conditions and changes to a transaction.
-    pub(super) fn apply(&self, block: &BlockId, old: &Parts<BlockPlacements>, mut txn: Txn) -> Txn {
+    pub(super) fn apply(
+        &self,
+        block: &BlockId,
+        old: &Parts<BlockPlacements>,
+        mut txn: Transaction,
+    ) -> Transaction {
         for index in &self.changed {
             let key = placements_part_key(block, *index);
             txn = txn.when(key.clone(), old.get(index).map_or(0, |part| part.version));
--- a/src/fleet/parts/tests.rs
+++ b/src/fleet/parts/tests.rs
@@ -6,7 +6,7 @@
 
 use super::*;
 use crate::domain::TaskId;
-use crate::store::TxnChange;
+use crate::store::TransactionChange;
 use crate::store::records::{encode, json_size};
 
 const LIMITS: PartLimits = PartLimits {
@@ -35,14 +35,14 @@
     draft: PartsDraft,
     revision: u64,
 ) -> Parts<BlockPlacements> {
-    let txn = draft.apply(&"a.0".into(), old, Txn::default());
+    let txn = draft.apply(&"a.0".into(), old, Transaction::default());
     assert!(
         txn.changes.len() <= LIMITS.changes,
         "{} changes",
         txn.changes.len()
     );
     for change in &txn.changes {
-        if let TxnChange::Put { key, value, .. } = change {
+        if let TransactionChange::Put { key, value, .. } = change {
             let size = json_size(value);
             assert!(size <= LIMITS.value_bytes, "{key} is {size} bytes");
         }
@@ -188,7 +188,7 @@
     let mut next = PartsDraft::new(&parts, LIMITS, &settle);
     next.end(&machine(2), attempt(2, 0), true);
     let keys = |draft: &PartsDraft| -> BTreeSet<(String, u64)> {
-        let txn = draft.apply(&"a.0".into(), &parts, Txn::default());
+        let txn = draft.apply(&"a.0".into(), &parts, Transaction::default());
         txn.conditions.into_iter().collect()
     };
     assert!(keys(&unknown).is_subset(&keys(&next)));
--- a/src/fleet/tests.rs
+++ b/src/fleet/tests.rs
@@ -168,12 +168,12 @@
             &mut self.cache,
             &self.catalog,
         ) {
-            let Op::Commit(txn) = op else {
+            let StoreRequest::Commit(txn) = op else {
                 panic!("{op:?}")
             };
             self.version += 1;
             for change in txn.changes {
-                let crate::store::TxnChange::Put { key, value, .. } = change else {
+                let crate::store::TransactionChange::Put { key, value, .. } = change else {
                     panic!("{change:?}")
                 };
                 self.cache.apply(Change {
@@ -187,7 +187,7 @@
                 self.now,
                 &block,
                 lease_version,
-                &Outcome::Committed {
+                &StoreResponse::Committed {
                     revision: self.version,
                 },
             );
@@ -376,7 +376,7 @@
         &mut holder.cache,
         &holder.catalog,
     );
-    let Some((_, Op::Commit(txn))) = write else {
+    let Some((_, StoreRequest::Commit(txn))) = write else {
         panic!("{write:?}")
     };
     let version = holder.cache.open[&JobId(1)].version;
@@ -538,7 +538,7 @@
             holder.now,
             &block,
             lease_version,
-            &Outcome::Committed { revision },
+            &StoreResponse::Committed { revision },
         );
     }
     assert_eq!(written.values().min(), Some(&4), "{written:?}");
@@ -913,7 +913,7 @@
 fn a_placement_of_unknown_outcome_stays_pending_when_the_next_write_is_refused() {
     let mut holder = Holder::new(job(1, 1.0));
     holder.assignments(20, "m-1", 1);
-    let write = |holder: &mut Holder, outcome: Outcome| {
+    let write = |holder: &mut Holder, outcome: StoreResponse| {
         holder.now.monotonic += Duration::from_secs(1);
         holder.cache.assume_fresh(holder.now.monotonic);
         let Holder {
@@ -931,18 +931,22 @@
         fleet.written(*now, &block, lease_version, &outcome);
     };
     let policy = Policy::defaults(&holder.config);
-    write(&mut holder, Outcome::Unknown);
+    write(&mut holder, StoreResponse::Unknown);
     // The leader takes the release back.
     let lease_version = holder.fleet.lease_version(&"a.0".into());
     assert!(holder.fleet.work(work_of(lease_version, 2, Vec::new())));
-    for outcome in [Outcome::Refused, Outcome::Conflict, Outcome::Refused] {
+    for outcome in [
+        StoreResponse::Refused,
+        StoreResponse::Conflict,
+        StoreResponse::Refused,
+    ] {
         write(&mut holder, outcome);
         let status = holder.fleet.status(holder.now, &policy).remove(0);
         assert_eq!(status.pending, [20]);
     }
     // The next one that is carried out decides it.
     let revision = holder.version + 1;
-    write(&mut holder, Outcome::Committed { revision });
+    write(&mut holder, StoreResponse::Committed { revision });
     let status = holder.fleet.status(holder.now, &policy).remove(0);
     assert_eq!(status.pending, [] as [u64; 0]);
 }
--- a/src/intake/mod.rs
+++ b/src/intake/mod.rs
@@ -14,7 +14,7 @@
 use crate::peer::CancelledJob;
 use crate::store::budget::{Budget, Urgency};
 use crate::store::records::{JobRecord, PARTS_FORMAT, encode, job_key, json_size};
-use crate::store::{Op, Outcome, Txn, WatchCache};
+use crate::store::{StoreRequest, StoreResponse, Transaction, WatchCache};
 use wire::{JobState, Malformed};
 
 /// A question, told apart from all others of this process.
@@ -47,7 +47,7 @@
     Refreshing,
     /// The transaction is kept, for it is sent again if the state service refuses it. `at_ms`: the time of day that it
     /// holds.
-    Committing { txn: Txn, at_ms: u64 },
+    Committing { txn: Transaction, at_ms: u64 },
 }
 
 #[derive(Debug)]
@@ -150,12 +150,16 @@
             });
         }
         let at_ms = job.accepted_ms;
-        let txn = Txn::default()
+        let txn = Transaction::default()
             .when(job_key(job_id), 0)
             .put(job_key(job_id), &record);
         if cx
             .budget
-            .push(Urgency::User, (cx.tag)(id), Op::Commit(txn.clone()))
+            .push(
+                Urgency::User,
+                (cx.tag)(id),
+                StoreRequest::Commit(txn.clone()),
+            )
             .is_err()
         {
             return Some(later(429, "too many requests"));
@@ -246,13 +250,13 @@
     }
 
     /// The cancellation that this answer shows to be committed.
-    pub fn cancelled(&self, id: RequestId, outcome: &Outcome) -> Option<CancelledJob> {
+    pub fn cancelled(&self, id: RequestId, outcome: &StoreResponse) -> Option<CancelledJob> {
         let pending = self.pending.get(&id)?;
         match (&pending.question, &pending.state, outcome) {
             (
                 Question::Cancel(job),
                 State::Committing { at_ms, .. },
-                Outcome::Committed { revision },
+                StoreResponse::Committed { revision },
             ) => Some(CancelledJob::new(*job, *revision, *at_ms)),
             _ => None,
         }
@@ -263,12 +267,12 @@
         &mut self,
         now: Now,
         id: RequestId,
-        outcome: &Outcome,
+        outcome: &StoreResponse,
         cx: &mut Context<'_, Tag>,
     ) -> Option<Response> {
         let pending = self.pending.get_mut(&id)?;
         let response = match (&pending.question, outcome) {
-            (Question::Submit(job), Outcome::Committed { .. }) => Response::State {
+            (Question::Submit(job), StoreResponse::Committed { .. }) => Response::State {
                 status: 201,
                 state: JobState {
                     id: *job,
@@ -277,7 +281,7 @@
                     running: 0,
                 },
             },
-            (Question::Cancel(job), Outcome::Committed { .. }) => Response::State {
+            (Question::Cancel(job), StoreResponse::Committed { .. }) => Response::State {
                 status: 200,
                 state: JobState {
                     id: *job,
@@ -287,7 +291,7 @@
                 },
             },
             // Not executed, for all controllers together asked too much just then: most often it goes a moment later.
-            (_, Outcome::Refused)
+            (_, StoreResponse::Refused)
                 if cx.budget.available(now) && now.monotonic + LONGEST_QUEUE < pending.deadline =>
             {
                 let State::Committing { txn, .. } = &pending.state else {
@@ -295,14 +299,18 @@
                 };
                 if cx
                     .budget
-                    .push(Urgency::User, (cx.tag)(id), Op::Commit(txn.clone()))
+                    .push(
+                        Urgency::User,
+                        (cx.tag)(id),
+                        StoreRequest::Commit(txn.clone()),
+                    )
                     .is_ok()
                 {
                     return None;
                 }
                 later(429, "too many requests")
             }
-            (_, Outcome::Conflict) => {
+            (_, StoreResponse::Conflict) => {
                 // Somebody was first: see what they did.
                 pending.state = State::Refreshing;
                 pending.asked = now.monotonic;
@@ -365,7 +373,7 @@
                 let at_ms = now.unix_ms();
                 let value_bytes = cx.config.state_limits.value_bytes;
                 let record = JobRecord::cancelled(&open.job, at_ms, value_bytes);
-                let txn = Txn::default()
+                let txn = Transaction::default()
                     .when(job_key(job), open.version)
                     .put(job_key(job), &record);
                 pending.state = State::Committing {
@@ -374,7 +382,7 @@
                 };
                 if cx
                     .budget
-                    .push(Urgency::User, (cx.tag)(id), Op::Commit(txn))
+                    .push(Urgency::User, (cx.tag)(id), StoreRequest::Commit(txn))
                     .is_err()
                 {
                     answers.push((id, later(429, "too many requests")));
--- a/src/intake/tests.rs
+++ b/src/intake/tests.rs
@@ -27,7 +27,7 @@
         }));
         let now = Now::read();
         let mut budget = Budget::new(&config.state_limits, config.controllers(), now);
-        budget.note(now, &Outcome::Missing { revision: 1 });
+        budget.note(now, &StoreResponse::Missing { revision: 1 });
         Desk {
             config,
             catalog,
@@ -47,7 +47,7 @@
 
     fn outage(&mut self) {
         self.after(Duration::from_secs(5));
-        self.budget.note(self.now, &Outcome::Refused);
+        self.budget.note(self.now, &StoreResponse::Refused);
     }
 
     /// The status of the answer that comes at once, if one does.
@@ -148,17 +148,21 @@
     assert_eq!(desk.intake.cancel(desk.now, 5, "j-000412", &mut cx), None);
     assert_eq!(
         desk.intake
-            .cancelled(5, &Outcome::Committed { revision: 4 }),
+            .cancelled(5, &StoreResponse::Committed { revision: 4 }),
         None,
         "nothing was sent yet"
     );
-    let txn = Txn::default();
+    let txn = Transaction::default();
     desk.intake.pending.get_mut(&5).expect("asked").state = State::Committing { txn, at_ms };
-    for outcome in [Outcome::Unknown, Outcome::Conflict, Outcome::Refused] {
+    for outcome in [
+        StoreResponse::Unknown,
+        StoreResponse::Conflict,
+        StoreResponse::Refused,
+    ] {
         assert_eq!(desk.intake.cancelled(5, &outcome), None, "{outcome:?}");
     }
     let told = desk
         .intake
-        .cancelled(5, &Outcome::Committed { revision: 4 });
+        .cancelled(5, &StoreResponse::Committed { revision: 4 });
     assert_eq!(told, Some(CancelledJob::new(id, 4, at_ms)));
 }
--- a/src/leadership/mod.rs
+++ b/src/leadership/mod.rs
@@ -12,7 +12,7 @@
 
 use crate::domain::{ControllerName, Now, since};
 use crate::store::records::{LEADER, Leader, Member, TOKEN, Token, member_key};
-use crate::store::{Op, Outcome, Txn, WatchCache};
+use crate::store::{StoreRequest, StoreResponse, Transaction, WatchCache};
 
 /// Long enough that a slow process is not taken for dead, short enough that a dead one is noticed.
 const MEMBER_LEASE_TTL: Duration = Duration::from_secs(10);
@@ -109,7 +109,12 @@
         }
     }
 
-    pub fn poll(&mut self, now: Now, cache: &WatchCache, rng: &mut SmallRng) -> Vec<(Tag, Op)> {
+    pub fn poll(
+        &mut self,
+        now: Now,
+        cache: &WatchCache,
+        rng: &mut SmallRng,
+    ) -> Vec<(Tag, StoreRequest)> {
         let term = self.leading(cache).map(|(term, _)| term);
         if term != self.was_leading {
             match term {
@@ -124,14 +129,14 @@
         ops
     }
 
-    fn poll_member(&mut self, now: Now, cache: &WatchCache, ops: &mut Vec<(Tag, Op)>) {
+    fn poll_member(&mut self, now: Now, cache: &WatchCache, ops: &mut Vec<(Tag, StoreRequest)>) {
         match &mut self.member {
             KeyLease::NotHeld => {
                 if cache.ready() && self.member_retry.is_none_or(|at| now.monotonic >= at) {
                     self.member = KeyLease::BlockLeaseManager;
                     ops.push((
                         Tag::GrantLease(LeaseRole::Member),
-                        Op::GrantLease {
+                        StoreRequest::GrantLease {
                             life: MEMBER_LEASE_TTL,
                         },
                     ));
@@ -156,7 +161,7 @@
                     *renewing = true;
                     ops.push((
                         Tag::KeepAlive(LeaseRole::Member, id),
-                        Op::KeepAliveLease { id },
+                        StoreRequest::KeepAliveLease { id },
                     ));
                 }
             }
@@ -166,7 +171,7 @@
 
     /// Conditioned on the record that it replaces: an earlier process's lease may still last when a late copy of its
     /// request comes, and would put its record over ours.
-    fn join(&self, lease: u64, cache: &WatchCache) -> Op {
+    fn join(&self, lease: u64, cache: &WatchCache) -> StoreRequest {
         let record = Member {
             boot: self.boot,
             format: self.format,
@@ -176,11 +181,11 @@
             .members
             .get(&self.controller)
             .map_or(0, |old| old.version);
-        Op::Commit(Txn::default().when(key.clone(), version).put_with_lease(
-            key,
-            &record,
-            Some(lease),
-        ))
+        StoreRequest::Commit(
+            Transaction::default()
+                .when(key.clone(), version)
+                .put_with_lease(key, &record, Some(lease)),
+        )
     }
 
     fn poll_leader(
@@ -188,7 +193,7 @@
         now: Now,
         cache: &WatchCache,
         rng: &mut SmallRng,
-        ops: &mut Vec<(Tag, Op)>,
+        ops: &mut Vec<(Tag, StoreRequest)>,
     ) {
         if let KeyLease::Held {
             id,
@@ -201,7 +206,7 @@
                 *renewing = true;
                 ops.push((
                     Tag::KeepAlive(LeaseRole::Leader, *id),
-                    Op::KeepAliveLease { id: *id },
+                    StoreRequest::KeepAliveLease { id: *id },
                 ));
             }
             let kept = self.leading(cache).is_some();
@@ -238,7 +243,7 @@
             self.leader = KeyLease::BlockLeaseManager;
             ops.push((
                 Tag::GrantLease(LeaseRole::Leader),
-                Op::GrantLease {
+                StoreRequest::GrantLease {
                     life: LEADER_LEASE_TTL,
                 },
             ));
@@ -258,7 +263,7 @@
         lease: u64,
         last_confirmed: Instant,
         cache: &WatchCache,
-        ops: &mut Vec<(Tag, Op)>,
+        ops: &mut Vec<(Tag, StoreRequest)>,
     ) {
         let term = cache.max_token() + 1;
         let record = Leader {
@@ -266,7 +271,7 @@
             boot: self.boot,
             term,
         };
-        let txn = Txn::default()
+        let txn = Transaction::default()
             .when(
                 LEADER,
                 cache.leader.as_ref().map_or(0, |leader| leader.version),
@@ -278,7 +283,10 @@
             id: lease,
             last_confirmed,
         };
-        ops.push((Tag::AttachKey(LeaseRole::Leader, lease), Op::Commit(txn)));
+        ops.push((
+            Tag::AttachKey(LeaseRole::Leader, lease),
+            StoreRequest::Commit(txn),
+        ));
     }
 
     /// The one place where the leases change.
@@ -287,13 +295,13 @@
         now: Now,
         sent: Instant,
         tag: Tag,
-        outcome: &Outcome,
+        outcome: &StoreResponse,
         cache: &WatchCache,
-    ) -> Vec<(Tag, Op)> {
+    ) -> Vec<(Tag, StoreRequest)> {
         let mut ops = Vec::new();
         let retry = Some(now.monotonic + RETRY);
         match (tag, outcome) {
-            (Tag::GrantLease(LeaseRole::Member), Outcome::LeaseGranted { id }) => {
+            (Tag::GrantLease(LeaseRole::Member), StoreResponse::LeaseGranted { id }) => {
                 self.member = KeyLease::AttachingKey {
                     id: *id,
                     last_confirmed: sent,
@@ -307,7 +315,7 @@
                 self.member = KeyLease::NotHeld;
                 self.member_retry = retry;
             }
-            (Tag::GrantLease(LeaseRole::Leader), Outcome::LeaseGranted { id }) => {
+            (Tag::GrantLease(LeaseRole::Leader), StoreResponse::LeaseGranted { id }) => {
                 if self.vacant(cache) && cache.ready() {
                     self.run_for_leader(*id, sent, cache, &mut ops);
                 } else {
@@ -326,7 +334,7 @@
                 };
                 let next = match outcome {
                     // Unknown may mean committed: keep the lease and see what our copy says.
-                    Outcome::Committed { .. } | Outcome::Unknown => KeyLease::Held {
+                    StoreResponse::Committed { .. } | StoreResponse::Unknown => KeyLease::Held {
                         id,
                         renewed: now.monotonic,
                         last_confirmed,
@@ -354,8 +362,10 @@
                 {
                     *renewing = false;
                     match outcome {
-                        Outcome::LeaseExpired | Outcome::Invalid => *slot = KeyLease::NotHeld,
-                        Outcome::LeaseGranted { .. } => {
+                        StoreResponse::LeaseExpired | StoreResponse::Invalid => {
+                            *slot = KeyLease::NotHeld
+                        }
+                        StoreResponse::LeaseGranted { .. } => {
                             *renewed = sent;
                             *last_confirmed = sent;
                         }
--- a/src/leadership/tests.rs
+++ b/src/leadership/tests.rs
@@ -11,9 +11,10 @@
     };
     let cache = WatchCache::following();
     let mut leadership = Leadership::new("node-0".into(), 1, 0);
-    let answer = |leadership: &mut Leadership, now: Now, sent: Now, tag: Tag, outcome: Outcome| {
-        leadership.handle(now, sent.monotonic, tag, &outcome, &cache);
-    };
+    let answer =
+        |leadership: &mut Leadership, now: Now, sent: Now, tag: Tag, outcome: StoreResponse| {
+            leadership.handle(now, sent.monotonic, tag, &outcome, &cache);
+        };
     let certain = |leadership: &Leadership, now: Now| {
         leadership
             .certain_until()
@@ -24,7 +25,7 @@
         at(900),
         at(0),
         Tag::GrantLease(LeaseRole::Leader),
-        Outcome::LeaseGranted { id: 7 },
+        StoreResponse::LeaseGranted { id: 7 },
     );
     assert!(!certain(&leadership, at(900)), "not elected yet");
     answer(
@@ -32,7 +33,7 @@
         at(1000),
         at(900),
         Tag::AttachKey(LeaseRole::Leader, 7),
-        Outcome::Committed { revision: 1 },
+        StoreResponse::Committed { revision: 1 },
     );
     assert!(certain(&leadership, at(3400)));
     assert!(
@@ -44,7 +45,7 @@
         at(3600),
         at(2000),
         Tag::KeepAlive(LeaseRole::Leader, 7),
-        Outcome::LeaseGranted { id: 7 },
+        StoreResponse::LeaseGranted { id: 7 },
     );
     assert!(certain(&leadership, at(5400)));
     assert!(
@@ -56,7 +57,7 @@
         at(5600),
         at(5000),
         Tag::KeepAlive(LeaseRole::Leader, 7),
-        Outcome::Refused,
+        StoreResponse::Refused,
     );
     assert!(!certain(&leadership, at(5700)));
 }
--- a/src/metrics/mod.rs
+++ b/src/metrics/mod.rs
@@ -6,7 +6,7 @@
 
 use hdrhistogram::Histogram;
 
-use crate::store::Outcome;
+use crate::store::StoreResponse;
 
 /// Longer times are counted as this long.
 const LONGEST_MS: u64 = 3_600_000;
@@ -79,11 +79,11 @@
         *self.refused.entry(status).or_default() += 1;
     }
 
-    pub fn transaction(&mut self, slice: &'static str, outcome: &Outcome) {
+    pub fn transaction(&mut self, slice: &'static str, outcome: &StoreResponse) {
         let became = match outcome {
-            Outcome::Committed { .. } => "committed",
-            Outcome::Conflict => "conflict",
-            Outcome::Refused => "refused",
+            StoreResponse::Committed { .. } => "committed",
+            StoreResponse::Conflict => "conflict",
+            StoreResponse::Refused => "refused",
             _ => "unknown",
         };
         *self.transactions.entry((slice, became)).or_default() += 1;
--- a/src/metrics/tests.rs
+++ b/src/metrics/tests.rs
@@ -7,7 +7,7 @@
         metrics.accept_ms.record(value);
     }
     metrics.accept_ms.record(u64::MAX);
-    metrics.transaction("block", &Outcome::Conflict);
+    metrics.transaction("block", &StoreResponse::Conflict);
     metrics.refused(503);
     metrics.refused(503);
     metrics
--- a/src/operations/mod.rs
+++ b/src/operations/mod.rs
@@ -20,7 +20,7 @@
 use crate::queueing::draining::{Draining, machine_views};
 use crate::store::cache::{values, version_of};
 use crate::store::records::{DRAIN_FORMAT, LEADER, drain_budget_key, drain_key, encode, json_size};
-use crate::store::{Op, Outcome, Txn, WatchCache, Writer};
+use crate::store::{StoreRequest, StoreResponse, Transaction, WatchCache, Writer};
 
 /// Requests that wait at a time; more are refused at once.
 const MOST_WAITING: usize = 32;
@@ -58,7 +58,7 @@
 #[derive(Default)]
 pub struct Progress {
     pub replies: Vec<(RequestId, Reply)>,
-    pub op: Option<Op>,
+    pub op: Option<StoreRequest>,
 }
 
 impl Default for Operations {
@@ -145,7 +145,9 @@
                     }
                 }
                 self.writer.sent();
-                progress.op = Some(Op::Commit(transaction(cx.leader, cache, &changes)));
+                progress.op = Some(StoreRequest::Commit(transaction(
+                    cx.leader, cache, &changes,
+                )));
             }
         }
         let answered: BTreeSet<RequestId> = progress.replies.iter().map(|(id, _)| *id).collect();
@@ -190,7 +192,7 @@
     }
 
     /// What became of the transaction.
-    pub fn written(&mut self, now: Now, outcome: &Outcome) {
+    pub fn written(&mut self, now: Now, outcome: &StoreResponse) {
         self.writer.answered(now, outcome);
     }
 }
@@ -262,8 +264,8 @@
         .collect()
 }
 
-fn transaction(leader: &LeaderContext<'_>, cache: &WatchCache, changes: &[Change]) -> Txn {
-    let mut txn = Txn::default().when(LEADER, leader.version);
+fn transaction(leader: &LeaderContext<'_>, cache: &WatchCache, changes: &[Change]) -> Transaction {
+    let mut txn = Transaction::default().when(LEADER, leader.version);
     for change in changes {
         let (key, version) = match change {
             Change::PutDrain(id, _) | Change::DeleteDrain(id) => {
--- a/src/provisioning/edits.rs
+++ b/src/provisioning/edits.rs
@@ -9,7 +9,7 @@
 use crate::store::records::{
     FIRST_PART, InventoryEntry, MachineInventory, PARTS_FORMAT, Part, inventory_part_key,
 };
-use crate::store::{Txn, WatchCache};
+use crate::store::{Transaction, WatchCache};
 
 /// Changes to inventories, gathered so that each value is written once.
 pub(super) struct Edits<'v> {
@@ -242,7 +242,7 @@
         !self.inventories.is_empty()
     }
 
-    pub(super) fn apply(self, mut txn: Txn) -> Txn {
+    pub(super) fn apply(self, mut txn: Transaction) -> Transaction {
         for ((block, part), inventory) in &self.inventories {
             let old = self
                 .cache
--- a/src/provisioning/mod.rs
+++ b/src/provisioning/mod.rs
@@ -32,7 +32,7 @@
     DRAIN_FORMAT, InventoryEntry, LEADER, MachineState, PARTS_FORMAT, PendingRental,
     inventory_part_key, pending_rental_key,
 };
-use crate::store::{Op, Outcome, Txn, WatchCache, Writer};
+use crate::store::{StoreRequest, StoreResponse, Transaction, WatchCache, Writer};
 use boot_times::BootTimes;
 use edits::{Edits, too_large};
 use round::Round;
@@ -635,7 +635,7 @@
         leader: &LeaderContext<'_>,
         cache: &mut WatchCache,
         demand: &Demand,
-    ) -> Option<Op> {
+    ) -> Option<StoreRequest> {
         let LeaderContext { catalog, .. } = *leader;
         self.idle
             .retain(|id, _| cache.machines.contains_key(id) && !demand.occupied.contains(id));
@@ -649,7 +649,7 @@
         if !self.writer.ready(now, cache) || !catalog.known() {
             return None;
         }
-        let txn = Txn::default().when(LEADER, leader.version);
+        let txn = Transaction::default().when(LEADER, leader.version);
         let txn = divide_inventory(leader, cache, demand, &txn)
             .or_else(|| self.record_rented(now, leader, cache, demand, &txn))
             .or_else(|| self.record_deleted(now, leader, cache, demand, &txn))
@@ -667,10 +667,10 @@
                 )
             })?;
         self.writer.sent();
-        Some(Op::Commit(txn))
+        Some(StoreRequest::Commit(txn))
     }
 
-    pub fn answered(&mut self, now: Now, outcome: &Outcome) {
+    pub fn answered(&mut self, now: Now, outcome: &StoreResponse) {
         self.writer.answered(now, outcome);
     }
 
@@ -680,8 +680,8 @@
         leader: &LeaderContext<'_>,
         cache: &WatchCache,
         demand: &Demand,
-        txn: &Txn,
-    ) -> Option<Txn> {
+        txn: &Transaction,
+    ) -> Option<Transaction> {
         // Recorded already, if our copy no longer has the order.
         self.rented.retain(|name, (_, version, _)| {
             cache
@@ -719,8 +719,8 @@
         leader: &LeaderContext<'_>,
         cache: &WatchCache,
         demand: &Demand,
-        txn: &Txn,
-    ) -> Option<Txn> {
+        txn: &Transaction,
+    ) -> Option<Transaction> {
         let with_tasks = |id: &MachineId| {
             let block = cache.machines.get(id).map(|machine| &machine.block);
             block
@@ -754,8 +754,8 @@
         leader: &LeaderContext<'_>,
         cache: &WatchCache,
         demand: &Demand,
-        txn: &Txn,
-    ) -> Option<Txn> {
+        txn: &Transaction,
+    ) -> Option<Transaction> {
         self.unexpected
             .retain(|id, _| !cache.machines.contains_key(id));
         // An order under way may explain it.
@@ -797,8 +797,8 @@
         leader: &LeaderContext<'_>,
         cache: &WatchCache,
         demand: &Demand,
-        txn: &Txn,
-    ) -> Option<Txn> {
+        txn: &Transaction,
+    ) -> Option<Transaction> {
         let differs = |id: &MachineId, state: MachineState| {
             let machine = cache.machines.get(id);
             machine.is_some_and(|machine| machine.state != state)
@@ -883,8 +883,8 @@
     leader: &LeaderContext<'_>,
     cache: &WatchCache,
     demand: &Demand,
-    txn: &Txn,
-) -> Option<Txn> {
+    txn: &Transaction,
+) -> Option<Transaction> {
     // Seldom is there one, and the edits look at all tasks there are.
     if cache.format() < PARTS_FORMAT
         || too_large(cache, leader.config.state_limits.value_bytes).is_none()
--- a/src/provisioning/round.rs
+++ b/src/provisioning/round.rs
@@ -12,7 +12,7 @@
 use crate::domain::{BlockId, CapacityType, MachineId, Now, Zone, since};
 use crate::leader_context::LeaderContext;
 use crate::store::records::{MachineState, PendingRental, pending_rental_key};
-use crate::store::{Machine, Txn, WatchCache};
+use crate::store::{Machine, Transaction, WatchCache};
 
 /// What a round goes by.
 #[derive(Clone, Copy)]
@@ -49,7 +49,7 @@
 
 impl Provisioner {
     /// One round of the rule.
-    pub(super) fn round(&mut self, round: Round<'_>, mut txn: Txn) -> Option<Txn> {
+    pub(super) fn round(&mut self, round: Round<'_>, mut txn: Transaction) -> Option<Transaction> {
         let Round {
             now,
             leader,
--- a/src/provisioning/tests.rs
+++ b/src/provisioning/tests.rs
@@ -284,7 +284,7 @@
 /// An inventory that is larger than the state service will take can't be written again, so it could not even be drained.
 #[test]
 fn an_inventory_that_is_too_large_is_divided_step_by_step_and_loses_no_machine() {
-    use crate::store::TxnChange;
+    use crate::store::TransactionChange;
     use crate::store::records::{FORMAT, FORMAT_KEY, FormatSwitch, encode, json_size};
     let mut config = Config::parse("s.toml", SETTINGS).expect("valid");
     (config.state_limits.value_bytes, config.state_limits.txn_ops) = (2048, 5);
@@ -325,8 +325,9 @@
         });
     };
     put(&mut cache, inventory_key(&block), Some(encode(&inventory)));
-    let next =
-        |cache: &WatchCache| divide_inventory(&leader, cache, &Demand::default(), &Txn::default());
+    let next = |cache: &WatchCache| {
+        divide_inventory(&leader, cache, &Demand::default(), &Transaction::default())
+    };
     assert_eq!(next(&cache), None, "not before the format is on");
     let switch = FormatSwitch { version: FORMAT };
     put(&mut cache, FORMAT_KEY.to_owned(), Some(encode(&switch)));
@@ -336,12 +337,12 @@
         assert!(steps < 20 && txn.changes.len() <= 5, "step {steps}");
         for change in txn.changes {
             match change {
-                TxnChange::Put { key, value, .. } => {
+                TransactionChange::Put { key, value, .. } => {
                     let size = json_size(&value);
                     assert!(size <= 2048, "{key} is {size} bytes");
                     put(&mut cache, key, Some(value));
                 }
-                TxnChange::Delete { key } => put(&mut cache, key, None),
+                TransactionChange::Delete { key } => put(&mut cache, key, None),
             }
             assert_eq!(cache.inventories[&block].value, inventory, "step {steps}");
             assert_eq!(cache.machines.len(), 600);
--- a/src/queueing/draining/mod.rs
+++ b/src/queueing/draining/mod.rs
@@ -30,7 +30,7 @@
 use crate::provisioning::Provisioner;
 use crate::store::cache::{values, version_of};
 use crate::store::records::{LEADER, MachineState, drain_budget_key, drain_key, drain_ledger_key};
-use crate::store::{Op, Outcome, Txn, Versioned, WatchCache, Writer};
+use crate::store::{StoreRequest, StoreResponse, Transaction, Versioned, WatchCache, Writer};
 
 /// What an entry takes of a ledger's value, at the most.
 const LEDGER_ENTRY_BYTES: usize = 192;
@@ -126,8 +126,13 @@
     }
 
     /// The transaction that records what was decided.
-    fn transaction(&self, now: Now, leader: &LeaderContext<'_>, cache: &WatchCache) -> Option<Txn> {
-        let mut txn = Txn::default().when(LEADER, leader.version);
+    fn transaction(
+        &self,
+        now: Now,
+        leader: &LeaderContext<'_>,
+        cache: &WatchCache,
+    ) -> Option<Transaction> {
+        let mut txn = Transaction::default().when(LEADER, leader.version);
         let mut drains: BTreeSet<&DrainId> = BTreeSet::new();
         let most = leader.batch.max(1);
         let upkeep_due = self.upkeep.is_none_or(|at| since(now, at) >= UPKEEP_EVERY);
@@ -484,7 +489,7 @@
         now: Now,
         leader: &LeaderContext<'_>,
         cache: &mut WatchCache,
-    ) -> Option<Op> {
+    ) -> Option<StoreRequest> {
         let draining = self.draining.as_mut()?;
         if !draining.writer.ready(now, cache) {
             return None;
@@ -507,11 +512,11 @@
             }
         }
         draining.writer.sent();
-        Some(Op::Commit(txn))
+        Some(StoreRequest::Commit(txn))
     }
 
     /// What became of it.
-    pub fn drains_written(&mut self, now: Now, outcome: &Outcome) {
+    pub fn drains_written(&mut self, now: Now, outcome: &StoreResponse) {
         if let Some(draining) = &mut self.draining {
             draining.writer.answered(now, outcome);
         }
--- a/src/queueing/folding.rs
+++ b/src/queueing/folding.rs
@@ -9,7 +9,7 @@
 use crate::config::Config;
 use crate::domain::JobId;
 use crate::store::records::{BlockPlacements, CHUNK, PARTS_FORMAT, Progress, Ranges, progress_key};
-use crate::store::{Txn, WatchCache};
+use crate::store::{Transaction, WatchCache};
 
 /// A block's finished tasks are folded when its value is this full of all that it may come to hold ...
 const FULL: f64 = 0.8;
@@ -19,7 +19,12 @@
 const WORTH_FOLDING_DIVIDED: f64 = 0.5;
 
 /// Adds to the transaction what should be folded, up to `most` changes.
-pub(super) fn fold(config: &Config, cache: &WatchCache, mut txn: Txn, most: usize) -> Txn {
+pub(super) fn fold(
+    config: &Config,
+    cache: &WatchCache,
+    mut txn: Transaction,
+    most: usize,
+) -> Transaction {
     let limit = config.state_limits.value_bytes as f64;
     // Where a block may have more values, room for finished tasks is had more cheaply than by folding.
     let worth = if cache.format() >= PARTS_FORMAT {
@@ -63,7 +68,7 @@
 }
 
 /// Records all finished tasks of a chunk, whichever blocks they finished in.
-fn fold_chunk(cache: &WatchCache, txn: Txn, job: JobId, chunk: u32) -> Txn {
+fn fold_chunk(cache: &WatchCache, txn: Transaction, job: JobId, chunk: u32) -> Transaction {
     let Some(open) = cache.open.get(&job) else {
         return txn;
     };
--- a/src/queueing/folding/tests.rs
+++ b/src/queueing/folding/tests.rs
@@ -58,7 +58,7 @@
     }
 
     fn folded(&self) -> Vec<String> {
-        let txn = fold(&self.config, &self.cache, Txn::default(), 16);
+        let txn = fold(&self.config, &self.cache, Transaction::default(), 16);
         txn.conditions.into_iter().map(|(key, _)| key).collect()
     }
 }
--- a/src/queueing/mod.rs
+++ b/src/queueing/mod.rs
@@ -34,7 +34,7 @@
 use crate::placement::Candidate;
 use crate::provisioning::{Demand, Health, Pool, Provisioner, Runs};
 use crate::store::records::{JobRecord, LEADER, job_key, progress_key};
-use crate::store::{Op, Outcome, Txn, WatchCache, Writer};
+use crate::store::{StoreRequest, StoreResponse, Transaction, WatchCache, Writer};
 use block_state::BlockState;
 use demand::Present;
 use draining::Draining;
@@ -509,12 +509,12 @@
         now: Now,
         leader: &LeaderContext<'_>,
         cache: &mut WatchCache,
-    ) -> Option<Op> {
+    ) -> Option<StoreRequest> {
         let (config, leader_version, most) = (leader.config, leader.version, leader.batch);
         if !self.writer.ready(now, cache) {
             return None;
         }
-        let mut txn = Txn::default().when(LEADER, leader_version);
+        let mut txn = Transaction::default().when(LEADER, leader_version);
         for (id, open) in &cache.open {
             if txn.changes.len() >= most {
                 break;
@@ -555,7 +555,7 @@
             return None;
         }
         self.writer.sent();
-        Some(Op::Commit(txn))
+        Some(StoreRequest::Commit(txn))
     }
 
     fn released(&self, job: JobId) -> bool {
@@ -565,7 +565,7 @@
             .any(|release| release.attempt.task.job == job)
     }
 
-    pub fn answered(&mut self, now: Now, outcome: &Outcome) {
+    pub fn answered(&mut self, now: Now, outcome: &StoreResponse) {
         self.writer.answered(now, outcome);
     }
 
--- a/src/queueing/tests.rs
+++ b/src/queueing/tests.rs
@@ -165,7 +165,7 @@
         } = self;
         let leader = lead_of(config, policy, catalog);
         queues.writer = Writer::Idle;
-        let Some(Op::Commit(txn)) = queues.write(self.now, &leader, cache) else {
+        let Some(StoreRequest::Commit(txn)) = queues.write(self.now, &leader, cache) else {
             return Vec::new();
         };
         let keys = txn.conditions.iter().map(|(key, _)| key);
--- a/src/store/budget.rs
+++ b/src/store/budget.rs
@@ -3,7 +3,7 @@
 use std::collections::VecDeque;
 use std::time::{Duration, Instant};
 
-use super::{Op, Outcome};
+use super::{StoreRequest, StoreResponse};
 use crate::config::StateLimits;
 use crate::domain::{Now, since};
 
@@ -57,7 +57,7 @@
 
 /// Requests that wait for their turn.
 pub struct Budget<Tag> {
-    lanes: [VecDeque<(Tag, Op)>; LANES],
+    lanes: [VecDeque<(Tag, StoreRequest)>; LANES],
     requests: Bucket,
     writes: Bucket,
     write_limit: f64,
@@ -148,7 +148,7 @@
     }
 
     /// Queues a request; gives the tag back when the lane is full.
-    pub fn push(&mut self, urgency: Urgency, tag: Tag, op: Op) -> Result<(), Tag> {
+    pub fn push(&mut self, urgency: Urgency, tag: Tag, op: StoreRequest) -> Result<(), Tag> {
         let lane = &mut self.lanes[urgency as usize];
         if lane.len() >= LANE_LIMIT {
             return Err(tag);
@@ -158,7 +158,7 @@
     }
 
     /// Takes what may be sent now.
-    pub fn take(&mut self, now: Now) -> Vec<(Tag, Op)> {
+    pub fn take(&mut self, now: Now) -> Vec<(Tag, StoreRequest)> {
         self.requests.fill(now);
         self.writes.fill(now);
         let mut ready = Vec::new();
@@ -208,9 +208,9 @@
         clear && !holding_off && self.requests.tokens >= 1.0 && self.writes.tokens >= enough
     }
 
-    pub fn note(&mut self, now: Now, outcome: &Outcome) {
+    pub fn note(&mut self, now: Now, outcome: &StoreResponse) {
         match outcome {
-            Outcome::Refused | Outcome::Unknown => {
+            StoreResponse::Refused | StoreResponse::Unknown => {
                 self.last_refusal = Some(now.monotonic);
                 self.hold_off_until = Some(now.monotonic + HOLD_OFF);
             }
@@ -243,9 +243,9 @@
     }
 }
 
-fn cost(op: &Op) -> f64 {
+fn cost(op: &StoreRequest) -> f64 {
     match op {
-        Op::Commit(txn) => txn.changes.len() as f64,
+        StoreRequest::Commit(txn) => txn.changes.len() as f64,
         _ => 0.0,
     }
 }
--- a/src/store/budget/tests.rs
+++ b/src/store/budget/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use crate::store::Txn;
+use crate::store::Transaction;
 
 const LIMITS: StateLimits = StateLimits {
     rps: 10.0,
@@ -8,8 +8,8 @@
     txn_ops: 16,
 };
 
-fn write() -> Op {
-    Op::Commit(Txn::default().delete("k"))
+fn write() -> StoreRequest {
+    StoreRequest::Commit(Transaction::default().delete("k"))
 }
 
 #[test]
@@ -94,7 +94,9 @@
         1,
         start,
     );
-    let batch = Op::Commit((0..9).fold(Txn::default(), |txn, n| txn.delete(format!("k{n}"))));
+    let batch = StoreRequest::Commit(
+        (0..9).fold(Transaction::default(), |txn, n| txn.delete(format!("k{n}"))),
+    );
     let sent = |budget: &mut Budget<i32>, now| {
         budget
             .take(now)
@@ -123,12 +125,12 @@
     };
     let mut budget: Budget<()> = Budget::new(&LIMITS, 1, start);
     assert!(!budget.available(start));
-    budget.note(start, &Outcome::Conflict);
-    budget.note(later(100), &Outcome::Refused);
+    budget.note(start, &StoreResponse::Conflict);
+    budget.note(later(100), &StoreResponse::Refused);
     assert!(budget.available(later(200)));
-    budget.note(later(1500), &Outcome::Unknown);
+    budget.note(later(1500), &StoreResponse::Unknown);
     assert!(!budget.available(later(1600)));
-    budget.note(later(1700), &Outcome::Conflict);
+    budget.note(later(1700), &StoreResponse::Conflict);
     assert!(budget.available(later(1700)));
 }
 
@@ -144,8 +146,12 @@
     let mut budget = Budget::new(&limits, 3, start);
     let most = budget.spare_batch(5);
     assert!((1..5).contains(&most), "{most} changes");
-    let batch = (0..most).fold(Txn::default(), |txn, n| txn.delete(n.to_string()));
-    assert!(budget.push(Urgency::Work, 0, Op::Commit(batch)).is_ok());
+    let batch = (0..most).fold(Transaction::default(), |txn, n| txn.delete(n.to_string()));
+    assert!(
+        budget
+            .push(Urgency::Work, 0, StoreRequest::Commit(batch))
+            .is_ok()
+    );
     assert_eq!(budget.take(start).len(), 1);
     assert!(budget.push(Urgency::User, 1, write()).is_ok());
     assert_eq!(budget.take(start).len(), 1, "at once");
--- a/src/store/cache.rs
+++ b/src/store/cache.rs
@@ -11,7 +11,7 @@
     MachineInventory, MachineState, Member, NOWHERE, Part, PendingRental, Progress, ROOT, Ranges,
     Record, Records, Token,
 };
-use super::{Op, Outcome};
+use super::{StoreRequest, StoreResponse};
 use crate::config::StateLimits;
 use crate::domain::{
     Attempt, BlockId, CapacityType, ControllerName, InstanceTypeName, Job, JobId, JobOutcome,
@@ -312,7 +312,7 @@
     }
 
     /// Requests that are due.
-    pub fn poll(&mut self, now: Now) -> Vec<(Tag, Op)> {
+    pub fn poll(&mut self, now: Now) -> Vec<(Tag, StoreRequest)> {
         let mut ops = Vec::new();
         if self.barrier.wanted && !self.barrier.busy && self.ready() {
             let spaced = self
@@ -327,7 +327,7 @@
                     Tag::Barrier {
                         sent: now.monotonic,
                     },
-                    Op::Get {
+                    StoreRequest::Get {
                         key: NOWHERE.to_owned(),
                     },
                 ));
@@ -348,7 +348,7 @@
                         load: self.load,
                         after: None,
                     },
-                    Op::List {
+                    StoreRequest::List {
                         prefix: ROOT.to_owned(),
                         after: None,
                     },
@@ -364,7 +364,7 @@
                 };
                 ops.push((
                     tag,
-                    Op::List {
+                    StoreRequest::List {
                         prefix: ROOT.to_owned(),
                         after: None,
                     },
@@ -374,7 +374,7 @@
                 self.busy = true;
                 ops.push((
                     Tag::Distance { load: self.load },
-                    Op::Get {
+                    StoreRequest::Get {
                         key: NOWHERE.to_owned(),
                     },
                 ));
@@ -386,7 +386,7 @@
                 if spaced {
                     self.busy = true;
                     self.asked = Some(now.monotonic);
-                    let op = Op::Follow {
+                    let op = StoreRequest::Follow {
                         prefix: ROOT.to_owned(),
                         after: self.revision,
                         wait: FOLLOW_FOR,
@@ -420,12 +420,19 @@
     }
 
     /// The one place where the copy changes.
-    pub fn handle(&mut self, now: Now, tag: Tag, outcome: Outcome) -> Vec<(Tag, Op)> {
+    pub fn handle(
+        &mut self,
+        now: Now,
+        tag: Tag,
+        outcome: StoreResponse,
+    ) -> Vec<(Tag, StoreRequest)> {
         match tag {
             Tag::Barrier { sent } => {
                 self.barrier.busy = false;
                 match outcome {
-                    Outcome::Missing { revision } => self.barrier.pending.push((sent, revision)),
+                    StoreResponse::Missing { revision } => {
+                        self.barrier.pending.push((sent, revision))
+                    }
                     _ => self.barrier.wanted = true,
                 }
                 self.settle_barrier();
@@ -435,7 +442,7 @@
             Tag::Distance { load } if load == self.load => {
                 self.busy = false;
                 match outcome {
-                    Outcome::Missing { revision } => self.measured(now, revision),
+                    StoreResponse::Missing { revision } => self.measured(now, revision),
                     _ => self.retry_at = Some(now.monotonic + RETRY),
                 }
                 Vec::new()
@@ -460,9 +467,14 @@
         }
     }
 
-    fn page(&mut self, now: Now, after: Option<String>, outcome: Outcome) -> Vec<(Tag, Op)> {
+    fn page(
+        &mut self,
+        now: Now,
+        after: Option<String>,
+        outcome: StoreResponse,
+    ) -> Vec<(Tag, StoreRequest)> {
         match outcome {
-            Outcome::Rows {
+            StoreResponse::Rows {
                 rows,
                 more,
                 revision,
@@ -484,7 +496,7 @@
                     changes.for_each(|change| self.apply(change));
                 }
                 if more && last.is_some() {
-                    let op = Op::List {
+                    let op = StoreRequest::List {
                         prefix: ROOT.to_owned(),
                         after: last.clone(),
                     };
@@ -525,10 +537,10 @@
         Vec::new()
     }
 
-    fn news(&mut self, now: Now, outcome: Outcome) {
+    fn news(&mut self, now: Now, outcome: StoreResponse) {
         self.busy = false;
         match outcome {
-            Outcome::News { revision, changes } => {
+            StoreResponse::News { revision, changes } => {
                 for change in changes {
                     self.apply(change);
                 }
@@ -537,7 +549,7 @@
                 self.fresh = self.fresh.max(self.asked);
                 self.settle_barrier();
             }
-            Outcome::TooOld => {
+            StoreResponse::TooOld => {
                 warn!(
                     revision = self.revision,
                     "changes are no longer kept; reading everything again"
--- a/src/store/cache/tests.rs
+++ b/src/store/cache/tests.rs
@@ -25,30 +25,30 @@
     let next = |cache: &mut WatchCache, now: Now| cache.poll(now).remove(0);
     let (tag, op) = next(&mut cache, at(40));
     assert!(
-        matches!((&tag, op), (Tag::Distance { .. }, Op::Get { .. })),
+        matches!((&tag, op), (Tag::Distance { .. }, StoreRequest::Get { .. })),
         "how far behind?"
     );
     cache.handle(
         at(40),
         tag,
-        Outcome::Missing {
+        StoreResponse::Missing {
             revision: 5 + MOST_MISSED / 8192,
         },
     );
     let (tag, op) = next(&mut cache, at(40));
     assert!(
-        matches!(op, Op::Follow { after: 5, .. }),
+        matches!(op, StoreRequest::Follow { after: 5, .. }),
         "near enough: {op:?}"
     );
-    cache.handle(at(44), tag, Outcome::Unknown);
+    cache.handle(at(44), tag, StoreResponse::Unknown);
     let (tag, _) = next(&mut cache, at(45));
     assert!(
         matches!(tag, Tag::Distance { .. }),
         "the answer was too much after all, or none came"
     );
-    cache.handle(at(45), tag, Outcome::Missing { revision: 9000 });
+    cache.handle(at(45), tag, StoreResponse::Missing { revision: 9000 });
     let (tag, op) = next(&mut cache, at(45));
-    assert!(matches!(op, Op::List { .. }), "{op:?}");
+    assert!(matches!(op, StoreRequest::List { .. }), "{op:?}");
     assert!(cache.ready() && cache.open.contains_key(&JobId(1)));
     assert_eq!(
         cache.fresh_since(),
@@ -63,7 +63,7 @@
     cache.handle(
         at(46),
         tag,
-        Outcome::Rows {
+        StoreResponse::Rows {
             rows,
             more: false,
             revision: 9000,
@@ -72,7 +72,10 @@
     assert!(!cache.open.contains_key(&JobId(1)) && cache.open.contains_key(&JobId(2)));
     assert!(cache.take_changed().all);
     let (_, op) = next(&mut cache, at(46));
-    assert!(matches!(op, Op::Follow { after: 9000, .. }), "{op:?}");
+    assert!(
+        matches!(op, StoreRequest::Follow { after: 9000, .. }),
+        "{op:?}"
+    );
 }
 
 /// Found by a seeded run: the place of a lost attempt hid the one that followed it, and the task was
@@ -176,7 +179,7 @@
             && !cache.open[&JobId(3)].cancelled
     );
     cache.state = State::Following;
-    let news = Outcome::News {
+    let news = StoreResponse::News {
         revision: 14,
         changes: Vec::new(),
     };
--- a/src/store/mod.rs
+++ b/src/store/mod.rs
@@ -14,7 +14,7 @@
 
 /// A request to the state service.
 #[derive(Debug, Clone, PartialEq)]
-pub enum Op {
+pub enum StoreRequest {
     Get {
         key: String,
     },
@@ -22,7 +22,7 @@
         prefix: String,
         after: Option<String>,
     },
-    Commit(Txn),
+    Commit(Transaction),
     Follow {
         prefix: String,
         after: u64,
@@ -38,14 +38,14 @@
 
 /// A transaction: applied as a whole if every key still has the version that its writer saw.
 #[derive(Debug, Clone, PartialEq, Default)]
-pub struct Txn {
+pub struct Transaction {
     /// 0: the key does not exist.
     pub conditions: Vec<(String, u64)>,
-    pub changes: Vec<TxnChange>,
+    pub changes: Vec<TransactionChange>,
 }
 
 #[derive(Debug, Clone, PartialEq)]
-pub enum TxnChange {
+pub enum TransactionChange {
     Put {
         key: String,
         value: ciborium::Value,
@@ -56,7 +56,7 @@
     },
 }
 
-impl Txn {
+impl Transaction {
     pub fn when(mut self, key: impl Into<String>, version: u64) -> Self {
         self.conditions.push((key.into(), version));
         self
@@ -72,7 +72,7 @@
         record: &impl Record,
         lease: Option<u64>,
     ) -> Self {
-        self.changes.push(TxnChange::Put {
+        self.changes.push(TransactionChange::Put {
             key: key.into(),
             value: records::encode(record),
             lease,
@@ -81,14 +81,15 @@
     }
 
     pub fn delete(mut self, key: impl Into<String>) -> Self {
-        self.changes.push(TxnChange::Delete { key: key.into() });
+        self.changes
+            .push(TransactionChange::Delete { key: key.into() });
         self
     }
 }
 
 /// What became of a request.
 #[derive(Debug, Clone, PartialEq)]
-pub enum Outcome {
+pub enum StoreResponse {
     Value {
         value: ciborium::Value,
         version: u64,
--- a/src/store/wire.rs
+++ b/src/store/wire.rs
@@ -5,7 +5,7 @@
 use ciborium::Value;
 use serde::{Deserialize, Serialize};
 
-use super::{Change, Op, Outcome, Txn, TxnChange};
+use super::{Change, StoreRequest, StoreResponse, Transaction, TransactionChange};
 use crate::http::{Reply, Request, read, write};
 
 #[derive(Serialize)]
@@ -94,7 +94,7 @@
     u64::try_from(duration.as_millis()).unwrap_or(u64::MAX)
 }
 
-fn multi(txn: &Txn) -> Vec<u8> {
+fn multi(txn: &Transaction) -> Vec<u8> {
     let when = txn
         .conditions
         .iter()
@@ -104,12 +104,12 @@
         })
         .collect();
     let apply = txn.changes.iter().map(|change| match change {
-        TxnChange::Put { key, value, lease } => Apply::Put {
+        TransactionChange::Put { key, value, lease } => Apply::Put {
             put: key,
             value,
             tenure: *lease,
         },
-        TxnChange::Delete { key } => Apply::Remove { remove: key },
+        TransactionChange::Delete { key } => Apply::Remove { remove: key },
     });
     write(&Multi {
         when,
@@ -117,10 +117,10 @@
     })
 }
 
-pub fn request(op: &Op) -> Request {
+pub fn request(op: &StoreRequest) -> Request {
     match op {
-        Op::Get { key } => Request::get(format!("/keys/{key}"), TIMEOUT),
-        Op::List { prefix, after } => {
+        StoreRequest::Get { key } => Request::get(format!("/keys/{key}"), TIMEOUT),
+        StoreRequest::List { prefix, after } => {
             let after = after
                 .as_ref()
                 .map(|key| format!("&after={key}"))
@@ -130,8 +130,8 @@
                 TIMEOUT * 2,
             )
         }
-        Op::Commit(txn) => Request::post("/multi".to_owned(), multi(txn), TIMEOUT),
-        Op::Follow {
+        StoreRequest::Commit(txn) => Request::post("/multi".to_owned(), multi(txn), TIMEOUT),
+        StoreRequest::Follow {
             prefix,
             after,
             wait,
@@ -142,38 +142,40 @@
             );
             Request::get(path, *wait + TIMEOUT)
         }
-        Op::GrantLease { life } => Request::post(
+        StoreRequest::GrantLease { life } => Request::post(
             "/holds".to_owned(),
             write(&NewLease {
                 life_ms: millis(*life),
             }),
             TIMEOUT,
         ),
-        Op::KeepAliveLease { id } => {
+        StoreRequest::KeepAliveLease { id } => {
             Request::post(format!("/holds/{id}/extend"), Vec::new(), TIMEOUT)
         }
     }
 }
 
-pub fn outcome(op: &Op, reply: Option<&Reply>) -> Outcome {
+pub fn outcome(op: &StoreRequest, reply: Option<&Reply>) -> StoreResponse {
     let Some(reply) = reply else {
-        return Outcome::Unknown;
+        return StoreResponse::Unknown;
     };
     match (reply.status, op) {
-        (429 | 503, _) => Outcome::Refused,
-        (200, Op::Get { .. }) => {
-            read(&reply.body).map_or(Outcome::Unknown, |row: Row| Outcome::Value {
+        (429 | 503, _) => StoreResponse::Refused,
+        (200, StoreRequest::Get { .. }) => {
+            read(&reply.body).map_or(StoreResponse::Unknown, |row: Row| StoreResponse::Value {
                 value: row.value,
                 version: row.amended,
             })
         }
-        (404, Op::Get { .. }) => {
-            read(&reply.body).map_or(Outcome::Unknown, |r: Revision| Outcome::Missing {
-                revision: r.revision,
+        (404, StoreRequest::Get { .. }) => {
+            read(&reply.body).map_or(StoreResponse::Unknown, |r: Revision| {
+                StoreResponse::Missing {
+                    revision: r.revision,
+                }
             })
         }
-        (200, Op::List { .. }) => {
-            read(&reply.body).map_or(Outcome::Unknown, |list: Rows| Outcome::Rows {
+        (200, StoreRequest::List { .. }) => {
+            read(&reply.body).map_or(StoreResponse::Unknown, |list: Rows| StoreResponse::Rows {
                 rows: list
                     .rows
                     .into_iter()
@@ -183,26 +185,30 @@
                 revision: list.revision,
             })
         }
-        (200, Op::Commit(_)) => {
-            read(&reply.body).map_or(Outcome::Unknown, |r: Revision| Outcome::Committed {
-                revision: r.revision,
+        (200, StoreRequest::Commit(_)) => {
+            read(&reply.body).map_or(StoreResponse::Unknown, |r: Revision| {
+                StoreResponse::Committed {
+                    revision: r.revision,
+                }
             })
         }
-        (409, Op::Commit(_)) => Outcome::Conflict,
-        (200, Op::Follow { .. }) => read(&reply.body).map_or(Outcome::Unknown, news),
-        (410, Op::Follow { .. }) => Outcome::TooOld,
-        (200, Op::GrantLease { .. }) => read(&reply.body)
-            .map_or(Outcome::Unknown, |lease: LeaseId| Outcome::LeaseGranted {
-                id: lease.tenure,
+        (409, StoreRequest::Commit(_)) => StoreResponse::Conflict,
+        (200, StoreRequest::Follow { .. }) => {
+            read(&reply.body).map_or(StoreResponse::Unknown, news)
+        }
+        (410, StoreRequest::Follow { .. }) => StoreResponse::TooOld,
+        (200, StoreRequest::GrantLease { .. }) => read(&reply.body)
+            .map_or(StoreResponse::Unknown, |lease: LeaseId| {
+                StoreResponse::LeaseGranted { id: lease.tenure }
             }),
-        (200, Op::KeepAliveLease { id }) => Outcome::LeaseGranted { id: *id },
-        (404, Op::KeepAliveLease { .. }) => Outcome::LeaseExpired,
-        (400 | 404, _) => Outcome::Invalid,
-        _ => Outcome::Unknown,
+        (200, StoreRequest::KeepAliveLease { id }) => StoreResponse::LeaseGranted { id: *id },
+        (404, StoreRequest::KeepAliveLease { .. }) => StoreResponse::LeaseExpired,
+        (400 | 404, _) => StoreResponse::Invalid,
+        _ => StoreResponse::Unknown,
     }
 }
 
-fn news(news: News) -> Outcome {
+fn news(news: News) -> StoreResponse {
     let changes = news
         .news
         .into_iter()
@@ -219,7 +225,7 @@
             }),
             (None, None) => None,
         });
-    Outcome::News {
+    StoreResponse::News {
         revision: news.revision,
         changes: changes.collect(),
     }
--- a/src/store/wire/tests.rs
+++ b/src/store/wire/tests.rs
@@ -11,18 +11,18 @@
 
 #[test]
 fn transactions_have_the_form_of_the_protocol() {
-    let txn = Txn {
+    let txn = Transaction {
         conditions: vec![("a/b".into(), 0)],
         changes: vec![
-            TxnChange::Put {
+            TransactionChange::Put {
                 key: "a/b".into(),
                 value: 3.into(),
                 lease: Some(7),
             },
-            TxnChange::Delete { key: "c/d".into() },
+            TransactionChange::Delete { key: "c/d".into() },
         ],
     };
-    let request = request(&Op::Commit(txn));
+    let request = request(&StoreRequest::Commit(txn));
     let sent: Value = read(&request.body).expect("CBOR");
     let expected = cbor!({
         "when" => [{"k" => "a/b", "amended" => 0}],
@@ -33,38 +33,38 @@
 
 #[test]
 fn answers_are_told_apart() {
-    let commit = Op::Commit(Txn::default());
-    assert_eq!(outcome(&commit, None), Outcome::Unknown);
+    let commit = StoreRequest::Commit(Transaction::default());
+    assert_eq!(outcome(&commit, None), StoreResponse::Unknown);
     assert_eq!(
         outcome(&commit, Some(&reply(503, Value::Null))),
-        Outcome::Refused
+        StoreResponse::Refused
     );
     assert_eq!(
         outcome(&commit, Some(&reply(200, Value::Null))),
-        Outcome::Unknown
+        StoreResponse::Unknown
     );
     let revision = cbor!({"ledgerLine" => 9}).expect("valid");
     assert_eq!(
         outcome(&commit, Some(&reply(200, revision.clone()))),
-        Outcome::Committed { revision: 9 }
+        StoreResponse::Committed { revision: 9 }
     );
     assert_eq!(
         outcome(&commit, Some(&reply(409, revision.clone()))),
-        Outcome::Conflict
+        StoreResponse::Conflict
     );
-    let get = Op::Get { key: "k".into() };
+    let get = StoreRequest::Get { key: "k".into() };
     assert_eq!(
         outcome(&get, Some(&reply(404, revision))),
-        Outcome::Missing { revision: 9 }
+        StoreResponse::Missing { revision: 9 }
     );
-    let follow = Op::Follow {
+    let follow = StoreRequest::Follow {
         prefix: "c/".into(),
         after: 3,
         wait: Duration::ZERO,
     };
     let news = cbor!({"ledgerLine" => 9, "news" => [
         {"put" => "c/9", "value" => {"x" => 1}, "amended" => 9}, {"remove" => "c/d", "amended" => 8}]});
-    let Outcome::News {
+    let StoreResponse::News {
         revision: 9,
         changes,
     } = outcome(&follow, Some(&reply(200, news.expect("valid"))))
@@ -82,6 +82,6 @@
     );
     assert_eq!(
         outcome(&follow, Some(&reply(410, Value::Null))),
-        Outcome::TooOld
+        StoreResponse::TooOld
     );
 }
--- a/src/store/writer.rs
+++ b/src/store/writer.rs
@@ -2,7 +2,7 @@
 
 use std::time::{Duration, Instant};
 
-use super::{Outcome, WatchCache};
+use super::{StoreResponse, WatchCache};
 use crate::domain::{Now, since};
 
 #[derive(Debug, Clone, Copy, PartialEq)]
@@ -65,12 +65,12 @@
         *self = Writer::Sent;
     }
 
-    pub fn answered(&mut self, now: Now, outcome: &Outcome) {
+    pub fn answered(&mut self, now: Now, outcome: &StoreResponse) {
         *self = match outcome {
-            Outcome::Committed { revision } => Writer::Settling {
+            StoreResponse::Committed { revision } => Writer::Settling {
                 revision: *revision,
             },
-            Outcome::Invalid => Writer::Rejected {
+            StoreResponse::Invalid => Writer::Rejected {
                 since: now.monotonic,
             },
             _ => Writer::Unsure {
--- a/src/store/writer/tests.rs
+++ b/src/store/writer/tests.rs
@@ -10,7 +10,7 @@
 }
 
 /// Whether it may write so long after this outcome, with a copy that is always new enough.
-fn ready_after(outcome: &Outcome, millis: u64) -> bool {
+fn ready_after(outcome: &StoreResponse, millis: u64) -> bool {
     let start = Now::read();
     let mut cache = WatchCache::following();
     cache.assume_fresh(at(start, 60_000).monotonic);
@@ -24,9 +24,9 @@
 /// A transaction that is too large was sent again five times a second, and each time cost its share of the rate.
 #[test]
 fn what_is_refused_for_what_it_holds_is_not_tried_again_at_once() {
-    assert!(ready_after(&Outcome::Refused, 250));
-    assert!(ready_after(&Outcome::Conflict, 250));
-    assert!(!ready_after(&Outcome::Invalid, 250));
-    assert!(!ready_after(&Outcome::Invalid, 1900));
-    assert!(ready_after(&Outcome::Invalid, 2100));
+    assert!(ready_after(&StoreResponse::Refused, 250));
+    assert!(ready_after(&StoreResponse::Conflict, 250));
+    assert!(!ready_after(&StoreResponse::Invalid, 250));
+    assert!(!ready_after(&StoreResponse::Invalid, 1900));
+    assert!(ready_after(&StoreResponse::Invalid, 2100));
 }
--- a/src/upgrade/mod.rs
+++ b/src/upgrade/mod.rs
@@ -11,7 +11,7 @@
 use crate::domain::{ControllerName, Now};
 use crate::leader_context::LeaderContext;
 use crate::store::records::{FORMAT, FORMAT_KEY, FormatSwitch, LEADER, member_key};
-use crate::store::{Op, Outcome, Txn, WatchCache, Writer};
+use crate::store::{StoreRequest, StoreResponse, Transaction, WatchCache, Writer};
 
 /// The leader's part in the switch.
 #[derive(Debug)]
@@ -33,7 +33,7 @@
         now: Now,
         leader: &LeaderContext<'_>,
         cache: &mut WatchCache,
-    ) -> Option<Op> {
+    ) -> Option<StoreRequest> {
         if cache.format() >= FORMAT || !self.writer.ready(now, cache) {
             return None;
         }
@@ -41,7 +41,7 @@
         if format <= cache.format() {
             return None;
         }
-        let mut txn = Txn::default()
+        let mut txn = Transaction::default()
             .when(LEADER, leader.version)
             .when(FORMAT_KEY, cache.format_version());
         for (controller, version) in versions {
@@ -52,13 +52,13 @@
             "all controllers know the new format: switching it on"
         );
         self.writer.sent();
-        Some(Op::Commit(
+        Some(StoreRequest::Commit(
             txn.put(FORMAT_KEY, &FormatSwitch { version: format }),
         ))
     }
 
     /// What became of it.
-    pub fn answered(&mut self, now: Now, outcome: &Outcome) {
+    pub fn answered(&mut self, now: Now, outcome: &StoreResponse) {
         self.writer.answered(now, outcome);
     }
 }
--- a/src/upgrade/tests.rs
+++ b/src/upgrade/tests.rs
@@ -31,7 +31,7 @@
         });
     }
 
-    fn poll(&mut self, upgrade: &mut Upgrade) -> Option<Txn> {
+    fn poll(&mut self, upgrade: &mut Upgrade) -> Option<Transaction> {
         let policy = Policy::defaults(&self.config);
         let leader = LeaderContext {
             config: &self.config,
@@ -43,7 +43,7 @@
             spare: true,
         };
         match upgrade.poll(Now::read(), &leader, &mut self.cache)? {
-            Op::Commit(txn) => Some(txn),
+            StoreRequest::Commit(txn) => Some(txn),
             op => panic!("{op:?}"),
         }
     }
@@ -105,8 +105,8 @@
     ] {
         fixture.member(controller, format);
     }
-    let switched_on = |txn: Txn| match txn.changes.as_slice() {
-        [crate::store::TxnChange::Put { value, .. }] => value
+    let switched_on = |txn: Transaction| match txn.changes.as_slice() {
+        [crate::store::TransactionChange::Put { value, .. }] => value
             .deserialized::<FormatSwitch>()
             .map(|switch| switch.version)
             .ok(),
--- a/tests/loopback/state_service.rs
+++ b/tests/loopback/state_service.rs
@@ -7,7 +7,7 @@
 
 use ciborium::{Value, cbor};
 use dappleshore::http::{read, write};
-use dappleshore::store::{Op, Outcome, Txn, TxnChange};
+use dappleshore::store::{StoreRequest, StoreResponse, Transaction, TransactionChange};
 use serde::Deserialize;
 use warp::Filter;
 use warp::http::StatusCode;
@@ -59,11 +59,11 @@
         .map(
             |tail: warp::path::Tail, query: Query, fleet: Arc<Mutex<Fleet>>| {
                 let op = match query.get("prefix") {
-                    Some(prefix) => Op::List {
+                    Some(prefix) => StoreRequest::List {
                         prefix: prefix.clone(),
                         after: query.get("after").cloned(),
                     },
-                    None => Op::Get {
+                    None => StoreRequest::Get {
                         key: tail.as_str().to_owned(),
                     },
                 };
@@ -76,7 +76,7 @@
         .and(with.clone())
         .map(
             |body: bytes::Bytes, fleet: Arc<Mutex<Fleet>>| match read::<Multi>(&body) {
-                Some(multi) => execute(&fleet, &Op::Commit(transaction(multi))),
+                Some(multi) => execute(&fleet, &StoreRequest::Commit(transaction(multi))),
                 None => reply(400, &cbor!({"error" => "malformed"})),
             },
         );
@@ -87,12 +87,12 @@
         .map(|body: bytes::Bytes, fleet: Arc<Mutex<Fleet>>| {
             let life_ms = read::<NewLease>(&body).map_or(5000, |lease| lease.life_ms);
             let life = Duration::from_millis(life_ms);
-            execute(&fleet, &Op::GrantLease { life })
+            execute(&fleet, &StoreRequest::GrantLease { life })
         });
     let extend = warp::path!("holds" / u64 / "extend")
         .and(warp::post())
         .and(with.clone())
-        .map(|id, fleet: Arc<Mutex<Fleet>>| execute(&fleet, &Op::KeepAliveLease { id }));
+        .map(|id, fleet: Arc<Mutex<Fleet>>| execute(&fleet, &StoreRequest::KeepAliveLease { id }));
     let follow = warp::path!("follow")
         .and(warp::get())
         .and(warp::query::<Query>())
@@ -115,33 +115,33 @@
     addr
 }
 
-fn transaction(multi: Multi) -> Txn {
+fn transaction(multi: Multi) -> Transaction {
     let change = |apply: Apply| match (apply.put, apply.remove) {
-        (Some(key), _) => Some(TxnChange::Put {
+        (Some(key), _) => Some(TransactionChange::Put {
             key,
             value: apply.value.unwrap_or(Value::Null),
             lease: apply.tenure,
         }),
-        (None, Some(key)) => Some(TxnChange::Delete { key }),
+        (None, Some(key)) => Some(TransactionChange::Delete { key }),
         (None, None) => None,
     };
-    Txn {
+    Transaction {
         conditions: multi.when.into_iter().map(|c| (c.k, c.amended)).collect(),
         changes: multi.apply.into_iter().filter_map(change).collect(),
     }
 }
 
-fn execute(fleet: &Mutex<Fleet>, op: &Op) -> Response {
+fn execute(fleet: &Mutex<Fleet>, op: &StoreRequest) -> Response {
     let mut fleet = lock(fleet);
     let now = fleet.now();
     let outcome = fleet.state.serve(now, op);
     let revision = fleet.state.revision;
     match outcome {
-        Outcome::Value { value, version } => {
+        StoreResponse::Value { value, version } => {
             reply(200, &cbor!({"value" => value, "amended" => version}))
         }
-        Outcome::Missing { revision } => reply(404, &cbor!({"ledgerLine" => revision})),
-        Outcome::Rows {
+        StoreResponse::Missing { revision } => reply(404, &cbor!({"ledgerLine" => revision})),
+        StoreResponse::Rows {
             rows,
             more,
             revision,
@@ -155,11 +155,11 @@
                 &cbor!({"rows" => rows, "more" => more, "ledgerLine" => revision}),
             )
         }
-        Outcome::Committed { revision } => reply(200, &cbor!({"ledgerLine" => revision})),
-        Outcome::Conflict => reply(409, &cbor!({"failed" => [], "ledgerLine" => revision})),
-        Outcome::LeaseGranted { id } => reply(200, &cbor!({"tenure" => id})),
-        Outcome::LeaseExpired => reply(404, &cbor!({"error" => "no such lease"})),
-        Outcome::Refused => reply(429, &cbor!({"error" => "busy"})),
+        StoreResponse::Committed { revision } => reply(200, &cbor!({"ledgerLine" => revision})),
+        StoreResponse::Conflict => reply(409, &cbor!({"failed" => [], "ledgerLine" => revision})),
+        StoreResponse::LeaseGranted { id } => reply(200, &cbor!({"tenure" => id})),
+        StoreResponse::LeaseExpired => reply(404, &cbor!({"error" => "no such lease"})),
+        StoreResponse::Refused => reply(429, &cbor!({"error" => "busy"})),
         _ => reply(400, &cbor!({"error" => "no such lease"})),
     }
 }
--- a/tests/simulation/state.rs
+++ b/tests/simulation/state.rs
@@ -6,7 +6,7 @@
 use ciborium::Value;
 use dappleshore::config::StateLimits;
 use dappleshore::store::records::{FORMAT_KEY, FormatSwitch, LEADER, Leader, TOKEN, Token};
-use dappleshore::store::{Change, Op, Outcome, Txn};
+use dappleshore::store::{Change, StoreRequest, StoreResponse, Transaction};
 use dappleshore_drain::{Eviction, Ledger};
 
 struct Key {
@@ -140,9 +140,9 @@
             .count()
     }
 
-    fn above_limits(&self, txn: &Txn) -> bool {
-        use dappleshore::store::TxnChange::Put;
-        let large = |change: &dappleshore::store::TxnChange| matches!(change, Put { value, .. } if json_size(value) > self.limits.value_bytes);
+    fn above_limits(&self, txn: &Transaction) -> bool {
+        use dappleshore::store::TransactionChange::Put;
+        let large = |change: &dappleshore::store::TransactionChange| matches!(change, Put { value, .. } if json_size(value) > self.limits.value_bytes);
         txn.changes.len() > self.limits.txn_ops
             || txn.conditions.len() > 4 * self.limits.txn_ops
             || txn.changes.iter().any(large)
@@ -199,24 +199,27 @@
     }
 
     /// Any request but a watch.
-    pub fn serve(&mut self, now: Duration, op: &Op) -> Outcome {
+    pub fn serve(&mut self, now: Duration, op: &StoreRequest) -> StoreResponse {
         self.expire(now);
-        self.reads += usize::from(matches!(op, Op::Get { .. } | Op::List { .. }));
+        self.reads += usize::from(matches!(
+            op,
+            StoreRequest::Get { .. } | StoreRequest::List { .. }
+        ));
         if !bucket(&mut self.requests, now, self.limits.rps, 1.0) {
             self.refused += 1;
-            return Outcome::Refused;
+            return StoreResponse::Refused;
         }
         match op {
-            Op::Get { key } => match self.keys.get(key) {
-                Some(found) => Outcome::Value {
+            StoreRequest::Get { key } => match self.keys.get(key) {
+                Some(found) => StoreResponse::Value {
                     value: found.value.clone(),
                     version: found.version,
                 },
-                None => Outcome::Missing {
+                None => StoreResponse::Missing {
                     revision: self.revision,
                 },
             },
-            Op::List { prefix, after } => {
+            StoreRequest::List { prefix, after } => {
                 let from = after.clone().unwrap_or_default();
                 let mut rows: Vec<_> = self
                     .keys
@@ -227,37 +230,37 @@
                 // Small pages, so that reading in pages is tried.
                 let more = rows.len() > 20;
                 rows.truncate(20);
-                Outcome::Rows {
+                StoreResponse::Rows {
                     rows,
                     more,
                     revision: self.revision,
                 }
             }
-            Op::Commit(txn) => self.commit(now, txn),
-            Op::GrantLease { life } => {
+            StoreRequest::Commit(txn) => self.commit(now, txn),
+            StoreRequest::GrantLease { life } => {
                 self.next_lease += 1;
                 self.leases.insert(self.next_lease, (*life, now + *life));
-                Outcome::LeaseGranted {
+                StoreResponse::LeaseGranted {
                     id: self.next_lease,
                 }
             }
-            Op::KeepAliveLease { id } => match self.leases.get_mut(id) {
+            StoreRequest::KeepAliveLease { id } => match self.leases.get_mut(id) {
                 Some((life, until)) => {
                     *until = now + *life;
-                    Outcome::LeaseGranted { id: *id }
+                    StoreResponse::LeaseGranted { id: *id }
                 }
-                None => Outcome::LeaseExpired,
+                None => StoreResponse::LeaseExpired,
             },
-            Op::Follow { .. } => unreachable!("watches are served by the world"),
+            StoreRequest::Follow { .. } => unreachable!("watches are served by the world"),
         }
     }
 
-    fn commit(&mut self, now: Duration, txn: &Txn) -> Outcome {
-        use dappleshore::store::TxnChange::{Delete, Put};
+    fn commit(&mut self, now: Duration, txn: &Transaction) -> StoreResponse {
+        use dappleshore::store::TransactionChange::{Delete, Put};
         let cost = txn.changes.len();
         if self.lowered && self.above_limits(txn) {
             self.too_large += 1;
-            return Outcome::Invalid;
+            return StoreResponse::Invalid;
         }
         assert!(
             cost <= self.limits.txn_ops,
@@ -269,7 +272,7 @@
         );
         if !bucket(&mut self.writes, now, self.limits.write_rps, cost as f64) {
             self.refused += 1;
-            return Outcome::Refused;
+            return StoreResponse::Refused;
         }
         let version = |key: &String| self.keys.get(key).map_or(0, |found| found.version);
         if txn
@@ -277,7 +280,7 @@
             .iter()
             .any(|(key, expected)| version(key) != *expected)
         {
-            return Outcome::Conflict;
+            return StoreResponse::Conflict;
         }
         let unknown_hold =
             |lease: &Option<u64>| lease.is_some_and(|id| !self.leases.contains_key(&id));
@@ -286,7 +289,7 @@
             .iter()
             .any(|change| matches!(change, Put { lease, .. } if unknown_hold(lease)))
         {
-            return Outcome::Invalid;
+            return StoreResponse::Invalid;
         }
         self.revision += 1;
         self.changes += cost;
@@ -301,7 +304,7 @@
                 Delete { key } => self.change(key, None, None),
             }
         }
-        Outcome::Committed {
+        StoreResponse::Committed {
             revision: self.revision,
         }
     }
--- a/tests/simulation/world.rs
+++ b/tests/simulation/world.rs
@@ -22,7 +22,7 @@
 use dappleshore::policy::Policy;
 use dappleshore::provisioning::Tag as CloudTag;
 use dappleshore::store::records::{FORMAT, MachineState};
-use dappleshore::store::{Op, Outcome};
+use dappleshore::store::{StoreRequest, StoreResponse};
 use dappleshore_drain::operator::Request;
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
@@ -137,7 +137,7 @@
         boot: u64,
         tag: StoreTag,
         sent: Instant,
-        op: Op,
+        op: StoreRequest,
         answer: bool,
     },
     Watch {
@@ -813,11 +813,11 @@
             Effect::Store { tag, op } => {
                 let sent = self.clock(controller).monotonic;
                 let (mut at, mut answer) = self.fate();
-                if self.now < self.state_slow_until && !matches!(op, Op::Follow { .. }) {
+                if self.now < self.state_slow_until && !matches!(op, StoreRequest::Follow { .. }) {
                     at += Duration::from_millis(self.rng.random_range(50..1000));
                 }
                 let calm = self.now >= self.calm_from;
-                if matches!(op, Op::Commit(_))
+                if matches!(op, StoreRequest::Commit(_))
                     && !calm
                     && self.rng.random_bool(self.faults.late_writes)
                 {
@@ -828,7 +828,7 @@
                     let unknown = Event::Store {
                         tag: tag.clone(),
                         sent,
-                        outcome: Outcome::Unknown,
+                        outcome: StoreResponse::Unknown,
                     };
                     let after = Duration::from_millis(1500);
                     self.at(
@@ -841,7 +841,9 @@
                     );
                 }
                 if let (
-                    Op::Commit(_) | Op::GrantLease { .. } | Op::KeepAliveLease { .. },
+                    StoreRequest::Commit(_)
+                    | StoreRequest::GrantLease { .. }
+                    | StoreRequest::KeepAliveLease { .. },
                     Some(late),
                 ) = (&op, self.copied())
                 {
@@ -1283,7 +1285,7 @@
         boot: u64,
         tag: StoreTag,
         sent: Instant,
-        op: Op,
+        op: StoreRequest,
         answer: bool,
     ) {
         if let Some(until) = self.cut(controller, None) {
@@ -1291,7 +1293,7 @@
                 let unknown = Event::Store {
                     tag: tag.clone(),
                     sent,
-                    outcome: Outcome::Unknown,
+                    outcome: StoreResponse::Unknown,
                 };
                 let after = Duration::from_millis(1500);
                 self.at(
@@ -1318,7 +1320,7 @@
             return;
         }
         let out = self.state_out(controller);
-        if let Op::Follow {
+        if let StoreRequest::Follow {
             prefix,
             after,
             wait,
@@ -1345,12 +1347,12 @@
             return;
         }
         let outcome = if out {
-            Outcome::Refused
+            StoreResponse::Refused
         } else {
             self.state.serve(self.now, &op)
         };
         self.check_evictions();
-        if matches!(outcome, Outcome::Committed { .. }) {
+        if matches!(outcome, StoreResponse::Committed { .. }) {
             self.wake_watchers();
         }
         if answer {
@@ -1389,7 +1391,7 @@
                 let event = Event::Store {
                     tag: watcher.tag,
                     sent: watcher.sent,
-                    outcome: Outcome::Unknown,
+                    outcome: StoreResponse::Unknown,
                 };
                 self.soon(WorldEvent::Deliver {
                     controller: watcher.controller,
@@ -1403,7 +1405,7 @@
         }
         let watcher = self.watchers.remove(&id).expect("looked up");
         let changes = self.state.news(&watcher.prefix, watcher.after);
-        let outcome = Outcome::News {
+        let outcome = StoreResponse::News {
             revision: self.state.revision,
             changes,
         };
