--- a/src/cli/mod.rs
+++ b/src/cli/mod.rs
@@ -52,7 +52,7 @@
     /// Show drains and cordons, call one off, or let a halted one go on.
     Drains(operate::DrainsArgs),
     /// Show, set or clear disruption budgets.
-    Budget(operate::BudgetArgs),
+    RequestRateLimiter(operate::BudgetArgs),
 }
 
 /// Exit codes beside those of success and failure.
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -15,9 +15,7 @@
 use crate::config::Config;
 use crate::domain::{Attempt, BlockId, ControllerName, MachineId, Now, Zone, since};
 use crate::features::Features;
-use crate::fleet::wire::{Heartbeat, WorkerCommands};
-use crate::fleet::{Command, CommandOutcome, Fleet, HeartbeatResponse, Writes};
-use crate::intake::{self, Intake, RequestId, Response};
+use crate::job_api::{self, JobApi, RequestId, Response};
 use crate::leader_context::LeaderContext;
 use crate::leadership::{self, Leadership};
 use crate::metrics::Metrics;
@@ -25,23 +23,25 @@
 use crate::peer::{Alive, AssignmentUpdate, CancelledJob, Message, Status};
 use crate::policy::Policy;
 use crate::provisioning::{self, Demand, Provisioner};
-use crate::queueing::Queues;
-use crate::queueing::draining::Draining;
-use crate::store::budget::{Budget, Urgency};
+use crate::scheduler::Scheduler;
+use crate::scheduler::draining::Draining;
+use crate::store::rate_limiter::{RequestRateLimiter, WritePriority};
 use crate::store::records::FORMAT;
 use crate::store::{StoreRequest, StoreResponse, WatchCache, cache};
 use crate::upgrade::Upgrade;
+use crate::workers::wire::{Heartbeat, WorkerCommands};
+use crate::workers::{CommandOutcome, DirectCommand, HeartbeatResponse, WorkerFleet, Writes};
 
 /// Which slice a request to the state service belongs to.
 #[derive(Debug, Clone, PartialEq)]
 pub enum StoreTag {
     WatchCache(cache::Tag),
     Leadership(leadership::Tag),
-    Intake(RequestId),
+    JobApi(RequestId),
     BlockLeaseManager(u64),
     Upgrade,
     Provisioning(u64),
-    Queueing(u64),
+    Scheduler(u64),
     Draining(u64),
     Operations,
     Block { block: BlockId, lease_version: u64 },
@@ -101,7 +101,7 @@
     /// `until`, here and below: our authority ends then. Whoever sends this looks at the clock once more before. None:
     /// it needs no authority.
     Command {
-        command: Command,
+        command: DirectCommand,
         until: Option<Instant>,
     },
     Cloud {
@@ -137,7 +137,7 @@
 }
 
 struct LeaderState {
-    queues: Queues,
+    scheduler: Scheduler,
     provisioner: Provisioner,
     demand: Demand,
     planned: Option<Instant>,
@@ -154,7 +154,7 @@
     boot: u64,
     rng: SmallRng,
     cache: WatchCache,
-    budget: Budget<StoreTag>,
+    rate_limiter: RequestRateLimiter<StoreTag>,
     leadership: Leadership,
     block_lease_manager: BlockLeaseManager,
     upgrade: Upgrade,
@@ -162,8 +162,8 @@
     format: u32,
     cancellations: Cancellations,
     catalog: InstanceCatalog,
-    fleet: Fleet,
-    intake: Intake,
+    worker_fleet: WorkerFleet,
+    job_api: JobApi,
     leader_state: Option<LeaderState>,
     /// Something changed that the leader's plan depends on.
     stale_plan: bool,
@@ -210,7 +210,7 @@
     pub fn knowing(format: u32, config: Config, policy: Policy, seed: u64, now: Now) -> Self {
         let mut rng = SmallRng::seed_from_u64(seed);
         let boot = rng.random::<u64>() >> 12;
-        let budget = Budget::new(&config.state_limits, config.controllers(), now);
+        let rate_limiter = RequestRateLimiter::new(&config.state_limits, config.controllers(), now);
         Controller {
             leadership: Leadership::new(config.name.clone(), boot, format),
             policy,
@@ -220,14 +220,14 @@
             rng,
             cache: WatchCache::new(&config.state_limits, config.controllers()),
             config,
-            budget,
+            rate_limiter,
             block_lease_manager: BlockLeaseManager::new(),
             upgrade: Upgrade::new(),
             format: 0,
             cancellations: Cancellations::new(),
             catalog: InstanceCatalog::default(),
-            fleet: Fleet::new(),
-            intake: Intake::new(),
+            worker_fleet: WorkerFleet::new(),
+            job_api: JobApi::new(),
             leader_state: None,
             stale_plan: true,
             metrics: Metrics::new(),
@@ -270,7 +270,7 @@
 
     /// Machines and tasks looked at so far, the leader's plans apart, and the plans made.
     pub fn looked(&self) -> (u64, u64) {
-        (self.fleet.looked(), self.plans)
+        (self.worker_fleet.looked(), self.plans)
     }
 
     pub fn metrics(&mut self) -> &mut Metrics {
@@ -335,14 +335,14 @@
         let gap = since(now, std::mem::replace(&mut self.last_event, now.monotonic));
         if gap > STOOD_STILL {
             info!(?gap, "stood still");
-            self.fleet.stood_still(gap);
+            self.worker_fleet.stood_still(gap);
             self.block_lease_manager.stood_still(gap);
             self.cancellations.stood_still(gap);
         }
         match event {
             Event::Tick => {
-                self.fleet.tick(now, &self.config, &self.policy);
-                for accepted_ms in self.fleet.take_started() {
+                self.worker_fleet.tick(now, &self.config, &self.policy);
+                for accepted_ms in self.worker_fleet.take_started() {
                     self.metrics
                         .start_ms
                         .record(now.unix_ms().saturating_sub(accepted_ms));
@@ -350,18 +350,18 @@
                 self.log_metrics(now);
             }
             Event::Submit { id, body } => {
-                let (intake, mut cx) = self.intake();
-                let response = intake.submit(now, id, &body, &mut cx);
+                let (job_api, mut cx) = self.job_api();
+                let response = job_api.submit(now, id, &body, &mut cx);
                 effects.extend(response.map(|response| Effect::RespondToUser { id, response }));
             }
             Event::Poll { id, job } => {
-                let (intake, mut cx) = self.intake();
-                let response = intake.poll(now, id, &job, &mut cx);
+                let (job_api, mut cx) = self.job_api();
+                let response = job_api.poll(now, id, &job, &mut cx);
                 effects.extend(response.map(|response| Effect::RespondToUser { id, response }));
             }
             Event::Cancel { id, job } => {
-                let (intake, mut cx) = self.intake();
-                let response = intake.cancel(now, id, &job, &mut cx);
+                let (job_api, mut cx) = self.job_api();
+                let response = job_api.cancel(now, id, &job, &mut cx);
                 effects.extend(response.map(|response| Effect::RespondToUser { id, response }));
             }
             Event::Health { id } => effects.push(Effect::RespondToHealthCheck {
@@ -380,9 +380,13 @@
                 {
                     leader_state.provisioner.unexpected(now, &heartbeat);
                 }
-                let answer =
-                    self.fleet
-                        .heartbeat(now, heartbeat, &self.config, &self.cache, entitled);
+                let answer = self.worker_fleet.heartbeat(
+                    now,
+                    heartbeat,
+                    &self.config,
+                    &self.cache,
+                    entitled,
+                );
                 self.status_due = true;
                 effects.push(Effect::RespondToWorker { id, answer, until });
             }
@@ -395,7 +399,7 @@
                 body,
                 outcome,
             } => {
-                self.fleet
+                self.worker_fleet
                     .commanded(now, &block, &machine, &body, outcome, &self.cache);
                 self.status_due = true;
             }
@@ -415,15 +419,15 @@
         effects
     }
 
-    fn intake(&mut self) -> (&mut Intake, intake::Context<'_, StoreTag>) {
-        let cx = intake::Context {
+    fn job_api(&mut self) -> (&mut JobApi, job_api::Context<'_, StoreTag>) {
+        let cx = job_api::Context {
             config: &self.config,
             catalog: &self.catalog,
             cache: &mut self.cache,
-            budget: &mut self.budget,
-            tag: StoreTag::Intake,
+            rate_limiter: &mut self.rate_limiter,
+            tag: StoreTag::JobApi,
         };
-        (&mut self.intake, cx)
+        (&mut self.job_api, cx)
     }
 
     fn stored(
@@ -434,14 +438,14 @@
         outcome: StoreResponse,
         effects: &mut Vec<Effect>,
     ) {
-        self.budget.note(now, &outcome);
+        self.rate_limiter.note(now, &outcome);
         let slice = match &tag {
             StoreTag::WatchCache(_) | StoreTag::Leadership(_) => None,
-            StoreTag::Intake(_) => Some("intake"),
+            StoreTag::JobApi(_) => Some("intake"),
             StoreTag::BlockLeaseManager(_) => Some("granting"),
             StoreTag::Upgrade => Some("upgrade"),
             StoreTag::Provisioning(_) => Some("provisioning"),
-            StoreTag::Queueing(_) => Some("queueing"),
+            StoreTag::Scheduler(_) => Some("queueing"),
             StoreTag::Draining(_) => Some("draining"),
             StoreTag::Operations => Some("operations"),
             StoreTag::Block { .. } => Some("block"),
@@ -455,7 +459,7 @@
         match tag {
             StoreTag::WatchCache(tag) => {
                 for (tag, op) in self.cache.handle(now, tag, outcome) {
-                    self.ask(Urgency::Authority, StoreTag::WatchCache(tag), op);
+                    self.ask(WritePriority::Authority, StoreTag::WatchCache(tag), op);
                 }
             }
             StoreTag::Leadership(tag) => {
@@ -463,13 +467,13 @@
                     .leadership
                     .handle(now, sent, tag, &outcome, &self.cache)
                 {
-                    self.ask(Urgency::Authority, StoreTag::Leadership(tag), op);
+                    self.ask(WritePriority::Authority, StoreTag::Leadership(tag), op);
                 }
             }
-            StoreTag::Intake(id) => {
-                let (intake, mut cx) = self.intake();
-                let cancelled = intake.cancelled(id, &outcome);
-                let response = intake.committed(now, id, &outcome, &mut cx);
+            StoreTag::JobApi(id) => {
+                let (job_api, mut cx) = self.job_api();
+                let cancelled = job_api.cancelled(id, &outcome);
+                let response = job_api.committed(now, id, &outcome, &mut cx);
                 effects.extend(response.map(|response| Effect::RespondToUser { id, response }));
                 if let Some(cancelled) = cancelled {
                     self.note_cancellations([cancelled]);
@@ -491,22 +495,22 @@
                     leader_state.provisioner.answered(now, &outcome);
                 }
             }
-            StoreTag::Queueing(term) => {
+            StoreTag::Scheduler(term) => {
                 if let Some(leader_state) = self
                     .leader_state
                     .as_mut()
-                    .filter(|l| l.queues.term() == term)
+                    .filter(|l| l.scheduler.term() == term)
                 {
-                    leader_state.queues.answered(now, &outcome);
+                    leader_state.scheduler.answered(now, &outcome);
                 }
             }
             StoreTag::Draining(term) => {
                 if let Some(leader_state) = self
                     .leader_state
                     .as_mut()
-                    .filter(|l| l.queues.term() == term)
+                    .filter(|l| l.scheduler.term() == term)
                 {
-                    leader_state.queues.drains_written(now, &outcome);
+                    leader_state.scheduler.drains_written(now, &outcome);
                 }
             }
             StoreTag::Operations => self.operations.written(now, &outcome),
@@ -514,7 +518,8 @@
                 block,
                 lease_version,
             } => {
-                self.fleet.written(now, &block, lease_version, &outcome);
+                self.worker_fleet
+                    .written(now, &block, lease_version, &outcome);
                 self.status_due = true;
             }
         }
@@ -547,7 +552,7 @@
                 self.block_lease_manager
                     .heard_from(now, &status.controller, status.boot);
                 if let Some(leader_state) = &mut self.leader_state {
-                    leader_state.queues.note_misrouted(now, status.misrouted);
+                    leader_state.scheduler.note_misrouted(now, status.misrouted);
                 }
                 for block in status.blocks {
                     let granted = self.cache.block_leases.get(&block.block);
@@ -564,7 +569,7 @@
                             .wants_new_token(&block.block, block.token);
                     }
                     if let Some(leader_state) = &mut self.leader_state {
-                        leader_state.queues.status(now, block);
+                        leader_state.scheduler.status(now, block);
                         self.stale_plan = true;
                     }
                 }
@@ -597,7 +602,7 @@
             }
             Message::AssignmentUpdates(blocks) => {
                 for work in blocks {
-                    self.fleet.work(work);
+                    self.worker_fleet.work(work);
                 }
                 self.status_due = true;
             }
@@ -608,8 +613,8 @@
         self.leadership.leading(&self.cache).map(|(term, _)| term)
     }
 
-    fn ask(&mut self, urgency: Urgency, tag: StoreTag, op: StoreRequest) {
-        if let Err(tag) = self.budget.push(urgency, tag, op) {
+    fn ask(&mut self, urgency: WritePriority, tag: StoreTag, op: StoreRequest) {
+        if let Err(tag) = self.rate_limiter.push(urgency, tag, op) {
             // Only slices with one request at a time come here; their lane can't be full.
             warn!(?tag, "no room for a request to the state service");
         }
@@ -636,38 +641,38 @@
             if self.cache.ready() {
                 let changed = self.cache.take_changed();
                 self.cancellations.sync(&self.cache, &changed);
-                self.fleet
+                self.worker_fleet
                     .sync(now, &self.config, self.boot, &self.cache, &changed);
             }
             self.status_due = true;
         }
         for (tag, op) in self.leadership.poll(now, &self.cache, &mut self.rng) {
-            self.ask(Urgency::Authority, StoreTag::Leadership(tag), op);
+            self.ask(WritePriority::Authority, StoreTag::Leadership(tag), op);
         }
         self.lead(now, effects);
         self.operate(now, effects);
-        while self.budget.idle(now, Urgency::Work)
+        while self.rate_limiter.idle(now, WritePriority::Work)
             && let writes = self.writes(now)
             && let Some((block, op)) =
-                self.fleet
+                self.worker_fleet
                     .write(now, &self.config, writes, &mut self.cache, &self.catalog)
         {
-            let lease_version = self.fleet.lease_version(&block);
+            let lease_version = self.worker_fleet.lease_version(&block);
             self.ask(
-                Urgency::Work,
+                WritePriority::Work,
                 StoreTag::Block {
                     block,
                     lease_version,
                 },
                 op,
             );
-            let ready = self.budget.take(now);
+            let ready = self.rate_limiter.take(now);
             effects.extend(ready.into_iter().map(|(tag, op)| Effect::Store { tag, op }));
         }
         let until = self.entitled_until(now);
         let entitled = now.monotonic < until;
         let commands = self
-            .fleet
+            .worker_fleet
             .commands(now, &self.config, &self.cache, entitled);
         let until = entitled.then_some(until);
         effects.extend(
@@ -676,7 +681,7 @@
                 .map(|command| Effect::Command { command, until }),
         );
         let proven = |block: &BlockId, machine: &MachineId, attempt: &Attempt| {
-            self.fleet.proven_gone(block, machine, attempt)
+            self.worker_fleet.proven_gone(block, machine, attempt)
         };
         let call = self
             .cancellations
@@ -688,22 +693,24 @@
         }));
         self.tell_all(now, effects);
         self.tell_leader(now, effects);
-        let (intake, mut cx) = self.intake();
-        for (id, response) in intake.advance(now, &mut cx) {
+        let (job_api, mut cx) = self.job_api();
+        for (id, response) in job_api.advance(now, &mut cx) {
             effects.push(Effect::RespondToUser { id, response });
         }
         for (tag, op) in self.cache.poll(now) {
-            self.ask(Urgency::Authority, StoreTag::WatchCache(tag), op);
+            self.ask(WritePriority::Authority, StoreTag::WatchCache(tag), op);
         }
-        for (tag, op) in self.budget.take(now) {
+        for (tag, op) in self.rate_limiter.take(now) {
             effects.push(Effect::Store { tag, op });
         }
     }
 
     fn writes(&mut self, now: Now) -> Writes {
         Writes {
-            most: self.budget.spare_batch(self.config.state_limits.txn_ops),
-            plenty: self.budget.spare(now),
+            most: self
+                .rate_limiter
+                .spare_batch(self.config.state_limits.txn_ops),
+            plenty: self.rate_limiter.spare(now),
         }
     }
 
@@ -715,32 +722,33 @@
         self.format = self.cache.format();
         self.config.adopt_next_limits();
         let limits = self.config.state_limits;
-        self.budget.limit(now, &limits, self.leader_state.is_some());
+        self.rate_limiter
+            .limit(now, &limits, self.leader_state.is_some());
         info!(format = self.format, ?limits, "new format of records");
     }
 
     fn lead(&mut self, now: Now, effects: &mut Vec<Effect>) {
         let Some((term, version)) = self.leadership.leading(&self.cache) else {
             if self.leader_state.take().is_some() {
-                self.budget.lead(now, false);
+                self.rate_limiter.lead(now, false);
             }
             return;
         };
         if self
             .leader_state
             .as_ref()
-            .is_none_or(|leader_state| leader_state.queues.term() != term)
+            .is_none_or(|leader_state| leader_state.scheduler.term() != term)
         {
-            self.budget.lead(now, true);
-            let queues = Queues::new(now, term);
+            self.rate_limiter.lead(now, true);
+            let scheduler = Scheduler::new(now, term);
             let settings = &self.features.drain;
-            let queues = if settings.enabled {
-                queues.with_draining(Draining::new(now, settings.clone()))
+            let scheduler = if settings.enabled {
+                scheduler.with_draining(Draining::new(now, settings.clone()))
             } else {
-                queues
+                scheduler
             };
             self.leader_state = Some(LeaderState {
-                queues,
+                scheduler,
                 provisioner: Provisioner::new(now, term),
                 demand: Demand::default(),
                 planned: None,
@@ -756,8 +764,8 @@
         else {
             return;
         };
-        let batch = self.budget.batch(self.config.state_limits.txn_ops);
-        let spare = self.budget.spare(now);
+        let batch = self.rate_limiter.batch(self.config.state_limits.txn_ops);
+        let spare = self.rate_limiter.spare(now);
         let lead = LeaderContext {
             config: &self.config,
             policy: &self.policy,
@@ -769,10 +777,16 @@
         };
         let mut ops = Vec::new();
         let op = self.upgrade.poll(now, &lead, &mut self.cache);
-        ops.extend(op.map(|op| (Urgency::Authority, StoreTag::Upgrade, op)));
+        ops.extend(op.map(|op| (WritePriority::Authority, StoreTag::Upgrade, op)));
         if self.catalog.known() {
             let op = self.block_lease_manager.poll(now, &lead, &mut self.cache);
-            ops.extend(op.map(|op| (Urgency::Authority, StoreTag::BlockLeaseManager(term), op)));
+            ops.extend(op.map(|op| {
+                (
+                    WritePriority::Authority,
+                    StoreTag::BlockLeaseManager(term),
+                    op,
+                )
+            }));
         }
         let Some(leader_state) = &mut self.leader_state else {
             return;
@@ -805,15 +819,15 @@
             leader_state
                 .provisioner
                 .summary(&self.cache, &leader_state.demand, gauges);
-            if let Some(draining) = leader_state.queues.draining() {
+            if let Some(draining) = leader_state.scheduler.draining() {
                 draining.summary(&self.cache, gauges);
             }
-            for (team, count) in &leader_state.queues.waiting {
+            for (team, count) in &leader_state.scheduler.waiting {
                 gauges.insert(format!("waiting{{team=\"{team}\"}}"), *count as f64);
             }
             gauges.insert("jobs_open".to_owned(), self.cache.open.len() as f64);
             gauges.insert("jobs_ended".to_owned(), self.cache.ended.len() as f64);
-            let waiting: u64 = leader_state.queues.waiting.values().sum();
+            let waiting: u64 = leader_state.scheduler.waiting.values().sum();
             info!(
                 open = self.cache.open.len(),
                 ended = self.cache.ended.len(),
@@ -823,19 +837,19 @@
         }
         self.stale_plan = false;
         let unreaching = leader_state
-            .queues
+            .scheduler
             .unreaching(now, &self.config, &self.cache);
         for holder in &unreaching {
             self.block_lease_manager.unfit(now, holder);
         }
-        let health = leader_state.queues.health(now, &self.cache, &unreaching);
+        let health = leader_state.scheduler.health(now, &self.cache, &unreaching);
         let settled = |block: &BlockId, attempt: &Attempt| {
             let heard = || {
                 let lease = self.cache.block_leases.get(block);
                 lease.is_some_and(|lease| self.cancellations.holder_heard(now, &lease.value))
             };
             leader_state
-                .queues
+                .scheduler
                 .proven_gone(block, attempt)
                 .unwrap_or_else(heard)
         };
@@ -850,7 +864,7 @@
         leader_state.provisioner.note_drains(&self.cache);
         leader_state.demand =
             leader_state
-                .queues
+                .scheduler
                 .plan(now, &lead, &self.cache, &leader_state.provisioner);
         for (tag, call) in
             leader_state
@@ -863,24 +877,24 @@
                 until: Some(until),
             });
         }
-        if let Some(draining) = leader_state.queues.draining() {
+        if let Some(draining) = leader_state.scheduler.draining() {
             leader_state
                 .provisioner
                 .want_states(draining.machine_states());
         }
         let op = leader_state
-            .queues
+            .scheduler
             .write_drains(now, &lead, &mut self.cache);
-        ops.extend(op.map(|op| (Urgency::Work, StoreTag::Draining(term), op)));
-        let op = leader_state.queues.write(now, &lead, &mut self.cache);
-        ops.extend(op.map(|op| (Urgency::Ends, StoreTag::Queueing(term), op)));
+        ops.extend(op.map(|op| (WritePriority::Work, StoreTag::Draining(term), op)));
+        let op = leader_state.scheduler.write(now, &lead, &mut self.cache);
+        ops.extend(op.map(|op| (WritePriority::Ends, StoreTag::Scheduler(term), op)));
         let op = leader_state
             .provisioner
             .write(now, &lead, &mut self.cache, &leader_state.demand);
-        ops.extend(op.map(|op| (Urgency::Work, StoreTag::Provisioning(term), op)));
+        ops.extend(op.map(|op| (WritePriority::Work, StoreTag::Provisioning(term), op)));
         let messages =
             leader_state
-                .queues
+                .scheduler
                 .messages(now, &self.cache, leader_state.provisioner.addresses());
         for (urgency, tag, op) in ops {
             self.ask(urgency, tag, op);
@@ -931,16 +945,16 @@
             catalog: &self.catalog,
             term,
             version,
-            batch: self.budget.batch(self.config.state_limits.txn_ops),
+            batch: self.rate_limiter.batch(self.config.state_limits.txn_ops),
             spare: false,
         };
         let cx = operations::Context {
             leader: &lead,
-            draining: leader_state.queues.draining(),
+            draining: leader_state.scheduler.draining(),
         };
         let progress = self.operations.poll(now, &cx, &mut self.cache);
         if let Some(op) = progress.op {
-            self.ask(Urgency::User, StoreTag::Operations, op);
+            self.ask(WritePriority::User, StoreTag::Operations, op);
         }
         let replies = progress.replies.into_iter();
         effects.extend(replies.map(|(id, reply)| Effect::RespondToOperator { id, reply }));
@@ -955,7 +969,7 @@
     }
 
     fn tell_all(&mut self, now: Now, effects: &mut Vec<Effect>) {
-        let reaches_state = self.budget.available(now);
+        let reaches_state = self.rate_limiter.available(now);
         self.cut_off = if reaches_state {
             None
         } else {
@@ -1023,8 +1037,8 @@
         let status = Status {
             controller: self.config.name.clone(),
             boot: self.boot,
-            blocks: self.fleet.status(now, &self.policy),
-            misrouted: self.fleet.misrouted(now, &self.config),
+            blocks: self.worker_fleet.status(now, &self.policy),
+            misrouted: self.worker_fleet.misrouted(now, &self.config),
         };
         if leader == self.config.name {
             self.peer(now, Message::Status(status));
--- a/src/http/server.rs
+++ b/src/http/server.rs
@@ -19,10 +19,10 @@
 
 use super::{read, write};
 use crate::domain::Now;
-use crate::fleet::HeartbeatResponse;
-use crate::fleet::wire::{Heartbeat, Redirect};
-use crate::intake::Response;
+use crate::job_api::Response;
 use crate::peer::Message;
+use crate::workers::HeartbeatResponse;
+use crate::workers::wire::{Heartbeat, Redirect};
 
 /// A request with the place its answer goes to.
 #[derive(Debug)]
--- a/src/http/server/tests.rs
+++ b/src/http/server/tests.rs
@@ -1,7 +1,7 @@
 use ciborium::cbor;
 
 use super::*;
-use crate::intake::wire::JobState;
+use crate::job_api::wire::JobState;
 
 /// Answers whatever reaches the state machine, so that the rest is seen to be refused before.
 fn events() -> mpsc::Sender<Incoming> {
--- a/src/intake/mod.rs
+++ b/src/job_api/mod.rs
@@ -12,7 +12,7 @@
 use crate::config::Config;
 use crate::domain::{Job, JobId, JobKind, JobOutcome, Now, Resources};
 use crate::peer::CancelledJob;
-use crate::store::budget::{Budget, Urgency};
+use crate::store::rate_limiter::{RequestRateLimiter, WritePriority};
 use crate::store::records::{JobRecord, PARTS_FORMAT, encode, job_key, json_size};
 use crate::store::{StoreRequest, StoreResponse, Transaction, WatchCache};
 use wire::{JobState, Malformed};
@@ -68,7 +68,7 @@
 const MOST_PENDING: usize = 500;
 
 #[derive(Debug, Default)]
-pub struct Intake {
+pub struct JobApi {
     pending: BTreeMap<RequestId, Pending>,
 }
 
@@ -76,7 +76,7 @@
     pub config: &'a Config,
     pub catalog: &'a InstanceCatalog,
     pub cache: &'a mut WatchCache,
-    pub budget: &'a mut Budget<Tag>,
+    pub rate_limiter: &'a mut RequestRateLimiter<Tag>,
     pub tag: fn(RequestId) -> Tag,
 }
 
@@ -96,9 +96,9 @@
     }
 }
 
-impl Intake {
+impl JobApi {
     pub fn new() -> Self {
-        Intake::default()
+        JobApi::default()
     }
 
     pub fn submit<Tag>(
@@ -140,7 +140,7 @@
         if !cx.catalog.known() {
             return Some(later(503, "the machine types are not known yet"));
         }
-        let delay = cx.budget.user_delay();
+        let delay = cx.rate_limiter.user_delay();
         if delay > LONGEST_QUEUE {
             let retry_after = Some(Duration::from_secs(delay.as_secs().clamp(1, 20)));
             return Some(Response::Problem {
@@ -154,9 +154,9 @@
             .when(job_key(job_id), 0)
             .put(job_key(job_id), &record);
         if cx
-            .budget
+            .rate_limiter
             .push(
-                Urgency::User,
+                WritePriority::User,
                 (cx.tag)(id),
                 StoreRequest::Commit(txn.clone()),
             )
@@ -222,7 +222,7 @@
     }
 
     fn unable<Tag>(&self, now: Now, cx: &Context<'_, Tag>) -> Option<Response> {
-        if !cx.cache.ready() || !cx.budget.available(now) {
+        if !cx.cache.ready() || !cx.rate_limiter.available(now) {
             return Some(later(503, "the state service can't be reached"));
         }
         (self.pending.len() >= MOST_PENDING).then(|| later(429, "too many requests"))
@@ -292,15 +292,16 @@
             },
             // Not executed, for all controllers together asked too much just then: most often it goes a moment later.
             (_, StoreResponse::Refused)
-                if cx.budget.available(now) && now.monotonic + LONGEST_QUEUE < pending.deadline =>
+                if cx.rate_limiter.available(now)
+                    && now.monotonic + LONGEST_QUEUE < pending.deadline =>
             {
                 let State::Committing { txn, .. } = &pending.state else {
                     return None;
                 };
                 if cx
-                    .budget
+                    .rate_limiter
                     .push(
-                        Urgency::User,
+                        WritePriority::User,
                         (cx.tag)(id),
                         StoreRequest::Commit(txn.clone()),
                     )
@@ -331,7 +332,7 @@
         cx: &mut Context<'_, Tag>,
     ) -> Vec<(RequestId, Response)> {
         let mut answers = Vec::new();
-        let available = cx.budget.available(now) && cx.cache.ready();
+        let available = cx.rate_limiter.available(now) && cx.cache.ready();
         let due: Vec<RequestId> = self
             .pending
             .iter()
@@ -381,8 +382,8 @@
                     at_ms,
                 };
                 if cx
-                    .budget
-                    .push(Urgency::User, (cx.tag)(id), StoreRequest::Commit(txn))
+                    .rate_limiter
+                    .push(WritePriority::User, (cx.tag)(id), StoreRequest::Commit(txn))
                     .is_err()
                 {
                     answers.push((id, later(429, "too many requests")));
--- a/src/intake/tests.rs
+++ b/src/job_api/tests.rs
@@ -4,7 +4,7 @@
 use crate::cloud::wire::InstanceTypeList;
 use crate::cloud::wire::tests::instance_type;
 use crate::config::tests::SETTINGS;
-use crate::intake::wire::tests::{body, sample};
+use crate::job_api::wire::tests::{body, sample};
 use crate::placement::tests::job;
 use crate::store::Change;
 use crate::store::records::encode;
@@ -13,8 +13,8 @@
     config: Config,
     catalog: InstanceCatalog,
     cache: WatchCache,
-    budget: Budget<RequestId>,
-    intake: Intake,
+    rate_limiter: RequestRateLimiter<RequestId>,
+    job_api: JobApi,
     now: Now,
 }
 
@@ -26,14 +26,15 @@
             types: vec![instance_type()],
         }));
         let now = Now::read();
-        let mut budget = Budget::new(&config.state_limits, config.controllers(), now);
-        budget.note(now, &StoreResponse::Missing { revision: 1 });
+        let mut rate_limiter =
+            RequestRateLimiter::new(&config.state_limits, config.controllers(), now);
+        rate_limiter.note(now, &StoreResponse::Missing { revision: 1 });
         Desk {
             config,
             catalog,
             cache: WatchCache::following(),
-            budget,
-            intake: Intake::new(),
+            rate_limiter,
+            job_api: JobApi::new(),
             now,
         }
     }
@@ -47,7 +48,7 @@
 
     fn outage(&mut self) {
         self.after(Duration::from_secs(5));
-        self.budget.note(self.now, &StoreResponse::Refused);
+        self.rate_limiter.note(self.now, &StoreResponse::Refused);
     }
 
     /// The status of the answer that comes at once, if one does.
@@ -63,10 +64,10 @@
             config: &self.config,
             catalog: &self.catalog,
             cache: &mut self.cache,
-            budget: &mut self.budget,
+            rate_limiter: &mut self.rate_limiter,
             tag: |id| id,
         };
-        let response = self.intake.submit(self.now, 1, &body(&fields), &mut cx)?;
+        let response = self.job_api.submit(self.now, 1, &body(&fields), &mut cx)?;
         if let Response::Problem {
             status: 429 | 503,
             retry_after,
@@ -142,27 +143,27 @@
         config: &desk.config,
         catalog: &desk.catalog,
         cache: &mut desk.cache,
-        budget: &mut desk.budget,
+        rate_limiter: &mut desk.rate_limiter,
         tag: |id| id,
     };
-    assert_eq!(desk.intake.cancel(desk.now, 5, "j-000412", &mut cx), None);
+    assert_eq!(desk.job_api.cancel(desk.now, 5, "j-000412", &mut cx), None);
     assert_eq!(
-        desk.intake
+        desk.job_api
             .cancelled(5, &StoreResponse::Committed { revision: 4 }),
         None,
         "nothing was sent yet"
     );
     let txn = Transaction::default();
-    desk.intake.pending.get_mut(&5).expect("asked").state = State::Committing { txn, at_ms };
+    desk.job_api.pending.get_mut(&5).expect("asked").state = State::Committing { txn, at_ms };
     for outcome in [
         StoreResponse::Unknown,
         StoreResponse::Conflict,
         StoreResponse::Refused,
     ] {
-        assert_eq!(desk.intake.cancelled(5, &outcome), None, "{outcome:?}");
+        assert_eq!(desk.job_api.cancelled(5, &outcome), None, "{outcome:?}");
     }
     let told = desk
-        .intake
+        .job_api
         .cancelled(5, &StoreResponse::Committed { revision: 4 });
     assert_eq!(told, Some(CancelledJob::new(id, 4, at_ms)));
 }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -18,18 +18,10 @@
 pub mod controller;
 #[allow(missing_docs, reason = "not reached yet: #30")]
 pub mod features;
-#[allow(
-    missing_docs,
-    clippy::cognitive_complexity,
-    clippy::struct_excessive_bools,
-    clippy::too_many_lines,
-    reason = "not reached yet: #30"
-)]
-pub mod fleet;
 #[allow(missing_docs, reason = "not reached yet: #30")]
 pub mod http;
 #[allow(missing_docs, clippy::too_many_lines, reason = "not reached yet: #30")]
-pub mod intake;
+pub mod job_api;
 pub mod leader_context;
 #[allow(missing_docs, clippy::too_many_lines, reason = "not reached yet: #30")]
 pub mod leadership;
@@ -55,9 +47,17 @@
 )]
 pub mod provisioning;
 #[allow(missing_docs, clippy::too_many_lines, reason = "not reached yet: #30")]
-pub mod queueing;
+pub mod scheduler;
 #[allow(clippy::too_many_lines, reason = "not reached yet: #30")]
 pub mod service;
 #[allow(missing_docs, clippy::too_many_lines, reason = "not reached yet: #30")]
 pub mod store;
 pub mod upgrade;
+#[allow(
+    missing_docs,
+    clippy::cognitive_complexity,
+    clippy::struct_excessive_bools,
+    clippy::too_many_lines,
+    reason = "not reached yet: #30"
+)]
+pub mod workers;
--- a/src/operations/mod.rs
+++ b/src/operations/mod.rs
@@ -15,9 +15,9 @@
 use tracing::info;
 
 use crate::domain::{ControllerName, Now, Team, since};
-use crate::intake::RequestId;
+use crate::job_api::RequestId;
 use crate::leader_context::LeaderContext;
-use crate::queueing::draining::{Draining, machine_views};
+use crate::scheduler::draining::{Draining, machine_views};
 use crate::store::cache::{values, version_of};
 use crate::store::records::{DRAIN_FORMAT, LEADER, drain_budget_key, drain_key, encode, json_size};
 use crate::store::{StoreRequest, StoreResponse, Transaction, WatchCache, Writer};
--- a/src/provisioning/mod.rs
+++ b/src/provisioning/mod.rs
@@ -25,7 +25,6 @@
     Amount, Attempt, BlockId, CapacityType, InstanceTypeName, MachineId, Now, Resources, TaskId,
     Zone, since,
 };
-use crate::fleet::wire::Heartbeat;
 use crate::leader_context::LeaderContext;
 use crate::policy::Policy;
 use crate::store::records::{
@@ -33,6 +32,7 @@
     inventory_part_key, pending_rental_key,
 };
 use crate::store::{StoreRequest, StoreResponse, Transaction, WatchCache, Writer};
+use crate::workers::wire::Heartbeat;
 use boot_times::BootTimes;
 use edits::{Edits, too_large};
 use round::Round;
--- a/src/queueing/block_state.rs
+++ b/src/scheduler/block_state.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, HashMap, HashSet};
 use std::time::{Duration, Instant};
 
-use super::Queues;
+use super::Scheduler;
 use crate::domain::{Attempt, MachineId, Now, since};
 use crate::peer::{Assignment, AssignmentUpdate, BlockStatus, MachineStatus};
 use crate::store::WatchCache;
@@ -147,7 +147,7 @@
     }
 }
 
-impl Queues {
+impl Scheduler {
     /// Messages that are due to holders.
     pub fn messages(
         &mut self,
--- a/src/queueing/demand.rs
+++ b/src/scheduler/demand.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
-use super::Queues;
+use super::Scheduler;
 use super::opportunistic::{Reach, is_opportunistic};
 use super::stock::Stock;
 use super::usage::Usage;
@@ -55,7 +55,7 @@
     }
 }
 
-impl Queues {
+impl Scheduler {
     /// Counts all that is placed or released.
     pub(super) fn present(&self, stock: &Stock<'_>, cache: &WatchCache) -> Present {
         let mut present = Present::default();
--- a/src/queueing/draining/fleet_view.rs
+++ b/src/scheduler/draining/fleet_view.rs
@@ -9,7 +9,7 @@
 use super::super::gangs::find_room;
 use super::super::stock::Stock;
 use super::super::waiting::{Waiting, zone_open};
-use super::super::{Plan, Queues};
+use super::super::{Plan, Scheduler};
 use crate::cloud::wire::InstanceType;
 use crate::domain::{Attempt, Job, JobId, JobKind, MachineId, TaskId, Zone};
 use crate::store::WatchCache;
@@ -18,7 +18,7 @@
 
 /// What the planner sees, and the room that it may give away.
 pub(super) struct FleetView<'a, 'v> {
-    pub(super) queues: &'a Queues,
+    pub(super) scheduler: &'a Scheduler,
     pub(super) stock: &'a Stock<'a>,
     pub(super) cache: &'v WatchCache,
     pub(super) plan: &'a mut Plan,
@@ -35,7 +35,7 @@
 
     /// Where the other tasks of a job are, in all: placed, released, or with room kept for them.
     fn zones_of_others(&self, task: TaskId) -> BTreeMap<Zone, u32> {
-        self.queues.zones_of_others(self.cache, task)
+        self.scheduler.zones_of_others(self.cache, task)
     }
 
     fn reserve_task(&mut self, task: TaskId) -> Result<Vec<Reservation>, NoRoom> {
@@ -154,15 +154,15 @@
     }
 
     fn is_stopping(&self, attempt: &Attempt) -> bool {
-        self.queues.is_told_to_stop(attempt)
+        self.scheduler.is_told_to_stop(attempt)
     }
 
     fn keeps_failing(&self, job: JobId) -> bool {
-        self.queues.failures.keeps_failing(job)
+        self.scheduler.failures.keeps_failing(job)
     }
 
     fn lacks_room(&self, task: TaskId) -> Option<NoRoom> {
-        let draining = self.queues.draining.as_ref()?;
+        let draining = self.scheduler.draining.as_ref()?;
         draining.without_room.get(&task).copied()
     }
 
--- a/src/queueing/draining/mod.rs
+++ b/src/scheduler/draining/mod.rs
@@ -24,7 +24,7 @@
 use replacement::count_unplaced;
 
 use super::stock::Stock;
-use super::{Plan, Queues, STATUS_LIFE};
+use super::{Plan, STATUS_LIFE, Scheduler};
 use crate::domain::{Attempt, BlockId, Job, JobKind, MachineId, Now, TaskId, Team, Zone, since};
 use crate::leader_context::LeaderContext;
 use crate::provisioning::Provisioner;
@@ -265,7 +265,7 @@
     machines.into_values().collect()
 }
 
-impl Queues {
+impl Scheduler {
     /// Carries out drains from now on.
     pub fn with_draining(mut self, draining: Draining) -> Self {
         self.draining = Some(draining);
@@ -395,7 +395,7 @@
         };
         // Room for replacements is only kept while the plan is made: what is decided is taken up below.
         let mut fleet = FleetView {
-            queues: self,
+            scheduler: self,
             stock,
             cache,
             plan,
--- a/src/queueing/draining/replacement.rs
+++ b/src/scheduler/draining/replacement.rs
@@ -8,7 +8,7 @@
 
 use super::super::stock::Stock;
 use super::super::waiting::{Waiting, zone_open};
-use super::super::{Plan, Queues};
+use super::super::{Plan, Scheduler};
 use super::fleet_view::{attempts_of, gang_waiting, no_room};
 use crate::domain::{Attempt, Job, JobId, MachineId, Now, Resources, TaskId, Team, Zone};
 use crate::placement;
@@ -54,7 +54,7 @@
     }
 }
 
-impl Queues {
+impl Scheduler {
     pub(super) fn stop_evicted(
         &mut self,
         now: Now,
--- a/src/queueing/gangs.rs
+++ b/src/scheduler/gangs.rs
@@ -10,7 +10,7 @@
 use tracing::{debug, info};
 
 use super::waiting::{Shape, Waiting};
-use super::{Plan, Queues};
+use super::{Plan, Scheduler};
 use crate::domain::{Attempt, BlockId, JobId, JobKind, MachineId, Now, TaskId, Zone};
 use crate::leader_context::LeaderContext;
 use crate::placement::{self, Candidate};
@@ -64,7 +64,7 @@
     leaving: bool,
 }
 
-impl Queues {
+impl Scheduler {
     /// Releases all tasks of a gang, or none. Returns how many.
     #[allow(
         clippy::too_many_arguments,
--- a/src/queueing/holders.rs
+++ b/src/scheduler/holders.rs
@@ -2,11 +2,11 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use super::{Queues, STATUS_LIFE};
+use super::{STATUS_LIFE, Scheduler};
 use crate::config::Config;
 use crate::domain::{ControllerName, MachineId, Now, since};
-use crate::fleet::misrouted_for;
 use crate::store::WatchCache;
+use crate::workers::misrouted_for;
 
 /// A holder that does not hear most of its machines, and at least so many, is suspected; if others hear most of those
 /// that it does not, it is the holder that is cut off or too slow, not they that are dead. A few that others hear show
@@ -35,7 +35,7 @@
     }
 }
 
-impl Queues {
+impl Scheduler {
     /// Machines that reported to a controller that is not their holder.
     pub fn note_misrouted(&mut self, now: Now, machines: Vec<MachineId>) {
         self.misrouted
--- a/src/queueing/mod.rs
+++ b/src/scheduler/mod.rs
@@ -60,7 +60,7 @@
 }
 
 #[derive(Debug)]
-pub struct Queues {
+pub struct Scheduler {
     term: u64,
     next_attempt: u64,
     next_message: u64,
@@ -129,9 +129,9 @@
     }
 }
 
-impl Queues {
+impl Scheduler {
     pub fn new(now: Now, term: u64) -> Self {
-        Queues {
+        Scheduler {
             term,
             // Attempts of different leaders never meet: each has a range of its own.
             next_attempt: term << 20,
--- a/src/queueing/preemption.rs
+++ b/src/scheduler/preemption.rs
@@ -5,7 +5,7 @@
 
 use tracing::info;
 
-use super::Queues;
+use super::Scheduler;
 use super::usage::Usage;
 use crate::domain::{Attempt, BlockId, Job, JobKind, MachineId, Now, Zone, since};
 use crate::leader_context::LeaderContext;
@@ -35,7 +35,7 @@
     pub(super) preempted: Vec<Attempt>,
 }
 
-impl Queues {
+impl Scheduler {
     /// Stops tasks so that one of `job` fits. PROTOCOL allows it for those of lower priority, and for those that
     /// another team runs beyond its guarantee if this team is within its own; of the latter, those of higher
     /// priority are left alone. The cheapest way is taken: the least work lost.
--- a/src/queueing/releases.rs
+++ b/src/scheduler/releases.rs
@@ -8,7 +8,7 @@
 use super::preemption::{MadeRoom, Victims};
 use super::turns::Turns;
 use super::waiting::{Shape, Waiting, zone_open};
-use super::{Plan, Queues};
+use super::{Plan, Scheduler};
 use crate::domain::{Attempt, BlockId, Image, JobId, JobKind, Now, Resources, TaskId, Zone};
 use crate::leader_context::LeaderContext;
 use crate::placement::{Candidate, Ranking};
@@ -74,7 +74,7 @@
     }
 }
 
-impl Queues {
+impl Scheduler {
     /// Releases what may run and has room, one job after the other in turn.
     pub(super) fn release_in_turn(
         &mut self,
--- a/src/queueing/tests.rs
+++ b/src/scheduler/tests.rs
@@ -23,7 +23,7 @@
     pub(super) cache: WatchCache,
     pub(super) now: Now,
     version: u64,
-    queues: Queues,
+    scheduler: Scheduler,
     provisioner: Provisioner,
 }
 
@@ -44,7 +44,7 @@
             cache: WatchCache::following(),
             now,
             version: 0,
-            queues: Queues::new(now, TERM),
+            scheduler: Scheduler::new(now, TERM),
             provisioner: Provisioner::new(now, TERM),
             config,
         };
@@ -131,7 +131,7 @@
                 .collect(),
             running: Vec::new(),
         };
-        self.queues.status(self.now, status);
+        self.scheduler.status(self.now, status);
     }
 
     pub(super) fn plan(&mut self) -> (Demand, Vec<AssignmentUpdate>) {
@@ -141,15 +141,15 @@
             catalog,
             cache,
             now,
-            queues,
+            scheduler,
             provisioner,
             ..
         } = self;
         let leader = lead_of(config, policy, catalog);
-        let demand = queues.plan(*now, &leader, cache, provisioner);
+        let demand = scheduler.plan(*now, &leader, cache, provisioner);
         (
             demand,
-            queues.messages(*now, cache, provisioner.addresses()),
+            scheduler.messages(*now, cache, provisioner.addresses()),
         )
     }
 
@@ -160,12 +160,12 @@
             policy,
             catalog,
             cache,
-            queues,
+            scheduler,
             ..
         } = self;
         let leader = lead_of(config, policy, catalog);
-        queues.writer = Writer::Idle;
-        let Some(StoreRequest::Commit(txn)) = queues.write(self.now, &leader, cache) else {
+        scheduler.writer = Writer::Idle;
+        let Some(StoreRequest::Commit(txn)) = scheduler.write(self.now, &leader, cache) else {
             return Vec::new();
         };
         let keys = txn.conditions.iter().map(|(key, _)| key);
@@ -268,7 +268,7 @@
     };
     assert_eq!(wanted(&mut fixture), 0);
     let block_state = fixture
-        .queues
+        .scheduler
         .block_states
         .get_mut(&BlockId::from("a.0"))
         .expect("granted");
@@ -290,7 +290,7 @@
     let holder = fixture.config.name.clone();
     let mut judged = |overdue: u32, misrouted: u32| {
         let block_state = fixture
-            .queues
+            .scheduler
             .block_states
             .get_mut(&BlockId::from("a.0"))
             .expect("granted");
@@ -298,15 +298,15 @@
         for status in block_state.machines.values_mut() {
             status.usable = false;
         }
-        fixture.queues.misrouted.clear();
+        fixture.scheduler.misrouted.clear();
         fixture
-            .queues
+            .scheduler
             .note_misrouted(fixture.now, (0..misrouted).map(name).collect());
         let unreaching = fixture
-            .queues
+            .scheduler
             .unreaching(fixture.now, &fixture.config, &fixture.cache);
         let health = fixture
-            .queues
+            .scheduler
             .health(fixture.now, &fixture.cache, &unreaching);
         let spared = health
             .values()
@@ -351,7 +351,7 @@
             .take(4)
             .collect();
         let block_state = fixture
-            .queues
+            .scheduler
             .block_states
             .get_mut(&BlockId::from("a.0"))
             .expect("granted");
@@ -509,7 +509,7 @@
     let refuse = |fixture: &mut Fixture| {
         fixture.status(1, work[0].number, &[release.number]);
         let block_state = fixture
-            .queues
+            .scheduler
             .block_states
             .get_mut(&BlockId::from("a.0"))
             .expect("granted");
@@ -530,7 +530,7 @@
             .filter(|wanted| wanted.attempt != release)
             .count();
         assert_eq!(others, 0, "the room is not for others");
-        fixture.queues.block_states[&BlockId::from("a.0")]
+        fixture.scheduler.block_states[&BlockId::from("a.0")]
             .releases
             .get(&release.number)
             .is_some_and(|r| !r.withdrawn)
@@ -581,7 +581,7 @@
         fixture.version += 1;
         fixture.status(1, work[0].number, &[number]);
         fixture.plan();
-        fixture.queues.block_states[&BlockId::from("a.0")].releases[&number].withdrawn
+        fixture.scheduler.block_states[&BlockId::from("a.0")].releases[&number].withdrawn
     };
     assert!(!withdrawn(&mut fixture, 29));
     assert!(withdrawn(&mut fixture, 2));
@@ -628,11 +628,11 @@
             catalog,
             cache,
             now,
-            queues,
+            scheduler,
             ..
         } = &fixture;
         let leader = lead_of(config, policy, catalog);
-        queues.queue(*now, cache)[0].reach(&leader)
+        scheduler.queue(*now, cache)[0].reach(&leader)
     };
     let late = opportunistic::RESTRICTED_FOR + Duration::from_secs(1);
     assert_eq!(reach(0, false, Duration::ZERO), Reach::CheapAndUnreserved);
--- a/src/queueing/waiting.rs
+++ b/src/scheduler/waiting.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::time::Duration;
 
-use super::Queues;
+use super::Scheduler;
 use super::opportunistic::{RESTRICTED_FOR, Reach, is_opportunistic, price_limit};
 use crate::domain::{InstanceTypeName, Job, JobId, JobKind, Now, Resources, Zone};
 use crate::leader_context::LeaderContext;
@@ -81,7 +81,7 @@
     }
 }
 
-impl Queues {
+impl Scheduler {
     /// The jobs with tasks that wait, in the order in which they are served within a line.
     pub(super) fn queue<'v>(&self, now: Now, cache: &'v WatchCache) -> Vec<Waiting<'v>> {
         let mut released: HashMap<JobId, Vec<(u32, Zone)>> = HashMap::new();
--- a/src/service.rs
+++ b/src/service.rs
@@ -12,13 +12,13 @@
 use crate::controller::{Controller, Effect, Event};
 use crate::domain::{ControllerName, Now};
 use crate::features::Features;
-use crate::fleet::wire::Heartbeat;
-use crate::fleet::{COMMAND_PART, Command, CommandOutcome, HeartbeatResponse};
 use crate::http::server::{self, Door, Incoming, MOST_WAITING};
 use crate::http::{Client, Request, read, write};
-use crate::intake::{RequestId, Response};
+use crate::job_api::{RequestId, Response};
 use crate::policy::Policy;
 use crate::store::records::FORMAT;
+use crate::workers::wire::Heartbeat;
+use crate::workers::{COMMAND_PART, CommandOutcome, DirectCommand, HeartbeatResponse};
 use crate::{cloud, store};
 
 const TICK: Duration = Duration::from_millis(40);
@@ -245,7 +245,7 @@
             Effect::Command { command, until } => {
                 let Ok(addr) = command.addr.parse() else {
                     debug!(machine = %command.machine, addr = command.addr, "a worker's address makes no sense");
-                    let Command {
+                    let DirectCommand {
                         block,
                         machine,
                         body,
--- a/src/store/mod.rs
+++ b/src/store/mod.rs
@@ -1,7 +1,7 @@
 //! The state service: the only truth. Its records, our copy of them, its budget and its protocol.
 
-pub mod budget;
 pub mod cache;
+pub mod rate_limiter;
 pub mod records;
 pub mod wire;
 pub mod writer;
--- a/src/store/budget.rs
+++ b/src/store/rate_limiter.rs
@@ -9,7 +9,7 @@
 
 /// What goes first when the rate does not suffice for all.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Urgency {
+pub enum WritePriority {
     /// Holds and leadership: late means lost.
     Authority,
     /// What a user waits for.
@@ -56,7 +56,7 @@
 }
 
 /// Requests that wait for their turn.
-pub struct Budget<Tag> {
+pub struct RequestRateLimiter<Tag> {
     lanes: [VecDeque<(Tag, StoreRequest)>; LANES],
     requests: Bucket,
     writes: Bucket,
@@ -100,9 +100,9 @@
 /// How long to hold off after the service refused.
 const HOLD_OFF: Duration = Duration::from_millis(150);
 
-impl<Tag> Budget<Tag> {
+impl<Tag> RequestRateLimiter<Tag> {
     pub fn new(limits: &StateLimits, controllers: usize, now: Now) -> Self {
-        Budget {
+        RequestRateLimiter {
             lanes: Default::default(),
             requests: Bucket::new(share(limits.rps, controllers), now),
             writes: Bucket::new(write_share(limits.write_rps, controllers, false), now),
@@ -148,7 +148,7 @@
     }
 
     /// Queues a request; gives the tag back when the lane is full.
-    pub fn push(&mut self, urgency: Urgency, tag: Tag, op: StoreRequest) -> Result<(), Tag> {
+    pub fn push(&mut self, urgency: WritePriority, tag: Tag, op: StoreRequest) -> Result<(), Tag> {
         let lane = &mut self.lanes[urgency as usize];
         if lane.len() >= LANE_LIMIT {
             return Err(tag);
@@ -168,10 +168,10 @@
         // What is more urgent and too dear for now must not be overtaken for ever by what is cheap.
         let mut saving = false;
         for (lane, queue) in self.lanes.iter_mut().enumerate() {
-            if holding_off && lane != Urgency::Authority as usize {
+            if holding_off && lane != WritePriority::Authority as usize {
                 break;
             }
-            let kept = if lane > Urgency::User as usize {
+            let kept = if lane > WritePriority::User as usize {
                 self.writes.kept_for_users()
             } else {
                 0.0
@@ -195,7 +195,7 @@
 
     /// Whether a write of this urgency would go at once. Writes that gather changes are prepared only then, so
     /// that each holds all that came up while the ones before it waited.
-    pub fn idle(&mut self, now: Now, urgency: Urgency) -> bool {
+    pub fn idle(&mut self, now: Now, urgency: WritePriority) -> bool {
         self.requests.fill(now);
         self.writes.fill(now);
         let holding_off = self
@@ -233,7 +233,7 @@
 
     /// How long a new request of a user would wait for a write.
     pub fn user_delay(&self) -> Duration {
-        let ahead: f64 = self.lanes[..=Urgency::User as usize]
+        let ahead: f64 = self.lanes[..=WritePriority::User as usize]
             .iter()
             .flatten()
             .map(|(_, op)| cost(op))
--- a/src/fleet/mod.rs
+++ b/src/workers/mod.rs
@@ -35,7 +35,7 @@
 
 /// Direct commands to a worker.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Command {
+pub struct DirectCommand {
     pub block: BlockId,
     pub machine: MachineId,
     pub addr: String,
@@ -70,7 +70,7 @@
 }
 
 #[derive(Debug, Default)]
-pub struct Fleet {
+pub struct WorkerFleet {
     blocks: BTreeMap<BlockId, Block>,
     reviewed: Option<Instant>,
     /// Machines of others' blocks that have reported here, and when they did last.
@@ -82,9 +82,9 @@
     looked: u64,
 }
 
-impl Fleet {
+impl WorkerFleet {
     pub fn new() -> Self {
-        Fleet::default()
+        WorkerFleet::default()
     }
 
     /// Takes up blocks leased to us and drops those that are not any more.
@@ -351,7 +351,7 @@
         config: &Config,
         cache: &WatchCache,
         entitled: bool,
-    ) -> Vec<Command> {
+    ) -> Vec<DirectCommand> {
         let quiet = config.heartbeat_interval.mul_f64(OVERDUE);
         let most = (config.max_sockets / COMMAND_PART).max(1);
         let mut commands = Vec::new();
@@ -396,7 +396,7 @@
                 worker.busy = true;
                 let addr = worker.addr.clone().unwrap_or_default();
                 self.in_flight += 1;
-                commands.push(Command {
+                commands.push(DirectCommand {
                     block: id,
                     machine,
                     addr,
--- a/src/fleet/tests.rs
+++ b/src/workers/tests.rs
@@ -29,7 +29,7 @@
     config: Config,
     catalog: InstanceCatalog,
     cache: WatchCache,
-    fleet: Fleet,
+    fleet: WorkerFleet,
     now: Now,
     version: u64,
     seq: u64,
@@ -43,7 +43,7 @@
         catalog.answered(Some(InstanceTypeList {
             types: vec![instance_type()],
         }));
-        let (cache, fleet) = (WatchCache::following(), Fleet::new());
+        let (cache, fleet) = (WatchCache::following(), WorkerFleet::new());
         let mut holder = Holder {
             config,
             catalog,
@@ -204,12 +204,12 @@
         self.fleet.tick(self.now, &self.config, &policy);
     }
 
-    fn commands(&mut self) -> Vec<Command> {
+    fn commands(&mut self) -> Vec<DirectCommand> {
         self.fleet
             .commands(self.now, &self.config, &self.cache, true)
     }
 
-    fn answer(&mut self, command: &Command, outcome: CommandOutcome) {
+    fn answer(&mut self, command: &DirectCommand, outcome: CommandOutcome) {
         let (block, machine) = (command.block.clone(), command.machine.clone());
         self.fleet.commanded(
             self.now,
@@ -401,7 +401,7 @@
     }
 }
 
-fn launches(commands: &[Command]) -> usize {
+fn launches(commands: &[DirectCommand]) -> usize {
     let commands = commands.iter().flat_map(|command| &command.body.commands);
     commands
         .filter(|command| matches!(command, WorkerCommand::Launch { .. }))
--- a/tests/loopback/site.rs
+++ b/tests/loopback/site.rs
@@ -8,8 +8,8 @@
 use ciborium::cbor;
 use dappleshore::config::StateLimits;
 use dappleshore::domain::{Job, JobId, JobKind, Priority, Resources, TaskId, Team};
-use dappleshore::fleet::wire::TaskState;
 use dappleshore::http::{Client, Request};
+use dappleshore::workers::wire::TaskState;
 
 use super::machine::{LASTING, Machine, MachineEvent};
 use super::processes::Controllers;
--- a/tests/loopback/workers.rs
+++ b/tests/loopback/workers.rs
@@ -6,8 +6,8 @@
 use std::time::Duration;
 
 use dappleshore::domain::TaskId;
-use dappleshore::fleet::wire::{Heartbeat, Redirect, WorkerCommands};
 use dappleshore::http::{Client, Request, read, write};
+use dappleshore::workers::wire::{Heartbeat, Redirect, WorkerCommands};
 use tokio::net::TcpListener;
 use warp::Filter;
 use warp::http::StatusCode;
--- a/tests/simulation/drains.rs
+++ b/tests/simulation/drains.rs
@@ -5,9 +5,9 @@
 
 use dappleshore::domain::{Job, JobKind, Priority, Resources, TaskId};
 use dappleshore::features::Features;
-use dappleshore::fleet::wire::TaskState;
 use dappleshore::store::Machine;
 use dappleshore::store::records::MachineState;
+use dappleshore::workers::wire::TaskState;
 use dappleshore_drain::operator::{Reply, Request, StateName};
 use dappleshore_drain::settings::TeamSettings;
 use dappleshore_drain::{DrainSettings, Limit, Purpose, Scope};
--- a/tests/simulation/gangs.rs
+++ b/tests/simulation/gangs.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use dappleshore::domain::{Job, JobId, JobKind, Priority, Resources, TaskId};
-use dappleshore::fleet::wire::{Cause, TaskState};
+use dappleshore::workers::wire::{Cause, TaskState};
 
 use super::machine::{Machine, MachineEvent};
 use super::world::{CALM_FROM, Faults, Size, World, array};
--- a/tests/simulation/machine.rs
+++ b/tests/simulation/machine.rs
@@ -6,7 +6,7 @@
 use dappleshore::domain::{
     Amount, CapacityType, InstanceTypeName, Job, JobId, JobKind, Resources, TaskId, Zone,
 };
-use dappleshore::fleet::wire::{
+use dappleshore::workers::wire::{
     Cause, Heartbeat, TaskState, TaskStatus, WorkerCommand, WorkerCommands,
 };
 
--- a/tests/simulation/world.rs
+++ b/tests/simulation/world.rs
@@ -15,14 +15,14 @@
     Amount, CapacityType, Job, JobId, JobKind, Now, Priority, Resources, TaskId, Zone,
 };
 use dappleshore::features::Features;
-use dappleshore::fleet::wire::{Heartbeat, TaskState, WorkerCommands};
-use dappleshore::fleet::{Command, CommandOutcome, HeartbeatResponse};
-use dappleshore::intake::Response;
+use dappleshore::job_api::Response;
 use dappleshore::peer::Message;
 use dappleshore::policy::Policy;
 use dappleshore::provisioning::Tag as CloudTag;
 use dappleshore::store::records::{FORMAT, MachineState};
 use dappleshore::store::{StoreRequest, StoreResponse};
+use dappleshore::workers::wire::{Heartbeat, TaskState, WorkerCommands};
+use dappleshore::workers::{CommandOutcome, DirectCommand, HeartbeatResponse};
 use dappleshore_drain::operator::Request;
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
@@ -155,7 +155,7 @@
     Command {
         controller: usize,
         boot: u64,
-        command: Command,
+        command: DirectCommand,
         answer: bool,
     },
     Cloud {
@@ -1043,7 +1043,7 @@
         }
     }
 
-    fn unanswered(&mut self, controller: usize, boot: u64, command: &Command) {
+    fn unanswered(&mut self, controller: usize, boot: u64, command: &DirectCommand) {
         let event = Event::Commanded {
             block: command.block.clone(),
             machine: command.machine.clone(),
@@ -1456,7 +1456,7 @@
         self.call_off(job);
     }
 
-    fn command(&mut self, controller: usize, boot: u64, command: Command, answer: bool) {
+    fn command(&mut self, controller: usize, boot: u64, command: DirectCommand, answer: bool) {
         let id = command.machine.0.to_string();
         if self.faults.sabotage {
             self.sabotage(&id, &command.body);
