--- a/src/block_leases/mod.rs
+++ b/src/block_leases/mod.rs
@@ -70,8 +70,9 @@
         }
     }
 
-    pub fn heard_from(&mut self, now: Now, controller: &ControllerName, boot: u64) {
-        self.heard.insert(controller.clone(), (boot, now.monotonic));
+    pub fn heard_from(&mut self, now: Now, controller: &ControllerName, incarnation: u64) {
+        self.heard
+            .insert(controller.clone(), (incarnation, now.monotonic));
     }
 
     /// A holder has lost track of a command: only a higher token makes sure that it can't be executed late.
@@ -129,7 +130,7 @@
             .leading_since
             .map_or(Duration::ZERO, |(_, at)| since(now, at));
         match self.heard.get(controller) {
-            Some((boot, at)) if *boot == member.value.boot => {
+            Some((incarnation, at)) if *incarnation == member.value.incarnation => {
                 since(now, *at) < policy.suspect_after
             }
             _ => since_start < policy.suspect_after,
@@ -177,11 +178,11 @@
         if members.iter().any(fit) {
             members.retain(fit);
         }
-        let boot_of = |controller: &ControllerName| {
+        let incarnation_of = |controller: &ControllerName| {
             cache
                 .members
                 .get(controller)
-                .map(|member| member.value.boot)
+                .map(|member| member.value.incarnation)
         };
         let mut held: BTreeMap<&ControllerName, usize> =
             members.iter().map(|controller| (controller, 0)).collect();
@@ -196,7 +197,7 @@
             let old = cache.block_leases.get(&block);
             let kept = old.filter(|old| {
                 members.contains(&old.value.holder)
-                    && boot_of(&old.value.holder) == Some(old.value.boot)
+                    && incarnation_of(&old.value.holder) == Some(old.value.incarnation)
             });
             let renewed = kept.filter(|old| self.renew.get(&block) != Some(&old.value.token));
             if let Some(old) = renewed {
@@ -236,9 +237,9 @@
                     })
                     .cloned(),
             };
-            let Some((holder, boot)) =
-                chosen.and_then(|controller| boot_of(&controller).map(|boot| (controller, boot)))
-            else {
+            let Some((holder, incarnation)) = chosen.and_then(|controller| {
+                incarnation_of(&controller).map(|incarnation| (controller, incarnation))
+            }) else {
                 continue;
             };
             if let Some(count) = held.get_mut(&holder) {
@@ -252,7 +253,7 @@
                 BlockLease {
                     zone,
                     holder,
-                    boot,
+                    incarnation,
                     token: last,
                     term,
                 },
@@ -266,7 +267,7 @@
                     .block_leases
                     .get(&block)
                     .map(|lease| lease.value.zone.clone())?;
-                let boot = boot_of(&controller)?;
+                let incarnation = incarnation_of(&controller)?;
                 last += 1;
                 changes.push((
                     block,
@@ -274,7 +275,7 @@
                     BlockLease {
                         zone,
                         holder: controller,
-                        boot,
+                        incarnation,
                         token: last,
                         term,
                     },
--- a/src/block_leases/tests.rs
+++ b/src/block_leases/tests.rs
@@ -26,7 +26,10 @@
         let change = Change {
             key: member_key(controller),
             version,
-            value: Some(encode(&Member { boot: 1, format: 0 })),
+            value: Some(encode(&Member {
+                incarnation: 1,
+                format: 0,
+            })),
         };
         cache.apply(change);
     }
--- a/src/cancellation/mod.rs
+++ b/src/cancellation/mod.rs
@@ -51,7 +51,7 @@
 /// What this controller knows of another.
 #[derive(Debug)]
 struct Peer {
-    boot: u64,
+    incarnation: u64,
     number: u64,
     at: Instant,
     /// When it last said that it doesn't reach the state service.
@@ -106,7 +106,7 @@
         &mut self,
         now: Now,
         controller: &ControllerName,
-        boot: u64,
+        incarnation: u64,
         cache: &WatchCache,
         reaches_state: bool,
     ) -> Alive {
@@ -117,7 +117,7 @@
         }
         Alive {
             controller: controller.clone(),
-            boot,
+            incarnation,
             number,
             reaches_state,
             // Without a copy an earlier process of this controller may have confirmed what we have not read yet.
@@ -126,7 +126,7 @@
             heard: self
                 .peers
                 .iter()
-                .map(|(controller, peer)| (controller.clone(), (peer.boot, peer.number)))
+                .map(|(controller, peer)| (controller.clone(), (peer.incarnation, peer.number)))
                 .collect(),
         }
     }
@@ -147,7 +147,7 @@
     pub fn heard_from(&mut self, now: Now, us: (&ControllerName, u64), alive: &Alive) {
         let Alive {
             controller,
-            boot,
+            incarnation,
             number,
             reaches_state,
             complete,
@@ -155,15 +155,15 @@
             ..
         } = alive;
         let known = self.peers.get(controller);
-        if known.is_some_and(|peer| peer.boot == *boot && *number <= peer.number) {
+        if known.is_some_and(|peer| peer.incarnation == *incarnation && *number <= peer.number) {
             return;
         }
         let before = known
-            .filter(|peer| peer.boot == *boot)
+            .filter(|peer| peer.incarnation == *incarnation)
             .and_then(|peer| peer.covers);
         let answered = heard
             .get(us.0)
-            .filter(|(boot, _)| *complete && *boot == us.1);
+            .filter(|(incarnation, _)| *complete && *incarnation == us.1);
         let covers = answered
             .and_then(|(_, of_ours)| self.sent.iter().find(|(number, _)| number == of_ours));
         let covers = before.max(covers.map(|(_, at)| *at));
@@ -175,7 +175,7 @@
         self.peers.insert(
             controller.clone(),
             Peer {
-                boot: *boot,
+                incarnation: *incarnation,
                 number: *number,
                 at: now.monotonic,
                 out,
@@ -209,16 +209,18 @@
     /// Whether the process that holds this block lease was heard lately.
     pub fn holder_heard(&self, now: Now, lease: &BlockLease) -> bool {
         let peer = self.peers.get(&lease.holder);
-        peer.is_some_and(|peer| peer.boot == lease.boot && since(now, peer.at) < HEARD_WITHIN)
+        peer.is_some_and(|peer| {
+            peer.incarnation == lease.incarnation && since(now, peer.at) < HEARD_WITHIN
+        })
     }
 
     /// Deletes machines that must be rid of a cancelled task: those of our blocks of which that is not proven, and
-    /// those of holders that are not heard. `boot`: this process. `proven`: whether a task of ours is proven gone.
+    /// those of holders that are not heard. `incarnation`: this process. `proven`: whether a task of ours is proven gone.
     pub fn poll(
         &mut self,
         now: Now,
         config: &Config,
-        boot: u64,
+        incarnation: u64,
         cache: &WatchCache,
         proven: impl Fn(&BlockId, &MachineId, &Attempt) -> bool,
     ) -> Option<(Tag, CloudRequest)> {
@@ -253,7 +255,7 @@
                     },
                     number: *number,
                 };
-                let settled = if lease.holder == config.name && lease.boot == boot {
+                let settled = if lease.holder == config.name && lease.incarnation == incarnation {
                     proven(&placement.block, &placement.machine, &attempt)
                 } else {
                     self.holder_heard(now, lease)
--- a/src/cancellation/tests.rs
+++ b/src/cancellation/tests.rs
@@ -38,7 +38,7 @@
             });
         };
         let other = config.peers[0].name.clone();
-        for (block, holder, boot, on) in [
+        for (block, holder, incarnation, on) in [
             ("a.0", &config.name, BOOT, &[("m-1", 1), ("m-3", 2)][..]),
             ("b.0", &other, 3, &[("m-2", 1)]),
         ] {
@@ -62,7 +62,7 @@
             let lease = BlockLease {
                 zone: "a".into(),
                 holder: holder.clone(),
-                boot,
+                incarnation,
                 token: 4,
                 term: 3,
             };
@@ -101,8 +101,8 @@
         }
     }
 
-    fn hear_holder(&mut self, after: Duration, boot: u64, number: u64) {
-        self.hear(0, after, boot, number, true, None);
+    fn hear_holder(&mut self, after: Duration, incarnation: u64, number: u64) {
+        self.hear(0, after, incarnation, number, true, None);
     }
 
     /// `heard`: the last of our signs of life that it has heard.
@@ -110,7 +110,7 @@
         &mut self,
         peer: usize,
         after: Duration,
-        boot: u64,
+        incarnation: u64,
         number: u64,
         complete: bool,
         heard: Option<(u64, u64)>,
@@ -118,7 +118,7 @@
         let us = self.config.name.clone();
         let alive = Alive {
             controller: self.config.peers[peer].name.clone(),
-            boot,
+            incarnation,
             number,
             reaches_state: self.reaches_state,
             cancelled: Vec::new(),
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -151,7 +151,7 @@
     policy: Policy,
     features: Features,
     operations: Operations,
-    boot: u64,
+    incarnation: u64,
     rng: SmallRng,
     cache: WatchCache,
     rate_limiter: RequestRateLimiter<StoreTag>,
@@ -209,14 +209,14 @@
     /// does not say.
     pub fn knowing(format: u32, config: Config, policy: Policy, seed: u64, now: Now) -> Self {
         let mut rng = SmallRng::seed_from_u64(seed);
-        let boot = rng.random::<u64>() >> 12;
+        let incarnation = rng.random::<u64>() >> 12;
         let rate_limiter = RequestRateLimiter::new(&config.state_limits, config.controllers(), now);
         Controller {
-            leadership: Leadership::new(config.name.clone(), boot, format),
+            leadership: Leadership::new(config.name.clone(), incarnation, format),
             policy,
             features: Features::default(),
             operations: Operations::default(),
-            boot,
+            incarnation,
             rng,
             cache: WatchCache::new(&config.state_limits, config.controllers()),
             config,
@@ -550,7 +550,7 @@
         match message {
             Message::Status(status) => {
                 self.block_lease_manager
-                    .heard_from(now, &status.controller, status.boot);
+                    .heard_from(now, &status.controller, status.incarnation);
                 if let Some(leader_state) = &mut self.leader_state {
                     leader_state.scheduler.note_misrouted(now, status.misrouted);
                 }
@@ -558,7 +558,7 @@
                     let granted = self.cache.block_leases.get(&block.block);
                     let current = granted.is_some_and(|lease| {
                         lease.value.holder == status.controller
-                            && lease.value.boot == status.boot
+                            && lease.value.incarnation == status.incarnation
                             && lease.value.token == block.token
                     });
                     if !current {
@@ -581,7 +581,7 @@
             Message::Alive(mut alive) => {
                 alive.complete &= self.note_cancellations(alive.cancelled.iter().copied());
                 self.cancellations
-                    .heard_from(now, (&self.config.name, self.boot), &alive);
+                    .heard_from(now, (&self.config.name, self.incarnation), &alive);
                 let Alive {
                     controller,
                     reaches_state,
@@ -642,7 +642,7 @@
                 let changed = self.cache.take_changed();
                 self.cancellations.sync(&self.cache, &changed);
                 self.worker_fleet
-                    .sync(now, &self.config, self.boot, &self.cache, &changed);
+                    .sync(now, &self.config, self.incarnation, &self.cache, &changed);
             }
             self.status_due = true;
         }
@@ -683,9 +683,9 @@
         let proven = |block: &BlockId, machine: &MachineId, attempt: &Attempt| {
             self.worker_fleet.proven_gone(block, machine, attempt)
         };
-        let call = self
-            .cancellations
-            .poll(now, &self.config, self.boot, &self.cache, proven);
+        let call =
+            self.cancellations
+                .poll(now, &self.config, self.incarnation, &self.cache, proven);
         effects.extend(call.map(|(tag, call)| Effect::Cloud {
             tag,
             call,
@@ -985,7 +985,7 @@
         let alive = self.cancellations.sign(
             now,
             &self.config.name,
-            self.boot,
+            self.incarnation,
             &self.cache,
             reaches_state,
         );
@@ -1036,7 +1036,7 @@
         self.status_due = false;
         let status = Status {
             controller: self.config.name.clone(),
-            boot: self.boot,
+            incarnation: self.incarnation,
             blocks: self.worker_fleet.status(now, &self.policy),
             misrouted: self.worker_fleet.misrouted(now, &self.config),
         };
--- a/src/controller/tests.rs
+++ b/src/controller/tests.rs
@@ -53,7 +53,7 @@
         let node_1 = ControllerName::from("node-1");
         let alive = Alive {
             controller: node_1,
-            boot: 1,
+            incarnation: 1,
             number,
             reaches_state,
             cancelled,
--- a/src/leadership/mod.rs
+++ b/src/leadership/mod.rs
@@ -58,7 +58,7 @@
 #[derive(Debug)]
 pub struct Leadership {
     controller: ControllerName,
-    boot: u64,
+    incarnation: u64,
     format: u32,
     member: KeyLease,
     leader: KeyLease,
@@ -71,10 +71,10 @@
 
 impl Leadership {
     /// `format`: the newest that this process knows.
-    pub fn new(controller: ControllerName, boot: u64, format: u32) -> Self {
+    pub fn new(controller: ControllerName, incarnation: u64, format: u32) -> Self {
         Leadership {
             controller,
-            boot,
+            incarnation,
             format,
             member: KeyLease::NotHeld,
             leader: KeyLease::NotHeld,
@@ -93,7 +93,7 @@
         let leader = cache.leader.as_ref()?;
         let ours = cache.ready()
             && leader.value.controller == self.controller
-            && leader.value.boot == self.boot;
+            && leader.value.incarnation == self.incarnation;
         ours.then_some((leader.value.term, leader.version))
     }
 
@@ -153,7 +153,7 @@
                 let listed = cache
                     .members
                     .get(&self.controller)
-                    .is_some_and(|m| m.value.boot == self.boot);
+                    .is_some_and(|m| m.value.incarnation == self.incarnation);
                 if cache.covers(*renewed) && !listed && !*renewing {
                     self.member = KeyLease::AttachingKey { id, last_confirmed };
                     ops.push((Tag::AttachKey(LeaseRole::Member, id), self.join(id, cache)));
@@ -173,7 +173,7 @@
     /// request comes, and would put its record over ours.
     fn join(&self, lease: u64, cache: &WatchCache) -> StoreRequest {
         let record = Member {
-            boot: self.boot,
+            incarnation: self.incarnation,
             format: self.format,
         };
         let key = member_key(&self.controller);
@@ -254,7 +254,8 @@
     /// has ended is the next one started.
     fn vacant(&self, cache: &WatchCache) -> bool {
         cache.leader.as_ref().is_none_or(|leader| {
-            leader.value.controller == self.controller && leader.value.boot != self.boot
+            leader.value.controller == self.controller
+                && leader.value.incarnation != self.incarnation
         })
     }
 
@@ -268,7 +269,7 @@
         let term = cache.max_token() + 1;
         let record = Leader {
             controller: self.controller.clone(),
-            boot: self.boot,
+            incarnation: self.incarnation,
             term,
         };
         let txn = Transaction::default()
--- a/src/peer/mod.rs
+++ b/src/peer/mod.rs
@@ -24,7 +24,8 @@
 pub struct Alive {
     #[serde(rename = "node")]
     pub controller: ControllerName,
-    pub boot: u64,
+    #[serde(rename = "boot")]
+    pub incarnation: u64,
     /// Rises with every message of a process: one that comes late is no sign of life.
     pub number: u64,
     pub reaches_state: bool,
@@ -60,7 +61,8 @@
 pub struct Status {
     #[serde(rename = "node")]
     pub controller: ControllerName,
-    pub boot: u64,
+    #[serde(rename = "boot")]
+    pub incarnation: u64,
     pub blocks: Vec<BlockStatus>,
     /// Machines of others' blocks that have reported here lately, some of them if they are many: they go from
     /// controller to controller if their holder does not answer.
@@ -77,13 +79,13 @@
     pub fn in_messages(self) -> Vec<Status> {
         let Status {
             controller,
-            boot,
+            incarnation,
             blocks,
             misrouted,
         } = self;
         let mut messages = vec![Status {
             controller: controller.clone(),
-            boot,
+            incarnation,
             blocks: Vec::new(),
             misrouted,
         }];
@@ -94,7 +96,7 @@
                 told = 0;
                 messages.push(Status {
                     controller: controller.clone(),
-                    boot,
+                    incarnation,
                     blocks: Vec::new(),
                     misrouted: Vec::new(),
                 });
--- a/src/peer/tests.rs
+++ b/src/peer/tests.rs
@@ -50,7 +50,7 @@
 fn a_status_about_4000_machines_is_told_in_messages_that_arrive() {
     let status = Status {
         controller: "node-1".into(),
-        boot: 7,
+        incarnation: 7,
         blocks: (0..20).map(|number| block(number, 200)).collect(),
         misrouted: vec!["m-1".into()],
     };
@@ -63,8 +63,8 @@
     let mut blocks = Vec::new();
     for message in messages {
         assert_eq!(
-            (&message.controller, message.boot),
-            (&status.controller, status.boot)
+            (&message.controller, message.incarnation),
+            (&status.controller, status.incarnation)
         );
         let bytes = http::write(&Message::Status(message.clone())).len();
         assert!(bytes < LARGEST_BODY / 2, "{bytes} bytes");
@@ -77,7 +77,7 @@
 fn a_status_about_nothing_is_still_a_sign_of_life() {
     let status = Status {
         controller: "node-1".into(),
-        boot: 7,
+        incarnation: 7,
         blocks: Vec::new(),
         misrouted: Vec::new(),
     };
--- a/src/scheduler/tests.rs
+++ b/src/scheduler/tests.rs
@@ -52,7 +52,7 @@
         let lease = BlockLease {
             zone: "a".into(),
             holder,
-            boot: 1,
+            incarnation: 1,
             token: 4,
             term: TERM,
         };
--- a/src/store/records.rs
+++ b/src/store/records.rs
@@ -119,7 +119,8 @@
 pub struct Leader {
     #[serde(rename = "node")]
     pub controller: ControllerName,
-    pub boot: u64,
+    #[serde(rename = "boot")]
+    pub incarnation: u64,
     pub term: u64,
 }
 
@@ -129,10 +130,11 @@
     pub last: u64,
 }
 
-/// A controller that is up, attached to its lease. `boot` tells a restarted process from the one before.
+/// A controller that is up, attached to its lease. `incarnation` tells a restarted process from the one before.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Member {
-    pub boot: u64,
+    #[serde(rename = "boot")]
+    pub incarnation: u64,
     /// The newest format that it can read and write. The production version does not say.
     #[serde(default, skip_serializing_if = "is_production")]
     pub format: u32,
@@ -154,7 +156,8 @@
 pub struct BlockLease {
     pub zone: Zone,
     pub holder: ControllerName,
-    pub boot: u64,
+    #[serde(rename = "boot")]
+    pub incarnation: u64,
     pub token: u64,
     pub term: u64,
 }
--- a/src/store/records/tests.rs
+++ b/src/store/records/tests.rs
@@ -209,9 +209,15 @@
         .expect("valid")
         .deserialized()
         .expect("readable");
-    assert_eq!(old, Member { boot: 7, format: 0 });
+    assert_eq!(
+        old,
+        Member {
+            incarnation: 7,
+            format: 0
+        }
+    );
     let value = encode(&Member {
-        boot: 7,
+        incarnation: 7,
         format: FORMAT,
     });
     assert_eq!(value, cbor!({"boot" => 7, "format" => 2}).expect("valid"));
--- a/src/upgrade/tests.rs
+++ b/src/upgrade/tests.rs
@@ -27,7 +27,10 @@
         self.cache.apply(Change {
             key: member_key(&controller.into()),
             version: self.version,
-            value: Some(encode(&Member { boot: 1, format })),
+            value: Some(encode(&Member {
+                incarnation: 1,
+                format,
+            })),
         });
     }
 
--- a/src/workers/block.rs
+++ b/src/workers/block.rs
@@ -255,20 +255,20 @@
         let Some(worker) = self.workers.get_mut(&heartbeat.machine) else {
             return;
         };
-        let newer = (heartbeat.session, heartbeat.seq) > (worker.session, worker.seq);
+        let newer = (heartbeat.agent_epoch, heartbeat.seq) > (worker.agent_epoch, worker.seq);
         if !newer {
             // Late: its task list is as old as it is.
             return;
         }
-        if worker.session != 0 && heartbeat.session != worker.session {
+        if worker.agent_epoch != 0 && heartbeat.agent_epoch != worker.agent_epoch {
             // Commands for the old session are not executed any more.
-            info!(machine = %heartbeat.machine, session = heartbeat.session, "worker's lease had expired");
+            info!(machine = %heartbeat.machine, agent_epoch = heartbeat.agent_epoch, "worker's lease had expired");
             worker.launches.clear();
             worker.tainted.clear();
             worker.launched.clear();
         }
         self.unsaid.insert(heartbeat.machine.clone());
-        worker.session = heartbeat.session;
+        worker.agent_epoch = heartbeat.agent_epoch;
         worker.seq = heartbeat.seq;
         match source {
             HeartbeatSource::Heartbeat => {
@@ -385,14 +385,14 @@
         }
     }
 
-    /// All that the worker should be told now. `session`: for a direct command, else for a heartbeat's answer. `entitled`:
+    /// All that the worker should be told now. `agent_epoch`: for a direct command, else for a heartbeat's answer. `entitled`:
     /// whether tasks may be started.
     pub(super) fn commands(
         &mut self,
         now: Now,
         machine: &MachineId,
         cache: &WatchCache,
-        session: Option<u64>,
+        agent_epoch: Option<u64>,
         entitled: bool,
     ) -> WorkerCommands {
         let mut commands = Vec::new();
@@ -447,7 +447,7 @@
             }
             // Nothing is launched before the worker has shown our token; direct commands only, so that each
             // launch has an answer of its own.
-            if session.is_some() && entitled && worker.token >= token {
+            if agent_epoch.is_some() && entitled && worker.token >= token {
                 for (task, number) in &here {
                     let attempt = Attempt {
                         task: *task,
@@ -465,7 +465,7 @@
                     let wanted = wanted_alive(cache, task.job) && !self.stops.contains(&attempt);
                     let ended = self.ended.contains_key(&(machine.clone(), attempt));
                     if !there && !recent && wanted && !ended {
-                        debug!(%attempt, %machine, token, worker.session, "launch");
+                        debug!(%attempt, %machine, token, worker.agent_epoch, "launch");
                         worker
                             .launches
                             .insert(attempt, Launch::Sent { at: now.monotonic });
@@ -480,7 +480,7 @@
         }
         WorkerCommands {
             token,
-            session,
+            agent_epoch,
             commands,
         }
     }
@@ -504,7 +504,7 @@
             WorkerCommand::Launch { task, number } => Some(Attempt::from_wire(*task, *number)),
             _ => None,
         });
-        let current = body.session == Some(worker.session) && body.token == self.token;
+        let current = body.agent_epoch == Some(worker.agent_epoch) && body.token == self.token;
         for attempt in launched {
             let next = match &outcome {
                 CommandOutcome::Executed(_) => Some(Launch::Confirmed),
--- a/src/workers/mod.rs
+++ b/src/workers/mod.rs
@@ -92,12 +92,12 @@
         &mut self,
         now: Now,
         config: &Config,
-        boot: u64,
+        incarnation: u64,
         cache: &WatchCache,
         changed: &ChangedRecords,
     ) {
         if changed.all || changed.block_leases {
-            self.sync_block_leases(now, config, boot, cache);
+            self.sync_block_leases(now, config, incarnation, cache);
         }
         if changed.all {
             for block in self.blocks.values_mut() {
@@ -114,12 +114,17 @@
         self.jobs_ended(cache, changed);
     }
 
-    fn sync_block_leases(&mut self, now: Now, config: &Config, boot: u64, cache: &WatchCache) {
+    fn sync_block_leases(
+        &mut self,
+        now: Now,
+        config: &Config,
+        incarnation: u64,
+        cache: &WatchCache,
+    ) {
         let ours = |block: &BlockId| {
-            cache
-                .block_leases
-                .get(block)
-                .filter(|lease| lease.value.holder == config.name && lease.value.boot == boot)
+            cache.block_leases.get(block).filter(|lease| {
+                lease.value.holder == config.name && lease.value.incarnation == incarnation
+            })
         };
         self.blocks.retain(|id, block| {
             let kept = ours(id).is_some();
@@ -375,8 +380,8 @@
                 }
                 // Of a worker that has not reported yet only the address is known. If its session is another than the
                 // first, it says so, and executes nothing.
-                let session = worker.session.max(1);
-                let mut body = block.commands(now, &machine, cache, Some(session), entitled);
+                let agent_epoch = worker.agent_epoch.max(1);
+                let mut body = block.commands(now, &machine, cache, Some(agent_epoch), entitled);
                 if !entitled {
                     body.commands.retain(|command| is_final(command, cache));
                 }
--- a/src/workers/tests.rs
+++ b/src/workers/tests.rs
@@ -95,7 +95,7 @@
         let lease = BlockLease {
             zone: "a".into(),
             holder,
-            boot: BOOT,
+            incarnation: BOOT,
             token,
             term: 3,
         };
@@ -125,7 +125,7 @@
             type_name: "large".into(),
             zone: "a".into(),
             spot: false,
-            session: 1,
+            agent_epoch: 1,
             seq: self.seq,
             token,
             notice_s: None,
@@ -333,7 +333,7 @@
     holder.answer(&command, CommandOutcome::Executed(shown));
     holder.cancel();
     let mut of_another_session = holder.message("m-1", 4, &[]);
-    of_another_session.session = 0;
+    of_another_session.agent_epoch = 0;
     let attempt = Attempt {
         task: TaskId {
             job: JobId(1),
@@ -491,7 +491,7 @@
     let lease = BlockLease {
         zone: "a".into(),
         holder: holder.config.name.clone(),
-        boot: BOOT,
+        incarnation: BOOT,
         token: 5,
         term: 3,
     };
@@ -685,17 +685,17 @@
     assert_eq!(
         (
             command.body.token,
-            command.body.session,
+            command.body.agent_epoch,
             command.body.commands.len()
         ),
         (6, Some(1), 0)
     );
     // Its session is another: it says so, and is asked again.
     let mut shown = holder.message("m-1", 4, &[]);
-    shown.session = 3;
+    shown.agent_epoch = 3;
     holder.answer(&command, CommandOutcome::Rejected(shown));
     let command = holder.commands().remove(0);
-    assert_eq!((command.body.token, command.body.session), (6, Some(3)));
+    assert_eq!((command.body.token, command.body.agent_epoch), (6, Some(3)));
 }
 
 /// Found on the bench: a controller that had stood still took all its workers for silent when it went on, and
--- a/src/workers/wire.rs
+++ b/src/workers/wire.rs
@@ -17,7 +17,7 @@
     #[serde(rename = "loaner")]
     pub spot: bool,
     #[serde(rename = "shift")]
-    pub session: u64,
+    pub agent_epoch: u64,
     #[serde(rename = "folio")]
     pub seq: u64,
     #[serde(rename = "seal")]
@@ -89,7 +89,7 @@
     pub token: u64,
     /// Only in direct commands.
     #[serde(rename = "shift", skip_serializing_if = "Option::is_none")]
-    pub session: Option<u64>,
+    pub agent_epoch: Option<u64>,
     #[serde(rename = "orders")]
     pub commands: Vec<WorkerCommand>,
 }
--- a/src/workers/wire/tests.rs
+++ b/src/workers/wire/tests.rs
@@ -33,7 +33,7 @@
     let task = "j-000377/1".parse().expect("valid");
     let commands = WorkerCommands {
         token: 41,
-        session: Some(1),
+        agent_epoch: Some(1),
         commands: vec![WorkerCommand::Stop {
             task,
             number: 1,
--- a/src/workers/worker.rs
+++ b/src/workers/worker.rs
@@ -36,7 +36,7 @@
 #[derive(Debug)]
 pub(super) struct Worker {
     pub(super) addr: Option<String>,
-    pub(super) session: u64,
+    pub(super) agent_epoch: u64,
     pub(super) seq: u64,
     pub(super) token: u64,
     /// Steady time of the last heartbeat that reached us, or of the block lease if there was none yet. Answers don't count.
@@ -75,7 +75,7 @@
     pub(super) fn new(now: Now) -> Self {
         Worker {
             addr: None,
-            session: 0,
+            agent_epoch: 0,
             seq: 0,
             token: 0,
             heard: now.monotonic,
--- a/tests/loopback/cloud.rs
+++ b/tests/loopback/cloud.rs
@@ -155,7 +155,7 @@
         mute_until: Duration::ZERO,
         notice: None,
         faulty: false,
-        session: 1,
+        agent_epoch: 1,
         seq: 0,
         token: 0,
         lease_from: now + BOOT,
--- a/tests/loopback/workers.rs
+++ b/tests/loopback/workers.rs
@@ -57,8 +57,8 @@
         return false;
     };
     let other_session = commands
-        .session
-        .is_some_and(|session| session != machine.session);
+        .agent_epoch
+        .is_some_and(|agent_epoch| agent_epoch != machine.agent_epoch);
     if commands.token < machine.token || other_session {
         return false;
     }
@@ -100,7 +100,7 @@
             continue;
         };
         let sent = lock(&fleet).now();
-        let session = heartbeat.session;
+        let agent_epoch = heartbeat.agent_epoch;
         let request = Request::post(
             "/v1/report".to_owned(),
             write(&heartbeat),
@@ -113,7 +113,7 @@
                 answered(
                     &mut fleet,
                     &name,
-                    session,
+                    agent_epoch,
                     sent,
                     read::<WorkerCommands>(&reply.body),
                 );
@@ -175,14 +175,14 @@
 fn answered(
     fleet: &mut Fleet,
     name: &str,
-    session: u64,
+    agent_epoch: u64,
     sent: Duration,
     commands: Option<WorkerCommands>,
 ) {
     let Some(machine) = fleet.machines.get_mut(name) else {
         return;
     };
-    let Some(commands) = commands.filter(|_| machine.session == session) else {
+    let Some(commands) = commands.filter(|_| machine.agent_epoch == agent_epoch) else {
         return;
     };
     if execute(fleet, name, &commands)
--- a/tests/simulation/machine.rs
+++ b/tests/simulation/machine.rs
@@ -38,7 +38,7 @@
     pub mute_until: Duration,
     pub notice: Option<Duration>,
     pub faulty: bool,
-    pub session: u64,
+    pub agent_epoch: u64,
     pub seq: u64,
     pub token: u64,
     /// When the last answered heartbeat was sent, or the session began.
@@ -93,7 +93,7 @@
             type_name: self.type_name.clone(),
             zone: self.zone.clone(),
             spot: self.capacity_type.is_spot(),
-            session: self.session,
+            agent_epoch: self.agent_epoch,
             seq: self.seq,
             token: self.token,
             notice_s: self.notice.map(|_| Amount(5.0)),
@@ -284,7 +284,7 @@
 
     /// Off and on again: its tasks are gone and it goes on with the next session.
     pub fn restart(&mut self, now: Duration) -> Vec<MachineEvent> {
-        self.session += 1;
+        self.agent_epoch += 1;
         self.lease_from = now;
         self.heartbeat = None;
         self.changed = true;
--- a/tests/simulation/world.rs
+++ b/tests/simulation/world.rs
@@ -126,7 +126,7 @@
 enum WorldEvent {
     Tick {
         controller: usize,
-        boot: u64,
+        incarnation: u64,
     },
     Restart {
         controller: usize,
@@ -134,7 +134,7 @@
     Step,
     Store {
         controller: usize,
-        boot: u64,
+        incarnation: u64,
         tag: StoreTag,
         sent: Instant,
         op: StoreRequest,
@@ -145,7 +145,7 @@
     },
     Deliver {
         controller: usize,
-        boot: u64,
+        incarnation: u64,
         event: Box<Event>,
     },
     Peer {
@@ -154,13 +154,13 @@
     },
     Command {
         controller: usize,
-        boot: u64,
+        incarnation: u64,
         command: DirectCommand,
         answer: bool,
     },
     Cloud {
         controller: usize,
-        boot: u64,
+        incarnation: u64,
         tag: CloudTag,
         call: CloudRequest,
         answer: bool,
@@ -182,12 +182,12 @@
     /// What a controller had decided when it stood still, done now that it goes on.
     Resume {
         controller: usize,
-        boot: u64,
+        incarnation: u64,
         effects: Vec<Effect>,
     },
     Answered {
         machine: String,
-        session: u64,
+        agent_epoch: u64,
         seq: u64,
         sent: Duration,
         controller: usize,
@@ -261,7 +261,7 @@
 
 struct Slot {
     controller: Option<Controller>,
-    boot: u64,
+    incarnation: u64,
     /// The newest format that its version knows.
     format: u32,
     next_request: u64,
@@ -288,7 +288,7 @@
     },
     Worker {
         machine: String,
-        session: u64,
+        agent_epoch: u64,
         seq: u64,
         sent: Duration,
     },
@@ -315,7 +315,7 @@
 
 struct Watcher {
     controller: usize,
-    boot: u64,
+    incarnation: u64,
     tag: StoreTag,
     sent: Instant,
     prefix: String,
@@ -323,7 +323,7 @@
     until: Duration,
 }
 
-/// How machines boot that are rented while this lasts.
+/// How machines incarnation that are rented while this lasts.
 #[derive(Debug, Clone, Copy)]
 pub struct BootTrouble {
     /// The part of them that never comes up.
@@ -440,7 +440,7 @@
         let slots = (0..CONTROLLERS)
             .map(|_| Slot {
                 controller: None,
-                boot: 0,
+                incarnation: 0,
                 format: FORMAT,
                 next_request: 0,
                 waiting: HashMap::new(),
@@ -691,7 +691,7 @@
         slot.next_request += 1;
         let id = slot.next_request;
         slot.waiting.insert(id, Asker::Operator(operator));
-        let boot = slot.boot;
+        let incarnation = slot.incarnation;
         if let (Request::Start { .. } | Request::Cancel { .. }, Some(late)) =
             (&request, self.copied())
         {
@@ -702,7 +702,7 @@
         let event = Box::new(Event::Operate { id, request });
         self.soon(WorldEvent::Deliver {
             controller,
-            boot,
+            incarnation,
             event,
         });
     }
@@ -763,27 +763,28 @@
         }
     }
 
-    fn alive(&self, controller: usize, boot: u64) -> bool {
-        self.slots[controller].boot == boot && self.slots[controller].controller.is_some()
+    fn alive(&self, controller: usize, incarnation: u64) -> bool {
+        self.slots[controller].incarnation == incarnation
+            && self.slots[controller].controller.is_some()
     }
 
     fn handle(&mut self, controller: usize, event: Event) {
         let frozen = self.slots[controller].frozen_until;
         if self.now < frozen {
-            let boot = self.slots[controller].boot;
+            let incarnation = self.slots[controller].incarnation;
             self.at(
                 frozen,
                 WorldEvent::Deliver {
                     controller,
-                    boot,
+                    incarnation,
                     event: Box::new(event),
                 },
             );
             return;
         }
-        let boot = self.slots[controller].boot;
+        let incarnation = self.slots[controller].incarnation;
         for effect in self.effects(controller, event) {
-            self.perform(controller, boot, effect);
+            self.perform(controller, incarnation, effect);
         }
     }
 
@@ -808,7 +809,7 @@
         Some(self.now + Duration::from_secs_f64(self.rng.random_range(1.0..late)))
     }
 
-    fn perform(&mut self, controller: usize, boot: u64, effect: Effect) {
+    fn perform(&mut self, controller: usize, incarnation: u64, effect: Effect) {
         match effect {
             Effect::Store { tag, op } => {
                 let sent = self.clock(controller).monotonic;
@@ -835,7 +836,7 @@
                         self.now + after,
                         WorldEvent::Deliver {
                             controller,
-                            boot,
+                            incarnation,
                             event: Box::new(unknown),
                         },
                     );
@@ -851,7 +852,7 @@
                         late,
                         WorldEvent::Store {
                             controller,
-                            boot,
+                            incarnation,
                             tag: tag.clone(),
                             sent,
                             op: op.clone(),
@@ -863,7 +864,7 @@
                     at,
                     WorldEvent::Store {
                         controller,
-                        boot,
+                        incarnation,
                         tag,
                         sent,
                         op,
@@ -875,18 +876,18 @@
                 self.slots[controller].commands += 1;
                 self.most_commands = self.most_commands.max(self.slots[controller].commands);
                 if until.is_some_and(|until| self.clock(controller).monotonic >= until) {
-                    return self.unanswered(controller, boot, &command);
+                    return self.unanswered(controller, incarnation, &command);
                 }
                 let (at, answer) = self.fate();
                 if !answer {
-                    self.unanswered(controller, boot, &command);
+                    self.unanswered(controller, incarnation, &command);
                 }
                 if let Some(late) = self.copied() {
                     self.at(
                         late,
                         WorldEvent::Command {
                             controller,
-                            boot,
+                            incarnation,
                             command: command.clone(),
                             answer: false,
                         },
@@ -896,7 +897,7 @@
                     at,
                     WorldEvent::Command {
                         controller,
-                        boot,
+                        incarnation,
                         command,
                         answer,
                     },
@@ -910,7 +911,7 @@
                     };
                     return self.soon(WorldEvent::Deliver {
                         controller,
-                        boot,
+                        incarnation,
                         event: Box::new(event),
                     });
                 }
@@ -924,7 +925,7 @@
                         self.now + Duration::from_secs(5),
                         WorldEvent::Deliver {
                             controller,
-                            boot,
+                            incarnation,
                             event: Box::new(event),
                         },
                     );
@@ -935,7 +936,7 @@
                         late,
                         WorldEvent::Cloud {
                             controller,
-                            boot,
+                            incarnation,
                             tag: tag.clone(),
                             call: call.clone(),
                             answer: false,
@@ -946,7 +947,7 @@
                     at,
                     WorldEvent::Cloud {
                         controller,
-                        boot,
+                        incarnation,
                         tag,
                         call,
                         answer,
@@ -1007,7 +1008,7 @@
                 };
                 if let Some(Asker::Worker {
                     machine,
-                    session,
+                    agent_epoch,
                     seq,
                     sent,
                 }) = self.slots[controller].waiting.remove(&id)
@@ -1023,7 +1024,7 @@
                             at,
                             WorldEvent::Answered {
                                 machine,
-                                session,
+                                agent_epoch,
                                 seq,
                                 sent,
                                 controller,
@@ -1043,7 +1044,7 @@
         }
     }
 
-    fn unanswered(&mut self, controller: usize, boot: u64, command: &DirectCommand) {
+    fn unanswered(&mut self, controller: usize, incarnation: u64, command: &DirectCommand) {
         let event = Event::Commanded {
             block: command.block.clone(),
             machine: command.machine.clone(),
@@ -1054,7 +1055,7 @@
             self.now + Duration::from_secs(3),
             WorldEvent::Deliver {
                 controller,
-                boot,
+                incarnation,
                 event: Box::new(event),
             },
         );
@@ -1062,15 +1063,30 @@
 
     fn take(&mut self, event: WorldEvent) {
         match event {
-            WorldEvent::Tick { controller, boot } => {
-                if self.alive(controller, boot) {
+            WorldEvent::Tick {
+                controller,
+                incarnation,
+            } => {
+                if self.alive(controller, incarnation) {
                     let frozen = self.slots[controller].frozen_until;
                     if self.now < frozen {
-                        self.at(frozen, WorldEvent::Tick { controller, boot });
+                        self.at(
+                            frozen,
+                            WorldEvent::Tick {
+                                controller,
+                                incarnation,
+                            },
+                        );
                         return;
                     }
                     self.handle(controller, Event::Tick);
-                    self.at(self.now + TICK, WorldEvent::Tick { controller, boot });
+                    self.at(
+                        self.now + TICK,
+                        WorldEvent::Tick {
+                            controller,
+                            incarnation,
+                        },
+                    );
                 }
             }
             WorldEvent::Restart { controller } => self.start(controller),
@@ -1080,19 +1096,19 @@
             }
             WorldEvent::Store {
                 controller,
-                boot,
+                incarnation,
                 tag,
                 sent,
                 op,
                 answer,
-            } => self.store(controller, boot, tag, sent, op, answer),
+            } => self.store(controller, incarnation, tag, sent, op, answer),
             WorldEvent::Watch { id } => self.watch_over(id),
             WorldEvent::Deliver {
                 controller,
-                boot,
+                incarnation,
                 event,
             } => {
-                if self.alive(controller, boot) {
+                if self.alive(controller, incarnation) {
                     self.handle(controller, *event);
                 }
             }
@@ -1123,13 +1139,13 @@
             }
             WorldEvent::Command {
                 controller,
-                boot,
+                incarnation,
                 command,
                 answer,
-            } => self.command(controller, boot, command, answer),
+            } => self.command(controller, incarnation, command, answer),
             WorldEvent::Cloud {
                 controller,
-                boot,
+                incarnation,
                 tag,
                 call,
                 answer,
@@ -1139,7 +1155,7 @@
                     let event = Box::new(Event::CloudResponse { tag, outcome });
                     self.soon(WorldEvent::Deliver {
                         controller,
-                        boot,
+                        incarnation,
                         event,
                     });
                 }
@@ -1170,7 +1186,7 @@
                 let id = slot.next_request;
                 let asker = Asker::Worker {
                     machine: heartbeat.machine.0.to_string(),
-                    session: heartbeat.session,
+                    agent_epoch: heartbeat.agent_epoch,
                     seq: heartbeat.seq,
                     sent,
                 };
@@ -1200,23 +1216,23 @@
             }
             WorldEvent::Answered {
                 machine,
-                session,
+                agent_epoch,
                 seq,
                 sent,
                 controller,
                 answer,
             } => {
-                self.answered(&machine, session, seq, sent, controller, answer);
+                self.answered(&machine, agent_epoch, seq, sent, controller, answer);
             }
             WorldEvent::Repeat { controller, event } => self.handle(controller, *event),
             WorldEvent::Resume {
                 controller,
-                boot,
+                incarnation,
                 effects,
             } => {
-                if self.alive(controller, boot) {
+                if self.alive(controller, incarnation) {
                     for effect in effects {
-                        self.perform(controller, boot, effect);
+                        self.perform(controller, incarnation, effect);
                     }
                 }
             }
@@ -1248,7 +1264,7 @@
         let seed = self.rng.random();
         let now = self.clock(controller);
         let slot = &mut self.slots[controller];
-        slot.boot += 1;
+        slot.incarnation += 1;
         slot.frozen_until = Duration::ZERO;
         slot.commands = 0;
         slot.waiting.clear();
@@ -1256,8 +1272,11 @@
         slot.controller = Some(
             Controller::knowing(slot.format, config, policy, seed, now).with_features(features),
         );
-        let boot = slot.boot;
-        self.soon(WorldEvent::Tick { controller, boot });
+        let incarnation = slot.incarnation;
+        self.soon(WorldEvent::Tick {
+            controller,
+            incarnation,
+        });
     }
 
     fn crash(&mut self, controller: usize) {
@@ -1282,7 +1301,7 @@
     fn store(
         &mut self,
         controller: usize,
-        boot: u64,
+        incarnation: u64,
         tag: StoreTag,
         sent: Instant,
         op: StoreRequest,
@@ -1300,7 +1319,7 @@
                     self.now + after,
                     WorldEvent::Deliver {
                         controller,
-                        boot,
+                        incarnation,
                         event: Box::new(unknown),
                     },
                 );
@@ -1310,7 +1329,7 @@
                 late,
                 WorldEvent::Store {
                     controller,
-                    boot,
+                    incarnation,
                     tag,
                     sent,
                     op,
@@ -1334,7 +1353,7 @@
             let until = self.now + *wait;
             let watcher = Watcher {
                 controller,
-                boot,
+                incarnation,
                 tag,
                 sent,
                 prefix: prefix.clone(),
@@ -1359,7 +1378,7 @@
             let event = Box::new(Event::Store { tag, sent, outcome });
             self.soon(WorldEvent::Deliver {
                 controller,
-                boot,
+                incarnation,
                 event,
             });
         }
@@ -1395,7 +1414,7 @@
                 };
                 self.soon(WorldEvent::Deliver {
                     controller: watcher.controller,
-                    boot: watcher.boot,
+                    incarnation: watcher.incarnation,
                     event: Box::new(event),
                 });
             } else {
@@ -1416,7 +1435,7 @@
         });
         self.soon(WorldEvent::Deliver {
             controller: watcher.controller,
-            boot: watcher.boot,
+            incarnation: watcher.incarnation,
             event,
         });
     }
@@ -1456,7 +1475,13 @@
         self.call_off(job);
     }
 
-    fn command(&mut self, controller: usize, boot: u64, command: DirectCommand, answer: bool) {
+    fn command(
+        &mut self,
+        controller: usize,
+        incarnation: u64,
+        command: DirectCommand,
+        answer: bool,
+    ) {
         let id = command.machine.0.to_string();
         if self.faults.sabotage {
             self.sabotage(&id, &command.body);
@@ -1467,14 +1492,14 @@
             .and_then(|zone| self.cut(controller, Some(zone)))
         {
             if answer {
-                self.unanswered(controller, boot, &command);
+                self.unanswered(controller, incarnation, &command);
             }
             let late = until + Duration::from_millis(self.rng.random_range(1..50));
             self.at(
                 late,
                 WorldEvent::Command {
                     controller,
-                    boot,
+                    incarnation,
                     command,
                     answer: false,
                 },
@@ -1483,13 +1508,13 @@
         }
         let Some(machine) = self.machines.get_mut(&id) else {
             if answer {
-                self.unanswered(controller, boot, &command);
+                self.unanswered(controller, incarnation, &command);
             }
             return;
         };
         if self.now < machine.deaf_until {
             if answer {
-                self.unanswered(controller, boot, &command);
+                self.unanswered(controller, incarnation, &command);
             }
             return;
         }
@@ -1498,7 +1523,7 @@
                 machine.backlog.push(command.body.clone());
             }
             if answer {
-                self.unanswered(controller, boot, &command);
+                self.unanswered(controller, incarnation, &command);
             }
             return;
         }
@@ -1521,7 +1546,7 @@
             };
             self.soon(WorldEvent::Deliver {
                 controller,
-                boot,
+                incarnation,
                 event: Box::new(event),
             });
         }
@@ -1532,7 +1557,7 @@
         let Some(machine) = self.machines.get_mut(id) else {
             return false;
         };
-        if body.token < machine.token || body.session != Some(machine.session) {
+        if body.token < machine.token || body.agent_epoch != Some(machine.agent_epoch) {
             return false;
         }
         if body.token > machine.token {
@@ -1683,7 +1708,7 @@
             mute_until: Duration::ZERO,
             notice: None,
             faulty,
-            session: 1,
+            agent_epoch: 1,
             seq: 0,
             token: 0,
             lease_from: self.now + boot,
@@ -1749,9 +1774,9 @@
         if !machine.runs(now) {
             return;
         }
-        let session = machine.session;
+        let agent_epoch = machine.agent_epoch;
         let mut happened = machine.check_lease(now, worker_lease);
-        self.leases_over += usize::from(machine.session != session);
+        self.leases_over += usize::from(machine.agent_epoch != agent_epoch);
         if machine.hung_until.take().is_some() {
             let backlog = std::mem::take(&mut machine.backlog);
             self.happened(id, happened);
@@ -1785,7 +1810,7 @@
             machine.heartbeat = Some((heartbeat.seq, now));
             let controller = machine.controller;
             let up = self.slots[controller].controller.is_some();
-            let (session, seq) = (heartbeat.session, heartbeat.seq);
+            let (agent_epoch, seq) = (heartbeat.agent_epoch, heartbeat.seq);
             self.happened(id, happened);
             if let Some(late) = self.copied() {
                 let controller = self.rng.random_range(0..CONTROLLERS);
@@ -1820,7 +1845,7 @@
             } else {
                 self.soon(WorldEvent::Answered {
                     machine: id.to_owned(),
-                    session,
+                    agent_epoch,
                     seq,
                     sent: now,
                     controller,
@@ -1835,7 +1860,7 @@
     fn answered(
         &mut self,
         id: &str,
-        session: u64,
+        agent_epoch: u64,
         seq: u64,
         sent: Duration,
         controller: usize,
@@ -1845,7 +1870,7 @@
         let Some(machine) = self.machines.get_mut(id) else {
             return;
         };
-        let waited_for = machine.session == session
+        let waited_for = machine.agent_epoch == agent_epoch
             && machine.heartbeat.is_some_and(|(number, _)| number == seq);
         if !waited_for || now > sent + HEARTBEAT_TIMEOUT || !machine.runs(now) {
             return;
@@ -1970,7 +1995,7 @@
                 job: job.to_string(),
             },
         };
-        let boot = slot.boot;
+        let incarnation = slot.incarnation;
         if let Some(late) = self.copied() {
             let again = match asked {
                 // To any controller, whoever is there by then; nobody waits for the answer.
@@ -1997,7 +2022,7 @@
         }
         self.soon(WorldEvent::Deliver {
             controller,
-            boot,
+            incarnation,
             event: Box::new(event),
         });
     }
@@ -2057,10 +2082,10 @@
         slot.next_request += 1;
         let id = slot.next_request;
         slot.waiting.insert(id, Asker::Odd { expected });
-        let boot = slot.boot;
+        let incarnation = slot.incarnation;
         self.soon(WorldEvent::Deliver {
             controller,
-            boot,
+            incarnation,
             event: Box::new(Event::Submit { id, body }),
         });
     }
@@ -2223,12 +2248,12 @@
         // It has just decided what to do, and does it when it goes on.
         let effects = self.effects(controller, Event::Tick);
         self.slots[controller].frozen_until = until;
-        let boot = self.slots[controller].boot;
+        let incarnation = self.slots[controller].incarnation;
         self.at(
             until,
             WorldEvent::Resume {
                 controller,
-                boot,
+                incarnation,
                 effects,
             },
         );
@@ -2293,7 +2318,7 @@
         }
     }
 
-    /// Machines that are rented from now on boot like this.
+    /// Machines that are rented from now on incarnation like this.
     pub fn boots_badly(&mut self, trouble: Option<BootTrouble>) {
         self.boot_trouble = trouble;
     }
