--- a/crates/domain/src/lib.rs
+++ b/crates/domain/src/lib.rs
@@ -2,6 +2,8 @@
 
 #![allow(missing_docs, reason = "not reached yet: #30")]
 
+mod numbers;
+
 use std::fmt;
 use std::str::FromStr;
 use std::sync::Arc;
@@ -41,6 +43,8 @@
     now.monotonic.saturating_duration_since(then)
 }
 
+pub use numbers::{AgentEpoch, FencingToken, Incarnation, Term};
+
 macro_rules! as_text {
     ($name:ty) => {
         impl Serialize for $name {
--- a/src/block_leases/mod.rs
+++ b/src/block_leases/mod.rs
@@ -9,7 +9,7 @@
 use tracing::info;
 
 use crate::config::Config;
-use crate::domain::{BlockId, ControllerName, Now, Zone, since};
+use crate::domain::{BlockId, ControllerName, FencingToken, Incarnation, Now, Term, Zone, since};
 use crate::leader_context::LeaderContext;
 use crate::policy::Policy;
 use crate::store::records::{BlockLease, LEADER, TOKEN, Token, block_lease_key};
@@ -46,11 +46,11 @@
 #[derive(Debug)]
 pub struct BlockLeaseManager {
     writer: Writer,
-    leading_since: Option<(u64, Instant)>,
+    leading_since: Option<(Term, Instant)>,
     /// When each controller last spoke to us.
-    heard: BTreeMap<ControllerName, (u64, Instant)>,
+    heard: BTreeMap<ControllerName, (Incarnation, Instant)>,
     /// Blocks whose holder asked for a new token.
-    renew: BTreeMap<BlockId, u64>,
+    renew: BTreeMap<BlockId, FencingToken>,
     /// Controllers that could not do a holder's work: until when they get no blocks, and how often in a row.
     unfit: BTreeMap<ControllerName, (Instant, u32)>,
 }
@@ -70,13 +70,13 @@
         }
     }
 
-    pub fn heard_from(&mut self, now: Now, controller: &ControllerName, incarnation: u64) {
+    pub fn heard_from(&mut self, now: Now, controller: &ControllerName, incarnation: Incarnation) {
         self.heard
             .insert(controller.clone(), (incarnation, now.monotonic));
     }
 
     /// A holder has lost track of a command: only a higher token makes sure that it can't be executed late.
-    pub fn wants_new_token(&mut self, block: &BlockId, token: u64) {
+    pub fn wants_new_token(&mut self, block: &BlockId, token: FencingToken) {
         self.renew.insert(block.clone(), token);
     }
 
@@ -254,7 +254,7 @@
                     zone,
                     holder,
                     incarnation,
-                    token: last,
+                    token: FencingToken(last),
                     term,
                 },
             ));
@@ -276,7 +276,7 @@
                         zone,
                         holder: controller,
                         incarnation,
-                        token: last,
+                        token: FencingToken(last),
                         term,
                     },
                 ));
@@ -292,7 +292,7 @@
                 .put(TOKEN, &Token { last });
         }
         for (block, version, lease) in &changes {
-            info!(%block, holder = %lease.holder, token = lease.token, term, "grant");
+            info!(%block, holder = %lease.holder, token = %lease.token, %term, "block lease written");
             txn = txn
                 .when(block_lease_key(block), *version)
                 .put(block_lease_key(block), lease);
--- a/src/block_leases/tests.rs
+++ b/src/block_leases/tests.rs
@@ -3,6 +3,7 @@
 use crate::cloud::wire::InstanceTypeList;
 use crate::cloud::wire::tests::instance_type;
 use crate::config::tests::SETTINGS;
+use crate::domain::{Incarnation, Term};
 use crate::store::records::{Member, encode, member_key};
 use crate::store::{Change, TransactionChange};
 
@@ -27,7 +28,7 @@
             key: member_key(controller),
             version,
             value: Some(encode(&Member {
-                incarnation: 1,
+                incarnation: Incarnation(1),
                 format: 0,
             })),
         };
@@ -41,13 +42,13 @@
             config: &config,
             policy: &policy,
             catalog: &catalog,
-            term: 1,
+            term: Term(1),
             version: 1,
             batch: 16,
             spare: true,
         };
         for _ in 0..40 {
-            block_lease_manager.heard_from(now, &other, 1);
+            block_lease_manager.heard_from(now, &other, Incarnation(1));
             block_lease_manager.writer = Writer::Idle;
             let Some(StoreRequest::Commit(txn)) =
                 block_lease_manager.poll(now, &leader, &mut cache)
--- a/src/cancellation/mod.rs
+++ b/src/cancellation/mod.rs
@@ -13,7 +13,7 @@
 use crate::cloud::wire::MachineNames;
 use crate::cloud::{CloudRequest, CloudResponse};
 use crate::config::Config;
-use crate::domain::{Attempt, BlockId, ControllerName, JobId, MachineId, Now, since};
+use crate::domain::{Attempt, BlockId, ControllerName, Incarnation, JobId, MachineId, Now, since};
 use crate::peer::{Alive, CancelledJob};
 use crate::provisioning::Tag;
 use crate::store::WatchCache;
@@ -51,7 +51,7 @@
 /// What this controller knows of another.
 #[derive(Debug)]
 struct Peer {
-    incarnation: u64,
+    incarnation: Incarnation,
     number: u64,
     at: Instant,
     /// When it last said that it doesn't reach the state service.
@@ -106,7 +106,7 @@
         &mut self,
         now: Now,
         controller: &ControllerName,
-        incarnation: u64,
+        incarnation: Incarnation,
         cache: &WatchCache,
         reaches_state: bool,
     ) -> Alive {
@@ -144,7 +144,7 @@
 
     /// A sign of life, numbered, for a late one tells nothing of the present. What it says of cancellations has been
     /// taken in. `us`: our name and process.
-    pub fn heard_from(&mut self, now: Now, us: (&ControllerName, u64), alive: &Alive) {
+    pub fn heard_from(&mut self, now: Now, us: (&ControllerName, Incarnation), alive: &Alive) {
         let Alive {
             controller,
             incarnation,
@@ -220,7 +220,7 @@
         &mut self,
         now: Now,
         config: &Config,
-        incarnation: u64,
+        incarnation: Incarnation,
         cache: &WatchCache,
         proven: impl Fn(&BlockId, &MachineId, &Attempt) -> bool,
     ) -> Option<(Tag, CloudRequest)> {
--- a/src/cancellation/tests.rs
+++ b/src/cancellation/tests.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 use crate::config::tests::SETTINGS;
-use crate::domain::{CapacityType, TaskId};
+use crate::domain::{CapacityType, FencingToken, Incarnation, TaskId, Term};
 use crate::placement::tests::job;
 use crate::store::Change;
 use crate::store::records::{
@@ -10,7 +10,7 @@
     encode, inventory_key, job_key, placements_key,
 };
 
-const BOOT: u64 = 7;
+const BOOT: Incarnation = Incarnation(7);
 
 /// Our copy: block `a.0` is ours with `m-1`, block `b.0` another's (process 3) with `m-2`. On both is a task of job 1,
 /// which is cancelled, and on `m-3` of ours one of job 2, which is not.
@@ -40,7 +40,7 @@
         let other = config.peers[0].name.clone();
         for (block, holder, incarnation, on) in [
             ("a.0", &config.name, BOOT, &[("m-1", 1), ("m-3", 2)][..]),
-            ("b.0", &other, 3, &[("m-2", 1)]),
+            ("b.0", &other, Incarnation(3), &[("m-2", 1)]),
         ] {
             let entry = || InventoryEntry {
                 type_name: "large".into(),
@@ -62,9 +62,9 @@
             let lease = BlockLease {
                 zone: "a".into(),
                 holder: holder.clone(),
-                incarnation,
-                token: 4,
-                term: 3,
+                incarnation: Incarnation(incarnation.0),
+                token: FencingToken(4),
+                term: Term(3),
             };
             put(block_lease_key(&block.into()), encode(&lease));
             let mut placements = BlockPlacements::default();
@@ -101,7 +101,7 @@
         }
     }
 
-    fn hear_holder(&mut self, after: Duration, incarnation: u64, number: u64) {
+    fn hear_holder(&mut self, after: Duration, incarnation: Incarnation, number: u64) {
         self.hear(0, after, incarnation, number, true, None);
     }
 
@@ -110,10 +110,10 @@
         &mut self,
         peer: usize,
         after: Duration,
-        incarnation: u64,
+        incarnation: Incarnation,
         number: u64,
         complete: bool,
-        heard: Option<(u64, u64)>,
+        heard: Option<(Incarnation, u64)>,
     ) {
         let us = self.config.name.clone();
         let alive = Alive {
@@ -162,7 +162,7 @@
         [] as [&str; 0],
         "there is time yet"
     );
-    copy.hear_holder(late, 3, 1);
+    copy.hear_holder(late, Incarnation(3), 1);
     assert_eq!(
         copy.deleted(late, true),
         [] as [&str; 0],
@@ -203,22 +203,22 @@
     let lease = copy.cache.block_leases[&BlockId::from("b.0")].value.clone();
     let heard =
         |copy: &Copy, after: Duration| copy.cancellations.holder_heard(copy.at(after), &lease);
-    copy.hear_holder(Duration::from_secs(1), 3, 5);
+    copy.hear_holder(Duration::from_secs(1), Incarnation(3), 5);
     assert!(heard(&copy, Duration::from_secs(1)));
-    copy.hear_holder(late, 3, 4);
-    copy.hear_holder(late, 3, 5);
+    copy.hear_holder(late, Incarnation(3), 4);
+    copy.hear_holder(late, Incarnation(3), 5);
     assert!(
         !heard(&copy, late),
         "an earlier message, and a copy of the last one"
     );
-    copy.hear_holder(late, 3, 6);
+    copy.hear_holder(late, Incarnation(3), 6);
     assert!(heard(&copy, late));
     copy.cancellations.stood_still(Duration::from_secs(30));
     assert!(
         heard(&copy, late + Duration::from_secs(30)),
         "we were away, not it"
     );
-    copy.hear_holder(late, 4, 1);
+    copy.hear_holder(late, Incarnation(4), 1);
     assert!(
         !heard(&copy, late),
         "a process that was started since knows nothing of its tasks"
@@ -260,31 +260,38 @@
     for second in 1..=9 {
         assert_eq!(copy.sign(seconds(second)).number, second);
     }
-    copy.hear(0, seconds(10), 3, 1, true, Some((BOOT, 5)));
+    copy.hear(0, seconds(10), Incarnation(3), 1, true, Some((BOOT, 5)));
     assert_eq!(known(&copy), None, "only one of two");
-    copy.hear(1, seconds(10), 4, 1, true, Some((BOOT, 7)));
+    copy.hear(1, seconds(10), Incarnation(4), 1, true, Some((BOOT, 7)));
     assert_eq!(
         known(&copy),
         Some(seconds(5)),
         "when we sent that, not when the answer came"
     );
-    copy.hear(0, seconds(11), 3, 2, false, Some((BOOT, 9)));
-    copy.hear(0, seconds(11), 3, 3, true, Some((BOOT + 1, 9)));
-    copy.hear(0, seconds(11), 3, 4, true, None);
+    copy.hear(0, seconds(11), Incarnation(3), 2, false, Some((BOOT, 9)));
+    copy.hear(
+        0,
+        seconds(11),
+        Incarnation(3),
+        3,
+        true,
+        Some((Incarnation(BOOT.0 + 1), 9)),
+    );
+    copy.hear(0, seconds(11), Incarnation(3), 4, true, None);
     assert_eq!(
         known(&copy),
         Some(seconds(5)),
         "not all it knows; another process of ours; it has not heard us"
     );
-    copy.hear(0, seconds(12), 3, 6, true, Some((BOOT, 9)));
+    copy.hear(0, seconds(12), Incarnation(3), 6, true, Some((BOOT, 9)));
     assert_eq!(known(&copy), Some(seconds(7)));
-    copy.hear(1, seconds(12), 4, 1, true, Some((BOOT, 9)));
+    copy.hear(1, seconds(12), Incarnation(4), 1, true, Some((BOOT, 9)));
     assert_eq!(
         known(&copy),
         Some(seconds(7)),
         "a copy of an earlier message"
     );
-    copy.hear(1, seconds(13), 5, 1, false, Some((BOOT, 9)));
+    copy.hear(1, seconds(13), Incarnation(5), 1, false, Some((BOOT, 9)));
     assert_eq!(
         known(&copy),
         None,
@@ -303,13 +310,13 @@
             .is_some()
     };
     copy.sign(seconds(1));
-    copy.hear(0, seconds(2), 3, 1, true, Some((BOOT, 1)));
-    copy.hear(1, seconds(2), 4, 1, true, Some((BOOT, 1)));
+    copy.hear(0, seconds(2), Incarnation(3), 1, true, Some((BOOT, 1)));
+    copy.hear(1, seconds(2), Incarnation(4), 1, true, Some((BOOT, 1)));
     assert!(known(&copy, 3));
     copy.reaches_state = true;
-    copy.hear(0, seconds(4), 3, 2, true, Some((BOOT, 1)));
+    copy.hear(0, seconds(4), Incarnation(3), 2, true, Some((BOOT, 1)));
     assert!(known(&copy, 7), "it is out of it first, we follow");
-    copy.hear(0, seconds(8), 3, 3, true, Some((BOOT, 1)));
+    copy.hear(0, seconds(8), Incarnation(3), 3, true, Some((BOOT, 1)));
     assert!(!known(&copy, 8));
 }
 
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -13,7 +13,9 @@
 use crate::cancellation::Cancellations;
 use crate::cloud::{CloudRequest, CloudResponse, InstanceCatalog};
 use crate::config::Config;
-use crate::domain::{Attempt, BlockId, ControllerName, MachineId, Now, Zone, since};
+use crate::domain::{
+    Attempt, BlockId, ControllerName, Incarnation, MachineId, Now, Term, Zone, since,
+};
 use crate::features::Features;
 use crate::job_api::{self, JobApi, RequestId, Response};
 use crate::leader_context::LeaderContext;
@@ -38,11 +40,11 @@
     WatchCache(cache::Tag),
     Leadership(leadership::Tag),
     JobApi(RequestId),
-    BlockLeaseManager(u64),
+    BlockLeaseManager(Term),
     Upgrade,
-    Provisioning(u64),
-    Scheduler(u64),
-    Draining(u64),
+    Provisioning(Term),
+    Scheduler(Term),
+    Draining(Term),
     Operations,
     Block { block: BlockId, lease_version: u64 },
 }
@@ -151,7 +153,7 @@
     policy: Policy,
     features: Features,
     operations: Operations,
-    incarnation: u64,
+    incarnation: Incarnation,
     rng: SmallRng,
     cache: WatchCache,
     rate_limiter: RequestRateLimiter<StoreTag>,
@@ -209,7 +211,7 @@
     /// does not say.
     pub fn knowing(format: u32, config: Config, policy: Policy, seed: u64, now: Now) -> Self {
         let mut rng = SmallRng::seed_from_u64(seed);
-        let incarnation = rng.random::<u64>() >> 12;
+        let incarnation = Incarnation(rng.random::<u64>() >> 12);
         let rate_limiter = RequestRateLimiter::new(&config.state_limits, config.controllers(), now);
         Controller {
             leadership: Leadership::new(config.name.clone(), incarnation, format),
@@ -609,7 +611,7 @@
         }
     }
 
-    fn term(&self) -> Option<u64> {
+    fn term(&self) -> Option<Term> {
         self.leadership.leading(&self.cache).map(|(term, _)| term)
     }
 
--- a/src/controller/tests.rs
+++ b/src/controller/tests.rs
@@ -1,6 +1,7 @@
 use super::*;
 use crate::cloud::wire::InstanceTypeList;
 use crate::config::tests::SETTINGS;
+use crate::domain::Incarnation;
 
 #[test]
 fn users_are_sent_elsewhere_only_if_the_others_reach_the_state_service() {
@@ -53,7 +54,7 @@
         let node_1 = ControllerName::from("node-1");
         let alive = Alive {
             controller: node_1,
-            incarnation: 1,
+            incarnation: Incarnation(1),
             number,
             reaches_state,
             cancelled,
--- a/src/leader_context.rs
+++ b/src/leader_context.rs
@@ -2,6 +2,7 @@
 
 use crate::cloud::InstanceCatalog;
 use crate::config::Config;
+use crate::domain::Term;
 use crate::policy::Policy;
 
 /// What the leader's slices need to know to act for this term.
@@ -14,7 +15,7 @@
     /// The instance types that the cloud offers.
     pub catalog: &'a InstanceCatalog,
     /// The term in which the leader acts.
-    pub term: u64,
+    pub term: Term,
     /// The leader record's version: the authority of every write.
     pub version: u64,
     /// The changes that one transaction should not exceed, by the state service's rate.
--- a/src/leadership/mod.rs
+++ b/src/leadership/mod.rs
@@ -10,7 +10,7 @@
 use rand::rngs::SmallRng;
 use tracing::info;
 
-use crate::domain::{ControllerName, Now, since};
+use crate::domain::{ControllerName, Incarnation, Now, Term, since};
 use crate::store::records::{LEADER, Leader, Member, TOKEN, Token, member_key};
 use crate::store::{StoreRequest, StoreResponse, Transaction, WatchCache};
 
@@ -58,7 +58,7 @@
 #[derive(Debug)]
 pub struct Leadership {
     controller: ControllerName,
-    incarnation: u64,
+    incarnation: Incarnation,
     format: u32,
     member: KeyLease,
     leader: KeyLease,
@@ -66,12 +66,12 @@
     leader_retry: Option<Instant>,
     vacant_since: Option<Instant>,
     patience: Duration,
-    was_leading: Option<u64>,
+    was_leading: Option<Term>,
 }
 
 impl Leadership {
     /// `format`: the newest that this process knows.
-    pub fn new(controller: ControllerName, incarnation: u64, format: u32) -> Self {
+    pub fn new(controller: ControllerName, incarnation: Incarnation, format: u32) -> Self {
         Leadership {
             controller,
             incarnation,
@@ -89,7 +89,7 @@
     /// The term and the version of the leader record if this process leads, by our copy of the records.
     ///
     /// The copy may be old. That is harmless: a write conditioned on that version then fails.
-    pub fn leading(&self, cache: &WatchCache) -> Option<(u64, u64)> {
+    pub fn leading(&self, cache: &WatchCache) -> Option<(Term, u64)> {
         let leader = cache.leader.as_ref()?;
         let ours = cache.ready()
             && leader.value.controller == self.controller
@@ -118,8 +118,8 @@
         let term = self.leading(cache).map(|(term, _)| term);
         if term != self.was_leading {
             match term {
-                Some(term) => info!(term, "leading"),
-                None => info!("no longer leading"),
+                Some(term) => info!(%term, "leadership acquired"),
+                None => info!("leadership lost"),
             }
             self.was_leading = term;
         }
@@ -270,7 +270,7 @@
         let record = Leader {
             controller: self.controller.clone(),
             incarnation: self.incarnation,
-            term,
+            term: Term(term),
         };
         let txn = Transaction::default()
             .when(
--- a/src/leadership/tests.rs
+++ b/src/leadership/tests.rs
@@ -1,4 +1,5 @@
 use super::*;
+use crate::domain::Incarnation;
 
 /// Found on the bench: a leader that stood still for half a minute deleted machines when it went on, before it knew
 /// that another one leads.
@@ -10,7 +11,7 @@
         ..start
     };
     let cache = WatchCache::following();
-    let mut leadership = Leadership::new("node-0".into(), 1, 0);
+    let mut leadership = Leadership::new("node-0".into(), Incarnation(1), 0);
     let answer =
         |leadership: &mut Leadership, now: Now, sent: Now, tag: Tag, outcome: StoreResponse| {
             leadership.handle(now, sent.monotonic, tag, &outcome, &cache);
--- a/src/peer/mod.rs
+++ b/src/peer/mod.rs
@@ -5,7 +5,9 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::domain::{Attempt, BlockId, ControllerName, Image, JobId, MachineId};
+use crate::domain::{
+    Attempt, BlockId, ControllerName, FencingToken, Image, Incarnation, JobId, MachineId,
+};
 
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum Message {
@@ -25,7 +27,7 @@
     #[serde(rename = "node")]
     pub controller: ControllerName,
     #[serde(rename = "boot")]
-    pub incarnation: u64,
+    pub incarnation: Incarnation,
     /// Rises with every message of a process: one that comes late is no sign of life.
     pub number: u64,
     pub reaches_state: bool,
@@ -34,7 +36,7 @@
     /// Whether these are all that this controller or an earlier process of it can have told a user of.
     pub complete: bool,
     /// The last sign of life of each of the others, by process and number, that came before this was said.
-    pub heard: BTreeMap<ControllerName, (u64, u64)>,
+    pub heard: BTreeMap<ControllerName, (Incarnation, u64)>,
 }
 
 /// A cancellation that was committed: it is final, so that whoever hears of it may act on it.
@@ -62,7 +64,7 @@
     #[serde(rename = "node")]
     pub controller: ControllerName,
     #[serde(rename = "boot")]
-    pub incarnation: u64,
+    pub incarnation: Incarnation,
     pub blocks: Vec<BlockStatus>,
     /// Machines of others' blocks that have reported here lately, some of them if they are many: they go from
     /// controller to controller if their holder does not answer.
@@ -113,7 +115,7 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct BlockStatus {
     pub block: BlockId,
-    pub token: u64,
+    pub token: FencingToken,
     #[serde(rename = "grant_version")]
     pub lease_version: u64,
     /// The last work message seen under this block lease.
--- a/src/peer/tests.rs
+++ b/src/peer/tests.rs
@@ -1,6 +1,7 @@
 //! Messages at the size of a large fleet.
 
 use super::*;
+use crate::domain::{FencingToken, Incarnation};
 use crate::http;
 
 /// The most that a controller takes of another: see `http::server`.
@@ -28,7 +29,7 @@
     let first = number * machines;
     BlockStatus {
         block: format!("zone.{number}").as_str().into(),
-        token: 1 << 30,
+        token: FencingToken(1 << 30),
         lease_version: 1 << 30,
         last_assignment_update: 1 << 20,
         pending: (0..150).map(|n| (1 << 50) + n).collect(),
@@ -50,7 +51,7 @@
 fn a_status_about_4000_machines_is_told_in_messages_that_arrive() {
     let status = Status {
         controller: "node-1".into(),
-        incarnation: 7,
+        incarnation: Incarnation(7),
         blocks: (0..20).map(|number| block(number, 200)).collect(),
         misrouted: vec!["m-1".into()],
     };
@@ -77,7 +78,7 @@
 fn a_status_about_nothing_is_still_a_sign_of_life() {
     let status = Status {
         controller: "node-1".into(),
-        incarnation: 7,
+        incarnation: Incarnation(7),
         blocks: Vec::new(),
         misrouted: Vec::new(),
     };
--- a/src/provisioning/mod.rs
+++ b/src/provisioning/mod.rs
@@ -23,7 +23,7 @@
 use crate::config::Config;
 use crate::domain::{
     Amount, Attempt, BlockId, CapacityType, InstanceTypeName, MachineId, Now, Resources, TaskId,
-    Zone, since,
+    Term, Zone, since,
 };
 use crate::leader_context::LeaderContext;
 use crate::policy::Policy;
@@ -78,7 +78,7 @@
 pub struct Provisioner {
     writer: Writer,
     round: Option<Instant>,
-    term: u64,
+    term: Term,
     term_since: Instant,
     next_request: u64,
     stockouts: HashMap<(InstanceTypeName, Zone, CapacityType), Instant>,
@@ -174,7 +174,7 @@
 }
 
 impl Provisioner {
-    pub fn new(now: Now, term: u64) -> Self {
+    pub fn new(now: Now, term: Term) -> Self {
         Provisioner {
             writer: Writer::Unsure {
                 since: now.monotonic,
@@ -211,7 +211,7 @@
         }
     }
 
-    pub fn term(&self) -> u64 {
+    pub fn term(&self) -> Term {
         self.term
     }
 
--- a/src/provisioning/tests.rs
+++ b/src/provisioning/tests.rs
@@ -5,7 +5,7 @@
 use crate::cloud::wire::InstanceTypeList;
 use crate::cloud::wire::tests::instance_type;
 use crate::config::tests::SETTINGS;
-use crate::domain::{Attempt, JobId, TaskId};
+use crate::domain::{Attempt, JobId, TaskId, Term};
 use crate::placement::tests::job;
 use crate::policy::Policy;
 use crate::store::Change;
@@ -66,7 +66,7 @@
         job_key(JobId(2)),
         encode(&JobRecord::Open(job(1, 1.0))),
     );
-    let mut provisioner = Provisioner::new(start, 1);
+    let mut provisioner = Provisioner::new(start, Term(1));
     let mut given_up = |after: Duration| {
         let now = Now {
             wall: start.wall + after,
@@ -130,7 +130,7 @@
         config: &config,
         policy: &policy,
         catalog: &catalog,
-        term: 1,
+        term: Term(1),
         version: 1,
         batch: 16,
         spare: true,
@@ -138,7 +138,7 @@
     let silent =
         |id: &MachineId, zones: &[&str]| zones.iter().any(|zone| id.0[2..].starts_with(zone));
     let given_up_if = |zones: &[&str], after: Duration, heard: &BTreeSet<Zone>| {
-        let mut provisioner = Provisioner::new(start, 1);
+        let mut provisioner = Provisioner::new(start, Term(1));
         for (passed, zones) in [
             (Duration::ZERO, &[] as &[&str]),
             (Duration::from_secs(1), zones),
@@ -174,7 +174,7 @@
         "their tasks are gone by then"
     );
     // Found in an incident: the cut ended, most were heard again, and the others were given up at once.
-    let mut provisioner = Provisioner::new(start, 1);
+    let mut provisioner = Provisioner::new(start, Term(1));
     for (seconds, zones) in [(0, &[] as &[&str]), (1, &["a"]), (2, &["a0", "a1"])] {
         let now = Now {
             monotonic: start.monotonic + Duration::from_secs(seconds),
@@ -235,7 +235,7 @@
         config: &config,
         policy: &policy,
         catalog: &catalog,
-        term: 1,
+        term: Term(1),
         version: 1,
         batch: 16,
         spare: true,
@@ -251,7 +251,7 @@
         ..Demand::default()
     };
     let ordered = |spot_is_out: bool| {
-        let mut provisioner = Provisioner::new(now, 1);
+        let mut provisioner = Provisioner::new(now, Term(1));
         if spot_is_out {
             let pending_rental = PendingRental {
                 request: "r".into(),
@@ -297,7 +297,7 @@
         config: &config,
         policy: &policy,
         catalog: &catalog,
-        term: 1,
+        term: Term(1),
         version: 1,
         batch: 5,
         spare: true,
--- a/src/scheduler/mod.rs
+++ b/src/scheduler/mod.rs
@@ -27,7 +27,7 @@
 use crate::config::Config;
 use crate::domain::{
     Attempt, BlockId, ControllerName, Image, Job, JobId, JobKind, JobOutcome, MachineId, Now,
-    Priority, Resources, TaskId, Team, since,
+    Priority, Resources, TaskId, Team, Term, since,
 };
 use crate::leader_context::LeaderContext;
 use crate::peer::{BlockStatus, MachineStatus};
@@ -61,7 +61,7 @@
 
 #[derive(Debug)]
 pub struct Scheduler {
-    term: u64,
+    term: Term,
     next_attempt: u64,
     next_message: u64,
     block_states: BTreeMap<BlockId, BlockState>,
@@ -130,11 +130,11 @@
 }
 
 impl Scheduler {
-    pub fn new(now: Now, term: u64) -> Self {
+    pub fn new(now: Now, term: Term) -> Self {
         Scheduler {
             term,
             // Attempts of different leaders never meet: each has a range of its own.
-            next_attempt: term << 20,
+            next_attempt: term.0 << 20,
             next_message: 0,
             block_states: BTreeMap::new(),
             writer: Writer::Unsure {
@@ -569,7 +569,7 @@
         self.writer.answered(now, outcome);
     }
 
-    pub fn term(&self) -> u64 {
+    pub fn term(&self) -> Term {
         self.term
     }
 }
--- a/src/scheduler/opportunistic/tests.rs
+++ b/src/scheduler/opportunistic/tests.rs
@@ -5,7 +5,7 @@
 use crate::cloud::wire::InstanceTypeList;
 use crate::cloud::wire::tests::instance_type;
 use crate::config::tests::SETTINGS;
-use crate::domain::{Image, Now, Resources};
+use crate::domain::{Image, Now, Resources, Term};
 use crate::placement::tests::job;
 use crate::policy::Policy;
 
@@ -85,12 +85,12 @@
             config: &config,
             policy,
             catalog: &catalog,
-            term: 1,
+            term: Term(1),
             version: 1,
             batch: 16,
             spare: true,
         };
-        let provisioner = Provisioner::new(now, 1);
+        let provisioner = Provisioner::new(now, Term(1));
         let opportunities = Opportunities::new(
             &leader,
             &provisioner,
@@ -141,7 +141,7 @@
         config: &config,
         policy: &policy,
         catalog: &catalog,
-        term: 1,
+        term: Term(1),
         version: 1,
         batch: 16,
         spare: true,
@@ -152,7 +152,7 @@
     let reserved = |demand: f64| {
         let pool = (instance_type().name, CapacityType::Spot);
         let now = Now::read();
-        let provisioner = Provisioner::new(now, 1);
+        let provisioner = Provisioner::new(now, Term(1));
         let guaranteed = BTreeMap::from([(pool, demand)]);
         let opportunities = Opportunities::new(
             &leader,
--- a/src/scheduler/tests.rs
+++ b/src/scheduler/tests.rs
@@ -6,7 +6,7 @@
 use crate::cloud::wire::InstanceTypeList;
 use crate::cloud::wire::tests::instance_type;
 use crate::config::tests::SETTINGS;
-use crate::domain::{CapacityType, Job, JobKind};
+use crate::domain::{CapacityType, FencingToken, Incarnation, Job, JobKind, Term};
 use crate::peer::AssignmentUpdate;
 use crate::placement::tests::job;
 use crate::policy::Policy;
@@ -44,17 +44,17 @@
             cache: WatchCache::following(),
             now,
             version: 0,
-            scheduler: Scheduler::new(now, TERM),
-            provisioner: Provisioner::new(now, TERM),
+            scheduler: Scheduler::new(now, Term(TERM)),
+            provisioner: Provisioner::new(now, Term(TERM)),
             config,
         };
         let holder = fixture.config.name.clone();
         let lease = BlockLease {
             zone: "a".into(),
             holder,
-            incarnation: 1,
-            token: 4,
-            term: TERM,
+            incarnation: Incarnation(1),
+            token: FencingToken(4),
+            term: Term(TERM),
         };
         fixture.put(block_lease_key(&"a.0".into()), encode(&lease));
         fixture.inventory(0..machines);
@@ -199,7 +199,7 @@
         config,
         policy,
         catalog,
-        term: TERM,
+        term: Term(TERM),
         version: 1,
         batch: 16,
         spare: true,
--- a/src/store/records.rs
+++ b/src/store/records.rs
@@ -10,8 +10,8 @@
 use serde::{Deserialize, Serialize};
 
 use crate::domain::{
-    Attempt, BlockId, CapacityType, ControllerName, InstanceTypeName, Job, JobId, JobOutcome,
-    MachineId, TaskId, Team, Zone,
+    Attempt, BlockId, CapacityType, ControllerName, FencingToken, Incarnation, InstanceTypeName,
+    Job, JobId, JobOutcome, MachineId, TaskId, Team, Term, Zone,
 };
 
 /// Everything of ours lies under this prefix, so that one watch sees all of it.
@@ -120,8 +120,8 @@
     #[serde(rename = "node")]
     pub controller: ControllerName,
     #[serde(rename = "boot")]
-    pub incarnation: u64,
-    pub term: u64,
+    pub incarnation: Incarnation,
+    pub term: Term,
 }
 
 /// The rising counter that tokens and terms are taken from.
@@ -134,7 +134,7 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Member {
     #[serde(rename = "boot")]
-    pub incarnation: u64,
+    pub incarnation: Incarnation,
     /// The newest format that it can read and write. The production version does not say.
     #[serde(default, skip_serializing_if = "is_production")]
     pub format: u32,
@@ -157,9 +157,9 @@
     pub zone: Zone,
     pub holder: ControllerName,
     #[serde(rename = "boot")]
-    pub incarnation: u64,
-    pub token: u64,
-    pub term: u64,
+    pub incarnation: Incarnation,
+    pub token: FencingToken,
+    pub term: Term,
 }
 
 /// The machines of a block. One value for each block, so that many rented or returned at once are few changes:
--- a/src/store/records/tests.rs
+++ b/src/store/records/tests.rs
@@ -1,3 +1,4 @@
+use crate::domain::Incarnation;
 use ciborium::cbor;
 
 use super::*;
@@ -212,12 +213,12 @@
     assert_eq!(
         old,
         Member {
-            incarnation: 7,
+            incarnation: Incarnation(7),
             format: 0
         }
     );
     let value = encode(&Member {
-        incarnation: 7,
+        incarnation: Incarnation(7),
         format: FORMAT,
     });
     assert_eq!(value, cbor!({"boot" => 7, "format" => 2}).expect("valid"));
--- a/src/upgrade/tests.rs
+++ b/src/upgrade/tests.rs
@@ -3,6 +3,7 @@
 use super::*;
 use crate::cloud::InstanceCatalog;
 use crate::config::tests::SETTINGS;
+use crate::domain::{Incarnation, Term};
 use crate::policy::Policy;
 use crate::store::Change;
 use crate::store::records::{Member, PARTS_FORMAT, encode};
@@ -28,7 +29,7 @@
             key: member_key(&controller.into()),
             version: self.version,
             value: Some(encode(&Member {
-                incarnation: 1,
+                incarnation: Incarnation(1),
                 format,
             })),
         });
@@ -40,7 +41,7 @@
             config: &self.config,
             policy: &policy,
             catalog: &InstanceCatalog::default(),
-            term: 1,
+            term: Term(1),
             version: 9,
             batch: 16,
             spare: true,
--- a/src/workers/block.rs
+++ b/src/workers/block.rs
@@ -11,7 +11,10 @@
 use super::worker::{Launch, ObservedTask, QUIET, Worker};
 use crate::cloud::InstanceCatalog;
 use crate::config::Config;
-use crate::domain::{Attempt, BlockId, JobId, JobKind, MachineId, Now, Resources, TaskId, since};
+use crate::domain::{
+    AgentEpoch, Attempt, BlockId, FencingToken, JobId, JobKind, MachineId, Now, Resources, TaskId,
+    since,
+};
 use crate::peer::{Assignment, BlockStatus, MachineStatus};
 use crate::placement::{self, Candidate};
 use crate::policy::Policy;
@@ -56,7 +59,7 @@
 #[derive(Debug)]
 pub(super) struct Block {
     pub(super) id: BlockId,
-    pub(super) token: u64,
+    pub(super) token: FencingToken,
     pub(super) lease_version: u64,
     /// All parts together, and the version of the last change to any of them.
     pub(super) placements: BlockPlacements,
@@ -139,11 +142,11 @@
 
     /// Takes a new token. Workers that have shown it execute nothing that was sent under the old one, so what
     /// was unsure about it is settled as each of them does.
-    pub(super) fn raise(&mut self, token: u64) {
+    pub(super) fn raise(&mut self, token: FencingToken) {
         if token == self.token {
             return;
         }
-        info!(block = %self.id, old = self.token, token, "new token");
+        info!(block = %self.id, old = %self.token, %token, "fencing token raised");
         self.token = token;
         self.blocked_since = None;
         self.fenced = false;
@@ -260,9 +263,9 @@
             // Late: its task list is as old as it is.
             return;
         }
-        if worker.agent_epoch != 0 && heartbeat.agent_epoch != worker.agent_epoch {
+        if worker.agent_epoch != AgentEpoch(0) && heartbeat.agent_epoch != worker.agent_epoch {
             // Commands for the old session are not executed any more.
-            info!(machine = %heartbeat.machine, agent_epoch = heartbeat.agent_epoch, "worker's lease had expired");
+            info!(machine = %heartbeat.machine, agent_epoch = %heartbeat.agent_epoch, "worker lease expired");
             worker.launches.clear();
             worker.tainted.clear();
             worker.launched.clear();
@@ -392,7 +395,7 @@
         now: Now,
         machine: &MachineId,
         cache: &WatchCache,
-        agent_epoch: Option<u64>,
+        agent_epoch: Option<AgentEpoch>,
         entitled: bool,
     ) -> WorkerCommands {
         let mut commands = Vec::new();
@@ -465,7 +468,7 @@
                     let wanted = wanted_alive(cache, task.job) && !self.stops.contains(&attempt);
                     let ended = self.ended.contains_key(&(machine.clone(), attempt));
                     if !there && !recent && wanted && !ended {
-                        debug!(%attempt, %machine, token, worker.agent_epoch, "launch");
+                        debug!(%attempt, %machine, %token, agent_epoch = %worker.agent_epoch, "task launch sent");
                         worker
                             .launches
                             .insert(attempt, Launch::Sent { at: now.monotonic });
--- a/src/workers/mod.rs
+++ b/src/workers/mod.rs
@@ -16,7 +16,7 @@
 
 use crate::cloud::InstanceCatalog;
 use crate::config::Config;
-use crate::domain::{Attempt, BlockId, MachineId, Now, TaskId, since};
+use crate::domain::{AgentEpoch, Attempt, BlockId, Incarnation, MachineId, Now, TaskId, since};
 use crate::peer::{AssignmentUpdate, BlockStatus};
 use crate::policy::Policy;
 use crate::store::cache::ChangedRecords;
@@ -92,7 +92,7 @@
         &mut self,
         now: Now,
         config: &Config,
-        incarnation: u64,
+        incarnation: Incarnation,
         cache: &WatchCache,
         changed: &ChangedRecords,
     ) {
@@ -118,7 +118,7 @@
         &mut self,
         now: Now,
         config: &Config,
-        incarnation: u64,
+        incarnation: Incarnation,
         cache: &WatchCache,
     ) {
         let ours = |block: &BlockId| {
@@ -129,7 +129,7 @@
         self.blocks.retain(|id, block| {
             let kept = ours(id).is_some();
             if !kept {
-                info!(block = %id, token = block.token, "block given up");
+                info!(block = %id, token = %block.token, "block lease lost");
             }
             kept
         });
@@ -162,7 +162,7 @@
                     }
                 }
                 None => {
-                    info!(block = %id, token = lease.value.token, tasks = recorded.placements.attempts().count(), "block taken up");
+                    info!(block = %id, token = %lease.value.token, tasks = recorded.placements.attempts().count(), "block lease acquired");
                     let mut block = Block::new(id.clone(), lease, recorded);
                     block.sync_machines(now, cache);
                     self.blocks.insert(id.clone(), block);
@@ -380,7 +380,7 @@
                 }
                 // Of a worker that has not reported yet only the address is known. If its session is another than the
                 // first, it says so, and executes nothing.
-                let agent_epoch = worker.agent_epoch.max(1);
+                let agent_epoch = worker.agent_epoch.max(AgentEpoch(1));
                 let mut body = block.commands(now, &machine, cache, Some(agent_epoch), entitled);
                 if !entitled {
                     body.commands.retain(|command| is_final(command, cache));
--- a/src/workers/tests.rs
+++ b/src/workers/tests.rs
@@ -10,7 +10,9 @@
 use crate::cloud::wire::InstanceTypeList;
 use crate::cloud::wire::tests::instance_type;
 use crate::config::tests::SETTINGS;
-use crate::domain::{Attempt, CapacityType, Job, JobId};
+use crate::domain::{
+    AgentEpoch, Attempt, CapacityType, FencingToken, Incarnation, Job, JobId, Term,
+};
 use crate::peer::Assignment;
 use crate::placement::tests::job;
 use crate::store::Change;
@@ -68,9 +70,9 @@
             }),
         );
         holder.put(job_key(JobId(1)), encode(&JobRecord::Open(job)));
-        holder.lease(4);
-        holder.heartbeat("m-1", 4, &[]);
-        holder.heartbeat("m-2", 4, &[]);
+        holder.lease(FencingToken(4));
+        holder.heartbeat("m-1", FencingToken(4), &[]);
+        holder.heartbeat("m-2", FencingToken(4), &[]);
         holder
     }
 
@@ -86,18 +88,23 @@
 
     fn sync(&mut self) {
         let changed = self.cache.take_changed();
-        self.fleet
-            .sync(self.now, &self.config, BOOT, &self.cache, &changed);
+        self.fleet.sync(
+            self.now,
+            &self.config,
+            Incarnation(BOOT),
+            &self.cache,
+            &changed,
+        );
     }
 
-    fn lease(&mut self, token: u64) {
+    fn lease(&mut self, token: FencingToken) {
         let holder = self.config.name.clone();
         let lease = BlockLease {
             zone: "a".into(),
             holder,
-            incarnation: BOOT,
+            incarnation: Incarnation(BOOT),
             token,
-            term: 3,
+            term: Term(3),
         };
         self.put(block_lease_key(&"a.0".into()), encode(&lease));
     }
@@ -105,7 +112,7 @@
     fn message(
         &mut self,
         machine: &str,
-        token: u64,
+        token: FencingToken,
         tasks: &[(u64, TaskState, Option<Cause>)],
     ) -> Heartbeat {
         self.seq += 1;
@@ -125,7 +132,7 @@
             type_name: "large".into(),
             zone: "a".into(),
             spot: false,
-            agent_epoch: 1,
+            agent_epoch: AgentEpoch(1),
             seq: self.seq,
             token,
             notice_s: None,
@@ -136,7 +143,7 @@
     fn heartbeat(
         &mut self,
         machine: &str,
-        token: u64,
+        token: FencingToken,
         tasks: &[(u64, TaskState, Option<Cause>)],
     ) -> HeartbeatResponse {
         let heartbeat = self.message(machine, token, tasks);
@@ -252,7 +259,7 @@
     holder.tick();
     let command = holder.commands().remove(0);
     let running = [(9, TaskState::Running, None)];
-    let shown = holder.message("m-1", 4, &running);
+    let shown = holder.message("m-1", FencingToken(4), &running);
     holder.answer(&command, CommandOutcome::Executed(shown));
     holder.now.monotonic += REVIEW_EVERY;
     holder.tick();
@@ -282,7 +289,11 @@
     };
     assert_eq!(holder.unentitled(), [stop]);
     // The heartbeat is not answered, but what it says counts.
-    let gone = holder.message("m-1", 4, &[(9, TaskState::Exited, Some(Cause::Stopped))]);
+    let gone = holder.message(
+        "m-1",
+        FencingToken(4),
+        &[(9, TaskState::Exited, Some(Cause::Stopped))],
+    );
     let answer = holder
         .fleet
         .heartbeat(holder.now, gone, &holder.config, &holder.cache, false);
@@ -308,7 +319,7 @@
     holder.write();
     let command = holder.commands().remove(0);
     holder.cancel();
-    let shown = holder.message("m-1", 4, &[(9, TaskState::Fetching, None)]);
+    let shown = holder.message("m-1", FencingToken(4), &[(9, TaskState::Fetching, None)]);
     holder.answer(&command, CommandOutcome::Executed(shown));
     let commands: Vec<WorkerCommand> = holder
         .commands()
@@ -326,14 +337,14 @@
 fn a_heartbeat_that_is_older_than_the_last_proves_nothing() {
     let mut holder = Holder::new(job(1, 1.0));
     holder.assignments(9, "m-1", 1);
-    let before = holder.message("m-1", 4, &[]);
+    let before = holder.message("m-1", FencingToken(4), &[]);
     holder.write();
     let command = holder.commands().remove(0);
-    let shown = holder.message("m-1", 4, &[(9, TaskState::Running, None)]);
+    let shown = holder.message("m-1", FencingToken(4), &[(9, TaskState::Running, None)]);
     holder.answer(&command, CommandOutcome::Executed(shown));
     holder.cancel();
-    let mut of_another_session = holder.message("m-1", 4, &[]);
-    of_another_session.agent_epoch = 0;
+    let mut of_another_session = holder.message("m-1", FencingToken(4), &[]);
+    of_another_session.agent_epoch = AgentEpoch(0);
     let attempt = Attempt {
         task: TaskId {
             job: JobId(1),
@@ -351,7 +362,7 @@
                 .proven_gone(&"a.0".into(), &"m-1".into(), &attempt)
         );
     }
-    let gone = holder.message("m-1", 4, &[]);
+    let gone = holder.message("m-1", FencingToken(4), &[]);
     holder
         .fleet
         .heartbeat(holder.now, gone, &holder.config, &holder.cache, true);
@@ -419,10 +430,15 @@
     let mut holder = Holder::new(job(1, 1.0));
     holder.assignments(9, "m-1", 1);
     holder.write();
-    holder.lease(6);
+    holder.lease(FencingToken(6));
     let raising = holder.commands();
-    assert!(raising.iter().all(|command| command.body.token == 6) && launches(&raising) == 0);
-    let shown = holder.message("m-1", 6, &[]);
+    assert!(
+        raising
+            .iter()
+            .all(|command| command.body.token == FencingToken(6))
+            && launches(&raising) == 0
+    );
+    let shown = holder.message("m-1", FencingToken(6), &[]);
     let to_first = raising
         .iter()
         .find(|command| &*command.machine.0 == "m-1")
@@ -441,7 +457,7 @@
     let command = holder.commands().remove(0);
     holder.answer(&command, CommandOutcome::Unknown);
     let failed = [(9, TaskState::Exited, Some(Cause::Error))];
-    holder.heartbeat("m-1", 4, &failed);
+    holder.heartbeat("m-1", FencingToken(4), &failed);
     assert_eq!(holder.write(), []);
     let reaped = |answer: HeartbeatResponse| match answer {
         HeartbeatResponse::WorkerCommands(commands) => commands
@@ -451,7 +467,7 @@
         other => panic!("{other:?}"),
     };
     assert!(
-        !reaped(holder.heartbeat("m-1", 4, &failed)),
+        !reaped(holder.heartbeat("m-1", FencingToken(4), &failed)),
         "the lost launch could start it again"
     );
     holder.assignments(10, "m-1", 2);
@@ -465,8 +481,8 @@
     holder.tick();
     let policy = Policy::defaults(&holder.config);
     assert!(holder.fleet.status(holder.now, &policy)[0].wants_new_token);
-    holder.lease(6);
-    assert!(reaped(holder.heartbeat("m-1", 6, &failed)));
+    holder.lease(FencingToken(6));
+    assert!(reaped(holder.heartbeat("m-1", FencingToken(6), &failed)));
 }
 
 /// Found on the bench: blocks that the leader kept sending work to went first each time, and the ends of another
@@ -491,12 +507,12 @@
     let lease = BlockLease {
         zone: "a".into(),
         holder: holder.config.name.clone(),
-        incarnation: BOOT,
-        token: 5,
-        term: 3,
+        incarnation: Incarnation(BOOT),
+        token: FencingToken(5),
+        term: Term(3),
     };
     holder.put(block_lease_key(&"a.1".into()), encode(&lease));
-    holder.heartbeat("m-3", 5, &[]);
+    holder.heartbeat("m-3", FencingToken(5), &[]);
     // Each round brings new work for both, but only one write can be sent.
     let mut written: HashMap<BlockId, usize> = HashMap::new();
     for round in 0..8 {
@@ -563,13 +579,13 @@
     assert_eq!(usable(&mut holder), Some((true, false)));
     let command = holder.commands().remove(0);
     holder.answer(&command, CommandOutcome::Unknown);
-    holder.heartbeat("m-1", 4, &[]);
+    holder.heartbeat("m-1", FencingToken(4), &[]);
     assert_eq!(usable(&mut holder), Some((false, false)));
     let mut asked = 0;
     for _ in 0..20 {
         holder.now.monotonic += Duration::from_secs(1);
-        holder.heartbeat("m-1", 4, &[]);
-        holder.heartbeat("m-2", 4, &[]);
+        holder.heartbeat("m-1", FencingToken(4), &[]);
+        holder.heartbeat("m-2", FencingToken(4), &[]);
         holder.tick();
         for command in holder.commands() {
             asked += 1;
@@ -579,7 +595,7 @@
     assert!(asked > 2, "asked {asked} times");
     assert_eq!(usable(&mut holder), Some((false, true)));
     // An answer settles it, and all is as before.
-    let shown = holder.message("m-1", 4, &[]);
+    let shown = holder.message("m-1", FencingToken(4), &[]);
     holder.answer(&command, CommandOutcome::Executed(shown));
     assert_eq!(usable(&mut holder), Some((true, false)));
 }
@@ -592,10 +608,10 @@
     holder.assignments(9, "m-1", 1);
     holder.write();
     let command = holder.commands().remove(0);
-    let running = holder.message("m-1", 4, &[(9, TaskState::Running, None)]);
+    let running = holder.message("m-1", FencingToken(4), &[(9, TaskState::Running, None)]);
     holder.answer(&command, CommandOutcome::Executed(running));
     let stopped = [(9, TaskState::Exited, Some(Cause::Stopped))];
-    holder.heartbeat("m-1", 4, &stopped);
+    holder.heartbeat("m-1", FencingToken(4), &stopped);
     assert_eq!(holder.write(), []);
     let reaped = |answer: HeartbeatResponse| match answer {
         HeartbeatResponse::WorkerCommands(commands) => commands
@@ -604,7 +620,7 @@
             .any(|command| matches!(command, WorkerCommand::Reap { .. })),
         other => panic!("{other:?}"),
     };
-    assert!(!reaped(holder.heartbeat("m-1", 4, &stopped)));
+    assert!(!reaped(holder.heartbeat("m-1", FencingToken(4), &stopped)));
     holder.assignments(10, "m-1", 2);
     assert_eq!(
         holder.write(),
@@ -619,20 +635,20 @@
         !holder.fleet.status(holder.now, &policy)[0].wants_new_token,
         "nothing waits for it"
     );
-    holder.lease(6);
-    assert!(reaped(holder.heartbeat("m-1", 6, &stopped)));
+    holder.lease(FencingToken(6));
+    assert!(reaped(holder.heartbeat("m-1", FencingToken(6), &stopped)));
     // What is done ends again at once, so it may be forgotten.
     let command = holder
         .commands()
         .into_iter()
         .find(|command| &*command.machine.0 == "m-2")
         .expect("raised");
-    let running = holder.message("m-2", 6, &[(10, TaskState::Running, None)]);
+    let running = holder.message("m-2", FencingToken(6), &[(10, TaskState::Running, None)]);
     holder.answer(&command, CommandOutcome::Executed(running));
     let done = [(10, TaskState::Exited, Some(Cause::Done))];
-    holder.heartbeat("m-2", 6, &done);
+    holder.heartbeat("m-2", FencingToken(6), &done);
     holder.write();
-    assert!(reaped(holder.heartbeat("m-2", 6, &done)));
+    assert!(reaped(holder.heartbeat("m-2", FencingToken(6), &done)));
 }
 
 /// Else every task that ever ran on a machine would be kept in mind there, and be gone through for each placement.
@@ -648,14 +664,18 @@
     holder.write();
     let command = holder.commands().remove(0);
     // Sent before the launch came.
-    holder.heartbeat("m-1", 4, &[]);
+    holder.heartbeat("m-1", FencingToken(4), &[]);
     assert_eq!(remembered(&holder), 1);
-    let running = holder.message("m-1", 4, &[(9, TaskState::Running, None)]);
+    let running = holder.message("m-1", FencingToken(4), &[(9, TaskState::Running, None)]);
     holder.answer(&command, CommandOutcome::Executed(running));
-    holder.heartbeat("m-1", 4, &[(9, TaskState::Exited, Some(Cause::Done))]);
+    holder.heartbeat(
+        "m-1",
+        FencingToken(4),
+        &[(9, TaskState::Exited, Some(Cause::Done))],
+    );
     holder.write();
     assert_eq!(remembered(&holder), 1, "not reaped yet");
-    holder.heartbeat("m-1", 4, &[]);
+    holder.heartbeat("m-1", FencingToken(4), &[]);
     assert_eq!(remembered(&holder), 0);
 }
 
@@ -666,7 +686,7 @@
     let mut holder = Holder::new(job(1, 1.0));
     let policy = Policy::defaults(&holder.config);
     holder.put(block_lease_key(&"a.0".into()), ciborium::Value::Null);
-    holder.lease(6);
+    holder.lease(FencingToken(6));
     assert_eq!(holder.commands(), [], "nothing is known of them");
     holder.now.monotonic += policy.unheard_after + Duration::from_secs(1);
     assert!(
@@ -688,14 +708,17 @@
             command.body.agent_epoch,
             command.body.commands.len()
         ),
-        (6, Some(1), 0)
+        (FencingToken(6), Some(AgentEpoch(1)), 0)
     );
     // Its session is another: it says so, and is asked again.
-    let mut shown = holder.message("m-1", 4, &[]);
-    shown.agent_epoch = 3;
+    let mut shown = holder.message("m-1", FencingToken(4), &[]);
+    shown.agent_epoch = AgentEpoch(3);
     holder.answer(&command, CommandOutcome::Rejected(shown));
     let command = holder.commands().remove(0);
-    assert_eq!((command.body.token, command.body.agent_epoch), (6, Some(3)));
+    assert_eq!(
+        (command.body.token, command.body.agent_epoch),
+        (FencingToken(6), Some(AgentEpoch(3)))
+    );
 }
 
 /// Found on the bench: a controller that had stood still took all its workers for silent when it went on, and
@@ -746,7 +769,7 @@
         }),
     );
     for name in &names {
-        holder.heartbeat(name, 3, &[]);
+        holder.heartbeat(name, FencingToken(3), &[]);
     }
     let first = holder.commands();
     assert_eq!((first.len(), holder.commands().len()), (most, 0));
@@ -773,19 +796,19 @@
     holder.assignments(9, "m-1", 1);
     holder.write();
     let command = holder.commands().remove(0);
-    holder.heartbeat("m-1", 4, &[]);
+    holder.heartbeat("m-1", FencingToken(4), &[]);
     assert_eq!(holder.write().len(), 1, "its launch is on its way");
     holder.put(
         job_key(JobId(1)),
         encode(&JobRecord::Cancelled(job(1, 1.0), 0)),
     );
-    holder.heartbeat("m-1", 4, &[]);
+    holder.heartbeat("m-1", FencingToken(4), &[]);
     assert_eq!(
         holder.write().len(),
         1,
         "cancelled, but the launch may still come"
     );
-    let empty = holder.message("m-1", 4, &[]);
+    let empty = holder.message("m-1", FencingToken(4), &[]);
     holder.answer(&command, CommandOutcome::Rejected(empty));
     assert_eq!(holder.write(), [], "refused: it never started");
 }
@@ -821,7 +844,7 @@
             (TaskState::Running, None),
             (TaskState::Exited, Some(Cause::Error)),
         ] {
-            let mut heartbeat = holder.message("m-1", 4, &[(number, state, cause)]);
+            let mut heartbeat = holder.message("m-1", FencingToken(4), &[(number, state, cause)]);
             heartbeat.tasks[0].task = attempt.task;
             holder
                 .fleet
@@ -837,10 +860,10 @@
 fn a_heartbeat_with_a_higher_token_or_an_old_block_lease_is_not_answered_with_commands() {
     let mut holder = Holder::new(job(1, 1.0));
     assert_eq!(
-        holder.heartbeat("m-1", 5, &[]),
+        holder.heartbeat("m-1", FencingToken(5), &[]),
         HeartbeatResponse::Elsewhere(None)
     );
-    let heartbeat = holder.message("m-1", 4, &[]);
+    let heartbeat = holder.message("m-1", FencingToken(4), &[]);
     let answer =
         holder
             .fleet
@@ -857,7 +880,11 @@
     });
     holder.assignments(20, "m-1", 1);
     assert_eq!(holder.write().len(), 1);
-    holder.heartbeat("m-1", 4, &[(20, TaskState::Exited, Some(Cause::Done))]);
+    holder.heartbeat(
+        "m-1",
+        FencingToken(4),
+        &[(20, TaskState::Exited, Some(Cause::Done))],
+    );
     let scarce = Writes {
         plenty: false,
         ..PLENTY
@@ -887,7 +914,11 @@
         });
         holder.assignments(20, "m-1", 1);
         assert_eq!(holder.write().len(), 1);
-        holder.heartbeat("m-1", 4, &[(20, TaskState::Exited, Some(Cause::Done))]);
+        holder.heartbeat(
+            "m-1",
+            FencingToken(4),
+            &[(20, TaskState::Exited, Some(Cause::Done))],
+        );
         if starts {
             holder.assignments(21, "m-2", 2);
         }
--- a/src/workers/wire.rs
+++ b/src/workers/wire.rs
@@ -2,7 +2,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::domain::{Amount, InstanceTypeName, MachineId, TaskId, Zone};
+use crate::domain::{AgentEpoch, Amount, FencingToken, InstanceTypeName, MachineId, TaskId, Zone};
 
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Heartbeat {
@@ -17,11 +17,11 @@
     #[serde(rename = "loaner")]
     pub spot: bool,
     #[serde(rename = "shift")]
-    pub agent_epoch: u64,
+    pub agent_epoch: AgentEpoch,
     #[serde(rename = "folio")]
     pub seq: u64,
     #[serde(rename = "seal")]
-    pub token: u64,
+    pub token: FencingToken,
     #[serde(rename = "recallS", default)]
     pub notice_s: Option<Amount>,
     #[serde(rename = "entries")]
@@ -86,10 +86,10 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct WorkerCommands {
     #[serde(rename = "seal")]
-    pub token: u64,
+    pub token: FencingToken,
     /// Only in direct commands.
     #[serde(rename = "shift", skip_serializing_if = "Option::is_none")]
-    pub agent_epoch: Option<u64>,
+    pub agent_epoch: Option<AgentEpoch>,
     #[serde(rename = "orders")]
     pub commands: Vec<WorkerCommand>,
 }
--- a/src/workers/wire/tests.rs
+++ b/src/workers/wire/tests.rs
@@ -1,3 +1,4 @@
+use crate::domain::{AgentEpoch, FencingToken};
 use ciborium::cbor;
 
 use super::*;
@@ -32,8 +33,8 @@
 fn orders_have_the_form_of_the_protocol() {
     let task = "j-000377/1".parse().expect("valid");
     let commands = WorkerCommands {
-        token: 41,
-        agent_epoch: Some(1),
+        token: FencingToken(41),
+        agent_epoch: Some(AgentEpoch(1)),
         commands: vec![WorkerCommand::Stop {
             task,
             number: 1,
--- a/src/workers/worker.rs
+++ b/src/workers/worker.rs
@@ -4,7 +4,7 @@
 use std::time::{Duration, Instant};
 
 use super::wire::{Cause, TaskState};
-use crate::domain::{Attempt, Image, JobId, Now, TaskId, since};
+use crate::domain::{AgentEpoch, Attempt, FencingToken, Image, JobId, Now, TaskId, since};
 use crate::peer::{JobFailures, MachineStatus};
 use crate::policy::Policy;
 
@@ -36,9 +36,9 @@
 #[derive(Debug)]
 pub(super) struct Worker {
     pub(super) addr: Option<String>,
-    pub(super) agent_epoch: u64,
+    pub(super) agent_epoch: AgentEpoch,
     pub(super) seq: u64,
-    pub(super) token: u64,
+    pub(super) token: FencingToken,
     /// Steady time of the last heartbeat that reached us, or of the block lease if there was none yet. Answers don't count.
     pub(super) heard: Instant,
     pub(super) reported: bool,
@@ -75,9 +75,9 @@
     pub(super) fn new(now: Now) -> Self {
         Worker {
             addr: None,
-            agent_epoch: 0,
+            agent_epoch: AgentEpoch(0),
             seq: 0,
-            token: 0,
+            token: FencingToken(0),
             heard: now.monotonic,
             reported: false,
             notice: false,
@@ -144,7 +144,7 @@
     }
 
     /// Whether it has shown the token, reports, hears us, and is not being taken away.
-    pub(super) fn usable(&self, now: Now, token: u64) -> bool {
+    pub(super) fn usable(&self, now: Now, token: FencingToken) -> bool {
         let reachable = self.token >= token && self.deaf.is_none();
         self.reported && reachable && !self.notice && since(now, self.heard) < QUIET
     }
--- a/tests/loopback/cloud.rs
+++ b/tests/loopback/cloud.rs
@@ -7,7 +7,7 @@
 
 use ciborium::{Value, cbor};
 use dappleshore::cloud::wire::{MachineNames, ScaleOutRequest};
-use dappleshore::domain::{CapacityType, Resources};
+use dappleshore::domain::{AgentEpoch, CapacityType, FencingToken, Resources};
 use dappleshore::http::read;
 use warp::Filter;
 use warp::reply::Response;
@@ -155,9 +155,9 @@
         mute_until: Duration::ZERO,
         notice: None,
         faulty: false,
-        agent_epoch: 1,
+        agent_epoch: AgentEpoch(1),
         seq: 0,
-        token: 0,
+        token: FencingToken(0),
         lease_from: now + BOOT,
         tasks: BTreeMap::new(),
         images: BTreeSet::new(),
--- a/tests/loopback/workers.rs
+++ b/tests/loopback/workers.rs
@@ -5,7 +5,7 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-use dappleshore::domain::TaskId;
+use dappleshore::domain::{AgentEpoch, TaskId};
 use dappleshore::http::{Client, Request, read, write};
 use dappleshore::workers::wire::{Heartbeat, Redirect, WorkerCommands};
 use tokio::net::TcpListener;
@@ -175,7 +175,7 @@
 fn answered(
     fleet: &mut Fleet,
     name: &str,
-    agent_epoch: u64,
+    agent_epoch: AgentEpoch,
     sent: Duration,
     commands: Option<WorkerCommands>,
 ) {
--- a/tests/simulation/machine.rs
+++ b/tests/simulation/machine.rs
@@ -4,7 +4,8 @@
 use std::time::Duration;
 
 use dappleshore::domain::{
-    Amount, CapacityType, InstanceTypeName, Job, JobId, JobKind, Resources, TaskId, Zone,
+    AgentEpoch, Amount, CapacityType, FencingToken, InstanceTypeName, Job, JobId, JobKind,
+    Resources, TaskId, Zone,
 };
 use dappleshore::workers::wire::{
     Cause, Heartbeat, TaskState, TaskStatus, WorkerCommand, WorkerCommands,
@@ -38,9 +39,9 @@
     pub mute_until: Duration,
     pub notice: Option<Duration>,
     pub faulty: bool,
-    pub agent_epoch: u64,
+    pub agent_epoch: AgentEpoch,
     pub seq: u64,
-    pub token: u64,
+    pub token: FencingToken,
     /// When the last answered heartbeat was sent, or the session began.
     pub lease_from: Duration,
     pub tasks: BTreeMap<TaskId, Task>,
@@ -284,7 +285,7 @@
 
     /// Off and on again: its tasks are gone and it goes on with the next session.
     pub fn restart(&mut self, now: Duration) -> Vec<MachineEvent> {
-        self.agent_epoch += 1;
+        self.agent_epoch.0 += 1;
         self.lease_from = now;
         self.heartbeat = None;
         self.changed = true;
--- a/tests/simulation/world.rs
+++ b/tests/simulation/world.rs
@@ -12,7 +12,8 @@
 use dappleshore::config::{Config, StateLimits, TeamLimits};
 use dappleshore::controller::{Controller, Effect, Event, StoreTag};
 use dappleshore::domain::{
-    Amount, CapacityType, Job, JobId, JobKind, Now, Priority, Resources, TaskId, Zone,
+    AgentEpoch, Amount, CapacityType, FencingToken, Incarnation, Job, JobId, JobKind, Now,
+    Priority, Resources, TaskId, Zone,
 };
 use dappleshore::features::Features;
 use dappleshore::job_api::Response;
@@ -126,7 +127,7 @@
 enum WorldEvent {
     Tick {
         controller: usize,
-        incarnation: u64,
+        incarnation: Incarnation,
     },
     Restart {
         controller: usize,
@@ -134,7 +135,7 @@
     Step,
     Store {
         controller: usize,
-        incarnation: u64,
+        incarnation: Incarnation,
         tag: StoreTag,
         sent: Instant,
         op: StoreRequest,
@@ -145,7 +146,7 @@
     },
     Deliver {
         controller: usize,
-        incarnation: u64,
+        incarnation: Incarnation,
         event: Box<Event>,
     },
     Peer {
@@ -154,13 +155,13 @@
     },
     Command {
         controller: usize,
-        incarnation: u64,
+        incarnation: Incarnation,
         command: DirectCommand,
         answer: bool,
     },
     Cloud {
         controller: usize,
-        incarnation: u64,
+        incarnation: Incarnation,
         tag: CloudTag,
         call: CloudRequest,
         answer: bool,
@@ -182,12 +183,12 @@
     /// What a controller had decided when it stood still, done now that it goes on.
     Resume {
         controller: usize,
-        incarnation: u64,
+        incarnation: Incarnation,
         effects: Vec<Effect>,
     },
     Answered {
         machine: String,
-        agent_epoch: u64,
+        agent_epoch: AgentEpoch,
         seq: u64,
         sent: Duration,
         controller: usize,
@@ -261,7 +262,7 @@
 
 struct Slot {
     controller: Option<Controller>,
-    incarnation: u64,
+    incarnation: Incarnation,
     /// The newest format that its version knows.
     format: u32,
     next_request: u64,
@@ -288,7 +289,7 @@
     },
     Worker {
         machine: String,
-        agent_epoch: u64,
+        agent_epoch: AgentEpoch,
         seq: u64,
         sent: Duration,
     },
@@ -315,7 +316,7 @@
 
 struct Watcher {
     controller: usize,
-    incarnation: u64,
+    incarnation: Incarnation,
     tag: StoreTag,
     sent: Instant,
     prefix: String,
@@ -440,7 +441,7 @@
         let slots = (0..CONTROLLERS)
             .map(|_| Slot {
                 controller: None,
-                incarnation: 0,
+                incarnation: Incarnation(0),
                 format: FORMAT,
                 next_request: 0,
                 waiting: HashMap::new(),
@@ -763,7 +764,7 @@
         }
     }
 
-    fn alive(&self, controller: usize, incarnation: u64) -> bool {
+    fn alive(&self, controller: usize, incarnation: Incarnation) -> bool {
         self.slots[controller].incarnation == incarnation
             && self.slots[controller].controller.is_some()
     }
@@ -809,7 +810,7 @@
         Some(self.now + Duration::from_secs_f64(self.rng.random_range(1.0..late)))
     }
 
-    fn perform(&mut self, controller: usize, incarnation: u64, effect: Effect) {
+    fn perform(&mut self, controller: usize, incarnation: Incarnation, effect: Effect) {
         match effect {
             Effect::Store { tag, op } => {
                 let sent = self.clock(controller).monotonic;
@@ -1044,7 +1045,7 @@
         }
     }
 
-    fn unanswered(&mut self, controller: usize, incarnation: u64, command: &DirectCommand) {
+    fn unanswered(&mut self, controller: usize, incarnation: Incarnation, command: &DirectCommand) {
         let event = Event::Commanded {
             block: command.block.clone(),
             machine: command.machine.clone(),
@@ -1264,7 +1265,7 @@
         let seed = self.rng.random();
         let now = self.clock(controller);
         let slot = &mut self.slots[controller];
-        slot.incarnation += 1;
+        slot.incarnation.0 += 1;
         slot.frozen_until = Duration::ZERO;
         slot.commands = 0;
         slot.waiting.clear();
@@ -1301,7 +1302,7 @@
     fn store(
         &mut self,
         controller: usize,
-        incarnation: u64,
+        incarnation: Incarnation,
         tag: StoreTag,
         sent: Instant,
         op: StoreRequest,
@@ -1478,7 +1479,7 @@
     fn command(
         &mut self,
         controller: usize,
-        incarnation: u64,
+        incarnation: Incarnation,
         command: DirectCommand,
         answer: bool,
     ) {
@@ -1708,9 +1709,9 @@
             mute_until: Duration::ZERO,
             notice: None,
             faulty,
-            agent_epoch: 1,
+            agent_epoch: AgentEpoch(1),
             seq: 0,
-            token: 0,
+            token: FencingToken(0),
             lease_from: self.now + boot,
             tasks: BTreeMap::new(),
             images: BTreeSet::new(),
@@ -1860,7 +1861,7 @@
     fn answered(
         &mut self,
         id: &str,
-        agent_epoch: u64,
+        agent_epoch: AgentEpoch,
         seq: u64,
         sent: Duration,
         controller: usize,
