--- a/tests/simulation/world.rs
+++ b/tests/simulation/world.rs
@@ -782,7 +782,10 @@
         };
         let at = self.now.as_secs_f64();
         self.events_handled += 1;
-        tracing::info_span!("node", node, at).in_scope(|| machine.handle(now, event))
+        let mut effects =
+            tracing::info_span!("node", node, at).in_scope(|| machine.handle(now, event));
+        sort_hashed(&mut effects);
+        effects
     }
 
     /// When a copy of a message is carried out again, if one is.
@@ -2485,6 +2488,24 @@
     }
 }
 
+/// Controllers list stray machines, and the addresses of workers, in the order of a hash map, which differs from process
+/// to process. Whoever reads these lists takes them for sets, so that they are put in order here.
+fn sort_hashed(effects: &mut [Effect]) {
+    for effect in effects {
+        match effect {
+            Effect::Peer {
+                message: Message::Status(status),
+                ..
+            } => status.strays.sort(),
+            Effect::Peer {
+                message: Message::Work(works),
+                ..
+            } => works.iter_mut().for_each(|work| work.addresses.sort()),
+            _ => {}
+        }
+    }
+}
+
 /// An array that may go anywhere.
 pub fn array(class: &str, team: &str, priority: Priority) -> Job {
     Job {
