--- /dev/null
+++ b/tests/simulation/digest.rs
@@ -0,0 +1,336 @@
+//! A digest of everything that controllers decide in a simulated world. A change that is not meant to alter decisions,
+//! such as a renaming or a move, must leave it as it was.
+//!
+//! Contents are hashed in the form in which they are sent, never by the names of types or fields in the program.
+
+use std::time::{Duration, Instant};
+
+use dappleshore::domain::{Job, Kind, Priority, Room};
+use dappleshore::features::Features;
+use dappleshore::fleet::Answer;
+use dappleshore::fleet::wire::Redirect;
+use dappleshore::http::write;
+use dappleshore::intake::Response;
+use dappleshore::node::Effect;
+use dappleshore::store::records::FORMAT;
+use dappleshore::{provisioning, store};
+use dappleshore_drain::{DrainSettings, Limit, Scope};
+
+use super::gangs::submit_gangs;
+use super::machine::LASTING;
+use super::rollout::NEXT;
+use super::world::{Faults, Size, World, array};
+
+/// A 64-bit FNV-1a hash of all effects that controllers returned, in order.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub struct Digest {
+    hash: u64,
+    effects: u64,
+}
+
+impl Digest {
+    /// The digest of no effects: the offset basis of FNV-1a.
+    pub fn new() -> Self {
+        Digest {
+            hash: 0xcbf2_9ce4_8422_2325,
+            effects: 0,
+        }
+    }
+
+    /// Takes in bytes, and nothing to tell where they end.
+    fn bytes(&mut self, bytes: &[u8]) {
+        for byte in bytes {
+            self.hash = (self.hash ^ u64::from(*byte)).wrapping_mul(0x0000_0100_0000_01b3);
+        }
+    }
+
+    /// Takes in a number.
+    fn number(&mut self, number: u64) {
+        self.bytes(&number.to_le_bytes());
+    }
+
+    /// Takes in a duration, to the nanosecond.
+    fn duration(&mut self, duration: Duration) {
+        self.number(u64::try_from(duration.as_nanos()).expect("centuries"));
+    }
+
+    /// Takes in bytes after their length, so that neighbours can't run into each other.
+    fn field(&mut self, bytes: &[u8]) {
+        self.number(bytes.len() as u64);
+        self.bytes(bytes);
+    }
+
+    /// Takes in a request as it is sent.
+    fn request(&mut self, request: &dappleshore::http::Request) {
+        self.number(u64::from(request.post));
+        self.field(request.path.as_bytes());
+        self.field(&request.body);
+    }
+
+    /// Takes in the end of an authority, by the controllers' steady clock.
+    fn until(&mut self, base: Instant, until: Option<Instant>) {
+        self.number(u64::from(until.is_some()));
+        if let Some(until) = until {
+            self.duration(until.saturating_duration_since(base));
+        }
+    }
+
+    /// Takes in one effect. All that depends on the names in the program is here.
+    ///
+    /// `now`: simulated time. `base`: the beginning of the world by the controllers' steady clock.
+    pub fn effect(&mut self, node: usize, now: Duration, base: Instant, effect: &Effect) {
+        self.effects += 1;
+        self.number(node as u64);
+        self.duration(now);
+        match effect {
+            Effect::Store { tag: _, op } => {
+                self.number(1);
+                self.request(&store::wire::request(op));
+            }
+            Effect::Command { command, until } => {
+                self.number(2);
+                self.field(command.block.0.as_bytes());
+                self.field(command.machine.0.as_bytes());
+                self.field(command.addr.as_bytes());
+                self.field(&write(&command.body));
+                self.until(base, *until);
+            }
+            Effect::Call {
+                tag: _,
+                call,
+                until,
+            } => {
+                self.number(3);
+                self.request(&provisioning::wire::request(call));
+                self.until(base, *until);
+            }
+            Effect::Peer { to, message } => {
+                self.number(4);
+                self.field(to.0.as_bytes());
+                self.field(&write(message));
+            }
+            Effect::Answer { id, response } => {
+                self.number(5);
+                self.number(*id);
+                match response {
+                    Response::State { status, state } => {
+                        self.number(u64::from(*status));
+                        self.field(&write(state));
+                    }
+                    Response::Problem {
+                        status,
+                        problem,
+                        retry_after,
+                    } => {
+                        self.number(u64::from(*status));
+                        self.field(problem.as_bytes());
+                        self.number(u64::from(retry_after.is_some()));
+                        self.duration(retry_after.unwrap_or_default());
+                    }
+                }
+            }
+            Effect::AnswerWorker { id, answer, until } => {
+                self.number(6);
+                self.number(*id);
+                match answer {
+                    Answer::Orders(orders) => {
+                        self.number(200);
+                        self.field(&write(orders));
+                    }
+                    Answer::Elsewhere(holder) => {
+                        self.number(421);
+                        let holder = holder.clone();
+                        self.field(&write(&Redirect { holder }));
+                    }
+                    Answer::Unavailable => self.number(503),
+                }
+                self.until(base, Some(*until));
+            }
+            Effect::AnswerHealth { id, healthy } => {
+                self.number(7);
+                self.number(*id);
+                self.number(u64::from(*healthy));
+            }
+            Effect::AnswerOperator { id, reply } => {
+                self.number(8);
+                self.number(*id);
+                self.field(&write(reply));
+            }
+            Effect::Unsupported { format } => {
+                self.number(9);
+                self.number(u64::from(*format));
+            }
+        }
+        // Two versions of the program can be compared by their logs: where they part is the first difference.
+        tracing::trace!(target: "digest", node, ?now, ?effect, "{:016x}", self.hash);
+    }
+}
+
+/// Until when faults happen in these worlds.
+const CALM_FROM: Duration = Duration::from_secs(120);
+/// Until when they are played.
+const END: Duration = Duration::from_secs(240);
+
+/// A small world.
+fn world(seed: u64, faults: Faults) -> World {
+    super::log_if_asked();
+    World::new(seed, faults, CALM_FROM, Size::SMALL)
+}
+
+/// No faults.
+fn quiet() -> World {
+    world(901, Faults::default())
+}
+
+/// All faults.
+fn troubled() -> World {
+    world(902, Faults::all())
+}
+
+/// An upgrade from the production version under all faults, and gangs once it is through.
+fn upgraded() -> World {
+    super::log_if_asked();
+    let mut world = World::upgrading(903, Faults::all(), CALM_FROM, Size::SMALL, NEXT);
+    for (node, at) in [(1, 20), (2, 24), (0, 28)] {
+        world.plan(Duration::from_secs(at), move |world| {
+            world.upgrade(node, Duration::from_millis(900));
+        });
+    }
+    submit_gangs(&mut world, 55, 6);
+    world
+}
+
+/// A zone is drained while each team has a service there, and the leader ends meanwhile.
+fn drained() -> World {
+    let mut world = world(904, Faults::default());
+    world.preemption = false;
+    world.unbind_jobs();
+    world.features = Features {
+        drain: DrainSettings {
+            enabled: true,
+            budget: Limit::Count(2),
+            ..DrainSettings::default()
+        },
+    };
+    world.plan(Duration::from_secs(2), |world| {
+        for team in ["red", "blue"] {
+            let service = Job {
+                kind: Kind::Service,
+                tasks: 8,
+                spread: true,
+                need: Room {
+                    cpus: 2.0,
+                    gpus: 0.0,
+                    memory_gb: 1.0,
+                },
+                spot: false,
+                ..array(LASTING, team, Priority::Production)
+            };
+            world.add_job(service, None);
+        }
+    });
+    let drain_at = Duration::from_secs(50);
+    world.watch_drains(drain_at);
+    for (id, zone) in [("first", "a"), ("second", "b")] {
+        world.plan(drain_at, move |world| {
+            world.drain(id, Scope::Zone(zone.into()));
+        });
+    }
+    world.plan(Duration::from_secs(70), |world| {
+        let leader = world.leader().expect("led by now");
+        world.end_controller(leader, Duration::from_secs(5));
+    });
+    world
+}
+
+/// Gangs while machines and controllers fail.
+fn with_gangs() -> World {
+    let faults = Faults {
+        machine_dies: 12.0,
+        machine_hangs: 10.0,
+        spot_taken: 12.0,
+        crash: 20.0,
+        copies: 0.02,
+        ..Faults::default()
+    };
+    let mut world = world(905, faults);
+    submit_gangs(&mut world, 15, 10);
+    world
+}
+
+/// Plays a world to its end and returns its digest. It must have done enough for that to show something.
+fn play(name: &str, mut world: World) -> Digest {
+    world.digest = Some(Digest::new());
+    world.run_until(END);
+    assert!(
+        world.rules.broken.is_empty(),
+        "{name}: {:?}",
+        world.rules.broken
+    );
+    let (started, rented) = (world.rules.started, world.rented);
+    let (gangs, evictions) = (world.gangs().started, world.operators.evictions.len());
+    let (format, token) = (world.format(), world.last_token());
+    println!(
+        "{name}: {started} tasks and {gangs} gangs started, {rented} machines rented, {evictions} evictions, format \
+         {format}, last token {token}"
+    );
+    assert!(
+        started > 150 && rented > 20 && format == FORMAT,
+        "{name}: {started} tasks started, {rented} machines rented, format {format}"
+    );
+    world.digest.expect("set above")
+}
+
+/// A world and what is expected of it.
+struct Case {
+    name: &'static str,
+    world: fn() -> World,
+    expected: Digest,
+}
+
+/// A world whose controllers return so many effects with this hash.
+fn case(name: &'static str, world: fn() -> World, hash: u64, effects: u64) -> Case {
+    let expected = Digest { hash, effects };
+    Case {
+        name,
+        world,
+        expected,
+    }
+}
+
+/// The expected digests stand here. Only a commit that is meant to change decisions may change them, and says so.
+#[test]
+fn the_same_seeds_give_the_same_decisions() {
+    let cases = [
+        case("no faults", quiet, 0xf089_2250_0135_d36d, 7273),
+        case("all faults", troubled, 0x7cc4_27ca_e401_441f, 7574),
+        case(
+            "upgrade and gangs, all faults",
+            upgraded,
+            0x77bd_3d36_e897_b936,
+            9122,
+        ),
+        case("drains", drained, 0x5c1a_ffff_f179_2e7c, 12_265),
+        case(
+            "gangs, machines and controllers fail",
+            with_gangs,
+            0xe4b2_7fb4_8f56_087b,
+            9014,
+        ),
+    ];
+    let mut different = Vec::new();
+    for case in cases {
+        let (expected, seen) = (case.expected, play(case.name, (case.world)()));
+        if seen != expected {
+            different.push(format!(
+                "{}: expected 0x{:016x} of {} effects, got 0x{:016x} of {}",
+                case.name, expected.hash, expected.effects, seen.hash, seen.effects
+            ));
+        }
+    }
+    assert!(
+        different.is_empty(),
+        "controllers decide otherwise than before:\n{}",
+        different.join("\n")
+    );
+}
--- a/tests/simulation/main.rs
+++ b/tests/simulation/main.rs
@@ -1,6 +1,7 @@
 //! Whole services, three controllers each, in simulated worlds with faults. Every rule of PROTOCOL is checked
 //! after each step. The same seed gives the same run.
 
+mod digest;
 mod drains;
 mod gangs;
 mod machine;
--- a/tests/simulation/rollout.rs
+++ b/tests/simulation/rollout.rs
@@ -10,7 +10,7 @@
 use super::world::{CALM_FROM, Faults, NODES, Size, World};
 
 /// The limits that the state service has after the upgrade.
-const NEXT: StateLimits = StateLimits {
+pub const NEXT: StateLimits = StateLimits {
     rps: 100.0,
     write_rps: 25.0,
     value_bytes: 2048,
--- a/tests/simulation/world.rs
+++ b/tests/simulation/world.rs
@@ -24,6 +24,7 @@
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 
+use super::digest::Digest;
 use super::gangs::Gangs;
 use super::machine::{BROKEN, Machine, MachineEvent};
 use super::operators::Operators;
@@ -383,6 +384,8 @@
     /// Leases that ran out on machines that were up.
     pub leases_over: usize,
     pub events_handled: u64,
+    /// What controllers have decided since a test has set this.
+    pub digest: Option<Digest>,
     /// What controllers said to each other, as it goes over the wire.
     pub peer_bytes: usize,
     pub largest_peer_message: usize,
@@ -486,6 +489,7 @@
             reports_held_until: Duration::ZERO,
             leases_over: 0,
             events_handled: 0,
+            digest: None,
             peer_bytes: 0,
             largest_peer_message: 0,
             most_machines: 0,
@@ -785,6 +789,11 @@
         let mut effects =
             tracing::info_span!("node", node, at).in_scope(|| machine.handle(now, event));
         sort_hashed(&mut effects);
+        if let Some(digest) = &mut self.digest {
+            for effect in &effects {
+                digest.effect(node, self.now, self.base, effect);
+            }
+        }
         effects
     }
 
