--- a/src/peer/tests.rs
+++ b/src/peer/tests.rs
@@ -80,3 +80,66 @@
     };
     assert_eq!(status.clone().in_messages(), [status]);
 }
+
+/// One message of each kind as it goes over the wire today: CBOR, in hexadecimal, by what it shows.
+const MESSAGES: &str = include_str!("../../tests/data/peer-messages.json");
+
+/// The hexadecimal form of bytes.
+fn to_hex(bytes: &[u8]) -> String {
+    bytes.iter().map(|byte| format!("{byte:02x}")).collect()
+}
+
+/// Bytes from their hexadecimal form.
+fn from_hex(text: &str) -> Vec<u8> {
+    assert!(text.len().is_multiple_of(2), "{text}");
+    (0..text.len())
+        .step_by(2)
+        .map(|at| u8::from_str_radix(&text[at..at + 2], 16).expect("hexadecimal"))
+        .collect()
+}
+
+/// Controllers of different versions talk to each other while an upgrade rolls through: what is said must stay as it is.
+#[test]
+fn every_message_comes_back_to_the_same_bytes() {
+    let messages: BTreeMap<String, String> = serde_json::from_str(MESSAGES).expect("a map");
+    let mut kinds = std::collections::BTreeSet::new();
+    for (name, hex) in messages {
+        let message: Message = ciborium::from_reader(&*from_hex(&hex)).expect(&name);
+        assert_eq!(to_hex(&http::write(&message)), hex, "{name}");
+        // Each list holds something, so that what is in it is shown too.
+        kinds.insert(match &message {
+            Message::Status(status) => {
+                let full = status.blocks.iter().any(|block| {
+                    !block.pending.is_empty()
+                        && !block.refused.is_empty()
+                        && !block.ended.is_empty()
+                        && !block.running.is_empty()
+                        && block.machines.iter().any(|machine| {
+                            !machine.failures.is_empty() && !machine.images.is_empty()
+                        })
+                });
+                assert!(full && !status.strays.is_empty(), "{name}");
+                "status"
+            }
+            Message::Alive(alive) => {
+                assert!(!alive.cancelled.is_empty() && !alive.heard.is_empty());
+                "alive"
+            }
+            Message::Cancelled(jobs) => {
+                assert!(!jobs.is_empty(), "{name}");
+                "cancelled"
+            }
+            Message::Work(works) => {
+                let full = works.iter().any(|work| {
+                    !work.want.is_empty()
+                        && !work.stop.is_empty()
+                        && !work.addresses.is_empty()
+                        && !work.watch.is_empty()
+                });
+                assert!(full, "{name}");
+                "work"
+            }
+        });
+    }
+    assert_eq!(kinds, ["alive", "cancelled", "status", "work"].into());
+}
