--- a/src/store/records.rs
+++ b/src/store/records.rs
@@ -687,5 +687,7 @@
     }
 }
 
+#[cfg(test)]
+mod fixtures;
 #[cfg(test)]
 mod tests;
--- a/tests/simulation/world.rs
+++ b/tests/simulation/world.rs
@@ -28,6 +28,7 @@
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 
+use super::digest::Digest;
 use super::gangs::Gangs;
 use super::machine::{BROKEN, Machine, MachineEvent};
 use super::operators::Operators;
@@ -387,6 +388,8 @@
     /// Leases that ran out on machines that were up.
     pub leases_over: usize,
     pub events_handled: u64,
+    /// What controllers have decided since a test has set this.
+    pub digest: Option<Digest>,
     /// What controllers said to each other, as it goes over the wire.
     pub peer_bytes: usize,
     pub largest_peer_message: usize,
@@ -493,6 +496,7 @@
             heartbeats_held_until: Duration::ZERO,
             leases_over: 0,
             events_handled: 0,
+            digest: None,
             peer_bytes: 0,
             largest_peer_message: 0,
             most_machines: 0,
@@ -798,7 +802,15 @@
         };
         let at = self.now.as_secs_f64();
         self.events_handled += 1;
-        tracing::info_span!("node", controller, at).in_scope(|| machine.handle(now, event))
+        let mut effects =
+            tracing::info_span!("node", controller, at).in_scope(|| machine.handle(now, event));
+        sort_hashed(&mut effects);
+        if let Some(digest) = &mut self.digest {
+            for effect in &effects {
+                digest.effect(controller, self.now, self.base, effect);
+            }
+        }
+        effects
     }
 
     /// When a copy of a message is carried out again, if one is.
@@ -2595,6 +2607,26 @@
     }
 }
 
+/// Controllers list stray machines, and the addresses of workers, in the order of a hash map, which differs from process
+/// to process. Whoever reads these lists takes them for sets, so that they are put in order here.
+fn sort_hashed(effects: &mut [Effect]) {
+    for effect in effects {
+        match effect {
+            Effect::Peer {
+                message: Message::Status(status),
+                ..
+            } => status.misrouted.sort(),
+            Effect::Peer {
+                message: Message::AssignmentUpdates(updates),
+                ..
+            } => updates
+                .iter_mut()
+                .for_each(|update| update.addresses.sort()),
+            _ => {}
+        }
+    }
+}
+
 /// An array that may go anywhere.
 pub fn array(class: &str, team: &str, priority: Priority) -> Job {
     Job {
