--- a/tests/simulation/digest.rs
+++ b/tests/simulation/digest.rs
@@ -75,6 +75,42 @@
         }
     }
 
+    /// Takes in a response to a user.
+    fn response(&mut self, response: &Response) {
+        match response {
+            Response::State { status, state } => {
+                self.number(u64::from(*status));
+                self.field(&write(state));
+            }
+            Response::Problem {
+                status,
+                problem,
+                retry_after,
+            } => {
+                self.number(u64::from(*status));
+                self.field(problem.as_bytes());
+                self.number(u64::from(retry_after.is_some()));
+                self.duration(retry_after.unwrap_or_default());
+            }
+        }
+    }
+
+    /// Takes in a response to a worker's heartbeat.
+    fn heartbeat_response(&mut self, response: &HeartbeatResponse) {
+        match response {
+            HeartbeatResponse::WorkerCommands(commands) => {
+                self.number(200);
+                self.field(&write(commands));
+            }
+            HeartbeatResponse::Elsewhere(holder) => {
+                self.number(421);
+                let holder = holder.clone();
+                self.field(&write(&Redirect { holder }));
+            }
+            HeartbeatResponse::Unavailable => self.number(503),
+        }
+    }
+
     /// Takes in one effect. All that depends on the names in the program is here.
     ///
     /// `now`: simulated time. `base`: the beginning of the world by the controllers' monotonic clock.
@@ -112,38 +148,12 @@
             Effect::RespondToUser { id, response } => {
                 self.number(5);
                 self.number(*id);
-                match response {
-                    Response::State { status, state } => {
-                        self.number(u64::from(*status));
-                        self.field(&write(state));
-                    }
-                    Response::Problem {
-                        status,
-                        problem,
-                        retry_after,
-                    } => {
-                        self.number(u64::from(*status));
-                        self.field(problem.as_bytes());
-                        self.number(u64::from(retry_after.is_some()));
-                        self.duration(retry_after.unwrap_or_default());
-                    }
-                }
+                self.response(response);
             }
             Effect::RespondToWorker { id, answer, until } => {
                 self.number(6);
                 self.number(*id);
-                match answer {
-                    HeartbeatResponse::WorkerCommands(commands) => {
-                        self.number(200);
-                        self.field(&write(commands));
-                    }
-                    HeartbeatResponse::Elsewhere(holder) => {
-                        self.number(421);
-                        let holder = holder.clone();
-                        self.field(&write(&Redirect { holder }));
-                    }
-                    HeartbeatResponse::Unavailable => self.number(503),
-                }
+                self.heartbeat_response(answer);
                 self.until(base, Some(*until));
             }
             Effect::RespondToHealthCheck { id, healthy } => {
