--- a/tests/simulation/main.rs
+++ b/tests/simulation/main.rs
@@ -21,7 +21,6 @@
 #[allow(clippy::too_many_lines, reason = "not reached yet: #30")]
 mod rules_checked;
 mod state;
-#[allow(clippy::too_many_lines, reason = "not reached yet: #30")]
 mod world;
 
 use std::time::Duration;
--- a/tests/simulation/world/controllers.rs
+++ b/tests/simulation/world/controllers.rs
@@ -1,7 +1,16 @@
 //! The controllers of the simulated cluster as processes: started, ended, paused, and handed their events.
 
+use super::network::controller_index;
 use super::*;
 
+/// One life of a controller: what was sent to it is lost once it has ended.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub(super) struct Process {
+    pub(super) controller: usize,
+    pub(super) incarnation: Incarnation,
+}
+
+/// A controller's place in the cluster, whether its process runs or not.
 pub(super) struct Slot {
     pub(super) controller: Option<Controller>,
     pub(super) incarnation: Incarnation,
@@ -19,7 +28,31 @@
     pub(super) commands: usize,
 }
 
-/// Controllers list stray machines, and the addresses of workers, in the order of a hash map, which differs from process
+impl Slot {
+    /// No process yet. `drift`: of its monotonic clock, as a part of the time.
+    pub(super) fn new(drift: f64) -> Self {
+        Slot {
+            controller: None,
+            incarnation: Incarnation(0),
+            format: FORMAT,
+            next_request: 0,
+            waiting: HashMap::new(),
+            drift,
+            cut_until: Duration::ZERO,
+            island_until: Duration::ZERO,
+            frozen_until: Duration::ZERO,
+            commands: 0,
+        }
+    }
+
+    /// The id of the next request to this controller.
+    pub(super) fn new_request(&mut self) -> u64 {
+        self.next_request += 1;
+        self.next_request
+    }
+}
+
+/// Controllers list misrouted machines, and the addresses of workers, in the order of a hash map, which differs from process
 /// to process. Whoever reads these lists takes them for sets, so that they are put in order here.
 pub(super) fn sort_hashed(effects: &mut [Effect]) {
     for effect in effects {
@@ -60,28 +93,50 @@
         }
     }
 
-    pub(super) fn alive(&self, controller: usize, incarnation: Incarnation) -> bool {
-        self.slots[controller].incarnation == incarnation
-            && self.slots[controller].controller.is_some()
+    /// The present process of a controller, or the last one.
+    pub(super) fn process(&self, controller: usize) -> Process {
+        Process {
+            controller,
+            incarnation: self.slots[controller].incarnation,
+        }
+    }
+
+    pub(super) fn alive(&self, process: Process) -> bool {
+        self.process(process.controller) == process
+            && self.slots[process.controller].controller.is_some()
     }
 
+    /// Hands an event to whichever process of the controller there is, when it is not paused.
     pub(super) fn handle(&mut self, controller: usize, event: Event) {
-        let frozen = self.slots[controller].frozen_until;
-        if self.now < frozen {
-            let incarnation = self.slots[controller].incarnation;
-            self.at(
-                frozen,
-                WorldEvent::Deliver {
-                    controller,
-                    incarnation,
-                    event: Box::new(event),
-                },
-            );
-            return;
+        let process = self.process(controller);
+        let paused_until = self.slots[controller].frozen_until;
+        if self.now < paused_until {
+            return self.deliver_at(paused_until, process, event);
         }
-        let incarnation = self.slots[controller].incarnation;
         for effect in self.effects(controller, event) {
-            self.perform(controller, incarnation, effect);
+            self.perform(process, effect);
+        }
+    }
+
+    /// A process looks at its clock.
+    pub(super) fn tick(&mut self, process: Process) {
+        if !self.alive(process) {
+            return;
+        }
+        let paused_until = self.slots[process.controller].frozen_until;
+        if self.now < paused_until {
+            return self.at(paused_until, WorldEvent::Tick { process });
+        }
+        self.handle(process.controller, Event::Tick);
+        self.at(self.now + TICK, WorldEvent::Tick { process });
+    }
+
+    /// A process goes on after a pause and does what it had decided before.
+    pub(super) fn resume(&mut self, process: Process, effects: Vec<Effect>) {
+        if self.alive(process) {
+            for effect in effects {
+                self.perform(process, effect);
+            }
         }
     }
 
@@ -109,19 +164,7 @@
         if self.slots[controller].controller.is_some() {
             return;
         }
-        let mut config = self.config.clone();
-        let names = ["node-0", "node-1", "node-2"];
-        let addr = config.peers[0].addr;
-        config.name = names[controller].into();
-        config.zone = ZONES[controller].into();
-        config.peers = (0..CONTROLLERS)
-            .filter(|other| *other != controller)
-            .map(|other| dappleshore::config::Peer {
-                name: names[other].into(),
-                zone: ZONES[other].into(),
-                addr,
-            })
-            .collect();
+        let config = self.controller_config(controller);
         let mut policy = Policy::defaults(&config);
         policy.preempt_for_priority &= self.preemption;
         policy.preempt_for_guarantee &= self.preemption;
@@ -136,11 +179,26 @@
         slot.controller = Some(
             Controller::knowing(slot.format, config, policy, seed, now).with_features(features),
         );
-        let incarnation = slot.incarnation;
-        self.soon(WorldEvent::Tick {
-            controller,
-            incarnation,
-        });
+        let process = self.process(controller);
+        self.soon(WorldEvent::Tick { process });
+    }
+
+    /// The settings of one controller.
+    fn controller_config(&self, controller: usize) -> Config {
+        let mut config = self.config.clone();
+        let names = ["node-0", "node-1", "node-2"];
+        let addr = config.peers[0].addr;
+        config.name = names[controller].into();
+        config.zone = ZONES[controller].into();
+        config.peers = (0..CONTROLLERS)
+            .filter(|other| *other != controller)
+            .map(|other| dappleshore::config::Peer {
+                name: names[other].into(),
+                zone: ZONES[other].into(),
+                addr,
+            })
+            .collect();
+        config
     }
 
     pub(super) fn crash(&mut self, controller: usize) {
@@ -151,8 +209,7 @@
 
     /// The controller that the state service has as the leader.
     pub fn leader(&self) -> Option<usize> {
-        let name = self.state.leader()?.controller;
-        name.0.trim_start_matches("node-").parse().ok()
+        controller_index(&self.state.leader()?.controller)
     }
 
     /// Ends a controller, which is started again after this long.
--- a/tests/simulation/world/faults.rs
+++ b/tests/simulation/world/faults.rs
@@ -51,6 +51,29 @@
 }
 
 impl Faults {
+    /// The mean time in seconds between two faults of a kind; none if zero.
+    fn mean_times(&self) -> Vec<(Fault, f64)> {
+        vec![
+            (Fault::Crash, self.crash),
+            (Fault::CrashAll, self.crash_all),
+            (Fault::Outage, self.outage),
+            (Fault::CutOne, self.cut_one),
+            (Fault::MachineDies, self.machine_dies),
+            (Fault::MachineHangs, self.machine_hangs),
+            (Fault::SpotTaken, self.spot_taken),
+            (Fault::CloudOutage, self.cloud_outage),
+            (Fault::PeersCut, self.peers_cut),
+            (Fault::ZoneCut, self.zone_cut),
+            (Fault::MachineDeaf, self.machine_deaf),
+            (Fault::MachineRestarts, self.machine_restarts),
+            (Fault::Island, self.island),
+            (Fault::Freeze, self.freeze),
+            (Fault::MassLoss, self.mass_loss),
+            (Fault::MachineMute, self.machine_mute),
+            (Fault::StateSlow, self.state_slow),
+        ]
+    }
+
     pub fn all() -> Self {
         Faults {
             lost: 0.01,
@@ -104,6 +127,23 @@
 }
 
 impl World {
+    /// Schedules the random faults of this cluster, at the times of Poisson processes.
+    pub(super) fn schedule_faults(&mut self) {
+        for (fault, mean) in self.faults.mean_times() {
+            if mean <= 0.0 {
+                continue;
+            }
+            let mut at = 0.0;
+            loop {
+                at += -mean * (1.0 - self.rng.random::<f64>()).ln();
+                if Duration::from_secs_f64(at) >= self.calm_from {
+                    break;
+                }
+                self.at(Duration::from_secs_f64(at), WorldEvent::Fault(fault));
+            }
+        }
+    }
+
     pub fn lower_state_limits(&mut self, limits: StateLimits) {
         self.state.lower_limits(limits);
     }
@@ -133,15 +173,8 @@
         // It has just decided what to do, and does it when it goes on.
         let effects = self.effects(controller, Event::Tick);
         self.slots[controller].frozen_until = until;
-        let incarnation = self.slots[controller].incarnation;
-        self.at(
-            until,
-            WorldEvent::Resume {
-                controller,
-                incarnation,
-                effects,
-            },
-        );
+        let process = self.process(controller);
+        self.at(until, WorldEvent::Resume { process, effects });
     }
 
     pub fn hang(&mut self, machine: &str, how_long: Duration) {
--- a/tests/simulation/world/machines.rs
+++ b/tests/simulation/world/machines.rs
@@ -1,5 +1,8 @@
 //! The machines of the simulated cluster: their workers' heartbeats, the commands that reach them, what their tasks do.
 
+use super::controllers::Process;
+use super::network::{Delivery, controller_index};
+use super::users::{Asker, HeartbeatRequest};
 use super::*;
 
 pub(super) const HEARTBEAT_TIMEOUT: Duration = Duration::from_secs(4);
@@ -17,6 +20,40 @@
     }
 }
 
+/// The least time between two heartbeats of a worker.
+const HEARTBEAT_SPACING: Duration = Duration::from_millis(500);
+/// How long a worker waits after a heartbeat without an answer, before it tries another controller.
+const HEARTBEAT_RETRY: Duration = Duration::from_secs(1);
+
+impl Machine {
+    /// A heartbeat that was not answered in time: the next goes to another controller.
+    fn give_up_overdue_heartbeat(&mut self, now: Duration) {
+        let overdue = self
+            .heartbeat
+            .is_some_and(|(_, sent)| now > sent + HEARTBEAT_TIMEOUT);
+        if overdue {
+            self.heartbeat = None;
+            self.controller = (self.controller + 1) % CONTROLLERS;
+            self.next_heartbeat = now + HEARTBEAT_RETRY;
+        }
+    }
+
+    /// The heartbeat to be sent now, if one is due.
+    fn due_heartbeat(&mut self, now: Duration, interval: Duration) -> Option<Heartbeat> {
+        let rested = now >= self.last_heartbeat + HEARTBEAT_SPACING;
+        let due = now >= self.next_heartbeat || (self.changed && rested);
+        if self.heartbeat.is_some() || !due {
+            return None;
+        }
+        self.changed = false;
+        self.last_heartbeat = now;
+        self.next_heartbeat = now + interval;
+        let heartbeat = self.message();
+        self.heartbeat = Some((heartbeat.seq, now));
+        Some(heartbeat)
+    }
+}
+
 impl World {
     pub(super) fn happened(&mut self, id: &str, happened: Vec<MachineEvent>) {
         for what in happened {
@@ -53,13 +90,7 @@
         self.call_off(job);
     }
 
-    pub(super) fn command(
-        &mut self,
-        controller: usize,
-        incarnation: Incarnation,
-        command: DirectCommand,
-        answer: bool,
-    ) {
+    pub(super) fn command(&mut self, process: Process, command: DirectCommand, answer: bool) {
         let id = command.machine.0.to_string();
         if self.faults.sabotage {
             self.sabotage(&id, &command.body);
@@ -67,17 +98,16 @@
         let zone = self.machines.get(&id).map(|machine| machine.zone.clone());
         if let Some(until) = zone
             .as_ref()
-            .and_then(|zone| self.cut(controller, Some(zone)))
+            .and_then(|zone| self.cut(process.controller, Some(zone)))
         {
             if answer {
-                self.unanswered(controller, incarnation, &command);
+                self.command_times_out(process, &command);
             }
             let late = until + Duration::from_millis(self.rng.random_range(1..50));
             self.at(
                 late,
                 WorldEvent::Command {
-                    controller,
-                    incarnation,
+                    process,
                     command,
                     answer: false,
                 },
@@ -86,13 +116,13 @@
         }
         let Some(machine) = self.machines.get_mut(&id) else {
             if answer {
-                self.unanswered(controller, incarnation, &command);
+                self.command_times_out(process, &command);
             }
             return;
         };
         if self.now < machine.deaf_until {
             if answer {
-                self.unanswered(controller, incarnation, &command);
+                self.command_times_out(process, &command);
             }
             return;
         }
@@ -101,7 +131,7 @@
                 machine.backlog.push(command.body.clone());
             }
             if answer {
-                self.unanswered(controller, incarnation, &command);
+                self.command_times_out(process, &command);
             }
             return;
         }
@@ -122,11 +152,7 @@
                 body: command.body,
                 outcome,
             };
-            self.soon(WorldEvent::Deliver {
-                controller,
-                incarnation,
-                event: Box::new(event),
-            });
+            self.deliver_soon(process, event);
         }
     }
 
@@ -179,22 +205,16 @@
         }
     }
 
+    /// One step of a machine: it comes up, is taken back, hangs or goes on, and sends heartbeats.
     pub(super) fn step_machine(&mut self, id: &str) {
         let now = self.now;
-        let worker_lease = self.config.worker_lease;
         let heartbeat_interval = self.config.heartbeat_interval;
-        let jitter = heartbeat_interval.mul_f64(self.rng.random_range(0.75..1.25));
+        let interval = heartbeat_interval.mul_f64(self.rng.random_range(0.75..1.25));
         let Some(machine) = self.machines.get_mut(id) else {
             return;
         };
         if machine.notice.is_some_and(|taken| now >= taken) {
-            let mut machine = self.machines.remove(id).expect("just found");
-            for what in machine.gone() {
-                if let MachineEvent::Ended(task, done) = what {
-                    self.rules.ends(task, id, done);
-                }
-            }
-            return;
+            return self.machine_is_taken_back(id);
         }
         if !machine.up && machine.up_at.is_some_and(|at| now >= at) {
             machine.up = true;
@@ -204,7 +224,7 @@
             return;
         }
         let agent_epoch = machine.agent_epoch;
-        let mut happened = machine.check_lease(now, worker_lease);
+        let mut happened = machine.check_lease(now, self.config.worker_lease);
         self.leases_over += usize::from(machine.agent_epoch != agent_epoch);
         if machine.hung_until.take().is_some() {
             let backlog = std::mem::take(&mut machine.backlog);
@@ -220,88 +240,114 @@
             &self.results,
             run_for(self.longer, self.apart),
         ));
-        if machine
-            .heartbeat
-            .is_some_and(|(_, sent)| now > sent + HEARTBEAT_TIMEOUT)
-        {
-            machine.heartbeat = None;
-            machine.controller = (machine.controller + 1) % CONTROLLERS;
-            machine.next_heartbeat = now + Duration::from_secs(1);
+        machine.give_up_overdue_heartbeat(now);
+        let heartbeat = machine.due_heartbeat(now, interval);
+        self.happened(id, happened);
+        if let Some(heartbeat) = heartbeat {
+            self.send_heartbeat(id, heartbeat);
         }
-        let rested = now >= machine.last_heartbeat + Duration::from_millis(500);
-        if machine.heartbeat.is_none()
-            && (now >= machine.next_heartbeat || (machine.changed && rested))
-        {
-            machine.changed = false;
-            machine.last_heartbeat = now;
-            machine.next_heartbeat = now + jitter;
-            let heartbeat = machine.message();
-            machine.heartbeat = Some((heartbeat.seq, now));
-            let controller = machine.controller;
-            let up = self.slots[controller].controller.is_some();
-            let (agent_epoch, seq) = (heartbeat.agent_epoch, heartbeat.seq);
-            self.happened(id, happened);
-            if let Some(late) = self.copied() {
-                let controller = self.rng.random_range(0..CONTROLLERS);
-                self.at(
-                    late,
-                    WorldEvent::Copy {
-                        controller,
-                        heartbeat: Box::new(heartbeat.clone()),
-                    },
-                );
+    }
+
+    /// The cloud takes a machine back, with whatever runs there.
+    fn machine_is_taken_back(&mut self, id: &str) {
+        let mut machine = self.machines.remove(id).expect("just found");
+        for what in machine.gone() {
+            if let MachineEvent::Ended(task, done) = what {
+                self.rules.ends(task, id, done);
             }
-            let mute = now < self.machines[id].mute_until;
-            if now < self.heartbeats_held_until {
-                let held = self.heartbeats_held_until;
-                self.plan(held, move |world| {
-                    if let Some(controller) = world.leader() {
-                        world.take(WorldEvent::Copy {
-                            controller,
-                            heartbeat: Box::new(heartbeat),
-                        });
-                    }
-                });
-            } else if up && !mute {
-                let (at, _) = self.fate();
-                self.at(
-                    at,
-                    WorldEvent::Heartbeat {
+        }
+    }
+
+    /// A heartbeat on its way to the controller that its worker talks to.
+    fn send_heartbeat(&mut self, id: &str, heartbeat: Heartbeat) {
+        let now = self.now;
+        let machine = &self.machines[id];
+        let (controller, mute) = (machine.controller, now < machine.mute_until);
+        let up = self.slots[controller].controller.is_some();
+        let request = HeartbeatRequest {
+            machine: id.to_owned(),
+            agent_epoch: heartbeat.agent_epoch,
+            seq: heartbeat.seq,
+            sent: now,
+        };
+        let heartbeat = Box::new(heartbeat);
+        if let Some(late) = self.copied() {
+            let copy = WorldEvent::Copy {
+                controller: self.rng.random_range(0..CONTROLLERS),
+                heartbeat: heartbeat.clone(),
+            };
+            self.at(late, copy);
+        }
+        if now < self.heartbeats_held_until {
+            self.plan(self.heartbeats_held_until, move |world| {
+                if let Some(controller) = world.leader() {
+                    world.dispatch(WorldEvent::Copy {
                         controller,
-                        heartbeat: Box::new(heartbeat),
-                    },
-                );
-            } else {
-                self.soon(WorldEvent::Answered {
-                    machine: id.to_owned(),
-                    agent_epoch,
-                    seq,
-                    sent: now,
-                    controller,
-                    answer: None,
-                });
-            }
+                        heartbeat,
+                    });
+                }
+            });
+        } else if up && !mute {
+            let Delivery { at, .. } = self.delivery();
+            let heartbeat = WorldEvent::Heartbeat {
+                controller,
+                heartbeat,
+            };
+            self.at(at, heartbeat);
+        } else {
+            self.soon(WorldEvent::Answered {
+                request,
+                controller,
+                answer: None,
+            });
+        }
+    }
+
+    /// A heartbeat arrives at a controller, or is held at a cut border.
+    pub(super) fn heartbeat_arrives(&mut self, controller: usize, heartbeat: Box<Heartbeat>) {
+        let Some(machine) = self.machines.get(&*heartbeat.machine.0) else {
             return;
+        };
+        let sent = machine.heartbeat.map_or(self.now, |(_, sent)| sent);
+        if let Some(until) = self.cut(controller, Some(&machine.zone)) {
+            let held = WorldEvent::Heartbeat {
+                controller,
+                heartbeat,
+            };
+            return self.at(until, held);
         }
-        self.happened(id, happened);
+        let slot = &mut self.slots[controller];
+        if slot.controller.is_none() {
+            return;
+        }
+        let id = slot.new_request();
+        let asker = Asker::Worker(HeartbeatRequest {
+            machine: heartbeat.machine.0.to_string(),
+            agent_epoch: heartbeat.agent_epoch,
+            seq: heartbeat.seq,
+            sent,
+        });
+        slot.waiting.insert(id, asker);
+        let heartbeat = *heartbeat;
+        self.handle(controller, Event::Heartbeat { id, heartbeat });
     }
 
     pub(super) fn answered(
         &mut self,
-        id: &str,
-        agent_epoch: AgentEpoch,
-        seq: u64,
-        sent: Duration,
+        request: &HeartbeatRequest,
         controller: usize,
         answer: Option<HeartbeatResponse>,
     ) {
         let now = self.now;
+        let id = request.machine.as_str();
         let Some(machine) = self.machines.get_mut(id) else {
             return;
         };
-        let waited_for = machine.agent_epoch == agent_epoch
-            && machine.heartbeat.is_some_and(|(number, _)| number == seq);
-        if !waited_for || now > sent + HEARTBEAT_TIMEOUT || !machine.runs(now) {
+        let waited_for = machine.agent_epoch == request.agent_epoch
+            && machine
+                .heartbeat
+                .is_some_and(|(number, _)| number == request.seq);
+        if !waited_for || now > request.sent + HEARTBEAT_TIMEOUT || !machine.runs(now) {
             return;
         }
         machine.heartbeat = None;
@@ -321,7 +367,7 @@
                     machine.token = orders.token;
                     machine.changed = true;
                 }
-                machine.lease_from = sent;
+                machine.lease_from = request.sent;
                 let happened = machine.execute(
                     &orders.commands,
                     &self.jobs,
@@ -331,7 +377,7 @@
                 self.happened(id, happened);
             }
             Some(HeartbeatResponse::Elsewhere(Some(holder))) => {
-                let target = holder.0.trim_start_matches("node-").parse().unwrap_or(0);
+                let target = controller_index(&holder).unwrap_or(0);
                 let same = target == controller;
                 machine.controller = if same {
                     (controller + 1) % CONTROLLERS
--- a/tests/simulation/world/mod.rs
+++ b/tests/simulation/world/mod.rs
@@ -44,12 +44,12 @@
 use std::time::{Duration, Instant, SystemTime};
 
 pub use cloud::BootTrouble;
-use controllers::Slot;
+use controllers::{Process, Slot};
 use faults::Fault;
 pub use faults::Faults;
 use machines::run_for;
 use store_requests::Watcher;
-use users::{Asker, User, guests};
+use users::{Asker, HeartbeatRequest, User, guests};
 pub use users::{GUESTS, array};
 
 pub const CONTROLLERS: usize = 3;
@@ -66,16 +66,14 @@
 
 enum WorldEvent {
     Tick {
-        controller: usize,
-        incarnation: Incarnation,
+        process: Process,
     },
     Restart {
         controller: usize,
     },
     Step,
     Store {
-        controller: usize,
-        incarnation: Incarnation,
+        process: Process,
         tag: StoreTag,
         sent: Instant,
         op: StoreRequest,
@@ -85,8 +83,7 @@
         id: u64,
     },
     Deliver {
-        controller: usize,
-        incarnation: Incarnation,
+        process: Process,
         event: Box<Event>,
     },
     Peer {
@@ -94,14 +91,12 @@
         message: Message,
     },
     Command {
-        controller: usize,
-        incarnation: Incarnation,
+        process: Process,
         command: DirectCommand,
         answer: bool,
     },
     Cloud {
-        controller: usize,
-        incarnation: Incarnation,
+        process: Process,
         tag: CloudTag,
         call: CloudRequest,
         answer: bool,
@@ -122,15 +117,11 @@
     },
     /// What a controller had decided when it stood still, done now that it goes on.
     Resume {
-        controller: usize,
-        incarnation: Incarnation,
+        process: Process,
         effects: Vec<Effect>,
     },
     Answered {
-        machine: String,
-        agent_epoch: AgentEpoch,
-        seq: u64,
-        sent: Duration,
+        request: HeartbeatRequest,
         controller: usize,
         answer: Option<HeartbeatResponse>,
     },
@@ -264,18 +255,7 @@
             .collect();
         let mut rng = SmallRng::seed_from_u64(seed);
         let slots = (0..CONTROLLERS)
-            .map(|_| Slot {
-                controller: None,
-                incarnation: Incarnation(0),
-                format: FORMAT,
-                next_request: 0,
-                waiting: HashMap::new(),
-                drift: rng.random_range(-0.0005..0.0005),
-                cut_until: Duration::ZERO,
-                island_until: Duration::ZERO,
-                frozen_until: Duration::ZERO,
-                commands: 0,
-            })
+            .map(|_| Slot::new(rng.random_range(-0.0005..0.0005)))
             .collect();
         let mut world = World {
             now: Duration::ZERO,
@@ -331,36 +311,7 @@
             world.at(at, WorldEvent::Restart { controller });
         }
         world.at(STEP, WorldEvent::Step);
-        for (fault, mean) in [
-            (Fault::Crash, faults.crash),
-            (Fault::CrashAll, faults.crash_all),
-            (Fault::Outage, faults.outage),
-            (Fault::CutOne, faults.cut_one),
-            (Fault::MachineDies, faults.machine_dies),
-            (Fault::MachineHangs, faults.machine_hangs),
-            (Fault::SpotTaken, faults.spot_taken),
-            (Fault::CloudOutage, faults.cloud_outage),
-            (Fault::PeersCut, faults.peers_cut),
-            (Fault::ZoneCut, faults.zone_cut),
-            (Fault::MachineDeaf, faults.machine_deaf),
-            (Fault::MachineRestarts, faults.machine_restarts),
-            (Fault::Island, faults.island),
-            (Fault::Freeze, faults.freeze),
-            (Fault::MassLoss, faults.mass_loss),
-            (Fault::MachineMute, faults.machine_mute),
-            (Fault::StateSlow, faults.state_slow),
-        ] {
-            if mean > 0.0 {
-                let mut at = 0.0;
-                loop {
-                    at += -mean * (1.0 - world.rng.random::<f64>()).ln();
-                    if Duration::from_secs_f64(at) >= calm_from {
-                        break;
-                    }
-                    world.at(Duration::from_secs_f64(at), WorldEvent::Fault(fault));
-                }
-            }
-        }
+        world.schedule_faults();
         for n in 0..size.jobs {
             world.add_user(n);
         }
@@ -396,28 +347,17 @@
         if slot.controller.is_none() {
             return;
         }
-        slot.next_request += 1;
-        let id = slot.next_request;
+        let id = slot.new_request();
         slot.waiting.insert(id, Asker::Operator(operator));
-        let incarnation = slot.incarnation;
-        if let (Request::Start { .. } | Request::Cancel { .. }, Some(late)) =
-            (&request, self.copied())
-        {
+        let process = self.process(controller);
+        let copied = self.copied();
+        let changes = matches!(request, Request::Start { .. } | Request::Cancel { .. });
+        if changes && let Some(late) = copied {
             let request = request.clone();
             let event = Box::new(Event::Operate { id: 0, request });
             self.at(late, WorldEvent::Repeat { controller, event });
         }
-        let event = Box::new(Event::Operate { id, request });
-        self.soon(WorldEvent::Deliver {
-            controller,
-            incarnation,
-            event,
-        });
-    }
-
-    fn soon(&mut self, event: WorldEvent) {
-        let at = self.now + self.transit();
-        self.at(at, event);
+        self.deliver_soon(process, Event::Operate { id, request });
     }
 
     pub fn run_until(&mut self, end: Duration) {
@@ -430,7 +370,7 @@
             self.now = at;
             self.rules.now = at;
             if let Some(event) = self.events.remove(&key) {
-                self.take(event);
+                self.dispatch(event);
             }
             self.rules.check(self.now);
             self.check_disruptions();
@@ -440,181 +380,67 @@
         }
     }
 
-    fn take(&mut self, event: WorldEvent) {
+    /// Lets an event happen.
+    fn dispatch(&mut self, event: WorldEvent) {
         match event {
-            WorldEvent::Tick {
-                controller,
-                incarnation,
-            } => {
-                if self.alive(controller, incarnation) {
-                    let frozen = self.slots[controller].frozen_until;
-                    if self.now < frozen {
-                        self.at(
-                            frozen,
-                            WorldEvent::Tick {
-                                controller,
-                                incarnation,
-                            },
-                        );
-                        return;
-                    }
-                    self.handle(controller, Event::Tick);
-                    self.at(
-                        self.now + TICK,
-                        WorldEvent::Tick {
-                            controller,
-                            incarnation,
-                        },
-                    );
-                }
-            }
+            WorldEvent::Tick { process } => self.tick(process),
             WorldEvent::Restart { controller } => self.start(controller),
             WorldEvent::Step => {
                 self.step();
                 self.at(self.now + STEP, WorldEvent::Step);
             }
             WorldEvent::Store {
-                controller,
-                incarnation,
+                process,
                 tag,
                 sent,
                 op,
                 answer,
-            } => self.store(controller, incarnation, tag, sent, op, answer),
+            } => self.store(process, tag, sent, op, answer),
             WorldEvent::Watch { id } => self.watch_over(id),
-            WorldEvent::Deliver {
-                controller,
-                incarnation,
-                event,
-            } => {
-                if self.alive(controller, incarnation) {
-                    self.handle(controller, *event);
+            WorldEvent::Deliver { process, event } => {
+                if self.alive(process) {
+                    self.handle(process.controller, *event);
                 }
             }
             WorldEvent::Peer {
                 controller,
                 message,
-            } => {
-                let from = match &message {
-                    Message::Status(status) => Some(status.controller.clone()),
-                    Message::Alive(alive) => Some(alive.controller.clone()),
-                    Message::AssignmentUpdates(_) | Message::Cancelled(_) => None,
-                };
-                let from =
-                    from.and_then(|name| name.0.trim_start_matches("node-").parse::<usize>().ok());
-                let zone = from.map(|from| Zone::from(ZONES[from]));
-                if let Some(until) = zone.and_then(|zone| self.cut(controller, Some(&zone))) {
-                    self.at(
-                        until,
-                        WorldEvent::Peer {
-                            controller,
-                            message,
-                        },
-                    );
-                    return;
-                }
-                // Held messages reach whichever process is there by then.
-                self.handle(controller, Event::Peer(message));
-            }
+            } => self.peer_message_arrives(controller, message),
             WorldEvent::Command {
-                controller,
-                incarnation,
+                process,
                 command,
                 answer,
-            } => self.command(controller, incarnation, command, answer),
+            } => self.command(process, command, answer),
             WorldEvent::Cloud {
-                controller,
-                incarnation,
+                process,
                 tag,
                 call,
                 answer,
             } => {
                 let outcome = self.cloud(&call);
                 if answer {
-                    let event = Box::new(Event::CloudResponse { tag, outcome });
-                    self.soon(WorldEvent::Deliver {
-                        controller,
-                        incarnation,
-                        event,
-                    });
+                    self.deliver_soon(process, Event::CloudResponse { tag, outcome });
                 }
             }
             WorldEvent::Heartbeat {
                 controller,
                 heartbeat,
-            } => {
-                let Some(machine) = self.machines.get(&*heartbeat.machine.0) else {
-                    return;
-                };
-                let sent = machine.heartbeat.map_or(self.now, |(_, sent)| sent);
-                if let Some(until) = self.cut(controller, Some(&machine.zone)) {
-                    self.at(
-                        until,
-                        WorldEvent::Heartbeat {
-                            controller,
-                            heartbeat,
-                        },
-                    );
-                    return;
-                }
-                let slot = &mut self.slots[controller];
-                if slot.controller.is_none() {
-                    return;
-                }
-                slot.next_request += 1;
-                let id = slot.next_request;
-                let asker = Asker::Worker {
-                    machine: heartbeat.machine.0.to_string(),
-                    agent_epoch: heartbeat.agent_epoch,
-                    seq: heartbeat.seq,
-                    sent,
-                };
-                slot.waiting.insert(id, asker);
-                self.handle(
-                    controller,
-                    Event::Heartbeat {
-                        id,
-                        heartbeat: *heartbeat,
-                    },
-                );
-            }
+            } => self.heartbeat_arrives(controller, heartbeat),
             WorldEvent::Copy {
                 controller,
                 heartbeat,
             } => {
-                let slot = &mut self.slots[controller];
-                slot.next_request += 1;
-                let id = slot.next_request;
-                self.handle(
-                    controller,
-                    Event::Heartbeat {
-                        id,
-                        heartbeat: *heartbeat,
-                    },
-                );
+                let id = self.slots[controller].new_request();
+                let heartbeat = *heartbeat;
+                self.handle(controller, Event::Heartbeat { id, heartbeat });
             }
             WorldEvent::Answered {
-                machine,
-                agent_epoch,
-                seq,
-                sent,
+                request,
                 controller,
                 answer,
-            } => {
-                self.answered(&machine, agent_epoch, seq, sent, controller, answer);
-            }
+            } => self.answered(&request, controller, answer),
             WorldEvent::Repeat { controller, event } => self.handle(controller, *event),
-            WorldEvent::Resume {
-                controller,
-                incarnation,
-                effects,
-            } => {
-                if self.alive(controller, incarnation) {
-                    for effect in effects {
-                        self.perform(controller, incarnation, effect);
-                    }
-                }
-            }
+            WorldEvent::Resume { process, effects } => self.resume(process, effects),
             WorldEvent::Fault(fault) => self.fault(fault),
             WorldEvent::Planned(act) => act(self),
         }
--- a/tests/simulation/world/store_requests.rs
+++ b/tests/simulation/world/store_requests.rs
@@ -1,10 +1,10 @@
 //! Requests to the simulated state service, watches included.
 
+use super::controllers::Process;
 use super::*;
 
 pub(super) struct Watcher {
-    pub(super) controller: usize,
-    pub(super) incarnation: Incarnation,
+    pub(super) process: Process,
     pub(super) tag: StoreTag,
     pub(super) sent: Instant,
     pub(super) prefix: String,
@@ -20,36 +20,21 @@
 
     pub(super) fn store(
         &mut self,
-        controller: usize,
-        incarnation: Incarnation,
+        process: Process,
         tag: StoreTag,
         sent: Instant,
         op: StoreRequest,
         answer: bool,
     ) {
-        if let Some(until) = self.cut(controller, None) {
+        if let Some(until) = self.cut(process.controller, None) {
             if answer {
-                let unknown = Event::Store {
-                    tag: tag.clone(),
-                    sent,
-                    outcome: StoreResponse::Unknown,
-                };
-                let after = Duration::from_millis(1500);
-                self.at(
-                    self.now + after,
-                    WorldEvent::Deliver {
-                        controller,
-                        incarnation,
-                        event: Box::new(unknown),
-                    },
-                );
+                self.store_request_times_out(process, tag.clone(), sent);
             }
             let late = until + Duration::from_millis(self.rng.random_range(1..50));
             self.at(
                 late,
                 WorldEvent::Store {
-                    controller,
-                    incarnation,
+                    process,
                     tag,
                     sent,
                     op,
@@ -58,7 +43,7 @@
             );
             return;
         }
-        let out = self.state_out(controller);
+        let out = self.state_out(process.controller);
         if let StoreRequest::Follow {
             prefix,
             after,
@@ -72,8 +57,7 @@
             let id = self.order;
             let until = self.now + *wait;
             let watcher = Watcher {
-                controller,
-                incarnation,
+                process,
                 tag,
                 sent,
                 prefix: prefix.clone(),
@@ -95,12 +79,7 @@
             self.wake_watchers();
         }
         if answer {
-            let event = Box::new(Event::Store { tag, sent, outcome });
-            self.soon(WorldEvent::Deliver {
-                controller,
-                incarnation,
-                event,
-            });
+            self.deliver_soon(process, Event::Store { tag, sent, outcome });
         }
     }
 
@@ -109,7 +88,8 @@
             .watchers
             .iter()
             .filter(|(_, w)| {
-                !self.state_out(w.controller) && !self.state.news(&w.prefix, w.after).is_empty()
+                !self.state_out(w.process.controller)
+                    && !self.state.news(&w.prefix, w.after).is_empty()
             })
             .map(|(id, _)| *id)
             .collect();
@@ -122,7 +102,7 @@
         let Some(watcher) = self.watchers.get(&id) else {
             return;
         };
-        if self.state_out(watcher.controller) {
+        if self.state_out(watcher.process.controller) {
             // Open watches wait.
             let later = self.now + Duration::from_millis(500);
             if self.now > watcher.until + Duration::from_secs(2) {
@@ -132,11 +112,7 @@
                     sent: watcher.sent,
                     outcome: StoreResponse::Unknown,
                 };
-                self.soon(WorldEvent::Deliver {
-                    controller: watcher.controller,
-                    incarnation: watcher.incarnation,
-                    event: Box::new(event),
-                });
+                self.deliver_soon(watcher.process, event);
             } else {
                 self.at(later, WorldEvent::Watch { id });
             }
@@ -148,16 +124,12 @@
             revision: self.state.revision,
             changes,
         };
-        let event = Box::new(Event::Store {
+        let event = Event::Store {
             tag: watcher.tag,
             sent: watcher.sent,
             outcome,
-        });
-        self.soon(WorldEvent::Deliver {
-            controller: watcher.controller,
-            incarnation: watcher.incarnation,
-            event,
-        });
+        };
+        self.deliver_soon(watcher.process, event);
     }
 
     /// The highest token given out so far.
--- a/tests/simulation/world/users.rs
+++ b/tests/simulation/world/users.rs
@@ -12,16 +12,22 @@
     Odd {
         expected: u16,
     },
-    Worker {
-        machine: String,
-        agent_epoch: AgentEpoch,
-        seq: u64,
-        sent: Duration,
-    },
+    /// A worker, by its heartbeat.
+    Worker(HeartbeatRequest),
     /// An operator, by number.
     Operator(usize),
 }
 
+/// A heartbeat that waits for its response.
+#[derive(Debug, Clone)]
+pub(super) struct HeartbeatRequest {
+    pub(super) machine: String,
+    pub(super) agent_epoch: AgentEpoch,
+    pub(super) seq: u64,
+    pub(super) sent: Duration,
+}
+
+/// What a user wants of its job.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(super) enum Ask {
     Submit,
@@ -204,15 +210,48 @@
         });
     }
 
+    /// One step of a user: it asks about its job if it is time to.
     pub(super) fn step_user(&mut self, index: usize) {
+        if !self.user_asks_now(index) {
+            return;
+        }
+        let now = self.now;
+        let job = self.users[index].job;
+        self.rules.asked(now, job);
+        let told = self.rules.told_state(job);
+        let asked = self.next_request(index, told);
+        let odd = now < self.calm_from && self.rng.random_bool(self.faults.odd_requests);
+        let asked = match told {
+            Some(Told::Accepted) if odd => Ask::Submit,
+            Some(Told::Done) if odd => Ask::Cancel,
+            _ => asked,
+        };
+        if odd {
+            self.send_odd(index);
+        }
+        self.questions += 1;
+        let within = if asked == Ask::Poll { 2 } else { 5 };
+        self.users[index].pending = Some((asked, now + Duration::from_secs(within)));
+        match asked {
+            Ask::Submit => self.rules.submitted(job, self.jobs[&job].clone()),
+            // What is done stays done, whoever calls it off.
+            Ask::Cancel if told == Some(Told::Done) => {}
+            Ask::Cancel => self.rules.cancel_asked(job),
+            Ask::Poll => {}
+        }
+        self.send_user_request(index, asked);
+    }
+
+    /// Whether a user asks now: it has nothing to wait for, and its pause is over.
+    fn user_asks_now(&mut self, index: usize) -> bool {
         let now = self.now;
         let user = &mut self.users[index];
         if now < user.submit_at {
-            return;
+            return false;
         }
         if let Some((asked, deadline)) = user.pending {
             if now < deadline {
-                return;
+                return false;
             }
             user.pending = None;
             let pause = if asked == Ask::Poll {
@@ -222,40 +261,39 @@
             };
             user.next_ask = now + pause;
         }
-        if now < user.next_ask {
-            return;
-        }
-        let job = user.job;
-        self.rules.asked(now, job);
-        let told = self.rules.told_state(job);
-        let cancel = user.cancel_at.is_some_and(|at| now >= at);
-        let asked = match told {
+        now >= user.next_ask
+    }
+
+    /// What a user asks next, by what it was told last.
+    fn next_request(&mut self, index: usize, told: Option<Told>) -> Ask {
+        let user = &self.users[index];
+        let cancel = user.cancel_at.is_some_and(|at| self.now >= at);
+        match told {
             None => Ask::Submit,
             Some(Told::Accepted) if cancel => Ask::Cancel,
             Some(Told::Accepted) => Ask::Poll,
             // Asked about again, and submitted again, long after.
             Some(_) if user.again && self.rng.random_bool(0.3) => Ask::Submit,
             Some(_) => Ask::Poll,
-        };
-        let odd = now < self.calm_from && self.rng.random_bool(self.faults.odd_requests);
-        let asked = match told {
-            Some(Told::Accepted) if odd => Ask::Submit,
-            Some(Told::Done) if odd => Ask::Cancel,
-            _ => asked,
-        };
-        if odd {
-            self.send_odd(index);
         }
-        self.questions += 1;
-        let within = if asked == Ask::Poll { 2 } else { 5 };
-        self.users[index].pending = Some((asked, now + Duration::from_secs(within)));
+    }
+
+    /// The event of a user's request at a controller.
+    fn user_event(&self, index: usize, asked: Ask, id: u64) -> Event {
+        let user = &self.users[index];
+        let job = user.job.to_string();
         match asked {
-            Ask::Submit => self.rules.submitted(job, self.jobs[&job].clone()),
-            // What is done stays done, whoever calls it off.
-            Ask::Cancel if told == Some(Told::Done) => {}
-            Ask::Cancel => self.rules.cancel_asked(job),
-            Ask::Poll => {}
+            Ask::Submit => Event::Submit {
+                id,
+                body: user.body.clone(),
+            },
+            Ask::Poll => Event::Poll { id, job },
+            Ask::Cancel => Event::Cancel { id, job },
         }
+    }
+
+    /// A user's request on its way to a controller that is up.
+    fn send_user_request(&mut self, index: usize, asked: Ask) {
         let up: Vec<usize> = (0..CONTROLLERS)
             .filter(|controller| self.slots[*controller].controller.is_some())
             .collect();
@@ -264,96 +302,39 @@
         }
         let controller = up[self.rng.random_range(0..up.len())];
         let slot = &mut self.slots[controller];
-        slot.next_request += 1;
-        let id = slot.next_request;
+        let id = slot.new_request();
         slot.waiting.insert(id, Asker::User { user: index, asked });
-        let event = match asked {
-            Ask::Submit => Event::Submit {
-                id,
-                body: self.users[index].body.clone(),
-            },
-            Ask::Poll => Event::Poll {
-                id,
-                job: job.to_string(),
-            },
-            Ask::Cancel => Event::Cancel {
-                id,
-                job: job.to_string(),
-            },
-        };
-        let incarnation = slot.incarnation;
+        let process = self.process(controller);
         if let Some(late) = self.copied() {
-            let again = match asked {
-                // To any controller, whoever is there by then; nobody waits for the answer.
-                Ask::Submit => Some(Event::Submit {
-                    id: 0,
-                    body: self.users[index].body.clone(),
-                }),
-                Ask::Cancel => Some(Event::Cancel {
-                    id: 0,
-                    job: job.to_string(),
-                }),
-                Ask::Poll => None,
-            };
+            // To any controller, whoever is there by then; nobody waits for the answer.
             let controller = self.rng.random_range(0..CONTROLLERS);
-            if let Some(event) = again {
-                self.at(
-                    late,
-                    WorldEvent::Repeat {
-                        controller,
-                        event: Box::new(event),
-                    },
-                );
+            if asked != Ask::Poll {
+                let event = Box::new(self.user_event(index, asked, 0));
+                self.at(late, WorldEvent::Repeat { controller, event });
             }
         }
-        self.soon(WorldEvent::Deliver {
-            controller,
-            incarnation,
-            event: Box::new(event),
-        });
+        let event = self.user_event(index, asked, id);
+        self.deliver_soon(process, event);
     }
 
     /// A job that can't run or lacks a field, under a name that nobody uses.
-    pub(super) fn send_odd(&mut self, index: usize) {
+    fn send_odd(&mut self, index: usize) {
         let job = self.jobs[&self.users[index].job].clone();
         let id = JobId(500_000 + self.order);
+        let with_cpus = |cpus: f64| Job {
+            need: Resources { cpus, ..job.need },
+            ..job.clone()
+        };
         let (body, expected) = match self.rng.random_range(0..4) {
-            0 => (
-                body_of(
-                    id,
-                    &Job {
-                        team: "nobody".into(),
-                        ..job
-                    },
-                ),
-                422,
-            ),
-            1 => (
-                body_of(
-                    id,
-                    &Job {
-                        need: Resources {
-                            cpus: 17.0,
-                            ..job.need
-                        },
-                        ..job
-                    },
-                ),
-                422,
-            ),
-            2 => (
-                body_of(
-                    id,
-                    &Job {
-                        need: Resources {
-                            cpus: -1.0,
-                            ..job.need
-                        },
-                        ..job
-                    },
-                ),
-                400,
-            ),
+            0 => {
+                let unknown_team = Job {
+                    team: "nobody".into(),
+                    ..job.clone()
+                };
+                (body_of(id, &unknown_team), 422)
+            }
+            1 => (body_of(id, &with_cpus(17.0)), 422),
+            2 => (body_of(id, &with_cpus(-1.0)), 400),
             _ => {
                 let mut body = body_of(id, &job);
                 body.truncate(body.len() / 2);
@@ -365,15 +346,10 @@
         if slot.controller.is_none() {
             return;
         }
-        slot.next_request += 1;
-        let id = slot.next_request;
+        let id = slot.new_request();
         slot.waiting.insert(id, Asker::Odd { expected });
-        let incarnation = slot.incarnation;
-        self.soon(WorldEvent::Deliver {
-            controller,
-            incarnation,
-            event: Box::new(Event::Submit { id, body }),
-        });
+        let process = self.process(controller);
+        self.deliver_soon(process, Event::Submit { id, body });
     }
 
     pub(super) fn user_answered(&mut self, index: usize, asked: Ask, response: &Response) {
