--- a/tests/simulation/world/cloud.rs
+++ b/tests/simulation/world/cloud.rs
@@ -1,5 +1,8 @@
 //! The simulated cloud: instance types, rentals, deletions and listings.
 
+use dappleshore::cloud::wire::ScaleOutRequest;
+use dappleshore::domain::MachineId;
+
 use super::*;
 
 /// How machines boot that are rented while this lasts.
@@ -32,88 +35,96 @@
     }
 }
 
+/// How long a machine is rented before the list shows it.
+const LIST_LAG: Duration = Duration::from_secs(8);
+
 impl World {
+    /// Carries out a request to the cloud.
     pub(super) fn cloud(&mut self, call: &CloudRequest) -> CloudResponse {
         if self.now < self.cloud_out_until {
             return CloudResponse::Refused;
         }
         match call {
             CloudRequest::ListInstanceTypes => CloudResponse::InstanceTypes(instance_types()),
-            CloudRequest::Rent(rent) => {
-                if let Some(names) = self.requests.get(&rent.request) {
-                    let machines = names.iter().map(|name| name.as_str().into()).collect();
-                    return CloudResponse::Rented(MachineNames { machines });
-                }
-                let capacity_type = CapacityType::from_spot(rent.spot);
-                let alike = |m: &&Machine| {
-                    m.type_name == rent.type_name
-                        && m.zone == rent.zone
-                        && m.capacity_type == capacity_type
-                };
-                let stock = self.size.stock[usize::from(&*rent.type_name.0 != "small")];
-                let left = stock.saturating_sub(self.machines.values().filter(alike).count());
-                let count = left.min(rent.count as usize);
-                if count == 0 {
-                    return CloudResponse::NoCapacity;
-                }
-                let names: Vec<String> = (0..count)
-                    .map(|_| self.rent(&rent.type_name.0, &rent.zone.0, capacity_type))
-                    .collect();
-                self.requests.insert(rent.request.clone(), names.clone());
-                let machines = names.iter().map(|name| name.as_str().into()).collect();
-                CloudResponse::Rented(MachineNames { machines })
-            }
+            CloudRequest::Rent(request) => self.rent_machines(request),
             CloudRequest::Delete(names) => {
-                for name in &names.machines {
-                    if let Some(mut machine) = self.machines.remove(&*name.0) {
-                        self.deleted_up += usize::from(machine.runs(self.now));
-                        for what in machine.gone() {
-                            if let MachineEvent::Ended(task, done) = what {
-                                self.rules.ends(task, &name.0, done);
-                            }
-                        }
-                    }
-                }
+                self.delete_machines(names);
                 CloudResponse::Deleted
             }
-            CloudRequest::List { after } => {
-                let old = |m: &&Machine| self.now > m.rented + Duration::from_secs(8);
-                let after = after
-                    .as_ref()
-                    .map(|id| id.0.to_string())
-                    .unwrap_or_default();
-                let machines = self
-                    .machines
-                    .values()
-                    .filter(|m| m.id > after)
-                    .filter(old)
-                    .map(|m| ListedMachine {
-                        id: m.id.as_str().into(),
-                        addr: Some(m.addr()),
-                        type_name: m.type_name.clone(),
-                        zone: m.zone.clone(),
-                        spot: m.capacity_type.is_spot(),
-                        state: if m.up {
-                            ListedState::Running
-                        } else {
-                            ListedState::Booting
-                        },
-                        age_s: Amount((self.now - m.rented).as_secs_f64()),
-                    });
-                CloudResponse::Listed(MachineList {
-                    machines: machines.collect(),
-                    more: false,
-                })
+            CloudRequest::List { after } => CloudResponse::Listed(self.list_machines(after)),
+        }
+    }
+
+    /// Rents as many machines as there are left. The same request again gets the same machines.
+    fn rent_machines(&mut self, request: &ScaleOutRequest) -> CloudResponse {
+        let machine_names = |names: &[String]| MachineNames {
+            machines: names.iter().map(|name| name.as_str().into()).collect(),
+        };
+        if let Some(names) = self.requests.get(&request.request) {
+            return CloudResponse::Rented(machine_names(names));
+        }
+        let capacity_type = CapacityType::from_spot(request.spot);
+        let alike = |machine: &&Machine| {
+            machine.type_name == request.type_name
+                && machine.zone == request.zone
+                && machine.capacity_type == capacity_type
+        };
+        let stock = self.size.stock[usize::from(&*request.type_name.0 != "small")];
+        let left = stock.saturating_sub(self.machines.values().filter(alike).count());
+        let count = left.min(request.count as usize);
+        if count == 0 {
+            return CloudResponse::NoCapacity;
+        }
+        let names: Vec<String> = (0..count)
+            .map(|_| self.rent(&request.type_name.0, &request.zone.0, capacity_type))
+            .collect();
+        let rented = machine_names(&names);
+        self.requests.insert(request.request.clone(), names);
+        CloudResponse::Rented(rented)
+    }
+
+    fn delete_machines(&mut self, names: &MachineNames) {
+        for name in &names.machines {
+            let Some(mut machine) = self.machines.remove(&*name.0) else {
+                continue;
+            };
+            self.deleted_up += usize::from(machine.runs(self.now));
+            for what in machine.gone() {
+                if let MachineEvent::Ended(task, done) = what {
+                    self.rules.ends(task, &name.0, done);
+                }
             }
         }
     }
 
-    pub(super) fn rent(
-        &mut self,
-        type_name: &str,
-        zone: &str,
-        capacity_type: CapacityType,
-    ) -> String {
+    /// The machines after this one, without those that the list does not show yet.
+    fn list_machines(&self, after: &Option<MachineId>) -> MachineList {
+        let after = after.as_ref().map_or("", |id| &*id.0);
+        let machines = self
+            .machines
+            .values()
+            .filter(|machine| *machine.id > *after && self.now > machine.rented + LIST_LAG)
+            .map(|machine| ListedMachine {
+                id: machine.id.as_str().into(),
+                addr: Some(machine.addr()),
+                type_name: machine.type_name.clone(),
+                zone: machine.zone.clone(),
+                spot: machine.capacity_type.is_spot(),
+                state: if machine.up {
+                    ListedState::Running
+                } else {
+                    ListedState::Booting
+                },
+                age_s: Amount((self.now - machine.rented).as_secs_f64()),
+            });
+        MachineList {
+            machines: machines.collect(),
+            more: false,
+        }
+    }
+
+    /// Rents one machine, which may never come up.
+    fn rent(&mut self, type_name: &str, zone: &str, capacity_type: CapacityType) -> String {
         self.rented += 1;
         self.most_machines = self.most_machines.max(self.machines.len() + 1);
         self.next_machine += 1;
--- a/tests/simulation/world/faults.rs
+++ b/tests/simulation/world/faults.rs
@@ -126,6 +126,11 @@
     StateSlow,
 }
 
+/// Some time from one second to `most`, in seconds.
+fn up_to(rng: &mut SmallRng, most: f64) -> Duration {
+    Duration::from_secs_f64(rng.random_range(1.0..most))
+}
+
 impl World {
     /// Schedules the random faults of this cluster, at the times of Poisson processes.
     pub(super) fn schedule_faults(&mut self) {
@@ -238,9 +243,8 @@
         }
     }
 
+    /// A random fault happens.
     pub(super) fn fault(&mut self, fault: Fault) {
-        let long =
-            |rng: &mut SmallRng, most: f64| Duration::from_secs_f64(rng.random_range(1.0..most));
         match fault {
             Fault::Crash => {
                 let controller = self.rng.random_range(0..CONTROLLERS);
@@ -248,22 +252,22 @@
             }
             Fault::CrashAll => (0..CONTROLLERS).for_each(|controller| self.crash(controller)),
             Fault::Outage => {
-                let how_long = long(&mut self.rng, 35.0);
+                let how_long = up_to(&mut self.rng, 35.0);
                 self.state_outage(how_long);
             }
             Fault::CutOne => {
                 let controller = self.rng.random_range(0..CONTROLLERS);
-                let how_long = long(&mut self.rng, 40.0);
+                let how_long = up_to(&mut self.rng, 40.0);
                 self.cut_state(controller, how_long);
             }
             Fault::Island => {
                 let controller = self.rng.random_range(0..CONTROLLERS);
-                let how_long = long(&mut self.rng, 60.0);
+                let how_long = up_to(&mut self.rng, 60.0);
                 self.island(controller, how_long);
             }
             Fault::Freeze => {
                 let controller = self.rng.random_range(0..CONTROLLERS);
-                let how_long = long(&mut self.rng, 45.0);
+                let how_long = up_to(&mut self.rng, 45.0);
                 self.freeze(controller, how_long);
             }
             Fault::MassLoss => {
@@ -278,49 +282,45 @@
                     self.fault(kind);
                 }
             }
-            Fault::StateSlow => self.state_slow_until = self.now + long(&mut self.rng, 30.0),
-            Fault::CloudOutage => self.cloud_out_until = self.now + long(&mut self.rng, 30.0),
+            Fault::StateSlow => self.state_slow_until = self.now + up_to(&mut self.rng, 30.0),
+            Fault::CloudOutage => self.cloud_out_until = self.now + up_to(&mut self.rng, 30.0),
             Fault::ZoneCut => {
                 let zone = Zone::from(ZONES[self.rng.random_range(0..CONTROLLERS)]);
-                self.zone_cut = (zone, self.now + long(&mut self.rng, 60.0));
+                self.zone_cut = (zone, self.now + up_to(&mut self.rng, 60.0));
             }
-            Fault::PeersCut => self.peers_cut_until = self.now + long(&mut self.rng, 20.0),
+            Fault::PeersCut => self.peers_cut_until = self.now + up_to(&mut self.rng, 20.0),
             Fault::MachineDies
             | Fault::MachineHangs
             | Fault::SpotTaken
             | Fault::MachineDeaf
             | Fault::MachineMute
             | Fault::MachineRestarts => {
-                let spot = fault == Fault::SpotTaken;
-                let fits = |m: &&Machine| m.up && !m.dead && (!spot || m.capacity_type.is_spot());
-                let ids: Vec<String> = self
-                    .machines
-                    .values()
-                    .filter(fits)
-                    .map(|m| m.id.clone())
-                    .collect();
-                if ids.is_empty() {
-                    return;
-                }
-                let id = ids[self.rng.random_range(0..ids.len())].clone();
-                let hang = long(&mut self.rng, 60.0);
-                let notice = Duration::from_secs(if self.rng.random_bool(0.5) { 5 } else { 0 });
-                let machine = self.machines.get_mut(&id).expect("just found");
-                match fault {
-                    Fault::MachineDies => self.kill(&id),
-                    Fault::MachineHangs => machine.hung_until = Some(self.now + hang),
-                    Fault::MachineDeaf => machine.deaf_until = self.now + hang,
-                    Fault::MachineMute => machine.mute_until = self.now + hang,
-                    Fault::MachineRestarts => {
-                        let happened = machine.restart(self.now);
-                        self.happened(&id, happened);
-                    }
-                    _ => {
-                        machine.notice = Some(self.now + notice);
-                        machine.changed = true;
-                    }
-                }
+                self.machine_fault(fault);
             }
         }
     }
+
+    /// Something happens to some machine that is up.
+    fn machine_fault(&mut self, fault: Fault) {
+        let spot = fault == Fault::SpotTaken;
+        let fits = |machine: &&Machine| {
+            machine.up && !machine.dead && (!spot || machine.capacity_type.is_spot())
+        };
+        let machines = self.machines.values().filter(fits);
+        let ids: Vec<String> = machines.map(|machine| machine.id.clone()).collect();
+        if ids.is_empty() {
+            return;
+        }
+        let id = ids[self.rng.random_range(0..ids.len())].clone();
+        let how_long = up_to(&mut self.rng, 60.0);
+        let notice = Duration::from_secs(if self.rng.random_bool(0.5) { 5 } else { 0 });
+        match fault {
+            Fault::MachineDies => self.kill(&id),
+            Fault::MachineHangs => self.hang(&id, how_long),
+            Fault::MachineDeaf => self.deafen(&id, how_long),
+            Fault::MachineMute => self.mute(&id, how_long),
+            Fault::MachineRestarts => self.restart_machine(&id),
+            _ => self.recall(&id, notice),
+        }
+    }
 }
--- a/tests/simulation/world/machines.rs
+++ b/tests/simulation/world/machines.rs
@@ -90,56 +90,34 @@
         self.call_off(job);
     }
 
+    /// A direct command arrives at a machine, or is held at a cut border.
     pub(super) fn command(&mut self, process: Process, command: DirectCommand, answer: bool) {
         let id = command.machine.0.to_string();
         if self.faults.sabotage {
             self.sabotage(&id, &command.body);
         }
         let zone = self.machines.get(&id).map(|machine| machine.zone.clone());
-        if let Some(until) = zone
-            .as_ref()
-            .and_then(|zone| self.cut(process.controller, Some(zone)))
-        {
+        let held_until = zone.and_then(|zone| self.cut(process.controller, Some(&zone)));
+        if let Some(until) = held_until {
             if answer {
                 self.command_times_out(process, &command);
             }
             let late = until + Duration::from_millis(self.rng.random_range(1..50));
-            self.at(
-                late,
-                WorldEvent::Command {
-                    process,
-                    command,
-                    answer: false,
-                },
-            );
-            return;
-        }
-        let Some(machine) = self.machines.get_mut(&id) else {
-            if answer {
-                self.command_times_out(process, &command);
-            }
-            return;
-        };
-        if self.now < machine.deaf_until {
-            if answer {
-                self.command_times_out(process, &command);
-            }
-            return;
+            let held = WorldEvent::Command {
+                process,
+                command,
+                answer: false,
+            };
+            return self.at(late, held);
         }
-        if !machine.runs(self.now) {
-            if machine.hung_until.is_some() && !machine.dead {
-                machine.backlog.push(command.body.clone());
-            }
+        if !self.takes_command(&id, &command.body) {
             if answer {
                 self.command_times_out(process, &command);
             }
             return;
         }
         let executed = self.direct(&id, &command.body);
-        if answer {
-            let Some(machine) = self.machines.get_mut(&id) else {
-                return;
-            };
+        if answer && let Some(machine) = self.machines.get_mut(&id) {
             let heartbeat = machine.message();
             let outcome = if executed {
                 CommandOutcome::Executed(heartbeat)
@@ -156,6 +134,22 @@
         }
     }
 
+    /// Whether a machine is there and takes a command now. One that hangs takes it when it goes on.
+    fn takes_command(&mut self, id: &str, body: &WorkerCommands) -> bool {
+        let now = self.now;
+        let Some(machine) = self.machines.get_mut(id) else {
+            return false;
+        };
+        if now < machine.deaf_until {
+            return false;
+        }
+        let runs = machine.runs(now);
+        if !runs && machine.hung_until.is_some() && !machine.dead {
+            machine.backlog.push(body.clone());
+        }
+        runs
+    }
+
     /// A direct command at a machine that runs. False: token or session did not match.
     pub(super) fn direct(&mut self, id: &str, body: &WorkerCommands) -> bool {
         let Some(machine) = self.machines.get_mut(id) else {
@@ -303,6 +297,12 @@
         }
     }
 
+    /// A late copy of a heartbeat arrives: nobody waits for its response.
+    pub(super) fn heartbeat_copy_arrives(&mut self, controller: usize, heartbeat: Heartbeat) {
+        let id = self.slots[controller].new_request();
+        self.handle(controller, Event::Heartbeat { id, heartbeat });
+    }
+
     /// A heartbeat arrives at a controller, or is held at a cut border.
     pub(super) fn heartbeat_arrives(&mut self, controller: usize, heartbeat: Box<Heartbeat>) {
         let Some(machine) = self.machines.get(&*heartbeat.machine.0) else {
--- a/tests/simulation/world/mod.rs
+++ b/tests/simulation/world/mod.rs
@@ -248,16 +248,38 @@
             team.cpus_max *= size.teams;
         }
         config.teams.push(guests());
+        let mut rng = SmallRng::seed_from_u64(seed);
+        let slots = (0..CONTROLLERS)
+            .map(|_| Slot::new(rng.random_range(-0.0005..0.0005)))
+            .collect();
+        let mut world = World::empty(config, rng, slots, faults, calm_from, size);
+        for controller in 0..CONTROLLERS {
+            let at = Duration::from_millis(world.rng.random_range(0..500));
+            world.at(at, WorldEvent::Restart { controller });
+        }
+        world.at(STEP, WorldEvent::Step);
+        world.schedule_faults();
+        for n in 0..size.jobs {
+            world.add_user(n);
+        }
+        world
+    }
+
+    /// A cluster in which nothing is scheduled to happen yet.
+    fn empty(
+        config: Config,
+        rng: SmallRng,
+        slots: Vec<Slot>,
+        faults: Faults,
+        calm_from: Duration,
+        size: Size,
+    ) -> Self {
         let limits = config
             .teams
             .iter()
             .map(|team| (team.name.clone(), team.cpus_max))
             .collect();
-        let mut rng = SmallRng::seed_from_u64(seed);
-        let slots = (0..CONTROLLERS)
-            .map(|_| Slot::new(rng.random_range(-0.0005..0.0005)))
-            .collect();
-        let mut world = World {
+        World {
             now: Duration::ZERO,
             base: Instant::now(),
             wall: SystemTime::UNIX_EPOCH + Duration::from_secs(1_800_000_000),
@@ -305,17 +327,7 @@
             most_commands: 0,
             config,
             rng,
-        };
-        for controller in 0..CONTROLLERS {
-            let at = Duration::from_millis(world.rng.random_range(0..500));
-            world.at(at, WorldEvent::Restart { controller });
         }
-        world.at(STEP, WorldEvent::Step);
-        world.schedule_faults();
-        for n in 0..size.jobs {
-            world.add_user(n);
-        }
-        world
     }
 
     /// All controllers are of the production version at first, and know of smaller limits to come.
@@ -429,11 +441,7 @@
             WorldEvent::Copy {
                 controller,
                 heartbeat,
-            } => {
-                let id = self.slots[controller].new_request();
-                let heartbeat = *heartbeat;
-                self.handle(controller, Event::Heartbeat { id, heartbeat });
-            }
+            } => self.heartbeat_copy_arrives(controller, *heartbeat),
             WorldEvent::Answered {
                 request,
                 controller,
