--- a/tests/simulation/world/checks.rs
+++ b/tests/simulation/cluster/checks.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 
-impl World {
+impl SimulatedCluster {
     /// Every rule kept, and nothing that was accepted left undone once faults have ceased.
     pub fn check_end(&self, seed: u64) {
         assert!(
--- a/tests/simulation/world/cloud.rs
+++ b/tests/simulation/cluster/cloud.rs
@@ -38,7 +38,7 @@
 /// How long a machine is rented before the list shows it.
 const LIST_LAG: Duration = Duration::from_secs(8);
 
-impl World {
+impl SimulatedCluster {
     /// Carries out a request to the cloud.
     pub(super) fn cloud(&mut self, call: &CloudRequest) -> CloudResponse {
         if self.now < self.cloud_out_until {
--- a/tests/simulation/world/controllers.rs
+++ b/tests/simulation/cluster/controllers.rs
@@ -23,7 +23,7 @@
     pub(super) cut_until: Duration,
     /// Until then it hears no peers either.
     pub(super) island_until: Duration,
-    pub(super) frozen_until: Duration,
+    pub(super) paused_until: Duration,
     /// Commands that it waits for an answer to: each holds a socket.
     pub(super) commands: usize,
 }
@@ -40,7 +40,7 @@
             drift,
             cut_until: Duration::ZERO,
             island_until: Duration::ZERO,
-            frozen_until: Duration::ZERO,
+            paused_until: Duration::ZERO,
             commands: 0,
         }
     }
@@ -72,7 +72,7 @@
     }
 }
 
-impl World {
+impl SimulatedCluster {
     /// Ends a controller, which comes back with the new version.
     pub fn upgrade(&mut self, controller: usize, back_after: Duration) {
         self.slots[controller].format = FORMAT;
@@ -109,7 +109,7 @@
     /// Hands an event to whichever process of the controller there is, when it is not paused.
     pub(super) fn handle(&mut self, controller: usize, event: Event) {
         let process = self.process(controller);
-        let paused_until = self.slots[controller].frozen_until;
+        let paused_until = self.slots[controller].paused_until;
         if self.now < paused_until {
             return self.deliver_at(paused_until, process, event);
         }
@@ -123,12 +123,12 @@
         if !self.alive(process) {
             return;
         }
-        let paused_until = self.slots[process.controller].frozen_until;
+        let paused_until = self.slots[process.controller].paused_until;
         if self.now < paused_until {
-            return self.at(paused_until, WorldEvent::Tick { process });
+            return self.at(paused_until, ClusterEvent::Tick { process });
         }
         self.handle(process.controller, Event::Tick);
-        self.at(self.now + TICK, WorldEvent::Tick { process });
+        self.at(self.now + TICK, ClusterEvent::Tick { process });
     }
 
     /// A process goes on after a pause and does what it had decided before.
@@ -172,7 +172,7 @@
         let now = self.clock(controller);
         let slot = &mut self.slots[controller];
         slot.incarnation.0 += 1;
-        slot.frozen_until = Duration::ZERO;
+        slot.paused_until = Duration::ZERO;
         slot.commands = 0;
         slot.waiting.clear();
         let features = self.features.clone();
@@ -180,7 +180,7 @@
             Controller::knowing(slot.format, config, policy, seed, now).with_features(features),
         );
         let process = self.process(controller);
-        self.soon(WorldEvent::Tick { process });
+        self.soon(ClusterEvent::Tick { process });
     }
 
     /// The settings of one controller.
@@ -216,7 +216,7 @@
     pub fn end_controller(&mut self, controller: usize, back_after: Duration) {
         self.slots[controller].controller = None;
         self.slots[controller].waiting.clear();
-        self.at(self.now + back_after, WorldEvent::Restart { controller });
+        self.at(self.now + back_after, ClusterEvent::Restart { controller });
     }
 
     /// Machines and tasks that all controllers have looked at, and the plans that they made.
--- a/tests/simulation/world/faults.rs
+++ b/tests/simulation/cluster/faults.rs
@@ -30,11 +30,11 @@
     /// out (commands, rentals, deletions, transactions, what users ask and controllers say): it is carried out again.
     pub copies: f64,
     /// A controller stands still for up to 45 s, in the middle of something, while its clocks run on.
-    pub freeze: f64,
+    pub pause: f64,
     /// A third of the machines that are up die, hang, hear nothing or are taken in the same moment.
     pub mass_loss: f64,
     /// A controller loses the state service and its peers, but not its workers.
-    pub island: f64,
+    pub isolate: f64,
     /// Of all transactions: no answer comes, and it is carried out 2 to 12 s later, after newer ones.
     pub late_writes: f64,
     /// A machine reaches no controller for up to a minute, while direct commands reach it.
@@ -66,8 +66,8 @@
             (Fault::ZoneCut, self.zone_cut),
             (Fault::MachineDeaf, self.machine_deaf),
             (Fault::MachineRestarts, self.machine_restarts),
-            (Fault::Island, self.island),
-            (Fault::Freeze, self.freeze),
+            (Fault::Island, self.isolate),
+            (Fault::Pause, self.pause),
             (Fault::MassLoss, self.mass_loss),
             (Fault::MachineMute, self.machine_mute),
             (Fault::StateSlow, self.state_slow),
@@ -92,8 +92,8 @@
             machine_deaf: 50.0,
             machine_restarts: 60.0,
             copies: 0.02,
-            island: 80.0,
-            freeze: 60.0,
+            isolate: 80.0,
+            pause: 60.0,
             mass_loss: 150.0,
             late_writes: 0.01,
             machine_mute: 50.0,
@@ -120,7 +120,7 @@
     MachineDeaf,
     MachineRestarts,
     Island,
-    Freeze,
+    Pause,
     MassLoss,
     MachineMute,
     StateSlow,
@@ -131,7 +131,7 @@
     Duration::from_secs_f64(rng.random_range(1.0..most))
 }
 
-impl World {
+impl SimulatedCluster {
     /// Schedules the random faults of this cluster, at the times of Poisson processes.
     pub(super) fn schedule_faults(&mut self) {
         for (fault, mean) in self.faults.mean_times() {
@@ -144,7 +144,7 @@
                 if Duration::from_secs_f64(at) >= self.calm_from {
                     break;
                 }
-                self.at(Duration::from_secs_f64(at), WorldEvent::Fault(fault));
+                self.at(Duration::from_secs_f64(at), ClusterEvent::Fault(fault));
             }
         }
     }
@@ -159,7 +159,7 @@
     }
 
     /// It loses the state service and the other controllers, not its workers and users.
-    pub fn island(&mut self, controller: usize, how_long: Duration) {
+    pub fn isolate(&mut self, controller: usize, how_long: Duration) {
         self.cut_state(controller, how_long);
         self.slots[controller].island_until = self.now + how_long;
     }
@@ -170,16 +170,16 @@
         self.state.outage_over(until);
     }
 
-    pub fn freeze(&mut self, controller: usize, how_long: Duration) {
-        if self.now < self.slots[controller].frozen_until {
+    pub fn pause(&mut self, controller: usize, how_long: Duration) {
+        if self.now < self.slots[controller].paused_until {
             return;
         }
         let until = self.now + how_long;
         // It has just decided what to do, and does it when it goes on.
         let effects = self.effects(controller, Event::Tick);
-        self.slots[controller].frozen_until = until;
+        self.slots[controller].paused_until = until;
         let process = self.process(controller);
-        self.at(until, WorldEvent::Resume { process, effects });
+        self.at(until, ClusterEvent::Resume { process, effects });
     }
 
     pub fn hang(&mut self, machine: &str, how_long: Duration) {
@@ -225,7 +225,7 @@
     }
 
     /// Answers and commands don't reach it.
-    pub fn deafen(&mut self, machine: &str, how_long: Duration) {
+    pub fn block_responses(&mut self, machine: &str, how_long: Duration) {
         if let Some(machine) = self.machines.get_mut(machine) {
             machine.deaf_until = self.now + how_long;
         }
@@ -237,7 +237,7 @@
     }
 
     /// It reaches no controller, while direct commands reach it.
-    pub fn mute(&mut self, machine: &str, how_long: Duration) {
+    pub fn block_heartbeats(&mut self, machine: &str, how_long: Duration) {
         if let Some(machine) = self.machines.get_mut(machine) {
             machine.mute_until = self.now + how_long;
         }
@@ -263,12 +263,12 @@
             Fault::Island => {
                 let controller = self.rng.random_range(0..CONTROLLERS);
                 let how_long = up_to(&mut self.rng, 60.0);
-                self.island(controller, how_long);
+                self.isolate(controller, how_long);
             }
-            Fault::Freeze => {
+            Fault::Pause => {
                 let controller = self.rng.random_range(0..CONTROLLERS);
                 let how_long = up_to(&mut self.rng, 45.0);
-                self.freeze(controller, how_long);
+                self.pause(controller, how_long);
             }
             Fault::MassLoss => {
                 let kind = [
@@ -317,8 +317,8 @@
         match fault {
             Fault::MachineDies => self.kill(&id),
             Fault::MachineHangs => self.hang(&id, how_long),
-            Fault::MachineDeaf => self.deafen(&id, how_long),
-            Fault::MachineMute => self.mute(&id, how_long),
+            Fault::MachineDeaf => self.block_responses(&id, how_long),
+            Fault::MachineMute => self.block_heartbeats(&id, how_long),
             Fault::MachineRestarts => self.restart_machine(&id),
             _ => self.recall(&id, notice),
         }
--- a/tests/simulation/world/machines.rs
+++ b/tests/simulation/cluster/machines.rs
@@ -54,7 +54,7 @@
     }
 }
 
-impl World {
+impl SimulatedCluster {
     pub(super) fn happened(&mut self, id: &str, happened: Vec<MachineEvent>) {
         for what in happened {
             match what {
@@ -87,7 +87,7 @@
         if self.now >= self.calm_from || !self.rng.random_bool(self.faults.cancel_at_end) {
             return;
         }
-        self.call_off(job);
+        self.cancel(job);
     }
 
     /// A direct command arrives at a machine, or is held at a cut border.
@@ -103,7 +103,7 @@
                 self.command_times_out(process, &command);
             }
             let late = until + Duration::from_millis(self.rng.random_range(1..50));
-            let held = WorldEvent::Command {
+            let held = ClusterEvent::Command {
                 process,
                 command,
                 answer: false,
@@ -256,7 +256,7 @@
     fn send_heartbeat(&mut self, id: &str, heartbeat: Heartbeat) {
         let now = self.now;
         let machine = &self.machines[id];
-        let (controller, mute) = (machine.controller, now < machine.mute_until);
+        let (controller, block_heartbeats) = (machine.controller, now < machine.mute_until);
         let up = self.slots[controller].controller.is_some();
         let request = HeartbeatRequest {
             machine: id.to_owned(),
@@ -266,30 +266,30 @@
         };
         let heartbeat = Box::new(heartbeat);
         if let Some(late) = self.copied() {
-            let copy = WorldEvent::Copy {
+            let copy = ClusterEvent::Copy {
                 controller: self.rng.random_range(0..CONTROLLERS),
                 heartbeat: heartbeat.clone(),
             };
             self.at(late, copy);
         }
         if now < self.heartbeats_held_until {
-            self.plan(self.heartbeats_held_until, move |world| {
-                if let Some(controller) = world.leader() {
-                    world.dispatch(WorldEvent::Copy {
+            self.plan(self.heartbeats_held_until, move |cluster| {
+                if let Some(controller) = cluster.leader() {
+                    cluster.dispatch(ClusterEvent::Copy {
                         controller,
                         heartbeat,
                     });
                 }
             });
-        } else if up && !mute {
+        } else if up && !block_heartbeats {
             let Delivery { at, .. } = self.delivery();
-            let heartbeat = WorldEvent::Heartbeat {
+            let heartbeat = ClusterEvent::Heartbeat {
                 controller,
                 heartbeat,
             };
             self.at(at, heartbeat);
         } else {
-            self.soon(WorldEvent::Answered {
+            self.soon(ClusterEvent::Answered {
                 request,
                 controller,
                 answer: None,
@@ -310,7 +310,7 @@
         };
         let sent = machine.heartbeat.map_or(self.now, |(_, sent)| sent);
         if let Some(until) = self.cut(controller, Some(&machine.zone)) {
-            let held = WorldEvent::Heartbeat {
+            let held = ClusterEvent::Heartbeat {
                 controller,
                 heartbeat,
             };
--- a/tests/simulation/world/mod.rs
+++ b/tests/simulation/cluster/mod.rs
@@ -1,4 +1,4 @@
-//! A simulated world around real controllers: state service, cloud, machines and users as stand-ins, a network
+//! A simulated cluster around real controllers: state service, cloud, machines and users as stand-ins, a network
 //! that loses and holds messages, and faults at random times. Everything follows from a seed.
 
 mod checks;
@@ -64,7 +64,7 @@
 /// Machines and users move in steps of this.
 const STEP: Duration = Duration::from_millis(100);
 
-enum WorldEvent {
+enum ClusterEvent {
     Tick {
         process: Process,
     },
@@ -127,7 +127,7 @@
     },
     Fault(Fault),
     /// What a test has planned for this moment.
-    Planned(Box<dyn FnOnce(&mut World)>),
+    Planned(Box<dyn FnOnce(&mut SimulatedCluster)>),
 }
 
 /// How much there is of everything.
@@ -170,13 +170,13 @@
     };
 }
 
-pub struct World {
+pub struct SimulatedCluster {
     pub(super) now: Duration,
     base: Instant,
     wall: SystemTime,
     order: u64,
     queue: BinaryHeap<Reverse<(Duration, u64, usize)>>,
-    events: HashMap<usize, WorldEvent>,
+    events: HashMap<usize, ClusterEvent>,
     rng: SmallRng,
     faults: Faults,
     /// Faults stop here; what follows is for the service to recover.
@@ -239,7 +239,7 @@
 /// Cuts, hangs and held messages last for up to a minute after the last fault.
 const LAST_TROUBLES: Duration = Duration::from_secs(60);
 
-impl World {
+impl SimulatedCluster {
     pub fn new(seed: u64, faults: Faults, calm_from: Duration, size: Size) -> Self {
         let text = include_str!("../../data/settings.toml");
         let mut config = Config::parse("settings.toml", text).expect("the sample is valid");
@@ -252,17 +252,17 @@
         let slots = (0..CONTROLLERS)
             .map(|_| Slot::new(rng.random_range(-0.0005..0.0005)))
             .collect();
-        let mut world = World::empty(config, rng, slots, faults, calm_from, size);
+        let mut cluster = SimulatedCluster::empty(config, rng, slots, faults, calm_from, size);
         for controller in 0..CONTROLLERS {
-            let at = Duration::from_millis(world.rng.random_range(0..500));
-            world.at(at, WorldEvent::Restart { controller });
+            let at = Duration::from_millis(cluster.rng.random_range(0..500));
+            cluster.at(at, ClusterEvent::Restart { controller });
         }
-        world.at(STEP, WorldEvent::Step);
-        world.schedule_faults();
+        cluster.at(STEP, ClusterEvent::Step);
+        cluster.schedule_faults();
         for n in 0..size.jobs {
-            world.add_user(n);
+            cluster.add_user(n);
         }
-        world
+        cluster
     }
 
     /// A cluster in which nothing is scheduled to happen yet.
@@ -279,7 +279,7 @@
             .iter()
             .map(|team| (team.name.clone(), team.cpus_max))
             .collect();
-        World {
+        SimulatedCluster {
             now: Duration::ZERO,
             base: Instant::now(),
             wall: SystemTime::UNIX_EPOCH + Duration::from_secs(1_800_000_000),
@@ -338,15 +338,15 @@
         size: Size,
         next: StateLimits,
     ) -> Self {
-        let mut world = World::new(seed, faults, calm_from, size);
-        world.config.next_state_limits = Some(next);
-        for slot in &mut world.slots {
+        let mut cluster = SimulatedCluster::new(seed, faults, calm_from, size);
+        cluster.config.next_state_limits = Some(next);
+        for slot in &mut cluster.slots {
             slot.format = 0;
         }
-        world
+        cluster
     }
 
-    fn at(&mut self, at: Duration, event: WorldEvent) {
+    fn at(&mut self, at: Duration, event: ClusterEvent) {
         self.order += 1;
         let key = self.order as usize;
         self.events.insert(key, event);
@@ -367,7 +367,7 @@
         if changes && let Some(late) = copied {
             let request = request.clone();
             let event = Box::new(Event::Operate { id: 0, request });
-            self.at(late, WorldEvent::Repeat { controller, event });
+            self.at(late, ClusterEvent::Repeat { controller, event });
         }
         self.deliver_soon(process, Event::Operate { id, request });
     }
@@ -393,37 +393,37 @@
     }
 
     /// Lets an event happen.
-    fn dispatch(&mut self, event: WorldEvent) {
+    fn dispatch(&mut self, event: ClusterEvent) {
         match event {
-            WorldEvent::Tick { process } => self.tick(process),
-            WorldEvent::Restart { controller } => self.start(controller),
-            WorldEvent::Step => {
+            ClusterEvent::Tick { process } => self.tick(process),
+            ClusterEvent::Restart { controller } => self.start(controller),
+            ClusterEvent::Step => {
                 self.step();
-                self.at(self.now + STEP, WorldEvent::Step);
+                self.at(self.now + STEP, ClusterEvent::Step);
             }
-            WorldEvent::Store {
+            ClusterEvent::Store {
                 process,
                 tag,
                 sent,
                 op,
                 answer,
             } => self.store(process, tag, sent, op, answer),
-            WorldEvent::Watch { id } => self.watch_over(id),
-            WorldEvent::Deliver { process, event } => {
+            ClusterEvent::Watch { id } => self.watch_over(id),
+            ClusterEvent::Deliver { process, event } => {
                 if self.alive(process) {
                     self.handle(process.controller, *event);
                 }
             }
-            WorldEvent::Peer {
+            ClusterEvent::Peer {
                 controller,
                 message,
             } => self.peer_message_arrives(controller, message),
-            WorldEvent::Command {
+            ClusterEvent::Command {
                 process,
                 command,
                 answer,
             } => self.command(process, command, answer),
-            WorldEvent::Cloud {
+            ClusterEvent::Cloud {
                 process,
                 tag,
                 call,
@@ -434,23 +434,23 @@
                     self.deliver_soon(process, Event::CloudResponse { tag, outcome });
                 }
             }
-            WorldEvent::Heartbeat {
+            ClusterEvent::Heartbeat {
                 controller,
                 heartbeat,
             } => self.heartbeat_arrives(controller, heartbeat),
-            WorldEvent::Copy {
+            ClusterEvent::Copy {
                 controller,
                 heartbeat,
             } => self.heartbeat_copy_arrives(controller, *heartbeat),
-            WorldEvent::Answered {
+            ClusterEvent::Answered {
                 request,
                 controller,
                 answer,
             } => self.answered(&request, controller, answer),
-            WorldEvent::Repeat { controller, event } => self.handle(controller, *event),
-            WorldEvent::Resume { process, effects } => self.resume(process, effects),
-            WorldEvent::Fault(fault) => self.fault(fault),
-            WorldEvent::Planned(act) => act(self),
+            ClusterEvent::Repeat { controller, event } => self.handle(controller, *event),
+            ClusterEvent::Resume { process, effects } => self.resume(process, effects),
+            ClusterEvent::Fault(fault) => self.fault(fault),
+            ClusterEvent::Planned(act) => act(self),
         }
     }
 
@@ -480,7 +480,7 @@
     }
 
     /// Does something at a set time, for meetings that random faults would seldom bring about.
-    pub fn plan(&mut self, at: Duration, act: impl FnOnce(&mut World) + 'static) {
-        self.at(at, WorldEvent::Planned(Box::new(act)));
+    pub fn plan(&mut self, at: Duration, act: impl FnOnce(&mut SimulatedCluster) + 'static) {
+        self.at(at, ClusterEvent::Planned(Box::new(act)));
     }
 }
--- a/tests/simulation/world/network.rs
+++ b/tests/simulation/cluster/network.rs
@@ -15,7 +15,7 @@
 
 use super::controllers::Process;
 use super::users::Asker;
-use super::{Size, World, WorldEvent, ZONES};
+use super::{ClusterEvent, SimulatedCluster, Size, ZONES};
 use crate::production;
 
 /// How long a controller waits for the state service.
@@ -38,7 +38,7 @@
     pub(super) answered: bool,
 }
 
-impl World {
+impl SimulatedCluster {
     /// How long a message takes.
     fn transit(&mut self) -> Duration {
         let most = u64::try_from(self.latency.as_micros()).expect("short");
@@ -46,7 +46,7 @@
     }
 
     /// Schedules an event after the time that a message takes.
-    pub(super) fn soon(&mut self, event: WorldEvent) {
+    pub(super) fn soon(&mut self, event: ClusterEvent) {
         let at = self.now + self.transit();
         self.at(at, event);
     }
@@ -54,13 +54,13 @@
     /// Schedules an event for a process, which gets it unless it has ended by then.
     pub(super) fn deliver_at(&mut self, at: Duration, process: Process, event: Event) {
         let event = Box::new(event);
-        self.at(at, WorldEvent::Deliver { process, event });
+        self.at(at, ClusterEvent::Deliver { process, event });
     }
 
     /// The same after the time that a message takes.
     pub(super) fn deliver_soon(&mut self, process: Process, event: Event) {
         let event = Box::new(event);
-        self.soon(WorldEvent::Deliver { process, event });
+        self.soon(ClusterEvent::Deliver { process, event });
     }
 
     /// A request on its way: sometimes held for long, sometimes its answer is lost.
@@ -159,7 +159,7 @@
         );
         let copied = self.copied();
         if repeatable && let Some(late) = copied {
-            let copy = WorldEvent::Store {
+            let copy = ClusterEvent::Store {
                 process,
                 tag: tag.clone(),
                 sent,
@@ -168,7 +168,7 @@
             };
             self.at(late, copy);
         }
-        let request = WorldEvent::Store {
+        let request = ClusterEvent::Store {
             process,
             tag,
             sent,
@@ -210,14 +210,14 @@
             self.command_times_out(process, &command);
         }
         if let Some(late) = self.copied() {
-            let copy = WorldEvent::Command {
+            let copy = ClusterEvent::Command {
                 process,
                 command: command.clone(),
                 answer: false,
             };
             self.at(late, copy);
         }
-        let command = WorldEvent::Command {
+        let command = ClusterEvent::Command {
             process,
             command,
             answer: answered,
@@ -256,7 +256,7 @@
         }
         let at = at + CLOUD_LATENCY;
         if let Some(late) = self.copied() {
-            let copy = WorldEvent::Cloud {
+            let copy = ClusterEvent::Cloud {
                 process,
                 tag: tag.clone(),
                 call: call.clone(),
@@ -264,7 +264,7 @@
             };
             self.at(late, copy);
         }
-        let request = WorldEvent::Cloud {
+        let request = ClusterEvent::Cloud {
             process,
             tag,
             call,
@@ -280,17 +280,17 @@
         }
         let controller = controller_index(to).unwrap_or(0);
         let Delivery { at, .. } = self.delivery();
-        let island = |controller: usize| self.now < self.slots[controller].island_until;
+        let isolate = |controller: usize| self.now < self.slots[controller].island_until;
         if self.size.jobs > Size::SMALL.jobs {
             let bytes = dappleshore::http::write(&message).len();
             self.peer_bytes += bytes;
             self.largest_peer_message = self.largest_peer_message.max(bytes);
         }
-        if self.now < self.peers_cut_until || island(from) || island(controller) {
+        if self.now < self.peers_cut_until || isolate(from) || isolate(controller) {
             return;
         }
         if let Some(late) = self.copied() {
-            let copy = WorldEvent::Peer {
+            let copy = ClusterEvent::Peer {
                 controller,
                 message: message.clone(),
             };
@@ -298,7 +298,7 @@
         }
         self.at(
             at,
-            WorldEvent::Peer {
+            ClusterEvent::Peer {
                 controller,
                 message,
             },
@@ -342,7 +342,7 @@
         }
         let Delivery { at, answered } = self.delivery();
         if answered {
-            let answered = WorldEvent::Answered {
+            let answered = ClusterEvent::Answered {
                 request,
                 controller,
                 answer: Some(response),
@@ -360,7 +360,7 @@
         };
         let zone = from.map(|from| Zone::from(ZONES[from]));
         if let Some(until) = zone.and_then(|zone| self.cut(controller, Some(&zone))) {
-            let held = WorldEvent::Peer {
+            let held = ClusterEvent::Peer {
                 controller,
                 message,
             };
--- a/tests/simulation/world/store_requests.rs
+++ b/tests/simulation/cluster/store_requests.rs
@@ -12,7 +12,7 @@
     pub(super) until: Duration,
 }
 
-impl World {
+impl SimulatedCluster {
     /// The format that is switched on.
     pub fn format(&self) -> u32 {
         self.state.format()
@@ -33,7 +33,7 @@
             let late = until + Duration::from_millis(self.rng.random_range(1..50));
             self.at(
                 late,
-                WorldEvent::Store {
+                ClusterEvent::Store {
                     process,
                     tag,
                     sent,
@@ -65,7 +65,7 @@
                 until,
             };
             self.watchers.insert(id, watcher);
-            self.at(until, WorldEvent::Watch { id });
+            self.at(until, ClusterEvent::Watch { id });
             self.wake_watchers();
             return;
         }
@@ -114,7 +114,7 @@
                 };
                 self.deliver_soon(watcher.process, event);
             } else {
-                self.at(later, WorldEvent::Watch { id });
+                self.at(later, ClusterEvent::Watch { id });
             }
             return;
         }
--- a/tests/simulation/world/users.rs
+++ b/tests/simulation/cluster/users.rs
@@ -140,7 +140,7 @@
     bytes
 }
 
-impl World {
+impl SimulatedCluster {
     pub fn gangs(&self) -> &Gangs {
         &self.gangs
     }
@@ -310,7 +310,7 @@
             let controller = self.rng.random_range(0..CONTROLLERS);
             if asked != Ask::Poll {
                 let event = Box::new(self.user_event(index, asked, 0));
-                self.at(late, WorldEvent::Repeat { controller, event });
+                self.at(late, ClusterEvent::Repeat { controller, event });
             }
         }
         let event = self.user_event(index, asked, id);
@@ -477,12 +477,12 @@
     pub fn cancel_now(&mut self, count: usize) -> Vec<JobId> {
         let jobs = self.running_jobs(count);
         for job in &jobs {
-            self.call_off(*job);
+            self.cancel(*job);
         }
         jobs
     }
 
-    pub(super) fn call_off(&mut self, job: JobId) {
+    pub(super) fn cancel(&mut self, job: JobId) {
         let now = self.now;
         if let Some(user) = self.users.iter_mut().find(|user| user.job == job) {
             user.cancel_at = Some(now);
--- a/tests/simulation/digest.rs
+++ b/tests/simulation/digest.rs
@@ -1,4 +1,4 @@
-//! A digest of everything that controllers decide in a simulated world. A change that is not meant to alter decisions,
+//! A digest of everything that controllers decide in a simulated cluster. A change that is not meant to alter decisions,
 //! such as a renaming or a move, must leave it as it was.
 //!
 //! Contents are hashed in the form in which they are sent, never by the names of types or fields in the program.
@@ -16,10 +16,10 @@
 use dappleshore::{cloud, store};
 use dappleshore_drain::{DrainSettings, Limit, Scope};
 
+use super::cluster::{Faults, SimulatedCluster, Size, array};
 use super::gangs::submit_gangs;
 use super::machine::LASTING;
 use super::rollout::NEXT;
-use super::world::{Faults, Size, World, array};
 
 /// A 64-bit FNV-1a hash of all effects that controllers returned, in order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -113,7 +113,7 @@
 
     /// Takes in one effect. All that depends on the names in the program is here.
     ///
-    /// `now`: simulated time. `base`: the beginning of the world by the controllers' monotonic clock.
+    /// `now`: simulated time. `base`: the beginning of the cluster by the controllers' monotonic clock.
     pub fn effect(&mut self, controller: usize, now: Duration, base: Instant, effect: &Effect) {
         self.effects += 1;
         self.number(controller as u64);
@@ -176,53 +176,53 @@
     }
 }
 
-/// Until when faults happen in these worlds.
+/// Until when faults happen in these clusters.
 const CALM_FROM: Duration = Duration::from_secs(120);
 /// Until when they are played.
 const END: Duration = Duration::from_secs(240);
 
-/// A small world.
-fn world(seed: u64, faults: Faults) -> World {
+/// A small cluster.
+fn cluster(seed: u64, faults: Faults) -> SimulatedCluster {
     super::log_if_asked();
-    World::new(seed, faults, CALM_FROM, Size::SMALL)
+    SimulatedCluster::new(seed, faults, CALM_FROM, Size::SMALL)
 }
 
 /// No faults.
-fn quiet() -> World {
-    world(901, Faults::default())
+fn quiet() -> SimulatedCluster {
+    cluster(901, Faults::default())
 }
 
 /// All faults.
-fn troubled() -> World {
-    world(902, Faults::all())
+fn troubled() -> SimulatedCluster {
+    cluster(902, Faults::all())
 }
 
 /// An upgrade from the production version under all faults, and gangs once it is through.
-fn upgraded() -> World {
+fn upgraded() -> SimulatedCluster {
     super::log_if_asked();
-    let mut world = World::upgrading(903, Faults::all(), CALM_FROM, Size::SMALL, NEXT);
+    let mut cluster = SimulatedCluster::upgrading(903, Faults::all(), CALM_FROM, Size::SMALL, NEXT);
     for (controller, at) in [(1, 20), (2, 24), (0, 28)] {
-        world.plan(Duration::from_secs(at), move |world| {
-            world.upgrade(controller, Duration::from_millis(900));
+        cluster.plan(Duration::from_secs(at), move |cluster| {
+            cluster.upgrade(controller, Duration::from_millis(900));
         });
     }
-    submit_gangs(&mut world, 55, 6);
-    world
+    submit_gangs(&mut cluster, 55, 6);
+    cluster
 }
 
 /// A zone is drained while each team has a service there, and the leader ends meanwhile.
-fn drained() -> World {
-    let mut world = world(904, Faults::default());
-    world.preemption = false;
-    world.unbind_jobs();
-    world.features = Features {
+fn drained() -> SimulatedCluster {
+    let mut cluster = cluster(904, Faults::default());
+    cluster.preemption = false;
+    cluster.unbind_jobs();
+    cluster.features = Features {
         drain: DrainSettings {
             enabled: true,
             budget: Limit::Count(2),
             ..DrainSettings::default()
         },
     };
-    world.plan(Duration::from_secs(2), |world| {
+    cluster.plan(Duration::from_secs(2), |cluster| {
         for team in ["red", "blue"] {
             let service = Job {
                 kind: JobKind::Service,
@@ -236,25 +236,25 @@
                 spot: false,
                 ..array(LASTING, team, Priority::Production)
             };
-            world.add_job(service, None);
+            cluster.add_job(service, None);
         }
     });
     let drain_at = Duration::from_secs(50);
-    world.watch_drains(drain_at);
+    cluster.watch_drains(drain_at);
     for (id, zone) in [("first", "a"), ("second", "b")] {
-        world.plan(drain_at, move |world| {
-            world.drain(id, Scope::Zone(zone.into()));
+        cluster.plan(drain_at, move |cluster| {
+            cluster.drain(id, Scope::Zone(zone.into()));
         });
     }
-    world.plan(Duration::from_secs(70), |world| {
-        let leader = world.leader().expect("led by now");
-        world.end_controller(leader, Duration::from_secs(5));
+    cluster.plan(Duration::from_secs(70), |cluster| {
+        let leader = cluster.leader().expect("led by now");
+        cluster.end_controller(leader, Duration::from_secs(5));
     });
-    world
+    cluster
 }
 
 /// Gangs while machines and controllers fail.
-fn with_gangs() -> World {
+fn with_gangs() -> SimulatedCluster {
     let faults = Faults {
         machine_dies: 12.0,
         machine_hangs: 10.0,
@@ -263,23 +263,23 @@
         copies: 0.02,
         ..Faults::default()
     };
-    let mut world = world(905, faults);
-    submit_gangs(&mut world, 15, 10);
-    world
+    let mut cluster = cluster(905, faults);
+    submit_gangs(&mut cluster, 15, 10);
+    cluster
 }
 
-/// Plays a world to its end and returns its digest. It must have done enough for that to show something.
-fn play(name: &str, mut world: World) -> Digest {
-    world.digest = Some(Digest::new());
-    world.run_until(END);
+/// Plays a cluster to its end and returns its digest. It must have done enough for that to show something.
+fn play(name: &str, mut cluster: SimulatedCluster) -> Digest {
+    cluster.digest = Some(Digest::new());
+    cluster.run_until(END);
     assert!(
-        world.rules.broken.is_empty(),
+        cluster.rules.broken.is_empty(),
         "{name}: {:?}",
-        world.rules.broken
+        cluster.rules.broken
     );
-    let (started, rented) = (world.rules.started, world.rented);
-    let (gangs, evictions) = (world.gangs().started, world.operators.evictions.len());
-    let (format, token) = (world.format(), world.last_token());
+    let (started, rented) = (cluster.rules.started, cluster.rented);
+    let (gangs, evictions) = (cluster.gangs().started, cluster.operators.evictions.len());
+    let (format, token) = (cluster.format(), cluster.last_token());
     println!(
         "{name}: {started} tasks and {gangs} gangs started, {rented} machines rented, {evictions} evictions, format \
          {format}, last token {token}"
@@ -288,22 +288,22 @@
         started > 150 && rented > 20 && format == FORMAT,
         "{name}: {started} tasks started, {rented} machines rented, format {format}"
     );
-    world.digest.expect("set above")
+    cluster.digest.expect("set above")
 }
 
-/// A world and what is expected of it.
+/// A cluster and what is expected of it.
 struct Case {
     name: &'static str,
-    world: fn() -> World,
+    cluster: fn() -> SimulatedCluster,
     expected: Digest,
 }
 
-/// A world whose controllers return so many effects with this hash.
-fn case(name: &'static str, world: fn() -> World, hash: u64, effects: u64) -> Case {
+/// A cluster whose controllers return so many effects with this hash.
+fn case(name: &'static str, cluster: fn() -> SimulatedCluster, hash: u64, effects: u64) -> Case {
     let expected = Digest { hash, effects };
     Case {
         name,
-        world,
+        cluster,
         expected,
     }
 }
@@ -330,7 +330,7 @@
     ];
     let mut different = Vec::new();
     for case in cases {
-        let (expected, seen) = (case.expected, play(case.name, (case.world)()));
+        let (expected, seen) = (case.expected, play(case.name, (case.cluster)()));
         if seen != expected {
             different.push(format!(
                 "{}: expected 0x{:016x} of {} effects, got 0x{:016x} of {}",
--- a/tests/simulation/meetings.rs
+++ b/tests/simulation/fault_combinations.rs
@@ -4,7 +4,7 @@
 
 use dappleshore::domain::JobId;
 
-use super::world::{CALM_FROM, CONTROLLERS, Faults, Size, World};
+use super::cluster::{CALM_FROM, CONTROLLERS, Faults, SimulatedCluster, Size};
 
 /// When the state service goes out for everybody.
 const OUT_AT: Duration = Duration::from_secs(60);
@@ -15,13 +15,15 @@
     Duration::from_secs_f64(seconds)
 }
 
-/// A quiet world in which tasks that start before `OUT_AT` run on for minutes.
-fn world(seed: u64) -> World {
+/// A quiet cluster in which tasks that start before `OUT_AT` run on for minutes.
+fn cluster(seed: u64) -> SimulatedCluster {
     super::log_if_asked();
-    let mut world = World::new(seed, Faults::default(), CALM_FROM, Size::SMALL);
-    world.longer = seconds(150.0);
-    world.plan(OUT_AT + seconds(1.0), |world| world.longer = Duration::ZERO);
-    world
+    let mut cluster = SimulatedCluster::new(seed, Faults::default(), CALM_FROM, Size::SMALL);
+    cluster.longer = seconds(150.0);
+    cluster.plan(OUT_AT + seconds(1.0), |cluster| {
+        cluster.longer = Duration::ZERO
+    });
+    cluster
 }
 
 /// The state service refuses the leader alone, `cut` before it goes out for everybody; between the two, jobs that run
@@ -46,102 +48,110 @@
     }
 
     /// `meanwhile` happens as the outage begins; it is told the jobs and the leader.
-    fn play(self, meanwhile: impl FnOnce(&mut World, Vec<JobId>, usize) + 'static) -> World {
+    fn play(
+        self,
+        meanwhile: impl FnOnce(&mut SimulatedCluster, Vec<JobId>, usize) + 'static,
+    ) -> SimulatedCluster {
         let Gap {
             seed,
             cut,
             out_for,
             hang,
         } = self;
-        let mut world = world(seed);
-        world.plan(OUT_AT - seconds(cut), move |world| {
-            let leader = world.leader().expect("led by now");
-            world.cut_state(leader, seconds(14.0));
+        let mut cluster = cluster(seed);
+        cluster.plan(OUT_AT - seconds(cut), move |cluster| {
+            let leader = cluster.leader().expect("led by now");
+            cluster.cut_state(leader, seconds(14.0));
         });
-        world.plan(OUT_AT - seconds(cut.clamp(1.0, 3.0)), move |world| {
-            let jobs = world.cancel_now(8);
-            for machine in machines_of(world, &jobs) {
+        cluster.plan(OUT_AT - seconds(cut.clamp(1.0, 3.0)), move |cluster| {
+            let jobs = cluster.cancel_now(8);
+            for machine in machines_of(cluster, &jobs) {
                 hang.into_iter()
-                    .for_each(|how_long| world.hang(&machine, how_long));
+                    .for_each(|how_long| cluster.hang(&machine, how_long));
             }
-            world.plan(OUT_AT, move |world| {
+            cluster.plan(OUT_AT, move |cluster| {
                 let jobs: Vec<JobId> = jobs
                     .into_iter()
-                    .filter(|job| world.rules.is_cancelled(*job))
+                    .filter(|job| cluster.rules.is_cancelled(*job))
                     .collect();
                 assert!(
                     jobs.len() >= 2,
                     "seed {seed}: {} cancellations confirmed before the outage",
                     jobs.len()
                 );
-                let left = machines_of(world, &jobs).len();
+                let left = machines_of(cluster, &jobs).len();
                 assert!(
                     hang.is_none() || left > 0,
                     "seed {seed}: no machine hangs with a cancelled task"
                 );
-                world.state_outage(out_for);
-                let leader = world.leader().expect("nobody could replace it");
-                meanwhile(world, jobs, leader);
+                cluster.state_outage(out_for);
+                let leader = cluster.leader().expect("nobody could replace it");
+                meanwhile(cluster, jobs, leader);
             });
         });
-        finish(seed, world)
+        finish(seed, cluster)
     }
 }
 
 /// No rule broken, and everything that was accepted is over at the end.
-pub fn finish(seed: u64, mut world: World) -> World {
-    world.run_until(CALM_FROM + seconds(350.0));
-    assert_eq!(world.rules.broken, [] as [&str; 0], "seed {seed}");
+pub fn finish(seed: u64, mut cluster: SimulatedCluster) -> SimulatedCluster {
+    cluster.run_until(CALM_FROM + seconds(350.0));
+    assert_eq!(cluster.rules.broken, [] as [&str; 0], "seed {seed}");
     assert_eq!(
-        world.rules.unfinished(),
+        cluster.rules.unfinished(),
         [],
         "seed {seed}: accepted and neither done nor cancelled"
     );
     assert_eq!(
-        world.rules.running(),
+        cluster.rules.running(),
         0,
         "seed {seed}: tasks of jobs that are over"
     );
     assert!(
-        world.rules.started > 50,
+        cluster.rules.started > 50,
         "seed {seed}: only {} tasks started",
-        world.rules.started
+        cluster.rules.started
     );
-    world
+    cluster
 }
 
-/// Plays a world with these random faults and what `plan` adds, and checks that everything was served too.
-pub fn play(seed: u64, faults: Faults, size: Size, plan: impl FnOnce(&mut World)) -> World {
+/// Plays a cluster with these random faults and what `plan` adds, and checks that everything was served too.
+pub fn play(
+    seed: u64,
+    faults: Faults,
+    size: Size,
+    plan: impl FnOnce(&mut SimulatedCluster),
+) -> SimulatedCluster {
     super::log_if_asked();
-    let mut world = World::new(seed, faults, CALM_FROM, size);
-    plan(&mut world);
-    let world = finish(seed, world);
-    assert_eq!(world.rules.unserved(), [] as [&str; 0], "seed {seed}");
-    world
+    let mut cluster = SimulatedCluster::new(seed, faults, CALM_FROM, size);
+    plan(&mut cluster);
+    let cluster = finish(seed, cluster);
+    assert_eq!(cluster.rules.unserved(), [] as [&str; 0], "seed {seed}");
+    cluster
 }
 
 fn every(
-    world: &mut World,
+    cluster: &mut SimulatedCluster,
     from: u64,
     until: u64,
     step: u64,
-    act: impl Fn(&mut World) + Clone + 'static,
+    act: impl Fn(&mut SimulatedCluster) + Clone + 'static,
 ) {
     for at in (from..until).step_by(step as usize) {
-        world.plan(Duration::from_secs(at), act.clone());
+        cluster.plan(Duration::from_secs(at), act.clone());
     }
 }
 
-fn end_leader(world: &mut World, back_after: f64) {
-    if let Some(leader) = world.leader() {
-        world.end_controller(leader, seconds(back_after));
+fn end_leader(cluster: &mut SimulatedCluster, back_after: f64) {
+    if let Some(leader) = cluster.leader() {
+        cluster.end_controller(leader, seconds(back_after));
     }
 }
 
 /// The machines that have tasks of these jobs.
-fn machines_of(world: &World, jobs: &[JobId]) -> Vec<String> {
+fn machines_of(cluster: &SimulatedCluster, jobs: &[JobId]) -> Vec<String> {
     jobs.iter()
-        .flat_map(|job| world.rules.machines_of(*job))
+        .flat_map(|job| cluster.rules.machines_of(*job))
         .collect()
 }
 
@@ -165,12 +175,12 @@
 #[test]
 fn no_lease_runs_out_in_an_outage_in_which_controllers_hear_each_other() {
     for seed in 200..=203 {
-        let world = Gap {
+        let cluster = Gap {
             out_for: 2 * OUT_FOR,
             ..Gap::new(seed, 1.5)
         }
         .play(|_, _, _| {});
-        assert_eq!(world.leases_over, 0, "seed {seed}");
+        assert_eq!(cluster.leases_over, 0, "seed {seed}");
     }
 }
 
@@ -178,10 +188,10 @@
 #[test]
 fn the_old_leader_hears_of_cancellations_from_the_others() {
     for seed in 200..=203 {
-        Gap::new(seed, 1.5).play(move |world, jobs, _| {
-            world.plan(OUT_AT + seconds(2.0), move |world| {
-                assert_eq!(machines_of(world, &jobs), [] as [&str; 0], "seed {seed}");
-                assert_eq!(world.rules.started_cancelled, [], "seed {seed}");
+        Gap::new(seed, 1.5).play(move |cluster, jobs, _| {
+            cluster.plan(OUT_AT + seconds(2.0), move |cluster| {
+                assert_eq!(machines_of(cluster, &jobs), [] as [&str; 0], "seed {seed}");
+                assert_eq!(cluster.rules.started_cancelled, [], "seed {seed}");
             });
         });
     }
@@ -210,10 +220,10 @@
             hang: Some(seconds(90.0)),
             ..Gap::new(seed, 1.5)
         };
-        gap.play(|world, _, leader| world.end_controller(leader, seconds(0.1)));
-        gap.play(|world, _, leader| world.end_controller(leader, seconds(5.0)));
-        gap.play(|world, _, leader| world.freeze(leader, seconds(60.0)));
-        gap.play(|world, _, leader| world.island(leader, seconds(60.0)));
+        gap.play(|cluster, _, leader| cluster.end_controller(leader, seconds(0.1)));
+        gap.play(|cluster, _, leader| cluster.end_controller(leader, seconds(5.0)));
+        gap.play(|cluster, _, leader| cluster.pause(leader, seconds(60.0)));
+        gap.play(|cluster, _, leader| cluster.isolate(leader, seconds(60.0)));
     }
 }
 
@@ -223,10 +233,10 @@
 fn all_controllers_end_in_the_gap() {
     for seed in 200..=203 {
         for after in [0.5, 5.0, 20.0] {
-            Gap::new(seed, 1.5).play(move |world, _, _| {
-                world.plan(OUT_AT + seconds(after), |world| {
+            Gap::new(seed, 1.5).play(move |cluster, _, _| {
+                cluster.plan(OUT_AT + seconds(after), |cluster| {
                     (0..CONTROLLERS)
-                        .for_each(|controller| world.end_controller(controller, seconds(0.3)));
+                        .for_each(|controller| cluster.end_controller(controller, seconds(0.3)));
                 });
             });
         }
@@ -245,12 +255,12 @@
                 ..Faults::default()
             },
             Size::SMALL,
-            |world| {
-                every(world, 20, 145, 5, |world| {
-                    for (n, machine) in world.up(None).into_iter().enumerate() {
+            |cluster| {
+                every(cluster, 20, 145, 5, |cluster| {
+                    for (n, machine) in cluster.up(None).into_iter().enumerate() {
                         // Within their leases, and some for longer.
                         if n.is_multiple_of(3) {
-                            world.hang(&machine, seconds(1.0 + 4.0 * n as f64));
+                            cluster.hang(&machine, seconds(1.0 + 4.0 * n as f64));
                         }
                     }
                 });
@@ -264,21 +274,21 @@
 fn leaders_follow_each_other_quickly() {
     for seed in 215..=217 {
         for back_after in [0.1, 3.0, 14.0] {
-            let world = play(seed, Faults::default(), Size::SMALL, |world| {
-                every(world, 25, 145, 12, move |world| {
-                    end_leader(world, back_after)
+            let cluster = play(seed, Faults::default(), Size::SMALL, |cluster| {
+                every(cluster, 25, 145, 12, move |cluster| {
+                    end_leader(cluster, back_after)
                 });
             });
             assert_eq!(
-                world.leases_over, 0,
+                cluster.leases_over, 0,
                 "seed {seed}, back after {back_after} s"
             );
             // A term for each of the ten, and the blocks that the ended one held: raised by every leader for all blocks,
             // they would come to 44 and more.
             assert!(
-                world.last_token() <= 36,
+                cluster.last_token() <= 36,
                 "seed {seed}: {} tokens",
-                world.last_token()
+                cluster.last_token()
             );
         }
     }
@@ -287,10 +297,12 @@
 #[test]
 fn leaders_follow_each_other_inside_an_outage() {
     for seed in 215..=217 {
-        play(seed, Faults::default(), Size::SMALL, |world| {
-            every(world, 40, 145, 10, |world| end_leader(world, 0.2));
-            world.plan(seconds(58.0), |world| world.state_outage(seconds(35.0)));
-            world.plan(seconds(110.0), |world| world.state_outage(seconds(15.0)));
+        play(seed, Faults::default(), Size::SMALL, |cluster| {
+            every(cluster, 40, 145, 10, |cluster| end_leader(cluster, 0.2));
+            cluster.plan(seconds(58.0), |cluster| cluster.state_outage(seconds(35.0)));
+            cluster.plan(seconds(110.0), |cluster| {
+                cluster.state_outage(seconds(15.0))
+            });
         });
     }
 }
@@ -299,24 +311,24 @@
 #[test]
 fn jobs_of_one_zone_lose_its_machines() {
     for seed in 220..=223 {
-        play(seed, Faults::default(), Size::SMALL, |world| {
-            world.bind_jobs();
-            world.longer = seconds(15.0);
+        play(seed, Faults::default(), Size::SMALL, |cluster| {
+            cluster.bind_jobs();
+            cluster.longer = seconds(15.0);
             for (at, zone, part) in [
                 (50.0, "a", 1),
                 (70.0, "b", 2),
                 (95.0, "c", 1),
                 (120.0, "a", 2),
             ] {
-                world.plan(seconds(at), move |world| {
-                    world
+                cluster.plan(seconds(at), move |cluster| {
+                    cluster
                         .up(Some(zone))
                         .iter()
                         .step_by(part)
-                        .for_each(|machine| world.kill(machine));
+                        .for_each(|machine| cluster.kill(machine));
                 });
             }
-            world.plan(seconds(100.0), |world| end_leader(world, 5.0));
+            cluster.plan(seconds(100.0), |cluster| end_leader(cluster, 5.0));
         });
     }
 }
@@ -354,15 +366,15 @@
                 ..Faults::default()
             },
             Size::SMALL,
-            |world| {
-                world.longer = seconds(20.0);
-                world.plan(seconds(60.0), |world| {
-                    world
+            |cluster| {
+                cluster.longer = seconds(20.0);
+                cluster.plan(seconds(60.0), |cluster| {
+                    cluster
                         .up(None)
                         .iter()
                         .step_by(2)
-                        .for_each(|machine| world.mute(machine, seconds(70.0)));
-                    world.cancel_now(4);
+                        .for_each(|machine| cluster.block_heartbeats(machine, seconds(70.0)));
+                    cluster.cancel_now(4);
                 });
             },
         );
@@ -373,18 +385,25 @@
 #[test]
 fn machines_that_reach_no_controller_any_more_are_replaced() {
     for seed in 235..=238 {
-        play(seed, Faults::default(), Size::SMALL, |world| {
-            world.longer = seconds(30.0);
-            world.plan(seconds(60.0), move |world| {
-                let mute: Vec<String> = world.up(None).into_iter().step_by(2).collect();
-                assert!(mute.len() > 3, "seed {seed}: {mute:?}");
-                mute.iter()
-                    .for_each(|machine| world.mute(machine, seconds(1000.0)));
-                world.plan(seconds(120.0), move |world| {
-                    let left = world.up(None);
+        play(seed, Faults::default(), Size::SMALL, |cluster| {
+            cluster.longer = seconds(30.0);
+            cluster.plan(seconds(60.0), move |cluster| {
+                let block_heartbeats: Vec<String> =
+                    cluster.up(None).into_iter().step_by(2).collect();
+                assert!(
+                    block_heartbeats.len() > 3,
+                    "seed {seed}: {block_heartbeats:?}"
+                );
+                block_heartbeats
+                    .iter()
+                    .for_each(|machine| cluster.block_heartbeats(machine, seconds(1000.0)));
+                cluster.plan(seconds(120.0), move |cluster| {
+                    let left = cluster.up(None);
                     assert!(
-                        !mute.iter().any(|machine| left.contains(machine)),
-                        "seed {seed}: {left:?} of {mute:?}"
+                        !block_heartbeats
+                            .iter()
+                            .any(|machine| left.contains(machine)),
+                        "seed {seed}: {left:?} of {block_heartbeats:?}"
                     );
                 });
             });
@@ -419,8 +438,8 @@
             faulty_machines: 0.2,
             ..Faults::default()
         };
-        play(seed, faults, Size::SMALL, |world| {
-            every(world, 40, 145, 20, |world| end_leader(world, 1.0))
+        play(seed, faults, Size::SMALL, |cluster| {
+            every(cluster, 40, 145, 20, |cluster| end_leader(cluster, 1.0))
         });
     }
 }
@@ -436,9 +455,9 @@
                 tasks: 4,
                 ..Size::SMALL
             },
-            |world| {
-                world.apart = seconds(25.0);
-                every(world, 30, 150, 15, |world| end_leader(world, 4.0));
+            |cluster| {
+                cluster.apart = seconds(25.0);
+                every(cluster, 30, 150, 15, |cluster| end_leader(cluster, 4.0));
             },
         );
     }
@@ -453,15 +472,15 @@
             odd_requests: 0.1,
             ..Faults::default()
         };
-        play(seed, faults, Size::SMALL, |world| {
-            world.plan(seconds(52.0), |world| {
-                let leader = world.leader().expect("led by now");
-                world.cut_state(leader, seconds(20.0));
-                world.cancel_now(4);
+        play(seed, faults, Size::SMALL, |cluster| {
+            cluster.plan(seconds(52.0), |cluster| {
+                let leader = cluster.leader().expect("led by now");
+                cluster.cut_state(leader, seconds(20.0));
+                cluster.cancel_now(4);
             });
-            world.plan(seconds(58.0), |world| world.state_outage(seconds(60.0)));
-            every(world, 60, 118, 10, |world| {
-                world.cancel_now(1);
+            cluster.plan(seconds(58.0), |cluster| cluster.state_outage(seconds(60.0)));
+            every(cluster, 60, 118, 10, |cluster| {
+                cluster.cancel_now(1);
             });
         });
     }
@@ -479,23 +498,23 @@
                 teams: 0.5,
                 ..Size::SMALL
             },
-            |world| {
-                world.longer = seconds(10.0);
-                every(world, 40, 140, 25, |world| {
-                    world
+            |cluster| {
+                cluster.longer = seconds(10.0);
+                every(cluster, 40, 140, 25, |cluster| {
+                    cluster
                         .up(None)
                         .iter()
                         .step_by(3)
-                        .for_each(|machine| world.hang(machine, seconds(24.0)));
-                    world
+                        .for_each(|machine| cluster.hang(machine, seconds(24.0)));
+                    cluster
                         .up(None)
                         .iter()
                         .skip(1)
                         .step_by(3)
-                        .for_each(|machine| world.deafen(machine, seconds(24.0)));
-                    end_leader(world, 6.0);
-                    world.plan(Duration::ZERO, |world| {
-                        world.cancel_now(2);
+                        .for_each(|machine| cluster.block_responses(machine, seconds(24.0)));
+                    end_leader(cluster, 6.0);
+                    cluster.plan(Duration::ZERO, |cluster| {
+                        cluster.cancel_now(2);
                     });
                 });
             },
@@ -517,8 +536,8 @@
             stock: [3, 1],
             ..Size::SMALL
         };
-        play(seed, faults, size, |world| {
-            world.latency = Duration::from_millis(600)
+        play(seed, faults, size, |cluster| {
+            cluster.latency = Duration::from_millis(600)
         });
     }
 }
@@ -527,16 +546,16 @@
 #[test]
 fn all_controllers_are_away_for_longer_than_a_lease() {
     for seed in 275..=277 {
-        play(seed, Faults::default(), Size::SMALL, |world| {
-            world.longer = seconds(10.0);
-            world.plan(seconds(50.0), |world| {
+        play(seed, Faults::default(), Size::SMALL, |cluster| {
+            cluster.longer = seconds(10.0);
+            cluster.plan(seconds(50.0), |cluster| {
                 (0..CONTROLLERS).for_each(|controller| {
-                    world.end_controller(controller, seconds(24.0 + controller as f64))
+                    cluster.end_controller(controller, seconds(24.0 + controller as f64))
                 });
             });
-            world.plan(seconds(110.0), |world| {
+            cluster.plan(seconds(110.0), |cluster| {
                 (0..CONTROLLERS)
-                    .for_each(|controller| world.end_controller(controller, seconds(28.0)));
+                    .for_each(|controller| cluster.end_controller(controller, seconds(28.0)));
             });
         });
     }
@@ -553,13 +572,13 @@
                 ..Faults::default()
             },
             Size::SMALL,
-            |world| {
-                every(world, 30, 145, 22, |world| {
-                    world.hold_heartbeats(seconds(3.0));
-                    end_leader(world, 12.0);
+            |cluster| {
+                every(cluster, 30, 145, 22, |cluster| {
+                    cluster.hold_heartbeats(seconds(3.0));
+                    end_leader(cluster, 12.0);
                 });
-                world.plan(seconds(70.0), |world| {
-                    world.hold_heartbeats(seconds(24.0));
+                cluster.plan(seconds(70.0), |cluster| {
+                    cluster.hold_heartbeats(seconds(24.0));
                 });
             },
         );
@@ -577,15 +596,15 @@
                 ..Faults::default()
             },
             Size::SMALL,
-            |world| {
-                world.longer = seconds(20.0);
+            |cluster| {
+                cluster.longer = seconds(20.0);
                 for (at, how_long) in [(50.0, 28.0), (95.0, 55.0)] {
-                    world.plan(seconds(at), move |world| {
-                        let zone = ["a", "b", "c"][world.leader().unwrap_or(0)];
-                        world.cut_zone(zone, seconds(how_long));
+                    cluster.plan(seconds(at), move |cluster| {
+                        let zone = ["a", "b", "c"][cluster.leader().unwrap_or(0)];
+                        cluster.cut_zone(zone, seconds(how_long));
                     });
-                    world.plan(seconds(at + 2.0), |world| {
-                        world.cancel_now(4);
+                    cluster.plan(seconds(at + 2.0), |cluster| {
+                        cluster.cancel_now(4);
                     });
                 }
             },
@@ -597,27 +616,27 @@
 #[test]
 fn a_leader_ends_while_machines_cannot_be_reached() {
     for seed in 290..=293 {
-        play(seed, Faults::default(), Size::SMALL, |world| {
-            world.longer = seconds(30.0);
-            every(world, 45, 140, 30, |world| {
-                world
+        play(seed, Faults::default(), Size::SMALL, |cluster| {
+            cluster.longer = seconds(30.0);
+            every(cluster, 45, 140, 30, |cluster| {
+                cluster
                     .up(None)
                     .iter()
                     .step_by(4)
-                    .for_each(|machine| world.hang(machine, seconds(15.0)));
-                world
+                    .for_each(|machine| cluster.hang(machine, seconds(15.0)));
+                cluster
                     .up(None)
                     .iter()
                     .skip(1)
                     .step_by(4)
-                    .for_each(|machine| world.deafen(machine, seconds(40.0)));
-                world
+                    .for_each(|machine| cluster.block_responses(machine, seconds(40.0)));
+                cluster
                     .up(None)
                     .iter()
                     .skip(2)
                     .step_by(4)
-                    .for_each(|machine| world.mute(machine, seconds(18.0)));
-                end_leader(world, 20.0);
+                    .for_each(|machine| cluster.block_heartbeats(machine, seconds(18.0)));
+                end_leader(cluster, 20.0);
             });
         });
     }
@@ -628,20 +647,20 @@
 #[test]
 fn a_leader_on_an_island_while_jobs_are_cancelled_through_the_new_one() {
     for seed in 295..=298 {
-        play(seed, Faults::default(), Size::SMALL, |world| {
-            world.longer = seconds(30.0);
+        play(seed, Faults::default(), Size::SMALL, |cluster| {
+            cluster.longer = seconds(30.0);
             for (at, how_long) in [(45.0, 20.0), (80.0, 60.0)] {
-                world.plan(seconds(at), move |world| {
-                    let leader = world.leader().expect("led by now");
-                    world.island(leader, seconds(how_long));
+                cluster.plan(seconds(at), move |cluster| {
+                    let leader = cluster.leader().expect("led by now");
+                    cluster.isolate(leader, seconds(how_long));
                 });
                 // Before the new one has taken over, and after.
                 for later in [1.0, 6.0] {
-                    world.plan(seconds(at + later), |world| {
-                        for machine in machines_of(world, &world.running_jobs(2)) {
-                            world.hang(&machine, seconds(25.0));
+                    cluster.plan(seconds(at + later), |cluster| {
+                        for machine in machines_of(cluster, &cluster.running_jobs(2)) {
+                            cluster.hang(&machine, seconds(25.0));
                         }
-                        world.cancel_now(3);
+                        cluster.cancel_now(3);
                     });
                 }
             }
@@ -660,10 +679,10 @@
                 ..Faults::default()
             },
             Size::SMALL,
-            |world| {
+            |cluster| {
                 for at in [30, 60, 95, 130] {
-                    every(world, at, at + 6, 2, |world| end_leader(world, 0.3));
-                    world.plan(seconds(at as f64 + 7.0), move |world| {
+                    every(cluster, at, at + 6, 2, |cluster| end_leader(cluster, 0.3));
+                    cluster.plan(seconds(at as f64 + 7.0), move |cluster| {
                         let back = |controller: usize| {
                             if controller == at as usize % CONTROLLERS {
                                 0.2
@@ -672,12 +691,12 @@
                             }
                         };
                         (0..CONTROLLERS).for_each(|controller| {
-                            world.end_controller(controller, seconds(back(controller)))
+                            cluster.end_controller(controller, seconds(back(controller)))
                         });
                     });
                     // In the middle of the election.
-                    world.plan(seconds(at as f64 + 10.8), move |world| {
-                        world.end_controller(at as usize % CONTROLLERS, seconds(0.1));
+                    cluster.plan(seconds(at as f64 + 10.8), move |cluster| {
+                        cluster.end_controller(at as usize % CONTROLLERS, seconds(0.1));
                     });
                 }
             },
--- a/tests/simulation/gangs.rs
+++ b/tests/simulation/gangs.rs
@@ -7,8 +7,8 @@
 use dappleshore::domain::{Job, JobId, JobKind, Priority, Resources, TaskId};
 use dappleshore::workers::wire::{Cause, TaskState};
 
+use super::cluster::{CALM_FROM, Faults, SimulatedCluster, Size, array};
 use super::machine::{Machine, MachineEvent};
-use super::world::{CALM_FROM, Faults, Size, World, array};
 
 /// Tasks of a running gang notice within this time that one is gone.
 const GANG_PEER: Duration = Duration::from_secs(5);
@@ -197,21 +197,21 @@
 }
 
 /// Gangs are submitted all along.
-pub fn submit_gangs(world: &mut World, from_s: u64, count: u64) {
+pub fn submit_gangs(cluster: &mut SimulatedCluster, from_s: u64, count: u64) {
     for n in 0..count {
-        world.plan(Duration::from_secs(from_s + n * 9), move |world| {
+        cluster.plan(Duration::from_secs(from_s + n * 9), move |cluster| {
             let tasks = [2, 3, 6, 4][n as usize % 4];
-            world.add_gang(gang(tasks, 1.0, n % 2 == 0));
+            cluster.add_gang(gang(tasks, 1.0, n % 2 == 0));
         });
     }
 }
 
 fn check(seed: u64, faults: Faults) {
-    let mut world = World::new(seed, faults, CALM_FROM, Size::SMALL);
-    submit_gangs(&mut world, 15, 14);
-    world.run_until(Duration::from_secs(420));
-    world.check_end(seed);
-    let gangs = world.gangs();
+    let mut cluster = SimulatedCluster::new(seed, faults, CALM_FROM, Size::SMALL);
+    submit_gangs(&mut cluster, 15, 14);
+    cluster.run_until(Duration::from_secs(420));
+    cluster.check_end(seed);
+    let gangs = cluster.gangs();
     assert_eq!(
         gangs.completed.len(),
         14,
--- a/tests/simulation/main.rs
+++ b/tests/simulation/main.rs
@@ -1,8 +1,10 @@
-//! Whole services, three controllers each, in simulated worlds with faults. Every rule of PROTOCOL is checked
+//! Whole services, three controllers each, in simulated clusters with faults. Every rule of PROTOCOL is checked
 //! after each step. The same seed gives the same run.
 
+mod cluster;
 mod digest;
 mod drains;
+mod fault_combinations;
 mod gangs;
 #[allow(
     clippy::struct_excessive_bools,
@@ -11,7 +13,6 @@
 )]
 mod machine;
 mod measure;
-mod meetings;
 mod operations;
 mod operators;
 mod production;
@@ -21,11 +22,10 @@
 #[allow(clippy::too_many_lines, reason = "not reached yet: #30")]
 mod rules_checked;
 mod state;
-mod world;
 
 use std::time::Duration;
 
-use world::{CALM_FROM, Faults, Size, World};
+use cluster::{CALM_FROM, Faults, SimulatedCluster, Size};
 
 const END: Duration = Duration::from_secs(420);
 
@@ -43,16 +43,16 @@
     }
 }
 
-fn world(seed: u64, faults: Faults) -> World {
+fn cluster(seed: u64, faults: Faults) -> SimulatedCluster {
     log_if_asked();
-    let mut world = World::new(seed, faults, CALM_FROM, Size::SMALL);
-    world.run_until(END);
-    world
+    let mut cluster = SimulatedCluster::new(seed, faults, CALM_FROM, Size::SMALL);
+    cluster.run_until(END);
+    cluster
 }
 
 /// Every rule kept, and nothing that was accepted left undone once faults have ceased.
 fn check(seed: u64, faults: Faults) {
-    world(seed, faults).check_end(seed);
+    cluster(seed, faults).check_end(seed);
 }
 
 #[test]
@@ -154,7 +154,7 @@
         check(
             seed,
             Faults {
-                island: 20.0,
+                isolate: 20.0,
                 copies: 0.05,
                 crash: 60.0,
                 held: 0.01,
@@ -170,7 +170,7 @@
         check(
             seed,
             Faults {
-                freeze: 15.0,
+                pause: 15.0,
                 crash: 80.0,
                 held: 0.01,
                 ..Faults::default()
@@ -224,30 +224,34 @@
     changes: f64,
 }
 
-/// Plays a large world to its end: every rule kept, everything served, and the work for each event, plans, changes and
+/// Plays a large cluster to its end: every rule kept, everything served, and the work for each event, plans, changes and
 /// values within bounds.
-fn check_at_size(mut world: World, end: Duration, bounds: Bounds) -> World {
-    world.run_until(end);
+fn check_at_size(mut cluster: SimulatedCluster, end: Duration, bounds: Bounds) -> SimulatedCluster {
+    cluster.run_until(end);
     let seconds = end.as_secs_f64();
-    assert!(world.rules.broken.is_empty(), "{:?}", world.rules.broken);
+    assert!(
+        cluster.rules.broken.is_empty(),
+        "{:?}",
+        cluster.rules.broken
+    );
     assert_eq!(
-        world.rules.unfinished(),
+        cluster.rules.unfinished(),
         [],
         "accepted and neither done nor cancelled"
     );
-    assert_eq!(world.rules.unserved(), [] as [&str; 0]);
+    assert_eq!(cluster.rules.unserved(), [] as [&str; 0]);
     assert!(
-        world.most_machines > bounds.machines,
+        cluster.most_machines > bounds.machines,
         "{} machines",
-        world.most_machines
+        cluster.most_machines
     );
     assert!(
-        world.rules.started > bounds.started,
+        cluster.rules.started > bounds.started,
         "{} tasks started",
-        world.rules.started
+        cluster.rules.started
     );
-    let (looked, plans) = world.looked();
-    let each = looked as f64 / world.events_handled as f64;
+    let (looked, plans) = cluster.looked();
+    let each = looked as f64 / cluster.events_handled as f64;
     // A write looks at its whole block, a machine that is silent is asked again and again, all else looks at its own
     // machine. A pass over a holder's machines, a third of them all, for each event would fail this.
     assert!(
@@ -255,15 +259,15 @@
         "{each:.1} machines and tasks looked at for each event"
     );
     assert!(plans as f64 / seconds < 25.0, "{plans} plans");
-    let changes = world.state().changes as f64 / seconds;
+    let changes = cluster.state().changes as f64 / seconds;
     assert!(
         changes < bounds.changes,
         "{changes:.1} changes of the state service a second"
     );
     // The stand-in refuses values above the limit; so many tasks must need most of it, or they are not packed.
-    let largest = world.state().largest;
+    let largest = cluster.state().largest;
     assert!(largest > 2000, "the largest value has {largest} bytes");
-    world
+    cluster
 }
 
 /// Hundreds of machines and thousands of tasks: what an event costs follows from what it changes, and what is stored
@@ -286,12 +290,12 @@
         started: 3000,
         changes: 25.0,
     };
-    let world = check_at_size(
-        World::new(7, faults, Duration::from_secs(90), Size::GROWN),
+    let cluster = check_at_size(
+        SimulatedCluster::new(7, faults, Duration::from_secs(90), Size::GROWN),
         end,
         bounds,
     );
-    let bytes = world.peer_bytes as f64 / end.as_secs_f64();
+    let bytes = cluster.peer_bytes as f64 / end.as_secs_f64();
     assert!(
         bytes < 60_000.0,
         "{bytes:.0} bytes between controllers a second"
@@ -305,8 +309,8 @@
     let faults = Faults {
         crash: 50.0,
         crash_all: 90.0,
-        freeze: 45.0,
-        island: 80.0,
+        pause: 45.0,
+        isolate: 80.0,
         mass_loss: 40.0,
         machine_restarts: 5.0,
         copies: 0.01,
@@ -319,13 +323,13 @@
         started: 10_000,
         changes: 30.0,
     };
-    let world = check_at_size(
-        World::new(11, faults, Duration::from_secs(90), Size::FLEET),
+    let cluster = check_at_size(
+        SimulatedCluster::new(11, faults, Duration::from_secs(90), Size::FLEET),
         end,
         bounds,
     );
     // One in eight of the sample's 2,500 sockets.
-    let commands = world.most_commands;
+    let commands = cluster.most_commands;
     assert!(
         (100..=312).contains(&commands),
         "{commands} commands under way"
@@ -348,15 +352,15 @@
         started: 25_000,
         changes: 40.0,
     };
-    let mut world = World::new(13, faults, Duration::from_secs(60), Size::LARGEST);
-    world.longer = Duration::from_secs(25);
+    let mut cluster = SimulatedCluster::new(13, faults, Duration::from_secs(60), Size::LARGEST);
+    cluster.longer = Duration::from_secs(25);
     for (controller, away) in [(0, 10.0), (1, 10.0)] {
-        world.plan(Duration::from_secs(50), move |world| {
-            world.end_controller(controller, Duration::from_secs_f64(away));
+        cluster.plan(Duration::from_secs(50), move |cluster| {
+            cluster.end_controller(controller, Duration::from_secs_f64(away));
         });
     }
-    let world = check_at_size(world, end, bounds);
-    let largest = world.largest_peer_message;
+    let cluster = check_at_size(cluster, end, bounds);
+    let largest = cluster.largest_peer_message;
     // Half of what a controller takes of another.
     assert!(largest < 1 << 19, "a message of {largest} bytes");
 }
@@ -394,7 +398,7 @@
 
 #[test]
 fn the_checks_can_fail() {
-    let world = world(
+    let cluster = cluster(
         1,
         Faults {
             sabotage: true,
@@ -402,12 +406,12 @@
         },
     );
     assert!(
-        world
+        cluster
             .rules
             .broken
             .iter()
             .any(|text| text.contains("ran_twice")),
         "{:?}",
-        world.rules.broken
+        cluster.rules.broken
     );
 }
--- a/tests/simulation/measure.rs
+++ b/tests/simulation/measure.rs
@@ -10,10 +10,10 @@
 use dappleshore_drain::operator::StateName;
 use dappleshore_drain::{DrainSettings, Limit, Purpose, Scope};
 
+use super::cluster::{Faults, SimulatedCluster, Size, array};
 use super::machine::LASTING;
 use super::operators::{Check, start};
 use super::report;
-use super::world::{Faults, Size, World, array};
 
 const TEAMS: [&str; 2] = ["red", "blue"];
 /// Lasting replicas of each team.
@@ -81,12 +81,12 @@
     }
 }
 
-fn world(faults: Faults) -> World {
+fn cluster(faults: Faults) -> SimulatedCluster {
     super::log_if_asked();
-    let mut world = World::new(17, faults, END, SIZE);
-    world.preemption = false;
-    world.unbind_jobs();
-    world.features = Features {
+    let mut cluster = SimulatedCluster::new(17, faults, END, SIZE);
+    cluster.preemption = false;
+    cluster.unbind_jobs();
+    cluster.features = Features {
         drain: DrainSettings {
             enabled: true,
             budget: BUDGET,
@@ -94,24 +94,24 @@
             ..DrainSettings::default()
         },
     };
-    world.operators.check = Check::None;
-    world.plan(Duration::from_secs(2), |world| {
+    cluster.operators.check = Check::None;
+    cluster.plan(Duration::from_secs(2), |cluster| {
         for _ in 0..SERVICES {
             for team in TEAMS {
-                world.add_job(service(team), None);
+                cluster.add_job(service(team), None);
             }
         }
     });
-    world
+    cluster
 }
 
 fn play(name: &str, what: What, faults: Faults) -> Measured {
-    let mut world = world(faults);
-    world.run_until(DRAIN_AT);
-    let busy: Vec<String> = world.up(Some("a")).into_iter().collect();
+    let mut cluster = cluster(faults);
+    cluster.run_until(DRAIN_AT);
+    let busy: Vec<String> = cluster.up(Some("a")).into_iter().collect();
     let mut measured = Measured {
         name: name.to_owned(),
-        fleet: world.machines.len(),
+        fleet: cluster.machines.len(),
         allowed: (SERVICES * REPLICAS / 20) as usize,
         ..Measured::default()
     };
@@ -124,17 +124,17 @@
         }
     };
     if let Some(scope) = scope {
-        world.operate(start("drain", scope, Purpose::Drain, None));
-        world.watch_drains(DRAIN_AT + LOOK_EVERY);
+        cluster.operate(start("drain", scope, Purpose::Drain, None));
+        cluster.watch_drains(DRAIN_AT + LOOK_EVERY);
     }
-    let (changes, downs) = (world.state().changes, world.rules.down_times.len());
+    let (changes, downs) = (cluster.state().changes, cluster.rules.down_times.len());
     let mut machine_seconds = 0;
     let mut at = DRAIN_AT;
     while at < END && measured.duration.is_none() {
         at += LOOK_EVERY;
-        world.run_until(at);
-        machine_seconds += world.machines.len();
-        let running = TEAMS.map(|team| world.rules.on_machines(&team.into(), LASTING));
+        cluster.run_until(at);
+        machine_seconds += cluster.machines.len();
+        let running = TEAMS.map(|team| cluster.rules.on_machines(&team.into(), LASTING));
         let all = (SERVICES * REPLICAS) as usize;
         let down = running.iter().map(|running| all.saturating_sub(*running));
         measured.most_down = measured.most_down.max(down.max().unwrap_or(0));
@@ -143,24 +143,24 @@
         measured.availability.push((since, parts));
         measured
             .spent
-            .push((world.state().changes - changes, machine_seconds));
-        if let Some(seen) = world.seen("drain") {
+            .push((cluster.state().changes - changes, machine_seconds));
+        if let Some(seen) = cluster.seen("drain") {
             measured.machines = measured.machines.max(seen.machines);
             if seen.state == StateName::Done {
                 measured.duration = Some(at - DRAIN_AT);
             }
         }
-        if !world.rules.broken.is_empty() {
+        if !cluster.rules.broken.is_empty() {
             break;
         }
     }
-    let mut downs: Vec<Duration> = world.rules.down_times[downs..].to_vec();
+    let mut downs: Vec<Duration> = cluster.rules.down_times[downs..].to_vec();
     downs.sort();
     measured.median_down = downs.get(downs.len() / 2).copied().unwrap_or_default();
-    measured.evictions = world.operators.evictions.len();
+    measured.evictions = cluster.operators.evictions.len();
     let rounds = measured.evictions.div_ceil(TEAMS.len() * measured.allowed);
     measured.least = measured.median_down * rounds as u32;
-    measured.broken = world.rules.broken.clone();
+    measured.broken = cluster.rules.broken.clone();
     measured
 }
 
@@ -182,15 +182,15 @@
 fn play_a_zone_drain() {
     let text = std::env::var("ZONE_DRAIN").expect("how long to play");
     let seconds = text.parse().expect("seconds");
-    let mut world = world(Faults::default());
-    world.plan(DRAIN_AT, |world| {
+    let mut cluster = cluster(Faults::default());
+    cluster.plan(DRAIN_AT, |cluster| {
         let zone = Scope::Zone("a".into());
-        world.operate(start("drain", zone, Purpose::Drain, None));
+        cluster.operate(start("drain", zone, Purpose::Drain, None));
     });
-    world.watch_drains(DRAIN_AT + LOOK_EVERY);
-    world.run_until(DRAIN_AT + Duration::from_secs(seconds));
-    let running = TEAMS.map(|team| world.rules.on_machines(&team.into(), LASTING));
-    println!("{running:?} replicas run; {:?}", world.rules.broken);
+    cluster.watch_drains(DRAIN_AT + LOOK_EVERY);
+    cluster.run_until(DRAIN_AT + Duration::from_secs(seconds));
+    let running = TEAMS.map(|team| cluster.rules.on_machines(&team.into(), LASTING));
+    println!("{running:?} replicas run; {:?}", cluster.rules.broken);
 }
 
 #[test]
--- a/tests/simulation/operations.rs
+++ b/tests/simulation/operations.rs
@@ -5,8 +5,8 @@
 
 use dappleshore::domain::JobId;
 
-use super::meetings::{finish, play, seconds};
-use super::world::{BootTrouble, CALM_FROM, Faults, GUESTS, Size, World};
+use super::cluster::{BootTrouble, CALM_FROM, Faults, GUESTS, SimulatedCluster, Size};
+use super::fault_combinations::{finish, play, seconds};
 
 /// While most machines are late they are waited for, not ordered over and over; while some never come up, others are
 /// ordered in their place.
@@ -14,11 +14,11 @@
 fn machines_boot_late_or_never() {
     for seed in 400..=403 {
         let rented = |trouble: Option<BootTrouble>| {
-            let world = play(seed, Faults::default(), Size::SMALL, |world| {
-                world.plan(seconds(5.0), move |world| world.boots_badly(trouble));
-                world.plan(seconds(120.0), |world| world.boots_badly(None));
+            let cluster = play(seed, Faults::default(), Size::SMALL, |cluster| {
+                cluster.plan(seconds(5.0), move |cluster| cluster.boots_badly(trouble));
+                cluster.plan(seconds(120.0), |cluster| cluster.boots_badly(None));
             });
-            world.rented
+            cluster.rented
         };
         let usual = rented(None);
         let late = rented(Some(BootTrouble {
@@ -46,21 +46,21 @@
 fn jobs_that_fail_on_every_machine_back_off_and_cost_no_machine() {
     const TASKS: u32 = 12;
     const SEEDS: std::ops::RangeInclusive<u64> = 410..=421;
-    // A world without such jobs differs from one with them in everything, by five machines a seed either way, so that a
+    // A cluster without such jobs differs from one with them in everything, by five machines a seed either way, so that a
     // single seed shows nothing: all seeds together do.
     const MOST_MORE_A_SEED: usize = 2;
     let (mut with, mut without) = (0, 0);
     for seed in SEEDS {
         let deleted = |broken: usize| {
-            let world = play(seed, Faults::default(), Size::SMALL, |world| {
+            let cluster = play(seed, Faults::default(), Size::SMALL, |cluster| {
                 for n in 0..broken {
-                    world.plan(seconds(20.0 + n as f64), |world| {
-                        let job = world.add_broken_job(TASKS, seconds(100.0));
-                        world.plan(seconds(140.0), move |world| check_broken(world, job));
+                    cluster.plan(seconds(20.0 + n as f64), |cluster| {
+                        let job = cluster.add_broken_job(TASKS, seconds(100.0));
+                        cluster.plan(seconds(140.0), move |cluster| check_broken(cluster, job));
                     });
                 }
             });
-            world.deleted_up
+            cluster.deleted_up
         };
         with += deleted(4);
         without += deleted(0);
@@ -71,13 +71,16 @@
     );
 }
 
-fn check_broken(world: &mut World, job: JobId) {
-    assert!(world.rules.is_cancelled(job), "its user has called it off");
+fn check_broken(cluster: &mut SimulatedCluster, job: JobId) {
     assert!(
-        world.rules.machines_of(job).is_empty(),
+        cluster.rules.is_cancelled(job),
+        "its user has called it off"
+    );
+    assert!(
+        cluster.rules.machines_of(job).is_empty(),
         "tasks of a cancelled job"
     );
-    let starts = world.rules.starts_of(job);
+    let starts = cluster.rules.starts_of(job);
     // All of it once or twice before that is known to be no bad luck, then one every 20 s at most.
     assert!(
         (1..=2 * 12 + 12).contains(&starts),
@@ -93,18 +96,19 @@
     let mut stopped = 0;
     for seed in 420..=422 {
         let played = |guests: bool| {
-            let mut world = World::new(seed, Faults::default(), CALM_FROM, Size::SMALL);
+            let mut cluster =
+                SimulatedCluster::new(seed, Faults::default(), CALM_FROM, Size::SMALL);
             for (n, tasks) in (0..).zip(TASKS).filter(|_| guests) {
-                world.plan(seconds(15.0 + f64::from(n)), move |world| {
-                    world.add_guests_job(tasks, 1.0);
+                cluster.plan(seconds(15.0 + f64::from(n)), move |cluster| {
+                    cluster.add_guests_job(tasks, 1.0);
                 });
             }
-            world = finish(seed, world);
-            assert_eq!(world.rules.unserved(), [] as [&str; 0], "seed {seed}");
-            world
+            cluster = finish(seed, cluster);
+            assert_eq!(cluster.rules.unserved(), [] as [&str; 0], "seed {seed}");
+            cluster
         };
         let (with, without) = (played(true), played(false));
-        let began = |world: &World| mean(&world.rules.waits_of("array"));
+        let began = |cluster: &SimulatedCluster| mean(&cluster.rules.waits_of("array"));
         let (late, usual) = (began(&with), began(&without));
         assert!(
             late < usual + seconds(5.0),
@@ -132,9 +136,9 @@
                 cancel_at_end: 0.1,
                 ..Faults::default()
             };
-            play(seed, faults, Size::SMALL, |world| {
-                world.plan(seconds(20.0), move |world| world.asking = asking);
-                world.plan(seconds(130.0), |world| world.asking = 1);
+            play(seed, faults, Size::SMALL, |cluster| {
+                cluster.plan(seconds(20.0), move |cluster| cluster.asking = asking);
+                cluster.plan(seconds(130.0), |cluster| cluster.asking = 1);
             })
         };
         let (usual, many) = (played(1), played(50));
@@ -162,28 +166,28 @@
     for seed in 440..=445 {
         let faults = Faults {
             crash: 40.0,
-            freeze: 40.0,
+            pause: 40.0,
             cut_one: 60.0,
-            island: 80.0,
+            isolate: 80.0,
             machine_dies: 40.0,
             machine_deaf: 50.0,
             lost: 0.005,
             ..Faults::default()
         };
-        play(seed, faults, Size::SMALL, |world| {
-            world.plan(seconds(10.0), |world| {
-                world.boots_badly(Some(BootTrouble {
+        play(seed, faults, Size::SMALL, |cluster| {
+            cluster.plan(seconds(10.0), |cluster| {
+                cluster.boots_badly(Some(BootTrouble {
                     lost: 0.2,
                     factor: 5.0,
                 }))
             });
-            world.plan(seconds(90.0), |world| world.boots_badly(None));
-            world.plan(seconds(30.0), |world| world.asking = 10);
-            world.plan(seconds(100.0), |world| world.asking = 1);
+            cluster.plan(seconds(90.0), |cluster| cluster.boots_badly(None));
+            cluster.plan(seconds(30.0), |cluster| cluster.asking = 10);
+            cluster.plan(seconds(100.0), |cluster| cluster.asking = 1);
             for n in 0..3 {
-                world.plan(seconds(25.0 + f64::from(n)), move |world| {
-                    world.add_guests_job(40 + 20 * n, 1.0);
-                    world.add_broken_job(8, seconds(80.0));
+                cluster.plan(seconds(25.0 + f64::from(n)), move |cluster| {
+                    cluster.add_guests_job(40 + 20 * n, 1.0);
+                    cluster.add_broken_job(8, seconds(80.0));
                 });
             }
         });
@@ -193,19 +197,19 @@
 /// The stand-ins do what the tests above rest on.
 #[test]
 fn bad_nights_can_be_told_from_quiet_ones() {
-    let mut world = World::new(450, Faults::default(), CALM_FROM, Size::SMALL);
-    world.boots_badly(Some(BootTrouble {
+    let mut cluster = SimulatedCluster::new(450, Faults::default(), CALM_FROM, Size::SMALL);
+    cluster.boots_badly(Some(BootTrouble {
         lost: 1.0,
         factor: 1.0,
     }));
-    world.run_until(seconds(60.0));
-    assert_eq!(world.rules.started, 0, "no machine comes up");
-    let mut world = World::new(451, Faults::default(), CALM_FROM, Size::SMALL);
-    world.plan(seconds(10.0), |world| {
-        let job = world.add_broken_job(5, seconds(1000.0));
-        world.plan(seconds(100.0), move |world| {
-            assert_eq!(world.rules.done(job), 0, "it fails everywhere")
+    cluster.run_until(seconds(60.0));
+    assert_eq!(cluster.rules.started, 0, "no machine comes up");
+    let mut cluster = SimulatedCluster::new(451, Faults::default(), CALM_FROM, Size::SMALL);
+    cluster.plan(seconds(10.0), |cluster| {
+        let job = cluster.add_broken_job(5, seconds(1000.0));
+        cluster.plan(seconds(100.0), move |cluster| {
+            assert_eq!(cluster.rules.done(job), 0, "it fails everywhere")
         });
     });
-    world.run_until(seconds(101.0));
+    cluster.run_until(seconds(101.0));
 }
--- a/tests/simulation/operators.rs
+++ b/tests/simulation/operators.rs
@@ -8,7 +8,7 @@
 use dappleshore_drain::operator::{DrainStatus, ProblemKind, Reply, Request};
 use dappleshore_drain::{DrainId, Eviction, Limit, Purpose, Scope, Subject};
 
-use super::world::{CONTROLLERS, World};
+use super::cluster::{CONTROLLERS, SimulatedCluster};
 
 /// Where a request is.
 struct Asked {
@@ -31,7 +31,7 @@
 }
 
 /// What happens when an eviction is recorded.
-type OnEviction = Box<dyn FnOnce(&mut World, &Eviction)>;
+type OnEviction = Box<dyn FnOnce(&mut SimulatedCluster, &Eviction)>;
 
 /// What operators have asked, and what they see.
 #[derive(Default)]
@@ -56,7 +56,7 @@
 /// What a machine has been out of reach for this long, its leader must know.
 const NOTICED_WITHIN: Duration = Duration::from_secs(45);
 
-impl World {
+impl SimulatedCluster {
     /// An operator asks, again and again until there is an answer. Returns the request's number.
     pub fn operate(&mut self, request: Request) -> usize {
         let controller = self.any_controller();
@@ -118,9 +118,9 @@
 
     /// Looks at all drains every second from then on.
     pub fn watch_drains(&mut self, from: Duration) {
-        self.plan(from, move |world| {
-            world.operate(Request::List { id: None });
-            world.watch_drains(from + Duration::from_secs(1));
+        self.plan(from, move |cluster| {
+            cluster.operate(Request::List { id: None });
+            cluster.watch_drains(from + Duration::from_secs(1));
         });
     }
 
--- a/tests/simulation/rollout.rs
+++ b/tests/simulation/rollout.rs
@@ -6,8 +6,8 @@
 use dappleshore::config::StateLimits;
 use dappleshore::store::records::FORMAT;
 
+use super::cluster::{CALM_FROM, CONTROLLERS, Faults, SimulatedCluster, Size};
 use super::gangs::submit_gangs;
-use super::world::{CALM_FROM, CONTROLLERS, Faults, Size, World};
 
 /// The limits that the state service has after the upgrade.
 pub const NEXT: StateLimits = StateLimits {
@@ -28,29 +28,37 @@
     fall_at_s: u64,
 }
 
-fn world(seed: u64, faults: Faults, size: Size, rollout: &Rollout) -> World {
+fn cluster(seed: u64, faults: Faults, size: Size, rollout: &Rollout) -> SimulatedCluster {
     super::log_if_asked();
-    let mut world = World::upgrading(seed, faults, CALM_FROM, size, NEXT);
+    let mut cluster = SimulatedCluster::upgrading(seed, faults, CALM_FROM, size, NEXT);
     for (controller, at) in rollout.order.into_iter().zip(rollout.at_s) {
         let away = rollout.away;
-        world.plan(Duration::from_secs(at), move |world| {
-            world.upgrade(controller, away)
+        cluster.plan(Duration::from_secs(at), move |cluster| {
+            cluster.upgrade(controller, away)
         });
     }
-    world.plan(Duration::from_secs(rollout.fall_at_s), |world| {
-        assert_eq!(world.format(), FORMAT, "switched on before the limits fall");
-        world.lower_state_limits(NEXT);
+    cluster.plan(Duration::from_secs(rollout.fall_at_s), |cluster| {
+        assert_eq!(
+            cluster.format(),
+            FORMAT,
+            "switched on before the limits fall"
+        );
+        cluster.lower_state_limits(NEXT);
     });
-    world
+    cluster
 }
 
 fn check(seed: u64, faults: Faults, rollout: &Rollout) {
-    let mut world = world(seed, faults, Size::SMALL, rollout);
-    submit_gangs(&mut world, rollout.at_s[CONTROLLERS - 1] + 25, 6);
-    world.run_until(END);
-    world.check_end(seed);
-    assert_eq!(world.gangs().completed.len(), 6, "seed {seed}: gangs");
-    assert_eq!(world.state().too_large, 0, "seed {seed}: above the limits");
+    let mut cluster = cluster(seed, faults, Size::SMALL, rollout);
+    submit_gangs(&mut cluster, rollout.at_s[CONTROLLERS - 1] + 25, 6);
+    cluster.run_until(END);
+    cluster.check_end(seed);
+    assert_eq!(cluster.gangs().completed.len(), 6, "seed {seed}: gangs");
+    assert_eq!(
+        cluster.state().too_large,
+        0,
+        "seed {seed}: above the limits"
+    );
 }
 
 /// An upgrade at times that follow from the seed, under all troubles.
@@ -120,13 +128,17 @@
         away: Duration::from_secs(5),
         fall_at_s: 1000,
     };
-    let mut world = world(720, Faults::default(), Size::SMALL, &rollout);
-    world.run_until(Duration::from_secs(399));
-    assert_eq!(world.format(), 0);
-    assert!(world.rules.broken.is_empty(), "{:?}", world.rules.broken);
-    world.run_until(END);
-    assert_eq!(world.format(), FORMAT);
-    world.check_end(720);
+    let mut cluster = cluster(720, Faults::default(), Size::SMALL, &rollout);
+    cluster.run_until(Duration::from_secs(399));
+    assert_eq!(cluster.format(), 0);
+    assert!(
+        cluster.rules.broken.is_empty(),
+        "{:?}",
+        cluster.rules.broken
+    );
+    cluster.run_until(END);
+    assert_eq!(cluster.format(), FORMAT);
+    cluster.check_end(720);
 }
 
 /// Large values are divided before and after the limits fall, also in an outage and while blocks change hands.
@@ -139,27 +151,35 @@
             away: Duration::from_secs(2),
             fall_at_s,
         };
-        let mut world = world(seed, Faults::default(), Size::GROWN, &rollout);
-        world.longer = Duration::from_secs(20);
-        world.plan(Duration::from_secs(fall_at_s + 2), |world| {
-            world.state_outage(Duration::from_secs(4));
+        let mut cluster = cluster(seed, Faults::default(), Size::GROWN, &rollout);
+        cluster.longer = Duration::from_secs(20);
+        cluster.plan(Duration::from_secs(fall_at_s + 2), |cluster| {
+            cluster.state_outage(Duration::from_secs(4));
         });
-        world.plan(Duration::from_secs(fall_at_s + 8), |world| {
-            if let Some(leader) = world.leader() {
-                world.end_controller(leader, Duration::from_secs(5));
+        cluster.plan(Duration::from_secs(fall_at_s + 8), |cluster| {
+            if let Some(leader) = cluster.leader() {
+                cluster.end_controller(leader, Duration::from_secs(5));
             }
         });
-        world.run_until(Duration::from_secs(400));
-        assert!(world.rules.broken.is_empty(), "{:?}", world.rules.broken);
-        assert_eq!(world.rules.unfinished(), [], "seed {seed}");
-        assert_eq!(world.rules.unserved(), [] as [&str; 0], "seed {seed}");
-        assert_eq!(world.state().too_large, 0, "seed {seed}: above the limits");
-        let largest = world.state().largest;
+        cluster.run_until(Duration::from_secs(400));
+        assert!(
+            cluster.rules.broken.is_empty(),
+            "{:?}",
+            cluster.rules.broken
+        );
+        assert_eq!(cluster.rules.unfinished(), [], "seed {seed}");
+        assert_eq!(cluster.rules.unserved(), [] as [&str; 0], "seed {seed}");
+        assert_eq!(
+            cluster.state().too_large,
+            0,
+            "seed {seed}: above the limits"
+        );
+        let largest = cluster.state().largest;
         assert!(
             largest > NEXT.value_bytes,
             "seed {seed}: {largest} bytes at most, so that nothing had to be divided"
         );
-        let values = world.state().divided_values();
+        let values = cluster.state().divided_values();
         assert!(
             values >= 2,
             "seed {seed}: {values} parts, or the day shows nothing"
--- a/tests/simulation/rules_checked.rs
+++ b/tests/simulation/rules_checked.rs
@@ -18,7 +18,7 @@
             memory_gb: 1.0,
         },
         spot: false,
-        ..super::world::array("class", "red", Priority::Standard)
+        ..super::cluster::array("class", "red", Priority::Standard)
     };
     let place = |zone: &str, capacity_type| Place {
         machine: zone.into(),
