--- a/tests/loopback/main.rs
+++ b/tests/loopback/main.rs
@@ -3,11 +3,7 @@
 
 #[path = "../simulation/machine.rs"]
 #[allow(dead_code, reason = "shared with the simulation")]
-#[allow(
-    clippy::struct_excessive_bools,
-    clippy::too_many_lines,
-    reason = "not reached yet: #30"
-)]
+#[allow(clippy::struct_excessive_bools, reason = "not reached yet: #30")]
 mod machine;
 #[path = "../simulation/rules.rs"]
 #[allow(dead_code, reason = "shared with the simulation")]
@@ -19,7 +15,6 @@
 mod cloud;
 mod processes;
 mod site;
-#[allow(clippy::too_many_lines, reason = "not reached yet: #30")]
 mod state_service;
 mod workers;
 
--- a/tests/loopback/state_service.rs
+++ b/tests/loopback/state_service.rs
@@ -56,39 +56,17 @@
         .and(warp::path::tail())
         .and(warp::query::<Query>())
         .and(with.clone())
-        .map(
-            |tail: warp::path::Tail, query: Query, fleet: Arc<Mutex<Fleet>>| {
-                let op = match query.get("prefix") {
-                    Some(prefix) => StoreRequest::List {
-                        prefix: prefix.clone(),
-                        after: query.get("after").cloned(),
-                    },
-                    None => StoreRequest::Get {
-                        key: tail.as_str().to_owned(),
-                    },
-                };
-                execute(&fleet, &op)
-            },
-        );
+        .map(read_keys);
     let multi = warp::path!("multi")
         .and(warp::post())
         .and(body)
         .and(with.clone())
-        .map(
-            |body: bytes::Bytes, fleet: Arc<Mutex<Fleet>>| match read::<Multi>(&body) {
-                Some(multi) => execute(&fleet, &StoreRequest::Commit(transaction(multi))),
-                None => reply(400, &cbor!({"error" => "malformed"})),
-            },
-        );
+        .map(commit);
     let open = warp::path!("holds")
         .and(warp::post())
         .and(body)
         .and(with.clone())
-        .map(|body: bytes::Bytes, fleet: Arc<Mutex<Fleet>>| {
-            let life_ms = read::<NewLease>(&body).map_or(5000, |lease| lease.life_ms);
-            let life = Duration::from_millis(life_ms);
-            execute(&fleet, &StoreRequest::GrantLease { life })
-        });
+        .map(grant_lease);
     let extend = warp::path!("holds" / u64 / "extend")
         .and(warp::post())
         .and(with.clone())
@@ -115,6 +93,33 @@
     addr
 }
 
+/// One key, or a page of keys.
+fn read_keys(tail: warp::path::Tail, query: Query, fleet: Arc<Mutex<Fleet>>) -> Response {
+    let request = match query.get("prefix") {
+        Some(prefix) => StoreRequest::List {
+            prefix: prefix.clone(),
+            after: query.get("after").cloned(),
+        },
+        None => StoreRequest::Get {
+            key: tail.as_str().to_owned(),
+        },
+    };
+    execute(&fleet, &request)
+}
+
+fn commit(body: bytes::Bytes, fleet: Arc<Mutex<Fleet>>) -> Response {
+    match read::<Multi>(&body) {
+        Some(multi) => execute(&fleet, &StoreRequest::Commit(transaction(multi))),
+        None => reply(400, &cbor!({"error" => "malformed"})),
+    }
+}
+
+fn grant_lease(body: bytes::Bytes, fleet: Arc<Mutex<Fleet>>) -> Response {
+    let life_ms = read::<NewLease>(&body).map_or(5000, |lease| lease.life_ms);
+    let life = Duration::from_millis(life_ms);
+    execute(&fleet, &StoreRequest::GrantLease { life })
+}
+
 fn transaction(multi: Multi) -> Transaction {
     let change = |apply: Apply| match (apply.put, apply.remove) {
         (Some(key), _) => Some(TransactionChange::Put {
--- a/tests/simulation/machine.rs
+++ b/tests/simulation/machine.rs
@@ -143,67 +143,86 @@
         for command in commands {
             match command {
                 WorkerCommand::Launch { task, number } => {
-                    let free = self.free(jobs);
-                    let known = self.tasks.get(task);
-                    if known.is_some_and(|known| known.number == *number) {
-                        continue;
-                    }
-                    self.changed = true;
-                    let refused = |cause| Task {
-                        number: *number,
-                        state: TaskState::Exited,
-                        cause: Some(cause),
-                        left: Duration::ZERO,
-                    };
-                    if known.is_some_and(|known| known.state != TaskState::Exited) {
-                        // The protocol's heartbeat has one entry for each task and attempt; the refusal is not
-                        // shown here, since the attempt that is there goes on.
-                        continue;
-                    }
-                    let Some(job) = jobs.get(&task.job) else {
-                        self.tasks.insert(*task, refused(Cause::Unknown));
-                        continue;
-                    };
-                    if !free.fits(&job.need) {
-                        self.tasks.insert(*task, refused(Cause::NoRoom));
-                        continue;
-                    }
-                    let cached = self.images.contains(&*job.image.0);
-                    let left = if cached { Duration::ZERO } else { FETCH };
-                    let fetching = Task {
-                        number: *number,
-                        state: TaskState::Fetching,
-                        cause: None,
-                        left,
-                    };
-                    self.tasks.insert(*task, fetching);
-                    if cached {
-                        happened.extend(self.has_image(*task, jobs, results, &run_for));
-                    }
+                    happened.extend(self.launch(*task, *number, jobs, results, &run_for));
                 }
                 WorkerCommand::Stop { task, number, .. } => {
-                    if let Some(t) = self.tasks.get_mut(task).filter(|t| t.number == *number)
-                        && t.state != TaskState::Exited
-                    {
-                        if matches!(t.state, TaskState::Running | TaskState::Waiting) {
-                            happened.push(MachineEvent::Ended(*task, false));
-                        }
-                        t.state = TaskState::Exited;
-                        t.cause = Some(Cause::Stopped);
-                        self.changed = true;
-                    }
-                }
-                WorkerCommand::Reap { task, number } => {
-                    let exited = |t: &Task| t.number == *number && t.state == TaskState::Exited;
-                    if self.tasks.get(task).is_some_and(exited) {
-                        self.tasks.remove(task);
-                    }
+                    happened.extend(self.stop(*task, *number));
                 }
+                WorkerCommand::Reap { task, number } => self.reap(*task, *number),
             }
         }
         happened
     }
 
+    /// Starts an attempt, unless the worker knows it already or another attempt of the task is there.
+    fn launch(
+        &mut self,
+        task: TaskId,
+        number: u64,
+        jobs: &BTreeMap<JobId, Job>,
+        results: &BTreeSet<TaskId>,
+        run_for: &impl Fn(TaskId) -> Duration,
+    ) -> Vec<MachineEvent> {
+        let free = self.free(jobs);
+        let known = self.tasks.get(&task);
+        if known.is_some_and(|known| known.number == number) {
+            return Vec::new();
+        }
+        self.changed = true;
+        if known.is_some_and(|known| known.state != TaskState::Exited) {
+            // The protocol's heartbeat has one entry for each task and attempt; the refusal is not shown here, since the
+            // attempt that is there goes on.
+            return Vec::new();
+        }
+        let refused = |cause| Task {
+            number,
+            state: TaskState::Exited,
+            cause: Some(cause),
+            left: Duration::ZERO,
+        };
+        let Some(job) = jobs.get(&task.job) else {
+            self.tasks.insert(task, refused(Cause::Unknown));
+            return Vec::new();
+        };
+        if !free.fits(&job.need) {
+            self.tasks.insert(task, refused(Cause::NoRoom));
+            return Vec::new();
+        }
+        let cached = self.images.contains(&*job.image.0);
+        let fetching = Task {
+            number,
+            state: TaskState::Fetching,
+            cause: None,
+            left: if cached { Duration::ZERO } else { FETCH },
+        };
+        self.tasks.insert(task, fetching);
+        if cached {
+            return self.has_image(task, jobs, results, run_for);
+        }
+        Vec::new()
+    }
+
+    /// Stops an attempt that has not exited.
+    fn stop(&mut self, task: TaskId, number: u64) -> Option<MachineEvent> {
+        let entry = self.tasks.get_mut(&task)?;
+        if entry.number != number || entry.state == TaskState::Exited {
+            return None;
+        }
+        let ran = matches!(entry.state, TaskState::Running | TaskState::Waiting);
+        entry.state = TaskState::Exited;
+        entry.cause = Some(Cause::Stopped);
+        self.changed = true;
+        ran.then_some(MachineEvent::Ended(task, false))
+    }
+
+    /// Forgets an attempt that has exited.
+    fn reap(&mut self, task: TaskId, number: u64) {
+        let exited = |entry: &Task| entry.number == number && entry.state == TaskState::Exited;
+        if self.tasks.get(&task).is_some_and(exited) {
+            self.tasks.remove(&task);
+        }
+    }
+
     fn has_image(
         &mut self,
         task: TaskId,
--- a/tests/simulation/main.rs
+++ b/tests/simulation/main.rs
@@ -6,11 +6,7 @@
 mod drains;
 mod fault_combinations;
 mod gangs;
-#[allow(
-    clippy::struct_excessive_bools,
-    clippy::too_many_lines,
-    reason = "not reached yet: #30"
-)]
+#[allow(clippy::struct_excessive_bools, reason = "not reached yet: #30")]
 mod machine;
 mod measure;
 mod operations;
@@ -19,7 +15,6 @@
 mod report;
 mod rollout;
 mod rules;
-#[allow(clippy::too_many_lines, reason = "not reached yet: #30")]
 mod rules_checked;
 mod state;
 
--- a/tests/simulation/rules_checked.rs
+++ b/tests/simulation/rules_checked.rs
@@ -1,16 +1,21 @@
-//! The rules' own test: each of them notices what breaks it.
+//! The rules' own tests: each rule is broken on purpose and must notice it.
 
 use std::time::Duration;
 
-use dappleshore::domain::{CapacityType, Job, JobId, Resources, TaskId};
+use dappleshore::domain::{CapacityType, Job, JobId, Priority, Resources, TaskId};
 
 use super::rules::{Place, Rules};
 
-/// Each rule, broken on purpose.
-#[test]
-fn every_rule_can_be_broken() {
-    use dappleshore::domain::Priority;
-    let job = |tasks, cpus| Job {
+const ON_DEMAND: CapacityType = CapacityType::OnDemand;
+
+/// A time in seconds.
+fn at(seconds: u64) -> Duration {
+    Duration::from_secs(seconds)
+}
+
+/// An array of the one team that there is, which may not go to spot machines.
+fn job(tasks: u32, cpus: f64) -> Job {
+    Job {
         tasks,
         need: Resources {
             cpus,
@@ -19,108 +24,158 @@
         },
         spot: false,
         ..super::cluster::array("class", "red", Priority::Standard)
-    };
-    let place = |zone: &str, capacity_type| Place {
+    }
+}
+
+/// The one machine of a zone.
+fn place(zone: &str, capacity_type: CapacityType) -> Place {
+    Place {
         machine: zone.into(),
         type_name: "small".into(),
         zone: zone.into(),
         capacity_type,
-    };
-    let task = |index| TaskId {
+    }
+}
+
+/// A task of the one job that there is.
+fn task(index: u32) -> TaskId {
+    TaskId {
         job: JobId(1),
         index,
+    }
+}
+
+/// Rules for a team with a limit of 8 CPUs and a submitted job. A cancelled task must be gone after 50 s; troubles end
+/// after 5 s.
+fn rules(job: Job) -> Rules {
+    let mut rules = Rules::new([("red".into(), 8.0)].into(), at(50), at(5));
+    rules.submitted(JobId(1), job);
+    rules
+}
+
+/// The name of the first rule that is broken by what `play` does.
+fn broken(job: Job, play: &dyn Fn(&mut Rules)) -> Option<String> {
+    let mut rules = rules(job);
+    play(&mut rules);
+    rules.check(at(100));
+    let first = rules.broken.first()?;
+    Some(first.split(' ').nth(1).unwrap_or_default().to_owned())
+}
+
+/// The same for a job that was accepted before.
+fn broken_once_accepted(play: &dyn Fn(&mut Rules)) -> Option<String> {
+    broken(job(1, 1.0), &|rules| {
+        rules.told(at(1), JobId(1), Some("queued"));
+        play(rules);
+    })
+}
+
+/// Expects that just this rule was broken first.
+fn expect(rule: &str, found: Option<String>) {
+    assert_eq!(found, Some(format!("{rule}:")));
+}
+
+/// The user cancels the job and is told so.
+fn cancelled(rules: &mut Rules) {
+    rules.cancel_asked(JobId(1));
+    rules.told(at(10), JobId(1), Some("cancelled"));
+}
+
+#[test]
+fn tasks_beyond_the_quota_break_quota() {
+    let start = |count: u32| {
+        move |rules: &mut Rules| {
+            (0..count).for_each(|n| rules.starts(at(1), task(n), place("a", ON_DEMAND)));
+        }
     };
-    let at = Duration::from_secs;
-    let broken = |job: Job, play: &dyn Fn(&mut Rules)| {
-        let mut rules = Rules::new([("red".into(), 8.0)].into(), at(50), at(5));
-        rules.submitted(JobId(1), job);
-        play(&mut rules);
-        rules.check(at(100));
-        rules
-            .broken
-            .first()
-            .map(|text| text.split(' ').nth(1).unwrap_or_default().to_owned())
+    assert_eq!(broken(job(2, 4.0), &start(2)), None);
+    expect("quota", broken(job(3, 4.0), &start(3)));
+}
+
+#[test]
+fn a_task_on_two_machines_breaks_ran_twice() {
+    let twice = |rules: &mut Rules| {
+        for zone in ["a", "b"] {
+            rules.starts(at(1), task(0), place(zone, ON_DEMAND));
+        }
     };
-    let ordinary = CapacityType::OnDemand;
-    let expect = |rule: &str, found: Option<String>| assert_eq!(found, Some(format!("{rule}:")));
-    assert_eq!(
-        broken(job(2, 4.0), &|r| (0..2).for_each(|n| r.starts(
-            at(1),
-            task(n),
-            place("a", ordinary)
-        ))),
-        None
-    );
-    expect(
-        "quota",
-        broken(job(3, 4.0), &|r| {
-            (0..3).for_each(|n| r.starts(at(1), task(n), place("a", ordinary)))
-        }),
-    );
-    expect(
-        "ran_twice",
-        broken(job(1, 1.0), &|r| {
-            ["a", "b"]
-                .iter()
-                .for_each(|zone| r.starts(at(1), task(0), place(zone, ordinary)))
-        }),
-    );
-    expect(
-        "wrong_place",
-        broken(job(1, 1.0), &|r| {
-            r.starts(at(1), task(0), place("a", CapacityType::Spot))
-        }),
-    );
+    expect("ran_twice", broken(job(1, 1.0), &twice));
+}
+
+#[test]
+fn a_task_on_a_spot_machine_that_it_may_not_use_breaks_wrong_place() {
+    let on_spot = |rules: &mut Rules| {
+        rules.starts(at(1), task(0), place("a", CapacityType::Spot));
+    };
+    expect("wrong_place", broken(job(1, 1.0), &on_spot));
+}
+
+#[test]
+fn spread_tasks_in_one_zone_break_wrong_place() {
     let spread = Job {
         spread: true,
         ..job(2, 1.0)
     };
-    expect(
-        "wrong_place",
-        broken(spread, &|r| {
-            (0..2).for_each(|n| r.starts(at(1), task(n), place("a", ordinary)))
-        }),
-    );
-    let cancelled = |r: &mut Rules| {
-        r.cancel_asked(JobId(1));
-        r.told(at(10), JobId(1), Some("cancelled"));
+    let in_one_zone = |rules: &mut Rules| {
+        (0..2).for_each(|n| rules.starts(at(1), task(n), place("a", ON_DEMAND)));
     };
-    let stays = |r: &mut Rules| {
-        r.starts(at(1), task(0), place("a", ordinary));
-        cancelled(r);
+    expect("wrong_place", broken(spread, &in_one_zone));
+}
+
+#[test]
+fn a_cancelled_task_that_stays_or_starts_too_late_breaks_ran_cancelled() {
+    let stays = |rules: &mut Rules| {
+        rules.starts(at(1), task(0), place("a", ON_DEMAND));
+        cancelled(rules);
     };
     expect("ran_cancelled", broken(job(1, 1.0), &stays));
-    let late = |r: &mut Rules| {
-        cancelled(r);
-        r.starts(at(61), task(0), place("a", ordinary));
+    let late = |rules: &mut Rules| {
+        cancelled(rules);
+        rules.starts(at(61), task(0), place("a", ON_DEMAND));
     };
     expect("ran_cancelled", broken(job(1, 1.0), &late));
-    let accepted_then = |then: &dyn Fn(&mut Rules)| {
-        broken(job(1, 1.0), &|r| {
-            r.told(at(1), JobId(1), Some("queued"));
-            then(r);
-        })
-    };
+}
+
+#[test]
+fn a_cancelled_task_that_starts_in_time_is_counted() {
+    let mut rules = rules(job(1, 1.0));
+    cancelled(&mut rules);
+    rules.starts(at(12), task(0), place("a", ON_DEMAND));
+    assert_eq!(rules.started_cancelled, [(task(0), at(2))]);
+}
+
+#[test]
+fn an_accepted_job_that_is_unknown_or_refused_later_breaks_forgotten() {
     expect(
         "forgotten",
-        accepted_then(&|r| r.told(at(2), JobId(1), None)),
+        broken_once_accepted(&|rules| rules.told(at(2), JobId(1), None)),
     );
     expect(
         "forgotten",
-        accepted_then(&|r| r.refused(at(2), JobId(1), 422)),
+        broken_once_accepted(&|rules| rules.refused(at(2), JobId(1), 422)),
     );
-    expect("forgotten", accepted_then(&|r| r.asked(at(3), JobId(1))));
-    let answered = |r: &mut Rules| {
-        r.asked(at(3), JobId(1));
-        r.told(at(70), JobId(1), Some("queued"));
-        r.asked(at(75), JobId(1));
+}
+
+#[test]
+fn an_accepted_job_without_an_answer_breaks_forgotten() {
+    expect(
+        "forgotten",
+        broken_once_accepted(&|rules| rules.asked(at(3), JobId(1))),
+    );
+    let answered = |rules: &mut Rules| {
+        rules.asked(at(3), JobId(1));
+        rules.told(at(70), JobId(1), Some("queued"));
+        rules.asked(at(75), JobId(1));
     };
-    assert_eq!(accepted_then(&answered), None);
+    assert_eq!(broken_once_accepted(&answered), None);
+}
+
+#[test]
+fn jobs_that_nothing_was_done_of_are_unserved() {
     let unserved = |began: u64, done: bool| {
-        let mut rules = Rules::new([("red".into(), 8.0)].into(), at(50), at(5));
-        rules.submitted(JobId(1), job(1, 1.0));
+        let mut rules = rules(job(1, 1.0));
         rules.told(at(1), JobId(1), Some("queued"));
-        rules.starts(at(began), task(0), place("a", ordinary));
+        rules.starts(at(began), task(0), place("a", ON_DEMAND));
         rules.ends(task(0), "a", done);
         rules.unserved()
     };
@@ -130,50 +185,66 @@
         ["class class: 0 of 1", "team red: 0 of 1"]
     );
     assert_eq!(unserved(242, true), ["largest of class: 0 of 1"]);
+}
+
+#[test]
+fn an_answer_about_a_job_that_nobody_submitted_breaks_invented() {
     expect(
         "invented",
-        accepted_then(&|r| r.told(at(2), JobId(2), Some("queued"))),
+        broken_once_accepted(&|rules| rules.told(at(2), JobId(2), Some("queued"))),
     );
+}
+
+#[test]
+fn a_job_called_done_before_its_tasks_are_breaks_not_done() {
     expect(
         "not_done",
-        accepted_then(&|r| r.told(at(2), JobId(1), Some("done"))),
+        broken_once_accepted(&|rules| rules.told(at(2), JobId(1), Some("done"))),
     );
+}
+
+#[test]
+fn a_state_that_was_not_asked_for_or_was_final_breaks_went_back() {
     expect(
         "went_back",
-        accepted_then(&|r| r.told(at(2), JobId(1), Some("cancelled"))),
+        broken_once_accepted(&|rules| rules.told(at(2), JobId(1), Some("cancelled"))),
     );
-    let back = |r: &mut Rules| {
-        cancelled(r);
-        r.told(at(11), JobId(1), Some("running"));
+    let back = |rules: &mut Rules| {
+        cancelled(rules);
+        rules.told(at(11), JobId(1), Some("running"));
     };
     expect("went_back", broken(job(1, 1.0), &back));
+}
+
+#[test]
+fn a_job_that_waits_beside_room_for_90_s_breaks_idle() {
     let beside = |from: u64, to: u64| {
-        accepted_then(&move |r| {
-            (from..=to).for_each(|second| r.beside_room(at(second), [JobId(1)].into()));
+        broken_once_accepted(&move |rules| {
+            (from..=to).for_each(|second| rules.beside_room(at(second), [JobId(1)].into()));
         })
     };
     assert_eq!(beside(2, 95), None, "counted from when troubles are over");
     expect("idle", beside(2, 96));
-    let gap = |r: &mut Rules| {
+    let gap = |rules: &mut Rules| {
         (6..=110).for_each(|second| {
-            r.beside_room(
-                at(second),
-                (second != 50).then_some(JobId(1)).into_iter().collect(),
-            )
+            let waiting = (second != 50).then_some(JobId(1));
+            rules.beside_room(at(second), waiting.into_iter().collect());
         });
     };
-    assert_eq!(accepted_then(&gap), None, "now and then it finds none");
-    expect(
-        "odd",
-        broken(job(1, 1.0), &|r| r.odd_answered(at(1), 422, 201)),
-    );
     assert_eq!(
-        broken(job(1, 1.0), &|r| r.odd_answered(at(1), 422, 503)),
-        None
+        broken_once_accepted(&gap),
+        None,
+        "now and then it finds none"
     );
-    let mut rules = Rules::new([("red".into(), 8.0)].into(), at(50), at(5));
-    rules.submitted(JobId(1), job(1, 1.0));
-    cancelled(&mut rules);
-    rules.starts(at(12), task(0), place("a", ordinary));
-    assert_eq!(rules.started_cancelled, [(task(0), at(2))]);
+}
+
+#[test]
+fn a_job_that_can_not_run_and_is_accepted_breaks_odd() {
+    let answered = |status: u16| {
+        broken(job(1, 1.0), &move |rules| {
+            rules.odd_answered(at(1), 422, status);
+        })
+    };
+    expect("odd", answered(201));
+    assert_eq!(answered(503), None);
 }
