--- a/src/cancellation/mod.rs
+++ b/src/cancellation/mod.rs
@@ -14,7 +14,7 @@
 use crate::cloud::{CloudRequest, CloudResponse};
 use crate::config::Config;
 use crate::domain::{Attempt, BlockId, ControllerName, Incarnation, JobId, MachineId, Now, since};
-use crate::peer::{Alive, CancelledJob};
+use crate::peer::{CancelledJob, ControllerHeartbeat};
 use crate::provisioning::Tag;
 use crate::store::WatchCache;
 use crate::store::cache::ChangedRecords;
@@ -109,13 +109,13 @@
         incarnation: Incarnation,
         cache: &WatchCache,
         reaches_state: bool,
-    ) -> Alive {
+    ) -> ControllerHeartbeat {
         let number = self.sent.back().map_or(1, |(number, _)| number + 1);
         self.sent.push_back((number, now.monotonic));
         if self.sent.len() > MOST_SENT {
             self.sent.pop_front();
         }
-        Alive {
+        ControllerHeartbeat {
             controller: controller.clone(),
             incarnation,
             number,
@@ -144,8 +144,13 @@
 
     /// A sign of life, numbered, for a late one tells nothing of the present. What it says of cancellations has been
     /// taken in. `us`: our name and process.
-    pub fn heard_from(&mut self, now: Now, us: (&ControllerName, Incarnation), alive: &Alive) {
-        let Alive {
+    pub fn heard_from(
+        &mut self,
+        now: Now,
+        us: (&ControllerName, Incarnation),
+        heartbeat: &ControllerHeartbeat,
+    ) {
+        let ControllerHeartbeat {
             controller,
             incarnation,
             number,
@@ -153,7 +158,7 @@
             complete,
             heard,
             ..
-        } = alive;
+        } = heartbeat;
         let known = self.peers.get(controller);
         if known.is_some_and(|peer| peer.incarnation == *incarnation && *number <= peer.number) {
             return;
--- a/src/cancellation/tests.rs
+++ b/src/cancellation/tests.rs
@@ -116,7 +116,7 @@
         heard: Option<(Incarnation, u64)>,
     ) {
         let us = self.config.name.clone();
-        let alive = Alive {
+        let heartbeat = ControllerHeartbeat {
             controller: self.config.peers[peer].name.clone(),
             incarnation,
             number,
@@ -126,10 +126,10 @@
             heard: heard.into_iter().map(|heard| (us.clone(), heard)).collect(),
         };
         self.cancellations
-            .heard_from(self.at(after), (&us, BOOT), &alive);
+            .heard_from(self.at(after), (&us, BOOT), &heartbeat);
     }
 
-    fn sign(&mut self, after: Duration) -> Alive {
+    fn sign(&mut self, after: Duration) -> ControllerHeartbeat {
         let (now, us) = (self.at(after), self.config.name.clone());
         self.cancellations.sign(now, &us, BOOT, &self.cache, false)
     }
@@ -333,6 +333,6 @@
     copy.cancellations
         .open
         .extend((10..10 + MOST_TOLD as u64).map(|id| (JobId(id), (id, 0))));
-    let alive = copy.sign(Duration::ZERO);
-    assert!(!alive.complete && alive.cancelled.len() == MOST_TOLD);
+    let heartbeat = copy.sign(Duration::ZERO);
+    assert!(!heartbeat.complete && heartbeat.cancelled.len() == MOST_TOLD);
 }
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -22,7 +22,7 @@
 use crate::leadership::{self, Leadership};
 use crate::metrics::Metrics;
 use crate::operations::{self, Operations};
-use crate::peer::{Alive, AssignmentUpdate, CancelledJob, Message, Status};
+use crate::peer::{AssignmentUpdate, CancelledJob, ControllerHeartbeat, Message, Status};
 use crate::policy::Policy;
 use crate::provisioning::{self, Demand, Provisioner};
 use crate::scheduler::Scheduler;
@@ -580,15 +580,18 @@
                 // Repeated by all that know of them.
                 self.note_cancellations(jobs);
             }
-            Message::Alive(mut alive) => {
-                alive.complete &= self.note_cancellations(alive.cancelled.iter().copied());
-                self.cancellations
-                    .heard_from(now, (&self.config.name, self.incarnation), &alive);
-                let Alive {
+            Message::Heartbeat(mut heartbeat) => {
+                heartbeat.complete &= self.note_cancellations(heartbeat.cancelled.iter().copied());
+                self.cancellations.heard_from(
+                    now,
+                    (&self.config.name, self.incarnation),
+                    &heartbeat,
+                );
+                let ControllerHeartbeat {
                     controller,
                     reaches_state,
                     ..
-                } = alive;
+                } = heartbeat;
                 let zone = self
                     .config
                     .peers
@@ -984,14 +987,14 @@
             return;
         }
         self.told_all = Some(now.monotonic);
-        let alive = self.cancellations.sign(
+        let heartbeat = self.cancellations.sign(
             now,
             &self.config.name,
             self.incarnation,
             &self.cache,
             reaches_state,
         );
-        self.tell_peers(&Message::Alive(alive), effects);
+        self.tell_peers(&Message::Heartbeat(heartbeat), effects);
     }
 
     fn tell_peers(&self, message: &Message, effects: &mut Vec<Effect>) {
--- a/src/controller/tests.rs
+++ b/src/controller/tests.rs
@@ -52,7 +52,7 @@
             now.unix_ms() + u64::try_from(since(now, start.monotonic).as_millis()).expect("short");
         let (cancelled, heard) = (Vec::new(), BTreeMap::new());
         let node_1 = ControllerName::from("node-1");
-        let alive = Alive {
+        let heartbeat = ControllerHeartbeat {
             controller: node_1,
             incarnation: Incarnation(1),
             number,
@@ -61,7 +61,7 @@
             complete: true,
             heard,
         };
-        controller.handle(now, Event::Peer(Message::Alive(alive)));
+        controller.handle(now, Event::Peer(Message::Heartbeat(heartbeat)));
         let effects = controller.handle(now, Event::Health { id: 2 });
         effects
             .iter()
--- a/src/peer/mod.rs
+++ b/src/peer/mod.rs
@@ -14,7 +14,8 @@
     /// Holder to leader: how its blocks are.
     Status(Status),
     /// To everyone, every second.
-    Alive(Alive),
+    #[serde(rename = "Alive")]
+    Heartbeat(ControllerHeartbeat),
     /// To everyone, at once: these were just committed.
     Cancelled(Vec<CancelledJob>),
     /// Leader to holder: all the tasks it wants placed in those of its blocks where something is new.
@@ -23,7 +24,7 @@
 }
 
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Alive {
+pub struct ControllerHeartbeat {
     #[serde(rename = "node")]
     pub controller: ControllerName,
     #[serde(rename = "boot")]
--- a/src/peer/tests.rs
+++ b/src/peer/tests.rs
@@ -125,9 +125,9 @@
                 assert!(full && !status.misrouted.is_empty(), "{name}");
                 "status"
             }
-            Message::Alive(alive) => {
-                assert!(!alive.cancelled.is_empty() && !alive.heard.is_empty());
-                "alive"
+            Message::Heartbeat(heartbeat) => {
+                assert!(!heartbeat.cancelled.is_empty() && !heartbeat.heard.is_empty());
+                "heartbeat"
             }
             Message::Cancelled(jobs) => {
                 assert!(!jobs.is_empty(), "{name}");
@@ -145,5 +145,5 @@
             }
         });
     }
-    assert_eq!(kinds, ["alive", "cancelled", "status", "work"].into());
+    assert_eq!(kinds, ["heartbeat", "cancelled", "status", "work"].into());
 }
--- a/tests/simulation/world.rs
+++ b/tests/simulation/world.rs
@@ -1131,7 +1131,7 @@
             } => {
                 let from = match &message {
                     Message::Status(status) => Some(status.controller.clone()),
-                    Message::Alive(alive) => Some(alive.controller.clone()),
+                    Message::Heartbeat(heartbeat) => Some(heartbeat.controller.clone()),
                     Message::AssignmentUpdates(_) | Message::Cancelled(_) => None,
                 };
                 let from =
