--- a/src/block_leases/mod.rs
+++ b/src/block_leases/mod.rs
@@ -76,7 +76,7 @@
     }
 
     /// A holder has lost track of a command: only a higher token makes sure that it can't be executed late.
-    pub fn wants_new_token(&mut self, block: &BlockId, token: FencingToken) {
+    pub fn require_token_renewal(&mut self, block: &BlockId, token: FencingToken) {
         self.renew.insert(block.clone(), token);
     }
 
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -566,9 +566,9 @@
                     if !current {
                         continue;
                     }
-                    if block.wants_new_token {
+                    if block.token_renewal_required {
                         self.block_lease_manager
-                            .wants_new_token(&block.block, block.token);
+                            .require_token_renewal(&block.block, block.token);
                     }
                     if let Some(leader_state) = &mut self.leader_state {
                         leader_state.scheduler.status(now, block);
--- a/src/peer/mod.rs
+++ b/src/peer/mod.rs
@@ -132,7 +132,8 @@
     pub ended: Vec<u64>,
     pub revision: u64,
     /// The token must be renewed: a command of unknown outcome stands in the way.
-    pub wants_new_token: bool,
+    #[serde(rename = "wants_new_token")]
+    pub token_renewal_required: bool,
     /// Workers that this holder has heard from or could ask, and how many of them are overdue.
     pub expected: u32,
     pub overdue: u32,
@@ -178,7 +179,8 @@
     /// Rises with every message of a term.
     pub number: u64,
     /// The last status of this block that the leader has taken in.
-    pub heard: u64,
+    #[serde(rename = "heard")]
+    pub last_status: u64,
     #[serde(rename = "want")]
     pub assignments: Vec<Assignment>,
     /// Tasks to be stopped, to make room or to drain a machine.
--- a/src/peer/tests.rs
+++ b/src/peer/tests.rs
@@ -36,7 +36,7 @@
         refused: Vec::new(),
         ended: Vec::new(),
         revision: 1 << 30,
-        wants_new_token: false,
+        token_renewal_required: false,
         expected: machines as u32,
         overdue: 0,
         number: 77,
--- a/src/scheduler/block_state.rs
+++ b/src/scheduler/block_state.rs
@@ -201,7 +201,7 @@
                 block: block.clone(),
                 lease_version: block_state.lease_version,
                 number,
-                heard: block_state.heard,
+                last_status: block_state.heard,
                 assignments,
                 stop,
                 addresses: block_state.unseen_addresses(addresses),
--- a/src/scheduler/tests.rs
+++ b/src/scheduler/tests.rs
@@ -113,7 +113,7 @@
                 .placements
                 .get(&"a.0".into())
                 .map_or(0, |placements| placements.version),
-            wants_new_token: false,
+            token_renewal_required: false,
             expected: machines,
             overdue: 0,
             number: self.version * 1000 + last_assignment_update + 1,
--- a/src/workers/block.rs
+++ b/src/workers/block.rs
@@ -857,7 +857,7 @@
                 .map(|(_, attempt)| attempt.number)
                 .collect(),
             revision: self.placements_version,
-            wants_new_token: self
+            token_renewal_required: self
                 .blocked_since
                 .is_some_and(|at| since(now, at) > RENEW_AFTER),
             expected: self
--- a/src/workers/mod.rs
+++ b/src/workers/mod.rs
@@ -255,7 +255,7 @@
             return true;
         }
         block.last_assignment_update = work.number;
-        block.heard = block.heard.max(work.heard);
+        block.heard = block.heard.max(work.last_status);
         block.looked = None;
         let wanted: HashSet<u64> = work
             .assignments
--- a/src/workers/tests.rs
+++ b/src/workers/tests.rs
@@ -404,7 +404,7 @@
         block: "a.0".into(),
         lease_version,
         number,
-        heard: 0,
+        last_status: 0,
         assignments,
         stop,
         addresses,
@@ -480,7 +480,7 @@
     holder.now.monotonic += RENEW_AFTER + Duration::from_secs(1);
     holder.tick();
     let policy = Policy::defaults(&holder.config);
-    assert!(holder.fleet.status(holder.now, &policy)[0].wants_new_token);
+    assert!(holder.fleet.status(holder.now, &policy)[0].token_renewal_required);
     holder.lease(FencingToken(6));
     assert!(reaped(holder.heartbeat("m-1", FencingToken(6), &failed)));
 }
@@ -632,7 +632,7 @@
     holder.tick();
     let policy = Policy::defaults(&holder.config);
     assert!(
-        !holder.fleet.status(holder.now, &policy)[0].wants_new_token,
+        !holder.fleet.status(holder.now, &policy)[0].token_renewal_required,
         "nothing waits for it"
     );
     holder.lease(FencingToken(6));
