--- a/src/block_leases/mod.rs
+++ b/src/block_leases/mod.rs
@@ -16,13 +16,13 @@
 use crate::store::{StoreRequest, StoreResponse, Transaction, WatchCache, Writer};
 
 /// A zone's block by its number.
-pub fn name(zone: &Zone, number: usize) -> BlockId {
+pub fn block_id(zone: &Zone, number: usize) -> BlockId {
     BlockId::from(format!("{zone}.{number}").as_str())
 }
 
 /// The blocks that should exist: as many in each zone as give every controller as many as the policy says, and
 /// those that were opened since because the others were full.
-pub fn wanted(
+pub fn required_blocks(
     zones: &[Zone],
     config: &Config,
     policy: &Policy,
@@ -30,17 +30,17 @@
 ) -> BTreeMap<BlockId, Zone> {
     let blocks = config.controllers() * policy.blocks_per_controller;
     let each = blocks.div_ceil(zones.len().max(1)).max(1);
-    let mut wanted: BTreeMap<BlockId, Zone> = zones
+    let mut required: BTreeMap<BlockId, Zone> = zones
         .iter()
-        .flat_map(|zone| (0..each).map(move |n| (name(zone, n), zone.clone())))
+        .flat_map(|zone| (0..each).map(move |n| (block_id(zone, n), zone.clone())))
         .collect();
-    wanted.extend(
+    required.extend(
         cache
             .inventories
             .iter()
             .map(|(block, inventory)| (block.clone(), inventory.value.zone.clone())),
     );
-    wanted
+    required
 }
 
 #[derive(Debug)]
@@ -193,7 +193,7 @@
         }
         let mut last = cache.max_token();
         let mut changes = Vec::new();
-        for (block, zone) in wanted(zones, config, policy, cache) {
+        for (block, zone) in required_blocks(zones, config, policy, cache) {
             let old = cache.block_leases.get(&block);
             let kept = old.filter(|old| {
                 members.contains(&old.value.holder)
@@ -319,7 +319,7 @@
         if !settled || *most < none + 2 {
             return None;
         }
-        let (block, _) = wanted(zones, config, policy, cache)
+        let (block, _) = required_blocks(zones, config, policy, cache)
             .into_iter()
             .filter(|(block, _)| {
                 cache
--- a/src/cancellation/mod.rs
+++ b/src/cancellation/mod.rs
@@ -22,7 +22,7 @@
 
 /// How long before a cancelled task has to be gone its machine is given up: time for the deletion, and for clocks that
 /// differ.
-pub const OVERDUE_MARGIN: Duration = Duration::from_secs(8);
+pub const DELETION_MARGIN: Duration = Duration::from_secs(8);
 /// A holder that was heard this lately sees to its machines itself. Controllers speak every second.
 const HEARD_WITHIN: Duration = Duration::from_secs(3);
 /// Told in one message, the newest first.
@@ -34,10 +34,10 @@
 const MOST_DELETED: usize = 100;
 
 /// Whether a job cancelled at `cancelled_ms` is so late that machines which still have tasks of it are given up.
-pub fn overdue(now: Now, config: &Config, cancelled_ms: u64) -> bool {
+pub fn is_overdue(now: Now, config: &Config, cancelled_ms: u64) -> bool {
     let patience = config
         .cancel_within
-        .saturating_sub(OVERDUE_MARGIN)
+        .saturating_sub(DELETION_MARGIN)
         .max(config.cancel_within / 2);
     Duration::from_millis(now.unix_ms().saturating_sub(cancelled_ms)) >= patience
 }
@@ -240,7 +240,7 @@
         for (job, _) in self
             .open
             .iter()
-            .filter(|(_, (_, at_ms))| overdue(now, config, *at_ms))
+            .filter(|(_, (_, at_ms))| is_overdue(now, config, *at_ms))
         {
             for ((index, number), placement) in cache.placed(*job) {
                 let left = cache.machines.contains_key(&placement.machine)
--- a/src/cancellation/tests.rs
+++ b/src/cancellation/tests.rs
@@ -156,7 +156,7 @@
 fn machines_with_cancelled_tasks_are_deleted_in_time_by_their_holder_or_if_it_is_not_heard_by_anyone()
  {
     let mut copy = Copy::new();
-    let late = copy.config.cancel_within - OVERDUE_MARGIN;
+    let late = copy.config.cancel_within - DELETION_MARGIN;
     assert_eq!(
         copy.deleted(late - Duration::from_secs(1), false),
         [] as [&str; 0],
@@ -199,7 +199,7 @@
 #[test]
 fn only_signs_of_life_of_the_process_that_holds_the_grant_count_and_late_ones_do_not() {
     let mut copy = Copy::new();
-    let late = copy.config.cancel_within - OVERDUE_MARGIN;
+    let late = copy.config.cancel_within - DELETION_MARGIN;
     let lease = copy.cache.block_leases[&BlockId::from("b.0")].value.clone();
     let heard =
         |copy: &Copy, after: Duration| copy.cancellations.holder_heard(copy.at(after), &lease);
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -204,12 +204,18 @@
 impl Controller {
     /// A controller of this version.
     pub fn new(config: Config, policy: Policy, seed: u64, now: Now) -> Self {
-        Controller::knowing(FORMAT, config, policy, seed, now)
+        Controller::with_record_format(FORMAT, config, policy, seed, now)
     }
 
     /// A controller that tells the others that it knows records up to this format: 0 as the production version, which
     /// does not say.
-    pub fn knowing(format: u32, config: Config, policy: Policy, seed: u64, now: Now) -> Self {
+    pub fn with_record_format(
+        format: u32,
+        config: Config,
+        policy: Policy,
+        seed: u64,
+        now: Now,
+    ) -> Self {
         let mut rng = SmallRng::seed_from_u64(seed);
         let incarnation = Incarnation(rng.random::<u64>() >> 12);
         let rate_limiter = RequestRateLimiter::new(&config.state_limits, config.controllers(), now);
@@ -257,21 +263,23 @@
     }
 
     /// How long the last event took to handle, as whoever runs this measured it.
-    pub fn took(&mut self, now: Now, took: Duration) {
-        self.metrics.step(took);
+    pub fn record_event_duration(&mut self, now: Now, duration: Duration) {
+        self.metrics.record_event_duration(duration);
         // The event in which a plan was made: its time is nearly all the plan's.
         if let Some(leader_state) = self
             .leader_state
             .as_mut()
             .filter(|leader_state| leader_state.planned == Some(now.monotonic))
         {
-            let pause = took.div_f64(PLAN_PART).clamp(PLAN_SPACING, PLAN_SLOWEST);
+            let pause = duration
+                .div_f64(PLAN_PART)
+                .clamp(PLAN_SPACING, PLAN_SLOWEST);
             leader_state.pause = (leader_state.pause * 3 + pause) / 4;
         }
     }
 
     /// Machines and tasks looked at so far, the leader's plans apart, and the plans made.
-    pub fn looked(&self) -> (u64, u64) {
+    pub fn work_counts(&self) -> (u64, u64) {
         (self.worker_fleet.looked(), self.plans)
     }
 
--- a/src/metrics/mod.rs
+++ b/src/metrics/mod.rs
@@ -70,9 +70,9 @@
         }
     }
 
-    pub fn step(&mut self, took: Duration) {
+    pub fn record_event_duration(&mut self, duration: Duration) {
         self.step_us
-            .record(u64::try_from(took.as_micros()).unwrap_or(u64::MAX));
+            .record(u64::try_from(duration.as_micros()).unwrap_or(u64::MAX));
     }
 
     pub fn refused(&mut self, status: u16) {
--- a/src/provisioning/edits.rs
+++ b/src/provisioning/edits.rs
@@ -75,7 +75,9 @@
             value_bytes: config.block_bytes as f64,
             tasks,
         };
-        for (block, zone) in block_leases::wanted(&catalog.zones(config), config, policy, cache) {
+        for (block, zone) in
+            block_leases::required_blocks(&catalog.zones(config), config, policy, cache)
+        {
             let fill = cache.inventories.get(&block).map_or(0.0, |inventory| {
                 inventory
                     .value
@@ -117,7 +119,7 @@
             .filter(|(_, fill)| **fill + share <= BLOCK_FULL)
             .map(|(block, fill)| (block.clone(), *fill))
             .collect();
-        let fresh = block_leases::name(zone, of_zone.len());
+        let fresh = block_leases::block_id(zone, of_zone.len());
         let emptiest = fills
             .into_iter()
             .filter_map(|(block, fill)| {
--- a/src/provisioning/mod.rs
+++ b/src/provisioning/mod.rs
@@ -413,7 +413,7 @@
         settled: impl Fn(&BlockId, &Attempt) -> bool,
     ) {
         for (id, open) in cache.open.iter().filter(|(_, open)| open.cancelled) {
-            if !cancellation::overdue(now, config, open.cancelled_ms) {
+            if !cancellation::is_overdue(now, config, open.cancelled_ms) {
                 continue;
             }
             for ((index, number), placement) in cache.placed(*id) {
--- a/src/provisioning/tests.rs
+++ b/src/provisioning/tests.rs
@@ -31,7 +31,7 @@
             value: Some(value),
         });
     };
-    let block = block_leases::name(&"a".into(), 0);
+    let block = block_leases::block_id(&"a".into(), 0);
     let entry = || InventoryEntry {
         type_name: "large".into(),
         capacity_type: CapacityType::Spot,
@@ -85,7 +85,7 @@
         "its holder may still prove it gone"
     );
     assert_eq!(
-        given_up(config.cancel_within - cancellation::OVERDUE_MARGIN),
+        given_up(config.cancel_within - cancellation::DELETION_MARGIN),
         ["m-1"]
     );
 }
@@ -119,7 +119,7 @@
             zone: zone.into(),
             on: (0..6).map(entry).collect(),
         };
-        let key = inventory_key(&block_leases::name(&zone.into(), 0));
+        let key = inventory_key(&block_leases::block_id(&zone.into(), 0));
         cache.apply(Change {
             key,
             version,
@@ -303,7 +303,7 @@
         spare: true,
     };
     let mut cache = WatchCache::following();
-    let block = block_leases::name(&"a".into(), 0);
+    let block = block_leases::block_id(&"a".into(), 0);
     let entry = || InventoryEntry {
         type_name: "large".into(),
         capacity_type: CapacityType::Spot,
--- a/src/service.rs
+++ b/src/service.rs
@@ -193,7 +193,8 @@
     fn handle(&mut self, event: Event) {
         let began = Now::read();
         let effects = self.controller.handle(began, event);
-        self.controller.took(began, began.monotonic.elapsed());
+        self.controller
+            .record_event_duration(began, began.monotonic.elapsed());
         for effect in effects {
             self.perform(effect);
         }
--- a/tests/simulation/world.rs
+++ b/tests/simulation/world.rs
@@ -1283,7 +1283,8 @@
         slot.waiting.clear();
         let features = self.features.clone();
         slot.controller = Some(
-            Controller::knowing(slot.format, config, policy, seed, now).with_features(features),
+            Controller::with_record_format(slot.format, config, policy, seed, now)
+                .with_features(features),
         );
         let incarnation = slot.incarnation;
         self.soon(WorldEvent::Tick {
@@ -2544,7 +2545,7 @@
             .slots
             .iter()
             .filter_map(|slot| slot.controller.as_ref())
-            .map(Controller::looked);
+            .map(Controller::work_counts);
         all.fold((0, 0), |sum, one| (sum.0 + one.0, sum.1 + one.1))
     }
 
