--- a/src/block_leases/mod.rs
+++ b/src/block_leases/mod.rs
@@ -48,41 +48,46 @@
     writer: Writer,
     leading_since: Option<(Term, Instant)>,
     /// When each controller last spoke to us.
-    heard: BTreeMap<ControllerName, (Incarnation, Instant)>,
+    last_heartbeats: BTreeMap<ControllerName, (Incarnation, Instant)>,
     /// Blocks whose holder asked for a new token.
-    renew: BTreeMap<BlockId, FencingToken>,
+    token_renewals: BTreeMap<BlockId, FencingToken>,
     /// Controllers that could not do a holder's work: until when they get no blocks, and how often in a row.
-    unfit: BTreeMap<ControllerName, (Instant, u32)>,
+    suspended: BTreeMap<ControllerName, (Instant, u32)>,
 }
 
 /// How long a controller that could not do a holder's work gets no blocks: doubled each time that it fails again.
-const UNFIT_FOR: Duration = Duration::from_secs(30);
-const UNFIT_DOUBLINGS: u32 = 4;
+const SUSPENSION: Duration = Duration::from_secs(30);
+const MAX_SUSPENSION_DOUBLINGS: u32 = 4;
 
 impl BlockLeaseManager {
     pub fn new() -> Self {
         BlockLeaseManager {
             writer: Writer::Idle,
             leading_since: None,
-            heard: BTreeMap::new(),
-            renew: BTreeMap::new(),
-            unfit: BTreeMap::new(),
+            last_heartbeats: BTreeMap::new(),
+            token_renewals: BTreeMap::new(),
+            suspended: BTreeMap::new(),
         }
     }
 
-    pub fn heard_from(&mut self, now: Now, controller: &ControllerName, incarnation: Incarnation) {
-        self.heard
+    pub fn record_heartbeat(
+        &mut self,
+        now: Now,
+        controller: &ControllerName,
+        incarnation: Incarnation,
+    ) {
+        self.last_heartbeats
             .insert(controller.clone(), (incarnation, now.monotonic));
     }
 
     /// A holder has lost track of a command: only a higher token makes sure that it can't be executed late.
     pub fn require_token_renewal(&mut self, block: &BlockId, token: FencingToken) {
-        self.renew.insert(block.clone(), token);
+        self.token_renewals.insert(block.clone(), token);
     }
 
     /// This process stood still: what it did not hear meanwhile is no silence of the others.
-    pub fn stood_still(&mut self, gap: Duration) {
-        for (_, at) in self.heard.values_mut() {
+    pub fn process_paused(&mut self, gap: Duration) {
+        for (_, at) in self.last_heartbeats.values_mut() {
             *at += gap;
         }
         if let Some((_, at)) = &mut self.leading_since {
@@ -92,23 +97,23 @@
 
     /// A holder that hears hardly any of its machines, while others hear them. Its blocks go to others, and it does
     /// not win them back at once, or they would go to and fro.
-    pub fn unfit(&mut self, now: Now, controller: &ControllerName) {
+    pub fn suspend_holder(&mut self, now: Now, controller: &ControllerName) {
         let (until, times) = self
-            .unfit
+            .suspended
             .get(controller)
             .copied()
             .unwrap_or((now.monotonic, 0));
         if now.monotonic < until {
             return;
         }
-        let times = if since(now, until) < UNFIT_FOR * 4 {
+        let times = if since(now, until) < SUSPENSION * 4 {
             times
         } else {
             0
         };
-        let pause = UNFIT_FOR * 2u32.pow(times.min(UNFIT_DOUBLINGS));
+        let pause = SUSPENSION * 2u32.pow(times.min(MAX_SUSPENSION_DOUBLINGS));
         info!(holder = %controller, ?pause, "holder can't reach its machines");
-        self.unfit
+        self.suspended
             .insert(controller.clone(), (now.monotonic + pause, times + 1));
     }
 
@@ -129,7 +134,7 @@
         let since_start = self
             .leading_since
             .map_or(Duration::ZERO, |(_, at)| since(now, at));
-        match self.heard.get(controller) {
+        match self.last_heartbeats.get(controller) {
             Some((incarnation, at)) if *incarnation == member.value.incarnation => {
                 since(now, *at) < policy.suspect_after
             }
@@ -154,9 +159,9 @@
         let zones = &leader.catalog.zones(config);
         if self.leading_since.is_none_or(|(known, _)| known != term) {
             self.leading_since = Some((term, now.monotonic));
-            self.heard.clear();
-            self.renew.clear();
-            self.unfit.clear();
+            self.last_heartbeats.clear();
+            self.token_renewals.clear();
+            self.suspended.clear();
             self.writer = Writer::Unsure {
                 since: now.monotonic,
             };
@@ -171,7 +176,7 @@
             .cloned()
             .collect();
         let fit = |controller: &ControllerName| {
-            self.unfit
+            self.suspended
                 .get(controller)
                 .is_none_or(|(until, _)| now.monotonic >= *until)
         };
@@ -199,7 +204,8 @@
                 members.contains(&old.value.holder)
                     && incarnation_of(&old.value.holder) == Some(old.value.incarnation)
             });
-            let renewed = kept.filter(|old| self.renew.get(&block) != Some(&old.value.token));
+            let renewed =
+                kept.filter(|old| self.token_renewals.get(&block) != Some(&old.value.token));
             if let Some(old) = renewed {
                 if old.value.term != term {
                     changes.push((
--- a/src/block_leases/tests.rs
+++ b/src/block_leases/tests.rs
@@ -48,7 +48,7 @@
             spare: true,
         };
         for _ in 0..40 {
-            block_lease_manager.heard_from(now, &other, Incarnation(1));
+            block_lease_manager.record_heartbeat(now, &other, Incarnation(1));
             block_lease_manager.writer = Writer::Idle;
             let Some(StoreRequest::Commit(txn)) =
                 block_lease_manager.poll(now, &leader, &mut cache)
@@ -76,15 +76,15 @@
     lease(&mut block_lease_manager, at(0));
     block_lease_manager.writer = Writer::Idle;
     assert!(lease(&mut block_lease_manager, at(1)) > 0);
-    block_lease_manager.unfit(at(10), &other);
+    block_lease_manager.suspend_holder(at(10), &other);
     assert_eq!(lease(&mut block_lease_manager, at(10)), 0);
     assert_eq!(lease(&mut block_lease_manager, at(39)), 0);
     assert!(lease(&mut block_lease_manager, at(41)) > 0);
-    block_lease_manager.unfit(at(50), &other);
+    block_lease_manager.suspend_holder(at(50), &other);
     assert_eq!(lease(&mut block_lease_manager, at(100)), 0, "twice as long");
     assert!(lease(&mut block_lease_manager, at(111)) > 0);
     // If nobody can do it, things stay as they are.
-    block_lease_manager.unfit(at(120), &other);
-    block_lease_manager.unfit(at(120), &config.name);
+    block_lease_manager.suspend_holder(at(120), &other);
+    block_lease_manager.suspend_holder(at(120), &config.name);
     assert!(lease(&mut block_lease_manager, at(121)) > 0);
 }
--- a/src/cancellation/mod.rs
+++ b/src/cancellation/mod.rs
@@ -24,14 +24,14 @@
 /// differ.
 pub const DELETION_MARGIN: Duration = Duration::from_secs(8);
 /// A holder that was heard this lately sees to its machines itself. Controllers speak every second.
-const HEARD_WITHIN: Duration = Duration::from_secs(3);
+const HOLDER_HEARTBEAT_TIMEOUT: Duration = Duration::from_secs(3);
 /// Told in one message, the newest first.
-const MOST_TOLD: usize = 256;
-const LOOK_EVERY: Duration = Duration::from_millis(400);
+const MAX_CANCELLED_JOBS_PER_HEARTBEAT: usize = 256;
+const POLL_INTERVAL: Duration = Duration::from_millis(400);
 /// A deletion that was refused or not answered is repeated after this long: what is deleted already is ignored.
-const RETRY: Duration = Duration::from_secs(1);
+const DELETION_RETRY_INTERVAL: Duration = Duration::from_secs(1);
 /// The protocol's limit for one deletion.
-const MOST_DELETED: usize = 100;
+const MAX_MACHINES_PER_DELETION: usize = 100;
 
 /// Whether a job cancelled at `cancelled_ms` is so late that machines which still have tasks of it are given up.
 pub fn is_overdue(now: Now, config: &Config, cancelled_ms: u64) -> bool {
@@ -44,13 +44,13 @@
 
 /// An outage counts as lasting for all until this long after the others have last said that they are in it: they are out of
 /// it one by one.
-const OUT_FOR_ALL: Duration = Duration::from_secs(6);
+const SHARED_OUTAGE_TIMEOUT: Duration = Duration::from_secs(6);
 /// Signs of life of ours whose times are kept: answers to older ones are of no use.
-const MOST_SENT: usize = 64;
+const MAX_SENT_HEARTBEATS: usize = 64;
 
 /// What this controller knows of another.
 #[derive(Debug)]
-struct Peer {
+struct PeerState {
     incarnation: Incarnation,
     number: u64,
     at: Instant,
@@ -65,10 +65,10 @@
 pub struct Cancellations {
     /// Cancelled jobs whose tasks are not all proven gone, by our copy: version and time of day.
     open: BTreeMap<JobId, (u64, u64)>,
-    peers: BTreeMap<ControllerName, Peer>,
+    peers: BTreeMap<ControllerName, PeerState>,
     /// Our signs of life, and when we gave them.
     sent: VecDeque<(u64, Instant)>,
-    looked: Option<Instant>,
+    last_poll: Option<Instant>,
     /// The deletion that is under way.
     deleting: Vec<MachineId>,
     retry_at: Option<Instant>,
@@ -102,7 +102,7 @@
 
     /// What the others are told every second. Cancellations again and again: a message may be lost, and who is cut off
     /// from the state service learns of them in no other way.
-    pub fn sign(
+    pub fn next_heartbeat(
         &mut self,
         now: Now,
         controller: &ControllerName,
@@ -112,7 +112,7 @@
     ) -> ControllerHeartbeat {
         let number = self.sent.back().map_or(1, |(number, _)| number + 1);
         self.sent.push_back((number, now.monotonic));
-        if self.sent.len() > MOST_SENT {
+        if self.sent.len() > MAX_SENT_HEARTBEATS {
             self.sent.pop_front();
         }
         ControllerHeartbeat {
@@ -121,8 +121,8 @@
             number,
             reaches_state,
             // Without a copy an earlier process of this controller may have confirmed what we have not read yet.
-            complete: cache.ready() && self.open.len() <= MOST_TOLD,
-            cancelled: self.told(),
+            complete: cache.ready() && self.open.len() <= MAX_CANCELLED_JOBS_PER_HEARTBEAT,
+            cancelled: self.newest_cancelled_jobs(),
             heard: self
                 .peers
                 .iter()
@@ -131,20 +131,20 @@
         }
     }
 
-    fn told(&self) -> Vec<CancelledJob> {
+    fn newest_cancelled_jobs(&self) -> Vec<CancelledJob> {
         let mut newest: Vec<CancelledJob> = self
             .open
             .iter()
             .map(|(job, (version, at_ms))| CancelledJob::new(*job, *version, *at_ms))
             .collect();
         newest.sort_by_key(|job| std::cmp::Reverse(job.version));
-        newest.truncate(MOST_TOLD);
+        newest.truncate(MAX_CANCELLED_JOBS_PER_HEARTBEAT);
         newest
     }
 
     /// A sign of life, numbered, for a late one tells nothing of the present. What it says of cancellations has been
     /// taken in. `us`: our name and process.
-    pub fn heard_from(
+    pub fn record_heartbeat(
         &mut self,
         now: Now,
         us: (&ControllerName, Incarnation),
@@ -179,7 +179,7 @@
         };
         self.peers.insert(
             controller.clone(),
-            Peer {
+            PeerState {
                 incarnation: *incarnation,
                 number: *number,
                 at: now.monotonic,
@@ -195,27 +195,29 @@
     ///
     /// Only in an outage for all: where others reach the state service, who does not is replaced, and goes on answering the
     /// workers that nobody else can find only for the life of its block lease.
-    pub fn known_until(&self, now: Now, config: &Config) -> Option<Instant> {
+    pub fn all_known_until(&self, now: Now, config: &Config) -> Option<Instant> {
         let covers = config.peers.iter().map(|peer| {
             let peer = self.peers.get(&peer.name)?;
-            peer.covers
-                .filter(|_| peer.out.is_some_and(|at| since(now, at) < OUT_FOR_ALL))
+            peer.covers.filter(|_| {
+                peer.out
+                    .is_some_and(|at| since(now, at) < SHARED_OUTAGE_TIMEOUT)
+            })
         });
         covers.collect::<Option<Vec<Instant>>>()?.into_iter().min()
     }
 
     /// This process stood still: what it did not hear meanwhile is no silence of the others.
-    pub fn stood_still(&mut self, gap: Duration) {
+    pub fn process_paused(&mut self, gap: Duration) {
         for peer in self.peers.values_mut() {
             peer.at += gap;
         }
     }
 
     /// Whether the process that holds this block lease was heard lately.
-    pub fn holder_heard(&self, now: Now, lease: &BlockLease) -> bool {
+    pub fn holder_is_alive(&self, now: Now, lease: &BlockLease) -> bool {
         let peer = self.peers.get(&lease.holder);
         peer.is_some_and(|peer| {
-            peer.incarnation == lease.incarnation && since(now, peer.at) < HEARD_WITHIN
+            peer.incarnation == lease.incarnation && since(now, peer.at) < HOLDER_HEARTBEAT_TIMEOUT
         })
     }
 
@@ -229,10 +231,14 @@
         cache: &WatchCache,
         proven: impl Fn(&BlockId, &MachineId, &Attempt) -> bool,
     ) -> Option<(Tag, CloudRequest)> {
-        if self.open.is_empty() || self.looked.is_some_and(|at| since(now, at) < LOOK_EVERY) {
+        if self.open.is_empty()
+            || self
+                .last_poll
+                .is_some_and(|at| since(now, at) < POLL_INTERVAL)
+        {
             return None;
         }
-        self.looked = Some(now.monotonic);
+        self.last_poll = Some(now.monotonic);
         if !self.deleting.is_empty() || self.retry_at.is_some_and(|at| now.monotonic < at) {
             return None;
         }
@@ -263,14 +269,14 @@
                 let settled = if lease.holder == config.name && lease.incarnation == incarnation {
                     proven(&placement.block, &placement.machine, &attempt)
                 } else {
-                    self.holder_heard(now, lease)
+                    self.holder_is_alive(now, lease)
                 };
                 if !settled && due.insert(placement.machine.clone()) {
                     warn!(machine = %placement.machine, %attempt, "machine deleted: its cancelled task must be gone");
                 }
             }
         }
-        let due: Vec<MachineId> = due.into_iter().take(MOST_DELETED).collect();
+        let due: Vec<MachineId> = due.into_iter().take(MAX_MACHINES_PER_DELETION).collect();
         if due.is_empty() {
             return None;
         }
@@ -286,7 +292,7 @@
         let machines = std::mem::take(&mut self.deleting);
         match outcome {
             CloudResponse::Deleted => self.deleted.extend(machines),
-            _ => self.retry_at = Some(now.monotonic + RETRY),
+            _ => self.retry_at = Some(now.monotonic + DELETION_RETRY_INTERVAL),
         }
     }
 }
--- a/src/cancellation/tests.rs
+++ b/src/cancellation/tests.rs
@@ -10,7 +10,7 @@
     encode, inventory_key, job_key, placements_key,
 };
 
-const BOOT: Incarnation = Incarnation(7);
+const INCARNATION: Incarnation = Incarnation(7);
 
 /// Our copy: block `a.0` is ours with `m-1`, block `b.0` another's (process 3) with `m-2`. On both is a task of job 1,
 /// which is cancelled, and on `m-3` of ours one of job 2, which is not.
@@ -39,7 +39,12 @@
         };
         let other = config.peers[0].name.clone();
         for (block, holder, incarnation, on) in [
-            ("a.0", &config.name, BOOT, &[("m-1", 1), ("m-3", 2)][..]),
+            (
+                "a.0",
+                &config.name,
+                INCARNATION,
+                &[("m-1", 1), ("m-3", 2)][..],
+            ),
             ("b.0", &other, Incarnation(3), &[("m-2", 1)]),
         ] {
             let entry = || InventoryEntry {
@@ -126,20 +131,23 @@
             heard: heard.into_iter().map(|heard| (us.clone(), heard)).collect(),
         };
         self.cancellations
-            .heard_from(self.at(after), (&us, BOOT), &heartbeat);
+            .record_heartbeat(self.at(after), (&us, INCARNATION), &heartbeat);
     }
 
-    fn sign(&mut self, after: Duration) -> ControllerHeartbeat {
+    fn next_heartbeat(&mut self, after: Duration) -> ControllerHeartbeat {
         let (now, us) = (self.at(after), self.config.name.clone());
-        self.cancellations.sign(now, &us, BOOT, &self.cache, false)
+        self.cancellations
+            .next_heartbeat(now, &us, INCARNATION, &self.cache, false)
     }
 
     /// The machines that are deleted then.
     fn deleted(&mut self, after: Duration, proven: bool) -> Vec<String> {
         let now = self.at(after);
-        let call = self
-            .cancellations
-            .poll(now, &self.config, BOOT, &self.cache, |_, _, _| proven);
+        let call =
+            self.cancellations
+                .poll(now, &self.config, INCARNATION, &self.cache, |_, _, _| {
+                    proven
+                });
         match call {
             Some((Tag::DeleteCancelled, CloudRequest::Delete(names))) => names
                 .machines
@@ -168,29 +176,31 @@
         [] as [&str; 0],
         "ours is proven gone, the other holder sees to its own"
     );
-    let later = late + LOOK_EVERY;
+    let later = late + POLL_INTERVAL;
     assert_eq!(copy.deleted(later, false), ["m-1"]);
     copy.cancellations
         .cloud_responded(copy.at(later), &CloudResponse::Unknown);
     assert_eq!(
-        copy.deleted(later + LOOK_EVERY, false),
+        copy.deleted(later + POLL_INTERVAL, false),
         [] as [&str; 0],
         "not at once"
     );
     assert_eq!(
-        copy.deleted(later + RETRY, false),
+        copy.deleted(later + DELETION_RETRY_INTERVAL, false),
         ["m-1"],
         "the call may be lost"
     );
-    copy.cancellations
-        .cloud_responded(copy.at(later + RETRY), &CloudResponse::Deleted);
+    copy.cancellations.cloud_responded(
+        copy.at(later + DELETION_RETRY_INTERVAL),
+        &CloudResponse::Deleted,
+    );
     assert_eq!(
-        copy.deleted(later + RETRY * 2, false),
+        copy.deleted(later + DELETION_RETRY_INTERVAL * 2, false),
         [] as [&str; 0],
         "once is enough"
     );
     assert_eq!(
-        copy.deleted(late + HEARD_WITHIN, false),
+        copy.deleted(late + HOLDER_HEARTBEAT_TIMEOUT, false),
         ["m-2"],
         "its holder is not heard any more"
     );
@@ -202,7 +212,7 @@
     let late = copy.config.cancel_within - DELETION_MARGIN;
     let lease = copy.cache.block_leases[&BlockId::from("b.0")].value.clone();
     let heard =
-        |copy: &Copy, after: Duration| copy.cancellations.holder_heard(copy.at(after), &lease);
+        |copy: &Copy, after: Duration| copy.cancellations.holder_is_alive(copy.at(after), &lease);
     copy.hear_holder(Duration::from_secs(1), Incarnation(3), 5);
     assert!(heard(&copy, Duration::from_secs(1)));
     copy.hear_holder(late, Incarnation(3), 4);
@@ -213,7 +223,7 @@
     );
     copy.hear_holder(late, Incarnation(3), 6);
     assert!(heard(&copy, late));
-    copy.cancellations.stood_still(Duration::from_secs(30));
+    copy.cancellations.process_paused(Duration::from_secs(30));
     assert!(
         heard(&copy, late + Duration::from_secs(30)),
         "we were away, not it"
@@ -229,7 +239,7 @@
 #[test]
 fn others_are_told_of_cancelled_jobs_until_they_are_over() {
     let mut copy = Copy::new();
-    let told = copy.cancellations.told();
+    let told = copy.cancellations.newest_cancelled_jobs();
     assert_eq!(
         told.iter().map(|told| told.job).collect::<Vec<_>>(),
         [JobId(1)]
@@ -243,7 +253,7 @@
     });
     let changed = copy.cache.take_changed();
     copy.cancellations.sync(&copy.cache, &changed);
-    assert_eq!(copy.cancellations.told(), []);
+    assert_eq!(copy.cancellations.newest_cancelled_jobs(), []);
 }
 
 /// In an outage all holders may go on only while they know of all that can have been confirmed.
@@ -254,28 +264,49 @@
     let known = |copy: &Copy| {
         let known = copy
             .cancellations
-            .known_until(copy.at(seconds(13)), &copy.config);
+            .all_known_until(copy.at(seconds(13)), &copy.config);
         known.map(|at| at.saturating_duration_since(copy.start.monotonic))
     };
     for second in 1..=9 {
-        assert_eq!(copy.sign(seconds(second)).number, second);
+        assert_eq!(copy.next_heartbeat(seconds(second)).number, second);
     }
-    copy.hear(0, seconds(10), Incarnation(3), 1, true, Some((BOOT, 5)));
+    copy.hear(
+        0,
+        seconds(10),
+        Incarnation(3),
+        1,
+        true,
+        Some((INCARNATION, 5)),
+    );
     assert_eq!(known(&copy), None, "only one of two");
-    copy.hear(1, seconds(10), Incarnation(4), 1, true, Some((BOOT, 7)));
+    copy.hear(
+        1,
+        seconds(10),
+        Incarnation(4),
+        1,
+        true,
+        Some((INCARNATION, 7)),
+    );
     assert_eq!(
         known(&copy),
         Some(seconds(5)),
         "when we sent that, not when the answer came"
     );
-    copy.hear(0, seconds(11), Incarnation(3), 2, false, Some((BOOT, 9)));
+    copy.hear(
+        0,
+        seconds(11),
+        Incarnation(3),
+        2,
+        false,
+        Some((INCARNATION, 9)),
+    );
     copy.hear(
         0,
         seconds(11),
         Incarnation(3),
         3,
         true,
-        Some((Incarnation(BOOT.0 + 1), 9)),
+        Some((Incarnation(INCARNATION.0 + 1), 9)),
     );
     copy.hear(0, seconds(11), Incarnation(3), 4, true, None);
     assert_eq!(
@@ -283,15 +314,36 @@
         Some(seconds(5)),
         "not all it knows; another process of ours; it has not heard us"
     );
-    copy.hear(0, seconds(12), Incarnation(3), 6, true, Some((BOOT, 9)));
+    copy.hear(
+        0,
+        seconds(12),
+        Incarnation(3),
+        6,
+        true,
+        Some((INCARNATION, 9)),
+    );
     assert_eq!(known(&copy), Some(seconds(7)));
-    copy.hear(1, seconds(12), Incarnation(4), 1, true, Some((BOOT, 9)));
+    copy.hear(
+        1,
+        seconds(12),
+        Incarnation(4),
+        1,
+        true,
+        Some((INCARNATION, 9)),
+    );
     assert_eq!(
         known(&copy),
         Some(seconds(7)),
         "a copy of an earlier message"
     );
-    copy.hear(1, seconds(13), Incarnation(5), 1, false, Some((BOOT, 9)));
+    copy.hear(
+        1,
+        seconds(13),
+        Incarnation(5),
+        1,
+        false,
+        Some((INCARNATION, 9)),
+    );
     assert_eq!(
         known(&copy),
         None,
@@ -306,33 +358,64 @@
     let seconds = Duration::from_secs;
     let known = |copy: &Copy, second| {
         copy.cancellations
-            .known_until(copy.at(seconds(second)), &copy.config)
+            .all_known_until(copy.at(seconds(second)), &copy.config)
             .is_some()
     };
-    copy.sign(seconds(1));
-    copy.hear(0, seconds(2), Incarnation(3), 1, true, Some((BOOT, 1)));
-    copy.hear(1, seconds(2), Incarnation(4), 1, true, Some((BOOT, 1)));
+    copy.next_heartbeat(seconds(1));
+    copy.hear(
+        0,
+        seconds(2),
+        Incarnation(3),
+        1,
+        true,
+        Some((INCARNATION, 1)),
+    );
+    copy.hear(
+        1,
+        seconds(2),
+        Incarnation(4),
+        1,
+        true,
+        Some((INCARNATION, 1)),
+    );
     assert!(known(&copy, 3));
     copy.reaches_state = true;
-    copy.hear(0, seconds(4), Incarnation(3), 2, true, Some((BOOT, 1)));
+    copy.hear(
+        0,
+        seconds(4),
+        Incarnation(3),
+        2,
+        true,
+        Some((INCARNATION, 1)),
+    );
     assert!(known(&copy, 7), "it is out of it first, we follow");
-    copy.hear(0, seconds(8), Incarnation(3), 3, true, Some((BOOT, 1)));
+    copy.hear(
+        0,
+        seconds(8),
+        Incarnation(3),
+        3,
+        true,
+        Some((INCARNATION, 1)),
+    );
     assert!(!known(&copy, 8));
 }
 
 #[test]
 fn a_controller_without_a_copy_or_with_too_much_to_tell_does_not_claim_to_name_all() {
     let mut copy = Copy::new();
-    assert!(copy.sign(Duration::ZERO).complete);
+    assert!(copy.next_heartbeat(Duration::ZERO).complete);
     let ready = std::mem::replace(
         &mut copy.cache,
         WatchCache::new(&copy.config.state_limits, 3),
     );
-    assert!(!copy.sign(Duration::ZERO).complete, "started in an outage");
+    assert!(
+        !copy.next_heartbeat(Duration::ZERO).complete,
+        "started in an outage"
+    );
     copy.cache = ready;
     copy.cancellations
         .open
-        .extend((10..10 + MOST_TOLD as u64).map(|id| (JobId(id), (id, 0))));
-    let heartbeat = copy.sign(Duration::ZERO);
-    assert!(!heartbeat.complete && heartbeat.cancelled.len() == MOST_TOLD);
+        .extend((10..10 + MAX_CANCELLED_JOBS_PER_HEARTBEAT as u64).map(|id| (JobId(id), (id, 0))));
+    let heartbeat = copy.next_heartbeat(Duration::ZERO);
+    assert!(!heartbeat.complete && heartbeat.cancelled.len() == MAX_CANCELLED_JOBS_PER_HEARTBEAT);
 }
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -19,7 +19,7 @@
 use crate::features::Features;
 use crate::job_api::{self, JobApi, RequestId, Response};
 use crate::leader_context::LeaderContext;
-use crate::leadership::{self, Leadership};
+use crate::leadership::{self, LeaderTerm, Leadership};
 use crate::metrics::Metrics;
 use crate::operations::{self, Operations};
 use crate::peer::{AssignmentUpdate, CancelledJob, ControllerHeartbeat, Message, Status};
@@ -40,7 +40,7 @@
     WatchCache(cache::Tag),
     Leadership(leadership::Tag),
     JobApi(RequestId),
-    BlockLeaseManager(Term),
+    BlockLeases(Term),
     Upgrade,
     Provisioning(Term),
     Scheduler(Term),
@@ -187,7 +187,7 @@
 }
 
 /// Events come with every tick. If none came for this long, the process stood still while its clocks ran on.
-const STOOD_STILL: Duration = Duration::from_secs(1);
+const PROCESS_PAUSE: Duration = Duration::from_secs(1);
 /// The plan is made anew at most this often, and at least that often when nothing has changed.
 const PLAN_SPACING: Duration = Duration::from_millis(40);
 const PLAN_AT_LEAST: Duration = Duration::from_millis(500);
@@ -316,10 +316,10 @@
 
     /// Until when what we know of the block leases may be acted on: counted from before it was asked for. That others may hold
     /// them by now is what tokens are for; what has an end is how long a cancellation may be unknown to us.
-    fn entitled_until(&self, now: Now) -> Instant {
+    fn authority_until(&self, now: Now) -> Instant {
         let fresh = self.cache.fresh_since().map(|fresh| {
             self.cancellations
-                .known_until(now, &self.config)
+                .all_known_until(now, &self.config)
                 .max(Some(fresh))
         });
         fresh.flatten().map_or(now.monotonic, |known| {
@@ -343,11 +343,11 @@
     pub fn handle(&mut self, now: Now, event: Event) -> Vec<Effect> {
         let mut effects = Vec::new();
         let gap = since(now, std::mem::replace(&mut self.last_event, now.monotonic));
-        if gap > STOOD_STILL {
-            info!(?gap, "stood still");
+        if gap > PROCESS_PAUSE {
+            info!(?gap, "process pause detected");
             self.worker_fleet.stood_still(gap);
-            self.block_lease_manager.stood_still(gap);
-            self.cancellations.stood_still(gap);
+            self.block_lease_manager.process_paused(gap);
+            self.cancellations.process_paused(gap);
         }
         match event {
             Event::Tick => {
@@ -383,7 +383,7 @@
                 effects.extend(reply.map(|reply| Effect::RespondToOperator { id, reply }));
             }
             Event::Heartbeat { id, heartbeat } => {
-                let until = self.entitled_until(now);
+                let until = self.authority_until(now);
                 let entitled = now.monotonic < until;
                 if !self.cache.machines.contains_key(&heartbeat.machine)
                     && let Some(leader_state) = &mut self.leader_state
@@ -451,14 +451,14 @@
         self.rate_limiter.note(now, &outcome);
         let slice = match &tag {
             StoreTag::WatchCache(_) | StoreTag::Leadership(_) => None,
-            StoreTag::JobApi(_) => Some("intake"),
-            StoreTag::BlockLeaseManager(_) => Some("granting"),
+            StoreTag::JobApi(_) => Some("job_api"),
+            StoreTag::BlockLeases(_) => Some("block_leases"),
             StoreTag::Upgrade => Some("upgrade"),
             StoreTag::Provisioning(_) => Some("provisioning"),
-            StoreTag::Scheduler(_) => Some("queueing"),
+            StoreTag::Scheduler(_) => Some("scheduler"),
             StoreTag::Draining(_) => Some("draining"),
             StoreTag::Operations => Some("operations"),
-            StoreTag::Block { .. } => Some("block"),
+            StoreTag::Block { .. } => Some("workers"),
         };
         if let Some(slice) = slice {
             self.metrics.transaction(slice, &outcome);
@@ -490,7 +490,7 @@
                     self.tell_peers(&Message::Cancelled(vec![cancelled]), effects);
                 }
             }
-            StoreTag::BlockLeaseManager(term) => {
+            StoreTag::BlockLeases(term) => {
                 if self.term() == Some(term) {
                     self.block_lease_manager.answered(now, &outcome);
                 }
@@ -559,8 +559,11 @@
     fn peer(&mut self, now: Now, message: Message) {
         match message {
             Message::Status(status) => {
-                self.block_lease_manager
-                    .heard_from(now, &status.controller, status.incarnation);
+                self.block_lease_manager.record_heartbeat(
+                    now,
+                    &status.controller,
+                    status.incarnation,
+                );
                 if let Some(leader_state) = &mut self.leader_state {
                     leader_state.scheduler.note_misrouted(now, status.misrouted);
                 }
@@ -590,7 +593,7 @@
             }
             Message::Heartbeat(mut heartbeat) => {
                 heartbeat.complete &= self.note_cancellations(heartbeat.cancelled.iter().copied());
-                self.cancellations.heard_from(
+                self.cancellations.record_heartbeat(
                     now,
                     (&self.config.name, self.incarnation),
                     &heartbeat,
@@ -623,7 +626,9 @@
     }
 
     fn term(&self) -> Option<Term> {
-        self.leadership.leading(&self.cache).map(|(term, _)| term)
+        self.leadership
+            .current_term(&self.cache)
+            .map(|leader| leader.term)
     }
 
     fn ask(&mut self, urgency: WritePriority, tag: StoreTag, op: StoreRequest) {
@@ -640,7 +645,7 @@
             effects.push(Effect::Unsupported { format });
             return;
         }
-        self.take_up_format(now);
+        self.adopt_record_format(now);
         if self.catalog.due(now) {
             effects.push(Effect::Cloud {
                 tag: provisioning::Tag::InstanceCatalog,
@@ -682,7 +687,7 @@
             let ready = self.rate_limiter.take(now);
             effects.extend(ready.into_iter().map(|(tag, op)| Effect::Store { tag, op }));
         }
-        let until = self.entitled_until(now);
+        let until = self.authority_until(now);
         let entitled = now.monotonic < until;
         let commands = self
             .worker_fleet
@@ -728,7 +733,7 @@
     }
 
     /// From the switch on, the limits to come count as well as the present ones.
-    fn take_up_format(&mut self, now: Now) {
+    fn adopt_record_format(&mut self, now: Now) {
         if self.cache.format() == self.format {
             return;
         }
@@ -741,7 +746,11 @@
     }
 
     fn lead(&mut self, now: Now, effects: &mut Vec<Effect>) {
-        let Some((term, version)) = self.leadership.leading(&self.cache) else {
+        let Some(LeaderTerm {
+            term,
+            record_version: version,
+        }) = self.leadership.current_term(&self.cache)
+        else {
             if self.leader_state.take().is_some() {
                 self.rate_limiter.lead(now, false);
             }
@@ -772,7 +781,7 @@
         }
         let Some(until) = self
             .leadership
-            .certain_until()
+            .authority_until()
             .filter(|until| now.monotonic < *until)
         else {
             return;
@@ -793,13 +802,7 @@
         ops.extend(op.map(|op| (WritePriority::Authority, StoreTag::Upgrade, op)));
         if self.catalog.known() {
             let op = self.block_lease_manager.poll(now, &lead, &mut self.cache);
-            ops.extend(op.map(|op| {
-                (
-                    WritePriority::Authority,
-                    StoreTag::BlockLeaseManager(term),
-                    op,
-                )
-            }));
+            ops.extend(op.map(|op| (WritePriority::Authority, StoreTag::BlockLeases(term), op)));
         }
         let Some(leader_state) = &mut self.leader_state else {
             return;
@@ -853,13 +856,13 @@
             .scheduler
             .unreaching(now, &self.config, &self.cache);
         for holder in &unreaching {
-            self.block_lease_manager.unfit(now, holder);
+            self.block_lease_manager.suspend_holder(now, holder);
         }
         let health = leader_state.scheduler.health(now, &self.cache, &unreaching);
         let settled = |block: &BlockId, attempt: &Attempt| {
             let heard = || {
                 let lease = self.cache.block_leases.get(block);
-                lease.is_some_and(|lease| self.cancellations.holder_heard(now, &lease.value))
+                lease.is_some_and(|lease| self.cancellations.holder_is_alive(now, &lease.value))
             };
             leader_state
                 .scheduler
@@ -938,12 +941,19 @@
         if self.operations.is_idle() {
             return;
         }
-        let certain = self.leadership.certain_until();
+        let certain = self.leadership.authority_until();
         let leads = self
             .leadership
-            .leading(&self.cache)
+            .current_term(&self.cache)
             .filter(|_| certain.is_some_and(|until| now.monotonic < until));
-        let (Some((term, version)), Some(leader_state)) = (leads, &self.leader_state) else {
+        let (
+            Some(LeaderTerm {
+                term,
+                record_version: version,
+            }),
+            Some(leader_state),
+        ) = (leads, &self.leader_state)
+        else {
             let replies = self.operations.refer(self.leader_elsewhere());
             effects.extend(
                 replies
@@ -995,7 +1005,7 @@
             return;
         }
         self.told_all = Some(now.monotonic);
-        let heartbeat = self.cancellations.sign(
+        let heartbeat = self.cancellations.next_heartbeat(
             now,
             &self.config.name,
             self.incarnation,
--- a/src/leadership/mod.rs
+++ b/src/leadership/mod.rs
@@ -26,7 +26,8 @@
 #[derive(Debug, Clone, Copy, PartialEq)]
 enum KeyLease {
     NotHeld,
-    BlockLeaseManager,
+    /// Asked for, not granted yet.
+    Requested,
     /// Open, and the record's transaction is on its way.
     AttachingKey {
         id: u64,
@@ -55,6 +56,15 @@
     KeepAlive(LeaseRole, u64),
 }
 
+/// A term of this process as leader.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub struct LeaderTerm {
+    /// Its number.
+    pub term: Term,
+    /// The version of the leader record: every write of the leader is conditioned on it.
+    pub record_version: u64,
+}
+
 #[derive(Debug)]
 pub struct Leadership {
     controller: ControllerName,
@@ -86,21 +96,24 @@
         }
     }
 
-    /// The term and the version of the leader record if this process leads, by our copy of the records.
+    /// The term of this process if it leads, by the local copy of the records.
     ///
-    /// The copy may be old. That is harmless: a write conditioned on that version then fails.
-    pub fn leading(&self, cache: &WatchCache) -> Option<(Term, u64)> {
+    /// The copy may be old. That is harmless: a write conditioned on the version of the record then fails.
+    pub fn current_term(&self, cache: &WatchCache) -> Option<LeaderTerm> {
         let leader = cache.leader.as_ref()?;
         let ours = cache.ready()
             && leader.value.controller == self.controller
             && leader.value.incarnation == self.incarnation;
-        ours.then_some((leader.value.term, leader.version))
+        ours.then_some(LeaderTerm {
+            term: leader.value.term,
+            record_version: leader.version,
+        })
     }
 
     /// Until when nobody else can be leading: the life of our lease, counted from before the last request was sent that
     /// opened or extended it. What goes to the cloud is conditioned on nothing, so a leader that stood still, or that
     /// can't reach the state service, must send nothing there: another may have taken its place.
-    pub fn certain_until(&self) -> Option<Instant> {
+    pub fn authority_until(&self) -> Option<Instant> {
         match self.leader {
             KeyLease::Held { last_confirmed, .. } => {
                 Some(last_confirmed + LEADER_LEASE_TTL.mul_f64(1.0 - CLOCK_DRIFT))
@@ -115,7 +128,7 @@
         cache: &WatchCache,
         rng: &mut SmallRng,
     ) -> Vec<(Tag, StoreRequest)> {
-        let term = self.leading(cache).map(|(term, _)| term);
+        let term = self.current_term(cache).map(|leader| leader.term);
         if term != self.was_leading {
             match term {
                 Some(term) => info!(%term, "leadership acquired"),
@@ -133,7 +146,7 @@
         match &mut self.member {
             KeyLease::NotHeld => {
                 if cache.ready() && self.member_retry.is_none_or(|at| now.monotonic >= at) {
-                    self.member = KeyLease::BlockLeaseManager;
+                    self.member = KeyLease::Requested;
                     ops.push((
                         Tag::GrantLease(LeaseRole::Member),
                         StoreRequest::GrantLease {
@@ -165,7 +178,7 @@
                     ));
                 }
             }
-            KeyLease::BlockLeaseManager | KeyLease::AttachingKey { .. } => {}
+            KeyLease::Requested | KeyLease::AttachingKey { .. } => {}
         }
     }
 
@@ -209,7 +222,7 @@
                     StoreRequest::KeepAliveLease { id: *id },
                 ));
             }
-            let kept = self.leading(cache).is_some();
+            let kept = self.current_term(cache).is_some();
             if let KeyLease::Held {
                 id,
                 renewed,
@@ -240,7 +253,7 @@
         if since(now, began) >= self.patience
             && self.leader_retry.is_none_or(|at| now.monotonic >= at)
         {
-            self.leader = KeyLease::BlockLeaseManager;
+            self.leader = KeyLease::Requested;
             ops.push((
                 Tag::GrantLease(LeaseRole::Leader),
                 StoreRequest::GrantLease {
--- a/src/leadership/tests.rs
+++ b/src/leadership/tests.rs
@@ -18,7 +18,7 @@
         };
     let certain = |leadership: &Leadership, now: Now| {
         leadership
-            .certain_until()
+            .authority_until()
             .is_some_and(|until| now.monotonic < until)
     };
     answer(
