--- a/tests/simulation/cluster/controllers.rs
+++ b/tests/simulation/cluster/controllers.rs
@@ -177,7 +177,8 @@
         slot.waiting.clear();
         let features = self.features.clone();
         slot.controller = Some(
-            Controller::knowing(slot.format, config, policy, seed, now).with_features(features),
+            Controller::with_record_format(slot.format, config, policy, seed, now)
+                .with_features(features),
         );
         let process = self.process(controller);
         self.soon(ClusterEvent::Tick { process });
@@ -225,7 +226,7 @@
             .slots
             .iter()
             .filter_map(|slot| slot.controller.as_ref())
-            .map(Controller::looked);
+            .map(Controller::work_counts);
         all.fold((0, 0), |sum, one| (sum.0 + one.0, sum.1 + one.1))
     }
 
--- a/tests/simulation/cluster/network.rs
+++ b/tests/simulation/cluster/network.rs
@@ -355,7 +355,7 @@
     pub(super) fn peer_message_arrives(&mut self, controller: usize, message: Message) {
         let from = match &message {
             Message::Status(status) => controller_index(&status.controller),
-            Message::Alive(alive) => controller_index(&alive.controller),
+            Message::Heartbeat(heartbeat) => controller_index(&heartbeat.controller),
             Message::AssignmentUpdates(_) | Message::Cancelled(_) => None,
         };
         let zone = from.map(|from| Zone::from(ZONES[from]));
