--- a/src/controller/tests.rs
+++ b/src/controller/tests.rs
@@ -28,8 +28,8 @@
             ..
         } = effect
         {
-            let outcome = StoreResponse::Rows {
-                rows: Vec::new(),
+            let outcome = StoreResponse::RangePage {
+                key_values: Vec::new(),
                 more: false,
                 revision: 0,
             };
--- a/src/store/cache.rs
+++ b/src/store/cache.rs
@@ -116,11 +116,11 @@
         load: u64,
         after: Option<String>,
     },
-    News {
+    Watch {
         load: u64,
     },
     /// How far behind the copy is.
-    Distance {
+    LagCheck {
         load: u64,
     },
     Barrier {
@@ -348,7 +348,7 @@
                         load: self.load,
                         after: None,
                     },
-                    StoreRequest::List {
+                    StoreRequest::Range {
                         prefix: ROOT.to_owned(),
                         after: None,
                     },
@@ -364,7 +364,7 @@
                 };
                 ops.push((
                     tag,
-                    StoreRequest::List {
+                    StoreRequest::Range {
                         prefix: ROOT.to_owned(),
                         after: None,
                     },
@@ -373,7 +373,7 @@
             State::Following if self.doubtful || self.neglected(now) => {
                 self.busy = true;
                 ops.push((
-                    Tag::Distance { load: self.load },
+                    Tag::LagCheck { load: self.load },
                     StoreRequest::Get {
                         key: NOWHERE.to_owned(),
                     },
@@ -386,12 +386,12 @@
                 if spaced {
                     self.busy = true;
                     self.asked = Some(now.monotonic);
-                    let op = StoreRequest::Follow {
+                    let op = StoreRequest::Watch {
                         prefix: ROOT.to_owned(),
                         after: self.revision,
                         wait: FOLLOW_FOR,
                     };
-                    ops.push((Tag::News { load: self.load }, op));
+                    ops.push((Tag::Watch { load: self.load }, op));
                 }
             }
         }
@@ -439,7 +439,7 @@
                 Vec::new()
             }
             Tag::Page { load, after } if load == self.load => self.page(now, after, outcome),
-            Tag::Distance { load } if load == self.load => {
+            Tag::LagCheck { load } if load == self.load => {
                 self.busy = false;
                 match outcome {
                     StoreResponse::Missing { revision } => self.measured(now, revision),
@@ -447,8 +447,8 @@
                 }
                 Vec::new()
             }
-            Tag::News { load } if load == self.load => {
-                self.news(now, outcome);
+            Tag::Watch { load } if load == self.load => {
+                self.handle_watch_response(now, outcome);
                 Vec::new()
             }
             _ => Vec::new(),
@@ -474,8 +474,8 @@
         outcome: StoreResponse,
     ) -> Vec<(Tag, StoreRequest)> {
         match outcome {
-            StoreResponse::Rows {
-                rows,
+            StoreResponse::RangePage {
+                key_values,
                 more,
                 revision,
             } => {
@@ -484,11 +484,11 @@
                     // corrects, whatever changed in between.
                     self.load_revision = revision;
                 }
-                let last = rows.last().map(|(key, _, _)| key.clone());
-                let changes = rows.into_iter().map(|(key, value, version)| Change {
-                    key,
-                    version,
-                    value: Some(value),
+                let last = key_values.last().map(|entry| entry.key.clone());
+                let changes = key_values.into_iter().map(|entry| Change {
+                    key: entry.key,
+                    version: entry.version,
+                    value: Some(entry.value),
                 });
                 if self.state == State::Reloading {
                     self.incoming.extend(changes);
@@ -496,7 +496,7 @@
                     changes.for_each(|change| self.apply(change));
                 }
                 if more && last.is_some() {
-                    let op = StoreRequest::List {
+                    let op = StoreRequest::Range {
                         prefix: ROOT.to_owned(),
                         after: last.clone(),
                     };
@@ -537,10 +537,10 @@
         Vec::new()
     }
 
-    fn news(&mut self, now: Now, outcome: StoreResponse) {
+    fn handle_watch_response(&mut self, now: Now, outcome: StoreResponse) {
         self.busy = false;
         match outcome {
-            StoreResponse::News { revision, changes } => {
+            StoreResponse::WatchEvents { revision, changes } => {
                 for change in changes {
                     self.apply(change);
                 }
@@ -549,7 +549,7 @@
                 self.fresh = self.fresh.max(self.asked);
                 self.settle_barrier();
             }
-            StoreResponse::TooOld => {
+            StoreResponse::Compacted => {
                 warn!(
                     revision = self.revision,
                     "changes are no longer kept; reading everything again"
--- a/src/store/cache/tests.rs
+++ b/src/store/cache/tests.rs
@@ -1,6 +1,7 @@
 use super::*;
 use crate::domain::TaskId;
 use crate::placement::tests::job;
+use crate::store::KeyValue;
 use crate::store::records::{
     InventoryEntry, MachineState, encode, inventory_key, job_key, placements_key,
 };
@@ -25,7 +26,7 @@
     let next = |cache: &mut WatchCache, now: Now| cache.poll(now).remove(0);
     let (tag, op) = next(&mut cache, at(40));
     assert!(
-        matches!((&tag, op), (Tag::Distance { .. }, StoreRequest::Get { .. })),
+        matches!((&tag, op), (Tag::LagCheck { .. }, StoreRequest::Get { .. })),
         "how far behind?"
     );
     cache.handle(
@@ -37,34 +38,34 @@
     );
     let (tag, op) = next(&mut cache, at(40));
     assert!(
-        matches!(op, StoreRequest::Follow { after: 5, .. }),
+        matches!(op, StoreRequest::Watch { after: 5, .. }),
         "near enough: {op:?}"
     );
     cache.handle(at(44), tag, StoreResponse::Unknown);
     let (tag, _) = next(&mut cache, at(45));
     assert!(
-        matches!(tag, Tag::Distance { .. }),
+        matches!(tag, Tag::LagCheck { .. }),
         "the answer was too much after all, or none came"
     );
     cache.handle(at(45), tag, StoreResponse::Missing { revision: 9000 });
     let (tag, op) = next(&mut cache, at(45));
-    assert!(matches!(op, StoreRequest::List { .. }), "{op:?}");
+    assert!(matches!(op, StoreRequest::Range { .. }), "{op:?}");
     assert!(cache.ready() && cache.open.contains_key(&JobId(1)));
     assert_eq!(
         cache.fresh_since(),
         Some(start.monotonic),
         "no newer than it was"
     );
-    let rows = vec![(
-        job_key(JobId(2)),
-        encode(&JobRecord::Open(job(1, 1.0))),
-        800,
-    )];
+    let key_values = vec![KeyValue {
+        key: job_key(JobId(2)),
+        value: encode(&JobRecord::Open(job(1, 1.0))),
+        version: 800,
+    }];
     cache.handle(
         at(46),
         tag,
-        StoreResponse::Rows {
-            rows,
+        StoreResponse::RangePage {
+            key_values,
             more: false,
             revision: 9000,
         },
@@ -73,7 +74,7 @@
     assert!(cache.take_changed().all);
     let (_, op) = next(&mut cache, at(46));
     assert!(
-        matches!(op, StoreRequest::Follow { after: 9000, .. }),
+        matches!(op, StoreRequest::Watch { after: 9000, .. }),
         "{op:?}"
     );
 }
@@ -179,11 +180,11 @@
             && !cache.open[&JobId(3)].cancelled
     );
     cache.state = State::Following;
-    let news = StoreResponse::News {
+    let events = StoreResponse::WatchEvents {
         revision: 14,
         changes: Vec::new(),
     };
-    cache.news(Now::read(), news);
+    cache.handle_watch_response(Now::read(), events);
     assert!(
         cache.cancellations.is_empty(),
         "the copy is new enough to know by itself"
--- a/src/store/mod.rs
+++ b/src/store/mod.rs
@@ -18,12 +18,12 @@
     Get {
         key: String,
     },
-    List {
+    Range {
         prefix: String,
         after: Option<String>,
     },
     Commit(Transaction),
-    Follow {
+    Watch {
         prefix: String,
         after: u64,
         wait: Duration,
@@ -87,6 +87,15 @@
     }
 }
 
+/// A stored key.
+#[derive(Debug, Clone, PartialEq)]
+pub struct KeyValue {
+    pub key: String,
+    pub value: ciborium::Value,
+    /// The revision of its last change.
+    pub version: u64,
+}
+
 /// What became of a request.
 #[derive(Debug, Clone, PartialEq)]
 pub enum StoreResponse {
@@ -97,8 +106,8 @@
     Missing {
         revision: u64,
     },
-    Rows {
-        rows: Vec<(String, ciborium::Value, u64)>,
+    RangePage {
+        key_values: Vec<KeyValue>,
         more: bool,
         revision: u64,
     },
@@ -107,12 +116,12 @@
     },
     /// A condition failed: nothing was changed.
     Conflict,
-    News {
+    WatchEvents {
         revision: u64,
         changes: Vec<Change>,
     },
     /// The changes asked for are no longer kept: read everything again.
-    TooOld,
+    Compacted,
     LeaseGranted {
         id: u64,
     },
--- a/src/store/wire.rs
+++ b/src/store/wire.rs
@@ -5,7 +5,7 @@
 use ciborium::Value;
 use serde::{Deserialize, Serialize};
 
-use super::{Change, StoreRequest, StoreResponse, Transaction, TransactionChange};
+use super::{Change, KeyValue, StoreRequest, StoreResponse, Transaction, TransactionChange};
 use crate::http::{Reply, Request, read, write};
 
 #[derive(Serialize)]
@@ -42,15 +42,15 @@
 }
 
 #[derive(Deserialize)]
-struct Row {
+struct KeyValueBody {
     k: String,
     value: Value,
     amended: u64,
 }
 
 #[derive(Deserialize)]
-struct Rows {
-    rows: Vec<Row>,
+struct RangePage {
+    rows: Vec<KeyValueBody>,
     #[serde(default)]
     more: bool,
     #[serde(rename = "ledgerLine")]
@@ -64,14 +64,14 @@
 }
 
 #[derive(Deserialize)]
-struct News {
+struct WatchResponse {
     #[serde(rename = "ledgerLine")]
     revision: u64,
-    news: Vec<NewsItem>,
+    news: Vec<WatchEvent>,
 }
 
 #[derive(Deserialize)]
-struct NewsItem {
+struct WatchEvent {
     #[serde(default)]
     put: Option<String>,
     #[serde(default)]
@@ -120,7 +120,7 @@
 pub fn request(op: &StoreRequest) -> Request {
     match op {
         StoreRequest::Get { key } => Request::get(format!("/keys/{key}"), TIMEOUT),
-        StoreRequest::List { prefix, after } => {
+        StoreRequest::Range { prefix, after } => {
             let after = after
                 .as_ref()
                 .map(|key| format!("&after={key}"))
@@ -131,7 +131,7 @@
             )
         }
         StoreRequest::Commit(txn) => Request::post("/multi".to_owned(), multi(txn), TIMEOUT),
-        StoreRequest::Follow {
+        StoreRequest::Watch {
             prefix,
             after,
             wait,
@@ -162,9 +162,11 @@
     match (reply.status, op) {
         (429 | 503, _) => StoreResponse::Refused,
         (200, StoreRequest::Get { .. }) => {
-            read(&reply.body).map_or(StoreResponse::Unknown, |row: Row| StoreResponse::Value {
-                value: row.value,
-                version: row.amended,
+            read(&reply.body).map_or(StoreResponse::Unknown, |row: KeyValueBody| {
+                StoreResponse::Value {
+                    value: row.value,
+                    version: row.amended,
+                }
             })
         }
         (404, StoreRequest::Get { .. }) => {
@@ -174,15 +176,21 @@
                 }
             })
         }
-        (200, StoreRequest::List { .. }) => {
-            read(&reply.body).map_or(StoreResponse::Unknown, |list: Rows| StoreResponse::Rows {
-                rows: list
-                    .rows
-                    .into_iter()
-                    .map(|row| (row.k, row.value, row.amended))
-                    .collect(),
-                more: list.more,
-                revision: list.revision,
+        (200, StoreRequest::Range { .. }) => {
+            read(&reply.body).map_or(StoreResponse::Unknown, |page: RangePage| {
+                StoreResponse::RangePage {
+                    key_values: page
+                        .rows
+                        .into_iter()
+                        .map(|row| KeyValue {
+                            key: row.k,
+                            value: row.value,
+                            version: row.amended,
+                        })
+                        .collect(),
+                    more: page.more,
+                    revision: page.revision,
+                }
             })
         }
         (200, StoreRequest::Commit(_)) => {
@@ -193,10 +201,10 @@
             })
         }
         (409, StoreRequest::Commit(_)) => StoreResponse::Conflict,
-        (200, StoreRequest::Follow { .. }) => {
-            read(&reply.body).map_or(StoreResponse::Unknown, news)
+        (200, StoreRequest::Watch { .. }) => {
+            read(&reply.body).map_or(StoreResponse::Unknown, watch_events)
         }
-        (410, StoreRequest::Follow { .. }) => StoreResponse::TooOld,
+        (410, StoreRequest::Watch { .. }) => StoreResponse::Compacted,
         (200, StoreRequest::GrantLease { .. }) => read(&reply.body)
             .map_or(StoreResponse::Unknown, |lease: LeaseId| {
                 StoreResponse::LeaseGranted { id: lease.tenure }
@@ -208,8 +216,8 @@
     }
 }
 
-fn news(news: News) -> StoreResponse {
-    let changes = news
+fn watch_events(response: WatchResponse) -> StoreResponse {
+    let changes = response
         .news
         .into_iter()
         .filter_map(|item| match (item.put, item.remove) {
@@ -225,8 +233,8 @@
             }),
             (None, None) => None,
         });
-    StoreResponse::News {
-        revision: news.revision,
+    StoreResponse::WatchEvents {
+        revision: response.revision,
         changes: changes.collect(),
     }
 }
--- a/src/store/wire/tests.rs
+++ b/src/store/wire/tests.rs
@@ -57,19 +57,19 @@
         outcome(&get, Some(&reply(404, revision))),
         StoreResponse::Missing { revision: 9 }
     );
-    let follow = StoreRequest::Follow {
+    let watch = StoreRequest::Watch {
         prefix: "c/".into(),
         after: 3,
         wait: Duration::ZERO,
     };
-    let news = cbor!({"ledgerLine" => 9, "news" => [
+    let events = cbor!({"ledgerLine" => 9, "news" => [
         {"put" => "c/9", "value" => {"x" => 1}, "amended" => 9}, {"remove" => "c/d", "amended" => 8}]});
-    let StoreResponse::News {
+    let StoreResponse::WatchEvents {
         revision: 9,
         changes,
-    } = outcome(&follow, Some(&reply(200, news.expect("valid"))))
+    } = outcome(&watch, Some(&reply(200, events.expect("valid"))))
     else {
-        panic!("not news");
+        panic!("not events");
     };
     assert_eq!(changes.len(), 2);
     assert_eq!(
@@ -81,7 +81,7 @@
         ("c/d", 8, &None)
     );
     assert_eq!(
-        outcome(&follow, Some(&reply(410, Value::Null))),
-        StoreResponse::TooOld
+        outcome(&watch, Some(&reply(410, Value::Null))),
+        StoreResponse::Compacted
     );
 }
--- a/tests/loopback/state_service.rs
+++ b/tests/loopback/state_service.rs
@@ -7,7 +7,7 @@
 
 use ciborium::{Value, cbor};
 use dappleshore::http::{read, write};
-use dappleshore::store::{StoreRequest, StoreResponse, Transaction, TransactionChange};
+use dappleshore::store::{KeyValue, StoreRequest, StoreResponse, Transaction, TransactionChange};
 use serde::Deserialize;
 use warp::Filter;
 use warp::http::StatusCode;
@@ -59,7 +59,7 @@
         .map(
             |tail: warp::path::Tail, query: Query, fleet: Arc<Mutex<Fleet>>| {
                 let op = match query.get("prefix") {
-                    Some(prefix) => StoreRequest::List {
+                    Some(prefix) => StoreRequest::Range {
                         prefix: prefix.clone(),
                         after: query.get("after").cloned(),
                     },
@@ -141,15 +141,16 @@
             reply(200, &cbor!({"value" => value, "amended" => version}))
         }
         StoreResponse::Missing { revision } => reply(404, &cbor!({"ledgerLine" => revision})),
-        StoreResponse::Rows {
-            rows,
+        StoreResponse::RangePage {
+            key_values,
             more,
             revision,
         } => {
-            let row = |(k, value, amended): (String, Value, u64)| {
-                cbor!({"k" => k, "value" => value, "amended" => amended}).expect("has a form")
+            let row = |entry: KeyValue| {
+                cbor!({"k" => entry.key, "value" => entry.value, "amended" => entry.version})
+                    .expect("has a form")
             };
-            let rows = Value::Array(rows.into_iter().map(row).collect());
+            let rows = Value::Array(key_values.into_iter().map(row).collect());
             reply(
                 200,
                 &cbor!({"rows" => rows, "more" => more, "ledgerLine" => revision}),
--- a/tests/simulation/state.rs
+++ b/tests/simulation/state.rs
@@ -6,7 +6,7 @@
 use ciborium::Value;
 use dappleshore::config::StateLimits;
 use dappleshore::store::records::{FORMAT_KEY, FormatSwitch, LEADER, Leader, TOKEN, Token};
-use dappleshore::store::{Change, StoreRequest, StoreResponse, Transaction};
+use dappleshore::store::{Change, KeyValue, StoreRequest, StoreResponse, Transaction};
 use dappleshore_drain::{Eviction, Ledger};
 
 struct Key {
@@ -203,7 +203,7 @@
         self.expire(now);
         self.reads += usize::from(matches!(
             op,
-            StoreRequest::Get { .. } | StoreRequest::List { .. }
+            StoreRequest::Get { .. } | StoreRequest::Range { .. }
         ));
         if !bucket(&mut self.requests, now, self.limits.rps, 1.0) {
             self.refused += 1;
@@ -219,19 +219,23 @@
                     revision: self.revision,
                 },
             },
-            StoreRequest::List { prefix, after } => {
+            StoreRequest::Range { prefix, after } => {
                 let from = after.clone().unwrap_or_default();
-                let mut rows: Vec<_> = self
+                let mut key_values: Vec<KeyValue> = self
                     .keys
                     .range(from.clone()..)
                     .filter(|(key, _)| key.starts_with(prefix) && **key > from)
-                    .map(|(key, found)| (key.clone(), found.value.clone(), found.version))
+                    .map(|(key, found)| KeyValue {
+                        key: key.clone(),
+                        value: found.value.clone(),
+                        version: found.version,
+                    })
                     .collect();
                 // Small pages, so that reading in pages is tried.
-                let more = rows.len() > 20;
-                rows.truncate(20);
-                StoreResponse::Rows {
-                    rows,
+                let more = key_values.len() > 20;
+                key_values.truncate(20);
+                StoreResponse::RangePage {
+                    key_values,
                     more,
                     revision: self.revision,
                 }
@@ -251,7 +255,7 @@
                 }
                 None => StoreResponse::LeaseExpired,
             },
-            StoreRequest::Follow { .. } => unreachable!("watches are served by the world"),
+            StoreRequest::Watch { .. } => unreachable!("watches are served by the world"),
         }
     }
 
--- a/tests/simulation/world.rs
+++ b/tests/simulation/world.rs
@@ -827,7 +827,7 @@
             Effect::Store { tag, op } => {
                 let sent = self.clock(controller).monotonic;
                 let (mut at, mut answer) = self.fate();
-                if self.now < self.state_slow_until && !matches!(op, StoreRequest::Follow { .. }) {
+                if self.now < self.state_slow_until && !matches!(op, StoreRequest::Watch { .. }) {
                     at += Duration::from_millis(self.rng.random_range(50..1000));
                 }
                 let calm = self.now >= self.calm_from;
@@ -1352,7 +1352,7 @@
             return;
         }
         let out = self.state_out(controller);
-        if let StoreRequest::Follow {
+        if let StoreRequest::Watch {
             prefix,
             after,
             wait,
@@ -1437,7 +1437,7 @@
         }
         let watcher = self.watchers.remove(&id).expect("looked up");
         let changes = self.state.news(&watcher.prefix, watcher.after);
-        let outcome = StoreResponse::News {
+        let outcome = StoreResponse::WatchEvents {
             revision: self.state.revision,
             changes,
         };
