--- a/src/block_leases/mod.rs
+++ b/src/block_leases/mod.rs
@@ -157,7 +157,7 @@
             self.heard.clear();
             self.renew.clear();
             self.unfit.clear();
-            self.writer = Writer::Unsure {
+            self.writer = Writer::Unconfirmed {
                 since: now.monotonic,
             };
         }
@@ -191,7 +191,7 @@
                 *count += 1;
             }
         }
-        let mut last = cache.max_token();
+        let mut last = cache.last_token();
         let mut changes = Vec::new();
         for (block, zone) in wanted(zones, config, policy, cache) {
             let old = cache.block_leases.get(&block);
@@ -286,7 +286,7 @@
         }
         changes.truncate(config.state_limits.txn_ops - 1);
         let mut txn = Transaction::default().when(LEADER, leader_version);
-        if last > cache.max_token() {
+        if last > cache.last_token() {
             txn = txn
                 .when(TOKEN, cache.token.as_ref().map_or(0, |token| token.version))
                 .put(TOKEN, &Token { last });
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -309,7 +309,7 @@
     /// Until when what we know of the block leases may be acted on: counted from before it was asked for. That others may hold
     /// them by now is what tokens are for; what has an end is how long a cancellation may be unknown to us.
     fn entitled_until(&self, now: Now) -> Instant {
-        let fresh = self.cache.fresh_since().map(|fresh| {
+        let fresh = self.cache.current_as_of().map(|fresh| {
             self.cancellations
                 .known_until(now, &self.config)
                 .max(Some(fresh))
--- a/src/job_api/mod.rs
+++ b/src/job_api/mod.rs
@@ -236,7 +236,7 @@
         within: Duration,
         cx: &mut Context<'_, Tag>,
     ) -> Option<Response> {
-        cx.cache.want_fresh();
+        cx.cache.request_refresh();
         self.pending.insert(
             id,
             Pending {
@@ -315,7 +315,7 @@
                 // Somebody was first: see what they did.
                 pending.state = State::Refreshing;
                 pending.asked = now.monotonic;
-                cx.cache.want_fresh();
+                cx.cache.request_refresh();
                 return None;
             }
             // It may or may not be committed. The user asks again, and either way gets the right answer then.
--- a/src/leadership/mod.rs
+++ b/src/leadership/mod.rs
@@ -266,7 +266,7 @@
         cache: &WatchCache,
         ops: &mut Vec<(Tag, StoreRequest)>,
     ) {
-        let term = cache.max_token() + 1;
+        let term = cache.last_token() + 1;
         let record = Leader {
             controller: self.controller.clone(),
             incarnation: self.incarnation,
--- a/src/operations/mod.rs
+++ b/src/operations/mod.rs
@@ -121,7 +121,7 @@
             return progress;
         };
         if !cache.covers(pending.asked) {
-            cache.want_fresh();
+            cache.request_refresh();
             return progress;
         }
         if !self.writer.ready(now, cache) {
@@ -187,7 +187,7 @@
             false
         });
         if fresh_wanted {
-            cache.want_fresh();
+            cache.request_refresh();
         }
     }
 
--- a/src/provisioning/mod.rs
+++ b/src/provisioning/mod.rs
@@ -176,7 +176,7 @@
 impl Provisioner {
     pub fn new(now: Now, term: Term) -> Self {
         Provisioner {
-            writer: Writer::Unsure {
+            writer: Writer::Unconfirmed {
                 since: now.monotonic,
             },
             round: None,
--- a/src/scheduler/draining/mod.rs
+++ b/src/scheduler/draining/mod.rs
@@ -62,7 +62,7 @@
         Draining {
             settings,
             planner: Planner::default(),
-            writer: Writer::Unsure {
+            writer: Writer::Unconfirmed {
                 since: now.monotonic,
             },
             reserved: BTreeMap::new(),
--- a/src/scheduler/folding.rs
+++ b/src/scheduler/folding.rs
@@ -34,7 +34,7 @@
     };
     for placements in cache
         .all_placements_parts()
-        .filter(|placements| placements.value.worst() as f64 > limit * FULL)
+        .filter(|placements| placements.value.worst_case_size() as f64 > limit * FULL)
     {
         let mut left = placements.value.clone();
         cache.forget_recorded_ends(&mut left);
--- a/src/scheduler/folding/tests.rs
+++ b/src/scheduler/folding/tests.rs
@@ -30,7 +30,7 @@
         let limit = block.config.state_limits.value_bytes as f64;
         let machine = MachineId::from("m-1");
         for index in 50_000.. {
-            if placements.worst() as f64 >= limit * running {
+            if placements.worst_case_size() as f64 >= limit * running {
                 break;
             }
             placements.add(
--- a/src/scheduler/mod.rs
+++ b/src/scheduler/mod.rs
@@ -137,7 +137,7 @@
             next_attempt: term.0 << 20,
             next_message: 0,
             block_states: BTreeMap::new(),
-            writer: Writer::Unsure {
+            writer: Writer::Unconfirmed {
                 since: now.monotonic,
             },
             placed: HashMap::new(),
@@ -415,7 +415,7 @@
     fn spaces(&self, config: &Config, cache: &WatchCache) -> BTreeMap<BlockId, usize> {
         let space = |(block, block_state): (&BlockId, &BlockState)| {
             let placements = cache.placements.get(block);
-            let size = placements.map_or(0, |placements| placements.value.worst());
+            let size = placements.map_or(0, |placements| placements.value.worst_case_size());
             let space = config.block_bytes.saturating_sub(size) / ATTEMPT_BYTES;
             (
                 block.clone(),
--- a/src/scheduler/tests.rs
+++ b/src/scheduler/tests.rs
@@ -169,8 +169,8 @@
             return Vec::new();
         };
         let keys = txn.conditions.iter().map(|(key, _)| key);
-        keys.filter_map(|key| match crate::store::Records::of(key) {
-            Some(crate::store::Records::Job(job)) => Some(job),
+        keys.filter_map(|key| match crate::store::RecordKey::of(key) {
+            Some(crate::store::RecordKey::Job(job)) => Some(job),
             _ => None,
         })
         .collect()
--- a/src/store/cache.rs
+++ b/src/store/cache.rs
@@ -9,7 +9,7 @@
 use super::records::{
     AttemptEncoding, BlockLease, BlockPlacements, CHUNK, Change, FormatSwitch, JobRecord, Leader,
     MachineInventory, MachineState, Member, NOWHERE, Part, PendingRental, Progress, ROOT, Ranges,
-    Record, Records, Token,
+    Record, RecordKey, Token,
 };
 use super::{StoreRequest, StoreResponse};
 use crate::config::StateLimits;
@@ -297,17 +297,17 @@
     }
 
     /// The copy holds all that was committed before this time.
-    pub fn fresh_since(&self) -> Option<Instant> {
+    pub fn current_as_of(&self) -> Option<Instant> {
         if self.ready() { self.fresh } else { None }
     }
 
     /// Whether an answer from the copy is at least as new as `asked`.
     pub fn covers(&self, asked: Instant) -> bool {
-        self.fresh_since().is_some_and(|fresh| fresh >= asked)
+        self.current_as_of().is_some_and(|fresh| fresh >= asked)
     }
 
     /// Asks for the copy to be brought up to the present.
-    pub fn want_fresh(&mut self) {
+    pub fn request_refresh(&mut self) {
         self.barrier.wanted = true;
     }
 
@@ -619,37 +619,37 @@
 
     /// Applies one change. Also used for our own commits, before the watch tells of them.
     pub fn apply(&mut self, change: Change) {
-        let Some(which) = Records::of(&change.key) else {
+        let Some(which) = RecordKey::of(&change.key) else {
             return;
         };
         let version = change.version;
         match which {
-            Records::Leader => set(&mut self.leader, change),
-            Records::Token => set(&mut self.token, change),
-            Records::Member(controller) => {
+            RecordKey::Leader => set(&mut self.leader, change),
+            RecordKey::Token => set(&mut self.token, change),
+            RecordKey::Member(controller) => {
                 set_in(&mut self.members, controller, change);
             }
-            Records::BlockLease(block) => {
+            RecordKey::BlockLease(block) => {
                 self.changed.block_leases = true;
                 set_in(&mut self.block_leases, block, change);
             }
-            Records::Format => set(&mut self.format, change),
-            Records::Drain(id) => {
+            RecordKey::Format => set(&mut self.format, change),
+            RecordKey::Drain(id) => {
                 set_in(&mut self.drains, id, change);
             }
-            Records::DrainBudget(team) => {
+            RecordKey::DrainBudget(team) => {
                 set_in(&mut self.drain_budgets, team, change);
             }
-            Records::DrainLedger(team) => {
+            RecordKey::DrainLedger(team) => {
                 set_in(&mut self.drain_ledgers, team, change);
             }
-            Records::MachineInventory(block, part) => self.apply_inventory(block, part, change),
-            Records::PendingRental(name) => {
+            RecordKey::MachineInventory(block, part) => self.apply_inventory(block, part, change),
+            RecordKey::PendingRental(name) => {
                 set_in(&mut self.pending_rentals, name, change);
             }
-            Records::BlockPlacements(block, part) => self.apply_placements(block, part, change),
-            Records::Job(job) => self.apply_job(job, version, change),
-            Records::Progress(job, chunk) => {
+            RecordKey::BlockPlacements(block, part) => self.apply_placements(block, part, change),
+            RecordKey::Job(job) => self.apply_job(job, version, change),
+            RecordKey::Progress(job, chunk) => {
                 set_in(&mut self.progress, (job, chunk), change);
                 if let (Some(open), Some(progress)) =
                     (self.open.get_mut(&job), self.progress.get(&(job, chunk)))
@@ -952,7 +952,7 @@
         left
     }
 
-    pub fn max_token(&self) -> u64 {
+    pub fn last_token(&self) -> u64 {
         self.token.as_ref().map_or(0, |token| token.value.last)
     }
 }
--- a/src/store/cache/tests.rs
+++ b/src/store/cache/tests.rs
@@ -52,7 +52,7 @@
     assert!(matches!(op, StoreRequest::Range { .. }), "{op:?}");
     assert!(cache.ready() && cache.open.contains_key(&JobId(1)));
     assert_eq!(
-        cache.fresh_since(),
+        cache.current_as_of(),
         Some(start.monotonic),
         "no newer than it was"
     );
--- a/src/store/mod.rs
+++ b/src/store/mod.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 
 pub use cache::{Machine, Versioned, WatchCache};
-pub use records::{Change, Record, Records};
+pub use records::{Change, Record, RecordKey};
 pub use writer::Writer;
 
 /// A request to the state service.
--- a/src/store/records.rs
+++ b/src/store/records.rs
@@ -395,7 +395,7 @@
     /// The most that this value can come to measure while its tasks end. A finished task takes less than a placed
     /// one, but the first of its job brings the job's name along. Tasks are placed only as long as this fits: a value
     /// that has grown too large could never be written again.
-    pub fn worst(&self) -> usize {
+    pub fn worst_case_size(&self) -> usize {
         let jobs: BTreeSet<JobId> = self
             .attempts()
             .map(|(_, attempt)| attempt.task.job)
@@ -403,7 +403,7 @@
         let names: usize = jobs
             .iter()
             .filter(|job| !self.done.contains_key(job))
-            .map(|job| done_entry(*job))
+            .map(|job| done_entry_size(*job))
             .sum();
         self.size() + names
     }
@@ -423,13 +423,13 @@
     pub fn done_size(&self) -> usize {
         self.done
             .iter()
-            .map(|(job, ranges)| done_entry(*job) + ranges.size())
+            .map(|(job, ranges)| done_entry_size(*job) + ranges.size())
             .sum()
     }
 }
 
 /// What a job's entry among the done ones takes, without the tasks: `"j-000412":"",`.
-pub fn done_entry(job: JobId) -> usize {
+pub fn done_entry_size(job: JobId) -> usize {
     digits(job.0).max(6) + 8
 }
 
@@ -637,7 +637,7 @@
 
 /// A key of ours, told apart by its prefix.
 #[derive(Debug, Clone, PartialEq)]
-pub enum Records {
+pub enum RecordKey {
     Leader,
     Token,
     Member(ControllerName),
@@ -653,34 +653,37 @@
     DrainLedger(Team),
 }
 
-impl Records {
+impl RecordKey {
     pub fn of(key: &str) -> Option<Self> {
         let name = key.strip_prefix(ROOT)?;
         match name.split_once('/') {
-            None if key == LEADER => Some(Records::Leader),
-            None if key == TOKEN => Some(Records::Token),
-            None if key == FORMAT_KEY => Some(Records::Format),
+            None if key == LEADER => Some(RecordKey::Leader),
+            None if key == TOKEN => Some(RecordKey::Token),
+            None if key == FORMAT_KEY => Some(RecordKey::Format),
             None => None,
-            Some(("node", rest)) => Some(Records::Member(rest.into())),
-            Some(("grant", rest)) => Some(Records::BlockLease(rest.into())),
-            Some(("places", rest)) => Some(Records::BlockPlacements(rest.into(), FIRST_PART)),
-            Some(("machines", rest)) => Some(Records::MachineInventory(rest.into(), FIRST_PART)),
+            Some(("node", rest)) => Some(RecordKey::Member(rest.into())),
+            Some(("grant", rest)) => Some(RecordKey::BlockLease(rest.into())),
+            Some(("places", rest)) => Some(RecordKey::BlockPlacements(rest.into(), FIRST_PART)),
+            Some(("machines", rest)) => Some(RecordKey::MachineInventory(rest.into(), FIRST_PART)),
             Some(("places_part", rest)) => {
                 let (block, part) = rest.split_once('/')?;
-                Some(Records::BlockPlacements(block.into(), part.parse().ok()?))
+                Some(RecordKey::BlockPlacements(block.into(), part.parse().ok()?))
             }
             Some(("machines_part", rest)) => {
                 let (block, part) = rest.split_once('/')?;
-                Some(Records::MachineInventory(block.into(), part.parse().ok()?))
+                Some(RecordKey::MachineInventory(
+                    block.into(),
+                    part.parse().ok()?,
+                ))
             }
-            Some(("drain", rest)) => rest.parse().ok().map(Records::Drain),
-            Some(("drain_budget", rest)) => Some(Records::DrainBudget(rest.into())),
-            Some(("drain_ledger", rest)) => Some(Records::DrainLedger(rest.into())),
-            Some(("order", rest)) => Some(Records::PendingRental(rest.into())),
-            Some(("job", rest)) => rest.parse().ok().map(Records::Job),
+            Some(("drain", rest)) => rest.parse().ok().map(RecordKey::Drain),
+            Some(("drain_budget", rest)) => Some(RecordKey::DrainBudget(rest.into())),
+            Some(("drain_ledger", rest)) => Some(RecordKey::DrainLedger(rest.into())),
+            Some(("order", rest)) => Some(RecordKey::PendingRental(rest.into())),
+            Some(("job", rest)) => rest.parse().ok().map(RecordKey::Job),
             Some(("progress", rest)) => {
                 let (job, chunk) = rest.split_once('/')?;
-                Some(Records::Progress(job.parse().ok()?, chunk.parse().ok()?))
+                Some(RecordKey::Progress(job.parse().ok()?, chunk.parse().ok()?))
             }
             Some(_) => None,
         }
--- a/src/store/records/fixtures.rs
+++ b/src/store/records/fixtures.rs
@@ -39,20 +39,22 @@
 
 /// The kind of a record, with its variant if it has some, and its value after being read and written again.
 fn kind(key: &str, bytes: &[u8]) -> (&'static str, Vec<u8>) {
-    match Records::of(key).expect("one of ours") {
-        Records::Leader => ("leader", rewritten::<Leader>(bytes)),
-        Records::Token => ("token", rewritten::<Token>(bytes)),
-        Records::Member(_) => ("member", rewritten::<Member>(bytes)),
-        Records::BlockLease(_) => ("grant", rewritten::<BlockLease>(bytes)),
-        Records::Format => ("format", rewritten::<FormatSwitch>(bytes)),
-        Records::BlockPlacements(_, FIRST_PART) => ("places", rewritten::<BlockPlacements>(bytes)),
-        Records::BlockPlacements(..) => ("places part", rewritten::<BlockPlacements>(bytes)),
-        Records::MachineInventory(_, FIRST_PART) => {
+    match RecordKey::of(key).expect("one of ours") {
+        RecordKey::Leader => ("leader", rewritten::<Leader>(bytes)),
+        RecordKey::Token => ("token", rewritten::<Token>(bytes)),
+        RecordKey::Member(_) => ("member", rewritten::<Member>(bytes)),
+        RecordKey::BlockLease(_) => ("grant", rewritten::<BlockLease>(bytes)),
+        RecordKey::Format => ("format", rewritten::<FormatSwitch>(bytes)),
+        RecordKey::BlockPlacements(_, FIRST_PART) => {
+            ("places", rewritten::<BlockPlacements>(bytes))
+        }
+        RecordKey::BlockPlacements(..) => ("places part", rewritten::<BlockPlacements>(bytes)),
+        RecordKey::MachineInventory(_, FIRST_PART) => {
             ("roster", rewritten::<MachineInventory>(bytes))
         }
-        Records::MachineInventory(..) => ("roster part", rewritten::<MachineInventory>(bytes)),
-        Records::PendingRental(_) => ("order", rewritten::<PendingRental>(bytes)),
-        Records::Job(_) => {
+        RecordKey::MachineInventory(..) => ("roster part", rewritten::<MachineInventory>(bytes)),
+        RecordKey::PendingRental(_) => ("order", rewritten::<PendingRental>(bytes)),
+        RecordKey::Job(_) => {
             let value: ciborium::Value = ciborium::from_reader(bytes).expect("CBOR");
             let kind = match value.deserialized().expect("readable") {
                 JobRecord::Open(_) => "open job",
@@ -62,10 +64,10 @@
             };
             (kind, rewritten::<JobRecord>(bytes))
         }
-        Records::Progress(..) => ("progress", rewritten::<Progress>(bytes)),
-        Records::Drain(_) => ("drain", rewritten::<DrainRecord>(bytes)),
-        Records::DrainBudget(_) => ("drain budget", rewritten::<TeamBudget>(bytes)),
-        Records::DrainLedger(_) => ("drain ledger", rewritten::<Ledger>(bytes)),
+        RecordKey::Progress(..) => ("progress", rewritten::<Progress>(bytes)),
+        RecordKey::Drain(_) => ("drain", rewritten::<DrainRecord>(bytes)),
+        RecordKey::DrainBudget(_) => ("drain budget", rewritten::<TeamBudget>(bytes)),
+        RecordKey::DrainLedger(_) => ("drain ledger", rewritten::<Ledger>(bytes)),
     }
 }
 
--- a/src/store/records/tests.rs
+++ b/src/store/records/tests.rs
@@ -48,7 +48,7 @@
         };
         placements.add(&"m-000001".into(), attempt);
     }
-    let worst = placements.worst();
+    let worst = placements.worst_case_size();
     let attempts: Vec<Attempt> = placements.attempts().map(|(_, attempt)| attempt).collect();
     for attempt in attempts {
         placements.remove(&"m-000001".into(), attempt);
@@ -172,18 +172,20 @@
 fn what_production_wrote_and_said_comes_back_as_it_was() {
     let mut kinds = BTreeSet::new();
     for (key, value) in production() {
-        let same = match Records::of(&key) {
-            Some(Records::Leader) => comes_back::<Leader>(&value),
-            Some(Records::Token) => comes_back::<Token>(&value),
-            Some(Records::Member(_)) => comes_back::<Member>(&value),
-            Some(Records::BlockLease(_)) => comes_back::<BlockLease>(&value),
-            Some(Records::BlockPlacements(_, FIRST_PART)) => comes_back::<BlockPlacements>(&value),
-            Some(Records::MachineInventory(_, FIRST_PART)) => {
+        let same = match RecordKey::of(&key) {
+            Some(RecordKey::Leader) => comes_back::<Leader>(&value),
+            Some(RecordKey::Token) => comes_back::<Token>(&value),
+            Some(RecordKey::Member(_)) => comes_back::<Member>(&value),
+            Some(RecordKey::BlockLease(_)) => comes_back::<BlockLease>(&value),
+            Some(RecordKey::BlockPlacements(_, FIRST_PART)) => {
+                comes_back::<BlockPlacements>(&value)
+            }
+            Some(RecordKey::MachineInventory(_, FIRST_PART)) => {
                 comes_back::<MachineInventory>(&value)
             }
-            Some(Records::PendingRental(_)) => comes_back::<PendingRental>(&value),
-            Some(Records::Job(_)) => comes_back::<JobRecord>(&value),
-            Some(Records::Progress(..)) => comes_back::<Progress>(&value),
+            Some(RecordKey::PendingRental(_)) => comes_back::<PendingRental>(&value),
+            Some(RecordKey::Job(_)) => comes_back::<JobRecord>(&value),
+            Some(RecordKey::Progress(..)) => comes_back::<Progress>(&value),
             Some(other) => panic!("production does not know {other:?}"),
             None => comes_back::<crate::peer::Message>(&value),
         };
@@ -230,12 +232,12 @@
     assert!(placements_part_key(&block, FIRST_PART) < placements_part_key(&"a.0".into(), 1));
     assert!(inventory_part_key(&block, FIRST_PART) < inventory_part_key(&"a.0".into(), 1));
     assert_eq!(
-        Records::of(&placements_part_key(&block, 12)),
-        Some(Records::BlockPlacements(block.clone(), 12))
+        RecordKey::of(&placements_part_key(&block, 12)),
+        Some(RecordKey::BlockPlacements(block.clone(), 12))
     );
     assert_eq!(
-        Records::of(&inventory_part_key(&block, 0)),
-        Some(Records::MachineInventory(block, 0))
+        RecordKey::of(&inventory_part_key(&block, 0)),
+        Some(RecordKey::MachineInventory(block, 0))
     );
 }
 
--- a/src/store/writer.rs
+++ b/src/store/writer.rs
@@ -8,13 +8,13 @@
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Writer {
     Idle,
-    Sent,
+    InFlight,
     /// Committed; our copy may not show it yet.
-    Settling {
+    AwaitingCache {
         revision: u64,
     },
     /// Failed or unknown: our copy must first be newer than this time.
-    Unsure {
+    Unconfirmed {
         since: Instant,
     },
     /// Refused as malformed or too large: the same again would be refused again.
@@ -33,16 +33,16 @@
     pub fn ready(&mut self, now: Now, cache: &mut WatchCache) -> bool {
         match *self {
             Writer::Idle => {}
-            Writer::Sent => return false,
-            Writer::Settling { revision } => {
+            Writer::InFlight => return false,
+            Writer::AwaitingCache { revision } => {
                 if cache.revision < revision {
                     return false;
                 }
                 *self = Writer::Idle;
             }
-            Writer::Unsure { since: then } | Writer::Rejected { since: then } => {
+            Writer::Unconfirmed { since: then } | Writer::Rejected { since: then } => {
                 if !cache.covers(then) {
-                    cache.want_fresh();
+                    cache.request_refresh();
                     return false;
                 }
                 let rejected = matches!(self, Writer::Rejected { .. });
@@ -57,23 +57,23 @@
     }
 
     /// Whether the last transaction was not understood to be committed.
-    pub fn is_unsure(&self) -> bool {
-        matches!(self, Writer::Unsure { .. } | Writer::Rejected { .. })
+    pub fn is_unconfirmed(&self) -> bool {
+        matches!(self, Writer::Unconfirmed { .. } | Writer::Rejected { .. })
     }
 
     pub fn sent(&mut self) {
-        *self = Writer::Sent;
+        *self = Writer::InFlight;
     }
 
     pub fn answered(&mut self, now: Now, outcome: &StoreResponse) {
         *self = match outcome {
-            StoreResponse::Committed { revision } => Writer::Settling {
+            StoreResponse::Committed { revision } => Writer::AwaitingCache {
                 revision: *revision,
             },
             StoreResponse::Invalid => Writer::Rejected {
                 since: now.monotonic,
             },
-            _ => Writer::Unsure {
+            _ => Writer::Unconfirmed {
                 since: now.monotonic,
             },
         };
--- a/src/workers/block.rs
+++ b/src/workers/block.rs
@@ -586,7 +586,7 @@
         cache: &mut WatchCache,
         catalog: &InstanceCatalog,
     ) -> Option<StoreRequest> {
-        let unsure = self.writer.is_unsure();
+        let unsure = self.writer.is_unconfirmed();
         if !self.writer.ready(now, cache) {
             return None;
         }
@@ -768,7 +768,7 @@
         let draft = self.draft.take();
         if lease_version != self.lease_version {
             // The answer to a write under an older leader: our copy already holds it if it was committed.
-            self.writer = Writer::Unsure {
+            self.writer = Writer::Unconfirmed {
                 since: now.monotonic,
             };
             return;
--- a/src/workers/mod.rs
+++ b/src/workers/mod.rs
@@ -156,7 +156,7 @@
                     block.stops.clear();
                     block.watch.clear();
                     block.forget_told();
-                    if block.writer != Writer::Sent {
+                    if block.writer != Writer::InFlight {
                         block.draft = None;
                         block.writer = Writer::Idle;
                     }
--- a/src/workers/parts.rs
+++ b/src/workers/parts.rs
@@ -11,7 +11,8 @@
 use crate::domain::{Attempt, BlockId, JobId, MachineId};
 use crate::store::cache::Parts;
 use crate::store::records::{
-    AttemptEncoding, BlockPlacements, FIRST_PART, Part, Ranges, done_entry, placements_part_key,
+    AttemptEncoding, BlockPlacements, FIRST_PART, Part, Ranges, done_entry_size,
+    placements_part_key,
 };
 use crate::store::{Transaction, Versioned, WatchCache};
 
@@ -179,7 +180,7 @@
             };
             let due = !self.limits.divided
                 || self.changed.contains(&index)
-                || part.value.worst() as f64 > full;
+                || part.value.worst_case_size() as f64 > full;
             if part.value.done.is_empty() || !due || !may_change {
                 continue;
             }
@@ -211,7 +212,7 @@
             .iter()
             .filter(|(index, _)| self.may_change(**index))
         {
-            let size = part.value.worst();
+            let size = part.value.worst_case_size();
             if size + growth(&part.value, machine, attempt) <= self.limits.value_bytes {
                 fitting.push((!self.changed.contains(index), size, *index));
             }
@@ -234,7 +235,8 @@
         settle: &BTreeSet<Part>,
     ) -> Option<Self> {
         let (large, _) = parts.iter().find(|(_, part)| {
-            limits.divided && part.value.size().max(part.value.worst()) > limits.value_bytes
+            limits.divided
+                && part.value.size().max(part.value.worst_case_size()) > limits.value_bytes
         })?;
         let mut draft = PartsDraft::new(parts, limits, settle);
         draft.divide(*large);
@@ -322,7 +324,7 @@
     } else {
         machine.0.len() + 8
     };
-    entry + AttemptEncoding(attempt).size() + done_entry(attempt.task.job) + RESERVE_BYTES
+    entry + AttemptEncoding(attempt).size() + done_entry_size(attempt.task.job) + RESERVE_BYTES
 }
 
 /// Removes what the other part holds too.
@@ -349,7 +351,9 @@
     while let Some((machine, list)) = placements.on.pop_first() {
         let mut rest = list;
         while let Some(placed) = rest.pop() {
-            if taken.worst() + growth(&taken, &machine, placed.0) > bytes && !taken.is_empty() {
+            if taken.worst_case_size() + growth(&taken, &machine, placed.0) > bytes
+                && !taken.is_empty()
+            {
                 rest.push(placed);
                 placements.on.insert(machine, rest);
                 return taken;
@@ -363,9 +367,9 @@
 
 fn take_done(placements: &mut BlockPlacements, taken: &mut BlockPlacements, bytes: usize) {
     let jobs: BTreeMap<JobId, Ranges> = std::mem::take(&mut placements.done);
-    let mut size = taken.worst();
+    let mut size = taken.worst_case_size();
     for (job, done) in jobs {
-        size += done_entry(job);
+        size += done_entry_size(job);
         for range in done.0.iter() {
             let one = Ranges([range.clone()].into_iter().collect());
             size += one.size();
