--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -440,7 +440,7 @@
         outcome: StoreResponse,
         effects: &mut Vec<Effect>,
     ) {
-        self.rate_limiter.note(now, &outcome);
+        self.rate_limiter.record_response(now, &outcome);
         let slice = match &tag {
             StoreTag::WatchCache(_) | StoreTag::Leadership(_) => None,
             StoreTag::JobApi(_) => Some("intake"),
@@ -461,7 +461,7 @@
         match tag {
             StoreTag::WatchCache(tag) => {
                 for (tag, op) in self.cache.handle(now, tag, outcome) {
-                    self.ask(WritePriority::Authority, StoreTag::WatchCache(tag), op);
+                    self.ask(WritePriority::Lease, StoreTag::WatchCache(tag), op);
                 }
             }
             StoreTag::Leadership(tag) => {
@@ -469,7 +469,7 @@
                     .leadership
                     .handle(now, sent, tag, &outcome, &self.cache)
                 {
-                    self.ask(WritePriority::Authority, StoreTag::Leadership(tag), op);
+                    self.ask(WritePriority::Lease, StoreTag::Leadership(tag), op);
                 }
             }
             StoreTag::JobApi(id) => {
@@ -649,11 +649,13 @@
             self.status_due = true;
         }
         for (tag, op) in self.leadership.poll(now, &self.cache, &mut self.rng) {
-            self.ask(WritePriority::Authority, StoreTag::Leadership(tag), op);
+            self.ask(WritePriority::Lease, StoreTag::Leadership(tag), op);
         }
         self.lead(now, effects);
         self.operate(now, effects);
-        while self.rate_limiter.idle(now, WritePriority::Work)
+        while self
+            .rate_limiter
+            .can_send_now(now, WritePriority::Placement)
             && let writes = self.writes(now)
             && let Some((block, op)) =
                 self.worker_fleet
@@ -661,14 +663,14 @@
         {
             let lease_version = self.worker_fleet.lease_version(&block);
             self.ask(
-                WritePriority::Work,
+                WritePriority::Placement,
                 StoreTag::Block {
                     block,
                     lease_version,
                 },
                 op,
             );
-            let ready = self.rate_limiter.take(now);
+            let ready = self.rate_limiter.take_ready(now);
             effects.extend(ready.into_iter().map(|(tag, op)| Effect::Store { tag, op }));
         }
         let until = self.entitled_until(now);
@@ -700,9 +702,9 @@
             effects.push(Effect::RespondToUser { id, response });
         }
         for (tag, op) in self.cache.poll(now) {
-            self.ask(WritePriority::Authority, StoreTag::WatchCache(tag), op);
+            self.ask(WritePriority::Lease, StoreTag::WatchCache(tag), op);
         }
-        for (tag, op) in self.rate_limiter.take(now) {
+        for (tag, op) in self.rate_limiter.take_ready(now) {
             effects.push(Effect::Store { tag, op });
         }
     }
@@ -711,8 +713,8 @@
         Writes {
             most: self
                 .rate_limiter
-                .spare_batch(self.config.state_limits.txn_ops),
-            plenty: self.rate_limiter.spare(now),
+                .max_deferrable_batch(self.config.state_limits.txn_ops),
+            plenty: self.rate_limiter.has_spare_writes(now),
         }
     }
 
@@ -725,14 +727,14 @@
         self.config.adopt_next_limits();
         let limits = self.config.state_limits;
         self.rate_limiter
-            .limit(now, &limits, self.leader_state.is_some());
+            .set_limits(now, &limits, self.leader_state.is_some());
         info!(format = self.format, ?limits, "new format of records");
     }
 
     fn lead(&mut self, now: Now, effects: &mut Vec<Effect>) {
         let Some((term, version)) = self.leadership.leading(&self.cache) else {
             if self.leader_state.take().is_some() {
-                self.rate_limiter.lead(now, false);
+                self.rate_limiter.set_leading(now, false);
             }
             return;
         };
@@ -741,7 +743,7 @@
             .as_ref()
             .is_none_or(|leader_state| leader_state.scheduler.term() != term)
         {
-            self.rate_limiter.lead(now, true);
+            self.rate_limiter.set_leading(now, true);
             let scheduler = Scheduler::new(now, term);
             let settings = &self.features.drain;
             let scheduler = if settings.enabled {
@@ -766,8 +768,10 @@
         else {
             return;
         };
-        let batch = self.rate_limiter.batch(self.config.state_limits.txn_ops);
-        let spare = self.rate_limiter.spare(now);
+        let batch = self
+            .rate_limiter
+            .max_batch(self.config.state_limits.txn_ops);
+        let spare = self.rate_limiter.has_spare_writes(now);
         let lead = LeaderContext {
             config: &self.config,
             policy: &self.policy,
@@ -779,16 +783,10 @@
         };
         let mut ops = Vec::new();
         let op = self.upgrade.poll(now, &lead, &mut self.cache);
-        ops.extend(op.map(|op| (WritePriority::Authority, StoreTag::Upgrade, op)));
+        ops.extend(op.map(|op| (WritePriority::Lease, StoreTag::Upgrade, op)));
         if self.catalog.known() {
             let op = self.block_lease_manager.poll(now, &lead, &mut self.cache);
-            ops.extend(op.map(|op| {
-                (
-                    WritePriority::Authority,
-                    StoreTag::BlockLeaseManager(term),
-                    op,
-                )
-            }));
+            ops.extend(op.map(|op| (WritePriority::Lease, StoreTag::BlockLeaseManager(term), op)));
         }
         let Some(leader_state) = &mut self.leader_state else {
             return;
@@ -887,13 +885,13 @@
         let op = leader_state
             .scheduler
             .write_drains(now, &lead, &mut self.cache);
-        ops.extend(op.map(|op| (WritePriority::Work, StoreTag::Draining(term), op)));
+        ops.extend(op.map(|op| (WritePriority::Placement, StoreTag::Draining(term), op)));
         let op = leader_state.scheduler.write(now, &lead, &mut self.cache);
-        ops.extend(op.map(|op| (WritePriority::Ends, StoreTag::Scheduler(term), op)));
+        ops.extend(op.map(|op| (WritePriority::JobCompletion, StoreTag::Scheduler(term), op)));
         let op = leader_state
             .provisioner
             .write(now, &lead, &mut self.cache, &leader_state.demand);
-        ops.extend(op.map(|op| (WritePriority::Work, StoreTag::Provisioning(term), op)));
+        ops.extend(op.map(|op| (WritePriority::Placement, StoreTag::Provisioning(term), op)));
         let messages =
             leader_state
                 .scheduler
@@ -947,7 +945,9 @@
             catalog: &self.catalog,
             term,
             version,
-            batch: self.rate_limiter.batch(self.config.state_limits.txn_ops),
+            batch: self
+                .rate_limiter
+                .max_batch(self.config.state_limits.txn_ops),
             spare: false,
         };
         let cx = operations::Context {
--- a/src/controller/tests.rs
+++ b/src/controller/tests.rs
@@ -46,7 +46,7 @@
     assert!(controller.healthy(at(20)));
     controller
         .rate_limiter
-        .note(at(2000), &StoreResponse::Refused);
+        .record_response(at(2000), &StoreResponse::Refused);
     let mut healthy = |now: Now, reaches_state: bool| {
         let number =
             now.unix_ms() + u64::try_from(since(now, start.monotonic).as_millis()).expect("short");
--- a/src/job_api/mod.rs
+++ b/src/job_api/mod.rs
@@ -140,7 +140,7 @@
         if !cx.catalog.known() {
             return Some(later(503, "the machine types are not known yet"));
         }
-        let delay = cx.rate_limiter.user_delay();
+        let delay = cx.rate_limiter.estimated_user_delay();
         if delay > LONGEST_QUEUE {
             let retry_after = Some(Duration::from_secs(delay.as_secs().clamp(1, 20)));
             return Some(Response::Problem {
--- a/src/job_api/tests.rs
+++ b/src/job_api/tests.rs
@@ -28,7 +28,7 @@
         let now = Now::read();
         let mut rate_limiter =
             RequestRateLimiter::new(&config.state_limits, config.controllers(), now);
-        rate_limiter.note(now, &StoreResponse::Missing { revision: 1 });
+        rate_limiter.record_response(now, &StoreResponse::Missing { revision: 1 });
         Desk {
             config,
             catalog,
@@ -48,7 +48,8 @@
 
     fn outage(&mut self) {
         self.after(Duration::from_secs(5));
-        self.rate_limiter.note(self.now, &StoreResponse::Refused);
+        self.rate_limiter
+            .record_response(self.now, &StoreResponse::Refused);
     }
 
     /// The status of the answer that comes at once, if one does.
--- a/src/store/rate_limiter.rs
+++ b/src/store/rate_limiter.rs
@@ -11,15 +11,15 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum WritePriority {
     /// Holds and leadership: late means lost.
-    Authority,
+    Lease,
     /// What a user waits for.
     User,
     /// Ends of jobs: their users hear of them only afterwards.
-    Ends,
+    JobCompletion,
     /// Placements and their ends.
-    Work,
+    Placement,
     /// Whatever can wait.
-    Upkeep,
+    Maintenance,
 }
 
 const LANES: usize = 5;
@@ -115,34 +115,34 @@
     }
 
     /// Keeps within other limits from now on.
-    pub fn limit(&mut self, now: Now, limits: &StateLimits, leading: bool) {
+    pub fn set_limits(&mut self, now: Now, limits: &StateLimits, leading: bool) {
         self.requests.fill(now);
         self.requests.rate = share(limits.rps, self.controllers);
         self.requests.burst = self.requests.rate;
         self.write_limit = limits.write_rps;
-        self.lead(now, leading);
+        self.set_leading(now, leading);
     }
 
     /// Sets this controller's share of the writes by whether it leads.
-    pub fn lead(&mut self, now: Now, leading: bool) {
+    pub fn set_leading(&mut self, now: Now, leading: bool) {
         self.writes.fill(now);
         self.writes.rate = write_share(self.write_limit, self.controllers, leading);
         self.writes.burst = self.writes.rate;
     }
 
     /// Whether writes are to be had in plenty: most of what may go in a second is left.
-    pub fn spare(&mut self, now: Now) -> bool {
+    pub fn has_spare_writes(&mut self, now: Now) -> bool {
         self.writes.fill(now);
         self.writes.tokens >= self.writes.burst * SPARE
     }
 
     /// The most changes that one batch should have: a larger one would make users wait for the rate to recover.
-    pub fn batch(&self, txn_ops: usize) -> usize {
+    pub fn max_batch(&self, txn_ops: usize) -> usize {
         (self.writes.burst as usize / 2).clamp(3, txn_ops)
     }
 
     /// The most changes that a write which can wait should have: with more it would take what is kept for users.
-    pub fn spare_batch(&self, txn_ops: usize) -> usize {
+    pub fn max_deferrable_batch(&self, txn_ops: usize) -> usize {
         let spare = self.writes.burst - self.writes.kept_for_users();
         (spare as usize).clamp(1, txn_ops)
     }
@@ -158,7 +158,7 @@
     }
 
     /// Takes what may be sent now.
-    pub fn take(&mut self, now: Now) -> Vec<(Tag, StoreRequest)> {
+    pub fn take_ready(&mut self, now: Now) -> Vec<(Tag, StoreRequest)> {
         self.requests.fill(now);
         self.writes.fill(now);
         let mut ready = Vec::new();
@@ -168,7 +168,7 @@
         // What is more urgent and too dear for now must not be overtaken for ever by what is cheap.
         let mut saving = false;
         for (lane, queue) in self.lanes.iter_mut().enumerate() {
-            if holding_off && lane != WritePriority::Authority as usize {
+            if holding_off && lane != WritePriority::Lease as usize {
                 break;
             }
             let kept = if lane > WritePriority::User as usize {
@@ -195,7 +195,7 @@
 
     /// Whether a write of this urgency would go at once. Writes that gather changes are prepared only then, so
     /// that each holds all that came up while the ones before it waited.
-    pub fn idle(&mut self, now: Now, urgency: WritePriority) -> bool {
+    pub fn can_send_now(&mut self, now: Now, urgency: WritePriority) -> bool {
         self.requests.fill(now);
         self.writes.fill(now);
         let holding_off = self
@@ -208,7 +208,7 @@
         clear && !holding_off && self.requests.tokens >= 1.0 && self.writes.tokens >= enough
     }
 
-    pub fn note(&mut self, now: Now, outcome: &StoreResponse) {
+    pub fn record_response(&mut self, now: Now, outcome: &StoreResponse) {
         match outcome {
             StoreResponse::Refused | StoreResponse::Unknown => {
                 self.last_refusal = Some(now.monotonic);
@@ -232,7 +232,7 @@
     }
 
     /// How long a new request of a user would wait for a write.
-    pub fn user_delay(&self) -> Duration {
+    pub fn estimated_user_delay(&self) -> Duration {
         let ahead: f64 = self.lanes[..=WritePriority::User as usize]
             .iter()
             .flatten()
--- a/src/store/rate_limiter/tests.rs
+++ b/src/store/rate_limiter/tests.rs
@@ -21,20 +21,24 @@
     };
     let mut rate_limiter = RequestRateLimiter::new(&LIMITS, 1, start);
     for n in 0..4 {
-        assert!(rate_limiter.push(WritePriority::Work, n, write()).is_ok());
+        assert!(
+            rate_limiter
+                .push(WritePriority::Placement, n, write())
+                .is_ok()
+        );
     }
     assert!(rate_limiter.push(WritePriority::User, 9, write()).is_ok());
     let sent = |rate_limiter: &mut RequestRateLimiter<i32>, now| {
         rate_limiter
-            .take(now)
+            .take_ready(now)
             .iter()
             .map(|(tag, _)| *tag)
             .collect::<Vec<_>>()
     };
     // 1.8 writes a second: the user's goes at once, the others when one would be left for the next user.
-    assert!(rate_limiter.spare(start));
+    assert!(rate_limiter.has_spare_writes(start));
     assert_eq!(sent(&mut rate_limiter, start), [9]);
-    assert!(!rate_limiter.spare(start));
+    assert!(!rate_limiter.has_spare_writes(start));
     assert_eq!(sent(&mut rate_limiter, later(400)), [] as [i32; 0]);
     assert_eq!(sent(&mut rate_limiter, later(700)), [0]);
     assert!(rate_limiter.push(WritePriority::User, 10, write()).is_ok());
@@ -58,12 +62,16 @@
         start,
     );
     for n in 0..100 {
-        assert!(rate_limiter.push(WritePriority::Work, n, write()).is_ok());
+        assert!(
+            rate_limiter
+                .push(WritePriority::Placement, n, write())
+                .is_ok()
+        );
     }
     // Nine a second, of which 3.6 are left whatever waits.
-    assert_eq!(rate_limiter.take(start).len(), 5);
+    assert_eq!(rate_limiter.take_ready(start).len(), 5);
     let in_a_second: usize = (1..=10)
-        .map(|n| rate_limiter.take(later(n * 100)).len())
+        .map(|n| rate_limiter.take_ready(later(n * 100)).len())
         .sum();
     assert!(
         (8..=9).contains(&in_a_second),
@@ -73,7 +81,7 @@
         assert!(rate_limiter.push(WritePriority::User, n, write()).is_ok());
     }
     let sent: Vec<i32> = rate_limiter
-        .take(later(1000))
+        .take_ready(later(1000))
         .iter()
         .map(|(tag, _)| *tag)
         .collect();
@@ -101,18 +109,26 @@
     );
     let sent = |rate_limiter: &mut RequestRateLimiter<i32>, now| {
         rate_limiter
-            .take(now)
+            .take_ready(now)
             .iter()
             .map(|(tag, _)| *tag)
             .collect::<Vec<_>>()
     };
-    assert!(rate_limiter.push(WritePriority::Work, 1, write()).is_ok());
+    assert!(
+        rate_limiter
+            .push(WritePriority::Placement, 1, write())
+            .is_ok()
+    );
     assert_eq!(sent(&mut rate_limiter, start), [1]);
-    assert!(rate_limiter.push(WritePriority::Ends, 2, batch).is_ok());
+    assert!(
+        rate_limiter
+            .push(WritePriority::JobCompletion, 2, batch)
+            .is_ok()
+    );
     for n in 0..20 {
         assert!(
             rate_limiter
-                .push(WritePriority::Work, 10 + n, write())
+                .push(WritePriority::Placement, 10 + n, write())
                 .is_ok()
         );
     }
@@ -131,12 +147,12 @@
     };
     let mut rate_limiter: RequestRateLimiter<()> = RequestRateLimiter::new(&LIMITS, 1, start);
     assert!(!rate_limiter.available(start));
-    rate_limiter.note(start, &StoreResponse::Conflict);
-    rate_limiter.note(later(100), &StoreResponse::Refused);
+    rate_limiter.record_response(start, &StoreResponse::Conflict);
+    rate_limiter.record_response(later(100), &StoreResponse::Refused);
     assert!(rate_limiter.available(later(200)));
-    rate_limiter.note(later(1500), &StoreResponse::Unknown);
+    rate_limiter.record_response(later(1500), &StoreResponse::Unknown);
     assert!(!rate_limiter.available(later(1600)));
-    rate_limiter.note(later(1700), &StoreResponse::Conflict);
+    rate_limiter.record_response(later(1700), &StoreResponse::Conflict);
     assert!(rate_limiter.available(later(1700)));
 }
 
@@ -150,16 +166,20 @@
         ..LIMITS
     };
     let mut rate_limiter = RequestRateLimiter::new(&limits, 3, start);
-    let most = rate_limiter.spare_batch(5);
+    let most = rate_limiter.max_deferrable_batch(5);
     assert!((1..5).contains(&most), "{most} changes");
     let batch = (0..most).fold(Transaction::default(), |txn, n| txn.delete(n.to_string()));
     assert!(
         rate_limiter
-            .push(WritePriority::Work, 0, StoreRequest::Commit(batch))
+            .push(WritePriority::Placement, 0, StoreRequest::Commit(batch))
             .is_ok()
     );
-    assert_eq!(rate_limiter.take(start).len(), 1);
+    assert_eq!(rate_limiter.take_ready(start).len(), 1);
     assert!(rate_limiter.push(WritePriority::User, 1, write()).is_ok());
-    assert_eq!(rate_limiter.take(start).len(), 1, "at once");
-    assert_eq!(rate_limiter.spare_batch(1), 1, "however low the rate");
+    assert_eq!(rate_limiter.take_ready(start).len(), 1, "at once");
+    assert_eq!(
+        rate_limiter.max_deferrable_batch(1),
+        1,
+        "however low the rate"
+    );
 }
