--- /dev/null
+++ b/src/store/cache/apply.rs
@@ -0,0 +1,347 @@
+//! Changes of records: the copy itself and what follows from it.
+//!
+//! [`WatchCache::apply`] is called with the changes that a load or a watch brings, and by the controller with its own commits
+//! before the watch shows them. A change that is older than the record is ignored.
+
+use std::collections::BTreeMap;
+
+use tracing::warn;
+
+use super::pending_cancellations::Cancellation;
+use super::{Machine, OpenJob, Parts, Placement, SyncState, Versioned, WatchCache};
+use crate::domain::{BlockId, JobId, MachineId, Zone};
+use crate::store::records::{
+    AttemptEncoding, BlockPlacements, Change, InventoryEntry, JobRecord, MachineInventory, Part,
+    Ranges, Record, RecordKey,
+};
+
+impl WatchCache {
+    /// Applies one change. A key that is not of this service, or not known to this version, is ignored.
+    pub fn apply(&mut self, change: Change) {
+        let Some(key) = RecordKey::of(&change.key) else {
+            return;
+        };
+        match key {
+            RecordKey::Leader => set(&mut self.leader, change),
+            RecordKey::Token => set(&mut self.token, change),
+            RecordKey::Member(controller) => {
+                set_in(&mut self.members, controller, change);
+            }
+            RecordKey::BlockLease(block) => {
+                self.changed.block_leases = true;
+                set_in(&mut self.block_leases, block, change);
+            }
+            RecordKey::Format => set(&mut self.format, change),
+            RecordKey::Drain(id) => {
+                set_in(&mut self.drains, id, change);
+            }
+            RecordKey::DrainBudget(team) => {
+                set_in(&mut self.drain_budgets, team, change);
+            }
+            RecordKey::DrainLedger(team) => {
+                set_in(&mut self.drain_ledgers, team, change);
+            }
+            RecordKey::MachineInventory(block, part) => self.apply_inventory(block, part, change),
+            RecordKey::PendingRental(name) => {
+                set_in(&mut self.pending_rentals, name, change);
+            }
+            RecordKey::BlockPlacements(block, part) => self.apply_placements(block, part, change),
+            RecordKey::Job(job) => self.apply_job(job, change),
+            RecordKey::Progress(job, chunk) => self.apply_progress(job, chunk, change),
+        }
+    }
+
+    fn apply_progress(&mut self, job: JobId, chunk: u32, change: Change) {
+        set_in(&mut self.progress, (job, chunk), change);
+        if let (Some(open), Some(progress)) =
+            (self.open.get_mut(&job), self.progress.get(&(job, chunk)))
+        {
+            open.done.merge(&progress.value.done);
+        }
+    }
+
+    fn apply_inventory(&mut self, block: BlockId, part: Part, change: Change) {
+        let version = change.version;
+        let parts = self.inventory_parts.entry(block.clone()).or_default();
+        if !set_in(parts, part, change) {
+            return;
+        }
+        let merged = merge_inventories(parts);
+        let old = replace(&mut self.inventories, &block, merged, version);
+        self.index_machines(&block, old.as_ref());
+    }
+
+    /// Brings the machines by id up to date with a block's inventory, which was `old` before.
+    fn index_machines(&mut self, block: &BlockId, old: Option<&MachineInventory>) {
+        let new = self.inventories.get(block).map(|new| &new.value);
+        for id in old.iter().flat_map(|old| old.on.keys()) {
+            let kept = new.is_some_and(|new| new.on.contains_key(id));
+            let here = self
+                .machines
+                .get(id)
+                .is_some_and(|machine| machine.block == *block);
+            // A machine that has moved to another block stays.
+            if !kept && here {
+                self.machines.remove(id);
+                self.changed.machines.insert(id.clone());
+            }
+        }
+        let Some(new) = new else {
+            return;
+        };
+        for (id, entry) in &new.on {
+            let known = old.and_then(|old| old.on.get(id));
+            if known == Some(entry) && self.machines.contains_key(id) {
+                continue;
+            }
+            let machine = machine(entry, &new.zone, block);
+            self.machines.insert(id.clone(), machine);
+            self.changed.machines.insert(id.clone());
+        }
+    }
+
+    fn apply_placements(&mut self, block: BlockId, part: Part, change: Change) {
+        let version = change.version;
+        let parts = self.placements_parts.entry(block.clone()).or_default();
+        if !set_in(parts, part, change) {
+            return;
+        }
+        let merged = merge_placements(parts);
+        let old = replace(&mut self.placements, &block, merged, version).unwrap_or_default();
+        self.index_placements(&block, &old);
+        self.merge_finished_tasks(&block, &old);
+    }
+
+    /// Brings the attempts by job up to date with a block's placements, which were `old` before. Only what differs is
+    /// changed: most of a block is as it was.
+    fn index_placements(&mut self, block: &BlockId, old: &BlockPlacements) {
+        let Some(new) = self.placements.get(block).map(|new| &new.value) else {
+            for (_, attempt) in old.attempts() {
+                self.placement_index.remove(attempt);
+            }
+            return;
+        };
+        for (_, placed) in only_in_first(old, new) {
+            self.placement_index.remove(placed.0);
+        }
+        for (machine, placed) in only_in_first(new, old) {
+            let placement = Placement {
+                block: block.clone(),
+                machine: machine.clone(),
+            };
+            self.placement_index.insert(placed.0, placement);
+        }
+    }
+
+    /// Adds the finished tasks that a block's placements show and did not show in `old` to their open jobs.
+    fn merge_finished_tasks(&mut self, block: &BlockId, old: &BlockPlacements) {
+        let Some(new) = self.placements.get(block) else {
+            return;
+        };
+        let new = new.value.done.iter();
+        for (job, done) in new.filter(|(job, done)| old.done.get(job) != Some(*done)) {
+            if let Some(open) = self.open.get_mut(job) {
+                open.done.merge(done);
+            }
+        }
+    }
+
+    fn apply_job(&mut self, id: JobId, change: Change) {
+        let version = change.version;
+        let (job, cancelled_ms) = match change.value.as_ref().and_then(decode::<JobRecord>) {
+            Some(JobRecord::Open(job)) => (job, None),
+            Some(JobRecord::Cancelled(job, at_ms)) => (job, Some(at_ms)),
+            Some(JobRecord::Ended(outcome, tasks)) => {
+                self.open.remove(&id);
+                self.ended.insert(id, (outcome, tasks));
+                self.changed.ended.insert(id);
+                return;
+            }
+            None => {
+                warn!(job = %id, "job record missing or malformed");
+                return;
+            }
+        };
+        // A final state is final: an older copy of the record can't bring the job back.
+        if self.ended.contains_key(&id) {
+            return;
+        }
+        let Some(open) = self.open.get_mut(&id) else {
+            let open = OpenJob {
+                job,
+                version,
+                cancelled: cancelled_ms.is_some(),
+                cancelled_ms: cancelled_ms.unwrap_or(0),
+                done: self.finished_tasks(id),
+            };
+            self.open.insert(id, open);
+            self.apply_cancellation(id);
+            return;
+        };
+        if version > open.version {
+            open.version = version;
+            open.cancelled = cancelled_ms.is_some();
+            open.cancelled_ms = cancelled_ms.unwrap_or(0);
+            if open.cancelled {
+                self.changed.ended.insert(id);
+            }
+        }
+    }
+
+    /// The finished tasks of a job that the placements of all blocks and its progress show.
+    fn finished_tasks(&self, id: JobId) -> Ranges {
+        let mut finished = Ranges::default();
+        let in_blocks = self
+            .placements
+            .values()
+            .filter_map(|placements| placements.value.done.get(&id));
+        let recorded = self
+            .progress
+            .range((id, 0)..=(id, u32::MAX))
+            .map(|(_, progress)| &progress.value.done);
+        in_blocks
+            .chain(recorded)
+            .for_each(|done| finished.merge(done));
+        finished
+    }
+
+    /// Takes in a cancellation that was committed as this version, before the watch shows it: a controller that the state
+    /// service refuses has no other way to learn of it. A copy that has reached that version and shows otherwise knows
+    /// better. `at_ms` is in milliseconds since the Unix epoch. False: there is no room to keep it.
+    #[must_use]
+    pub fn note_cancellation(&mut self, id: JobId, version: u64, at_ms: u64) -> bool {
+        let following = matches!(self.sync.state, SyncState::Following { .. });
+        let shown = following && self.revision >= version;
+        if shown || self.ended.contains_key(&id) {
+            return true;
+        }
+        let kept = self
+            .cancellations
+            .insert(id, Cancellation { version, at_ms });
+        if kept {
+            self.apply_cancellation(id);
+        }
+        kept
+    }
+
+    fn apply_cancellation(&mut self, id: JobId) {
+        let (Some(open), Some(cancellation)) = (self.open.get_mut(&id), self.cancellations.get(id))
+        else {
+            return;
+        };
+        if cancellation.version > open.version {
+            open.version = cancellation.version;
+            open.cancelled = true;
+            open.cancelled_ms = cancellation.at_ms;
+            self.changed.ended.insert(id);
+        }
+    }
+}
+
+fn machine(entry: &InventoryEntry, zone: &Zone, block: &BlockId) -> Machine {
+    Machine {
+        type_name: entry.type_name.clone(),
+        zone: zone.clone(),
+        capacity_type: entry.capacity_type,
+        block: block.clone(),
+        state: entry.state,
+        rented_s: entry.rented_s,
+    }
+}
+
+/// All parts of an inventory as one. None if there are none.
+fn merge_inventories(parts: &Parts<MachineInventory>) -> Option<MachineInventory> {
+    let mut parts = parts.values();
+    let mut merged = parts.next()?.value.clone();
+    parts.for_each(|part| merged.merge(&part.value));
+    Some(merged)
+}
+
+/// All parts of a block's placements as one. None if there are none.
+fn merge_placements(parts: &Parts<BlockPlacements>) -> Option<BlockPlacements> {
+    if parts.is_empty() {
+        return None;
+    }
+    let mut merged = BlockPlacements::default();
+    parts.values().for_each(|part| merged.merge(&part.value));
+    Some(merged)
+}
+
+/// Puts a block's merged record in place of the old one, which it returns. The version never goes back.
+fn replace<T>(
+    records: &mut BTreeMap<BlockId, Versioned<T>>,
+    block: &BlockId,
+    merged: Option<T>,
+    version: u64,
+) -> Option<T> {
+    let old = records.remove(block);
+    if let Some(value) = merged {
+        let version = old.as_ref().map_or(version, |old| old.version.max(version));
+        records.insert(block.clone(), Versioned { value, version });
+    }
+    old.map(|old| old.value)
+}
+
+/// The attempts that the first placements have and the second ones don't have on the same machine.
+fn only_in_first<'a>(
+    first: &'a BlockPlacements,
+    second: &'a BlockPlacements,
+) -> impl Iterator<Item = (&'a MachineId, &'a AttemptEncoding)> {
+    let changed = first
+        .on
+        .iter()
+        .map(|(machine, list)| (machine, list, second.on.get(machine)))
+        .filter(|(_, list, other)| *other != Some(*list));
+    changed.flat_map(|(machine, list, other)| {
+        list.iter()
+            .filter(move |placed| other.is_none_or(|other| !other.contains(placed)))
+            .map(move |placed| (machine, placed))
+    })
+}
+
+fn decode<T: Record>(value: &ciborium::Value) -> Option<T> {
+    value.deserialized().ok()
+}
+
+/// Sets or removes a record, unless the change is older than what is there.
+fn set<T: Record>(slot: &mut Option<Versioned<T>>, change: Change) {
+    if slot
+        .as_ref()
+        .is_some_and(|old| old.version > change.version)
+    {
+        return;
+    }
+    *slot = change
+        .value
+        .as_ref()
+        .and_then(decode)
+        .map(|value| Versioned {
+            value,
+            version: change.version,
+        });
+}
+
+/// As [`set`], in a map. False: the change is older than what is there.
+fn set_in<K: Ord, T: Record>(map: &mut BTreeMap<K, Versioned<T>>, key: K, change: Change) -> bool {
+    if map
+        .get(&key)
+        .is_some_and(|old| old.version > change.version)
+    {
+        return false;
+    }
+    match change.value.as_ref().and_then(decode) {
+        Some(value) => {
+            map.insert(
+                key,
+                Versioned {
+                    value,
+                    version: change.version,
+                },
+            );
+        }
+        None => {
+            map.remove(&key);
+        }
+    }
+    true
+}
--- /dev/null
+++ b/src/store/cache/indexes.rs
@@ -0,0 +1,166 @@
+//! What follows from the records and is looked up: the attempts of a job, the machines that tasks are on, the parts of a
+//! block, finished tasks that are recorded twice.
+//!
+//! [`PlacementIndex`] is changed by [`super::apply`] only; the queries of [`WatchCache`] are called by all modules.
+
+use std::collections::{BTreeMap, HashMap};
+
+use super::{Machine, Parts, Versioned, WatchCache};
+use crate::domain::{Attempt, BlockId, JobId, MachineId};
+use crate::store::records::{
+    AttemptEncoding, BlockPlacements, CHUNK, MachineInventory, Part, Ranges,
+};
+
+/// Where an attempt is placed.
+#[derive(Debug, Clone, PartialEq)]
+pub struct Placement {
+    /// The block whose placements have it.
+    pub block: BlockId,
+    /// The machine, which may be gone already.
+    pub machine: MachineId,
+}
+
+/// A job's attempts in all blocks' placements, by index of the task and number of the attempt. A lost attempt, whose machine's
+/// record is gone already, can stand there beside the one that follows it.
+pub type JobPlacements = BTreeMap<(u32, u64), Placement>;
+
+static NO_PLACEMENTS: JobPlacements = BTreeMap::new();
+
+/// A machine that tasks may be on.
+#[derive(Debug, Clone, Copy)]
+pub struct LivePlacements<'cache> {
+    /// The block that the machine belongs to.
+    pub block: &'cache BlockId,
+    /// The machine's id.
+    pub id: &'cache MachineId,
+    /// The machine.
+    pub machine: &'cache Machine,
+    attempts: &'cache [AttemptEncoding],
+}
+
+impl<'cache> LivePlacements<'cache> {
+    /// The attempts that are placed on the machine.
+    pub fn attempts(&self) -> impl Iterator<Item = Attempt> + use<'cache> {
+        self.attempts.iter().map(|placed| placed.0)
+    }
+}
+
+/// The attempts in all blocks' placements, by job. A job without attempts has no entry.
+#[derive(Debug, Default)]
+pub(super) struct PlacementIndex {
+    by_job: HashMap<JobId, JobPlacements>,
+}
+
+impl PlacementIndex {
+    pub(super) fn insert(&mut self, attempt: Attempt, placement: Placement) {
+        let of_job = self.by_job.entry(attempt.task.job).or_default();
+        of_job.insert((attempt.task.index, attempt.number), placement);
+    }
+
+    pub(super) fn remove(&mut self, attempt: Attempt) {
+        if let Some(of_job) = self.by_job.get_mut(&attempt.task.job) {
+            of_job.remove(&(attempt.task.index, attempt.number));
+            if of_job.is_empty() {
+                self.by_job.remove(&attempt.task.job);
+            }
+        }
+    }
+
+    fn of_job(&self, job: JobId) -> &JobPlacements {
+        self.by_job.get(&job).unwrap_or(&NO_PLACEMENTS)
+    }
+}
+
+impl WatchCache {
+    /// The values that a block's tasks are kept in.
+    pub fn placements_parts(&self, block: &BlockId) -> Option<&Parts<BlockPlacements>> {
+        self.placements_parts.get(block)
+    }
+
+    /// The values that a block's machines are kept in.
+    pub fn inventory_parts(&self, block: &BlockId) -> Option<&Parts<MachineInventory>> {
+        self.inventory_parts.get(block)
+    }
+
+    /// The part of the block's inventory that a machine is in: the last one, if it is being moved.
+    pub fn inventory_part_of(&self, block: &BlockId, machine: &MachineId) -> Option<Part> {
+        let mut parts = self.inventory_parts(block)?.iter().rev();
+        let (part, _) = parts.find(|(_, part)| part.value.on.contains_key(machine))?;
+        Some(*part)
+    }
+
+    /// All values that tasks are kept in.
+    pub fn all_placements_parts(&self) -> impl Iterator<Item = &Versioned<BlockPlacements>> {
+        self.placements_parts.values().flat_map(BTreeMap::values)
+    }
+
+    /// Up to which revision this copy holds all changes of a block's tasks. Parts that were read while the copy was being
+    /// loaded can be newer than others: until the copy has caught up, what they show is not all.
+    pub fn placements_known_to(&self, block: &BlockId) -> u64 {
+        let version = self
+            .placements
+            .get(block)
+            .map_or(0, |placements| placements.version);
+        let parts = self.placements_parts.get(block).map_or(0, BTreeMap::len);
+        if parts > 1 {
+            version.min(self.revision)
+        } else {
+            version
+        }
+    }
+
+    /// Where a job's attempts are, including those on machines that are proven gone.
+    pub fn placed(&self, job: JobId) -> &JobPlacements {
+        self.placement_index.of_job(job)
+    }
+
+    /// The machines that tasks may still be on, with their attempts: the placements, without machines that are proven
+    /// gone.
+    pub fn live_placements(&self) -> impl Iterator<Item = LivePlacements<'_>> {
+        self.placements.iter().flat_map(move |(block, placements)| {
+            placements
+                .value
+                .on
+                .iter()
+                .filter_map(move |(id, attempts)| {
+                    let machine = self.machines.get(id)?;
+                    Some(LivePlacements {
+                        block,
+                        id,
+                        machine,
+                        attempts,
+                    })
+                })
+        })
+    }
+
+    /// Removes finished tasks that are recorded elsewhere: their job has ended, or its progress holds them.
+    pub fn forget_recorded_ends(&self, placements: &mut BlockPlacements) {
+        placements.done.retain(|job, done| {
+            if self.ended.contains_key(job) {
+                return false;
+            }
+            if self
+                .progress
+                .range((*job, 0)..=(*job, u32::MAX))
+                .next()
+                .is_none()
+            {
+                return true;
+            }
+            *done = self.not_folded(*job, done);
+            !done.is_empty()
+        });
+    }
+
+    fn not_folded(&self, job: JobId, done: &Ranges) -> Ranges {
+        let mut left = Ranges::default();
+        for index in done.0.iter().flat_map(Clone::clone) {
+            let progress = self.progress.get(&(job, index / CHUNK));
+            if !progress.is_some_and(|progress| progress.value.done.contains(index)) {
+                left.insert(index);
+            }
+        }
+        left
+    }
+}
--- /dev/null
+++ b/src/store/cache/sync.rs
@@ -0,0 +1,370 @@
+//! Loading the records and following their changes: which request is due, and what its answer does to the copy.
+//!
+//! [`WatchCache::poll`] and [`WatchCache::handle`] are called by the controller, which sends the requests under the rate
+//! limiter. One request for loading or following is in flight at a time; requests of the read barrier go beside it.
+//!
+//! The copy is loaded page by page, then followed by watches from its revision on. A copy that may be too far behind for one
+//! answer of a watch, and one whose revision the service has compacted, is loaded once more beside the one in use, which
+//! goes on being read: a holder answers its workers from it for the life of its block lease.
+
+use std::time::{Duration, Instant};
+
+use tracing::{info, warn};
+
+use super::{Tag, WatchCache};
+use crate::config::StateLimits;
+use crate::domain::{Now, since};
+use crate::store::records::{Change, NOWHERE, ROOT};
+use crate::store::{KeyValue, StoreRequest, StoreResponse};
+
+/// A watch returns at least this often, which bounds how old the copy can be.
+const WATCH_TIMEOUT: Duration = Duration::from_millis(2500);
+/// The parts of the state service's rate of requests that all controllers' watches and fresh reads may take.
+const WATCH_RATE_PART: f64 = 0.4;
+const BARRIER_RATE_PART: f64 = 0.25;
+/// Pause after a request that was refused or not answered.
+const RETRY_PAUSE: Duration = Duration::from_millis(400);
+/// A copy that was not found current for so long may be far behind. Must be longer than a watch takes to return.
+const MAYBE_STALE_AFTER: Duration = Duration::from_secs(6);
+/// The most bytes that missed changes may measure, each counted as large as a value can be. A watch answers with all of
+/// them at once.
+pub(super) const MAX_MISSED_BYTES: u64 = 8 << 20;
+
+/// How far apart requests are kept, which follows from the rate of requests.
+#[derive(Debug, Clone, Copy)]
+pub(super) struct PollIntervals {
+    watch: Duration,
+    /// One read answers all questions that came since the last one.
+    pub(super) barrier: Duration,
+}
+
+impl PollIntervals {
+    /// The intervals at which this many controllers together keep to their parts of the rate.
+    pub(super) fn new(limits: &StateLimits, controllers: usize) -> Self {
+        let interval = |part: f64| {
+            Duration::from_secs_f64(controllers.max(1) as f64 / (limits.rps.max(1.0) * part))
+        };
+        PollIntervals {
+            watch: interval(WATCH_RATE_PART),
+            barrier: interval(BARRIER_RATE_PART),
+        }
+    }
+}
+
+/// How the copy is kept up to date.
+#[derive(Debug)]
+pub(super) enum SyncState {
+    /// Everything is read for the first time: the copy is not whole.
+    Loading,
+    /// Changes are watched. A copy that may be stale asks how far behind it is before it asks for the changes.
+    Following { maybe_stale: bool },
+    /// Everything is read once more, beside the copy that is in use.
+    Reloading { buffered: Vec<Change> },
+}
+
+/// The one request for loading or following.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+enum RequestState {
+    Idle,
+    /// The last one failed: the next one goes at this time.
+    RetryAt(Instant),
+    InFlight,
+}
+
+impl RequestState {
+    fn retry(now: Now) -> Self {
+        RequestState::RetryAt(now.monotonic + RETRY_PAUSE)
+    }
+
+    fn is_due(self, now: Now) -> bool {
+        match self {
+            RequestState::Idle => true,
+            RequestState::RetryAt(at) => now.monotonic >= at,
+            RequestState::InFlight => false,
+        }
+    }
+}
+
+/// The state of loading and following.
+#[derive(Debug)]
+pub(super) struct Sync {
+    pub(super) state: SyncState,
+    request: RequestState,
+    /// Counts loads, so that answers of an abandoned one are told apart.
+    load: u64,
+    /// The revision of the first page of the load.
+    load_revision: u64,
+    intervals: PollIntervals,
+    watch_sent: Option<Instant>,
+    /// When the copy was last found not to be far behind.
+    last_known_current: Option<Instant>,
+    /// The most that one change can measure.
+    value_bytes: u64,
+}
+
+impl Sync {
+    /// Nothing has been read yet.
+    pub(super) fn new(intervals: PollIntervals, value_bytes: u64) -> Self {
+        Sync {
+            state: SyncState::Loading,
+            request: RequestState::Idle,
+            load: 0,
+            load_revision: 0,
+            intervals,
+            watch_sent: None,
+            last_known_current: None,
+            value_bytes,
+        }
+    }
+
+    /// Nothing has been read yet, with the limits and the count of loads kept.
+    fn restarted(&self) -> Self {
+        Sync {
+            load: self.load,
+            ..Sync::new(self.intervals, self.value_bytes)
+        }
+    }
+
+    fn start_load(&mut self) -> (Tag, StoreRequest) {
+        self.load += 1;
+        self.request = RequestState::InFlight;
+        self.page_request(None)
+    }
+
+    /// The page that follows a key; the first one if None.
+    fn page_request(&self, after: Option<String>) -> (Tag, StoreRequest) {
+        let tag = Tag::Page {
+            load: self.load,
+            after: after.clone(),
+        };
+        let prefix = ROOT.to_owned();
+        (tag, StoreRequest::Range { prefix, after })
+    }
+
+    fn lag_check(&mut self) -> (Tag, StoreRequest) {
+        self.request = RequestState::InFlight;
+        let key = NOWHERE.to_owned();
+        (Tag::LagCheck { load: self.load }, StoreRequest::Get { key })
+    }
+
+    /// The watch of all changes after this revision, once the last one is long enough ago.
+    fn watch(&mut self, now: Now, revision: u64) -> Option<(Tag, StoreRequest)> {
+        let spaced = self
+            .watch_sent
+            .is_none_or(|sent| since(now, sent) >= self.intervals.watch);
+        if !spaced {
+            return None;
+        }
+        self.request = RequestState::InFlight;
+        self.watch_sent = Some(now.monotonic);
+        let request = StoreRequest::Watch {
+            prefix: ROOT.to_owned(),
+            after: revision,
+            wait: WATCH_TIMEOUT,
+        };
+        Some((Tag::Watch { load: self.load }, request))
+    }
+}
+
+impl WatchCache {
+    /// Requests that are due.
+    pub fn poll(&mut self, now: Now) -> Vec<(Tag, StoreRequest)> {
+        let barrier = if self.ready() {
+            self.barrier.poll(now, self.sync.intervals.barrier)
+        } else {
+            None
+        };
+        barrier.into_iter().chain(self.poll_sync(now)).collect()
+    }
+
+    fn poll_sync(&mut self, now: Now) -> Option<(Tag, StoreRequest)> {
+        if !self.sync.request.is_due(now) {
+            return None;
+        }
+        self.sync.request = RequestState::Idle;
+        let neglected = self.neglected(now);
+        match &mut self.sync.state {
+            SyncState::Loading => {
+                self.clear();
+                Some(self.sync.start_load())
+            }
+            SyncState::Reloading { buffered } => {
+                buffered.clear();
+                Some(self.sync.start_load())
+            }
+            SyncState::Following { maybe_stale } if *maybe_stale || neglected => {
+                Some(self.sync.lag_check())
+            }
+            SyncState::Following { .. } => self.sync.watch(now, self.revision),
+        }
+    }
+
+    /// Whether nothing was heard of the service for so long that much may have changed. A process that was paused has
+    /// seen no watch fail.
+    fn neglected(&self, now: Now) -> bool {
+        self.current_as_of
+            .max(self.sync.last_known_current)
+            .is_some_and(|at| since(now, at) > MAYBE_STALE_AFTER)
+    }
+
+    /// Takes out all records. What was asked for and what others have reported stays.
+    pub(super) fn clear(&mut self) {
+        let mut barrier = std::mem::take(&mut self.barrier);
+        barrier.restart();
+        let cancellations = std::mem::take(&mut self.cancellations);
+        *self = WatchCache {
+            barrier,
+            cancellations,
+            ..WatchCache::with_sync(self.sync.restarted())
+        };
+    }
+
+    /// Takes in the answer to a request. Returns the requests that follow from it at once.
+    pub fn handle(
+        &mut self,
+        now: Now,
+        tag: Tag,
+        response: StoreResponse,
+    ) -> Vec<(Tag, StoreRequest)> {
+        match tag {
+            Tag::Barrier { sent } => {
+                let revision = match response {
+                    StoreResponse::Missing { revision } => Some(revision),
+                    _ => None,
+                };
+                self.barrier.answered(sent, revision);
+                self.settle_barrier();
+                Vec::new()
+            }
+            Tag::Page { load, after } if load == self.sync.load => {
+                let next = self.handle_page(now, after.is_none(), response);
+                next.into_iter().collect()
+            }
+            Tag::LagCheck { load } if load == self.sync.load => {
+                self.handle_lag_check(now, &response);
+                Vec::new()
+            }
+            Tag::Watch { load } if load == self.sync.load => {
+                self.handle_watch_response(now, response);
+                Vec::new()
+            }
+            Tag::Page { .. } | Tag::LagCheck { .. } | Tag::Watch { .. } => Vec::new(),
+        }
+    }
+
+    /// Follows the changes since the copy's revision, or reads everything if they may be too many.
+    fn handle_lag_check(&mut self, now: Now, response: &StoreResponse) {
+        let StoreResponse::Missing { revision } = response else {
+            self.sync.request = RequestState::retry(now);
+            return;
+        };
+        self.sync.request = RequestState::Idle;
+        let missed = revision.saturating_sub(self.revision);
+        if missed.saturating_mul(self.sync.value_bytes) > MAX_MISSED_BYTES {
+            info!(missed, "watch cache resync: too far behind");
+            self.sync.state = SyncState::Reloading {
+                buffered: Vec::new(),
+            };
+        } else {
+            self.sync.state = SyncState::Following { maybe_stale: false };
+            self.sync.last_known_current = Some(now.monotonic);
+        }
+    }
+
+    /// Takes in a page. Returns the request for the next one, None if there is none or it has to wait.
+    fn handle_page(
+        &mut self,
+        now: Now,
+        first: bool,
+        response: StoreResponse,
+    ) -> Option<(Tag, StoreRequest)> {
+        let StoreResponse::RangePage {
+            key_values,
+            more,
+            revision,
+        } = response
+        else {
+            self.sync.request = RequestState::retry(now);
+            return None;
+        };
+        if first {
+            // Later pages may be newer; following from the first one's revision repeats, and so corrects, whatever
+            // changed in between.
+            self.sync.load_revision = revision;
+        }
+        let last = key_values.last().map(|entry| entry.key.clone());
+        self.take_in(key_values);
+        if more && last.is_some() {
+            return Some(self.sync.page_request(last));
+        }
+        self.complete_load();
+        None
+    }
+
+    fn take_in(&mut self, key_values: Vec<KeyValue>) {
+        let changes = key_values.into_iter().map(Change::from);
+        if let SyncState::Reloading { buffered } = &mut self.sync.state {
+            buffered.extend(changes);
+        } else {
+            changes.for_each(|change| self.apply(change));
+        }
+    }
+
+    fn complete_load(&mut self) {
+        let revision = self.sync.load_revision;
+        if let SyncState::Reloading { buffered } = &mut self.sync.state {
+            let buffered = std::mem::take(buffered);
+            self.clear();
+            buffered.into_iter().for_each(|change| self.apply(change));
+        }
+        self.sync.request = RequestState::Idle;
+        self.revision = revision;
+        self.sync.state = SyncState::Following { maybe_stale: false };
+        self.cancellations.forget_up_to(self.revision);
+        // The first page may predate the rest: only what was asked before it is covered.
+        self.current_as_of = None;
+        self.sync.watch_sent = None;
+        info!(
+            revision = self.revision,
+            open = self.open.len(),
+            ended = self.ended.len(),
+            "watch cache loaded"
+        );
+    }
+
+    /// Takes in the answer of a watch.
+    pub(super) fn handle_watch_response(&mut self, now: Now, response: StoreResponse) {
+        self.sync.request = RequestState::Idle;
+        match response {
+            StoreResponse::WatchEvents { revision, changes } => {
+                for change in changes {
+                    self.apply(change);
+                }
+                self.revision = self.revision.max(revision);
+                self.cancellations.forget_up_to(self.revision);
+                self.current_as_of = self.current_as_of.max(self.sync.watch_sent);
+                self.settle_barrier();
+            }
+            StoreResponse::Compacted => {
+                warn!(
+                    revision = self.revision,
+                    "watch cache resync: revision compacted"
+                );
+                self.sync.state = SyncState::Reloading {
+                    buffered: Vec::new(),
+                };
+            }
+            _ => {
+                self.sync.state = SyncState::Following { maybe_stale: true };
+                self.sync.request = RequestState::retry(now);
+            }
+        }
+    }
+
+    fn settle_barrier(&mut self) {
+        if self.ready() {
+            let reached = self.barrier.reached(self.revision);
+            self.current_as_of = self.current_as_of.max(reached);
+        }
+    }
+}
--- a/src/store/cache/tests.rs
+++ b/src/store/cache/tests.rs
@@ -1,10 +1,14 @@
+use std::time::Duration;
+
+use super::pending_cancellations::MAX_PENDING_CANCELLATIONS;
+use super::sync::MAX_MISSED_BYTES;
 use super::*;
-use crate::domain::TaskId;
+use crate::domain::{Attempt, Now, TaskId};
 use crate::placement::tests::job;
-use crate::store::KeyValue;
 use crate::store::records::{
-    InventoryEntry, MachineState, encode, inventory_key, job_key, placements_key,
+    Change, InventoryEntry, JobRecord, encode, inventory_key, job_key, placements_key,
 };
+use crate::store::{KeyValue, StoreRequest, StoreResponse};
 
 /// Found on the bench: a controller that had been cut off from the state service for 46 s asked for all changes since,
 /// more than it could take in one answer, and asked again for ever.
@@ -17,7 +21,7 @@
     };
     let mut cache = WatchCache::following();
     cache.revision = 5;
-    cache.fresh = Some(start.monotonic);
+    cache.assume_fresh(start.monotonic);
     cache.apply(Change {
         key: job_key(JobId(1)),
         version: 5,
@@ -33,7 +37,7 @@
         at(40),
         tag,
         StoreResponse::Missing {
-            revision: 5 + MOST_MISSED / 8192,
+            revision: 5 + MAX_MISSED_BYTES / 8192,
         },
     );
     let (tag, op) = next(&mut cache, at(40));
@@ -179,7 +183,7 @@
             && cache.open[&JobId(4)].cancelled
             && !cache.open[&JobId(3)].cancelled
     );
-    cache.state = State::Following;
+    cache.sync.state = SyncState::Following { maybe_stale: false };
     let events = StoreResponse::WatchEvents {
         revision: 14,
         changes: Vec::new(),
@@ -190,7 +194,7 @@
         "the copy is new enough to know by itself"
     );
     // Nothing is claimed to be known that could not be kept.
-    let most = 100..100 + MOST_CANCELLATIONS as u64;
+    let most = 100..100 + MAX_PENDING_CANCELLATIONS as u64;
     assert!(
         most.clone()
             .all(|id| cache.note_cancellation(JobId(id), 20, 1000))
--- a/src/store/mod.rs
+++ b/src/store/mod.rs
@@ -96,6 +96,16 @@
     pub version: u64,
 }
 
+impl From<KeyValue> for Change {
+    fn from(entry: KeyValue) -> Self {
+        Change {
+            key: entry.key,
+            version: entry.version,
+            value: Some(entry.value),
+        }
+    }
+}
+
 /// What became of a request.
 #[derive(Debug, Clone, PartialEq)]
 pub enum StoreResponse {
