--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -317,7 +317,7 @@
     /// Until when what we know of the block leases may be acted on: counted from before it was asked for. That others may hold
     /// them by now is what tokens are for; what has an end is how long a cancellation may be unknown to us.
     fn authority_until(&self, now: Now) -> Instant {
-        let fresh = self.cache.fresh_since().map(|fresh| {
+        let fresh = self.cache.current_as_of().map(|fresh| {
             self.cancellations
                 .all_known_until(now, &self.config)
                 .max(Some(fresh))
@@ -448,7 +448,7 @@
         outcome: StoreResponse,
         effects: &mut Vec<Effect>,
     ) {
-        self.rate_limiter.note(now, &outcome);
+        self.rate_limiter.record_response(now, &outcome);
         let slice = match &tag {
             StoreTag::WatchCache(_) | StoreTag::Leadership(_) => None,
             StoreTag::JobApi(_) => Some("job_api"),
@@ -469,7 +469,7 @@
         match tag {
             StoreTag::WatchCache(tag) => {
                 for (tag, op) in self.cache.handle(now, tag, outcome) {
-                    self.ask(WritePriority::Authority, StoreTag::WatchCache(tag), op);
+                    self.ask(WritePriority::Lease, StoreTag::WatchCache(tag), op);
                 }
             }
             StoreTag::Leadership(tag) => {
@@ -477,7 +477,7 @@
                     .leadership
                     .handle(now, sent, tag, &outcome, &self.cache)
                 {
-                    self.ask(WritePriority::Authority, StoreTag::Leadership(tag), op);
+                    self.ask(WritePriority::Lease, StoreTag::Leadership(tag), op);
                 }
             }
             StoreTag::JobApi(id) => {
@@ -665,11 +665,13 @@
             self.status_due = true;
         }
         for (tag, op) in self.leadership.poll(now, &self.cache, &mut self.rng) {
-            self.ask(WritePriority::Authority, StoreTag::Leadership(tag), op);
+            self.ask(WritePriority::Lease, StoreTag::Leadership(tag), op);
         }
         self.lead(now, effects);
         self.operate(now, effects);
-        while self.rate_limiter.idle(now, WritePriority::Work)
+        while self
+            .rate_limiter
+            .can_send_now(now, WritePriority::Placement)
             && let writes = self.writes(now)
             && let Some((block, op)) =
                 self.worker_fleet
@@ -677,14 +679,14 @@
         {
             let lease_version = self.worker_fleet.lease_version(&block);
             self.ask(
-                WritePriority::Work,
+                WritePriority::Placement,
                 StoreTag::Block {
                     block,
                     lease_version,
                 },
                 op,
             );
-            let ready = self.rate_limiter.take(now);
+            let ready = self.rate_limiter.take_ready(now);
             effects.extend(ready.into_iter().map(|(tag, op)| Effect::Store { tag, op }));
         }
         let until = self.authority_until(now);
@@ -716,9 +718,9 @@
             effects.push(Effect::RespondToUser { id, response });
         }
         for (tag, op) in self.cache.poll(now) {
-            self.ask(WritePriority::Authority, StoreTag::WatchCache(tag), op);
+            self.ask(WritePriority::Lease, StoreTag::WatchCache(tag), op);
         }
-        for (tag, op) in self.rate_limiter.take(now) {
+        for (tag, op) in self.rate_limiter.take_ready(now) {
             effects.push(Effect::Store { tag, op });
         }
     }
@@ -727,8 +729,8 @@
         Writes {
             most: self
                 .rate_limiter
-                .spare_batch(self.config.state_limits.txn_ops),
-            plenty: self.rate_limiter.spare(now),
+                .max_deferrable_batch(self.config.state_limits.txn_ops),
+            plenty: self.rate_limiter.has_spare_writes(now),
         }
     }
 
@@ -741,7 +743,7 @@
         self.config.adopt_next_limits();
         let limits = self.config.state_limits;
         self.rate_limiter
-            .limit(now, &limits, self.leader_state.is_some());
+            .set_limits(now, &limits, self.leader_state.is_some());
         info!(format = self.format, ?limits, "new format of records");
     }
 
@@ -752,7 +754,7 @@
         }) = self.leadership.current_term(&self.cache)
         else {
             if self.leader_state.take().is_some() {
-                self.rate_limiter.lead(now, false);
+                self.rate_limiter.set_leading(now, false);
             }
             return;
         };
@@ -761,7 +763,7 @@
             .as_ref()
             .is_none_or(|leader_state| leader_state.scheduler.term() != term)
         {
-            self.rate_limiter.lead(now, true);
+            self.rate_limiter.set_leading(now, true);
             let scheduler = Scheduler::new(now, term);
             let settings = &self.features.drain;
             let scheduler = if settings.enabled {
@@ -786,8 +788,10 @@
         else {
             return;
         };
-        let batch = self.rate_limiter.batch(self.config.state_limits.txn_ops);
-        let spare = self.rate_limiter.spare(now);
+        let batch = self
+            .rate_limiter
+            .max_batch(self.config.state_limits.txn_ops);
+        let spare = self.rate_limiter.has_spare_writes(now);
         let lead = LeaderContext {
             config: &self.config,
             policy: &self.policy,
@@ -799,10 +803,10 @@
         };
         let mut ops = Vec::new();
         let op = self.upgrade.poll(now, &lead, &mut self.cache);
-        ops.extend(op.map(|op| (WritePriority::Authority, StoreTag::Upgrade, op)));
+        ops.extend(op.map(|op| (WritePriority::Lease, StoreTag::Upgrade, op)));
         if self.catalog.known() {
             let op = self.block_lease_manager.poll(now, &lead, &mut self.cache);
-            ops.extend(op.map(|op| (WritePriority::Authority, StoreTag::BlockLeases(term), op)));
+            ops.extend(op.map(|op| (WritePriority::Lease, StoreTag::BlockLeases(term), op)));
         }
         let Some(leader_state) = &mut self.leader_state else {
             return;
@@ -901,13 +905,13 @@
         let op = leader_state
             .scheduler
             .write_drains(now, &lead, &mut self.cache);
-        ops.extend(op.map(|op| (WritePriority::Work, StoreTag::Draining(term), op)));
+        ops.extend(op.map(|op| (WritePriority::Placement, StoreTag::Draining(term), op)));
         let op = leader_state.scheduler.write(now, &lead, &mut self.cache);
-        ops.extend(op.map(|op| (WritePriority::Ends, StoreTag::Scheduler(term), op)));
+        ops.extend(op.map(|op| (WritePriority::JobCompletion, StoreTag::Scheduler(term), op)));
         let op = leader_state
             .provisioner
             .write(now, &lead, &mut self.cache, &leader_state.demand);
-        ops.extend(op.map(|op| (WritePriority::Work, StoreTag::Provisioning(term), op)));
+        ops.extend(op.map(|op| (WritePriority::Placement, StoreTag::Provisioning(term), op)));
         let messages =
             leader_state
                 .scheduler
@@ -968,7 +972,9 @@
             catalog: &self.catalog,
             term,
             version,
-            batch: self.rate_limiter.batch(self.config.state_limits.txn_ops),
+            batch: self
+                .rate_limiter
+                .max_batch(self.config.state_limits.txn_ops),
             spare: false,
         };
         let cx = operations::Context {
--- a/src/job_api/mod.rs
+++ b/src/job_api/mod.rs
@@ -140,7 +140,7 @@
         if !cx.catalog.known() {
             return Some(later(503, "the machine types are not known yet"));
         }
-        let delay = cx.rate_limiter.user_delay();
+        let delay = cx.rate_limiter.estimated_user_delay();
         if delay > LONGEST_QUEUE {
             let retry_after = Some(Duration::from_secs(delay.as_secs().clamp(1, 20)));
             return Some(Response::Problem {
@@ -236,7 +236,7 @@
         within: Duration,
         cx: &mut Context<'_, Tag>,
     ) -> Option<Response> {
-        cx.cache.want_fresh();
+        cx.cache.request_refresh();
         self.pending.insert(
             id,
             Pending {
@@ -315,7 +315,7 @@
                 // Somebody was first: see what they did.
                 pending.state = State::Refreshing;
                 pending.asked = now.monotonic;
-                cx.cache.want_fresh();
+                cx.cache.request_refresh();
                 return None;
             }
             // It may or may not be committed. The user asks again, and either way gets the right answer then.
--- a/src/store/cache/tests.rs
+++ b/src/store/cache/tests.rs
@@ -1,9 +1,14 @@
+use std::time::Duration;
+
+use super::pending_cancellations::MAX_PENDING_CANCELLATIONS;
+use super::sync::MAX_MISSED_BYTES;
 use super::*;
-use crate::domain::TaskId;
+use crate::domain::{Attempt, Now, TaskId};
 use crate::placement::tests::job;
 use crate::store::records::{
-    InventoryEntry, MachineState, encode, inventory_key, job_key, placements_key,
+    Change, InventoryEntry, JobRecord, encode, inventory_key, job_key, placements_key,
 };
+use crate::store::{KeyValue, StoreRequest, StoreResponse};
 
 /// Found on the bench: a controller that had been cut off from the state service for 46 s asked for all changes since,
 /// more than it could take in one answer, and asked again for ever.
@@ -16,7 +21,7 @@
     };
     let mut cache = WatchCache::following();
     cache.revision = 5;
-    cache.fresh = Some(start.monotonic);
+    cache.assume_fresh(start.monotonic);
     cache.apply(Change {
         key: job_key(JobId(1)),
         version: 5,
@@ -25,46 +30,46 @@
     let next = |cache: &mut WatchCache, now: Now| cache.poll(now).remove(0);
     let (tag, op) = next(&mut cache, at(40));
     assert!(
-        matches!((&tag, op), (Tag::Distance { .. }, StoreRequest::Get { .. })),
+        matches!((&tag, op), (Tag::LagCheck { .. }, StoreRequest::Get { .. })),
         "how far behind?"
     );
     cache.handle(
         at(40),
         tag,
         StoreResponse::Missing {
-            revision: 5 + MOST_MISSED / 8192,
+            revision: 5 + MAX_MISSED_BYTES / 8192,
         },
     );
     let (tag, op) = next(&mut cache, at(40));
     assert!(
-        matches!(op, StoreRequest::Follow { after: 5, .. }),
+        matches!(op, StoreRequest::Watch { after: 5, .. }),
         "near enough: {op:?}"
     );
     cache.handle(at(44), tag, StoreResponse::Unknown);
     let (tag, _) = next(&mut cache, at(45));
     assert!(
-        matches!(tag, Tag::Distance { .. }),
+        matches!(tag, Tag::LagCheck { .. }),
         "the answer was too much after all, or none came"
     );
     cache.handle(at(45), tag, StoreResponse::Missing { revision: 9000 });
     let (tag, op) = next(&mut cache, at(45));
-    assert!(matches!(op, StoreRequest::List { .. }), "{op:?}");
+    assert!(matches!(op, StoreRequest::Range { .. }), "{op:?}");
     assert!(cache.ready() && cache.open.contains_key(&JobId(1)));
     assert_eq!(
-        cache.fresh_since(),
+        cache.current_as_of(),
         Some(start.monotonic),
         "no newer than it was"
     );
-    let rows = vec![(
-        job_key(JobId(2)),
-        encode(&JobRecord::Open(job(1, 1.0))),
-        800,
-    )];
+    let key_values = vec![KeyValue {
+        key: job_key(JobId(2)),
+        value: encode(&JobRecord::Open(job(1, 1.0))),
+        version: 800,
+    }];
     cache.handle(
         at(46),
         tag,
-        StoreResponse::Rows {
-            rows,
+        StoreResponse::RangePage {
+            key_values,
             more: false,
             revision: 9000,
         },
@@ -73,7 +78,7 @@
     assert!(cache.take_changed().all);
     let (_, op) = next(&mut cache, at(46));
     assert!(
-        matches!(op, StoreRequest::Follow { after: 9000, .. }),
+        matches!(op, StoreRequest::Watch { after: 9000, .. }),
         "{op:?}"
     );
 }
@@ -178,18 +183,18 @@
             && cache.open[&JobId(4)].cancelled
             && !cache.open[&JobId(3)].cancelled
     );
-    cache.state = State::Following;
-    let news = StoreResponse::News {
+    cache.sync.state = SyncState::Following { maybe_stale: false };
+    let events = StoreResponse::WatchEvents {
         revision: 14,
         changes: Vec::new(),
     };
-    cache.news(Now::read(), news);
+    cache.handle_watch_response(Now::read(), events);
     assert!(
         cache.cancellations.is_empty(),
         "the copy is new enough to know by itself"
     );
     // Nothing is claimed to be known that could not be kept.
-    let most = 100..100 + MOST_CANCELLATIONS as u64;
+    let most = 100..100 + MAX_PENDING_CANCELLATIONS as u64;
     assert!(
         most.clone()
             .all(|id| cache.note_cancellation(JobId(id), 20, 1000))
--- a/tests/simulation/cluster/network.rs
+++ b/tests/simulation/cluster/network.rs
@@ -137,7 +137,7 @@
             mut at,
             mut answered,
         } = self.delivery();
-        if self.now < self.state_slow_until && !matches!(op, StoreRequest::Follow { .. }) {
+        if self.now < self.state_slow_until && !matches!(op, StoreRequest::Watch { .. }) {
             at += Duration::from_millis(self.rng.random_range(50..1000));
         }
         let calm = self.now >= self.calm_from;
--- a/tests/simulation/cluster/store_requests.rs
+++ b/tests/simulation/cluster/store_requests.rs
@@ -44,7 +44,7 @@
             return;
         }
         let out = self.state_out(process.controller);
-        if let StoreRequest::Follow {
+        if let StoreRequest::Watch {
             prefix,
             after,
             wait,
@@ -120,7 +120,7 @@
         }
         let watcher = self.watchers.remove(&id).expect("looked up");
         let changes = self.state.news(&watcher.prefix, watcher.after);
-        let outcome = StoreResponse::News {
+        let outcome = StoreResponse::WatchEvents {
             revision: self.state.revision,
             changes,
         };
