--- a/src/cancellation/mod.rs
+++ b/src/cancellation/mod.rs
@@ -15,7 +15,7 @@
 use crate::config::Config;
 use crate::domain::{Attempt, BlockId, ControllerName, Incarnation, JobId, MachineId, Now, since};
 use crate::peer::{Alive, CancelledJob};
-use crate::provisioning::Tag;
+use crate::provisioning::CloudRequestPurpose;
 use crate::store::WatchCache;
 use crate::store::cache::ChangedRecords;
 use crate::store::records::BlockLease;
@@ -223,7 +223,7 @@
         incarnation: Incarnation,
         cache: &WatchCache,
         proven: impl Fn(&BlockId, &MachineId, &Attempt) -> bool,
-    ) -> Option<(Tag, CloudRequest)> {
+    ) -> Option<(CloudRequestPurpose, CloudRequest)> {
         if self.open.is_empty() || self.looked.is_some_and(|at| since(now, at) < LOOK_EVERY) {
             return None;
         }
@@ -271,7 +271,7 @@
         }
         self.deleting.clone_from(&due);
         Some((
-            Tag::DeleteCancelled,
+            CloudRequestPurpose::TerminateForCancellation,
             CloudRequest::Delete(MachineNames { machines: due }),
         ))
     }
--- a/src/cancellation/tests.rs
+++ b/src/cancellation/tests.rs
@@ -141,11 +141,13 @@
             .cancellations
             .poll(now, &self.config, BOOT, &self.cache, |_, _, _| proven);
         match call {
-            Some((Tag::DeleteCancelled, CloudRequest::Delete(names))) => names
-                .machines
-                .iter()
-                .map(|machine| machine.0.to_string())
-                .collect(),
+            Some((CloudRequestPurpose::TerminateForCancellation, CloudRequest::Delete(names))) => {
+                names
+                    .machines
+                    .iter()
+                    .map(|machine| machine.0.to_string())
+                    .collect()
+            }
             None => Vec::new(),
             other => panic!("{other:?}"),
         }
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -88,7 +88,7 @@
         outcome: CommandOutcome,
     },
     CloudResponse {
-        tag: provisioning::Tag,
+        tag: provisioning::CloudRequestPurpose,
         outcome: CloudResponse,
     },
     Peer(Message),
@@ -107,7 +107,7 @@
         until: Option<Instant>,
     },
     Cloud {
-        tag: provisioning::Tag,
+        tag: provisioning::CloudRequestPurpose,
         call: CloudRequest,
         until: Option<Instant>,
     },
@@ -527,10 +527,15 @@
         }
     }
 
-    fn cloud_responded(&mut self, now: Now, tag: provisioning::Tag, outcome: CloudResponse) {
-        if tag == provisioning::Tag::DeleteCancelled {
+    fn cloud_responded(
+        &mut self,
+        now: Now,
+        tag: provisioning::CloudRequestPurpose,
+        outcome: CloudResponse,
+    ) {
+        if tag == provisioning::CloudRequestPurpose::TerminateForCancellation {
             self.cancellations.cloud_responded(now, &outcome);
-        } else if tag == provisioning::Tag::InstanceCatalog {
+        } else if tag == provisioning::CloudRequestPurpose::RefreshCatalog {
             self.catalog.answered(match outcome {
                 CloudResponse::InstanceTypes(list) => Some(list),
                 _ => None,
@@ -632,7 +637,7 @@
         self.take_up_format(now);
         if self.catalog.due(now) {
             effects.push(Effect::Cloud {
-                tag: provisioning::Tag::InstanceCatalog,
+                tag: provisioning::CloudRequestPurpose::RefreshCatalog,
                 call: CloudRequest::ListInstanceTypes,
                 until: None,
             });
--- a/src/controller/tests.rs
+++ b/src/controller/tests.rs
@@ -18,7 +18,7 @@
         types: vec![crate::cloud::wire::tests::instance_type()],
     };
     let event = Event::CloudResponse {
-        tag: provisioning::Tag::InstanceCatalog,
+        tag: provisioning::CloudRequestPurpose::RefreshCatalog,
         outcome: CloudResponse::InstanceTypes(list),
     };
     // An empty state service.
--- a/src/provisioning/mod.rs
+++ b/src/provisioning/mod.rs
@@ -160,17 +160,17 @@
 }
 
 #[derive(Debug, Clone, PartialEq)]
-pub enum Tag {
-    InstanceCatalog,
-    Rent {
+pub enum CloudRequestPurpose {
+    RefreshCatalog,
+    ScaleOut {
         type_name: InstanceTypeName,
         pending_rental: PendingRental,
         version: u64,
     },
-    Delete(Vec<MachineId>),
+    Terminate(Vec<MachineId>),
     /// Of machines that must be rid of cancelled tasks, by whichever controller.
-    DeleteCancelled,
-    List,
+    TerminateForCancellation,
+    ListMachines,
 }
 
 impl Provisioner {
@@ -451,7 +451,7 @@
         config: &Config,
         cache: &WatchCache,
         demand: &Demand,
-    ) -> Vec<(Tag, CloudRequest)> {
+    ) -> Vec<(CloudRequestPurpose, CloudRequest)> {
         let mut calls = Vec::new();
         if !cache.covers(self.term_since) {
             return calls;
@@ -474,12 +474,12 @@
                 spot: pending_rental.value.capacity_type.is_spot(),
                 count: pending_rental.value.count,
             };
-            let tag = Tag::Rent {
+            let purpose = CloudRequestPurpose::ScaleOut {
                 type_name: type_name.clone(),
                 pending_rental: pending_rental.value,
                 version: pending_rental.version,
             };
-            calls.push((tag, CloudRequest::Rent(request)));
+            calls.push((purpose, CloudRequest::Rent(request)));
         }
         if self.deleting.is_none() && self.delete_retry.is_none_or(|at| now.monotonic >= at) {
             let due: Vec<MachineId> = cache
@@ -497,7 +497,7 @@
             if !due.is_empty() && self.pass(now, config.cloud_rps) {
                 self.deleting = Some(due.clone());
                 calls.push((
-                    Tag::Delete(due.clone()),
+                    CloudRequestPurpose::Terminate(due.clone()),
                     CloudRequest::Delete(MachineNames { machines: due }),
                 ));
             }
@@ -508,7 +508,7 @@
             self.list_busy = true;
             self.listed = Some(now.monotonic);
             calls.push((
-                Tag::List,
+                CloudRequestPurpose::ListMachines,
                 CloudRequest::List {
                     after: self.list_after.clone(),
                 },
@@ -523,20 +523,20 @@
         policy: &Policy,
         config: &Config,
         cache: &WatchCache,
-        tag: Tag,
-        outcome: CloudResponse,
+        purpose: CloudRequestPurpose,
+        response: CloudResponse,
     ) {
-        match (tag, outcome) {
+        match (purpose, response) {
             (
-                Tag::Rent {
+                CloudRequestPurpose::ScaleOut {
                     type_name,
                     pending_rental,
                     version,
                 },
-                outcome,
+                response,
             ) => {
                 self.renting.remove(&type_name);
-                match outcome {
+                match response {
                     CloudResponse::Rented(names) => {
                         let got = names.machines.len();
                         info!(%type_name, zone = %pending_rental.zone, capacity_type = ?pending_rental.capacity_type, wanted = pending_rental.count, got, "rented");
@@ -563,18 +563,18 @@
                     }
                 }
             }
-            (Tag::Delete(machines), CloudResponse::Deleted) => {
+            (CloudRequestPurpose::Terminate(machines), CloudResponse::Deleted) => {
                 self.deleting = None;
                 for machine in machines {
                     self.recently_deleted.insert(machine.clone(), now.monotonic);
                     self.deleted.insert(machine);
                 }
             }
-            (Tag::Delete(_), _) => {
+            (CloudRequestPurpose::Terminate(_), _) => {
                 self.deleting = None;
                 self.delete_retry = Some(now.monotonic + RETRY);
             }
-            (Tag::List, CloudResponse::Listed(list)) => {
+            (CloudRequestPurpose::ListMachines, CloudResponse::Listed(list)) => {
                 self.list_busy = false;
                 self.list_after = if list.more {
                     list.machines.last().map(|m| m.id.clone())
@@ -583,9 +583,12 @@
                 };
                 self.take_list(now, config, cache, list);
             }
-            (Tag::List, _) => self.list_busy = false,
+            (CloudRequestPurpose::ListMachines, _) => self.list_busy = false,
             // Not the leader's own.
-            (Tag::InstanceCatalog | Tag::DeleteCancelled, _) => {}
+            (
+                CloudRequestPurpose::RefreshCatalog | CloudRequestPurpose::TerminateForCancellation,
+                _,
+            ) => {}
         }
     }
 
--- a/tests/simulation/world.rs
+++ b/tests/simulation/world.rs
@@ -19,7 +19,7 @@
 use dappleshore::job_api::Response;
 use dappleshore::peer::Message;
 use dappleshore::policy::Policy;
-use dappleshore::provisioning::Tag as CloudTag;
+use dappleshore::provisioning::CloudRequestPurpose as CloudTag;
 use dappleshore::store::records::{FORMAT, MachineState};
 use dappleshore::store::{StoreRequest, StoreResponse};
 use dappleshore::workers::wire::{Heartbeat, TaskState, WorkerCommands};
