--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -380,7 +380,9 @@
                 if !self.cache.machines.contains_key(&heartbeat.machine)
                     && let Some(leader_state) = &mut self.leader_state
                 {
-                    leader_state.provisioner.unexpected(now, &heartbeat);
+                    leader_state
+                        .provisioner
+                        .observe_unrecorded_machine(now, &heartbeat);
                 }
                 let answer = self.worker_fleet.heartbeat(
                     now,
@@ -868,16 +870,17 @@
             &self.heard_zones,
             settled,
         );
-        leader_state.provisioner.note_drains(&self.cache);
+        leader_state.provisioner.observe_drains(&self.cache);
         leader_state.demand =
             leader_state
                 .scheduler
                 .plan(now, &lead, &self.cache, &leader_state.provisioner);
-        for (tag, call) in
-            leader_state
-                .provisioner
-                .calls(now, &self.config, &self.cache, &leader_state.demand)
-        {
+        for (tag, call) in leader_state.provisioner.cloud_requests(
+            now,
+            &self.config,
+            &self.cache,
+            &leader_state.demand,
+        ) {
             effects.push(Effect::Cloud {
                 tag,
                 call,
@@ -887,7 +890,7 @@
         if let Some(draining) = leader_state.scheduler.draining() {
             leader_state
                 .provisioner
-                .want_states(draining.machine_states());
+                .set_desired_states(draining.machine_states());
         }
         let op = leader_state
             .scheduler
--- a/src/provisioning/mod.rs
+++ b/src/provisioning/mod.rs
@@ -93,14 +93,14 @@
     deleted: BTreeSet<MachineId>,
     /// Deleted machines, for the list shows them a while longer.
     recently_deleted: HashMap<MachineId, Instant>,
-    lost: BTreeSet<MachineId>,
+    failed: BTreeSet<MachineId>,
     /// Since when machines of a zone that may be cut off have been silent.
     silent: BTreeMap<MachineId, Instant>,
     /// Since when machines have had no tasks.
     idle: BTreeMap<MachineId, Instant>,
     up: BTreeSet<MachineId>,
     /// What operators want of machines that are in another state.
-    wanted_states: BTreeMap<MachineId, MachineState>,
+    desired_states: BTreeMap<MachineId, MachineState>,
     /// What operators empty: nothing is rented there.
     closed: Vec<Scope>,
     unexpected: BTreeMap<MachineId, (ListedMachine, Instant)>,
@@ -192,11 +192,11 @@
             delete_retry: None,
             deleted: BTreeSet::new(),
             recently_deleted: HashMap::new(),
-            lost: BTreeSet::new(),
+            failed: BTreeSet::new(),
             silent: BTreeMap::new(),
             idle: BTreeMap::new(),
             up: BTreeSet::new(),
-            wanted_states: BTreeMap::new(),
+            desired_states: BTreeMap::new(),
             closed: Vec::new(),
             unexpected: BTreeMap::new(),
             list_busy: false,
@@ -239,18 +239,18 @@
     }
 
     /// Takes in what operators empty.
-    pub fn note_drains(&mut self, cache: &WatchCache) {
+    pub fn observe_drains(&mut self, cache: &WatchCache) {
         let holding = cache.drains.values().filter(|record| record.value.holds());
         self.closed = holding.map(|record| record.value.scope.clone()).collect();
     }
 
     /// Takes in what is to become of machines.
-    pub fn want_states(&mut self, states: BTreeMap<MachineId, MachineState>) {
-        self.wanted_states = states;
+    pub fn set_desired_states(&mut self, states: BTreeMap<MachineId, MachineState>) {
+        self.desired_states = states;
     }
 
-    pub fn is_lost(&self, machine: &MachineId) -> bool {
-        self.lost.contains(machine)
+    pub fn is_failed(&self, machine: &MachineId) -> bool {
+        self.failed.contains(machine)
     }
 
     pub fn addresses(&self) -> &HashMap<MachineId, String> {
@@ -259,7 +259,7 @@
 
     /// A worker reports whose machine nobody has recorded: a rental request executed late, or a machine that
     /// was there before us.
-    pub fn unexpected(&mut self, now: Now, heartbeat: &Heartbeat) {
+    pub fn observe_unrecorded_machine(&mut self, now: Now, heartbeat: &Heartbeat) {
         let listed = ListedMachine {
             id: heartbeat.machine.clone(),
             addr: Some(heartbeat.addr.clone()),
@@ -304,7 +304,7 @@
             .saturating_sub(policy.silent_after);
         self.silent
             .retain(|machine, _| health.get(machine).is_some_and(|health| health.silent));
-        self.lost
+        self.failed
             .retain(|machine| cache.machines.contains_key(machine));
         self.addresses
             .retain(|machine, _| cache.machines.contains_key(machine));
@@ -336,7 +336,7 @@
                 let since_when = *self.silent.entry(id.clone()).or_insert(now.monotonic);
                 silent = since(now, since_when) >= patience;
             }
-            if (silent || health.faulty) && self.lost.insert(id.clone()) {
+            if (silent || health.faulty) && self.failed.insert(id.clone()) {
                 warn!(machine = %id, silent, faulty = health.faulty, known_up, "machine given up");
             }
         }
@@ -354,7 +354,7 @@
         self.note_up(now, cache, health);
         let mut booting: BTreeMap<&InstanceTypeName, Vec<(&MachineId, Duration)>> = BTreeMap::new();
         for (id, rented) in &self.booting {
-            if let Some(machine) = cache.machines.get(id).filter(|_| !self.lost.contains(id)) {
+            if let Some(machine) = cache.machines.get(id).filter(|_| !self.failed.contains(id)) {
                 booting
                     .entry(&machine.type_name)
                     .or_default()
@@ -426,7 +426,7 @@
                 };
                 let left = cache.machines.contains_key(&placement.machine)
                     && !settled(&placement.block, &attempt);
-                if left && self.lost.insert(placement.machine.clone()) {
+                if left && self.failed.insert(placement.machine.clone()) {
                     warn!(machine = %placement.machine, job = %id, "machine given up: its cancelled task must be gone");
                 }
             }
@@ -445,7 +445,7 @@
     }
 
     /// Calls that follow from the records.
-    pub fn calls(
+    pub fn cloud_requests(
         &mut self,
         now: Now,
         config: &Config,
@@ -487,7 +487,7 @@
                 .iter()
                 .filter(|(id, _)| !self.deleted.contains(*id))
                 .filter(|(id, machine)| {
-                    self.lost.contains(*id)
+                    self.failed.contains(*id)
                         || (machine.state == MachineState::Returning
                             && !demand.occupied.contains(*id))
                 })
@@ -616,7 +616,7 @@
                         .entry(listed.id.clone())
                         .or_insert_with(|| addr.clone());
                 }
-                if listed.state == ListedState::Failed && self.lost.insert(listed.id.clone()) {
+                if listed.state == ListedState::Failed && self.failed.insert(listed.id.clone()) {
                     info!(machine = %listed.id, "machine listed as failed");
                 }
             } else if !self.recently_deleted.contains_key(&listed.id)
@@ -806,13 +806,13 @@
             let machine = cache.machines.get(id);
             machine.is_some_and(|machine| machine.state != state)
         };
-        self.wanted_states.retain(|id, state| differs(id, *state));
-        if self.wanted_states.is_empty() || cache.format() < DRAIN_FORMAT {
+        self.desired_states.retain(|id, state| differs(id, *state));
+        if self.desired_states.is_empty() || cache.format() < DRAIN_FORMAT {
             return None;
         }
         let mut edits = Edits::new(leader, cache, demand);
         edits.most = leader.batch;
-        for (id, state) in &self.wanted_states {
+        for (id, state) in &self.desired_states {
             let occupied = demand.occupied.contains(id);
             if *state == MachineState::Returning && occupied {
                 continue;
@@ -871,7 +871,7 @@
     pub fn machines(&self, cache: &WatchCache) -> BTreeMap<Pool, u32> {
         let mut count = BTreeMap::new();
         for (id, machine) in &cache.machines {
-            if machine.state.takes_tasks() && !self.lost.contains(id) && !self.late.contains(id) {
+            if machine.state.takes_tasks() && !self.failed.contains(id) && !self.late.contains(id) {
                 *count
                     .entry((machine.type_name.clone(), machine.capacity_type))
                     .or_default() += 1;
--- a/src/provisioning/round.rs
+++ b/src/provisioning/round.rs
@@ -209,7 +209,7 @@
                     && m.state.takes_tasks()
             };
             let booting = |id: &MachineId| {
-                !self.up.contains(id) && !self.lost.contains(id) && !self.late.contains(id)
+                !self.up.contains(id) && !self.failed.contains(id) && !self.late.contains(id)
             };
             cache
                 .machines
@@ -267,7 +267,7 @@
                     && machine.state.takes_tasks()
                     && !demand.occupied.contains(*id)
                     && rested(id)
-                    && !self.lost.contains(*id)
+                    && !self.failed.contains(*id)
                     && now.unix_ms().saturating_sub(machine.rented_s * 1000) >= least_ms
             })
             .collect();
--- a/src/provisioning/tests.rs
+++ b/src/provisioning/tests.rs
@@ -74,7 +74,7 @@
         };
         provisioner.overdue(now, &config, &cache, |_, _| false);
         provisioner
-            .lost
+            .failed
             .iter()
             .map(|id| id.0.to_string())
             .collect::<Vec<_>>()
@@ -162,7 +162,7 @@
             });
             provisioner.observe(now, &leader, &cache, &health.collect(), heard, |_, _| false);
         }
-        provisioner.lost.len()
+        provisioner.failed.len()
     };
     let heard: BTreeSet<Zone> = ["a".into(), "b".into()].into();
     let given_up = |zones: &[&str], after: Duration| given_up_if(zones, after, &heard);
@@ -197,7 +197,7 @@
         });
     }
     assert_eq!(
-        provisioner.lost.len(),
+        provisioner.failed.len(),
         0,
         "they may just not have reported yet"
     );
--- a/src/scheduler/draining/mod.rs
+++ b/src/scheduler/draining/mod.rs
@@ -380,7 +380,7 @@
         let machines = machine_views(
             cache,
             |id| usable.contains(id),
-            |id| stock.provisioner.is_lost(id),
+            |id| stock.provisioner.is_failed(id),
             |id| expecting.contains(id),
         );
         let running = self.running_attempts(stock.now, cache, &usable);
@@ -426,7 +426,7 @@
     /// Machines whose holder has told lately that they are well.
     fn usable_machines(&self, now: Now, provisioner: &Provisioner) -> HashSet<MachineId> {
         self.machines(now)
-            .filter(|status| status.usable && !provisioner.is_lost(&status.machine))
+            .filter(|status| status.usable && !provisioner.is_failed(&status.machine))
             .map(|status| status.machine.clone())
             .collect()
     }
--- a/src/scheduler/mod.rs
+++ b/src/scheduler/mod.rs
@@ -395,7 +395,7 @@
             let Some(instance_type) = catalog.get(&machine.type_name) else {
                 continue;
             };
-            if !machine.state.takes_tasks() || provisioner.is_lost(&status.machine) {
+            if !machine.state.takes_tasks() || provisioner.is_failed(&status.machine) {
                 continue;
             }
             let taken = taken.get(&status.machine).copied().unwrap_or_default();
