--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -578,7 +578,7 @@
                             .wants_new_token(&block.block, block.token);
                     }
                     if let Some(leader_state) = &mut self.leader_state {
-                        leader_state.scheduler.status(now, block);
+                        leader_state.scheduler.observe_block_status(now, block);
                         self.stale_plan = true;
                     }
                 }
@@ -831,12 +831,12 @@
             if let Some(draining) = leader_state.scheduler.draining() {
                 draining.summary(&self.cache, gauges);
             }
-            for (team, count) in &leader_state.scheduler.waiting {
+            for (team, count) in &leader_state.scheduler.pending_tasks {
                 gauges.insert(format!("waiting{{team=\"{team}\"}}"), *count as f64);
             }
             gauges.insert("jobs_open".to_owned(), self.cache.open.len() as f64);
             gauges.insert("jobs_ended".to_owned(), self.cache.ended.len() as f64);
-            let waiting: u64 = leader_state.scheduler.waiting.values().sum();
+            let waiting: u64 = leader_state.scheduler.pending_tasks.values().sum();
             info!(
                 open = self.cache.open.len(),
                 ended = self.cache.ended.len(),
@@ -845,13 +845,16 @@
             );
         }
         self.stale_plan = false;
-        let unreaching = leader_state
-            .scheduler
-            .unreaching(now, &self.config, &self.cache);
-        for holder in &unreaching {
+        let isolated_holders =
+            leader_state
+                .scheduler
+                .isolated_holders(now, &self.config, &self.cache);
+        for holder in &isolated_holders {
             self.block_lease_manager.unfit(now, holder);
         }
-        let health = leader_state.scheduler.health(now, &self.cache, &unreaching);
+        let health = leader_state
+            .scheduler
+            .machine_health(now, &self.cache, &isolated_holders);
         let settled = |block: &BlockId, attempt: &Attempt| {
             let heard = || {
                 let lease = self.cache.block_leases.get(block);
@@ -902,10 +905,11 @@
             .provisioner
             .write(now, &lead, &mut self.cache, &leader_state.demand);
         ops.extend(op.map(|op| (WritePriority::Work, StoreTag::Provisioning(term), op)));
-        let messages =
-            leader_state
-                .scheduler
-                .messages(now, &self.cache, leader_state.provisioner.addresses());
+        let messages = leader_state.scheduler.assignment_updates(
+            now,
+            &self.cache,
+            leader_state.provisioner.addresses(),
+        );
         for (urgency, tag, op) in ops {
             self.ask(urgency, tag, op);
         }
--- a/src/scheduler/block_state.rs
+++ b/src/scheduler/block_state.rs
@@ -149,7 +149,7 @@
 
 impl Scheduler {
     /// Messages that are due to holders.
-    pub fn messages(
+    pub fn assignment_updates(
         &mut self,
         now: Now,
         cache: &WatchCache,
--- a/src/scheduler/holders.rs
+++ b/src/scheduler/holders.rs
@@ -43,7 +43,7 @@
     }
 
     /// Holders that hear hardly any of their machines, although others hear them.
-    pub fn unreaching(
+    pub fn isolated_holders(
         &mut self,
         now: Now,
         config: &Config,
--- a/src/scheduler/mod.rs
+++ b/src/scheduler/mod.rs
@@ -76,7 +76,7 @@
     misrouted: HashMap<MachineId, Instant>,
     /// What operators want emptied. None: draining is switched off.
     draining: Option<Draining>,
-    pub waiting: BTreeMap<Team, u64>,
+    pub pending_tasks: BTreeMap<Team, u64>,
 }
 
 /// What was found not to go while planning, so that it is not tried for each of a thousand jobs alike.
@@ -147,12 +147,12 @@
             measured: now.monotonic,
             misrouted: HashMap::new(),
             draining: None,
-            waiting: BTreeMap::new(),
+            pending_tasks: BTreeMap::new(),
         }
     }
 
     /// A holder's word on one of its blocks.
-    pub fn status(&mut self, now: Now, mut status: BlockStatus) {
+    pub fn observe_block_status(&mut self, now: Now, mut status: BlockStatus) {
         let Some(block_state) = self.block_states.get_mut(&status.block) else {
             return;
         };
@@ -190,12 +190,12 @@
             .flat_map(|block_state| block_state.machines.values())
     }
 
-    /// `unreaching`: holders whose word on their machines' silence says more about themselves.
-    pub fn health(
+    /// `isolated_holders`: holders whose word on their machines' silence says more about themselves.
+    pub fn machine_health(
         &self,
         now: Now,
         cache: &WatchCache,
-        unreaching: &BTreeSet<ControllerName>,
+        isolated_holders: &BTreeSet<ControllerName>,
     ) -> BTreeMap<MachineId, Health> {
         let holder = |machine: &MachineId| {
             let block = cache.machines.get(machine).map(|machine| &machine.block)?;
@@ -211,9 +211,9 @@
                     silent: machine.silent,
                     faulty: self.failures.is_faulty(machine, cache),
                     usable: machine.usable,
-                    heard_elsewhere: !unreaching.is_empty()
+                    heard_elsewhere: !isolated_holders.is_empty()
                         && holder(&machine.machine)
-                            .is_some_and(|holder| unreaching.contains(holder)),
+                            .is_some_and(|holder| isolated_holders.contains(holder)),
                 };
                 (machine.machine.clone(), health)
             })
@@ -496,10 +496,10 @@
 
     /// Counts the tasks that wait, by team.
     fn count_waiting(&mut self, queue: &[waiting::Waiting<'_>]) {
-        self.waiting.clear();
+        self.pending_tasks.clear();
         for waiting in queue {
             let team = waiting.open.job.team.clone();
-            *self.waiting.entry(team).or_default() += waiting.left;
+            *self.pending_tasks.entry(team).or_default() += waiting.left;
         }
     }
 
--- a/src/scheduler/tests.rs
+++ b/src/scheduler/tests.rs
@@ -131,7 +131,7 @@
                 .collect(),
             running: Vec::new(),
         };
-        self.scheduler.status(self.now, status);
+        self.scheduler.observe_block_status(self.now, status);
     }
 
     pub(super) fn plan(&mut self) -> (Demand, Vec<AssignmentUpdate>) {
@@ -149,7 +149,7 @@
         let demand = scheduler.plan(*now, &leader, cache, provisioner);
         (
             demand,
-            scheduler.messages(*now, cache, provisioner.addresses()),
+            scheduler.assignment_updates(*now, cache, provisioner.addresses()),
         )
     }
 
@@ -302,17 +302,19 @@
         fixture
             .scheduler
             .note_misrouted(fixture.now, (0..misrouted).map(name).collect());
-        let unreaching = fixture
-            .scheduler
-            .unreaching(fixture.now, &fixture.config, &fixture.cache);
-        let health = fixture
-            .scheduler
-            .health(fixture.now, &fixture.cache, &unreaching);
+        let isolated_holders =
+            fixture
+                .scheduler
+                .isolated_holders(fixture.now, &fixture.config, &fixture.cache);
+        let health =
+            fixture
+                .scheduler
+                .machine_health(fixture.now, &fixture.cache, &isolated_holders);
         let spared = health
             .values()
             .filter(|health| health.heard_elsewhere)
             .count();
-        (unreaching.contains(&holder), spared)
+        (isolated_holders.contains(&holder), spared)
     };
     assert_eq!(judged(6, 4), (true, 6));
     // Found on a day of a hunt: machines that no answer reached went from controller to controller; three of them were
