--- a/src/provisioning/mod.rs
+++ b/src/provisioning/mod.rs
@@ -5,11 +5,12 @@
 //! machine that is being returned and has no tasks is (again) deleted.
 
 mod boot_times;
+mod demand;
 mod edits;
 mod round;
 pub mod rule;
 
-use std::collections::{BTreeMap, BTreeSet, HashMap, HashSet};
+use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::time::{Duration, Instant};
 
 use dappleshore_drain::Scope;
@@ -22,8 +23,8 @@
 use crate::cloud::{CloudRequest, CloudResponse, InstanceCatalog};
 use crate::config::Config;
 use crate::domain::{
-    Amount, Attempt, BlockId, CapacityType, InstanceTypeName, MachineId, Now, Resources, TaskId,
-    Term, Zone, since,
+    Amount, Attempt, BlockId, CapacityType, InstanceTypeName, MachineId, Now, TaskId, Term, Zone,
+    since,
 };
 use crate::leader_context::LeaderContext;
 use crate::policy::Policy;
@@ -34,46 +35,10 @@
 use crate::store::{StoreRequest, StoreResponse, Transaction, WatchCache, Writer};
 use crate::workers::wire::Heartbeat;
 use boot_times::BootTimes;
+pub use demand::{Demand, MachineHealth, MachinePool, RunTimes, ZonedPool};
 use edits::{Edits, too_large};
 use round::Round;
 
-/// Machines that are rented, priced and run out alike: to the rule, a type.
-pub type Pool = (InstanceTypeName, CapacityType);
-
-/// How long tasks have run in a pool, and how many of them have ended: time over ends is their mean run time,
-/// those that still run included.
-#[derive(Debug, Clone, Copy, Default)]
-pub struct Runs {
-    pub time: Duration,
-    pub ended: u32,
-}
-
-/// What the leader's other slices tell about demand.
-#[derive(Debug, Default)]
-pub struct Demand {
-    /// Room taken and asked for, in machines.
-    pub machines: BTreeMap<Pool, f64>,
-    /// The part of it that waits and must be in that zone.
-    pub pinned: BTreeMap<(Pool, Zone), f64>,
-    /// Machines that have tasks on them or on their way.
-    pub occupied: HashSet<MachineId>,
-    pub runs: BTreeMap<Pool, Runs>,
-    /// The least that any open job's task takes.
-    pub smallest: Option<Resources>,
-}
-
-/// What the holders tell about a machine.
-#[derive(Debug, Clone, Copy, Default)]
-pub struct Health {
-    pub seen: bool,
-    pub silent: bool,
-    pub faulty: bool,
-    /// Heard lately, and fit for new tasks.
-    pub usable: bool,
-    /// Its holder hears hardly any of its machines, but others hear this one: it is the holder that is cut off.
-    pub heard_elsewhere: bool,
-}
-
 #[derive(Debug)]
 pub struct Provisioner {
     writer: Writer,
@@ -140,7 +105,7 @@
 
 /// Zones that are more likely cut off than dead: most of their machines have fallen silent, while those of another
 /// zone have not. Their tasks run on, and giving the machines up would end them.
-fn cut_off(cache: &WatchCache, health: &BTreeMap<MachineId, Health>) -> BTreeSet<Zone> {
+fn cut_off(cache: &WatchCache, health: &BTreeMap<MachineId, MachineHealth>) -> BTreeSet<Zone> {
     let mut zones: BTreeMap<&Zone, (usize, usize)> = BTreeMap::new();
     for (id, machine) in &cache.machines {
         if let Some(health) = health.get(id) {
@@ -282,7 +247,7 @@
         now: Now,
         leader: &LeaderContext<'_>,
         cache: &WatchCache,
-        health: &BTreeMap<MachineId, Health>,
+        health: &BTreeMap<MachineId, MachineHealth>,
         heard: &BTreeSet<Zone>,
         settled: impl Fn(&BlockId, &Attempt) -> bool,
     ) {
@@ -349,7 +314,7 @@
         now: Now,
         catalog: &InstanceCatalog,
         cache: &WatchCache,
-        health: &BTreeMap<MachineId, Health>,
+        health: &BTreeMap<MachineId, MachineHealth>,
     ) {
         self.note_up(now, cache, health);
         let mut booting: BTreeMap<&InstanceTypeName, Vec<(&MachineId, Duration)>> = BTreeMap::new();
@@ -378,7 +343,12 @@
     }
 
     /// Takes in which machines are up.
-    fn note_up(&mut self, now: Now, cache: &WatchCache, health: &BTreeMap<MachineId, Health>) {
+    fn note_up(
+        &mut self,
+        now: Now,
+        cache: &WatchCache,
+        health: &BTreeMap<MachineId, MachineHealth>,
+    ) {
         let recorded_soon = |rented: Instant| since(now, rented) < FORGET_BOOT_AFTER;
         self.booting
             .retain(|id, rented| cache.machines.contains_key(id) || recorded_soon(*rented));
@@ -836,7 +806,7 @@
                 cache
                     .machines
                     .get(id)
-                    .is_some_and(|m| (&m.type_name, m.capacity_type) == (&pool.0, pool.1))
+                    .is_some_and(|m| pool.contains(&m.type_name, m.capacity_type))
             };
             let up = self.up.iter().filter(|id| of_pool(id)).count();
             let idle = self
@@ -849,8 +819,8 @@
                 .iter()
                 .filter(|(id, m)| m.state == MachineState::Returning && of_pool(id))
                 .count();
-            let demand = demand.machines.get(&pool).copied().unwrap_or(0.0);
-            info!(type_name = %pool.0, capacity_type = ?pool.1, machines, up, idle, returning, demand, "pool");
+            let demand = demand.of(&pool);
+            info!(type_name = %pool.type_name, capacity_type = ?pool.capacity_type, machines, up, idle, returning, demand, "pool");
             for (state, count) in [
                 ("all", f64::from(machines)),
                 ("up", up as f64),
@@ -859,7 +829,7 @@
                 gauges.insert(
                     format!(
                         "machines{{type=\"{}\",capacity_type=\"{:?}\",state=\"{state}\"}}",
-                        pool.0, pool.1
+                        pool.type_name, pool.capacity_type
                     ),
                     count,
                 );
@@ -868,12 +838,15 @@
     }
 
     /// Machines of each pool, up or on order, without those that are late.
-    pub fn machines(&self, cache: &WatchCache) -> BTreeMap<Pool, u32> {
+    pub fn machines(&self, cache: &WatchCache) -> BTreeMap<MachinePool, u32> {
         let mut count = BTreeMap::new();
         for (id, machine) in &cache.machines {
             if machine.state.takes_tasks() && !self.failed.contains(id) && !self.late.contains(id) {
                 *count
-                    .entry((machine.type_name.clone(), machine.capacity_type))
+                    .entry(MachinePool::new(
+                        machine.type_name.clone(),
+                        machine.capacity_type,
+                    ))
                     .or_default() += 1;
             }
         }
--- a/src/provisioning/round.rs
+++ b/src/provisioning/round.rs
@@ -7,7 +7,7 @@
 use tracing::{debug, info};
 
 use super::edits::Edits;
-use super::{ASK_AGAIN, Demand, MOST_RENTED, Pool, Provisioner, Runs, rule};
+use super::{ASK_AGAIN, Demand, MOST_RENTED, MachinePool, Provisioner, RunTimes, ZonedPool, rule};
 use crate::cloud::wire::InstanceType;
 use crate::domain::{BlockId, CapacityType, MachineId, Now, Zone, since};
 use crate::leader_context::LeaderContext;
@@ -78,7 +78,7 @@
             .filter(|instance_type| !cache.pending_rentals.contains_key(&instance_type.name))
         {
             let shortages = [CapacityType::OnDemand, CapacityType::Spot].map(|capacity_type| {
-                let pool = (instance_type.name.clone(), capacity_type);
+                let pool = MachinePool::new(instance_type.name.clone(), capacity_type);
                 let available = machines.get(&pool).copied().unwrap_or(0);
                 self.return_surplus(round, &pool, available, &mut edits);
                 self.shortage(round, instance_type, &pool, available)
@@ -96,7 +96,13 @@
     }
 
     /// Drains machines of a pool that has too many.
-    fn return_surplus(&self, round: Round<'_>, pool: &Pool, available: u32, edits: &mut Edits<'_>) {
+    fn return_surplus(
+        &self,
+        round: Round<'_>,
+        pool: &MachinePool,
+        available: u32,
+        edits: &mut Edits<'_>,
+    ) {
         let (change, needed) = self.change(round, pool, available);
         let Ok(surplus) = usize::try_from(-change) else {
             return;
@@ -108,18 +114,21 @@
                 }
             });
             if drained {
-                info!(machine = %id, type_name = %pool.0, capacity_type = ?pool.1, needed, available, "returning");
+                info!(machine = %id, type_name = %pool.type_name, capacity_type = ?pool.capacity_type, needed, available, "returning");
             }
         }
     }
 
     /// What the rule says of a pool, and the demand that it is about.
-    fn change(&self, round: Round<'_>, pool: &Pool, available: u32) -> (i64, f64) {
+    fn change(&self, round: Round<'_>, pool: &MachinePool, available: u32) -> (i64, f64) {
         let Round { leader, demand, .. } = round;
-        let needed = demand.machines.get(pool).copied().unwrap_or(0.0);
-        let eta = leader.catalog.get(&pool.0).map_or(1.0, |instance_type| {
-            self.eta(instance_type, demand.runs.get(pool))
-        });
+        let needed = demand.of(pool);
+        let eta = leader
+            .catalog
+            .get(&pool.type_name)
+            .map_or(1.0, |instance_type| {
+                self.eta(instance_type, demand.run_times.get(pool))
+            });
         (
             rule::change(needed, available, eta, leader.policy.headroom),
             needed,
@@ -130,7 +139,7 @@
         &self,
         round: Round<'_>,
         instance_type: &InstanceType,
-        pool: &Pool,
+        pool: &MachinePool,
         available: u32,
     ) -> Option<Shortage> {
         let (change, needed) = self.change(round, pool, available);
@@ -141,15 +150,16 @@
         if count <= 0 {
             return None;
         }
-        let in_stock = |zone: &Zone| self.available(round.now, &instance_type.name, zone, pool.1);
+        let in_stock =
+            |zone: &Zone| self.available(round.now, &instance_type.name, zone, pool.capacity_type);
         let zone = pinned.map(|(zone, _)| zone);
         let obtainable = match &zone {
             Some(zone) => in_stock(zone),
             None => instance_type.zones.iter().any(in_stock),
         };
-        debug!(type_name = %pool.0, capacity_type = ?pool.1, needed, available, count, obtainable, "short of machines");
+        debug!(type_name = %pool.type_name, capacity_type = ?pool.capacity_type, needed, available, count, obtainable, "short of machines");
         Some(Shortage {
-            capacity_type: pool.1,
+            capacity_type: pool.capacity_type,
             zone,
             count,
             tasks_wait: needed > f64::from(available),
@@ -199,13 +209,14 @@
     }
 
     /// A zone in which tasks wait that may not go elsewhere, and the machines that are not yet on order for them.
-    fn short_zone(&self, round: Round<'_>, pool: &Pool) -> Option<(Zone, i64)> {
+    fn short_zone(&self, round: Round<'_>, pool: &MachinePool) -> Option<(Zone, i64)> {
         let Round {
             now, cache, demand, ..
         } = round;
         let coming = |zone: &Zone| {
             let here = |m: &Machine| {
-                (&m.type_name, m.capacity_type, &m.zone) == (&pool.0, pool.1, zone)
+                pool.contains(&m.type_name, m.capacity_type)
+                    && m.zone == *zone
                     && m.state.takes_tasks()
             };
             let booting = |id: &MachineId| {
@@ -220,27 +231,32 @@
         demand
             .pinned
             .iter()
-            .filter(|((of, zone), _)| of == pool && self.available(now, &pool.0, zone, pool.1))
-            .map(|((_, zone), share)| (zone.clone(), (share - 1e-9).ceil() as i64 - coming(zone)))
+            .filter(|(zoned, _)| {
+                zoned.pool == *pool
+                    && self.available(now, &pool.type_name, &zoned.zone, pool.capacity_type)
+            })
+            .map(|(ZonedPool { zone, .. }, share)| {
+                (zone.clone(), (share - 1e-9).ceil() as i64 - coming(zone))
+            })
             .filter(|(_, short)| *short > 0)
             .max_by_key(|(_, short)| *short)
     }
 
     /// Boot time over mean run time. Both are measured; the run time starts as if one task had run for one
     /// boot, which makes eta 1 until there is more to go by.
-    pub fn eta(&self, instance_type: &InstanceType, runs: Option<&Runs>) -> f64 {
+    pub fn eta(&self, instance_type: &InstanceType, run_times: Option<&RunTimes>) -> f64 {
         let boot = self
             .boot_times
             .expected(&instance_type.name, instance_type.boot_time())
             .as_secs_f64()
             .max(0.1);
-        let Runs { time, ended } = runs.copied().unwrap_or_default();
-        let mean_run = (time.as_secs_f64() + boot) / (f64::from(ended) + 1.0);
+        let RunTimes { total, ended } = run_times.copied().unwrap_or_default();
+        let mean_run = (total.as_secs_f64() + boot) / (f64::from(ended) + 1.0);
         boot / mean_run
     }
 
     /// Machines of a pool that may be returned, up to so many.
-    fn returnable(&self, round: Round<'_>, pool: &Pool, count: usize) -> Vec<MachineId> {
+    fn returnable(&self, round: Round<'_>, pool: &MachinePool, count: usize) -> Vec<MachineId> {
         let Round {
             now,
             leader,
@@ -250,7 +266,7 @@
         let least_ms = u64::try_from(leader.policy.least_rental.as_millis()).unwrap_or(u64::MAX);
         let boot = leader
             .catalog
-            .get(&pool.0)
+            .get(&pool.type_name)
             .map_or(0.0, |instance_type| instance_type.boot_s.0);
         let patience = Duration::from_secs_f64(boot * leader.policy.idle_boots);
         let rested = |id: &MachineId| {
@@ -262,8 +278,7 @@
             .machines
             .iter()
             .filter(|(id, machine)| {
-                machine.type_name == pool.0
-                    && machine.capacity_type == pool.1
+                pool.contains(&machine.type_name, machine.capacity_type)
                     && machine.state.takes_tasks()
                     && !demand.occupied.contains(*id)
                     && rested(id)
--- a/src/provisioning/tests.rs
+++ b/src/provisioning/tests.rs
@@ -152,11 +152,11 @@
                 let silent = silent(id, zones);
                 (
                     id.clone(),
-                    Health {
+                    MachineHealth {
                         seen: true,
                         silent,
                         usable: !silent,
-                        ..Health::default()
+                        ..MachineHealth::default()
                     },
                 )
             });
@@ -184,11 +184,11 @@
             let silent = silent(id, zones);
             (
                 id.clone(),
-                Health {
+                MachineHealth {
                     seen: true,
                     silent,
                     usable: !silent,
-                    ..Health::default()
+                    ..MachineHealth::default()
                 },
             )
         });
@@ -242,8 +242,8 @@
     };
     let name = instance_type().name;
     let machines = [
-        ((name.clone(), CapacityType::Spot), 1000.0),
-        ((name.clone(), CapacityType::OnDemand), 10.0),
+        (MachinePool::new(name.clone(), CapacityType::Spot), 1000.0),
+        (MachinePool::new(name.clone(), CapacityType::OnDemand), 10.0),
     ]
     .into();
     let demand = Demand {
@@ -262,7 +262,7 @@
             provisioner.mark_unavailable(now, &policy, &name, &pending_rental);
         }
         let worst = [CapacityType::OnDemand, CapacityType::Spot].map(|capacity_type| {
-            let pool = (name.clone(), capacity_type);
+            let pool = MachinePool::new(name.clone(), capacity_type);
             provisioner.shortage(
                 Round {
                     now,
--- a/src/scheduler/demand.rs
+++ b/src/scheduler/demand.rs
@@ -9,7 +9,7 @@
 use super::waiting::{Shape, Waiting};
 use crate::domain::{Job, Team, Zone};
 use crate::leader_context::LeaderContext;
-use crate::provisioning::{Demand, Pool};
+use crate::provisioning::{Demand, MachinePool};
 use crate::store::cache::OpenJob;
 use crate::store::{Machine, WatchCache};
 
@@ -21,14 +21,14 @@
 pub(super) struct Present {
     pub(super) usage: Usage,
     /// The demand of all work that is not opportunistic, in machines.
-    pub(super) guaranteed: BTreeMap<Pool, f64>,
+    pub(super) guaranteed: BTreeMap<MachinePool, f64>,
     pub(super) demand: Demand,
 }
 
 /// A task on an ordinary machine that could be on a spot machine, and its share of that machine.
 struct Misplaced<'v> {
     open: &'v OpenJob,
-    pool: Pool,
+    pool: MachinePool,
     share: f64,
 }
 
@@ -43,14 +43,14 @@
         self.usage.add(&open.job);
         let instance_type = leader.catalog.get(&machine.type_name)?;
         let share = 1.0 / f64::from(instance_type.room().count_of(&open.job.need).max(1));
-        let pool = (machine.type_name.clone(), machine.capacity_type);
+        let pool = MachinePool::new(machine.type_name.clone(), machine.capacity_type);
         if !is_opportunistic(leader.config, &open.job) {
             *self.guaranteed.entry(pool.clone()).or_default() += share;
         }
         if open.job.spot && !machine.capacity_type.is_spot() {
             return Some(Misplaced { open, pool, share });
         }
-        *self.demand.machines.entry(pool).or_default() += share;
+        self.demand.add(pool, share);
         None
     }
 }
@@ -59,7 +59,7 @@
     /// Counts all that is placed or released.
     pub(super) fn present(&self, stock: &Stock<'_>, cache: &WatchCache) -> Present {
         let mut present = Present::default();
-        present.demand.runs = self.runs.clone();
+        present.demand.run_times = self.run_times.clone();
         let mut misplaced = Vec::new();
         for live in cache.live_placements() {
             present.demand.occupied.insert(live.id.clone());
@@ -88,7 +88,7 @@
         for Misplaced { open, pool, share } in misplaced {
             let cheapest = stock.cheapest(&open.job, &present.demand, None, f64::INFINITY);
             let (pool, share) = cheapest.unwrap_or((pool, share));
-            *present.demand.machines.entry(pool).or_default() += share;
+            present.demand.add(pool, share);
         }
         present
     }
@@ -133,13 +133,11 @@
                 break;
             };
             usage.add_tasks(job, count as f64);
-            if let Some(zone) = &pinned {
-                *demand
-                    .pinned
-                    .entry((pool.clone(), zone.clone()))
-                    .or_default() += share * count as f64;
+            let machines = share * count as f64;
+            match &pinned {
+                Some(zone) => demand.add_pinned(pool, zone.clone(), machines),
+                None => demand.add(pool, machines),
             }
-            *demand.machines.entry(pool).or_default() += share * count as f64;
         }
     }
 }
--- a/src/scheduler/draining/replacement.rs
+++ b/src/scheduler/draining/replacement.rs
@@ -327,9 +327,8 @@
     let Some((pool, share)) = cheapest else {
         return;
     };
-    if let Some(zone) = pinned {
-        let demand = plan.demand.pinned.entry((pool.clone(), zone)).or_default();
-        *demand += share;
+    match pinned {
+        Some(zone) => plan.demand.add_pinned(pool, zone, share),
+        None => plan.demand.add(pool, share),
     }
-    *plan.demand.machines.entry(pool).or_default() += share;
 }
--- a/src/scheduler/mod.rs
+++ b/src/scheduler/mod.rs
@@ -32,7 +32,7 @@
 use crate::leader_context::LeaderContext;
 use crate::peer::{BlockStatus, MachineStatus};
 use crate::placement::Candidate;
-use crate::provisioning::{Demand, Health, Pool, Provisioner, Runs};
+use crate::provisioning::{Demand, MachineHealth, MachinePool, Provisioner, RunTimes};
 use crate::store::records::{JobRecord, LEADER, job_key, progress_key};
 use crate::store::{StoreRequest, StoreResponse, Transaction, WatchCache, Writer};
 use block_state::BlockState;
@@ -70,7 +70,7 @@
     placed: HashMap<u64, PlacedSince>,
     looks: u64,
     failures: Failures,
-    runs: BTreeMap<Pool, Runs>,
+    run_times: BTreeMap<MachinePool, RunTimes>,
     measured: Instant,
     /// Machines heard by another controller than their holder, and when.
     misrouted: HashMap<MachineId, Instant>,
@@ -123,8 +123,8 @@
         self.usage.add(job);
         self.kept.add(job);
         let each = f64::from(chosen.size.count_of(&job.need).max(1));
-        let pool = (chosen.type_name.clone(), chosen.capacity_type);
-        *self.demand.machines.entry(pool).or_default() += 1.0 / each;
+        let pool = MachinePool::new(chosen.type_name.clone(), chosen.capacity_type);
+        self.demand.add(pool, 1.0 / each);
         self.demand.occupied.insert(chosen.machine.clone());
     }
 }
@@ -143,7 +143,7 @@
             placed: HashMap::new(),
             looks: 0,
             failures: Failures::default(),
-            runs: BTreeMap::new(),
+            run_times: BTreeMap::new(),
             measured: now.monotonic,
             misrouted: HashMap::new(),
             draining: None,
@@ -196,7 +196,7 @@
         now: Now,
         cache: &WatchCache,
         isolated_holders: &BTreeSet<ControllerName>,
-    ) -> BTreeMap<MachineId, Health> {
+    ) -> BTreeMap<MachineId, MachineHealth> {
         let holder = |machine: &MachineId| {
             let block = cache.machines.get(machine).map(|machine| &machine.block)?;
             cache
@@ -206,7 +206,7 @@
         };
         self.machines(now)
             .map(|machine| {
-                let health = Health {
+                let health = MachineHealth {
                     seen: machine.seen,
                     silent: machine.silent,
                     faulty: self.failures.is_faulty(machine, cache),
@@ -273,8 +273,8 @@
                     });
                 seen.look = look;
             }
-            let pool = (live.machine.type_name.clone(), live.machine.capacity_type);
-            self.runs.entry(pool).or_default().time += passed * count;
+            let pool = MachinePool::new(live.machine.type_name.clone(), live.machine.capacity_type);
+            self.run_times.entry(pool).or_default().total += passed * count;
         }
         let mut gone = Vec::new();
         self.placed.retain(|number, seen| {
@@ -338,8 +338,11 @@
             if (done || open.is_none())
                 && let Some(machine) = cache.machines.get(&machine)
             {
-                self.runs
-                    .entry((machine.type_name.clone(), machine.capacity_type))
+                self.run_times
+                    .entry(MachinePool::new(
+                        machine.type_name.clone(),
+                        machine.capacity_type,
+                    ))
                     .or_default()
                     .ended += 1;
             }
@@ -463,8 +466,13 @@
             demand,
         } = self.present(&stock, cache);
         let candidates = self.candidates(now, cache, catalog, provisioner);
-        let opportunities =
-            Opportunities::new(leader, provisioner, &self.runs, &guaranteed, &candidates);
+        let opportunities = Opportunities::new(
+            leader,
+            provisioner,
+            &self.run_times,
+            &guaranteed,
+            &candidates,
+        );
         let mut plan = Plan {
             spaces: self.spaces(config, cache),
             kept: self.usage_after_stops(&usage, cache),
--- a/src/scheduler/opportunistic.rs
+++ b/src/scheduler/opportunistic.rs
@@ -11,7 +11,7 @@
 use crate::domain::{CapacityType, Job, MachineId, Priority};
 use crate::leader_context::LeaderContext;
 use crate::placement::Candidate;
-use crate::provisioning::{Pool, Provisioner, Runs, rule};
+use crate::provisioning::{MachinePool, Provisioner, RunTimes, rule};
 
 /// A job of which nothing has run for this long gets its first task wherever there is room.
 pub(super) const RESTRICTED_FOR: Duration = Duration::from_secs(45);
@@ -96,13 +96,13 @@
     pub(super) fn new(
         leader: &LeaderContext<'a>,
         provisioner: &Provisioner,
-        runs: &BTreeMap<Pool, Runs>,
-        guaranteed: &BTreeMap<Pool, f64>,
+        runs: &BTreeMap<MachinePool, RunTimes>,
+        guaranteed: &BTreeMap<MachinePool, f64>,
         candidates: &[Candidate],
     ) -> Self {
         let mut reserved = HashSet::new();
         for (pool, demand) in guaranteed {
-            let Some(instance_type) = leader.catalog.get(&pool.0) else {
+            let Some(instance_type) = leader.catalog.get(&pool.type_name) else {
                 continue;
             };
             let eta = provisioner.eta(instance_type, runs.get(pool));
@@ -129,12 +129,12 @@
 /// same ones from plan to plan.
 fn emptiest(
     candidates: &[Candidate],
-    pool: &Pool,
+    pool: &MachinePool,
     count: usize,
 ) -> impl Iterator<Item = MachineId> {
     let of_pool = candidates
         .iter()
-        .filter(|candidate| (&candidate.type_name, candidate.capacity_type) == (&pool.0, pool.1));
+        .filter(|candidate| pool.contains(&candidate.type_name, candidate.capacity_type));
     let mut by_room: Vec<(Reverse<u64>, &MachineId)> = of_pool
         .map(|candidate| {
             // In thousandths, to compare as equal what is.
--- a/src/scheduler/opportunistic/tests.rs
+++ b/src/scheduler/opportunistic/tests.rs
@@ -150,7 +150,7 @@
         .map(|n| candidate(&format!("m-{n:02}"), CapacityType::Spot, f64::from(n % 16)))
         .collect();
     let reserved = |demand: f64| {
-        let pool = (instance_type().name, CapacityType::Spot);
+        let pool = MachinePool::new(instance_type().name, CapacityType::Spot);
         let now = Now::read();
         let provisioner = Provisioner::new(now, Term(1));
         let guaranteed = BTreeMap::from([(pool, demand)]);
--- a/src/scheduler/stock.rs
+++ b/src/scheduler/stock.rs
@@ -6,7 +6,7 @@
 use super::waiting::{Waiting, zone_open};
 use crate::domain::{CapacityType, Job, Now, Zone};
 use crate::leader_context::LeaderContext;
-use crate::provisioning::{Demand, Pool, Provisioner};
+use crate::provisioning::{Demand, MachinePool, Provisioner};
 
 /// Whether a pool has run out, what a task costs there, and what a machine does.
 pub(super) type Cost = (bool, f64, f64);
@@ -17,7 +17,7 @@
     pub(super) leader: &'a LeaderContext<'a>,
     pub(super) provisioner: &'a Provisioner,
     /// Machines of each pool, those on order included.
-    pub(super) machines: BTreeMap<Pool, u32>,
+    pub(super) machines: BTreeMap<MachinePool, u32>,
 }
 
 impl Stock<'_> {
@@ -73,8 +73,8 @@
         demand: &Demand,
         pinned: Option<&Zone>,
         price_limit: f64,
-    ) -> Option<(Pool, f64)> {
-        let mut best: Option<(Cost, (Pool, f64))> = None;
+    ) -> Option<(MachinePool, f64)> {
+        let mut best: Option<(Cost, (MachinePool, f64))> = None;
         for instance_type in self
             .leader
             .catalog
@@ -90,9 +90,9 @@
                 .into_iter()
                 .filter(|capacity_type| job.allows_capacity_type(*capacity_type))
             {
-                let pool = (instance_type.name.clone(), capacity_type);
-                let room = f64::from(self.machines.get(&pool).copied().unwrap_or(0))
-                    - demand.machines.get(&pool).copied().unwrap_or(0.0);
+                let pool = MachinePool::new(instance_type.name.clone(), capacity_type);
+                let room =
+                    f64::from(self.machines.get(&pool).copied().unwrap_or(0)) - demand.of(&pool);
                 let available = |zone: &Zone| {
                     pinned.map_or(job.allows_zone(zone), |only| only == zone)
                         && self.provisioner.available(
