--- a/src/provisioning/edits.rs
+++ b/src/provisioning/inventory_edits.rs
@@ -12,8 +12,8 @@
 use crate::store::{Transaction, WatchCache};
 
 /// Changes to inventories, gathered so that each value is written once.
-pub(super) struct Edits<'v> {
-    pub(super) cache: &'v WatchCache,
+pub(super) struct InventoryEdits<'a> {
+    pub(super) cache: &'a WatchCache,
     inventories: BTreeMap<(BlockId, Part), MachineInventory>,
     /// Values that one transaction may change.
     pub(super) most: usize,
@@ -34,8 +34,8 @@
 pub(super) const ENOUGH_SEEN: usize = 10;
 pub(super) const TASKS_SPARE: f64 = 1.25;
 
-impl<'v> Edits<'v> {
-    pub(super) fn new(leader: &LeaderContext<'_>, cache: &'v WatchCache, demand: &Demand) -> Self {
+impl<'a> InventoryEdits<'a> {
+    pub(super) fn new(leader: &LeaderContext<'_>, cache: &'a WatchCache, demand: &Demand) -> Self {
         let LeaderContext {
             config,
             policy,
@@ -66,7 +66,7 @@
                 )
             })
             .collect();
-        let mut edits = Edits {
+        let mut edits = InventoryEdits {
             cache,
             inventories: BTreeMap::new(),
             part_bytes: (cache.format() >= PARTS_FORMAT).then_some(config.state_limits.value_bytes),
--- a/src/provisioning/mod.rs
+++ b/src/provisioning/mod.rs
@@ -6,9 +6,9 @@
 
 mod boot_times;
 mod demand;
-mod edits;
-mod round;
-pub mod rule;
+mod inventory_edits;
+mod scaling_round;
+pub mod square_root_rule;
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::time::{Duration, Instant};
@@ -36,8 +36,8 @@
 use crate::workers::wire::Heartbeat;
 use boot_times::BootTimes;
 pub use demand::{Demand, MachineHealth, MachinePool, RunTimes, ZonedPool};
-use edits::{Edits, too_large};
-use round::Round;
+use inventory_edits::{InventoryEdits, too_large};
+use scaling_round::Round;
 
 #[derive(Debug)]
 pub struct Provisioner {
@@ -663,7 +663,7 @@
                 .is_some_and(|o| o.version == *version)
         });
         let (name, (pending_rental, version, machines)) = self.rented.iter().next()?;
-        let mut edits = Edits::new(leader, cache, demand);
+        let mut edits = InventoryEdits::new(leader, cache, demand);
         for machine in machines
             .iter()
             .filter(|machine| !cache.machines.contains_key(*machine))
@@ -711,7 +711,7 @@
         if lost.is_empty() && empty.iter().all(|id| waits(id)) {
             return None;
         }
-        let mut edits = Edits::new(leader, cache, demand);
+        let mut edits = InventoryEdits::new(leader, cache, demand);
         edits.most = leader.batch;
         for machine in lost.into_iter().chain(empty) {
             edits.change(machine, |inventory| {
@@ -745,7 +745,7 @@
         if take.is_empty() {
             return None;
         }
-        let mut edits = Edits::new(leader, cache, demand);
+        let mut edits = InventoryEdits::new(leader, cache, demand);
         edits.most = leader.batch;
         for listed in take {
             let entry = InventoryEntry {
@@ -780,7 +780,7 @@
         if self.desired_states.is_empty() || cache.format() < DRAIN_FORMAT {
             return None;
         }
-        let mut edits = Edits::new(leader, cache, demand);
+        let mut edits = InventoryEdits::new(leader, cache, demand);
         edits.most = leader.batch;
         for (id, state) in &self.desired_states {
             let occupied = demand.occupied.contains(id);
@@ -867,7 +867,7 @@
     {
         return None;
     }
-    let mut edits = Edits::new(leader, cache, demand);
+    let mut edits = InventoryEdits::new(leader, cache, demand);
     let division = edits.divide()?;
     info!(block = %division.block, "a value is too large: divided");
     let mut txn = edits.apply(txn.clone());
--- a/src/provisioning/round.rs
+++ b/src/provisioning/scaling_round.rs
@@ -6,8 +6,10 @@
 
 use tracing::{debug, info};
 
-use super::edits::Edits;
-use super::{ASK_AGAIN, Demand, MOST_RENTED, MachinePool, Provisioner, RunTimes, ZonedPool, rule};
+use super::inventory_edits::InventoryEdits;
+use super::{
+    ASK_AGAIN, Demand, MOST_RENTED, MachinePool, Provisioner, RunTimes, ZonedPool, square_root_rule,
+};
 use crate::cloud::wire::InstanceType;
 use crate::domain::{BlockId, CapacityType, MachineId, Now, Zone, since};
 use crate::leader_context::LeaderContext;
@@ -65,7 +67,7 @@
         }
         self.round = Some(now.monotonic);
         let machines = self.machines(cache);
-        let mut edits = Edits::new(leader, cache, demand);
+        let mut edits = InventoryEdits::new(leader, cache, demand);
         // One change for each type's order, the rest for the blocks of machines that are returned.
         edits.most = leader
             .batch
@@ -101,7 +103,7 @@
         round: Round<'_>,
         pool: &MachinePool,
         available: u32,
-        edits: &mut Edits<'_>,
+        edits: &mut InventoryEdits<'_>,
     ) {
         let (change, needed) = self.change(round, pool, available);
         let Ok(surplus) = usize::try_from(-change) else {
@@ -130,7 +132,7 @@
                 self.eta(instance_type, demand.run_times.get(pool))
             });
         (
-            rule::change(needed, available, eta, leader.policy.headroom),
+            square_root_rule::machines_to_add(needed, available, eta, leader.policy.headroom),
             needed,
         )
     }
--- /dev/null
+++ b/src/provisioning/square_root_rule.rs
@@ -0,0 +1,38 @@
+//! The scale-out rule: the demand for machines, and a margin that grows with its square root.
+//!
+//! Pure functions of numbers. The provisioner applies them to each pool in each of its rounds; the scheduler asks for
+//! the margin alone, to keep that many machines free of best-effort work.
+//!
+//! The source is the square-root staffing rule of the paper that the design rests on, its formula (12):
+//! `n + e * sqrt(n)` machines for a demand of `n`, with `e` at least `2 * sqrt(eta / (1 + eta))`, where `eta` is a
+//! machine's boot time over the mean run time of a task.
+
+/// Differences smaller than this are rounding errors: the shares of many small tasks add up to a whole machine only
+/// nearly.
+const ROUNDING: f64 = 1e-9;
+
+/// How many machines to rent (positive) or to return (negative), in machines: `ceil(n + e * sqrt(n) - m)`, or the
+/// negative of `ceil(m - n - e * sqrt(n))`.
+///
+/// `demand` is `n` in machines, `machines` is `m`: those there and those on order. `factor` multiplies the margin; less
+/// than 1, the least that the rule's source allows, counts as 1.
+#[must_use]
+pub fn machines_to_add(demand: f64, machines: u32, eta: f64, factor: f64) -> i64 {
+    let margin = headroom(demand, eta) * factor.max(1.0);
+    let short = demand + margin - f64::from(machines);
+    let ceil = |value: f64| (value - ROUNDING).ceil() as i64;
+    if short > ROUNDING {
+        ceil(short)
+    } else {
+        -ceil(-short)
+    }
+}
+
+/// The least margin over a demand, in machines: `e * sqrt(n)` with `e = 2 * sqrt(eta / (1 + eta))`.
+#[must_use]
+pub fn headroom(demand: f64, eta: f64) -> f64 {
+    2.0 * (eta / (1.0 + eta)).sqrt() * demand.max(0.0).sqrt()
+}
+
+#[cfg(test)]
+mod tests;
--- a/src/provisioning/tests.rs
+++ b/src/provisioning/tests.rs
@@ -275,7 +275,7 @@
                 0,
             )
         });
-        round::Shortage::worst(worst).map(|shortage| shortage.capacity_type)
+        scaling_round::Shortage::worst(worst).map(|shortage| shortage.capacity_type)
     };
     assert_eq!(ordered(false), Some(CapacityType::Spot));
     assert_eq!(ordered(true), Some(CapacityType::OnDemand));
--- a/src/scheduler/opportunistic.rs
+++ b/src/scheduler/opportunistic.rs
@@ -11,7 +11,7 @@
 use crate::domain::{CapacityType, Job, MachineId, Priority};
 use crate::leader_context::LeaderContext;
 use crate::placement::Candidate;
-use crate::provisioning::{MachinePool, Provisioner, RunTimes, rule};
+use crate::provisioning::{MachinePool, Provisioner, RunTimes, square_root_rule};
 
 /// A job of which nothing has run for this long gets its first task wherever there is room.
 pub(super) const RESTRICTED_FOR: Duration = Duration::from_secs(45);
@@ -106,7 +106,7 @@
                 continue;
             };
             let eta = provisioner.eta(instance_type, runs.get(pool));
-            let margin = rule::headroom(*demand, eta) * leader.policy.headroom;
+            let margin = square_root_rule::headroom(*demand, eta) * leader.policy.headroom;
             reserved.extend(emptiest(candidates, pool, (margin - 1e-9).ceil() as usize));
         }
         Opportunities {
