--- a/src/cancellation/tests.rs
+++ b/src/cancellation/tests.rs
@@ -149,11 +149,13 @@
                     proven
                 });
         match call {
-            Some((Tag::DeleteCancelled, CloudRequest::Delete(names))) => names
-                .machines
-                .iter()
-                .map(|machine| machine.0.to_string())
-                .collect(),
+            Some((CloudRequestPurpose::TerminateForCancellation, CloudRequest::Delete(names))) => {
+                names
+                    .machines
+                    .iter()
+                    .map(|machine| machine.0.to_string())
+                    .collect()
+            }
             None => Vec::new(),
             other => panic!("{other:?}"),
         }
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -88,7 +88,7 @@
         outcome: CommandOutcome,
     },
     CloudResponse {
-        tag: provisioning::Tag,
+        tag: provisioning::CloudRequestPurpose,
         outcome: CloudResponse,
     },
     Peer(Message),
@@ -107,7 +107,7 @@
         until: Option<Instant>,
     },
     Cloud {
-        tag: provisioning::Tag,
+        tag: provisioning::CloudRequestPurpose,
         call: CloudRequest,
         until: Option<Instant>,
     },
@@ -388,7 +388,9 @@
                 if !self.cache.machines.contains_key(&heartbeat.machine)
                     && let Some(leader_state) = &mut self.leader_state
                 {
-                    leader_state.provisioner.unexpected(now, &heartbeat);
+                    leader_state
+                        .provisioner
+                        .observe_unrecorded_machine(now, &heartbeat);
                 }
                 let answer = self.worker_fleet.heartbeat(
                     now,
@@ -535,10 +537,15 @@
         }
     }
 
-    fn cloud_responded(&mut self, now: Now, tag: provisioning::Tag, outcome: CloudResponse) {
-        if tag == provisioning::Tag::DeleteCancelled {
+    fn cloud_responded(
+        &mut self,
+        now: Now,
+        tag: provisioning::CloudRequestPurpose,
+        outcome: CloudResponse,
+    ) {
+        if tag == provisioning::CloudRequestPurpose::TerminateForCancellation {
             self.cancellations.cloud_responded(now, &outcome);
-        } else if tag == provisioning::Tag::InstanceCatalog {
+        } else if tag == provisioning::CloudRequestPurpose::RefreshCatalog {
             self.catalog.answered(match outcome {
                 CloudResponse::InstanceTypes(list) => Some(list),
                 _ => None,
@@ -582,7 +589,7 @@
                             .require_token_renewal(&block.block, block.token);
                     }
                     if let Some(leader_state) = &mut self.leader_state {
-                        leader_state.scheduler.status(now, block);
+                        leader_state.scheduler.observe_block_status(now, block);
                         self.stale_plan = true;
                     }
                 }
@@ -648,7 +655,7 @@
         self.adopt_record_format(now);
         if self.catalog.due(now) {
             effects.push(Effect::Cloud {
-                tag: provisioning::Tag::InstanceCatalog,
+                tag: provisioning::CloudRequestPurpose::RefreshCatalog,
                 call: CloudRequest::ListInstanceTypes,
                 until: None,
             });
@@ -842,12 +849,12 @@
             if let Some(draining) = leader_state.scheduler.draining() {
                 draining.summary(&self.cache, gauges);
             }
-            for (team, count) in &leader_state.scheduler.waiting {
+            for (team, count) in &leader_state.scheduler.pending_tasks {
                 gauges.insert(format!("waiting{{team=\"{team}\"}}"), *count as f64);
             }
             gauges.insert("jobs_open".to_owned(), self.cache.open.len() as f64);
             gauges.insert("jobs_ended".to_owned(), self.cache.ended.len() as f64);
-            let waiting: u64 = leader_state.scheduler.waiting.values().sum();
+            let waiting: u64 = leader_state.scheduler.pending_tasks.values().sum();
             info!(
                 open = self.cache.open.len(),
                 ended = self.cache.ended.len(),
@@ -856,13 +863,16 @@
             );
         }
         self.stale_plan = false;
-        let unreaching = leader_state
-            .scheduler
-            .unreaching(now, &self.config, &self.cache);
-        for holder in &unreaching {
+        let isolated_holders =
+            leader_state
+                .scheduler
+                .isolated_holders(now, &self.config, &self.cache);
+        for holder in &isolated_holders {
             self.block_lease_manager.suspend_holder(now, holder);
         }
-        let health = leader_state.scheduler.health(now, &self.cache, &unreaching);
+        let health = leader_state
+            .scheduler
+            .machine_health(now, &self.cache, &isolated_holders);
         let settled = |block: &BlockId, attempt: &Attempt| {
             let heard = || {
                 let lease = self.cache.block_leases.get(block);
@@ -881,16 +891,17 @@
             &self.heard_zones,
             settled,
         );
-        leader_state.provisioner.note_drains(&self.cache);
+        leader_state.provisioner.observe_drains(&self.cache);
         leader_state.demand =
             leader_state
                 .scheduler
                 .plan(now, &lead, &self.cache, &leader_state.provisioner);
-        for (tag, call) in
-            leader_state
-                .provisioner
-                .calls(now, &self.config, &self.cache, &leader_state.demand)
-        {
+        for (tag, call) in leader_state.provisioner.cloud_requests(
+            now,
+            &self.config,
+            &self.cache,
+            &leader_state.demand,
+        ) {
             effects.push(Effect::Cloud {
                 tag,
                 call,
@@ -900,7 +911,7 @@
         if let Some(draining) = leader_state.scheduler.draining() {
             leader_state
                 .provisioner
-                .want_states(draining.machine_states());
+                .set_desired_states(draining.machine_states());
         }
         let op = leader_state
             .scheduler
@@ -912,10 +923,11 @@
             .provisioner
             .write(now, &lead, &mut self.cache, &leader_state.demand);
         ops.extend(op.map(|op| (WritePriority::Placement, StoreTag::Provisioning(term), op)));
-        let messages =
-            leader_state
-                .scheduler
-                .messages(now, &self.cache, leader_state.provisioner.addresses());
+        let messages = leader_state.scheduler.assignment_updates(
+            now,
+            &self.cache,
+            leader_state.provisioner.addresses(),
+        );
         for (urgency, tag, op) in ops {
             self.ask(urgency, tag, op);
         }
--- a/src/provisioning/mod.rs
+++ b/src/provisioning/mod.rs
@@ -5,11 +5,12 @@
 //! machine that is being returned and has no tasks is (again) deleted.
 
 mod boot_times;
-mod edits;
-mod round;
-pub mod rule;
+mod demand;
+mod inventory_edits;
+mod scaling_round;
+pub mod square_root_rule;
 
-use std::collections::{BTreeMap, BTreeSet, HashMap, HashSet};
+use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::time::{Duration, Instant};
 
 use dappleshore_drain::Scope;
@@ -22,8 +23,8 @@
 use crate::cloud::{CloudRequest, CloudResponse, InstanceCatalog};
 use crate::config::Config;
 use crate::domain::{
-    Amount, Attempt, BlockId, CapacityType, InstanceTypeName, MachineId, Now, Resources, TaskId,
-    Term, Zone, since,
+    Amount, Attempt, BlockId, CapacityType, InstanceTypeName, MachineId, Now, TaskId, Term, Zone,
+    since,
 };
 use crate::leader_context::LeaderContext;
 use crate::policy::Policy;
@@ -34,45 +35,9 @@
 use crate::store::{StoreRequest, StoreResponse, Transaction, WatchCache, Writer};
 use crate::workers::wire::Heartbeat;
 use boot_times::BootTimes;
-use edits::{Edits, too_large};
-use round::Round;
-
-/// Machines that are rented, priced and run out alike: to the rule, a type.
-pub type Pool = (InstanceTypeName, CapacityType);
-
-/// How long tasks have run in a pool, and how many of them have ended: time over ends is their mean run time,
-/// those that still run included.
-#[derive(Debug, Clone, Copy, Default)]
-pub struct Runs {
-    pub time: Duration,
-    pub ended: u32,
-}
-
-/// What the leader's other slices tell about demand.
-#[derive(Debug, Default)]
-pub struct Demand {
-    /// Room taken and asked for, in machines.
-    pub machines: BTreeMap<Pool, f64>,
-    /// The part of it that waits and must be in that zone.
-    pub pinned: BTreeMap<(Pool, Zone), f64>,
-    /// Machines that have tasks on them or on their way.
-    pub occupied: HashSet<MachineId>,
-    pub runs: BTreeMap<Pool, Runs>,
-    /// The least that any open job's task takes.
-    pub smallest: Option<Resources>,
-}
-
-/// What the holders tell about a machine.
-#[derive(Debug, Clone, Copy, Default)]
-pub struct Health {
-    pub seen: bool,
-    pub silent: bool,
-    pub faulty: bool,
-    /// Heard lately, and fit for new tasks.
-    pub usable: bool,
-    /// Its holder hears hardly any of its machines, but others hear this one: it is the holder that is cut off.
-    pub heard_elsewhere: bool,
-}
+pub use demand::{Demand, MachineHealth, MachinePool, RunTimes, ZonedPool};
+use inventory_edits::{InventoryEdits, too_large};
+use scaling_round::Round;
 
 #[derive(Debug)]
 pub struct Provisioner {
@@ -93,14 +58,14 @@
     deleted: BTreeSet<MachineId>,
     /// Deleted machines, for the list shows them a while longer.
     recently_deleted: HashMap<MachineId, Instant>,
-    lost: BTreeSet<MachineId>,
+    failed: BTreeSet<MachineId>,
     /// Since when machines of a zone that may be cut off have been silent.
     silent: BTreeMap<MachineId, Instant>,
     /// Since when machines have had no tasks.
     idle: BTreeMap<MachineId, Instant>,
     up: BTreeSet<MachineId>,
     /// What operators want of machines that are in another state.
-    wanted_states: BTreeMap<MachineId, MachineState>,
+    desired_states: BTreeMap<MachineId, MachineState>,
     /// What operators empty: nothing is rented there.
     closed: Vec<Scope>,
     unexpected: BTreeMap<MachineId, (ListedMachine, Instant)>,
@@ -140,7 +105,7 @@
 
 /// Zones that are more likely cut off than dead: most of their machines have fallen silent, while those of another
 /// zone have not. Their tasks run on, and giving the machines up would end them.
-fn cut_off(cache: &WatchCache, health: &BTreeMap<MachineId, Health>) -> BTreeSet<Zone> {
+fn cut_off(cache: &WatchCache, health: &BTreeMap<MachineId, MachineHealth>) -> BTreeSet<Zone> {
     let mut zones: BTreeMap<&Zone, (usize, usize)> = BTreeMap::new();
     for (id, machine) in &cache.machines {
         if let Some(health) = health.get(id) {
@@ -160,17 +125,17 @@
 }
 
 #[derive(Debug, Clone, PartialEq)]
-pub enum Tag {
-    InstanceCatalog,
-    Rent {
+pub enum CloudRequestPurpose {
+    RefreshCatalog,
+    ScaleOut {
         type_name: InstanceTypeName,
         pending_rental: PendingRental,
         version: u64,
     },
-    Delete(Vec<MachineId>),
+    Terminate(Vec<MachineId>),
     /// Of machines that must be rid of cancelled tasks, by whichever controller.
-    DeleteCancelled,
-    List,
+    TerminateForCancellation,
+    ListMachines,
 }
 
 impl Provisioner {
@@ -192,11 +157,11 @@
             delete_retry: None,
             deleted: BTreeSet::new(),
             recently_deleted: HashMap::new(),
-            lost: BTreeSet::new(),
+            failed: BTreeSet::new(),
             silent: BTreeMap::new(),
             idle: BTreeMap::new(),
             up: BTreeSet::new(),
-            wanted_states: BTreeMap::new(),
+            desired_states: BTreeMap::new(),
             closed: Vec::new(),
             unexpected: BTreeMap::new(),
             list_busy: false,
@@ -239,18 +204,18 @@
     }
 
     /// Takes in what operators empty.
-    pub fn note_drains(&mut self, cache: &WatchCache) {
+    pub fn observe_drains(&mut self, cache: &WatchCache) {
         let holding = cache.drains.values().filter(|record| record.value.holds());
         self.closed = holding.map(|record| record.value.scope.clone()).collect();
     }
 
     /// Takes in what is to become of machines.
-    pub fn want_states(&mut self, states: BTreeMap<MachineId, MachineState>) {
-        self.wanted_states = states;
+    pub fn set_desired_states(&mut self, states: BTreeMap<MachineId, MachineState>) {
+        self.desired_states = states;
     }
 
-    pub fn is_lost(&self, machine: &MachineId) -> bool {
-        self.lost.contains(machine)
+    pub fn is_failed(&self, machine: &MachineId) -> bool {
+        self.failed.contains(machine)
     }
 
     pub fn addresses(&self) -> &HashMap<MachineId, String> {
@@ -259,7 +224,7 @@
 
     /// A worker reports whose machine nobody has recorded: a rental request executed late, or a machine that
     /// was there before us.
-    pub fn unexpected(&mut self, now: Now, heartbeat: &Heartbeat) {
+    pub fn observe_unrecorded_machine(&mut self, now: Now, heartbeat: &Heartbeat) {
         let listed = ListedMachine {
             id: heartbeat.machine.clone(),
             addr: Some(heartbeat.addr.clone()),
@@ -282,7 +247,7 @@
         now: Now,
         leader: &LeaderContext<'_>,
         cache: &WatchCache,
-        health: &BTreeMap<MachineId, Health>,
+        health: &BTreeMap<MachineId, MachineHealth>,
         heard: &BTreeSet<Zone>,
         settled: impl Fn(&BlockId, &Attempt) -> bool,
     ) {
@@ -304,7 +269,7 @@
             .saturating_sub(policy.silent_after);
         self.silent
             .retain(|machine, _| health.get(machine).is_some_and(|health| health.silent));
-        self.lost
+        self.failed
             .retain(|machine| cache.machines.contains_key(machine));
         self.addresses
             .retain(|machine, _| cache.machines.contains_key(machine));
@@ -336,7 +301,7 @@
                 let since_when = *self.silent.entry(id.clone()).or_insert(now.monotonic);
                 silent = since(now, since_when) >= patience;
             }
-            if (silent || health.faulty) && self.lost.insert(id.clone()) {
+            if (silent || health.faulty) && self.failed.insert(id.clone()) {
                 warn!(machine = %id, silent, faulty = health.faulty, known_up, "machine given up");
             }
         }
@@ -349,12 +314,12 @@
         now: Now,
         catalog: &InstanceCatalog,
         cache: &WatchCache,
-        health: &BTreeMap<MachineId, Health>,
+        health: &BTreeMap<MachineId, MachineHealth>,
     ) {
         self.note_up(now, cache, health);
         let mut booting: BTreeMap<&InstanceTypeName, Vec<(&MachineId, Duration)>> = BTreeMap::new();
         for (id, rented) in &self.booting {
-            if let Some(machine) = cache.machines.get(id).filter(|_| !self.lost.contains(id)) {
+            if let Some(machine) = cache.machines.get(id).filter(|_| !self.failed.contains(id)) {
                 booting
                     .entry(&machine.type_name)
                     .or_default()
@@ -378,7 +343,12 @@
     }
 
     /// Takes in which machines are up.
-    fn note_up(&mut self, now: Now, cache: &WatchCache, health: &BTreeMap<MachineId, Health>) {
+    fn note_up(
+        &mut self,
+        now: Now,
+        cache: &WatchCache,
+        health: &BTreeMap<MachineId, MachineHealth>,
+    ) {
         let recorded_soon = |rented: Instant| since(now, rented) < FORGET_BOOT_AFTER;
         self.booting
             .retain(|id, rented| cache.machines.contains_key(id) || recorded_soon(*rented));
@@ -426,7 +396,7 @@
                 };
                 let left = cache.machines.contains_key(&placement.machine)
                     && !settled(&placement.block, &attempt);
-                if left && self.lost.insert(placement.machine.clone()) {
+                if left && self.failed.insert(placement.machine.clone()) {
                     warn!(machine = %placement.machine, job = %id, "machine given up: its cancelled task must be gone");
                 }
             }
@@ -445,13 +415,13 @@
     }
 
     /// Calls that follow from the records.
-    pub fn calls(
+    pub fn cloud_requests(
         &mut self,
         now: Now,
         config: &Config,
         cache: &WatchCache,
         demand: &Demand,
-    ) -> Vec<(Tag, CloudRequest)> {
+    ) -> Vec<(CloudRequestPurpose, CloudRequest)> {
         let mut calls = Vec::new();
         if !cache.covers(self.term_since) {
             return calls;
@@ -474,12 +444,12 @@
                 spot: pending_rental.value.capacity_type.is_spot(),
                 count: pending_rental.value.count,
             };
-            let tag = Tag::Rent {
+            let purpose = CloudRequestPurpose::ScaleOut {
                 type_name: type_name.clone(),
                 pending_rental: pending_rental.value,
                 version: pending_rental.version,
             };
-            calls.push((tag, CloudRequest::Rent(request)));
+            calls.push((purpose, CloudRequest::Rent(request)));
         }
         if self.deleting.is_none() && self.delete_retry.is_none_or(|at| now.monotonic >= at) {
             let due: Vec<MachineId> = cache
@@ -487,7 +457,7 @@
                 .iter()
                 .filter(|(id, _)| !self.deleted.contains(*id))
                 .filter(|(id, machine)| {
-                    self.lost.contains(*id)
+                    self.failed.contains(*id)
                         || (machine.state == MachineState::Returning
                             && !demand.occupied.contains(*id))
                 })
@@ -497,7 +467,7 @@
             if !due.is_empty() && self.pass(now, config.cloud_rps) {
                 self.deleting = Some(due.clone());
                 calls.push((
-                    Tag::Delete(due.clone()),
+                    CloudRequestPurpose::Terminate(due.clone()),
                     CloudRequest::Delete(MachineNames { machines: due }),
                 ));
             }
@@ -508,7 +478,7 @@
             self.list_busy = true;
             self.listed = Some(now.monotonic);
             calls.push((
-                Tag::List,
+                CloudRequestPurpose::ListMachines,
                 CloudRequest::List {
                     after: self.list_after.clone(),
                 },
@@ -523,20 +493,20 @@
         policy: &Policy,
         config: &Config,
         cache: &WatchCache,
-        tag: Tag,
-        outcome: CloudResponse,
+        purpose: CloudRequestPurpose,
+        response: CloudResponse,
     ) {
-        match (tag, outcome) {
+        match (purpose, response) {
             (
-                Tag::Rent {
+                CloudRequestPurpose::ScaleOut {
                     type_name,
                     pending_rental,
                     version,
                 },
-                outcome,
+                response,
             ) => {
                 self.renting.remove(&type_name);
-                match outcome {
+                match response {
                     CloudResponse::Rented(names) => {
                         let got = names.machines.len();
                         info!(%type_name, zone = %pending_rental.zone, capacity_type = ?pending_rental.capacity_type, wanted = pending_rental.count, got, "rented");
@@ -563,18 +533,18 @@
                     }
                 }
             }
-            (Tag::Delete(machines), CloudResponse::Deleted) => {
+            (CloudRequestPurpose::Terminate(machines), CloudResponse::Deleted) => {
                 self.deleting = None;
                 for machine in machines {
                     self.recently_deleted.insert(machine.clone(), now.monotonic);
                     self.deleted.insert(machine);
                 }
             }
-            (Tag::Delete(_), _) => {
+            (CloudRequestPurpose::Terminate(_), _) => {
                 self.deleting = None;
                 self.delete_retry = Some(now.monotonic + RETRY);
             }
-            (Tag::List, CloudResponse::Listed(list)) => {
+            (CloudRequestPurpose::ListMachines, CloudResponse::Listed(list)) => {
                 self.list_busy = false;
                 self.list_after = if list.more {
                     list.machines.last().map(|m| m.id.clone())
@@ -583,9 +553,12 @@
                 };
                 self.take_list(now, config, cache, list);
             }
-            (Tag::List, _) => self.list_busy = false,
+            (CloudRequestPurpose::ListMachines, _) => self.list_busy = false,
             // Not the leader's own.
-            (Tag::InstanceCatalog | Tag::DeleteCancelled, _) => {}
+            (
+                CloudRequestPurpose::RefreshCatalog | CloudRequestPurpose::TerminateForCancellation,
+                _,
+            ) => {}
         }
     }
 
@@ -613,7 +586,7 @@
                         .entry(listed.id.clone())
                         .or_insert_with(|| addr.clone());
                 }
-                if listed.state == ListedState::Failed && self.lost.insert(listed.id.clone()) {
+                if listed.state == ListedState::Failed && self.failed.insert(listed.id.clone()) {
                     info!(machine = %listed.id, "machine listed as failed");
                 }
             } else if !self.recently_deleted.contains_key(&listed.id)
@@ -690,7 +663,7 @@
                 .is_some_and(|o| o.version == *version)
         });
         let (name, (pending_rental, version, machines)) = self.rented.iter().next()?;
-        let mut edits = Edits::new(leader, cache, demand);
+        let mut edits = InventoryEdits::new(leader, cache, demand);
         for machine in machines
             .iter()
             .filter(|machine| !cache.machines.contains_key(*machine))
@@ -738,7 +711,7 @@
         if lost.is_empty() && empty.iter().all(|id| waits(id)) {
             return None;
         }
-        let mut edits = Edits::new(leader, cache, demand);
+        let mut edits = InventoryEdits::new(leader, cache, demand);
         edits.most = leader.batch;
         for machine in lost.into_iter().chain(empty) {
             edits.change(machine, |inventory| {
@@ -772,7 +745,7 @@
         if take.is_empty() {
             return None;
         }
-        let mut edits = Edits::new(leader, cache, demand);
+        let mut edits = InventoryEdits::new(leader, cache, demand);
         edits.most = leader.batch;
         for listed in take {
             let entry = InventoryEntry {
@@ -803,13 +776,13 @@
             let machine = cache.machines.get(id);
             machine.is_some_and(|machine| machine.state != state)
         };
-        self.wanted_states.retain(|id, state| differs(id, *state));
-        if self.wanted_states.is_empty() || cache.format() < DRAIN_FORMAT {
+        self.desired_states.retain(|id, state| differs(id, *state));
+        if self.desired_states.is_empty() || cache.format() < DRAIN_FORMAT {
             return None;
         }
-        let mut edits = Edits::new(leader, cache, demand);
+        let mut edits = InventoryEdits::new(leader, cache, demand);
         edits.most = leader.batch;
-        for (id, state) in &self.wanted_states {
+        for (id, state) in &self.desired_states {
             let occupied = demand.occupied.contains(id);
             if *state == MachineState::Returning && occupied {
                 continue;
@@ -833,7 +806,7 @@
                 cache
                     .machines
                     .get(id)
-                    .is_some_and(|m| (&m.type_name, m.capacity_type) == (&pool.0, pool.1))
+                    .is_some_and(|m| pool.contains(&m.type_name, m.capacity_type))
             };
             let up = self.up.iter().filter(|id| of_pool(id)).count();
             let idle = self
@@ -846,8 +819,8 @@
                 .iter()
                 .filter(|(id, m)| m.state == MachineState::Returning && of_pool(id))
                 .count();
-            let demand = demand.machines.get(&pool).copied().unwrap_or(0.0);
-            info!(type_name = %pool.0, capacity_type = ?pool.1, machines, up, idle, returning, demand, "pool");
+            let demand = demand.of(&pool);
+            info!(type_name = %pool.type_name, capacity_type = ?pool.capacity_type, machines, up, idle, returning, demand, "pool");
             for (state, count) in [
                 ("all", f64::from(machines)),
                 ("up", up as f64),
@@ -856,7 +829,7 @@
                 gauges.insert(
                     format!(
                         "machines{{type=\"{}\",capacity_type=\"{:?}\",state=\"{state}\"}}",
-                        pool.0, pool.1
+                        pool.type_name, pool.capacity_type
                     ),
                     count,
                 );
@@ -865,12 +838,15 @@
     }
 
     /// Machines of each pool, up or on order, without those that are late.
-    pub fn machines(&self, cache: &WatchCache) -> BTreeMap<Pool, u32> {
+    pub fn machines(&self, cache: &WatchCache) -> BTreeMap<MachinePool, u32> {
         let mut count = BTreeMap::new();
         for (id, machine) in &cache.machines {
-            if machine.state.takes_tasks() && !self.lost.contains(id) && !self.late.contains(id) {
+            if machine.state.takes_tasks() && !self.failed.contains(id) && !self.late.contains(id) {
                 *count
-                    .entry((machine.type_name.clone(), machine.capacity_type))
+                    .entry(MachinePool::new(
+                        machine.type_name.clone(),
+                        machine.capacity_type,
+                    ))
                     .or_default() += 1;
             }
         }
@@ -891,7 +867,7 @@
     {
         return None;
     }
-    let mut edits = Edits::new(leader, cache, demand);
+    let mut edits = InventoryEdits::new(leader, cache, demand);
     let division = edits.divide()?;
     info!(block = %division.block, "a value is too large: divided");
     let mut txn = edits.apply(txn.clone());
--- a/src/provisioning/tests.rs
+++ b/src/provisioning/tests.rs
@@ -74,7 +74,7 @@
         };
         provisioner.overdue(now, &config, &cache, |_, _| false);
         provisioner
-            .lost
+            .failed
             .iter()
             .map(|id| id.0.to_string())
             .collect::<Vec<_>>()
@@ -152,17 +152,17 @@
                 let silent = silent(id, zones);
                 (
                     id.clone(),
-                    Health {
+                    MachineHealth {
                         seen: true,
                         silent,
                         usable: !silent,
-                        ..Health::default()
+                        ..MachineHealth::default()
                     },
                 )
             });
             provisioner.observe(now, &leader, &cache, &health.collect(), heard, |_, _| false);
         }
-        provisioner.lost.len()
+        provisioner.failed.len()
     };
     let heard: BTreeSet<Zone> = ["a".into(), "b".into()].into();
     let given_up = |zones: &[&str], after: Duration| given_up_if(zones, after, &heard);
@@ -184,11 +184,11 @@
             let silent = silent(id, zones);
             (
                 id.clone(),
-                Health {
+                MachineHealth {
                     seen: true,
                     silent,
                     usable: !silent,
-                    ..Health::default()
+                    ..MachineHealth::default()
                 },
             )
         });
@@ -197,7 +197,7 @@
         });
     }
     assert_eq!(
-        provisioner.lost.len(),
+        provisioner.failed.len(),
         0,
         "they may just not have reported yet"
     );
@@ -242,8 +242,8 @@
     };
     let name = instance_type().name;
     let machines = [
-        ((name.clone(), CapacityType::Spot), 1000.0),
-        ((name.clone(), CapacityType::OnDemand), 10.0),
+        (MachinePool::new(name.clone(), CapacityType::Spot), 1000.0),
+        (MachinePool::new(name.clone(), CapacityType::OnDemand), 10.0),
     ]
     .into();
     let demand = Demand {
@@ -262,7 +262,7 @@
             provisioner.mark_unavailable(now, &policy, &name, &pending_rental);
         }
         let worst = [CapacityType::OnDemand, CapacityType::Spot].map(|capacity_type| {
-            let pool = (name.clone(), capacity_type);
+            let pool = MachinePool::new(name.clone(), capacity_type);
             provisioner.shortage(
                 Round {
                     now,
@@ -275,7 +275,7 @@
                 0,
             )
         });
-        round::Shortage::worst(worst).map(|shortage| shortage.capacity_type)
+        scaling_round::Shortage::worst(worst).map(|shortage| shortage.capacity_type)
     };
     assert_eq!(ordered(false), Some(CapacityType::Spot));
     assert_eq!(ordered(true), Some(CapacityType::OnDemand));
--- a/src/scheduler/mod.rs
+++ b/src/scheduler/mod.rs
@@ -32,7 +32,7 @@
 use crate::leader_context::LeaderContext;
 use crate::peer::{BlockStatus, MachineStatus};
 use crate::placement::Candidate;
-use crate::provisioning::{Demand, Health, Pool, Provisioner, Runs};
+use crate::provisioning::{Demand, MachineHealth, MachinePool, Provisioner, RunTimes};
 use crate::store::records::{JobRecord, LEADER, job_key, progress_key};
 use crate::store::{StoreRequest, StoreResponse, Transaction, WatchCache, Writer};
 use block_state::BlockState;
@@ -70,13 +70,13 @@
     placed: HashMap<u64, PlacedSince>,
     looks: u64,
     failures: Failures,
-    runs: BTreeMap<Pool, Runs>,
+    run_times: BTreeMap<MachinePool, RunTimes>,
     measured: Instant,
     /// Machines heard by another controller than their holder, and when.
     misrouted: HashMap<MachineId, Instant>,
     /// What operators want emptied. None: draining is switched off.
     draining: Option<Draining>,
-    pub waiting: BTreeMap<Team, u64>,
+    pub pending_tasks: BTreeMap<Team, u64>,
 }
 
 /// What was found not to go while planning, so that it is not tried for each of a thousand jobs alike.
@@ -123,8 +123,8 @@
         self.usage.add(job);
         self.kept.add(job);
         let each = f64::from(chosen.size.count_of(&job.need).max(1));
-        let pool = (chosen.type_name.clone(), chosen.capacity_type);
-        *self.demand.machines.entry(pool).or_default() += 1.0 / each;
+        let pool = MachinePool::new(chosen.type_name.clone(), chosen.capacity_type);
+        self.demand.add(pool, 1.0 / each);
         self.demand.occupied.insert(chosen.machine.clone());
     }
 }
@@ -143,16 +143,16 @@
             placed: HashMap::new(),
             looks: 0,
             failures: Failures::default(),
-            runs: BTreeMap::new(),
+            run_times: BTreeMap::new(),
             measured: now.monotonic,
             misrouted: HashMap::new(),
             draining: None,
-            waiting: BTreeMap::new(),
+            pending_tasks: BTreeMap::new(),
         }
     }
 
     /// A holder's word on one of its blocks.
-    pub fn status(&mut self, now: Now, mut status: BlockStatus) {
+    pub fn observe_block_status(&mut self, now: Now, mut status: BlockStatus) {
         let Some(block_state) = self.block_states.get_mut(&status.block) else {
             return;
         };
@@ -190,13 +190,13 @@
             .flat_map(|block_state| block_state.machines.values())
     }
 
-    /// `unreaching`: holders whose word on their machines' silence says more about themselves.
-    pub fn health(
+    /// `isolated_holders`: holders whose word on their machines' silence says more about themselves.
+    pub fn machine_health(
         &self,
         now: Now,
         cache: &WatchCache,
-        unreaching: &BTreeSet<ControllerName>,
-    ) -> BTreeMap<MachineId, Health> {
+        isolated_holders: &BTreeSet<ControllerName>,
+    ) -> BTreeMap<MachineId, MachineHealth> {
         let holder = |machine: &MachineId| {
             let block = cache.machines.get(machine).map(|machine| &machine.block)?;
             cache
@@ -206,14 +206,14 @@
         };
         self.machines(now)
             .map(|machine| {
-                let health = Health {
+                let health = MachineHealth {
                     seen: machine.seen,
                     silent: machine.silent,
                     faulty: self.failures.is_faulty(machine, cache),
                     usable: machine.usable,
-                    heard_elsewhere: !unreaching.is_empty()
+                    heard_elsewhere: !isolated_holders.is_empty()
                         && holder(&machine.machine)
-                            .is_some_and(|holder| unreaching.contains(holder)),
+                            .is_some_and(|holder| isolated_holders.contains(holder)),
                 };
                 (machine.machine.clone(), health)
             })
@@ -273,8 +273,8 @@
                     });
                 seen.look = look;
             }
-            let pool = (live.machine.type_name.clone(), live.machine.capacity_type);
-            self.runs.entry(pool).or_default().time += passed * count;
+            let pool = MachinePool::new(live.machine.type_name.clone(), live.machine.capacity_type);
+            self.run_times.entry(pool).or_default().total += passed * count;
         }
         let mut gone = Vec::new();
         self.placed.retain(|number, seen| {
@@ -338,8 +338,11 @@
             if (done || open.is_none())
                 && let Some(machine) = cache.machines.get(&machine)
             {
-                self.runs
-                    .entry((machine.type_name.clone(), machine.capacity_type))
+                self.run_times
+                    .entry(MachinePool::new(
+                        machine.type_name.clone(),
+                        machine.capacity_type,
+                    ))
                     .or_default()
                     .ended += 1;
             }
@@ -395,7 +398,7 @@
             let Some(instance_type) = catalog.get(&machine.type_name) else {
                 continue;
             };
-            if !machine.state.takes_tasks() || provisioner.is_lost(&status.machine) {
+            if !machine.state.takes_tasks() || provisioner.is_failed(&status.machine) {
                 continue;
             }
             let taken = taken.get(&status.machine).copied().unwrap_or_default();
@@ -463,8 +466,13 @@
             demand,
         } = self.present(&stock, cache);
         let candidates = self.candidates(now, cache, catalog, provisioner);
-        let opportunities =
-            Opportunities::new(leader, provisioner, &self.runs, &guaranteed, &candidates);
+        let opportunities = Opportunities::new(
+            leader,
+            provisioner,
+            &self.run_times,
+            &guaranteed,
+            &candidates,
+        );
         let mut plan = Plan {
             spaces: self.spaces(config, cache),
             kept: self.usage_after_stops(&usage, cache),
@@ -496,10 +504,10 @@
 
     /// Counts the tasks that wait, by team.
     fn count_waiting(&mut self, queue: &[waiting::Waiting<'_>]) {
-        self.waiting.clear();
+        self.pending_tasks.clear();
         for waiting in queue {
             let team = waiting.open.job.team.clone();
-            *self.waiting.entry(team).or_default() += waiting.left;
+            *self.pending_tasks.entry(team).or_default() += waiting.left;
         }
     }
 
--- a/tests/simulation/cluster/mod.rs
+++ b/tests/simulation/cluster/mod.rs
@@ -31,7 +31,7 @@
 use dappleshore::job_api::Response;
 use dappleshore::peer::Message;
 use dappleshore::policy::Policy;
-use dappleshore::provisioning::Tag as CloudTag;
+use dappleshore::provisioning::CloudRequestPurpose;
 use dappleshore::store::records::{FORMAT, MachineState};
 use dappleshore::store::{StoreRequest, StoreResponse};
 use dappleshore::workers::wire::{Heartbeat, TaskState, WorkerCommands};
@@ -97,7 +97,7 @@
     },
     Cloud {
         process: Process,
-        tag: CloudTag,
+        tag: CloudRequestPurpose,
         call: CloudRequest,
         answer: bool,
     },
--- a/tests/simulation/cluster/network.rs
+++ b/tests/simulation/cluster/network.rs
@@ -8,7 +8,7 @@
 use dappleshore::domain::{ControllerName, Zone};
 use dappleshore::job_api::Response;
 use dappleshore::peer::Message;
-use dappleshore::provisioning::Tag as CloudTag;
+use dappleshore::provisioning::CloudRequestPurpose;
 use dappleshore::store::{StoreRequest, StoreResponse};
 use dappleshore::workers::{CommandOutcome, DirectCommand, HeartbeatResponse};
 use rand::Rng;
@@ -239,7 +239,7 @@
     fn send_cloud_request(
         &mut self,
         process: Process,
-        tag: CloudTag,
+        tag: CloudRequestPurpose,
         call: CloudRequest,
         until: Option<Instant>,
     ) {
