--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -32,7 +32,9 @@
 use crate::store::{StoreRequest, StoreResponse, WatchCache, cache};
 use crate::upgrade::Upgrade;
 use crate::workers::wire::{Heartbeat, WorkerCommands};
-use crate::workers::{CommandOutcome, DirectCommand, HeartbeatResponse, WorkerFleet, Writes};
+use crate::workers::{
+    CommandOutcome, DirectCommand, HeartbeatResponse, WorkerFleet, WriteAllowance,
+};
 
 /// Which slice a request to the state service belongs to.
 #[derive(Debug, Clone, PartialEq)]
@@ -272,7 +274,7 @@
 
     /// Machines and tasks looked at so far, the leader's plans apart, and the plans made.
     pub fn looked(&self) -> (u64, u64) {
-        (self.worker_fleet.looked(), self.plans)
+        (self.worker_fleet.items_examined(), self.plans)
     }
 
     pub fn metrics(&mut self) -> &mut Metrics {
@@ -337,7 +339,7 @@
         let gap = since(now, std::mem::replace(&mut self.last_event, now.monotonic));
         if gap > STOOD_STILL {
             info!(?gap, "stood still");
-            self.worker_fleet.stood_still(gap);
+            self.worker_fleet.process_paused(gap);
             self.block_lease_manager.stood_still(gap);
             self.cancellations.stood_still(gap);
         }
@@ -382,7 +384,7 @@
                 {
                     leader_state.provisioner.unexpected(now, &heartbeat);
                 }
-                let answer = self.worker_fleet.heartbeat(
+                let answer = self.worker_fleet.handle_heartbeat(
                     now,
                     heartbeat,
                     &self.config,
@@ -401,8 +403,14 @@
                 body,
                 outcome,
             } => {
-                self.worker_fleet
-                    .commanded(now, &block, &machine, &body, outcome, &self.cache);
+                self.worker_fleet.apply_command_outcome(
+                    now,
+                    &block,
+                    &machine,
+                    &body,
+                    outcome,
+                    &self.cache,
+                );
                 self.status_due = true;
             }
             Event::CloudResponse { tag, outcome } => self.cloud_responded(now, tag, outcome),
@@ -521,7 +529,7 @@
                 lease_version,
             } => {
                 self.worker_fleet
-                    .written(now, &block, lease_version, &outcome);
+                    .apply_write_outcome(now, &block, lease_version, &outcome);
                 self.status_due = true;
             }
         }
@@ -604,7 +612,7 @@
             }
             Message::AssignmentUpdates(blocks) => {
                 for work in blocks {
-                    self.worker_fleet.work(work);
+                    self.worker_fleet.apply_assignments(work);
                 }
                 self.status_due = true;
             }
@@ -707,12 +715,12 @@
         }
     }
 
-    fn writes(&mut self, now: Now) -> Writes {
-        Writes {
-            most: self
+    fn writes(&mut self, now: Now) -> WriteAllowance {
+        WriteAllowance {
+            max_changes: self
                 .rate_limiter
                 .spare_batch(self.config.state_limits.txn_ops),
-            plenty: self.rate_limiter.spare(now),
+            ample: self.rate_limiter.spare(now),
         }
     }
 
--- a/src/http/server.rs
+++ b/src/http/server.rs
@@ -227,7 +227,7 @@
 fn answer_worker(answer: HeartbeatResponse) -> HttpResponse {
     match answer {
         HeartbeatResponse::WorkerCommands(commands) => reply_cbor(200, &commands),
-        HeartbeatResponse::Elsewhere(holder) => reply_cbor(421, &Redirect { holder }),
+        HeartbeatResponse::Redirect(holder) => reply_cbor(421, &Redirect { holder }),
         HeartbeatResponse::Unavailable => busy(),
     }
 }
--- a/src/http/server/tests.rs
+++ b/src/http/server/tests.rs
@@ -27,7 +27,7 @@
                 Incoming::Heartbeat(_, reply) => {
                     let until = Instant::now() + Duration::from_secs(9);
                     reply
-                        .send((HeartbeatResponse::Elsewhere(Some("node-2".into())), until))
+                        .send((HeartbeatResponse::Redirect(Some("node-2".into())), until))
                         .is_ok()
                 }
                 Incoming::Metrics(reply) => reply.send("accept_ms_count 0\n".to_owned()).is_ok(),
--- a/src/placement/mod.rs
+++ b/src/placement/mod.rs
@@ -108,12 +108,12 @@
 }
 
 /// The machines with room for at least one task, in the order in which tasks of the job go to them.
-pub fn in_order(candidates: &[Candidate], job: &Job) -> Vec<usize> {
+pub fn ranked_indexes(candidates: &[Candidate], job: &Job) -> Vec<usize> {
     Ranking::new(candidates, job, |_| true, |_| false).order
 }
 
 /// How long the job's image takes to fetch there.
-pub fn fetch_s(candidate: &Candidate, job: &Job) -> f64 {
+pub fn image_fetch_s(candidate: &Candidate, job: &Job) -> f64 {
     rank(candidate, job).fetch_s
 }
 
--- a/src/scheduler/gangs.rs
+++ b/src/scheduler/gangs.rs
@@ -228,7 +228,7 @@
     block_of: impl Fn(&MachineId) -> Option<BlockId>,
 ) -> GangRoom {
     let job = &waiting.open.job;
-    let order: Vec<usize> = placement::in_order(candidates, job)
+    let order: Vec<usize> = placement::ranked_indexes(candidates, job)
         .into_iter()
         .filter(|index| allowed(&candidates[*index]))
         .collect();
@@ -250,7 +250,7 @@
         );
         let fetch_s = tasks
             .iter()
-            .map(|index| placement::fetch_s(&candidates[*index], job))
+            .map(|index| placement::image_fetch_s(&candidates[*index], job))
             .fold(0.0, f64::max);
         let better = best
             .as_ref()
--- a/src/scheduler/holders.rs
+++ b/src/scheduler/holders.rs
@@ -6,7 +6,7 @@
 use crate::config::Config;
 use crate::domain::{ControllerName, MachineId, Now, since};
 use crate::store::WatchCache;
-use crate::workers::misrouted_for;
+use crate::workers::misrouted_window;
 
 /// A holder that does not hear most of its machines, and at least so many, is suspected; if others hear most of those
 /// that it does not, it is the holder that is cut off or too slow, not they that are dead. A few that others hear show
@@ -49,7 +49,7 @@
         config: &Config,
         cache: &WatchCache,
     ) -> BTreeSet<ControllerName> {
-        let lately = misrouted_for(config);
+        let lately = misrouted_window(config);
         self.misrouted.retain(|_, at| since(now, *at) < lately);
         let mut holders = self.unheard(now, cache);
         if !holders.values().any(|unheard| unheard.is_suspicious()) {
--- a/src/service.rs
+++ b/src/service.rs
@@ -18,7 +18,7 @@
 use crate::policy::Policy;
 use crate::store::records::FORMAT;
 use crate::workers::wire::Heartbeat;
-use crate::workers::{COMMAND_PART, CommandOutcome, DirectCommand, HeartbeatResponse};
+use crate::workers::{COMMAND_SOCKET_DIVISOR, CommandOutcome, DirectCommand, HeartbeatResponse};
 use crate::{cloud, store};
 
 const TICK: Duration = Duration::from_millis(40);
@@ -33,7 +33,7 @@
 const OWN_SOCKETS: usize = 150;
 
 /// Who may hold how many of our sockets: a command to a worker may stand for as long as one is kept idle, in both cases
-/// one in `COMMAND_PART`; other controllers and what we call ourselves have a few; the rest is for whoever calls us.
+/// one in `COMMAND_SOCKET_DIVISOR`; other controllers and what we call ourselves have a few; the rest is for whoever calls us.
 struct Doors {
     public: Door,
     peers: Door,
@@ -43,7 +43,7 @@
     fn of(sockets: usize) -> Self {
         let own = OWN_SOCKETS.min(sockets / 4);
         Doors {
-            public: Door::new(sockets - own - 2 * (sockets / COMMAND_PART)),
+            public: Door::new(sockets - own - 2 * (sockets / COMMAND_SOCKET_DIVISOR)),
             peers: Door::new(own / 2),
         }
     }
@@ -122,7 +122,7 @@
     let mut runner = Runner {
         client: Client::new(IDLE),
         workers: Client::new(WORKER_IDLE),
-        commanded: Recent::new(config.max_sockets / COMMAND_PART),
+        commanded: Recent::new(config.max_sockets / COMMAND_SOCKET_DIVISOR),
         results,
         waiting: HashMap::new(),
         next: 0,
--- a/src/workers/mod.rs
+++ b/src/workers/mod.rs
@@ -29,7 +29,7 @@
 /// How often the clock alone is looked at: overdue heartbeats, launches to be repeated.
 const REVIEW_EVERY: Duration = Duration::from_millis(400);
 /// The part of our sockets that direct commands may hold: one in so many. Others wait for their turn.
-pub const COMMAND_PART: usize = 8;
+pub const COMMAND_SOCKET_DIVISOR: usize = 8;
 /// Strays named in one message.
 const MAX_MISROUTED_PER_STATUS: usize = 64;
 
@@ -55,18 +55,18 @@
 pub enum HeartbeatResponse {
     WorkerCommands(WorkerCommands),
     /// Not ours: to that controller, if known.
-    Elsewhere(Option<crate::domain::ControllerName>),
+    Redirect(Option<crate::domain::ControllerName>),
     /// Not entitled to answer.
     Unavailable,
 }
 
 /// The writes that are to be had just now.
 #[derive(Debug, Clone, Copy)]
-pub struct Writes {
+pub struct WriteAllowance {
     /// The most changes that one transaction should have.
-    pub most: usize,
+    pub max_changes: usize,
     /// Most of what may go in a second is left.
-    pub plenty: bool,
+    pub ample: bool,
 }
 
 #[derive(Debug, Default)]
@@ -79,7 +79,7 @@
     in_flight: usize,
     /// Machines and tasks looked at so far, the reviews by the clock apart: what an event costs must follow from what
     /// it changes.
-    looked: u64,
+    items_examined: u64,
 }
 
 impl WorkerFleet {
@@ -104,7 +104,7 @@
                 block.sync_machines(now, cache);
             }
         }
-        self.looked += changed.machines.len() as u64;
+        self.items_examined += changed.machines.len() as u64;
         for id in &changed.machines {
             let home = cache.machines.get(id).map(|machine| &machine.block);
             for block in self.blocks.values_mut() {
@@ -173,7 +173,7 @@
 
     /// A worker's heartbeat. `entitled`: our copy of the block leases is recent enough to act on. If it is not, the heartbeat still
     /// tells what is gone, and which machines are alive.
-    pub fn heartbeat(
+    pub fn handle_heartbeat(
         &mut self,
         now: Now,
         heartbeat: Heartbeat,
@@ -200,7 +200,7 @@
                 .leader
                 .as_ref()
                 .map(|leader| leader.value.controller.clone());
-            return HeartbeatResponse::Elsewhere(leader.filter(|leader| *leader != config.name));
+            return HeartbeatResponse::Redirect(leader.filter(|leader| *leader != config.name));
         };
         let block_id = &machine.block;
         let Some(block) = self.blocks.get_mut(block_id) else {
@@ -209,15 +209,15 @@
                 .get(block_id)
                 .map(|lease| lease.value.holder.clone());
             self.misrouted.insert(heartbeat.machine, now.monotonic);
-            return HeartbeatResponse::Elsewhere(holder.filter(|holder| *holder != config.name));
+            return HeartbeatResponse::Redirect(holder.filter(|holder| *holder != config.name));
         };
         if heartbeat.token > block.token {
             // Somebody was granted the block after us. A 200 from us would be dropped and the lease run out.
-            return HeartbeatResponse::Elsewhere(None);
+            return HeartbeatResponse::Redirect(None);
         }
         let id = heartbeat.machine.clone();
         let here = block.placements.on.get(&id).map_or(0, Vec::len);
-        self.looked += (1 + heartbeat.tasks.len() + here) as u64;
+        self.items_examined += (1 + heartbeat.tasks.len() + here) as u64;
         block.apply_heartbeat(now, heartbeat, cache, HeartbeatSource::Heartbeat);
         match block.workers.get(&id) {
             Some(_) => {
@@ -227,7 +227,7 @@
         }
     }
 
-    pub fn commanded(
+    pub fn apply_command_outcome(
         &mut self,
         now: Now,
         block: &BlockId,
@@ -244,7 +244,7 @@
     }
 
     /// What the leader wants. False if our block lease is not the one it means.
-    pub fn work(&mut self, work: AssignmentUpdate) -> bool {
+    pub fn apply_assignments(&mut self, work: AssignmentUpdate) -> bool {
         let Some(block) = self.blocks.get_mut(&work.block) else {
             return false;
         };
@@ -304,7 +304,7 @@
         &mut self,
         now: Now,
         config: &Config,
-        writes: Writes,
+        writes: WriteAllowance,
         cache: &mut WatchCache,
         catalog: &InstanceCatalog,
     ) -> Option<(BlockId, StoreRequest)> {
@@ -312,7 +312,7 @@
             .blocks
             .values()
             .filter(|block| block.write_due(now))
-            .filter(|block| writes.plenty || !block.may_gather_ends(now))
+            .filter(|block| writes.ample || !block.may_gather_ends(now))
             .map(|block| (block.wrote, block.id.clone()))
             .collect();
         waiting.sort();
@@ -320,17 +320,17 @@
             let Some(block) = self.blocks.get_mut(&id) else {
                 continue;
             };
-            self.looked += (block.pending.len() + block.ended.len()) as u64;
-            if let Some(op) = block.write(now, config, writes.most, cache, catalog) {
+            self.items_examined += (block.pending.len() + block.ended.len()) as u64;
+            if let Some(op) = block.write(now, config, writes.max_changes, cache, catalog) {
                 block.wrote = Some(now.monotonic);
-                self.looked += block.placements.attempts().count() as u64;
+                self.items_examined += block.placements.attempts().count() as u64;
                 return Some((id, op));
             }
         }
         None
     }
 
-    pub fn written(
+    pub fn apply_write_outcome(
         &mut self,
         now: Now,
         block: &BlockId,
@@ -358,13 +358,13 @@
         entitled: bool,
     ) -> Vec<DirectCommand> {
         let quiet = config.heartbeat_interval.mul_f64(OVERDUE);
-        let most = (config.max_sockets / COMMAND_PART).max(1);
+        let most = (config.max_sockets / COMMAND_SOCKET_DIVISOR).max(1);
         let mut commands = Vec::new();
         for block in self.blocks.values_mut() {
             while self.in_flight < most
                 && let Some(machine) = block.due.pop_first()
             {
-                self.looked += 1;
+                self.items_examined += 1;
                 let Some(worker) = block.workers.get(&machine) else {
                     continue;
                 };
@@ -421,7 +421,7 @@
     }
 
     /// This process stood still: what it did not hear meanwhile is no silence of its workers.
-    pub fn stood_still(&mut self, gap: Duration) {
+    pub fn process_paused(&mut self, gap: Duration) {
         for worker in self
             .blocks
             .values_mut()
@@ -434,7 +434,7 @@
 
     /// Some of the machines of others' blocks that have reported here lately.
     pub fn misrouted(&mut self, now: Now, config: &Config) -> Vec<MachineId> {
-        let lately = misrouted_for(config);
+        let lately = misrouted_window(config);
         self.misrouted.retain(|_, at| since(now, *at) < lately);
         self.misrouted
             .keys()
@@ -477,12 +477,12 @@
     }
 
     /// Machines and tasks looked at so far.
-    pub fn looked(&self) -> u64 {
-        self.looked
+    pub fn items_examined(&self) -> u64 {
+        self.items_examined
     }
 
     pub fn status(&mut self, now: Now, policy: &Policy) -> Vec<BlockStatus> {
-        self.looked += self
+        self.items_examined += self
             .blocks
             .values()
             .map(|block| block.unsaid.len() as u64)
@@ -519,7 +519,7 @@
 
 /// How long a machine that has reported to another controller than its holder counts as heard there: a worker whose
 /// holder does not answer comes round once in its time-out (4 s), a second's pause and the way there and back.
-pub fn misrouted_for(config: &Config) -> Duration {
+pub fn misrouted_window(config: &Config) -> Duration {
     config.heartbeat_interval + Duration::from_secs(8)
 }
 
--- a/src/workers/tests.rs
+++ b/src/workers/tests.rs
@@ -22,9 +22,9 @@
 };
 
 const BOOT: u64 = 7;
-const PLENTY: Writes = Writes {
-    most: 16,
-    plenty: true,
+const PLENTY: WriteAllowance = WriteAllowance {
+    max_changes: 16,
+    ample: true,
 };
 
 struct Holder {
@@ -148,7 +148,7 @@
     ) -> HeartbeatResponse {
         let heartbeat = self.message(machine, token, tasks);
         self.fleet
-            .heartbeat(self.now, heartbeat, &self.config, &self.cache, true)
+            .handle_heartbeat(self.now, heartbeat, &self.config, &self.cache, true)
     }
 
     fn assignments(&mut self, number: u64, machine: &str, message: u64) {
@@ -162,10 +162,10 @@
             machine: machine.into(),
         }];
         let work = work_of(lease_version, message, assignments);
-        assert!(self.fleet.work(work));
+        assert!(self.fleet.apply_assignments(work));
     }
 
-    /// Writes and commits what is due. Returns where the attempts are then.
+    /// WriteAllowance and commits what is due. Returns where the attempts are then.
     fn write(&mut self) -> Vec<(String, u64)> {
         self.now.monotonic += LOOK_AGAIN;
         while let Some((block, op)) = self.fleet.write(
@@ -190,7 +190,7 @@
                 });
             }
             let lease_version = self.fleet.lease_version(&block);
-            self.fleet.written(
+            self.fleet.apply_write_outcome(
                 self.now,
                 &block,
                 lease_version,
@@ -218,7 +218,7 @@
 
     fn answer(&mut self, command: &DirectCommand, outcome: CommandOutcome) {
         let (block, machine) = (command.block.clone(), command.machine.clone());
-        self.fleet.commanded(
+        self.fleet.apply_command_outcome(
             self.now,
             &block,
             &machine,
@@ -273,7 +273,7 @@
         number: 9,
     };
     let version = holder.fleet.lease_version(&"a.0".into());
-    assert!(holder.fleet.work(AssignmentUpdate {
+    assert!(holder.fleet.apply_assignments(AssignmentUpdate {
         stop: vec![attempt],
         ..work_of(version, 2, Vec::new())
     }));
@@ -294,9 +294,10 @@
         FencingToken(4),
         &[(9, TaskState::Exited, Some(Cause::Stopped))],
     );
-    let answer = holder
-        .fleet
-        .heartbeat(holder.now, gone, &holder.config, &holder.cache, false);
+    let answer =
+        holder
+            .fleet
+            .handle_heartbeat(holder.now, gone, &holder.config, &holder.cache, false);
     assert_eq!(answer, HeartbeatResponse::Unavailable);
     assert!(
         holder
@@ -355,7 +356,7 @@
     for late in [before, of_another_session] {
         holder
             .fleet
-            .heartbeat(holder.now, late, &holder.config, &holder.cache, true);
+            .handle_heartbeat(holder.now, late, &holder.config, &holder.cache, true);
         assert!(
             !holder
                 .fleet
@@ -365,7 +366,7 @@
     let gone = holder.message("m-1", FencingToken(4), &[]);
     holder
         .fleet
-        .heartbeat(holder.now, gone, &holder.config, &holder.cache, true);
+        .handle_heartbeat(holder.now, gone, &holder.config, &holder.cache, true);
     assert!(
         holder
             .fleet
@@ -535,7 +536,7 @@
                 block: block.into(),
                 ..work_of(lease_version, number, assignments)
             };
-            assert!(holder.fleet.work(work));
+            assert!(holder.fleet.apply_assignments(work));
         }
         holder.now.monotonic += LOOK_AGAIN;
         let next = holder.fleet.write(
@@ -550,7 +551,7 @@
         *written.entry(block.clone()).or_default() += 1;
         holder.version += 1;
         let revision = holder.version;
-        holder.fleet.written(
+        holder.fleet.apply_write_outcome(
             holder.now,
             &block,
             lease_version,
@@ -697,7 +698,7 @@
     );
     let lease_version = holder.fleet.lease_version(&"a.0".into());
     let addresses = vec![("m-1".into(), "10.1.0.1:9000".to_owned())];
-    assert!(holder.fleet.work(AssignmentUpdate {
+    assert!(holder.fleet.apply_assignments(AssignmentUpdate {
         addresses,
         ..work_of(lease_version, 1, Vec::new())
     }));
@@ -738,7 +739,7 @@
     };
     let gap = policy.unheard_after * 2;
     holder.now.monotonic += gap;
-    holder.fleet.stood_still(gap);
+    holder.fleet.process_paused(gap);
     assert_eq!(silent(&mut holder), 0);
     holder.now.monotonic += gap;
     assert_eq!(silent(&mut holder), 2);
@@ -749,7 +750,7 @@
 #[test]
 fn commands_under_way_are_bounded_and_those_without_answers_leave_room_for_others() {
     let mut holder = Holder::new(job(1, 1.0));
-    let most = holder.config.max_sockets / COMMAND_PART;
+    let most = holder.config.max_sockets / COMMAND_SOCKET_DIVISOR;
     let entry = || InventoryEntry {
         type_name: "large".into(),
         capacity_type: CapacityType::OnDemand,
@@ -837,7 +838,7 @@
         assert!(
             holder
                 .fleet
-                .work(work_of(lease_version, number, assignments))
+                .apply_assignments(work_of(lease_version, number, assignments))
         );
         holder.write();
         for (state, cause) in [
@@ -846,9 +847,13 @@
         ] {
             let mut heartbeat = holder.message("m-1", FencingToken(4), &[(number, state, cause)]);
             heartbeat.tasks[0].task = attempt.task;
-            holder
-                .fleet
-                .heartbeat(holder.now, heartbeat, &holder.config, &holder.cache, true);
+            holder.fleet.handle_heartbeat(
+                holder.now,
+                heartbeat,
+                &holder.config,
+                &holder.cache,
+                true,
+            );
         }
         holder.write();
         errors.push(holder.fleet.status(holder.now, &policy)[0].machines[0].errors);
@@ -861,13 +866,13 @@
     let mut holder = Holder::new(job(1, 1.0));
     assert_eq!(
         holder.heartbeat("m-1", FencingToken(5), &[]),
-        HeartbeatResponse::Elsewhere(None)
+        HeartbeatResponse::Redirect(None)
     );
     let heartbeat = holder.message("m-1", FencingToken(4), &[]);
     let answer =
         holder
             .fleet
-            .heartbeat(holder.now, heartbeat, &holder.config, &holder.cache, false);
+            .handle_heartbeat(holder.now, heartbeat, &holder.config, &holder.cache, false);
     assert_eq!(answer, HeartbeatResponse::Unavailable);
 }
 
@@ -885,11 +890,11 @@
         FencingToken(4),
         &[(20, TaskState::Exited, Some(Cause::Done))],
     );
-    let scarce = Writes {
-        plenty: false,
+    let scarce = WriteAllowance {
+        ample: false,
         ..PLENTY
     };
-    let mut next = |writes: Writes, after: Duration| {
+    let mut next = |writes: WriteAllowance, after: Duration| {
         holder.now.monotonic += after;
         let Holder {
             fleet,
@@ -923,8 +928,8 @@
             holder.assignments(21, "m-2", 2);
         }
         holder.now.monotonic += LOOK_AGAIN;
-        let writes = Writes {
-            plenty: !starts,
+        let writes = WriteAllowance {
+            ample: !starts,
             ..PLENTY
         };
         let write = holder.fleet.write(
@@ -959,13 +964,17 @@
             .write(*now, config, PLENTY, cache, catalog)
             .expect("something to write");
         let lease_version = fleet.lease_version(&block);
-        fleet.written(*now, &block, lease_version, &outcome);
+        fleet.apply_write_outcome(*now, &block, lease_version, &outcome);
     };
     let policy = Policy::defaults(&holder.config);
     write(&mut holder, StoreResponse::Unknown);
     // The leader takes the release back.
     let lease_version = holder.fleet.lease_version(&"a.0".into());
-    assert!(holder.fleet.work(work_of(lease_version, 2, Vec::new())));
+    assert!(
+        holder
+            .fleet
+            .apply_assignments(work_of(lease_version, 2, Vec::new()))
+    );
     for outcome in [
         StoreResponse::Refused,
         StoreResponse::Conflict,
--- a/tests/simulation/digest.rs
+++ b/tests/simulation/digest.rs
@@ -137,7 +137,7 @@
                         self.number(200);
                         self.field(&write(commands));
                     }
-                    HeartbeatResponse::Elsewhere(holder) => {
+                    HeartbeatResponse::Redirect(holder) => {
                         self.number(421);
                         let holder = holder.clone();
                         self.field(&write(&Redirect { holder }));
--- a/tests/simulation/world.rs
+++ b/tests/simulation/world.rs
@@ -1914,7 +1914,7 @@
                 );
                 self.happened(id, happened);
             }
-            Some(HeartbeatResponse::Elsewhere(Some(holder))) => {
+            Some(HeartbeatResponse::Redirect(Some(holder))) => {
                 let target = holder.0.trim_start_matches("node-").parse().unwrap_or(0);
                 let same = target == controller;
                 machine.controller = if same {
