--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -32,7 +32,9 @@
 use crate::store::{StoreRequest, StoreResponse, WatchCache, cache};
 use crate::upgrade::Upgrade;
 use crate::workers::wire::{Heartbeat, WorkerCommands};
-use crate::workers::{CommandOutcome, DirectCommand, HeartbeatResponse, WorkerFleet, Writes};
+use crate::workers::{
+    CommandOutcome, DirectCommand, HeartbeatResponse, WorkerFleet, WriteAllowance,
+};
 
 /// Which slice a request to the state service belongs to.
 #[derive(Debug, Clone, PartialEq)]
@@ -280,7 +282,7 @@
 
     /// Machines and tasks looked at so far, the leader's plans apart, and the plans made.
     pub fn work_counts(&self) -> (u64, u64) {
-        (self.worker_fleet.looked(), self.plans)
+        (self.worker_fleet.items_examined(), self.plans)
     }
 
     pub fn metrics(&mut self) -> &mut Metrics {
@@ -345,7 +347,7 @@
         let gap = since(now, std::mem::replace(&mut self.last_event, now.monotonic));
         if gap > PROCESS_PAUSE {
             info!(?gap, "process pause detected");
-            self.worker_fleet.stood_still(gap);
+            self.worker_fleet.process_paused(gap);
             self.block_lease_manager.process_paused(gap);
             self.cancellations.process_paused(gap);
         }
@@ -392,7 +394,7 @@
                         .provisioner
                         .observe_unrecorded_machine(now, &heartbeat);
                 }
-                let answer = self.worker_fleet.heartbeat(
+                let answer = self.worker_fleet.handle_heartbeat(
                     now,
                     heartbeat,
                     &self.config,
@@ -411,8 +413,14 @@
                 body,
                 outcome,
             } => {
-                self.worker_fleet
-                    .commanded(now, &block, &machine, &body, outcome, &self.cache);
+                self.worker_fleet.apply_command_outcome(
+                    now,
+                    &block,
+                    &machine,
+                    &body,
+                    outcome,
+                    &self.cache,
+                );
                 self.status_due = true;
             }
             Event::CloudResponse { tag, outcome } => self.cloud_responded(now, tag, outcome),
@@ -531,7 +539,7 @@
                 lease_version,
             } => {
                 self.worker_fleet
-                    .written(now, &block, lease_version, &outcome);
+                    .apply_write_outcome(now, &block, lease_version, &outcome);
                 self.status_due = true;
             }
         }
@@ -625,7 +633,7 @@
             }
             Message::AssignmentUpdates(blocks) => {
                 for work in blocks {
-                    self.worker_fleet.work(work);
+                    self.worker_fleet.apply_assignments(work);
                 }
                 self.status_due = true;
             }
@@ -732,12 +740,12 @@
         }
     }
 
-    fn writes(&mut self, now: Now) -> Writes {
-        Writes {
-            most: self
+    fn writes(&mut self, now: Now) -> WriteAllowance {
+        WriteAllowance {
+            max_changes: self
                 .rate_limiter
                 .max_deferrable_batch(self.config.state_limits.txn_ops),
-            plenty: self.rate_limiter.has_spare_writes(now),
+            ample: self.rate_limiter.has_spare_writes(now),
         }
     }
 
--- a/tests/simulation/cluster/machines.rs
+++ b/tests/simulation/cluster/machines.rs
@@ -376,7 +376,7 @@
                 );
                 self.happened(id, happened);
             }
-            Some(HeartbeatResponse::Elsewhere(Some(holder))) => {
+            Some(HeartbeatResponse::Redirect(Some(holder))) => {
                 let target = controller_index(&holder).unwrap_or(0);
                 let same = target == controller;
                 machine.controller = if same {
