--- a/src/client/mod.rs
+++ b/src/client/mod.rs
@@ -10,7 +10,7 @@
 /// Where controllers take operators' requests, on the address that they use among themselves.
 const PATH: &str = "/operate";
 /// Longer than a controller takes for any answer.
-const ONE_REQUEST: Duration = Duration::from_secs(5);
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(5);
 const RETRY_PAUSE: Duration = Duration::from_millis(300);
 
 /// Asks the controllers of one service.
@@ -25,7 +25,7 @@
     /// Of the controllers at these addresses.
     pub fn new(controllers: Vec<SocketAddr>, within: Duration) -> Self {
         Client {
-            http: http::Client::new(ONE_REQUEST),
+            http: http::Client::new(REQUEST_TIMEOUT),
             controllers,
             within,
         }
@@ -90,7 +90,7 @@
         deadline: Instant,
     ) -> Option<Reply> {
         let left = deadline.saturating_duration_since(Instant::now());
-        let timeout = left.min(ONE_REQUEST);
+        let timeout = left.min(REQUEST_TIMEOUT);
         let request = http::Request::post(PATH.to_owned(), write(request), timeout);
         let reply = self.http.send(controller, request).await?;
         if reply.status == 200 {
--- a/src/http/mod.rs
+++ b/src/http/mod.rs
@@ -63,9 +63,9 @@
 }
 
 /// No answer that we ask for is larger: a watch has no limit, but this much is more than it can hold.
-const LARGEST_REPLY: usize = 16 << 20;
-const CONNECT_WITHIN: Duration = Duration::from_millis(1000);
-const MOST_IDLE: usize = 4;
+const MAX_REPLY_BYTES: usize = 16 << 20;
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(1000);
+const MAX_IDLE_PER_HOST: usize = 4;
 
 #[derive(Clone)]
 pub struct Client {
@@ -77,11 +77,11 @@
     pub fn new(idle: Duration) -> Self {
         let mut connector = HttpConnector::new();
         connector.set_nodelay(true);
-        connector.set_connect_timeout(Some(CONNECT_WITHIN));
+        connector.set_connect_timeout(Some(CONNECT_TIMEOUT));
         let inner = HyperClient::builder(TokioExecutor::new())
             .pool_timer(TokioTimer::new())
             .pool_idle_timeout(idle)
-            .pool_max_idle_per_host(MOST_IDLE)
+            .pool_max_idle_per_host(MAX_IDLE_PER_HOST)
             // A request is sent once: what to do about a lost answer is for the slices to decide.
             .retry_canceled_requests(false)
             .build(connector);
@@ -106,7 +106,7 @@
         let exchange = async {
             let response = self.inner.request(built).await.ok()?;
             let status = response.status().as_u16();
-            let body = Limited::new(response.into_body(), LARGEST_REPLY)
+            let body = Limited::new(response.into_body(), MAX_REPLY_BYTES)
                 .collect()
                 .await
                 .ok()?
--- a/src/http/server.rs
+++ b/src/http/server.rs
@@ -26,7 +26,7 @@
 
 /// A request with the place its answer goes to.
 #[derive(Debug)]
-pub enum Incoming {
+pub enum IncomingRequest {
     Submit(Bytes, oneshot::Sender<Response>),
     Poll(String, oneshot::Sender<Response>),
     Cancel(String, oneshot::Sender<Response>),
@@ -39,14 +39,14 @@
 }
 
 /// The protocol's limit for request bodies.
-const LARGEST_BODY: u64 = 64 * 1024;
+const MAX_BODY_BYTES: u64 = 64 * 1024;
 /// Work messages list everything that is wanted of a block.
-const LARGEST_PEER_BODY: u64 = 1 << 20;
+const MAX_PEER_BODY_BYTES: u64 = 1 << 20;
 /// A request must arrive within this; a connection that dawdles is closed.
-const HEADER_WITHIN: Duration = Duration::from_secs(20);
-const WARN_EVERY: Duration = Duration::from_secs(10);
+const HEADER_TIMEOUT: Duration = Duration::from_secs(20);
+const ACCEPT_WARNING_INTERVAL: Duration = Duration::from_secs(10);
 /// Answers that the state machine owes; more waiting than this are refused at once.
-pub const MOST_WAITING: usize = 1024;
+pub const MAX_QUEUED_REQUESTS: usize = 1024;
 
 #[derive(Serialize)]
 struct Problem {
@@ -93,8 +93,8 @@
 }
 
 async fn ask<T>(
-    events: mpsc::Sender<Incoming>,
-    make: impl FnOnce(oneshot::Sender<T>) -> Incoming,
+    events: mpsc::Sender<IncomingRequest>,
+    make: impl FnOnce(oneshot::Sender<T>) -> IncomingRequest,
     show: impl FnOnce(T) -> HttpResponse,
 ) -> Result<HttpResponse, Infallible> {
     let (sender, receiver) = oneshot::channel();
@@ -110,51 +110,51 @@
 
 /// How many connections may be open at a time.
 #[derive(Debug, Clone)]
-pub struct Door {
+pub struct ConnectionLimiter {
     open: Arc<Semaphore>,
     limit: usize,
 }
 
 /// The part of all connections beyond which workers are asked to close theirs after each answer. There are more workers
 /// than sockets when one controller stands in for others, and users and health checks must still get in.
-const CROWDED: f64 = 0.7;
+const NEAR_LIMIT_FRACTION: f64 = 0.7;
 
-impl Door {
+impl ConnectionLimiter {
     pub fn new(limit: usize) -> Self {
-        Door {
+        ConnectionLimiter {
             open: Arc::new(Semaphore::new(limit)),
             limit,
         }
     }
 
-    fn crowded(&self) -> bool {
-        (self.open.available_permits() as f64) < self.limit as f64 * (1.0 - CROWDED)
+    fn near_limit(&self) -> bool {
+        (self.open.available_permits() as f64) < self.limit as f64 * (1.0 - NEAR_LIMIT_FRACTION)
     }
 }
 
-pub fn public(
-    events: mpsc::Sender<Incoming>,
-    door: Door,
+pub fn public_routes(
+    events: mpsc::Sender<IncomingRequest>,
+    limiter: ConnectionLimiter,
 ) -> impl Filter<Extract = (HttpResponse,), Error = Infallible> + Clone {
     let with = warp::any().map(move || events.clone());
     let submit = warp::path!("submissions")
         .and(warp::post())
-        .and(body(LARGEST_BODY))
+        .and(body(MAX_BODY_BYTES))
         .and(with.clone())
         .and_then(|body, events| {
-            ask(events, |reply| Incoming::Submit(body, reply), answer).into_rejection()
+            ask(events, |reply| IncomingRequest::Submit(body, reply), answer).into_rejection()
         });
     let poll = warp::path!("submissions" / String)
         .and(warp::get())
         .and(with.clone())
         .and_then(|job, events| {
-            ask(events, |reply| Incoming::Poll(job, reply), answer).into_rejection()
+            ask(events, |reply| IncomingRequest::Poll(job, reply), answer).into_rejection()
         });
     let cancel = warp::path!("submissions" / String / "cancel")
         .and(warp::post())
         .and(with.clone())
         .and_then(|job, events| {
-            ask(events, |reply| Incoming::Cancel(job, reply), answer).into_rejection()
+            ask(events, |reply| IncomingRequest::Cancel(job, reply), answer).into_rejection()
         });
     let health = warp::path!("up")
         .and(warp::get())
@@ -167,14 +167,14 @@
                     busy()
                 }
             };
-            ask(events, Incoming::Health, show).into_rejection()
+            ask(events, IncomingRequest::Health, show).into_rejection()
         });
     let heartbeat = warp::path!("v1" / "report")
         .and(warp::post())
-        .and(body(LARGEST_BODY))
+        .and(body(MAX_BODY_BYTES))
         .and(with)
         .and_then(move |body: Bytes, events| {
-            apply_heartbeat(body, events, door.clone()).into_rejection()
+            apply_heartbeat(body, events, limiter.clone()).into_rejection()
         });
     heartbeat
         .or(poll)
@@ -191,8 +191,8 @@
 
 async fn apply_heartbeat(
     body: Bytes,
-    events: mpsc::Sender<Incoming>,
-    door: Door,
+    events: mpsc::Sender<IncomingRequest>,
+    limiter: ConnectionLimiter,
 ) -> Result<HttpResponse, Infallible> {
     let Some(heartbeat) = read::<Heartbeat>(&body) else {
         return Ok(reply_cbor(
@@ -214,8 +214,13 @@
             },
         )
     };
-    let mut response = ask(events, |reply| Incoming::Heartbeat(heartbeat, reply), show).await?;
-    if door.crowded() {
+    let mut response = ask(
+        events,
+        |reply| IncomingRequest::Heartbeat(heartbeat, reply),
+        show,
+    )
+    .await?;
+    if limiter.near_limit() {
         let close = warp::http::HeaderValue::from_static("close");
         response
             .headers_mut()
@@ -232,28 +237,28 @@
     }
 }
 
-pub fn between_controllers(
-    events: mpsc::Sender<Incoming>,
+pub fn peer_routes(
+    events: mpsc::Sender<IncomingRequest>,
 ) -> impl Filter<Extract = (HttpResponse,), Error = Infallible> + Clone {
     let with = events.clone();
     let with_operations = events.clone();
     let operate = warp::path!("operate")
         .and(warp::post())
-        .and(body(LARGEST_BODY))
+        .and(body(MAX_BODY_BYTES))
         .and_then(move |body: Bytes| {
             take_operation(body, with_operations.clone()).into_rejection()
         });
     let metrics = warp::path!("metrics").and(warp::get()).and_then(move || {
-        ask(with.clone(), Incoming::Metrics, |text| {
+        ask(with.clone(), IncomingRequest::Metrics, |text| {
             HttpResponse::new(text.into())
         })
         .into_rejection()
     });
     warp::path!("peer")
         .and(warp::post())
-        .and(body(LARGEST_PEER_BODY))
+        .and(body(MAX_PEER_BODY_BYTES))
         .map(move |body: Bytes| match read::<Message>(&body) {
-            Some(message) => match events.try_send(Incoming::Peer(message)) {
+            Some(message) => match events.try_send(IncomingRequest::Peer(message)) {
                 Ok(()) => reply_cbor(200, &"taken"),
                 Err(_) => busy(),
             },
@@ -274,14 +279,19 @@
 
 async fn take_operation(
     body: Bytes,
-    events: mpsc::Sender<Incoming>,
+    events: mpsc::Sender<IncomingRequest>,
 ) -> Result<HttpResponse, Infallible> {
     let Some(request) = read::<operator::Request>(&body) else {
         let error = "malformed request";
         return Ok(reply_cbor(400, &Problem { error }));
     };
     let show = |reply: operator::Reply| reply_cbor(200, &reply);
-    ask(events, |reply| Incoming::Operate(request, reply), show).await
+    ask(
+        events,
+        |reply| IncomingRequest::Operate(request, reply),
+        show,
+    )
+    .await
 }
 
 /// Shortens the filters above: our handlers answer everything themselves.
@@ -314,8 +324,12 @@
     Ok(reply_cbor(status, &Problem { error }))
 }
 
-/// Accepts connections until the process ends. More than the door lets in are closed at once.
-pub async fn serve<F>(addr: SocketAddr, door: Door, routes: F) -> std::io::Result<()>
+/// Accepts connections until the process ends. More than the limiter lets in are closed at once.
+pub async fn serve<F>(
+    addr: SocketAddr,
+    limiter: ConnectionLimiter,
+    routes: F,
+) -> std::io::Result<()>
 where
     F: Filter<Error = Infallible> + Clone + Send + Sync + 'static,
     F::Extract: Reply,
@@ -328,7 +342,7 @@
             Ok(accepted) => accepted,
             Err(error) => {
                 // Out of sockets, most likely: some will be closed.
-                if warned.is_none_or(|at| at.elapsed() > WARN_EVERY) {
+                if warned.is_none_or(|at| at.elapsed() > ACCEPT_WARNING_INTERVAL) {
                     warned = Some(Instant::now());
                     warn!(%error, "can't accept connections");
                 }
@@ -336,7 +350,7 @@
                 continue;
             }
         };
-        let Ok(permit) = door.open.clone().try_acquire_owned() else {
+        let Ok(permit) = limiter.open.clone().try_acquire_owned() else {
             debug!(%from, "too many connections");
             continue;
         };
@@ -347,7 +361,7 @@
             let mut builder = hyper::server::conn::http1::Builder::new();
             builder
                 .timer(TokioTimer::new())
-                .header_read_timeout(HEADER_WITHIN)
+                .header_read_timeout(HEADER_TIMEOUT)
                 .max_buf_size(32 * 1024);
             if let Err(error) = builder
                 .serve_connection(TokioIo::new(stream), service)
--- a/src/http/server/tests.rs
+++ b/src/http/server/tests.rs
@@ -4,7 +4,7 @@
 use crate::job_api::wire::JobState;
 
 /// Answers whatever reaches the state machine, so that the rest is seen to be refused before.
-fn events() -> mpsc::Sender<Incoming> {
+fn events() -> mpsc::Sender<IncomingRequest> {
     let (sender, mut receiver) = mpsc::channel(8);
     tokio::spawn(async move {
         while let Some(incoming) = receiver.recv().await {
@@ -21,18 +21,22 @@
                 retry_after: Some(Duration::from_secs(2)),
             };
             let _ = match incoming {
-                Incoming::Submit(_, reply) => reply.send(wait).is_ok(),
-                Incoming::Poll(_, reply) | Incoming::Cancel(_, reply) => reply.send(found).is_ok(),
-                Incoming::Health(reply) => reply.send(true).is_ok(),
-                Incoming::Heartbeat(_, reply) => {
+                IncomingRequest::Submit(_, reply) => reply.send(wait).is_ok(),
+                IncomingRequest::Poll(_, reply) | IncomingRequest::Cancel(_, reply) => {
+                    reply.send(found).is_ok()
+                }
+                IncomingRequest::Health(reply) => reply.send(true).is_ok(),
+                IncomingRequest::Heartbeat(_, reply) => {
                     let until = Instant::now() + Duration::from_secs(9);
                     reply
                         .send((HeartbeatResponse::Elsewhere(Some("node-2".into())), until))
                         .is_ok()
                 }
-                Incoming::Metrics(reply) => reply.send("accept_ms_count 0\n".to_owned()).is_ok(),
-                Incoming::Peer(_) => true,
-                Incoming::Operate(_, reply) => {
+                IncomingRequest::Metrics(reply) => {
+                    reply.send("accept_ms_count 0\n".to_owned()).is_ok()
+                }
+                IncomingRequest::Peer(_) => true,
+                IncomingRequest::Operate(_, reply) => {
                     reply.send(operator::Reply::Drains(Vec::new())).is_ok()
                 }
             };
@@ -43,7 +47,7 @@
 
 #[tokio::test]
 async fn bad_requests_are_refused_at_the_edge_and_refusals_say_when_to_come_back() {
-    let routes = public(events(), Door::new(10));
+    let routes = public_routes(events(), ConnectionLimiter::new(10));
     let large = vec![0u8; 64 * 1024 + 1];
     let cases: [(&str, &str, &[u8], u16); 10] = [
         ("POST", "/submissions", b"x", 503),
@@ -88,8 +92,8 @@
 /// At one and a half times the fleets' machines one controller for all has more workers than sockets.
 #[tokio::test]
 async fn workers_are_asked_to_close_when_connections_run_short() {
-    let door = Door::new(10);
-    let routes = public(events(), door.clone());
+    let limiter = ConnectionLimiter::new(10);
+    let routes = public_routes(events(), limiter.clone());
     let closes = async || {
         let reply = warp::test::request()
             .method("POST")
@@ -103,12 +107,16 @@
             .is_some_and(|value| value == "close")
     };
     assert!(!closes().await);
-    let _taken = door.open.clone().try_acquire_many_owned(8).expect("free");
+    let _taken = limiter
+        .open
+        .clone()
+        .try_acquire_many_owned(8)
+        .expect("free");
     assert!(closes().await);
 }
 
 /// Connections that say nothing, or half a request, must not keep others out for good, and no more of them are held
-/// than the door lets in.
+/// than the limiter lets in.
 #[tokio::test]
 async fn stuck_connections_are_bounded_and_do_not_hold_up_others() {
     use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -119,8 +127,8 @@
     const LIMIT: usize = 60;
     tokio::spawn(serve(
         addr,
-        Door::new(LIMIT),
-        public(events(), Door::new(LIMIT)),
+        ConnectionLimiter::new(LIMIT),
+        public_routes(events(), ConnectionLimiter::new(LIMIT)),
     ));
     let connect = async || {
         loop {
@@ -152,7 +160,7 @@
     for _ in 0..LIMIT * 2 {
         stuck.push(connect().await);
     }
-    assert!(!healthy().await, "more than the door lets in");
+    assert!(!healthy().await, "more than the limiter lets in");
     stuck.clear();
     while !healthy().await {
         tokio::time::sleep(Duration::from_millis(5)).await;
@@ -165,7 +173,7 @@
         .method("POST")
         .path("/v1/report")
         .body(heartbeat())
-        .reply(&public(events(), Door::new(10)))
+        .reply(&public_routes(events(), ConnectionLimiter::new(10)))
         .await;
     assert_eq!(reply.status().as_u16(), 421);
     assert_eq!(
@@ -178,7 +186,7 @@
 async fn metrics_are_shown_to_peers_only() {
     let reply = warp::test::request()
         .path("/metrics")
-        .reply(&between_controllers(events()))
+        .reply(&peer_routes(events()))
         .await;
     assert_eq!(
         (reply.status().as_u16(), &reply.body()[..]),
@@ -186,7 +194,7 @@
     );
     let reply = warp::test::request()
         .path("/metrics")
-        .reply(&public(events(), Door::new(10)))
+        .reply(&public_routes(events(), ConnectionLimiter::new(10)))
         .await;
     assert_eq!(reply.status().as_u16(), 404);
 }
--- a/src/service.rs
+++ b/src/service.rs
@@ -12,7 +12,7 @@
 use crate::controller::{Controller, Effect, Event};
 use crate::domain::{ControllerName, Now};
 use crate::features::Features;
-use crate::http::server::{self, Door, Incoming, MOST_WAITING};
+use crate::http::server::{self, ConnectionLimiter, IncomingRequest, MAX_QUEUED_REQUESTS};
 use crate::http::{Client, Request, read, write};
 use crate::job_api::{RequestId, Response};
 use crate::policy::Policy;
@@ -21,54 +21,54 @@
 use crate::workers::{COMMAND_PART, CommandOutcome, DirectCommand, HeartbeatResponse};
 use crate::{cloud, store};
 
-const TICK: Duration = Duration::from_millis(40);
+const TICK_INTERVAL: Duration = Duration::from_millis(40);
 const COMMAND_TIMEOUT: Duration = Duration::from_secs(3);
 const PEER_TIMEOUT: Duration = Duration::from_secs(2);
 /// The few that all controllers talk to.
-const IDLE: Duration = Duration::from_secs(20);
+const IDLE_TIMEOUT: Duration = Duration::from_secs(20);
 /// A controller that takes over for others talks to every worker, and each of them to it: kept for 20 s, that was
 /// 2,000 sockets of 2,500.
-const WORKER_IDLE: Duration = Duration::from_secs(2);
+const WORKER_IDLE_TIMEOUT: Duration = Duration::from_secs(2);
 /// Sockets kept for other controllers and for what we call ourselves, workers apart.
-const OWN_SOCKETS: usize = 150;
+const INTERNAL_SOCKETS: usize = 150;
 
 /// Who may hold how many of our sockets: a command to a worker may stand for as long as one is kept idle, in both cases
 /// one in `COMMAND_PART`; other controllers and what we call ourselves have a few; the rest is for whoever calls us.
-struct Doors {
-    public: Door,
-    peers: Door,
+struct ConnectionLimits {
+    public: ConnectionLimiter,
+    peers: ConnectionLimiter,
 }
 
-impl Doors {
+impl ConnectionLimits {
     fn of(sockets: usize) -> Self {
-        let own = OWN_SOCKETS.min(sockets / 4);
-        Doors {
-            public: Door::new(sockets - own - 2 * (sockets / COMMAND_PART)),
-            peers: Door::new(own / 2),
+        let own = INTERNAL_SOCKETS.min(sockets / 4);
+        ConnectionLimits {
+            public: ConnectionLimiter::new(sockets - own - 2 * (sockets / COMMAND_PART)),
+            peers: ConnectionLimiter::new(own / 2),
         }
     }
 }
 
 /// Commands sent lately: as long as there are few, their connections are kept for the next one.
-struct Recent {
+struct RecentCommands {
     most: usize,
     sent: VecDeque<Instant>,
 }
 
-impl Recent {
+impl RecentCommands {
     fn new(most: usize) -> Self {
-        Recent {
+        RecentCommands {
             most,
             sent: VecDeque::new(),
         }
     }
 
     /// Notes one more. Whether it would leave too many idle connections behind.
-    fn crowded(&mut self, now: Instant) -> bool {
+    fn near_limit(&mut self, now: Instant) -> bool {
         while self
             .sent
             .front()
-            .is_some_and(|at| now.saturating_duration_since(*at) > WORKER_IDLE)
+            .is_some_and(|at| now.saturating_duration_since(*at) > WORKER_IDLE_TIMEOUT)
         {
             self.sent.pop_front();
         }
@@ -80,21 +80,21 @@
     }
 }
 
-enum Waiting {
+enum PendingReply {
     User(oneshot::Sender<Response>, Instant),
     Worker(oneshot::Sender<(HeartbeatResponse, Instant)>),
     Health(oneshot::Sender<bool>),
     Operator(oneshot::Sender<operator::Reply>),
 }
 
-struct Runner {
+struct EventLoop {
     controller: Controller,
     client: Client,
     /// For commands to workers.
     workers: Client,
-    commanded: Recent,
+    commanded: RecentCommands,
     results: mpsc::UnboundedSender<Event>,
-    waiting: HashMap<RequestId, Waiting>,
+    waiting: HashMap<RequestId, PendingReply>,
     next: RequestId,
     state: SocketAddr,
     cloud: SocketAddr,
@@ -105,24 +105,24 @@
 
 /// Runs until the process is killed, a listener can't be opened, or the records turn out to be of a newer version.
 pub async fn run(config: Config, policy: Policy, features: Features) -> std::io::Result<()> {
-    let (incoming, mut requests) = mpsc::channel(MOST_WAITING);
+    let (incoming, mut requests) = mpsc::channel(MAX_QUEUED_REQUESTS);
     let (results, mut answers) = mpsc::unbounded_channel();
-    let doors = Doors::of(config.max_sockets);
+    let limits = ConnectionLimits::of(config.max_sockets);
     let public = server::serve(
         config.listen,
-        doors.public.clone(),
-        server::public(incoming.clone(), doors.public),
+        limits.public.clone(),
+        server::public_routes(incoming.clone(), limits.public),
     );
     let between = server::serve(
         config.peer_listen,
-        doors.peers,
-        server::between_controllers(incoming),
+        limits.peers,
+        server::peer_routes(incoming),
     );
     info!(controller = %config.name, zone = %config.zone, listen = %config.listen, "starting");
-    let mut runner = Runner {
-        client: Client::new(IDLE),
-        workers: Client::new(WORKER_IDLE),
-        commanded: Recent::new(config.max_sockets / COMMAND_PART),
+    let mut event_loop = EventLoop {
+        client: Client::new(IDLE_TIMEOUT),
+        workers: Client::new(WORKER_IDLE_TIMEOUT),
+        commanded: RecentCommands::new(config.max_sockets / COMMAND_PART),
         results,
         waiting: HashMap::new(),
         next: 0,
@@ -139,17 +139,17 @@
     };
     tokio::pin!(public);
     tokio::pin!(between);
-    let mut tick = tokio::time::interval(TICK);
+    let mut tick = tokio::time::interval(TICK_INTERVAL);
     tick.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
     loop {
         tokio::select! {
             result = &mut public => return result,
             result = &mut between => return result,
-            _ = tick.tick() => runner.handle(Event::Tick),
-            Some(event) = answers.recv() => runner.handle(event),
-            Some(request) = requests.recv() => runner.take(request),
+            _ = tick.tick() => event_loop.handle(Event::Tick),
+            Some(event) = answers.recv() => event_loop.handle(event),
+            Some(request) = requests.recv() => event_loop.take(request),
         }
-        if let Some(format) = runner.unsupported {
+        if let Some(format) = event_loop.unsupported {
             return Err(std::io::Error::other(format!(
                 "the records are in format {format}, newer than this version's {FORMAT}: start a newer version"
             )));
@@ -157,30 +157,36 @@
     }
 }
 
-impl Runner {
-    fn take(&mut self, request: Incoming) {
+impl EventLoop {
+    fn take(&mut self, request: IncomingRequest) {
         self.next += 1;
         let id = self.next;
         let now = Now::read().monotonic;
         let (waiting, event) = match request {
-            Incoming::Submit(body, reply) => (
-                Waiting::User(reply, now),
+            IncomingRequest::Submit(body, reply) => (
+                PendingReply::User(reply, now),
                 Event::Submit {
                     id,
                     body: body.to_vec(),
                 },
             ),
-            Incoming::Poll(job, reply) => (Waiting::User(reply, now), Event::Poll { id, job }),
-            Incoming::Cancel(job, reply) => (Waiting::User(reply, now), Event::Cancel { id, job }),
-            Incoming::Health(reply) => (Waiting::Health(reply), Event::Health { id }),
-            Incoming::Heartbeat(heartbeat, reply) => {
-                (Waiting::Worker(reply), Event::Heartbeat { id, heartbeat })
+            IncomingRequest::Poll(job, reply) => {
+                (PendingReply::User(reply, now), Event::Poll { id, job })
             }
-            Incoming::Operate(request, reply) => {
-                (Waiting::Operator(reply), Event::Operate { id, request })
+            IncomingRequest::Cancel(job, reply) => {
+                (PendingReply::User(reply, now), Event::Cancel { id, job })
             }
-            Incoming::Peer(message) => return self.handle(Event::Peer(message)),
-            Incoming::Metrics(reply) => {
+            IncomingRequest::Health(reply) => (PendingReply::Health(reply), Event::Health { id }),
+            IncomingRequest::Heartbeat(heartbeat, reply) => (
+                PendingReply::Worker(reply),
+                Event::Heartbeat { id, heartbeat },
+            ),
+            IncomingRequest::Operate(request, reply) => (
+                PendingReply::Operator(reply),
+                Event::Operate { id, request },
+            ),
+            IncomingRequest::Peer(message) => return self.handle(Event::Peer(message)),
+            IncomingRequest::Metrics(reply) => {
                 // Whoever asked may be gone.
                 let _ = reply.send(self.controller.metrics().show());
                 return;
@@ -202,7 +208,7 @@
     fn perform(&mut self, effect: Effect) {
         match effect {
             Effect::RespondToUser { id, response } => {
-                if let Some(Waiting::User(reply, since)) = self.waiting.remove(&id) {
+                if let Some(PendingReply::User(reply, since)) = self.waiting.remove(&id) {
                     if matches!(response, Response::State { status: 201, .. }) {
                         let took = u64::try_from(since.elapsed().as_millis()).unwrap_or(u64::MAX);
                         self.controller.metrics().accept_ms.record(took);
@@ -212,17 +218,17 @@
                 }
             }
             Effect::RespondToWorker { id, answer, until } => {
-                if let Some(Waiting::Worker(reply)) = self.waiting.remove(&id) {
+                if let Some(PendingReply::Worker(reply)) = self.waiting.remove(&id) {
                     let _ = reply.send((answer, until));
                 }
             }
             Effect::RespondToHealthCheck { id, healthy } => {
-                if let Some(Waiting::Health(reply)) = self.waiting.remove(&id) {
+                if let Some(PendingReply::Health(reply)) = self.waiting.remove(&id) {
                     let _ = reply.send(healthy);
                 }
             }
             Effect::RespondToOperator { id, reply } => {
-                if let Some(Waiting::Operator(waiting)) = self.waiting.remove(&id) {
+                if let Some(PendingReply::Operator(waiting)) = self.waiting.remove(&id) {
                     // Whoever asked may be gone.
                     let _ = waiting.send(reply);
                 }
@@ -259,7 +265,7 @@
                         outcome,
                     });
                 };
-                let close = self.commanded.crowded(Now::read().monotonic);
+                let close = self.commanded.near_limit(Now::read().monotonic);
                 let request = Request::post(
                     "/commands".to_owned(),
                     write(&command.body),
