--- /dev/null
+++ b/src/controller/dispatcher.rs
@@ -0,0 +1,191 @@
+//! Each event goes to the module that it concerns; then every module does what follows from the new state.
+//!
+//! The order of the steps in `advance` is part of the behaviour: a step sees what those before it have changed.
+
+use tracing::{info, warn};
+
+use super::{Controller, Effect, Event, StoreTag};
+use crate::cloud::CloudRequest;
+use crate::domain::{Attempt, BlockId, MachineId, Now};
+use crate::job_api::Response;
+use crate::provisioning;
+use crate::store::StoreRequest;
+use crate::store::rate_limiter::WritePriority;
+use crate::store::records::FORMAT;
+
+impl Controller {
+    /// Handles an event and returns what is to be done.
+    pub fn handle(&mut self, now: Now, event: Event) -> Vec<Effect> {
+        let mut effects = Vec::new();
+        self.detect_process_pause(now);
+        self.dispatch(now, event, &mut effects);
+        self.advance(now, &mut effects);
+        for effect in &effects {
+            if let Effect::RespondToUser {
+                response: Response::Problem { status, .. },
+                ..
+            } = effect
+            {
+                self.metrics.refused(*status);
+            }
+        }
+        effects
+    }
+
+    /// Brings the event to its module.
+    fn dispatch(&mut self, now: Now, event: Event, effects: &mut Vec<Effect>) {
+        match event {
+            Event::Tick => self.tick(now),
+            Event::Submit { id, body } => {
+                let (job_api, mut context) = self.job_api();
+                let response = job_api.submit(now, id, &body, &mut context);
+                effects.extend(response.map(|response| Effect::RespondToUser { id, response }));
+            }
+            Event::Poll { id, job } => {
+                let (job_api, mut context) = self.job_api();
+                let response = job_api.poll(now, id, &job, &mut context);
+                effects.extend(response.map(|response| Effect::RespondToUser { id, response }));
+            }
+            Event::Cancel { id, job } => {
+                let (job_api, mut context) = self.job_api();
+                let response = job_api.cancel(now, id, &job, &mut context);
+                effects.extend(response.map(|response| Effect::RespondToUser { id, response }));
+            }
+            Event::Health { id } => effects.push(Effect::RespondToHealthCheck {
+                id,
+                healthy: self.healthy(now),
+            }),
+            Event::Operate { id, request } => {
+                let reply = self.operations.ask(now, id, request);
+                effects.extend(reply.map(|reply| Effect::RespondToOperator { id, reply }));
+            }
+            Event::Heartbeat { id, heartbeat } => {
+                self.handle_worker_heartbeat(now, id, heartbeat, effects);
+            }
+            Event::Store { tag, sent, outcome } => {
+                self.handle_store_response(now, tag, sent, outcome, effects);
+            }
+            Event::Commanded {
+                block,
+                machine,
+                body,
+                outcome,
+            } => {
+                self.worker_fleet
+                    .commanded(now, &block, &machine, &body, outcome, &self.cache);
+                self.reports.request_status();
+            }
+            Event::CloudResponse { tag, outcome } => self.handle_cloud_response(now, tag, outcome),
+            Event::Peer(message) => self.handle_peer_message(now, message),
+        }
+    }
+
+    /// Does what follows from the present state.
+    fn advance(&mut self, now: Now, effects: &mut Vec<Effect>) {
+        let format = self.cache.format();
+        if format > FORMAT {
+            effects.push(Effect::Unsupported { format });
+            return;
+        }
+        self.adopt_record_format(now);
+        self.request_instance_catalog(now, effects);
+        self.apply_record_changes(now);
+        for (tag, request) in self.leadership.poll(now, &self.cache, &mut self.rng) {
+            self.push_store_request(WritePriority::Authority, StoreTag::Leadership(tag), request);
+        }
+        self.run_leader_round(now, effects);
+        self.serve_operators(now, effects);
+        self.write_placements(now, effects);
+        self.send_worker_commands(now, effects);
+        self.delete_machines_of_cancelled_tasks(now, effects);
+        self.broadcast_heartbeat(now, effects);
+        self.report_status(now, effects);
+        let (job_api, mut context) = self.job_api();
+        for (id, response) in job_api.advance(now, &mut context) {
+            effects.push(Effect::RespondToUser { id, response });
+        }
+        for (tag, request) in self.cache.poll(now) {
+            self.push_store_request(WritePriority::Authority, StoreTag::WatchCache(tag), request);
+        }
+        self.send_store_requests(now, effects);
+    }
+
+    /// Queues a request to the state service, which goes out when the rate allows.
+    pub(super) fn push_store_request(
+        &mut self,
+        priority: WritePriority,
+        tag: StoreTag,
+        request: StoreRequest,
+    ) {
+        if let Err(tag) = self.rate_limiter.push(priority, tag, request) {
+            // Only modules with one request at a time come here: their queue can't be full.
+            warn!(?tag, "state service request queue full");
+        }
+    }
+
+    /// Sends the queued requests that the rate allows.
+    pub(super) fn send_store_requests(&mut self, now: Now, effects: &mut Vec<Effect>) {
+        let ready = self.rate_limiter.take(now);
+        effects.extend(ready.into_iter().map(|(tag, op)| Effect::Store { tag, op }));
+    }
+
+    /// Takes up the format to which the records were switched. From then on the limits to come count as well as the
+    /// present ones.
+    fn adopt_record_format(&mut self, now: Now) {
+        if self.cache.format() == self.format {
+            return;
+        }
+        self.format = self.cache.format();
+        self.config.adopt_next_limits();
+        let limits = self.config.state_limits;
+        self.rate_limiter
+            .limit(now, &limits, self.leader_state.is_some());
+        info!(format = self.format, ?limits, "record format adopted");
+    }
+
+    /// Asks the cloud for its instance types when the list is due.
+    fn request_instance_catalog(&mut self, now: Now, effects: &mut Vec<Effect>) {
+        if self.catalog.due(now) {
+            effects.push(Effect::Cloud {
+                tag: provisioning::Tag::InstanceCatalog,
+                call: CloudRequest::ListInstanceTypes,
+                until: None,
+            });
+        }
+    }
+
+    /// Brings what is derived from the records up to date with the local copy.
+    fn apply_record_changes(&mut self, now: Now) {
+        if self.cache.revision == self.applied_revision && !self.cache.has_changed() {
+            return;
+        }
+        self.applied_revision = self.cache.revision;
+        self.plan_outdated = true;
+        if self.cache.ready() {
+            let changed = self.cache.take_changed();
+            self.cancellations.sync(&self.cache, &changed);
+            self.worker_fleet
+                .sync(now, &self.config, self.incarnation, &self.cache, &changed);
+        }
+        self.reports.request_status();
+    }
+
+    /// Deletes the machines whose cancelled tasks must be gone. It needs no authority: a cancellation is final.
+    fn delete_machines_of_cancelled_tasks(&mut self, now: Now, effects: &mut Vec<Effect>) {
+        let proven_gone = |block: &BlockId, machine: &MachineId, attempt: &Attempt| {
+            self.worker_fleet.proven_gone(block, machine, attempt)
+        };
+        let request = self.cancellations.poll(
+            now,
+            &self.config,
+            self.incarnation,
+            &self.cache,
+            proven_gone,
+        );
+        effects.extend(request.map(|(tag, call)| Effect::Cloud {
+            tag,
+            call,
+            until: None,
+        }));
+    }
+}
--- /dev/null
+++ b/src/controller/health.rs
@@ -0,0 +1,105 @@
+//! What time alone decides: health for the load balancer, the end of this holder's authority, process pauses, the tick.
+
+use std::collections::BTreeMap;
+use std::time::{Duration, Instant};
+
+use tracing::info;
+
+use super::Controller;
+use crate::domain::{ControllerName, Now, since};
+
+/// Events come with every tick. If none came for this long, the process was paused while its clocks ran on.
+const PROCESS_PAUSE: Duration = Duration::from_secs(1);
+/// How long only this controller must be without the state service before users are sent elsewhere.
+const ISOLATED_AFTER: Duration = Duration::from_secs(3);
+
+/// Who reaches the state service: this controller, and the others by what they last said.
+#[derive(Debug, Default)]
+pub(super) struct StateServiceReachability {
+    /// When each of the others last said that it reaches it. Without entry: it last said that it doesn't.
+    peers_reached: BTreeMap<ControllerName, Instant>,
+    /// Since when this controller doesn't.
+    unreachable_since: Option<Instant>,
+}
+
+impl StateServiceReachability {
+    /// Records whether this controller reaches it now.
+    pub(super) fn record_own(&mut self, now: Now, reaches: bool) {
+        self.unreachable_since = if reaches {
+            None
+        } else {
+            self.unreachable_since.or(Some(now.monotonic))
+        };
+    }
+
+    /// Records what another controller said.
+    pub(super) fn record_peer(&mut self, now: Now, peer: ControllerName, reaches: bool) {
+        if reaches {
+            self.peers_reached.insert(peer, now.monotonic);
+        } else {
+            self.peers_reached.remove(&peer);
+        }
+    }
+
+    /// Whether this controller has not reached it for a while and another one has.
+    fn isolated(&self, now: Now) -> bool {
+        self.unreachable_since
+            .is_some_and(|at| since(now, at) > ISOLATED_AFTER)
+            && self
+                .peers_reached
+                .values()
+                .any(|at| since(now, *at) < ISOLATED_AFTER)
+    }
+}
+
+impl Controller {
+    /// Whether users should come here. Not if only this controller can't reach the state service; during an outage for all,
+    /// staying is better than being taken out, since coming back takes the load balancer its time.
+    pub(super) fn healthy(&self, now: Now) -> bool {
+        self.cache.ready() && self.catalog.known() && !self.reachability.isolated(now)
+    }
+
+    /// Until when the known block leases may be acted on: counted from before they were asked for. That others may hold
+    /// them by now is what fencing tokens are for; what has an end is how long a cancellation may be unknown here.
+    pub(super) fn authority_until(&self, now: Now) -> Instant {
+        let fresh = self.cache.fresh_since().map(|fresh| {
+            self.cancellations
+                .all_known_until(now, &self.config)
+                .max(Some(fresh))
+        });
+        fresh.flatten().map_or(now.monotonic, |known| {
+            known + self.policy.block_lease_duration
+        })
+    }
+
+    /// Silence of others during a pause of this process is not theirs: the pause is added to when they were last heard.
+    pub(super) fn detect_process_pause(&mut self, now: Now) {
+        let gap = since(now, std::mem::replace(&mut self.last_event, now.monotonic));
+        if gap > PROCESS_PAUSE {
+            info!(?gap, "process pause detected");
+            self.worker_fleet.stood_still(gap);
+            self.block_lease_manager.process_paused(gap);
+            self.cancellations.process_paused(gap);
+        }
+    }
+
+    /// What is done with every tick.
+    pub(super) fn tick(&mut self, now: Now) {
+        self.worker_fleet.tick(now, &self.config, &self.policy);
+        for accepted_ms in self.worker_fleet.take_started() {
+            self.metrics
+                .start_ms
+                .record(now.unix_ms().saturating_sub(accepted_ms));
+        }
+        self.log_metrics(now);
+    }
+
+    /// Records how long the last event took to handle, as whoever runs this controller measured it. `now` is the time
+    /// that the event was handled at.
+    pub fn record_event_duration(&mut self, now: Now, duration: Duration) {
+        self.metrics.record_event_duration(duration);
+        if let Some(state) = &mut self.leader_state {
+            state.record_plan_duration(now, duration);
+        }
+    }
+}
--- /dev/null
+++ b/src/controller/leader_round.rs
@@ -0,0 +1,360 @@
+//! The leader's round: while this process leads and its authority lasts, it switches formats, leases blocks, and plans.
+//!
+//! A plan reads all machines and jobs, so that plans are paced by the time that they take. Everything that a round decides
+//! is gathered in `RoundOutput` and goes out afterwards: requests to the cloud with the end of the leader's authority, for
+//! they are conditioned on nothing; writes conditioned on the leader record.
+
+use std::collections::BTreeSet;
+use std::time::{Duration, Instant};
+
+use super::{Controller, Effect, StoreTag};
+use crate::block_leases::BlockLeaseManager;
+use crate::cancellation::Cancellations;
+use crate::cloud::{CloudRequest, InstanceCatalog};
+use crate::config::Config;
+use crate::domain::{Attempt, BlockId, Now, Term, Zone, since};
+use crate::features::Features;
+use crate::leader_context::LeaderContext;
+use crate::leadership::LeaderTerm;
+use crate::metrics::Metrics;
+use crate::peer::AssignmentUpdate;
+use crate::policy::Policy;
+use crate::provisioning::{self, Demand, Provisioner};
+use crate::scheduler::Scheduler;
+use crate::scheduler::draining::Draining;
+use crate::store::rate_limiter::WritePriority;
+use crate::store::{StoreRequest, WatchCache};
+use crate::upgrade::Upgrade;
+
+/// Between two plans at least, and ...
+const MIN_PLAN_INTERVAL: Duration = Duration::from_millis(40);
+/// ... at least when nothing has changed since the last one.
+const UNCHANGED_PLAN_INTERVAL: Duration = Duration::from_millis(500);
+/// Between two plans at most, however long they take.
+const MAX_PLAN_INTERVAL: Duration = Duration::from_secs(2);
+/// The part of the time that plans may take: a plan delays every response.
+const PLAN_TIME_FRACTION: f64 = 0.2;
+
+/// What the leader keeps for its term.
+pub(super) struct LeaderState {
+    pub(super) scheduler: Scheduler,
+    pub(super) provisioner: Provisioner,
+    /// What the last plan lacks.
+    pub(super) demand: Demand,
+    /// When the last summary was logged.
+    pub(super) last_summary: Option<Instant>,
+    last_plan: Option<Instant>,
+    /// The time between two plans, by how long the last ones took.
+    plan_interval: Duration,
+}
+
+impl LeaderState {
+    /// The state at the beginning of a term: nothing is known.
+    fn new(now: Now, term: Term, features: &Features) -> Self {
+        let scheduler = Scheduler::new(now, term);
+        let settings = &features.drain;
+        let scheduler = if settings.enabled {
+            scheduler.with_draining(Draining::new(now, settings.clone()))
+        } else {
+            scheduler
+        };
+        LeaderState {
+            scheduler,
+            provisioner: Provisioner::new(now, term),
+            demand: Demand::default(),
+            last_summary: None,
+            last_plan: None,
+            plan_interval: MIN_PLAN_INTERVAL,
+        }
+    }
+
+    /// Whether it is time for a plan. `outdated`: something has changed since the last one.
+    fn plan_due(&self, now: Now, outdated: bool) -> bool {
+        let interval = if outdated {
+            self.plan_interval
+        } else {
+            self.plan_interval.max(UNCHANGED_PLAN_INTERVAL)
+        };
+        self.last_plan.is_none_or(|at| since(now, at) >= interval)
+    }
+
+    /// Adapts the interval if a plan was made in the event of this time, whose duration is nearly all the plan's.
+    pub(super) fn record_plan_duration(&mut self, now: Now, duration: Duration) {
+        if self.last_plan != Some(now.monotonic) {
+            return;
+        }
+        let interval = duration
+            .div_f64(PLAN_TIME_FRACTION)
+            .clamp(MIN_PLAN_INTERVAL, MAX_PLAN_INTERVAL);
+        self.plan_interval = (self.plan_interval * 3 + interval) / 4;
+    }
+}
+
+/// The context in which the leader's modules act in this term. `batch` and `spare`: see [`LeaderContext`].
+pub(super) fn leader_context<'a>(
+    config: &'a Config,
+    policy: &'a Policy,
+    catalog: &'a InstanceCatalog,
+    leader: LeaderTerm,
+    batch: usize,
+    spare: bool,
+) -> LeaderContext<'a> {
+    LeaderContext {
+        config,
+        policy,
+        catalog,
+        term: leader.term,
+        version: leader.record_version,
+        batch,
+        spare,
+    }
+}
+
+/// A write that a round has decided.
+struct PendingWrite {
+    priority: WritePriority,
+    tag: StoreTag,
+    request: StoreRequest,
+}
+
+/// What a round has decided.
+#[derive(Default)]
+struct RoundOutput {
+    writes: Vec<PendingWrite>,
+    cloud_requests: Vec<(provisioning::Tag, CloudRequest)>,
+    assignment_updates: Vec<AssignmentUpdate>,
+}
+
+impl RoundOutput {
+    fn write(&mut self, priority: WritePriority, tag: StoreTag, request: Option<StoreRequest>) {
+        self.writes.extend(request.map(|request| PendingWrite {
+            priority,
+            tag,
+            request,
+        }));
+    }
+}
+
+/// One round: what its steps read and change.
+pub(super) struct LeaderRound<'a> {
+    pub(super) now: Now,
+    context: LeaderContext<'a>,
+    pub(super) cache: &'a mut WatchCache,
+    pub(super) state: &'a mut LeaderState,
+    pub(super) metrics: &'a mut Metrics,
+    upgrade: &'a mut Upgrade,
+    block_lease_manager: &'a mut BlockLeaseManager,
+    cancellations: &'a Cancellations,
+    /// Zones of which a controller has sent a heartbeat to this process.
+    heard_zones: &'a BTreeSet<Zone>,
+    output: RoundOutput,
+}
+
+impl LeaderRound<'_> {
+    /// Switches to a newer record format once every controller knows it.
+    fn switch_record_format(&mut self) {
+        let request = self.upgrade.poll(self.now, &self.context, self.cache);
+        self.output
+            .write(WritePriority::Authority, StoreTag::Upgrade, request);
+    }
+
+    /// Leases blocks to controllers. Zones are known by the catalogue only.
+    fn write_block_leases(&mut self) {
+        if !self.context.catalog.known() {
+            return;
+        }
+        let request = self
+            .block_lease_manager
+            .poll(self.now, &self.context, self.cache);
+        let tag = StoreTag::BlockLeases(self.context.term);
+        self.output.write(WritePriority::Authority, tag, request);
+    }
+
+    /// Whether it is time for a plan.
+    fn plan_due(&self, outdated: bool) -> bool {
+        self.context.catalog.known() && self.state.plan_due(self.now, outdated)
+    }
+
+    /// Makes a plan, and all that follows from it.
+    fn plan(&mut self) {
+        self.state.last_plan = Some(self.now.monotonic);
+        self.report_summary();
+        self.observe_machines();
+        self.place_tasks();
+        self.request_machines();
+        self.write_records();
+        self.collect_assignment_updates();
+    }
+
+    /// Takes in how holders and machines are. Holders that can't reach their machines lose their blocks.
+    fn observe_machines(&mut self) {
+        let (now, config) = (self.now, self.context.config);
+        let LeaderState {
+            scheduler,
+            provisioner,
+            ..
+        } = &mut *self.state;
+        let unreaching = scheduler.unreaching(now, config, self.cache);
+        for holder in &unreaching {
+            self.block_lease_manager.suspend_holder(now, holder);
+        }
+        let health = scheduler.health(now, self.cache, &unreaching);
+        let (cache, cancellations) = (&*self.cache, self.cancellations);
+        let attempt_resolved = |block: &BlockId, attempt: &Attempt| {
+            let holder_is_alive = || {
+                let lease = cache.block_leases.get(block);
+                lease.is_some_and(|lease| cancellations.holder_is_alive(now, &lease.value))
+            };
+            scheduler
+                .proven_gone(block, attempt)
+                .unwrap_or_else(holder_is_alive)
+        };
+        provisioner.observe(
+            now,
+            &self.context,
+            cache,
+            &health,
+            self.heard_zones,
+            attempt_resolved,
+        );
+        provisioner.note_drains(cache);
+    }
+
+    /// Decides where tasks go, and what machines are lacking for them.
+    fn place_tasks(&mut self) {
+        let LeaderState {
+            scheduler,
+            provisioner,
+            demand,
+            ..
+        } = &mut *self.state;
+        *demand = scheduler.plan(self.now, &self.context, self.cache, provisioner);
+    }
+
+    /// Rents and returns machines by what is demanded.
+    fn request_machines(&mut self) {
+        let LeaderState {
+            provisioner,
+            demand,
+            ..
+        } = &mut *self.state;
+        let requests = provisioner.calls(self.now, self.context.config, self.cache, demand);
+        self.output.cloud_requests.extend(requests);
+    }
+
+    /// Writes the states of drains, the jobs' progress and the machine inventory.
+    fn write_records(&mut self) {
+        let (now, term) = (self.now, self.context.term);
+        let LeaderState {
+            scheduler,
+            provisioner,
+            demand,
+            ..
+        } = &mut *self.state;
+        if let Some(draining) = scheduler.draining() {
+            provisioner.want_states(draining.machine_states());
+        }
+        let request = scheduler.write_drains(now, &self.context, self.cache);
+        let tag = StoreTag::Draining(term);
+        self.output.write(WritePriority::Work, tag, request);
+        let request = scheduler.write(now, &self.context, self.cache);
+        let tag = StoreTag::Scheduler(term);
+        self.output.write(WritePriority::Ends, tag, request);
+        let request = provisioner.write(now, &self.context, self.cache, demand);
+        let tag = StoreTag::Provisioning(term);
+        self.output.write(WritePriority::Work, tag, request);
+    }
+
+    /// Collects what holders are to be told of their blocks.
+    fn collect_assignment_updates(&mut self) {
+        let LeaderState {
+            scheduler,
+            provisioner,
+            ..
+        } = &mut *self.state;
+        self.output.assignment_updates =
+            scheduler.messages(self.now, self.cache, provisioner.addresses());
+    }
+}
+
+impl Controller {
+    /// Does what this process does as leader, if it leads and is certain of it.
+    pub(super) fn run_leader_round(&mut self, now: Now, effects: &mut Vec<Effect>) {
+        let Some(leader) = self.leadership.current_term(&self.cache) else {
+            if self.leader_state.take().is_some() {
+                self.rate_limiter.lead(now, false);
+            }
+            return;
+        };
+        self.begin_term(now, leader.term);
+        let Some(authority_until) = self
+            .leadership
+            .authority_until()
+            .filter(|until| now.monotonic < *until)
+        else {
+            return;
+        };
+        let output = self.decide(now, leader);
+        effects.extend(
+            output
+                .cloud_requests
+                .into_iter()
+                .map(|(tag, call)| Effect::Cloud {
+                    tag,
+                    call,
+                    until: Some(authority_until),
+                }),
+        );
+        for write in output.writes {
+            self.push_store_request(write.priority, write.tag, write.request);
+        }
+        self.send_assignment_updates(now, output.assignment_updates, effects);
+    }
+
+    /// Starts with empty state if the term is new.
+    fn begin_term(&mut self, now: Now, term: Term) {
+        let known = self.leader_state.as_ref();
+        if known.is_some_and(|state| state.scheduler.term() == term) {
+            return;
+        }
+        self.rate_limiter.lead(now, true);
+        self.leader_state = Some(LeaderState::new(now, term, &self.features));
+        self.reports.request_status();
+    }
+
+    /// Runs the steps of a round.
+    fn decide(&mut self, now: Now, leader: LeaderTerm) -> RoundOutput {
+        let batch = self.rate_limiter.batch(self.config.state_limits.txn_ops);
+        let spare = self.rate_limiter.spare(now);
+        let Some(state) = &mut self.leader_state else {
+            return RoundOutput::default();
+        };
+        let mut round = LeaderRound {
+            now,
+            context: leader_context(
+                &self.config,
+                &self.policy,
+                &self.catalog,
+                leader,
+                batch,
+                spare,
+            ),
+            cache: &mut self.cache,
+            state,
+            metrics: &mut self.metrics,
+            upgrade: &mut self.upgrade,
+            block_lease_manager: &mut self.block_lease_manager,
+            cancellations: &self.cancellations,
+            heard_zones: &self.heard_zones,
+            output: RoundOutput::default(),
+        };
+        round.switch_record_format();
+        round.write_block_leases();
+        if round.plan_due(self.plan_outdated) {
+            round.plan();
+            self.plans += 1;
+            self.plan_outdated = false;
+        }
+        round.output
+    }
+}
--- /dev/null
+++ b/src/controller/metrics_summary.rs
@@ -0,0 +1,73 @@
+//! The lines that sum up once a minute what this process has done and, on the leader, how the service is.
+
+use std::time::Duration;
+
+use tracing::info;
+
+use super::Controller;
+use super::leader_round::LeaderRound;
+use crate::domain::{Now, since};
+use crate::metrics::Metrics;
+
+/// Between two summaries.
+const SUMMARY_INTERVAL: Duration = Duration::from_secs(60);
+
+impl Controller {
+    /// Logs the metrics of this process when that is due.
+    pub(super) fn log_metrics(&mut self, now: Now) {
+        if since(now, self.last_metrics_summary) < SUMMARY_INTERVAL {
+            return;
+        }
+        self.last_metrics_summary = now.monotonic;
+        let Metrics {
+            accept_ms,
+            start_ms,
+            step_us,
+            refused,
+            transactions,
+            ..
+        } = &self.metrics;
+        info!(
+            accepted = accept_ms.count(),
+            accept_p90_ms = accept_ms.quantile(0.9),
+            started = start_ms.count(),
+            start_p50_ms = start_ms.quantile(0.5),
+            start_p90_ms = start_ms.quantile(0.9),
+            step_p99_us = step_us.quantile(0.99),
+            step_max_us = step_us.quantile(1.0),
+            refused = refused.values().sum::<u64>(),
+            ?transactions,
+            "metrics"
+        );
+    }
+}
+
+impl LeaderRound<'_> {
+    /// Logs how the service is, and sets the gauges anew, when that is due.
+    pub(super) fn report_summary(&mut self) {
+        let state = &mut *self.state;
+        let last = state.last_summary;
+        if last.is_some_and(|at| since(self.now, at) < SUMMARY_INTERVAL) {
+            return;
+        }
+        state.last_summary = Some(self.now.monotonic);
+        let gauges = &mut self.metrics.gauges;
+        gauges.clear();
+        state.provisioner.summary(self.cache, &state.demand, gauges);
+        if let Some(draining) = state.scheduler.draining() {
+            draining.summary(self.cache, gauges);
+        }
+        for (team, count) in &state.scheduler.waiting {
+            gauges.insert(format!("waiting{{team=\"{team}\"}}"), *count as f64);
+        }
+        gauges.insert("jobs_open".to_owned(), self.cache.open.len() as f64);
+        gauges.insert("jobs_ended".to_owned(), self.cache.ended.len() as f64);
+        let waiting: u64 = state.scheduler.waiting.values().sum();
+        info!(
+            open = self.cache.open.len(),
+            ended = self.cache.ended.len(),
+            waiting,
+            "jobs"
+        );
+    }
+}
--- /dev/null
+++ b/src/controller/operator_requests.rs
@@ -0,0 +1,57 @@
+//! Operators' requests: the leader serves them, any other controller names the leader.
+
+use super::leader_round::leader_context;
+use super::{Controller, Effect, StoreTag};
+use crate::domain::{ControllerName, Now};
+use crate::operations;
+use crate::store::rate_limiter::WritePriority;
+
+impl Controller {
+    /// Responds to operators, as far as that can be done now.
+    pub(super) fn serve_operators(&mut self, now: Now, effects: &mut Vec<Effect>) {
+        if self.operations.is_idle() {
+            return;
+        }
+        let authority = self.leadership.authority_until();
+        let leader = self
+            .leadership
+            .current_term(&self.cache)
+            .filter(|_| authority.is_some_and(|until| now.monotonic < until));
+        let (Some(leader), Some(state)) = (leader, &self.leader_state) else {
+            let replies = self.operations.refer(self.other_leader());
+            effects.extend(
+                replies
+                    .into_iter()
+                    .map(|(id, reply)| Effect::RespondToOperator { id, reply }),
+            );
+            return;
+        };
+        let batch = self.rate_limiter.batch(self.config.state_limits.txn_ops);
+        let leader = leader_context(
+            &self.config,
+            &self.policy,
+            &self.catalog,
+            leader,
+            batch,
+            false,
+        );
+        let context = operations::Context {
+            leader: &leader,
+            draining: state.scheduler.draining(),
+        };
+        let progress = self.operations.poll(now, &context, &mut self.cache);
+        if let Some(request) = progress.op {
+            self.push_store_request(WritePriority::User, StoreTag::Operations, request);
+        }
+        let replies = progress.replies.into_iter();
+        effects.extend(replies.map(|(id, reply)| Effect::RespondToOperator { id, reply }));
+    }
+
+    /// The controller that leads, if it is another one, and its address.
+    fn other_leader(&self) -> Option<(ControllerName, String)> {
+        let leader = &self.cache.leader.as_ref()?.value.controller;
+        let mut peers = self.config.peers.iter();
+        let peer = peers.find(|peer| peer.name == *leader)?;
+        Some((leader.clone(), peer.addr.to_string()))
+    }
+}
--- /dev/null
+++ b/src/controller/store_responses.rs
@@ -0,0 +1,154 @@
+//! Responses of the state service and of the cloud: each goes to the module that sent the request.
+//!
+//! A response to what the leader sent counts only in the term in which it was sent.
+
+use std::time::Instant;
+
+use tracing::warn;
+
+use super::leader_round::LeaderState;
+use super::{Controller, Effect, StoreTag};
+use crate::cloud::CloudResponse;
+use crate::domain::{Now, Term};
+use crate::job_api::RequestId;
+use crate::peer::Message;
+use crate::provisioning;
+use crate::store::StoreResponse;
+use crate::store::rate_limiter::WritePriority;
+
+/// The module by which a request's transaction is counted. None: it is part of the upkeep of leases and of the local copy
+/// and not counted.
+fn transaction_module(tag: &StoreTag) -> Option<&'static str> {
+    match tag {
+        StoreTag::WatchCache(_) | StoreTag::Leadership(_) => None,
+        StoreTag::JobApi(_) => Some("job_api"),
+        StoreTag::BlockLeases(_) => Some("block_leases"),
+        StoreTag::Upgrade => Some("upgrade"),
+        StoreTag::Provisioning(_) => Some("provisioning"),
+        StoreTag::Scheduler(_) => Some("scheduler"),
+        StoreTag::Draining(_) => Some("draining"),
+        StoreTag::Operations => Some("operations"),
+        StoreTag::Block { .. } => Some("workers"),
+    }
+}
+
+impl Controller {
+    /// Handles a response of the state service to the request with this tag, sent at `sent`.
+    pub(super) fn handle_store_response(
+        &mut self,
+        now: Now,
+        tag: StoreTag,
+        sent: Instant,
+        outcome: StoreResponse,
+        effects: &mut Vec<Effect>,
+    ) {
+        self.rate_limiter.note(now, &outcome);
+        if let Some(module) = transaction_module(&tag) {
+            self.metrics.transaction(module, &outcome);
+            if outcome == StoreResponse::Invalid {
+                warn!(module, "transaction rejected: malformed or too large");
+            }
+        }
+        match tag {
+            StoreTag::WatchCache(tag) => {
+                for (tag, request) in self.cache.handle(now, tag, outcome) {
+                    let tag = StoreTag::WatchCache(tag);
+                    self.push_store_request(WritePriority::Authority, tag, request);
+                }
+            }
+            StoreTag::Leadership(tag) => {
+                let requests = self
+                    .leadership
+                    .handle(now, sent, tag, &outcome, &self.cache);
+                for (tag, request) in requests {
+                    let tag = StoreTag::Leadership(tag);
+                    self.push_store_request(WritePriority::Authority, tag, request);
+                }
+            }
+            StoreTag::JobApi(id) => self.handle_job_response(now, id, &outcome, effects),
+            StoreTag::BlockLeases(term) => {
+                let leader = self.leadership.current_term(&self.cache);
+                if leader.is_some_and(|leader| leader.term == term) {
+                    self.block_lease_manager.answered(now, &outcome);
+                }
+            }
+            StoreTag::Upgrade => self.upgrade.answered(now, &outcome),
+            StoreTag::Provisioning(term) => {
+                if let Some(state) = self.leader_state_of(term) {
+                    state.provisioner.answered(now, &outcome);
+                }
+            }
+            StoreTag::Scheduler(term) => {
+                if let Some(state) = self.leader_state_of(term) {
+                    state.scheduler.answered(now, &outcome);
+                }
+            }
+            StoreTag::Draining(term) => {
+                if let Some(state) = self.leader_state_of(term) {
+                    state.scheduler.drains_written(now, &outcome);
+                }
+            }
+            StoreTag::Operations => self.operations.written(now, &outcome),
+            StoreTag::Block {
+                block,
+                lease_version,
+            } => {
+                self.worker_fleet
+                    .written(now, &block, lease_version, &outcome);
+                self.reports.request_status();
+            }
+        }
+    }
+
+    /// The leader's state if it is that of this term.
+    fn leader_state_of(&mut self, term: Term) -> Option<&mut LeaderState> {
+        self.leader_state
+            .as_mut()
+            .filter(|state| state.scheduler.term() == term)
+    }
+
+    /// A user's transaction has been answered. A cancellation that was committed is told to the other controllers at once.
+    fn handle_job_response(
+        &mut self,
+        now: Now,
+        id: RequestId,
+        outcome: &StoreResponse,
+        effects: &mut Vec<Effect>,
+    ) {
+        let (job_api, mut context) = self.job_api();
+        let cancelled = job_api.cancelled(id, outcome);
+        let response = job_api.committed(now, id, outcome, &mut context);
+        effects.extend(response.map(|response| Effect::RespondToUser { id, response }));
+        if let Some(cancelled) = cancelled {
+            self.apply_cancellations([cancelled]);
+            self.broadcast(&Message::Cancelled(vec![cancelled]), effects);
+        }
+    }
+
+    /// Handles a response of the cloud to the request with this tag.
+    pub(super) fn handle_cloud_response(
+        &mut self,
+        now: Now,
+        tag: provisioning::Tag,
+        outcome: CloudResponse,
+    ) {
+        if tag == provisioning::Tag::DeleteCancelled {
+            self.cancellations.cloud_responded(now, &outcome);
+        } else if tag == provisioning::Tag::InstanceCatalog {
+            self.catalog.answered(match outcome {
+                CloudResponse::InstanceTypes(list) => Some(list),
+                _ => None,
+            });
+        } else if let Some(state) = &mut self.leader_state {
+            state.provisioner.cloud_responded(
+                now,
+                &self.policy,
+                &self.config,
+                &self.cache,
+                tag,
+                outcome,
+            );
+        }
+        self.plan_outdated = true;
+    }
+}
--- a/src/controller/tests.rs
+++ b/src/controller/tests.rs
@@ -1,7 +1,16 @@
+//! When users are sent elsewhere.
+
+use std::collections::BTreeMap;
+use std::time::Duration;
+
 use super::*;
+use crate::cloud::CloudResponse;
 use crate::cloud::wire::InstanceTypeList;
 use crate::config::tests::SETTINGS;
-use crate::domain::Incarnation;
+use crate::domain::{ControllerName, since};
+use crate::peer::{ControllerHeartbeat, Message};
+use crate::provisioning;
+use crate::store::{StoreResponse, cache};
 
 #[test]
 fn users_are_sent_elsewhere_only_if_the_others_reach_the_state_service() {
--- /dev/null
+++ b/src/controller/workers.rs
@@ -0,0 +1,76 @@
+//! The controller as a holder of blocks: workers' heartbeats, the commands to them, and the writes of their placements.
+
+use super::{Controller, Effect, StoreTag};
+use crate::domain::Now;
+use crate::job_api::RequestId;
+use crate::store::rate_limiter::WritePriority;
+use crate::workers::Writes;
+use crate::workers::wire::Heartbeat;
+
+impl Controller {
+    /// Responds to a worker's heartbeat. A machine that is not in the inventory is reported to the provisioner.
+    pub(super) fn handle_worker_heartbeat(
+        &mut self,
+        now: Now,
+        id: RequestId,
+        heartbeat: Heartbeat,
+        effects: &mut Vec<Effect>,
+    ) {
+        let until = self.authority_until(now);
+        let authorized = now.monotonic < until;
+        if !self.cache.machines.contains_key(&heartbeat.machine)
+            && let Some(state) = &mut self.leader_state
+        {
+            state.provisioner.unexpected(now, &heartbeat);
+        }
+        let answer =
+            self.worker_fleet
+                .heartbeat(now, heartbeat, &self.config, &self.cache, authorized);
+        self.reports.request_status();
+        effects.push(Effect::RespondToWorker { id, answer, until });
+    }
+
+    /// Writes placements of blocks while the state service's rate allows. Each request is sent before the next one is made
+    /// up, since what is spare decides how large that one may be.
+    pub(super) fn write_placements(&mut self, now: Now, effects: &mut Vec<Effect>) {
+        while self.rate_limiter.idle(now, WritePriority::Work)
+            && let writes = self.spare_writes(now)
+            && let Some((block, request)) =
+                self.worker_fleet
+                    .write(now, &self.config, writes, &mut self.cache, &self.catalog)
+        {
+            let lease_version = self.worker_fleet.lease_version(&block);
+            let tag = StoreTag::Block {
+                block,
+                lease_version,
+            };
+            self.push_store_request(WritePriority::Work, tag, request);
+            self.send_store_requests(now, effects);
+        }
+    }
+
+    /// What the rate leaves for the holder's writes.
+    fn spare_writes(&mut self, now: Now) -> Writes {
+        Writes {
+            most: self
+                .rate_limiter
+                .spare_batch(self.config.state_limits.txn_ops),
+            plenty: self.rate_limiter.spare(now),
+        }
+    }
+
+    /// Sends the commands that workers are to get now rather than with the response to their next heartbeat.
+    pub(super) fn send_worker_commands(&mut self, now: Now, effects: &mut Vec<Effect>) {
+        let until = self.authority_until(now);
+        let authorized = now.monotonic < until;
+        let commands = self
+            .worker_fleet
+            .commands(now, &self.config, &self.cache, authorized);
+        let until = authorized.then_some(until);
+        effects.extend(
+            commands
+                .into_iter()
+                .map(|command| Effect::Command { command, until }),
+        );
+    }
+}
--- a/src/peer/mod.rs
+++ b/src/peer/mod.rs
@@ -12,7 +12,7 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum Message {
     /// Holder to leader: how its blocks are.
-    Status(Status),
+    Status(ControllerStatus),
     /// To everyone, every second.
     #[serde(rename = "Alive")]
     Heartbeat(ControllerHeartbeat),
@@ -61,7 +61,7 @@
 }
 
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Status {
+pub struct ControllerStatus {
     #[serde(rename = "node")]
     pub controller: ControllerName,
     #[serde(rename = "boot")]
@@ -77,16 +77,16 @@
 /// hold all machines there are.
 pub const STATUS_ITEMS_PER_MESSAGE: usize = 1000;
 
-impl Status {
+impl ControllerStatus {
     /// The same in as many messages as it takes, each about some of the blocks.
-    pub fn in_messages(self) -> Vec<Status> {
-        let Status {
+    pub fn into_messages(self) -> Vec<ControllerStatus> {
+        let ControllerStatus {
             controller,
             incarnation,
             blocks,
             misrouted,
         } = self;
-        let mut messages = vec![Status {
+        let mut messages = vec![ControllerStatus {
             controller: controller.clone(),
             incarnation,
             blocks: Vec::new(),
@@ -97,7 +97,7 @@
             let more = block.machines.len() + block.pending.len() + block.ended.len();
             if told > 0 && told + more > STATUS_ITEMS_PER_MESSAGE {
                 told = 0;
-                messages.push(Status {
+                messages.push(ControllerStatus {
                     controller: controller.clone(),
                     incarnation,
                     blocks: Vec::new(),
--- a/src/peer/tests.rs
+++ b/src/peer/tests.rs
@@ -49,7 +49,7 @@
 /// more than a controller takes, and the leader never heard of them.
 #[test]
 fn a_status_about_4000_machines_is_told_in_messages_that_arrive() {
-    let status = Status {
+    let status = ControllerStatus {
         controller: "node-1".into(),
         incarnation: Incarnation(7),
         blocks: (0..20).map(|number| block(number, 200)).collect(),
@@ -60,7 +60,7 @@
         whole > LARGEST_BODY,
         "{whole} bytes in one message show nothing"
     );
-    let messages = status.clone().in_messages();
+    let messages = status.clone().into_messages();
     let mut blocks = Vec::new();
     for message in messages {
         assert_eq!(
@@ -76,13 +76,13 @@
 
 #[test]
 fn a_status_about_nothing_is_still_a_sign_of_life() {
-    let status = Status {
+    let status = ControllerStatus {
         controller: "node-1".into(),
         incarnation: Incarnation(7),
         blocks: Vec::new(),
         misrouted: Vec::new(),
     };
-    assert_eq!(status.clone().in_messages(), [status]);
+    assert_eq!(status.clone().into_messages(), [status]);
 }
 
 /// One message of each kind as it goes over the wire today: CBOR, in hexadecimal, by what it shows.
