--- /dev/null
+++ b/src/block_leases/assignment.rs
@@ -0,0 +1,229 @@
+//! Which controller gets which block, and the transaction that says so.
+
+use std::collections::BTreeMap;
+
+use tracing::info;
+
+use crate::domain::{BlockId, ControllerName, FencingToken, Incarnation, Zone};
+use crate::leader_context::LeaderContext;
+use crate::store::cache::Versioned;
+use crate::store::records::{BlockLease, LEADER, TOKEN, Token, block_lease_key};
+use crate::store::{Transaction, WatchCache};
+
+/// A lease to be written in place of its record of this version, 0 for none.
+struct LeaseChange {
+    block: BlockId,
+    version: u64,
+    lease: BlockLease,
+}
+
+/// The leases to be written at one time.
+pub(super) struct LeaseAssignment<'a> {
+    leader: &'a LeaderContext<'a>,
+    cache: &'a WatchCache,
+    /// Controllers that may hold blocks, by name.
+    holders: Vec<ControllerName>,
+    /// How many blocks each of them holds.
+    lease_counts: BTreeMap<ControllerName, usize>,
+    /// The highest token that was given out.
+    last_token: u64,
+    changes: Vec<LeaseChange>,
+}
+
+impl<'a> LeaseAssignment<'a> {
+    /// No changes yet.
+    pub(super) fn new(
+        leader: &'a LeaderContext<'a>,
+        cache: &'a WatchCache,
+        holders: Vec<ControllerName>,
+    ) -> Self {
+        let mut lease_counts: BTreeMap<ControllerName, usize> = holders
+            .iter()
+            .map(|controller| (controller.clone(), 0))
+            .collect();
+        for lease in cache.block_leases.values() {
+            if let Some(count) = lease_counts.get_mut(&lease.value.holder) {
+                *count += 1;
+            }
+        }
+        LeaseAssignment {
+            leader,
+            cache,
+            holders,
+            lease_counts,
+            last_token: cache.max_token(),
+            changes: Vec::new(),
+        }
+    }
+
+    /// Whether nothing is to be written.
+    pub(super) fn is_empty(&self) -> bool {
+        self.changes.is_empty()
+    }
+
+    /// Leases a block anew if its holder is gone, if the leader has changed, or if its holder wants a new token in place of
+    /// `renewal`.
+    pub(super) fn assign(&mut self, block: &BlockId, zone: &Zone, renewal: Option<&FencingToken>) {
+        let old = self.cache.block_leases.get(block);
+        let kept = old.filter(|old| self.holder_lasts(&old.value));
+        if let Some(old) = kept
+            && renewal != Some(&old.value.token)
+        {
+            self.confirm(block, old);
+            return;
+        }
+        let holder = match kept {
+            Some(old) => Some(old.value.holder.clone()),
+            None => self.choose_holder(zone),
+        };
+        let Some(holder) = holder else {
+            return;
+        };
+        let Some(incarnation) = self.incarnation_of(&holder) else {
+            return;
+        };
+        if let Some(count) = self.lease_counts.get_mut(&holder) {
+            *count += 1;
+        }
+        let version = old.map_or(0, |old| old.version);
+        self.lease(block.clone(), version, zone.clone(), holder, incarnation);
+    }
+
+    /// Writes a lease that stays as it is for the present term.
+    fn confirm(&mut self, block: &BlockId, old: &Versioned<BlockLease>) {
+        let term = self.leader.term;
+        if old.value.term != term {
+            self.changes.push(LeaseChange {
+                block: block.clone(),
+                version: old.version,
+                lease: BlockLease {
+                    term,
+                    ..old.value.clone()
+                },
+            });
+        }
+    }
+
+    /// Moves one block from the controller with the most to the one with the fewest, if they differ by two or more: so a
+    /// controller that came back gets blocks again.
+    pub(super) fn rebalance(&mut self, required: &BTreeMap<BlockId, Zone>) -> Option<()> {
+        let (idle, fewest) = self.lease_counts.iter().min_by_key(|(_, count)| **count)?;
+        let (busy, most) = self.lease_counts.iter().max_by_key(|(_, count)| **count)?;
+        if *most < fewest + 2 {
+            return None;
+        }
+        let config = self.leader.config;
+        let (block, _) = required
+            .iter()
+            .filter(|(block, _)| {
+                self.cache
+                    .block_leases
+                    .get(*block)
+                    .is_some_and(|lease| lease.value.holder == *busy)
+            })
+            .max_by_key(|(_, zone)| {
+                config
+                    .peers
+                    .iter()
+                    .any(|peer| peer.name == *idle && peer.zone == **zone)
+            })?;
+        let lease = self.cache.block_leases.get(block)?;
+        let (holder, version) = (idle.clone(), lease.version);
+        let incarnation = self.incarnation_of(&holder)?;
+        let zone = lease.value.zone.clone();
+        self.lease(block.clone(), version, zone, holder, incarnation);
+        Some(())
+    }
+
+    /// Adds a lease with a new token.
+    fn lease(
+        &mut self,
+        block: BlockId,
+        version: u64,
+        zone: Zone,
+        holder: ControllerName,
+        incarnation: Incarnation,
+    ) {
+        self.last_token += 1;
+        let lease = BlockLease {
+            zone,
+            holder,
+            incarnation,
+            token: FencingToken(self.last_token),
+            term: self.leader.term,
+        };
+        self.changes.push(LeaseChange {
+            block,
+            version,
+            lease,
+        });
+    }
+
+    /// Whether the process that holds the lease is up and may hold blocks.
+    fn holder_lasts(&self, lease: &BlockLease) -> bool {
+        self.holders.contains(&lease.holder)
+            && self.incarnation_of(&lease.holder) == Some(lease.incarnation)
+    }
+
+    /// A controller in the block's zone, since a cut between zones then leaves them together; among equals the one that
+    /// holds the fewest blocks.
+    fn choose_holder(&self, zone: &Zone) -> Option<ControllerName> {
+        let cost = |controller: &&ControllerName| {
+            (
+                self.zone_of(controller) != Some(zone),
+                self.lease_counts.get(*controller).copied().unwrap_or(0),
+            )
+        };
+        self.holders.iter().min_by_key(cost).cloned()
+    }
+
+    fn incarnation_of(&self, controller: &ControllerName) -> Option<Incarnation> {
+        let member = self.cache.members.get(controller)?;
+        Some(member.value.incarnation)
+    }
+
+    fn zone_of(&self, controller: &ControllerName) -> Option<&Zone> {
+        let config = self.leader.config;
+        if *controller == config.name {
+            return Some(&config.zone);
+        }
+        let mut peers = config.peers.iter();
+        peers
+            .find(|peer| peer.name == *controller)
+            .map(|peer| &peer.zone)
+    }
+
+    /// The transaction with as many of the changes as it may have, conditioned on this leader's record.
+    pub(super) fn into_transaction(mut self) -> Transaction {
+        let LeaderContext {
+            config,
+            term,
+            version: leader_version,
+            ..
+        } = *self.leader;
+        self.changes.truncate(config.state_limits.txn_ops - 1);
+        let mut transaction = Transaction::default().when(LEADER, leader_version);
+        if self.last_token > self.cache.max_token() {
+            let token = self.cache.token.as_ref();
+            let token_version = token.map_or(0, |token| token.version);
+            transaction = transaction.when(TOKEN, token_version).put(
+                TOKEN,
+                &Token {
+                    last: self.last_token,
+                },
+            );
+        }
+        for LeaseChange {
+            block,
+            version,
+            lease,
+        } in &self.changes
+        {
+            info!(%block, holder = %lease.holder, token = %lease.token, %term, "block lease written");
+            transaction = transaction
+                .when(block_lease_key(block), *version)
+                .put(block_lease_key(block), lease);
+        }
+        transaction
+    }
+}
--- a/src/block_leases/mod.rs
+++ b/src/block_leases/mod.rs
@@ -1,7 +1,9 @@
-//! Blocks: machines of one zone, leased together to a controller. Only the leader block leases them.
+//! Blocks: machines of one zone, leased together to a controller, their holder. Only the leader leases them.
 //!
-//! The number of a block lease, its token, is the token that workers check. A block lease is written anew by every new
-//! leader: with the same token when the same process keeps the block, with a higher one when it changes hands.
+//! The leader's round polls [`BlockLeaseManager`], which returns at most one transaction at a time; statuses of holders come
+//! in as heartbeats. The fencing token of a lease is the one that workers check. A lease is written anew by every new
+//! leader: with the same token when the same process keeps the block, with a higher one when it changes hands or when its
+//! holder needs one.
 
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
@@ -12,10 +14,22 @@
 use crate::domain::{BlockId, ControllerName, FencingToken, Incarnation, Now, Term, Zone, since};
 use crate::leader_context::LeaderContext;
 use crate::policy::Policy;
-use crate::store::records::{BlockLease, LEADER, TOKEN, Token, block_lease_key};
-use crate::store::{StoreRequest, StoreResponse, Transaction, WatchCache, Writer};
+use crate::store::{StoreRequest, StoreResponse, WatchCache, Writer};
 
-/// A zone's block by its number.
+mod assignment;
+
+use assignment::LeaseAssignment;
+
+/// How long a suspended holder gets no blocks: doubled each time that it fails again.
+const SUSPENSION: Duration = Duration::from_secs(30);
+/// How often that is doubled at most.
+const MAX_SUSPENSION_DOUBLINGS: u32 = 4;
+/// A holder that did not fail for so long after a suspension starts from the shortest one.
+const SUSPENSION_MEMORY: Duration = Duration::from_secs(120);
+/// A new leader moves no blocks for balance before it has heard of everyone.
+const REBALANCE_DELAY: Duration = Duration::from_secs(5);
+
+/// The id of a zone's block by its number.
 pub fn block_id(zone: &Zone, number: usize) -> BlockId {
     BlockId::from(format!("{zone}.{number}").as_str())
 }
@@ -32,7 +46,7 @@
     let each = blocks.div_ceil(zones.len().max(1)).max(1);
     let mut required: BTreeMap<BlockId, Zone> = zones
         .iter()
-        .flat_map(|zone| (0..each).map(move |n| (block_id(zone, n), zone.clone())))
+        .flat_map(|zone| (0..each).map(move |number| (block_id(zone, number), zone.clone())))
         .collect();
     required.extend(
         cache
@@ -43,41 +57,63 @@
     required
 }
 
+/// The last heartbeat of a controller.
+#[derive(Debug)]
+struct LastHeartbeat {
+    incarnation: Incarnation,
+    at: Instant,
+}
+
+/// A holder that could not do its work gets no blocks.
+#[derive(Debug, Clone, Copy)]
+struct Suspension {
+    until: Instant,
+    /// How often in a row it was suspended.
+    count: u32,
+}
+
+/// The term in which this process leads, and since when it has known.
+#[derive(Debug)]
+struct CurrentTerm {
+    term: Term,
+    since: Instant,
+}
+
+/// Decides on the leader who holds which block. Its state lasts for a term.
 #[derive(Debug)]
 pub struct BlockLeaseManager {
     writer: Writer,
-    leading_since: Option<(Term, Instant)>,
-    /// When each controller last spoke to us.
-    last_heartbeats: BTreeMap<ControllerName, (Incarnation, Instant)>,
-    /// Blocks whose holder asked for a new token.
+    current_term: Option<CurrentTerm>,
+    last_heartbeats: BTreeMap<ControllerName, LastHeartbeat>,
+    /// Blocks whose holder asked for a new token in place of this one.
     token_renewals: BTreeMap<BlockId, FencingToken>,
-    /// Controllers that could not do a holder's work: until when they get no blocks, and how often in a row.
-    suspended: BTreeMap<ControllerName, (Instant, u32)>,
+    suspended: BTreeMap<ControllerName, Suspension>,
 }
 
-/// How long a controller that could not do a holder's work gets no blocks: doubled each time that it fails again.
-const SUSPENSION: Duration = Duration::from_secs(30);
-const MAX_SUSPENSION_DOUBLINGS: u32 = 4;
-
 impl BlockLeaseManager {
+    /// Nothing is known, and nothing under way.
     pub fn new() -> Self {
         BlockLeaseManager {
             writer: Writer::Idle,
-            leading_since: None,
+            current_term: None,
             last_heartbeats: BTreeMap::new(),
             token_renewals: BTreeMap::new(),
             suspended: BTreeMap::new(),
         }
     }
 
+    /// This process of the controller has just sent something.
     pub fn record_heartbeat(
         &mut self,
         now: Now,
         controller: &ControllerName,
         incarnation: Incarnation,
     ) {
-        self.last_heartbeats
-            .insert(controller.clone(), (incarnation, now.monotonic));
+        let heartbeat = LastHeartbeat {
+            incarnation,
+            at: now.monotonic,
+        };
+        self.last_heartbeats.insert(controller.clone(), heartbeat);
     }
 
     /// A holder has lost track of a command: only a higher token makes sure that it can't be executed late.
@@ -85,264 +121,142 @@
         self.token_renewals.insert(block.clone(), token);
     }
 
-    /// This process stood still: what it did not hear meanwhile is no silence of the others.
+    /// This process was paused for so long: what it did not hear meanwhile is no silence of the others.
     pub fn process_paused(&mut self, gap: Duration) {
-        for (_, at) in self.last_heartbeats.values_mut() {
-            *at += gap;
+        for heartbeat in self.last_heartbeats.values_mut() {
+            heartbeat.at += gap;
         }
-        if let Some((_, at)) = &mut self.leading_since {
-            *at += gap;
+        if let Some(current) = &mut self.current_term {
+            current.since += gap;
         }
     }
 
-    /// A holder that hears hardly any of its machines, while others hear them. Its blocks go to others, and it does
-    /// not win them back at once, or they would go to and fro.
+    /// A holder hears hardly any of its machines, while others hear them. Its blocks go to others, and it does not win them
+    /// back at once, or they would go to and fro.
     pub fn suspend_holder(&mut self, now: Now, controller: &ControllerName) {
-        let (until, times) = self
-            .suspended
-            .get(controller)
-            .copied()
-            .unwrap_or((now.monotonic, 0));
-        if now.monotonic < until {
+        let last = self.suspended.get(controller);
+        let last = last.copied().unwrap_or(Suspension {
+            until: now.monotonic,
+            count: 0,
+        });
+        if now.monotonic < last.until {
             return;
         }
-        let times = if since(now, until) < SUSPENSION * 4 {
-            times
+        let count = if since(now, last.until) < SUSPENSION_MEMORY {
+            last.count
         } else {
             0
         };
-        let pause = SUSPENSION * 2u32.pow(times.min(MAX_SUSPENSION_DOUBLINGS));
-        info!(holder = %controller, ?pause, "holder can't reach its machines");
-        self.suspended
-            .insert(controller.clone(), (now.monotonic + pause, times + 1));
-    }
-
-    fn trusted(
-        &self,
-        now: Now,
-        controller: &ControllerName,
-        config: &Config,
-        policy: &Policy,
-        cache: &WatchCache,
-    ) -> bool {
-        if *controller == config.name {
-            return true;
-        }
-        let Some(member) = cache.members.get(controller) else {
-            return false;
+        let pause = SUSPENSION * 2u32.pow(count.min(MAX_SUSPENSION_DOUBLINGS));
+        info!(holder = %controller, ?pause, "holder suspended: it can't reach its machines");
+        let suspension = Suspension {
+            until: now.monotonic + pause,
+            count: count + 1,
         };
-        let since_start = self
-            .leading_since
-            .map_or(Duration::ZERO, |(_, at)| since(now, at));
-        match self.last_heartbeats.get(controller) {
-            Some((incarnation, at)) if *incarnation == member.value.incarnation => {
-                since(now, *at) < policy.suspect_after
-            }
-            _ => since_start < policy.suspect_after,
-        }
+        self.suspended.insert(controller.clone(), suspension);
     }
 
-    /// Grants what is not held, or held by a controller that is gone. One transaction at a time.
+    /// Leases what is not held, or held by a controller that is gone. One transaction at a time.
     pub fn poll(
         &mut self,
         now: Now,
         leader: &LeaderContext<'_>,
         cache: &mut WatchCache,
     ) -> Option<StoreRequest> {
-        let LeaderContext {
-            config,
-            policy,
-            term,
-            version: leader_version,
-            ..
-        } = *leader;
-        let zones = &leader.catalog.zones(config);
-        if self.leading_since.is_none_or(|(known, _)| known != term) {
-            self.leading_since = Some((term, now.monotonic));
-            self.last_heartbeats.clear();
-            self.token_renewals.clear();
-            self.suspended.clear();
-            self.writer = Writer::Unsure {
-                since: now.monotonic,
-            };
-        }
+        self.begin_term(now, leader.term);
         if !self.writer.ready(now, cache) {
             return None;
         }
-        let mut members: Vec<ControllerName> = cache
+        let holders = self.eligible_holders(now, leader, cache);
+        let mut assignment = LeaseAssignment::new(leader, cache, holders);
+        let zones = leader.catalog.zones(leader.config);
+        let required = required_blocks(&zones, leader.config, leader.policy, cache);
+        for (block, zone) in &required {
+            assignment.assign(block, zone, self.token_renewals.get(block));
+        }
+        let term_age = self
+            .current_term
+            .as_ref()
+            .map(|current| since(now, current.since));
+        if assignment.is_empty() && term_age.is_some_and(|age| age > REBALANCE_DELAY) {
+            assignment.rebalance(&required);
+        }
+        if assignment.is_empty() {
+            return None;
+        }
+        self.writer.sent();
+        Some(StoreRequest::Commit(assignment.into_transaction()))
+    }
+
+    /// What was known in another term counts no more.
+    fn begin_term(&mut self, now: Now, term: Term) {
+        let current = self.current_term.as_ref();
+        if current.is_some_and(|current| current.term == term) {
+            return;
+        }
+        self.current_term = Some(CurrentTerm {
+            term,
+            since: now.monotonic,
+        });
+        self.last_heartbeats.clear();
+        self.token_renewals.clear();
+        self.suspended.clear();
+        self.writer = Writer::Unsure {
+            since: now.monotonic,
+        };
+    }
+
+    /// The controllers that may hold blocks, by name. Suspended ones only if there are no others.
+    fn eligible_holders(
+        &self,
+        now: Now,
+        leader: &LeaderContext<'_>,
+        cache: &WatchCache,
+    ) -> Vec<ControllerName> {
+        let mut holders: Vec<ControllerName> = cache
             .members
             .keys()
-            .filter(|controller| self.trusted(now, controller, config, policy, cache))
+            .filter(|controller| self.is_responsive(now, controller, leader, cache))
             .cloned()
             .collect();
-        let fit = |controller: &ControllerName| {
+        let active = |controller: &ControllerName| {
             self.suspended
                 .get(controller)
-                .is_none_or(|(until, _)| now.monotonic >= *until)
+                .is_none_or(|suspension| now.monotonic >= suspension.until)
         };
-        if members.iter().any(fit) {
-            members.retain(fit);
-        }
-        let incarnation_of = |controller: &ControllerName| {
-            cache
-                .members
-                .get(controller)
-                .map(|member| member.value.incarnation)
-        };
-        let mut held: BTreeMap<&ControllerName, usize> =
-            members.iter().map(|controller| (controller, 0)).collect();
-        for lease in cache.block_leases.values() {
-            if let Some(count) = held.get_mut(&lease.value.holder) {
-                *count += 1;
-            }
+        if holders.iter().any(active) {
+            holders.retain(active);
         }
-        let mut last = cache.max_token();
-        let mut changes = Vec::new();
-        for (block, zone) in required_blocks(zones, config, policy, cache) {
-            let old = cache.block_leases.get(&block);
-            let kept = old.filter(|old| {
-                members.contains(&old.value.holder)
-                    && incarnation_of(&old.value.holder) == Some(old.value.incarnation)
-            });
-            let renewed =
-                kept.filter(|old| self.token_renewals.get(&block) != Some(&old.value.token));
-            if let Some(old) = renewed {
-                if old.value.term != term {
-                    changes.push((
-                        block,
-                        old.version,
-                        BlockLease {
-                            term,
-                            ..old.value.clone()
-                        },
-                    ));
-                }
-                continue;
-            }
-            // The zone's own controller if it is up, for a cut between zones then leaves them together; else
-            // whoever holds least.
-            let zone_of = |controller: &ControllerName| {
-                if *controller == config.name {
-                    return Some(&config.zone);
-                }
-                config
-                    .peers
-                    .iter()
-                    .find(|peer| peer.name == *controller)
-                    .map(|peer| &peer.zone)
-            };
-            let chosen = match kept {
-                Some(old) => Some(old.value.holder.clone()),
-                None => members
-                    .iter()
-                    .min_by_key(|controller| {
-                        (
-                            zone_of(controller) != Some(&zone),
-                            held.get(controller).copied().unwrap_or(0),
-                        )
-                    })
-                    .cloned(),
-            };
-            let Some((holder, incarnation)) = chosen.and_then(|controller| {
-                incarnation_of(&controller).map(|incarnation| (controller, incarnation))
-            }) else {
-                continue;
-            };
-            if let Some(count) = held.get_mut(&holder) {
-                *count += 1;
-            }
-            last += 1;
-            let version = old.map_or(0, |old| old.version);
-            changes.push((
-                block,
-                version,
-                BlockLease {
-                    zone,
-                    holder,
-                    incarnation,
-                    token: FencingToken(last),
-                    term,
-                },
-            ));
-        }
-        if changes.is_empty() {
-            if let Some((block, controller, version)) =
-                self.unbalanced(now, leader, zones, &held, cache)
-            {
-                let zone = cache
-                    .block_leases
-                    .get(&block)
-                    .map(|lease| lease.value.zone.clone())?;
-                let incarnation = incarnation_of(&controller)?;
-                last += 1;
-                changes.push((
-                    block,
-                    version,
-                    BlockLease {
-                        zone,
-                        holder: controller,
-                        incarnation,
-                        token: FencingToken(last),
-                        term,
-                    },
-                ));
-            } else {
-                return None;
-            }
-        }
-        changes.truncate(config.state_limits.txn_ops - 1);
-        let mut txn = Transaction::default().when(LEADER, leader_version);
-        if last > cache.max_token() {
-            txn = txn
-                .when(TOKEN, cache.token.as_ref().map_or(0, |token| token.version))
-                .put(TOKEN, &Token { last });
-        }
-        for (block, version, lease) in &changes {
-            info!(%block, holder = %lease.holder, token = %lease.token, %term, "block lease written");
-            txn = txn
-                .when(block_lease_key(block), *version)
-                .put(block_lease_key(block), lease);
-        }
-        self.writer.sent();
-        Some(StoreRequest::Commit(txn))
+        holders
     }
 
-    /// A controller that came back gets blocks again, once it has been heard for a while.
-    fn unbalanced(
+    /// Whether the controller is a member and was heard lately. A new leader gives everyone time to be heard.
+    fn is_responsive(
         &self,
         now: Now,
+        controller: &ControllerName,
         leader: &LeaderContext<'_>,
-        zones: &[Zone],
-        held: &BTreeMap<&ControllerName, usize>,
         cache: &WatchCache,
-    ) -> Option<(BlockId, ControllerName, u64)> {
-        let LeaderContext { config, policy, .. } = *leader;
-        let settled = self
-            .leading_since
-            .is_some_and(|(_, at)| since(now, at) > Duration::from_secs(5));
-        let (idle, none) = held.iter().min_by_key(|(_, count)| **count)?;
-        let (busy, most) = held.iter().max_by_key(|(_, count)| **count)?;
-        if !settled || *most < none + 2 {
-            return None;
+    ) -> bool {
+        if *controller == leader.config.name {
+            return true;
         }
-        let (block, _) = required_blocks(zones, config, policy, cache)
-            .into_iter()
-            .filter(|(block, _)| {
-                cache
-                    .block_leases
-                    .get(block)
-                    .is_some_and(|lease| lease.value.holder == **busy)
-            })
-            .max_by_key(|(_, zone)| {
-                config
-                    .peers
-                    .iter()
-                    .any(|p| p.name == **idle && p.zone == *zone)
-            })?;
-        let version = cache.block_leases.get(&block)?.version;
-        Some((block, (*idle).clone(), version))
+        let Some(member) = cache.members.get(controller) else {
+            return false;
+        };
+        let silence = match self.last_heartbeats.get(controller) {
+            Some(heartbeat) if heartbeat.incarnation == member.value.incarnation => {
+                since(now, heartbeat.at)
+            }
+            _ => self
+                .current_term
+                .as_ref()
+                .map_or(Duration::ZERO, |current| since(now, current.since)),
+        };
+        silence < leader.policy.suspect_after
     }
 
+    /// The state service has answered the last transaction.
     pub fn answered(&mut self, now: Now, outcome: &StoreResponse) {
         self.writer.answered(now, outcome);
     }
--- a/src/block_leases/tests.rs
+++ b/src/block_leases/tests.rs
@@ -9,7 +9,7 @@
 
 /// A controller that can't do a holder's work must not win blocks back at once: they would go to and fro.
 #[test]
-fn blocks_leave_a_holder_that_is_cut_off_and_stay_away_longer_each_time() {
+fn blocks_leave_a_suspended_holder_and_stay_away_longer_each_time() {
     let config = Config::parse("s.toml", SETTINGS).expect("valid");
     let policy = Policy::defaults(&config);
     let mut catalog = InstanceCatalog::default();
