--- /dev/null
+++ b/src/cancellation/deletion.rs
@@ -0,0 +1,105 @@
+//! Machines that must be rid of a cancelled task are deleted, by whichever controller.
+
+use std::collections::BTreeSet;
+use std::time::Duration;
+
+use tracing::warn;
+
+use super::{Cancellations, is_overdue};
+use crate::cloud::wire::MachineNames;
+use crate::cloud::{CloudRequest, CloudResponse};
+use crate::config::Config;
+use crate::domain::{Attempt, BlockId, Incarnation, JobId, MachineId, Now, TaskId, since};
+use crate::provisioning::Tag;
+use crate::store::WatchCache;
+
+/// Between two searches for such machines.
+pub(super) const POLL_INTERVAL: Duration = Duration::from_millis(400);
+/// A deletion that was refused or not answered is repeated after this long: what is deleted already is ignored.
+pub(super) const DELETION_RETRY_INTERVAL: Duration = Duration::from_secs(1);
+/// The protocol's limit for one deletion.
+const MAX_MACHINES_PER_DELETION: usize = 100;
+
+impl Cancellations {
+    /// Deletes machines that must be rid of a cancelled task: those of this holder's blocks of which that is not proven,
+    /// and those of holders that are not heard. `incarnation`: this process. `proven_gone`: whether a task of this holder
+    /// is.
+    pub fn poll(
+        &mut self,
+        now: Now,
+        config: &Config,
+        incarnation: Incarnation,
+        cache: &WatchCache,
+        proven_gone: impl Fn(&BlockId, &MachineId, &Attempt) -> bool,
+    ) -> Option<(Tag, CloudRequest)> {
+        if self.open.is_empty()
+            || self
+                .last_poll
+                .is_some_and(|at| since(now, at) < POLL_INTERVAL)
+        {
+            return None;
+        }
+        self.last_poll = Some(now.monotonic);
+        if !self.deleting.is_empty() || self.retry_at.is_some_and(|at| now.monotonic < at) {
+            return None;
+        }
+        let mut due = BTreeSet::new();
+        let overdue = self
+            .open
+            .iter()
+            .filter(|(_, record)| is_overdue(now, config, record.cancelled_ms));
+        for (job, _) in overdue {
+            for (attempt, block, machine) in self.remaining_attempts(*job, cache) {
+                let Some(lease) = cache.block_leases.get(block) else {
+                    continue;
+                };
+                let lease = &lease.value;
+                let resolved = if lease.holder == config.name && lease.incarnation == incarnation {
+                    proven_gone(block, machine, &attempt)
+                } else {
+                    self.holder_is_alive(now, lease)
+                };
+                if !resolved && due.insert(machine.clone()) {
+                    warn!(%machine, %attempt, "machine deleted: its cancelled task must be gone");
+                }
+            }
+        }
+        let machines: Vec<MachineId> = due.into_iter().take(MAX_MACHINES_PER_DELETION).collect();
+        if machines.is_empty() {
+            return None;
+        }
+        self.deleting.clone_from(&machines);
+        let request = CloudRequest::Delete(MachineNames { machines });
+        Some((Tag::DeleteCancelled, request))
+    }
+
+    /// The attempts of a job that are recorded as placed, on machines that are still there.
+    fn remaining_attempts<'a>(
+        &'a self,
+        job: JobId,
+        cache: &'a WatchCache,
+    ) -> impl Iterator<Item = (Attempt, &'a BlockId, &'a MachineId)> {
+        let placed = cache.placed(job).iter();
+        let remaining = placed.filter(|(_, placement)| {
+            cache.machines.contains_key(&placement.machine)
+                && !self.deleted.contains(&placement.machine)
+        });
+        remaining.map(move |((index, number), placement)| {
+            let task = TaskId { job, index: *index };
+            let attempt = Attempt {
+                task,
+                number: *number,
+            };
+            (attempt, &placement.block, &placement.machine)
+        })
+    }
+
+    /// The cloud has answered a deletion. The inventory is changed by the leader, which finds the machine overdue as well.
+    pub fn cloud_responded(&mut self, now: Now, outcome: &CloudResponse) {
+        let machines = std::mem::take(&mut self.deleting);
+        match outcome {
+            CloudResponse::Deleted => self.deleted.extend(machines),
+            _ => self.retry_at = Some(now.monotonic + DELETION_RETRY_INTERVAL),
+        }
+    }
+}
--- /dev/null
+++ b/src/cancellation/peer_heartbeats.rs
@@ -0,0 +1,141 @@
+//! Heartbeats sent and received: who is alive, and up to which time all cancellations are known.
+//!
+//! Heartbeats of a process are numbered, for a late one tells nothing of the present. Each names the last one that its
+//! sender has received of every other controller.
+
+use std::collections::{BTreeMap, VecDeque};
+use std::time::{Duration, Instant};
+
+use crate::config::Config;
+use crate::domain::{ControllerName, Incarnation, Now, since};
+use crate::peer::{ControllerHeartbeat, HeartbeatId};
+use crate::store::records::BlockLease;
+
+/// A holder that was heard this lately sees to its machines itself. Controllers send heartbeats every second.
+pub(super) const HOLDER_HEARTBEAT_TIMEOUT: Duration = Duration::from_secs(3);
+/// An outage counts as lasting for all until this long after the others have last said that they are in it: they are out of
+/// it one by one.
+const SHARED_OUTAGE_TIMEOUT: Duration = Duration::from_secs(6);
+/// Heartbeats of this process whose times are kept: answers to older ones are of no use.
+const MAX_SENT_HEARTBEATS: usize = 64;
+
+/// What is known of another controller by its heartbeats.
+#[derive(Debug)]
+struct PeerState {
+    last: HeartbeatId,
+    at: Instant,
+    /// When it last said that it doesn't reach the state service.
+    unreachable_at: Option<Instant>,
+    /// It has named all cancellations that it knew of at this time or later: the time at which this process sent the last
+    /// heartbeat that it had received by then.
+    cancellations_known_until: Option<Instant>,
+}
+
+/// A heartbeat that this process has sent.
+#[derive(Debug)]
+struct SentHeartbeat {
+    number: u64,
+    at: Instant,
+}
+
+/// The heartbeats between this process and the other controllers.
+#[derive(Debug, Default)]
+pub(super) struct PeerHeartbeats {
+    peers: BTreeMap<ControllerName, PeerState>,
+    /// The oldest first.
+    sent: VecDeque<SentHeartbeat>,
+}
+
+impl PeerHeartbeats {
+    /// The number of the heartbeat that is sent now.
+    pub(super) fn next_number(&mut self, now: Now) -> u64 {
+        let number = self.sent.back().map_or(1, |sent| sent.number + 1);
+        self.sent.push_back(SentHeartbeat {
+            number,
+            at: now.monotonic,
+        });
+        if self.sent.len() > MAX_SENT_HEARTBEATS {
+            self.sent.pop_front();
+        }
+        number
+    }
+
+    /// The last heartbeat received of each of the others.
+    pub(super) fn last_received(&self) -> BTreeMap<ControllerName, HeartbeatId> {
+        self.peers
+            .iter()
+            .map(|(controller, peer)| (controller.clone(), peer.last))
+            .collect()
+    }
+
+    /// Records a heartbeat unless it is late. `controller` and `incarnation`: this process.
+    pub(super) fn record(
+        &mut self,
+        now: Now,
+        controller: &ControllerName,
+        incarnation: Incarnation,
+        heartbeat: &ControllerHeartbeat,
+    ) {
+        let last = HeartbeatId {
+            incarnation: heartbeat.incarnation,
+            number: heartbeat.number,
+        };
+        let known = self.peers.get(&heartbeat.controller);
+        let same_process = known.filter(|peer| peer.last.incarnation == last.incarnation);
+        if same_process.is_some_and(|peer| last.number <= peer.last.number) {
+            return;
+        }
+        let received = heartbeat
+            .heard
+            .get(controller)
+            .filter(|received| heartbeat.complete && received.incarnation == incarnation);
+        let received_sent_at = received.and_then(|received| {
+            let mut sent = self.sent.iter();
+            sent.find(|sent| sent.number == received.number)
+                .map(|sent| sent.at)
+        });
+        let before = same_process.and_then(|peer| peer.cancellations_known_until);
+        let state = PeerState {
+            last,
+            at: now.monotonic,
+            unreachable_at: if heartbeat.reaches_state {
+                known.and_then(|peer| peer.unreachable_at)
+            } else {
+                Some(now.monotonic)
+            },
+            cancellations_known_until: before.max(received_sent_at),
+        };
+        self.peers.insert(heartbeat.controller.clone(), state);
+    }
+
+    /// See `Cancellations::all_known_until`.
+    pub(super) fn all_known_until(&self, now: Now, config: &Config) -> Option<Instant> {
+        let known_until = config.peers.iter().map(|peer| {
+            let peer = self.peers.get(&peer.name)?;
+            peer.cancellations_known_until.filter(|_| {
+                peer.unreachable_at
+                    .is_some_and(|at| since(now, at) < SHARED_OUTAGE_TIMEOUT)
+            })
+        });
+        known_until
+            .collect::<Option<Vec<Instant>>>()?
+            .into_iter()
+            .min()
+    }
+
+    /// This process was paused for so long.
+    pub(super) fn process_paused(&mut self, gap: Duration) {
+        for peer in self.peers.values_mut() {
+            peer.at += gap;
+        }
+    }
+
+    /// Whether the process that holds this block lease was heard lately.
+    pub(super) fn holder_is_alive(&self, now: Now, lease: &BlockLease) -> bool {
+        let peer = self.peers.get(&lease.holder);
+        peer.is_some_and(|peer| {
+            peer.last.incarnation == lease.incarnation
+                && since(now, peer.at) < HOLDER_HEARTBEAT_TIMEOUT
+        })
+    }
+}
--- a/src/cancellation/tests.rs
+++ b/src/cancellation/tests.rs
@@ -1,9 +1,14 @@
 //! Who ends what is left of a cancelled job, and when.
 
+use super::deletion::{DELETION_RETRY_INTERVAL, POLL_INTERVAL};
+use super::peer_heartbeats::HOLDER_HEARTBEAT_TIMEOUT;
 use super::*;
+use crate::cloud::{CloudRequest, CloudResponse};
 use crate::config::tests::SETTINGS;
-use crate::domain::{CapacityType, FencingToken, Incarnation, TaskId, Term};
+use crate::domain::{Attempt, BlockId, CapacityType, FencingToken, TaskId, Term};
+use crate::peer::HeartbeatId;
 use crate::placement::tests::job;
+use crate::provisioning::Tag;
 use crate::store::Change;
 use crate::store::records::{
     BlockPlacements, InventoryEntry, JobRecord, MachineInventory, MachineState, block_lease_key,
@@ -12,9 +17,9 @@
 
 const INCARNATION: Incarnation = Incarnation(7);
 
-/// Our copy: block `a.0` is ours with `m-1`, block `b.0` another's (process 3) with `m-2`. On both is a task of job 1,
+/// The local copy of the records: block `a.0` is ours with `m-1`, block `b.0` another's (process 3) with `m-2`. On both is a task of job 1,
 /// which is cancelled, and on `m-3` of ours one of job 2, which is not.
-struct Copy {
+struct Fixture {
     config: Config,
     cache: WatchCache,
     start: Now,
@@ -23,7 +28,7 @@
     reaches_state: bool,
 }
 
-impl Copy {
+impl Fixture {
     fn new() -> Self {
         let config = Config::parse("s.toml", SETTINGS).expect("valid");
         let start = Now::read();
@@ -90,7 +95,7 @@
         let mut cancellations = Cancellations::new();
         let changed = cache.take_changed();
         cancellations.sync(&cache, &changed);
-        Copy {
+        Fixture {
             config,
             cache,
             start,
@@ -121,6 +126,7 @@
         heard: Option<(Incarnation, u64)>,
     ) {
         let us = self.config.name.clone();
+        let heard = heard.map(HeartbeatId::from);
         let heartbeat = ControllerHeartbeat {
             controller: self.config.peers[peer].name.clone(),
             incarnation,
@@ -131,7 +137,7 @@
             heard: heard.into_iter().map(|heard| (us.clone(), heard)).collect(),
         };
         self.cancellations
-            .record_heartbeat(self.at(after), (&us, INCARNATION), &heartbeat);
+            .record_heartbeat(self.at(after), &us, INCARNATION, &heartbeat);
     }
 
     fn next_heartbeat(&mut self, after: Duration) -> ControllerHeartbeat {
@@ -161,116 +167,123 @@
 }
 
 #[test]
-fn machines_with_cancelled_tasks_are_deleted_in_time_by_their_holder_or_if_it_is_not_heard_by_anyone()
- {
-    let mut copy = Copy::new();
-    let late = copy.config.cancel_within - DELETION_MARGIN;
+fn overdue_machines_are_deleted_by_their_holder_or_if_it_is_not_heard_by_anyone() {
+    let mut fixture = Fixture::new();
+    let late = fixture.config.cancel_within - DELETION_MARGIN;
     assert_eq!(
-        copy.deleted(late - Duration::from_secs(1), false),
+        fixture.deleted(late - Duration::from_secs(1), false),
         [] as [&str; 0],
         "there is time yet"
     );
-    copy.hear_holder(late, Incarnation(3), 1);
+    fixture.hear_holder(late, Incarnation(3), 1);
     assert_eq!(
-        copy.deleted(late, true),
+        fixture.deleted(late, true),
         [] as [&str; 0],
         "ours is proven gone, the other holder sees to its own"
     );
     let later = late + POLL_INTERVAL;
-    assert_eq!(copy.deleted(later, false), ["m-1"]);
-    copy.cancellations
-        .cloud_responded(copy.at(later), &CloudResponse::Unknown);
+    assert_eq!(fixture.deleted(later, false), ["m-1"]);
+    fixture
+        .cancellations
+        .cloud_responded(fixture.at(later), &CloudResponse::Unknown);
     assert_eq!(
-        copy.deleted(later + POLL_INTERVAL, false),
+        fixture.deleted(later + POLL_INTERVAL, false),
         [] as [&str; 0],
         "not at once"
     );
     assert_eq!(
-        copy.deleted(later + DELETION_RETRY_INTERVAL, false),
+        fixture.deleted(later + DELETION_RETRY_INTERVAL, false),
         ["m-1"],
         "the call may be lost"
     );
-    copy.cancellations.cloud_responded(
-        copy.at(later + DELETION_RETRY_INTERVAL),
+    fixture.cancellations.cloud_responded(
+        fixture.at(later + DELETION_RETRY_INTERVAL),
         &CloudResponse::Deleted,
     );
     assert_eq!(
-        copy.deleted(later + DELETION_RETRY_INTERVAL * 2, false),
+        fixture.deleted(later + DELETION_RETRY_INTERVAL * 2, false),
         [] as [&str; 0],
         "once is enough"
     );
     assert_eq!(
-        copy.deleted(late + HOLDER_HEARTBEAT_TIMEOUT, false),
+        fixture.deleted(late + HOLDER_HEARTBEAT_TIMEOUT, false),
         ["m-2"],
         "its holder is not heard any more"
     );
 }
 
 #[test]
-fn only_signs_of_life_of_the_process_that_holds_the_grant_count_and_late_ones_do_not() {
-    let mut copy = Copy::new();
-    let late = copy.config.cancel_within - DELETION_MARGIN;
-    let lease = copy.cache.block_leases[&BlockId::from("b.0")].value.clone();
-    let heard =
-        |copy: &Copy, after: Duration| copy.cancellations.holder_is_alive(copy.at(after), &lease);
-    copy.hear_holder(Duration::from_secs(1), Incarnation(3), 5);
-    assert!(heard(&copy, Duration::from_secs(1)));
-    copy.hear_holder(late, Incarnation(3), 4);
-    copy.hear_holder(late, Incarnation(3), 5);
+fn a_holder_is_alive_by_new_heartbeats_of_the_process_that_holds_the_lease_only() {
+    let mut fixture = Fixture::new();
+    let late = fixture.config.cancel_within - DELETION_MARGIN;
+    let lease = fixture.cache.block_leases[&BlockId::from("b.0")]
+        .value
+        .clone();
+    let heard = |fixture: &Fixture, after: Duration| {
+        fixture
+            .cancellations
+            .holder_is_alive(fixture.at(after), &lease)
+    };
+    fixture.hear_holder(Duration::from_secs(1), Incarnation(3), 5);
+    assert!(heard(&fixture, Duration::from_secs(1)));
+    fixture.hear_holder(late, Incarnation(3), 4);
+    fixture.hear_holder(late, Incarnation(3), 5);
     assert!(
-        !heard(&copy, late),
+        !heard(&fixture, late),
         "an earlier message, and a copy of the last one"
     );
-    copy.hear_holder(late, Incarnation(3), 6);
-    assert!(heard(&copy, late));
-    copy.cancellations.process_paused(Duration::from_secs(30));
+    fixture.hear_holder(late, Incarnation(3), 6);
+    assert!(heard(&fixture, late));
+    fixture
+        .cancellations
+        .process_paused(Duration::from_secs(30));
     assert!(
-        heard(&copy, late + Duration::from_secs(30)),
+        heard(&fixture, late + Duration::from_secs(30)),
         "we were away, not it"
     );
-    copy.hear_holder(late, Incarnation(4), 1);
+    fixture.hear_holder(late, Incarnation(4), 1);
     assert!(
-        !heard(&copy, late),
+        !heard(&fixture, late),
         "a process that was started since knows nothing of its tasks"
     );
-    assert_eq!(copy.deleted(late, true), ["m-2"]);
+    assert_eq!(fixture.deleted(late, true), ["m-2"]);
 }
 
 #[test]
-fn others_are_told_of_cancelled_jobs_until_they_are_over() {
-    let mut copy = Copy::new();
-    let told = copy.cancellations.newest_cancelled_jobs();
+fn heartbeats_name_cancelled_jobs_until_they_are_over() {
+    let mut fixture = Fixture::new();
+    let told = fixture.cancellations.newest_cancelled_jobs();
     assert_eq!(
         told.iter().map(|told| told.job).collect::<Vec<_>>(),
         [JobId(1)]
     );
-    assert_eq!(told[0].version, copy.cache.open[&JobId(1)].version);
+    assert_eq!(told[0].version, fixture.cache.open[&JobId(1)].version);
     let end = encode(&JobRecord::Ended(crate::domain::JobOutcome::Cancelled, 2));
-    copy.cache.apply(Change {
+    fixture.cache.apply(Change {
         key: job_key(JobId(1)),
         version: 90,
         value: Some(end),
     });
-    let changed = copy.cache.take_changed();
-    copy.cancellations.sync(&copy.cache, &changed);
-    assert_eq!(copy.cancellations.newest_cancelled_jobs(), []);
+    let changed = fixture.cache.take_changed();
+    fixture.cancellations.sync(&fixture.cache, &changed);
+    assert_eq!(fixture.cancellations.newest_cancelled_jobs(), []);
 }
 
 /// In an outage all holders may go on only while they know of all that can have been confirmed.
 #[test]
-fn what_all_others_have_named_is_known_since_we_sent_what_they_had_heard() {
-    let mut copy = Copy::new();
+fn cancellations_are_known_until_we_sent_the_last_heartbeat_that_all_others_received() {
+    let mut fixture = Fixture::new();
     let seconds = Duration::from_secs;
-    let known = |copy: &Copy| {
-        let known = copy
+    let known = |fixture: &Fixture| {
+        let known = fixture
             .cancellations
-            .all_known_until(copy.at(seconds(13)), &copy.config);
-        known.map(|at| at.saturating_duration_since(copy.start.monotonic))
+            .all_known_until(fixture.at(seconds(13)), &fixture.config);
+        known.map(|at| at.saturating_duration_since(fixture.start.monotonic))
     };
     for second in 1..=9 {
-        assert_eq!(copy.next_heartbeat(seconds(second)).number, second);
+        assert_eq!(fixture.next_heartbeat(seconds(second)).number, second);
     }
-    copy.hear(
+    fixture.hear(
         0,
         seconds(10),
         Incarnation(3),
@@ -278,8 +291,8 @@
         true,
         Some((INCARNATION, 5)),
     );
-    assert_eq!(known(&copy), None, "only one of two");
-    copy.hear(
+    assert_eq!(known(&fixture), None, "only one of two");
+    fixture.hear(
         1,
         seconds(10),
         Incarnation(4),
@@ -288,11 +301,11 @@
         Some((INCARNATION, 7)),
     );
     assert_eq!(
-        known(&copy),
+        known(&fixture),
         Some(seconds(5)),
         "when we sent that, not when the answer came"
     );
-    copy.hear(
+    fixture.hear(
         0,
         seconds(11),
         Incarnation(3),
@@ -300,7 +313,7 @@
         false,
         Some((INCARNATION, 9)),
     );
-    copy.hear(
+    fixture.hear(
         0,
         seconds(11),
         Incarnation(3),
@@ -308,13 +321,13 @@
         true,
         Some((Incarnation(INCARNATION.0 + 1), 9)),
     );
-    copy.hear(0, seconds(11), Incarnation(3), 4, true, None);
+    fixture.hear(0, seconds(11), Incarnation(3), 4, true, None);
     assert_eq!(
-        known(&copy),
+        known(&fixture),
         Some(seconds(5)),
         "not all it knows; another process of ours; it has not heard us"
     );
-    copy.hear(
+    fixture.hear(
         0,
         seconds(12),
         Incarnation(3),
@@ -322,8 +335,8 @@
         true,
         Some((INCARNATION, 9)),
     );
-    assert_eq!(known(&copy), Some(seconds(7)));
-    copy.hear(
+    assert_eq!(known(&fixture), Some(seconds(7)));
+    fixture.hear(
         1,
         seconds(12),
         Incarnation(4),
@@ -332,11 +345,11 @@
         Some((INCARNATION, 9)),
     );
     assert_eq!(
-        known(&copy),
+        known(&fixture),
         Some(seconds(7)),
         "a copy of an earlier message"
     );
-    copy.hear(
+    fixture.hear(
         1,
         seconds(13),
         Incarnation(5),
@@ -345,7 +358,7 @@
         Some((INCARNATION, 9)),
     );
     assert_eq!(
-        known(&copy),
+        known(&fixture),
         None,
         "started since: what its last process confirmed it does not know"
     );
@@ -353,16 +366,17 @@
 
 /// Who is cut off from the state service alone is replaced, and must leave its workers to its successor.
 #[test]
-fn what_others_name_counts_only_in_an_outage_for_all() {
-    let mut copy = Copy::new();
+fn cancellations_count_as_known_only_in_an_outage_for_all() {
+    let mut fixture = Fixture::new();
     let seconds = Duration::from_secs;
-    let known = |copy: &Copy, second| {
-        copy.cancellations
-            .all_known_until(copy.at(seconds(second)), &copy.config)
+    let known = |fixture: &Fixture, second| {
+        fixture
+            .cancellations
+            .all_known_until(fixture.at(seconds(second)), &fixture.config)
             .is_some()
     };
-    copy.next_heartbeat(seconds(1));
-    copy.hear(
+    fixture.next_heartbeat(seconds(1));
+    fixture.hear(
         0,
         seconds(2),
         Incarnation(3),
@@ -370,7 +384,7 @@
         true,
         Some((INCARNATION, 1)),
     );
-    copy.hear(
+    fixture.hear(
         1,
         seconds(2),
         Incarnation(4),
@@ -378,9 +392,9 @@
         true,
         Some((INCARNATION, 1)),
     );
-    assert!(known(&copy, 3));
-    copy.reaches_state = true;
-    copy.hear(
+    assert!(known(&fixture, 3));
+    fixture.reaches_state = true;
+    fixture.hear(
         0,
         seconds(4),
         Incarnation(3),
@@ -388,8 +402,8 @@
         true,
         Some((INCARNATION, 1)),
     );
-    assert!(known(&copy, 7), "it is out of it first, we follow");
-    copy.hear(
+    assert!(known(&fixture, 7), "it is out of it first, we follow");
+    fixture.hear(
         0,
         seconds(8),
         Incarnation(3),
@@ -397,25 +411,29 @@
         true,
         Some((INCARNATION, 1)),
     );
-    assert!(!known(&copy, 8));
+    assert!(!known(&fixture, 8));
 }
 
 #[test]
-fn a_controller_without_a_copy_or_with_too_much_to_tell_does_not_claim_to_name_all() {
-    let mut copy = Copy::new();
-    assert!(copy.next_heartbeat(Duration::ZERO).complete);
+fn a_heartbeat_without_a_copy_or_with_too_many_cancellations_is_not_complete() {
+    let mut fixture = Fixture::new();
+    assert!(fixture.next_heartbeat(Duration::ZERO).complete);
     let ready = std::mem::replace(
-        &mut copy.cache,
-        WatchCache::new(&copy.config.state_limits, 3),
+        &mut fixture.cache,
+        WatchCache::new(&fixture.config.state_limits, 3),
     );
     assert!(
-        !copy.next_heartbeat(Duration::ZERO).complete,
+        !fixture.next_heartbeat(Duration::ZERO).complete,
         "started in an outage"
     );
-    copy.cache = ready;
-    copy.cancellations
-        .open
-        .extend((10..10 + MAX_CANCELLED_JOBS_PER_HEARTBEAT as u64).map(|id| (JobId(id), (id, 0))));
-    let heartbeat = copy.next_heartbeat(Duration::ZERO);
+    fixture.cache = ready;
+    let record = |version| CancellationRecord {
+        version,
+        cancelled_ms: 0,
+    };
+    fixture.cancellations.open.extend(
+        (10..10 + MAX_CANCELLED_JOBS_PER_HEARTBEAT as u64).map(|id| (JobId(id), record(id))),
+    );
+    let heartbeat = fixture.next_heartbeat(Duration::ZERO);
     assert!(!heartbeat.complete && heartbeat.cancelled.len() == MAX_CANCELLED_JOBS_PER_HEARTBEAT);
 }
--- a/src/controller/peer_messages.rs
+++ b/src/controller/peer_messages.rs
@@ -110,7 +110,7 @@
     fn handle_heartbeat(&mut self, now: Now, mut heartbeat: ControllerHeartbeat) {
         heartbeat.complete &= self.apply_cancellations(heartbeat.cancelled.iter().copied());
         self.cancellations
-            .record_heartbeat(now, (&self.config.name, self.incarnation), &heartbeat);
+            .record_heartbeat(now, &self.config.name, self.incarnation, &heartbeat);
         let ControllerHeartbeat {
             controller,
             reaches_state,
--- a/src/peer/mod.rs
+++ b/src/peer/mod.rs
@@ -1,5 +1,10 @@
-//! What controllers say to each other. None of it is trusted beyond what the state service's conditions allow:
-//! a message that is late, lost or repeated costs time, not a rule.
+//! The messages between controllers, in the form in which they are sent.
+//!
+//! The controller builds and handles them, the HTTP server and client carry them as CBOR. None of it is trusted beyond what
+//! the state service's conditions allow: a message that is late, lost or repeated costs time, not a rule.
+//!
+//! Controllers of two versions talk to each other during an upgrade: names and forms on the wire must not change, a new
+//! field needs a default and is left out while it holds nothing.
 
 use std::collections::BTreeMap;
 
@@ -9,6 +14,7 @@
     Attempt, BlockId, ControllerName, FencingToken, Image, Incarnation, JobId, MachineId,
 };
 
+/// A message to another controller.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum Message {
     /// Holder to leader: how its blocks are.
@@ -23,34 +29,65 @@
     AssignmentUpdates(Vec<AssignmentUpdate>),
 }
 
+/// A controller lives, and these cancellations are known to it.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct ControllerHeartbeat {
+    /// The sender.
     #[serde(rename = "node")]
     pub controller: ControllerName,
+    /// The sender's process.
     #[serde(rename = "boot")]
     pub incarnation: Incarnation,
-    /// Rises with every message of a process: one that comes late is no sign of life.
+    /// Rises with every heartbeat of a process: one that comes late tells nothing of the present.
     pub number: u64,
+    /// Whether the sender reaches the state service.
     pub reaches_state: bool,
     /// Cancelled jobs of which tasks may be left, for those whose copy of the records does not show it.
     pub cancelled: Vec<CancelledJob>,
     /// Whether these are all that this controller or an earlier process of it can have told a user of.
     pub complete: bool,
-    /// The last sign of life of each of the others, by process and number, that came before this was said.
-    pub heard: BTreeMap<ControllerName, (Incarnation, u64)>,
+    /// The last heartbeat of each of the others that the sender had received.
+    pub heard: BTreeMap<ControllerName, HeartbeatId>,
+}
+
+/// Names a heartbeat of a controller. On the wire: an array of both.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
+#[serde(from = "(Incarnation, u64)", into = "(Incarnation, u64)")]
+pub struct HeartbeatId {
+    /// The process that sent it.
+    pub incarnation: Incarnation,
+    /// Its number among those of the process.
+    pub number: u64,
+}
+
+impl From<(Incarnation, u64)> for HeartbeatId {
+    fn from((incarnation, number): (Incarnation, u64)) -> Self {
+        HeartbeatId {
+            incarnation,
+            number,
+        }
+    }
+}
+
+impl From<HeartbeatId> for (Incarnation, u64) {
+    fn from(id: HeartbeatId) -> Self {
+        (id.incarnation, id.number)
+    }
 }
 
 /// A cancellation that was committed: it is final, so that whoever hears of it may act on it.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 pub struct CancelledJob {
+    /// The job.
     pub job: JobId,
     /// The version of the record that says so. A copy that has got there knows better than a message.
     pub version: u64,
-    /// When that was, by the time of day of whoever took it in.
+    /// When that was, in milliseconds of Unix time by the clock of the controller that accepted it.
     pub at_ms: u64,
 }
 
 impl CancelledJob {
+    /// `version`: of the job's record. `at_ms`: milliseconds of Unix time.
     pub fn new(job: JobId, version: u64, at_ms: u64) -> Self {
         CancelledJob {
             job,
@@ -60,12 +97,16 @@
     }
 }
 
+/// How the blocks of a holder are.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct ControllerStatus {
+    /// The holder.
     #[serde(rename = "node")]
     pub controller: ControllerName,
+    /// The holder's process.
     #[serde(rename = "boot")]
     pub incarnation: Incarnation,
+    /// Its blocks.
     pub blocks: Vec<BlockStatus>,
     /// Machines of others' blocks that have reported here lately, some of them if they are many: they go from
     /// controller to controller if their holder does not answer.
@@ -73,9 +114,9 @@
     pub misrouted: Vec<MachineId>,
 }
 
-/// Machines and attempts told of in one message. A body between controllers is limited, and one controller may have to
-/// hold all machines there are.
-pub const STATUS_ITEMS_PER_MESSAGE: usize = 1000;
+/// Machines and attempts in one message. A body between controllers is limited, and one controller may have to hold all
+/// machines there are.
+const STATUS_ITEMS_PER_MESSAGE: usize = 1000;
 
 impl ControllerStatus {
     /// The same in as many messages as it takes, each about some of the blocks.
@@ -92,11 +133,11 @@
             blocks: Vec::new(),
             misrouted,
         }];
-        let mut told = 0;
+        let mut items = 0;
         for block in blocks {
             let more = block.machines.len() + block.pending.len() + block.ended.len();
-            if told > 0 && told + more > STATUS_ITEMS_PER_MESSAGE {
-                told = 0;
+            if items > 0 && items + more > STATUS_ITEMS_PER_MESSAGE {
+                items = 0;
                 messages.push(ControllerStatus {
                     controller: controller.clone(),
                     incarnation,
@@ -104,7 +145,7 @@
                     misrouted: Vec::new(),
                 });
             }
-            told += more;
+            items += more;
             if let Some(message) = messages.last_mut() {
                 message.blocks.push(block);
             }
@@ -113,13 +154,17 @@
     }
 }
 
+/// How a block is, by its holder.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct BlockStatus {
+    /// The block.
     pub block: BlockId,
+    /// The token of the block lease.
     pub token: FencingToken,
+    /// The version of the block lease.
     #[serde(rename = "grant_version")]
     pub lease_version: u64,
-    /// The last work message seen under this block lease.
+    /// The number of the last assignment update received under this block lease.
     #[serde(rename = "last_work")]
     pub last_assignment_update: u64,
     /// Attempts that may still be recorded as placed. What the leader wanted by `last_assignment_update` and is neither
@@ -130,58 +175,73 @@
     /// Attempts proven gone whose record still stands. The next write removes them, so that what it places may
     /// have their room.
     pub ended: Vec<u64>,
+    /// The revision of the state service that the holder's copy of the placements has reached.
     pub revision: u64,
     /// The token must be renewed: a command of unknown outcome stands in the way.
     #[serde(rename = "wants_new_token")]
     pub token_renewal_required: bool,
-    /// Workers that this holder has heard from or could ask, and how many of them are overdue.
+    /// Workers that this holder has heard from or could ask.
     pub expected: u32,
+    /// How many of them are overdue.
     pub overdue: u32,
     /// Rises with every message under a block lease. A message that is not newer than the last one is late.
     pub number: u64,
-    /// The machines that have changed since the last message that the leader is known to have heard.
+    /// The machines that have changed since the last status that the leader is known to have received.
     pub machines: Vec<MachineStatus>,
     /// The attempts that the leader watches and that were seen to run. Production does not tell.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub running: Vec<u64>,
 }
 
+/// How a machine is, by the holder of its block.
+#[expect(
+    clippy::struct_excessive_bools,
+    reason = "the form on the wire: conditions that hold independently of each other"
+)]
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct MachineStatus {
+    /// The machine.
     pub machine: MachineId,
     /// Has shown our token, reports, and is not being taken away.
     pub usable: bool,
     /// Has reported to this holder at all.
     pub seen: bool,
-    /// Gives no sign of life.
+    /// Has sent no heartbeat for too long.
     pub silent: bool,
+    /// The cloud has announced that it takes the machine away.
     pub notice: bool,
     /// Tasks that failed here one after the other, as far as this holder knows.
     pub errors: u32,
     /// Of which jobs tasks have failed here since one was done.
     pub failures: Vec<JobFailures>,
+    /// The images that are on the machine.
     pub images: Vec<Image>,
 }
 
 /// How often tasks of a job have failed on a machine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct JobFailures {
+    /// The job.
     pub job: JobId,
+    /// The failures.
     pub count: u32,
 }
 
 /// The whole of what the leader wants of a block, so that a lost message needs no repeat of its own.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct AssignmentUpdate {
+    /// The block.
     pub block: BlockId,
+    /// The version of the block lease.
     #[serde(rename = "grant_version")]
     pub lease_version: u64,
     /// Rises with every message of a term.
     pub number: u64,
-    /// The last status of this block that the leader has taken in.
+    /// The number of the last status of this block that the leader has processed.
     #[serde(rename = "heard")]
     pub last_status: u64,
     #[serde(rename = "want")]
+    /// All tasks that are to be placed in the block.
     pub assignments: Vec<Assignment>,
     /// Tasks to be stopped, to make room or to drain a machine.
     pub stop: Vec<Attempt>,
@@ -192,8 +252,10 @@
     pub watch: Vec<u64>,
 }
 
+/// A task that the leader assigns to a machine.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Assignment {
+    /// The attempt of the task.
     pub attempt: Attempt,
     /// Where the leader found room. The holder takes it unless it knows better.
     pub machine: MachineId,
--- a/src/peer/tests.rs
+++ b/src/peer/tests.rs
@@ -48,7 +48,7 @@
 /// One controller may hold all machines, and a leader that is new knows of none of them: told in one message, 4,000 were
 /// more than a controller takes, and the leader never heard of them.
 #[test]
-fn a_status_about_4000_machines_is_told_in_messages_that_arrive() {
+fn a_status_of_4000_machines_is_split_into_messages_below_the_body_limit() {
     let status = ControllerStatus {
         controller: "node-1".into(),
         incarnation: Incarnation(7),
@@ -75,7 +75,7 @@
 }
 
 #[test]
-fn a_status_about_nothing_is_still_a_sign_of_life() {
+fn a_status_without_blocks_is_still_one_message() {
     let status = ControllerStatus {
         controller: "node-1".into(),
         incarnation: Incarnation(7),
