--- a/src/controller/dispatcher.rs
+++ b/src/controller/dispatcher.rs
@@ -26,7 +26,7 @@
                 ..
             } = effect
             {
-                self.metrics.refused(*status);
+                self.metrics.record_refusal(*status);
             }
         }
         effects
--- a/src/controller/store_responses.rs
+++ b/src/controller/store_responses.rs
@@ -44,7 +44,7 @@
     ) {
         self.rate_limiter.note(now, &outcome);
         if let Some(module) = transaction_module(&tag) {
-            self.metrics.transaction(module, &outcome);
+            self.metrics.record_transaction(module, &outcome);
             if outcome == StoreResponse::Invalid {
                 warn!(module, "transaction rejected: malformed or too large");
             }
@@ -57,10 +57,10 @@
                 }
             }
             StoreTag::Leadership(tag) => {
-                let requests = self
+                let request = self
                     .leadership
                     .handle(now, sent, tag, &outcome, &self.cache);
-                for (tag, request) in requests {
+                if let Some((tag, request)) = request {
                     let tag = StoreTag::Leadership(tag);
                     self.push_store_request(WritePriority::Authority, tag, request);
                 }
--- a/src/controller/tests.rs
+++ b/src/controller/tests.rs
@@ -13,7 +13,7 @@
 use crate::store::{StoreResponse, cache};
 
 #[test]
-fn users_are_sent_elsewhere_only_if_the_others_reach_the_state_service() {
+fn a_controller_is_unhealthy_only_while_it_alone_cannot_reach_the_state_service() {
     let config = Config::parse("s.toml", SETTINGS).expect("valid");
     let policy = Policy::defaults(&config);
     let start = Now::read();
--- /dev/null
+++ b/src/leadership/election.rs
@@ -0,0 +1,91 @@
+//! Leader election: the leader record goes to whoever writes it first while there is none.
+
+use std::time::{Duration, Instant};
+
+use rand::Rng;
+use rand::rngs::SmallRng;
+use tracing::info;
+
+use super::{Leadership, Tag};
+use crate::domain::{Now, Term, since};
+use crate::store::records::{LEADER, Leader, TOKEN, Token};
+use crate::store::{StoreRequest, Transaction, WatchCache};
+
+/// A candidate waits for a random time below this, in milliseconds, so that one of them is first.
+const MAX_ELECTION_DELAY_MS: u64 = 200;
+
+/// A vacancy of the leader's place as this process has seen it.
+#[derive(Debug, Clone, Copy)]
+pub(super) struct Vacancy {
+    since: Instant,
+    /// How long this process waits before it runs.
+    delay: Duration,
+}
+
+impl Leadership {
+    /// Keeps the leader's lease alive, and runs for leader while the place is vacant.
+    pub(super) fn poll_leader(
+        &mut self,
+        now: Now,
+        cache: &WatchCache,
+        rng: &mut SmallRng,
+        requests: &mut Vec<(Tag, StoreRequest)>,
+    ) {
+        if let Some(held) = self.leader.held() {
+            requests.extend(self.leader.keep_alive(now));
+            if self.current_term(cache).is_none() && cache.covers(held.renewed) {
+                // The lease is ours but the record is not: the election was lost, or its outcome unknown.
+                if self.is_vacant(cache) {
+                    requests.push(self.run_for_leader(held.id, held.last_confirmed, cache));
+                } else {
+                    self.leader.release();
+                }
+            }
+            return;
+        }
+        if !self.leader.is_released() || !cache.ready() || !self.is_vacant(cache) {
+            self.vacancy = None;
+            return;
+        }
+        let vacancy = *self.vacancy.get_or_insert_with(|| Vacancy {
+            since: now.monotonic,
+            delay: Duration::from_millis(rng.random_range(0..MAX_ELECTION_DELAY_MS)),
+        });
+        if since(now, vacancy.since) >= vacancy.delay && self.leader.may_retry(now) {
+            requests.push(self.leader.request());
+        }
+    }
+
+    /// Whether the leader's place is free. That of an earlier process of this controller is: only after a process
+    /// has ended is the next one started.
+    pub(super) fn is_vacant(&self, cache: &WatchCache) -> bool {
+        cache.leader.as_ref().is_none_or(|leader| {
+            leader.value.controller == self.controller
+                && leader.value.incarnation != self.incarnation
+        })
+    }
+
+    /// Writes the leader record with a new term, attached to the lease.
+    pub(super) fn run_for_leader(
+        &mut self,
+        lease: u64,
+        last_confirmed: Instant,
+        cache: &WatchCache,
+    ) -> (Tag, StoreRequest) {
+        let term = cache.max_token() + 1;
+        info!(term, "leader election started");
+        let record = Leader {
+            controller: self.controller.clone(),
+            incarnation: self.incarnation,
+            term: Term(term),
+        };
+        let leader_version = cache.leader.as_ref().map_or(0, |leader| leader.version);
+        let token_version = cache.token.as_ref().map_or(0, |token| token.version);
+        let transaction = Transaction::default()
+            .when(LEADER, leader_version)
+            .when(TOKEN, token_version)
+            .put_with_lease(LEADER, &record, Some(lease))
+            .put(TOKEN, &Token { last: term });
+        self.leader.attach(lease, last_confirmed, transaction)
+    }
+}
--- /dev/null
+++ b/src/leadership/membership.rs
@@ -0,0 +1,48 @@
+//! Member registration: the record that tells the others that this process is up.
+
+use super::{Leadership, Tag};
+use crate::domain::Now;
+use crate::store::records::{Member, member_key};
+use crate::store::{StoreRequest, Transaction, WatchCache};
+
+impl Leadership {
+    /// Asks for the member lease, keeps it alive, and registers again if the record was lost without it: removed with the
+    /// lease of an older process, say.
+    pub(super) fn poll_member(
+        &mut self,
+        now: Now,
+        cache: &WatchCache,
+    ) -> Option<(Tag, StoreRequest)> {
+        if self.member.is_released() {
+            let due = cache.ready() && self.member.may_retry(now);
+            return due.then(|| self.member.request());
+        }
+        let held = self.member.held()?;
+        let registered = cache
+            .members
+            .get(&self.controller)
+            .is_some_and(|member| member.value.incarnation == self.incarnation);
+        if cache.covers(held.renewed) && !registered && !held.renewing {
+            let registration = self.registration(held.id, cache);
+            return Some(
+                self.member
+                    .attach(held.id, held.last_confirmed, registration),
+            );
+        }
+        self.member.keep_alive(now)
+    }
+
+    /// Conditioned on the record that it replaces: an earlier process's lease may still last when a late copy of its
+    /// request comes, and would put its record over ours.
+    pub(super) fn registration(&self, lease: u64, cache: &WatchCache) -> Transaction {
+        let record = Member {
+            incarnation: self.incarnation,
+            format: self.format,
+        };
+        let key = member_key(&self.controller);
+        let old = cache.members.get(&self.controller);
+        Transaction::default()
+            .when(key.clone(), old.map_or(0, |old| old.version))
+            .put_with_lease(key, &record, Some(lease))
+    }
+}
--- a/src/leadership/tests.rs
+++ b/src/leadership/tests.rs
@@ -1,10 +1,10 @@
 use super::*;
 use crate::domain::Incarnation;
 
-/// Found on the bench: a leader that stood still for half a minute deleted machines when it went on, before it knew
+/// Found on the bench: a leader that was paused for half a minute deleted machines when it went on, before it knew
 /// that another one leads.
 #[test]
-fn leading_is_certain_only_for_the_life_of_the_hold_counted_from_before_it_was_asked_for() {
+fn authority_lasts_for_the_life_of_the_lease_counted_from_before_it_was_requested() {
     let start = Now::read();
     let at = |ms: u64| Now {
         monotonic: start.monotonic + Duration::from_millis(ms),
@@ -12,53 +12,53 @@
     };
     let cache = WatchCache::following();
     let mut leadership = Leadership::new("node-0".into(), Incarnation(1), 0);
-    let answer =
+    let respond =
         |leadership: &mut Leadership, now: Now, sent: Now, tag: Tag, outcome: StoreResponse| {
             leadership.handle(now, sent.monotonic, tag, &outcome, &cache);
         };
-    let certain = |leadership: &Leadership, now: Now| {
+    let has_authority = |leadership: &Leadership, now: Now| {
         leadership
             .authority_until()
             .is_some_and(|until| now.monotonic < until)
     };
-    answer(
+    respond(
         &mut leadership,
         at(900),
         at(0),
         Tag::GrantLease(LeaseRole::Leader),
         StoreResponse::LeaseGranted { id: 7 },
     );
-    assert!(!certain(&leadership, at(900)), "not elected yet");
-    answer(
+    assert!(!has_authority(&leadership, at(900)), "not elected yet");
+    respond(
         &mut leadership,
         at(1000),
         at(900),
         Tag::AttachKey(LeaseRole::Leader, 7),
         StoreResponse::Committed { revision: 1 },
     );
-    assert!(certain(&leadership, at(3400)));
+    assert!(has_authority(&leadership, at(3400)));
     assert!(
-        !certain(&leadership, at(3500)),
-        "the hold may have begun as soon as it was asked for"
+        !has_authority(&leadership, at(3500)),
+        "the lease may have begun as soon as it was asked for"
     );
-    answer(
+    respond(
         &mut leadership,
         at(3600),
         at(2000),
         Tag::KeepAlive(LeaseRole::Leader, 7),
         StoreResponse::LeaseGranted { id: 7 },
     );
-    assert!(certain(&leadership, at(5400)));
+    assert!(has_authority(&leadership, at(5400)));
     assert!(
-        !certain(&leadership, at(5600)),
+        !has_authority(&leadership, at(5600)),
         "extended when it was sent, not when the answer came"
     );
-    answer(
+    respond(
         &mut leadership,
         at(5600),
         at(5000),
         Tag::KeepAlive(LeaseRole::Leader, 7),
         StoreResponse::Refused,
     );
-    assert!(!certain(&leadership, at(5700)));
+    assert!(!has_authority(&leadership, at(5700)));
 }
--- a/src/metrics/mod.rs
+++ b/src/metrics/mod.rs
@@ -1,34 +1,41 @@
-//! What operators watch: counters and histograms of this process, shown on the peer address and in the log.
+//! What operators watch: counters, histograms and gauges of this process.
+//!
+//! The controller and the service record; the peer address and, once a minute, the log show them. Nothing is kept over a
+//! restart.
 
 use std::collections::BTreeMap;
-use std::fmt::Write as _;
+use std::fmt::{self, Display};
 use std::time::Duration;
 
 use hdrhistogram::Histogram;
 
 use crate::store::StoreResponse;
 
-/// Longer times are counted as this long.
-const LONGEST_MS: u64 = 3_600_000;
+/// Longer times are counted as this long, in the unit of the histogram.
+const MAX_RECORDED_TIME: u64 = 3_600_000;
 const SIGNIFICANT_DIGITS: u8 = 2;
+/// The quantiles that are shown, by their labels.
+const QUANTILES: [(&str, f64); 4] = [("p50", 0.5), ("p90", 0.9), ("p99", 0.99), ("max", 1.0)];
 
-/// Times in milliseconds, or in microseconds where the name says so.
+/// A histogram of times in milliseconds, or in microseconds where the name says so.
 #[derive(Debug)]
 pub struct Times(Histogram<u64>);
 
 impl Times {
     fn new() -> Self {
         // Fails only for bounds or digits out of range, and these are constants.
-        match Histogram::new_with_bounds(1, LONGEST_MS, SIGNIFICANT_DIGITS) {
+        match Histogram::new_with_bounds(1, MAX_RECORDED_TIME, SIGNIFICANT_DIGITS) {
             Ok(histogram) => Times(histogram),
             Err(problem) => unreachable!("{problem}"),
         }
     }
 
+    /// Counts a time.
     pub fn record(&mut self, value: u64) {
-        self.0.saturating_record(value.clamp(1, LONGEST_MS));
+        self.0.saturating_record(value.clamp(1, MAX_RECORDED_TIME));
     }
 
+    /// The time that this part of the recorded ones does not exceed; 0 if there are none.
     pub fn quantile(&self, quantile: f64) -> u64 {
         if self.0.is_empty() {
             0
@@ -37,11 +44,22 @@
         }
     }
 
+    /// How many were recorded.
     pub fn count(&self) -> u64 {
         self.0.len()
     }
 }
 
+/// The module that sent a transaction, and what became of it.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+pub struct TransactionLabels {
+    /// The module.
+    pub module: &'static str,
+    /// `committed`, `conflict`, `refused` or `unknown`.
+    pub outcome: &'static str,
+}
+
+/// The metrics of one process. [`Display`] shows them, one value a line.
 #[derive(Debug)]
 pub struct Metrics {
     /// From a submission's arrival to its acceptance.
@@ -50,15 +68,16 @@
     pub start_ms: Times,
     /// Processing of one event: a leader's round is the longest kind.
     pub step_us: Times,
-    /// Answers to users that were not 200 or 201.
+    /// Responses to users that were not 200 or 201, by status.
     pub refused: BTreeMap<u16, u64>,
-    /// Transactions, by the slice that sent them and what became of them.
-    pub transactions: BTreeMap<(&'static str, &'static str), u64>,
-    /// Values of the moment: queue per team, machines by state.
+    /// Transactions sent to the state service.
+    pub transactions: BTreeMap<TransactionLabels, u64>,
+    /// Values of the moment: queue per team, machines by state. The leader sets them.
     pub gauges: BTreeMap<String, f64>,
 }
 
 impl Metrics {
+    /// Nothing was recorded.
     pub fn new() -> Self {
         Metrics {
             accept_ms: Times::new(),
@@ -70,57 +89,57 @@
         }
     }
 
+    /// Records how long an event took to process.
     pub fn record_event_duration(&mut self, duration: Duration) {
         self.step_us
             .record(u64::try_from(duration.as_micros()).unwrap_or(u64::MAX));
     }
 
-    pub fn refused(&mut self, status: u16) {
+    /// Counts a response to a user that was not 200 or 201.
+    pub fn record_refusal(&mut self, status: u16) {
         *self.refused.entry(status).or_default() += 1;
     }
 
-    pub fn transaction(&mut self, slice: &'static str, outcome: &StoreResponse) {
-        let became = match outcome {
+    /// Counts a transaction of this module.
+    pub fn record_transaction(&mut self, module: &'static str, response: &StoreResponse) {
+        let outcome = match response {
             StoreResponse::Committed { .. } => "committed",
             StoreResponse::Conflict => "conflict",
             StoreResponse::Refused => "refused",
             _ => "unknown",
         };
-        *self.transactions.entry((slice, became)).or_default() += 1;
+        let labels = TransactionLabels { module, outcome };
+        *self.transactions.entry(labels).or_default() += 1;
     }
+}
 
-    /// One value a line.
-    pub fn show(&self) -> String {
-        let mut text = String::new();
+impl Display for Metrics {
+    fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         let times = [
             ("accept_ms", &self.accept_ms),
             ("start_ms", &self.start_ms),
             ("step_us", &self.step_us),
         ];
         for (name, times) in times {
-            // Writing to a String can't fail.
-            let _ = writeln!(text, "{name}_count {}", times.count());
-            for (label, quantile) in [("p50", 0.5), ("p90", 0.9), ("p99", 0.99), ("max", 1.0)] {
-                let _ = writeln!(
-                    text,
-                    "{name}{{quantile=\"{label}\"}} {}",
-                    times.quantile(quantile)
-                );
+            writeln!(formatter, "{name}_count {}", times.count())?;
+            for (label, quantile) in QUANTILES {
+                let value = times.quantile(quantile);
+                writeln!(formatter, "{name}{{quantile=\"{label}\"}} {value}")?;
             }
         }
         for (status, count) in &self.refused {
-            let _ = writeln!(text, "refused{{status=\"{status}\"}} {count}");
+            writeln!(formatter, "refused{{status=\"{status}\"}} {count}")?;
         }
-        for ((slice, became), count) in &self.transactions {
-            let _ = writeln!(
-                text,
-                "transactions{{slice=\"{slice}\",outcome=\"{became}\"}} {count}"
-            );
+        for (TransactionLabels { module, outcome }, count) in &self.transactions {
+            writeln!(
+                formatter,
+                "transactions{{module=\"{module}\",outcome=\"{outcome}\"}} {count}"
+            )?;
         }
         for (name, value) in &self.gauges {
-            let _ = writeln!(text, "{name} {value}");
+            writeln!(formatter, "{name} {value}")?;
         }
-        text
+        Ok(())
     }
 }
 
--- a/src/service.rs
+++ b/src/service.rs
@@ -182,7 +182,7 @@
             Incoming::Peer(message) => return self.handle(Event::Peer(message)),
             Incoming::Metrics(reply) => {
                 // Whoever asked may be gone.
-                let _ = reply.send(self.controller.metrics().show());
+                let _ = reply.send(self.controller.metrics().to_string());
                 return;
             }
         };
