--- a/src/leader_context.rs
+++ b/src/leader_context.rs
@@ -5,7 +5,7 @@
 use crate::domain::Term;
 use crate::policy::Policy;
 
-/// What the leader's slices need to know to act for this term.
+/// What the leader's modules need to know to act in its term. The controller makes one for each round.
 #[derive(Clone, Copy)]
 pub struct LeaderContext<'a> {
     /// The settings.
--- a/src/upgrade/mod.rs
+++ b/src/upgrade/mod.rs
@@ -4,6 +4,8 @@
 //! switches the new format on with a durable record when the member record of each configured controller says that it
 //! knows the format. The switch is conditioned on those records, so that a controller that comes back as the production
 //! version in that moment prevents it. It is never taken back.
+//!
+//! The leader's round polls [`Upgrade`]; every controller adopts the format when it sees the record.
 
 use tracing::info;
 
@@ -37,27 +39,24 @@
         if cache.format() >= FORMAT || !self.writer.ready(now, cache) {
             return None;
         }
-        let Members { format, versions } = members(leader.config, cache)?;
+        let Members { format, records } = members(leader.config, cache)?;
         if format <= cache.format() {
             return None;
         }
         let mut txn = Transaction::default()
             .when(LEADER, leader.version)
             .when(FORMAT_KEY, cache.format_version());
-        for (controller, version) in versions {
-            txn = txn.when(member_key(&controller), version);
+        for record in records {
+            txn = txn.when(member_key(&record.controller), record.version);
         }
-        info!(
-            format,
-            "all controllers know the new format: switching it on"
-        );
+        info!(format, "record format switch started");
         self.writer.sent();
         Some(StoreRequest::Commit(
             txn.put(FORMAT_KEY, &FormatSwitch { version: format }),
         ))
     }
 
-    /// What became of it.
+    /// The state service has answered the transaction.
     pub fn answered(&mut self, now: Now, outcome: &StoreResponse) {
         self.writer.answered(now, outcome);
     }
@@ -73,20 +72,29 @@
 struct Members {
     /// The newest format that all of them, this process included, can read and write.
     format: u32,
-    versions: Vec<(ControllerName, u64)>,
+    records: Vec<MemberRecord>,
+}
+
+/// A member record on which the switch is conditioned.
+struct MemberRecord {
+    controller: ControllerName,
+    version: u64,
 }
 
-/// None: one of them is not up.
+/// What the member records say, or None if one of the configured controllers is not up.
 fn members(config: &Config, cache: &WatchCache) -> Option<Members> {
     let peers = config.peers.iter().map(|peer| &peer.name);
     let mut all = Members {
         format: FORMAT,
-        versions: Vec::new(),
+        records: Vec::new(),
     };
     for controller in peers.chain([&config.name]) {
         let member = cache.members.get(controller)?;
         all.format = all.format.min(member.value.format);
-        all.versions.push((controller.clone(), member.version));
+        all.records.push(MemberRecord {
+            controller: controller.clone(),
+            version: member.version,
+        });
     }
     Some(all)
 }
