--- a/src/service.rs
+++ b/src/service.rs
@@ -188,7 +188,7 @@
             IncomingRequest::Peer(message) => return self.handle(Event::Peer(message)),
             IncomingRequest::Metrics(reply) => {
                 // Whoever asked may be gone.
-                let _ = reply.send(self.controller.metrics().show());
+                let _ = reply.send(self.controller.metrics().to_string());
                 return;
             }
         };
