--- /dev/null
+++ b/crates/domain/src/ids.rs
@@ -0,0 +1,127 @@
+//! The names of jobs, tasks, machines and what they belong to.
+
+use std::fmt;
+use std::str::FromStr;
+
+use crate::text::{serialize_as_text, text_name};
+
+/// Why a text is not the id of a job or a task. All are displayed alike, as users and peers have always been told.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
+pub enum MalformedName {
+    /// A job id starts with `j-`.
+    #[error("malformed name")]
+    MissingPrefix,
+    /// A number has other characters than digits, or is too large.
+    #[error("malformed name")]
+    NotANumber,
+    /// The id could be spelled shorter, or has too few digits.
+    #[error("malformed name")]
+    NotCanonical,
+    /// The id has more digits than any job's.
+    #[error("malformed name")]
+    TooLong,
+    /// A task id is a job id, `/` and the task's index.
+    #[error("malformed name")]
+    MissingIndex,
+}
+
+/// The most digits of a job id: any number of so many fits 64 bits.
+const MAX_DIGITS: usize = 18;
+
+/// A job id: `j-` and at least six digits. Kept as its number, since final states are kept for good.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
+pub struct JobId(
+    /// The number.
+    pub u64,
+);
+
+impl fmt::Display for JobId {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        write!(f, "j-{:06}", self.0)
+    }
+}
+
+impl FromStr for JobId {
+    type Err = MalformedName;
+
+    /// Only the canonical spelling is an id, so that two spellings never mean one job.
+    fn from_str(text: &str) -> Result<Self, MalformedName> {
+        let digits = text
+            .strip_prefix("j-")
+            .ok_or(MalformedName::MissingPrefix)?;
+        if !digits.bytes().all(|byte| byte.is_ascii_digit()) {
+            return Err(MalformedName::NotANumber);
+        }
+        let canonical = digits.len() == 6 || (digits.len() > 6 && !digits.starts_with('0'));
+        if !canonical {
+            return Err(MalformedName::NotCanonical);
+        }
+        if digits.len() > MAX_DIGITS {
+            return Err(MalformedName::TooLong);
+        }
+        digits
+            .parse()
+            .map(JobId)
+            .map_err(|_| MalformedName::NotANumber)
+    }
+}
+
+serialize_as_text!(JobId);
+
+/// One task of a job.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
+pub struct TaskId {
+    /// Its job.
+    pub job: JobId,
+    /// Its number within the job, from 0.
+    pub index: u32,
+}
+
+impl fmt::Display for TaskId {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        write!(f, "{}/{}", self.job, self.index)
+    }
+}
+
+impl FromStr for TaskId {
+    type Err = MalformedName;
+
+    fn from_str(text: &str) -> Result<Self, MalformedName> {
+        let (job, index) = text.split_once('/').ok_or(MalformedName::MissingIndex)?;
+        Ok(TaskId {
+            job: job.parse()?,
+            index: index.parse().map_err(|_| MalformedName::NotANumber)?,
+        })
+    }
+}
+
+serialize_as_text!(TaskId);
+
+text_name!(
+    /// A machine as the cloud names it.
+    MachineId
+);
+text_name!(
+    /// A controller.
+    ControllerName
+);
+text_name!(
+    /// A zone of the cloud.
+    Zone
+);
+text_name!(
+    /// A machine type.
+    InstanceTypeName
+);
+text_name!(
+    /// A team.
+    Team
+);
+text_name!(
+    /// An image.
+    Image
+);
+text_name!(
+    /// A block: machines of one zone that are leased to a controller together.
+    BlockId
+);
--- a/crates/domain/src/numbers.rs
+++ b/crates/domain/src/numbers.rs
@@ -11,7 +11,10 @@
             Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default, Serialize, Deserialize,
         )]
         #[serde(transparent)]
-        pub struct $name(pub u64);
+        pub struct $name(
+            /// The number.
+            pub u64,
+        );
 
         impl fmt::Display for $name {
             fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
--- a/crates/domain/src/tests.rs
+++ b/crates/domain/src/tests.rs
@@ -1,19 +1,20 @@
 use super::*;
 
 #[test]
-fn one_job_has_one_spelling() {
+fn a_job_id_has_only_its_canonical_spelling() {
     assert_eq!("j-000412".parse(), Ok(JobId(412)));
     assert_eq!("j-1000412".parse(), Ok(JobId(1_000_412)));
-    for wrong in [
-        "j-412",
-        "j-0000412",
-        "j-00041x",
-        "k-000412",
-        "j-",
-        "j-+00412",
-        "j-9999999999999999999",
+    for (wrong, expected) in [
+        ("j-412", MalformedName::NotCanonical),
+        ("j-0000412", MalformedName::NotCanonical),
+        ("j-00041x", MalformedName::NotANumber),
+        ("k-000412", MalformedName::MissingPrefix),
+        ("j-", MalformedName::NotCanonical),
+        ("j-+00412", MalformedName::NotANumber),
+        ("j-9999999999999999999", MalformedName::TooLong),
     ] {
-        assert_eq!(wrong.parse::<JobId>(), Err(MalformedName), "{wrong}");
+        assert_eq!(wrong.parse::<JobId>(), Err(expected), "{wrong}");
+        assert_eq!(expected.to_string(), "malformed name");
     }
     assert_eq!(
         TaskId {
@@ -33,7 +34,7 @@
 }
 
 #[test]
-fn room_is_counted_by_the_scarcest_resource() {
+fn count_of_is_limited_by_the_scarcest_resource() {
     let machine = Resources {
         cpus: 32.0,
         gpus: 0.0,
--- /dev/null
+++ b/crates/domain/src/time.rs
@@ -0,0 +1,38 @@
+//! The time at which an event is handled.
+
+use std::time::{Duration, Instant, SystemTime};
+
+/// The two clocks, read once per event so that a state machine never reads them itself.
+///
+/// Deadlines are kept on the monotonic clock; the time of day only orders jobs.
+#[derive(Debug, Clone, Copy)]
+pub struct Now {
+    /// The monotonic clock.
+    pub monotonic: Instant,
+    /// The time of day.
+    pub wall: SystemTime,
+}
+
+impl Now {
+    /// Reads both clocks.
+    pub fn read() -> Self {
+        Now {
+            monotonic: Instant::now(),
+            wall: SystemTime::now(),
+        }
+    }
+
+    /// The time of day in milliseconds since the Unix epoch; 0 before it.
+    pub fn unix_ms(&self) -> u64 {
+        self.wall
+            .duration_since(SystemTime::UNIX_EPOCH)
+            .map_or(0, |since| {
+                u64::try_from(since.as_millis()).unwrap_or(u64::MAX)
+            })
+    }
+}
+
+/// Time since `then`, zero when the clock was read in another order.
+pub fn since(now: Now, then: Instant) -> Duration {
+    now.monotonic.saturating_duration_since(then)
+}
