--- a/src/store/rate_limiter.rs
+++ b/src/store/rate_limiter.rs
@@ -1,4 +1,12 @@
-//! The state service's rates, kept on our side: requests wait here in order of importance.
+//! The state service's rates, kept on the side of the client: requests wait here by priority.
+//!
+//! The controller queues every request to the state service here ([`RequestRateLimiter::push`]), takes those that may be sent
+//! ([`RequestRateLimiter::take_ready`]) and reports the answers ([`RequestRateLimiter::record_response`]). Two token buckets hold
+//! this controller's shares of the rates of requests and of writes; a transaction costs a write for each change. It reads no
+//! clock and sends nothing itself.
+//!
+//! Invariants: within a priority requests keep their order; a write never overtakes one of a higher priority that waits for
+//! the rate; after a refusal only leases are renewed until the backoff is over.
 
 use std::collections::VecDeque;
 use std::time::{Duration, Instant};
@@ -7,69 +15,80 @@
 use crate::config::StateLimits;
 use crate::domain::{Now, since};
 
-/// What goes first when the rate does not suffice for all.
+/// What goes first when the rate does not suffice for all, from the highest priority to the lowest.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum WritePriority {
-    /// Holds and leadership: late means lost.
+    /// Leases and leadership: late means lost.
     Lease,
     /// What a user waits for.
     User,
-    /// Ends of jobs: their users hear of them only afterwards.
+    /// Ends of jobs: their users are told only afterwards.
     JobCompletion,
-    /// Placements and their ends.
+    /// Placements and finished tasks.
     Placement,
-    /// Whatever can wait.
+    /// Whatever can be deferred.
     Maintenance,
 }
 
-const LANES: usize = 5;
-/// A lane longer than this refuses more: whoever asked tries again later.
-const LANE_LIMIT: usize = 400;
+const PRIORITIES: usize = 5;
+/// A queue of this many requests refuses more: the caller tries again later.
+const MAX_QUEUED: usize = 400;
 
-struct Bucket {
+/// A bucket of tokens, one for each request or write. It starts with a second's worth.
+struct TokenBucket {
     tokens: f64,
+    /// Tokens a second.
     rate: f64,
+    /// The most tokens that it holds.
     burst: f64,
-    filled: Instant,
+    refilled: Instant,
 }
 
-impl Bucket {
+impl TokenBucket {
     fn new(rate: f64, now: Now) -> Self {
-        Bucket {
+        TokenBucket {
             tokens: rate,
             rate,
             burst: rate,
-            filled: now.monotonic,
+            refilled: now.monotonic,
         }
     }
 
-    fn fill(&mut self, now: Now) {
+    fn refill(&mut self, now: Now) {
         self.tokens =
-            (self.tokens + since(now, self.filled).as_secs_f64() * self.rate).min(self.burst);
-        self.filled = now.monotonic;
+            (self.tokens + since(now, self.refilled).as_secs_f64() * self.rate).min(self.burst);
+        self.refilled = now.monotonic;
     }
 
-    /// What writes that can wait leave in the bucket.
+    /// Sets the rate, and the most that the bucket holds to a second's worth.
+    fn set_rate(&mut self, now: Now, rate: f64) {
+        self.refill(now);
+        self.rate = rate;
+        self.burst = rate;
+    }
+
+    /// The tokens that deferrable writes leave in the bucket.
     fn kept_for_users(&self) -> f64 {
         (self.burst * KEPT_FOR_USERS).max(1.0)
     }
 }
 
-/// Requests that wait for their turn.
+/// Requests that wait for the rates, each with a tag by which its answer is recognized.
 pub struct RequestRateLimiter<Tag> {
-    lanes: [VecDeque<(Tag, StoreRequest)>; LANES],
-    requests: Bucket,
-    writes: Bucket,
+    /// By priority.
+    queues: [VecDeque<(Tag, StoreRequest)>; PRIORITIES],
+    requests: TokenBucket,
+    writes: TokenBucket,
     write_limit: f64,
     controllers: usize,
-    /// After a refusal the service is asked less often, so that its recovery is not a stampede.
-    hold_off_until: Option<Instant>,
+    /// After a refusal the service is asked less often, so that it can recover.
+    backoff_until: Option<Instant>,
     last_answer: Option<Instant>,
     last_refusal: Option<Instant>,
 }
 
-/// The share of the rate of requests that one controller takes: together a little more than all, since controllers are seldom
-/// busy at the same time and a refusal only delays.
+/// The share of the rate of requests that one controller takes: together a little more than all, since controllers are
+/// seldom busy at the same time and a refusal only delays.
 fn share(limit: f64, controllers: usize) -> f64 {
     (limit * 1.2 / controllers.max(1) as f64)
         .min(limit * 0.9)
@@ -90,25 +109,29 @@
     (limit * share).max(1.0)
 }
 
-/// Writes that can wait leave this part of a second's worth, but at least one, for users: several submissions may come
-/// at once, and would else wait for the rate one by one.
+/// The part of a second's writes, but at least one, that deferrable writes leave for users: several submissions may come at
+/// once.
 const KEPT_FOR_USERS: f64 = 0.4;
 
-/// The part of a second's writes that must be left for writes that could be done without.
+/// The part of a second's writes that must be left for optional writes.
 const SPARE: f64 = 0.6;
 
-/// How long to hold off after the service refused.
-const HOLD_OFF: Duration = Duration::from_millis(150);
+/// A refusal that follows an answer within this time is not taken for an outage.
+const OUTAGE_AFTER: Duration = Duration::from_secs(1);
+
+/// How long to back off after the service refused or did not answer.
+const BACKOFF: Duration = Duration::from_millis(150);
 
 impl<Tag> RequestRateLimiter<Tag> {
+    /// A limiter that has a second's worth of this controller's shares to spend.
     pub fn new(limits: &StateLimits, controllers: usize, now: Now) -> Self {
         RequestRateLimiter {
-            lanes: Default::default(),
-            requests: Bucket::new(share(limits.rps, controllers), now),
-            writes: Bucket::new(write_share(limits.write_rps, controllers, false), now),
+            queues: Default::default(),
+            requests: TokenBucket::new(share(limits.rps, controllers), now),
+            writes: TokenBucket::new(write_share(limits.write_rps, controllers, false), now),
             write_limit: limits.write_rps,
             controllers,
-            hold_off_until: None,
+            backoff_until: None,
             last_answer: None,
             last_refusal: None,
         }
@@ -116,68 +139,73 @@
 
     /// Keeps within other limits from now on.
     pub fn set_limits(&mut self, now: Now, limits: &StateLimits, leading: bool) {
-        self.requests.fill(now);
-        self.requests.rate = share(limits.rps, self.controllers);
-        self.requests.burst = self.requests.rate;
+        let rate = share(limits.rps, self.controllers);
+        self.requests.set_rate(now, rate);
         self.write_limit = limits.write_rps;
         self.set_leading(now, leading);
     }
 
     /// Sets this controller's share of the writes by whether it leads.
     pub fn set_leading(&mut self, now: Now, leading: bool) {
-        self.writes.fill(now);
-        self.writes.rate = write_share(self.write_limit, self.controllers, leading);
-        self.writes.burst = self.writes.rate;
+        let rate = write_share(self.write_limit, self.controllers, leading);
+        self.writes.set_rate(now, rate);
     }
 
-    /// Whether writes are to be had in plenty: most of what may go in a second is left.
+    /// Whether most of the writes that may go in a second are left, so that optional ones can be sent.
     pub fn has_spare_writes(&mut self, now: Now) -> bool {
-        self.writes.fill(now);
+        self.writes.refill(now);
         self.writes.tokens >= self.writes.burst * SPARE
     }
 
-    /// The most changes that one batch should have: a larger one would make users wait for the rate to recover.
+    /// The most changes that one transaction should have, `txn_ops` at most: a larger one would make users wait for the rate.
     pub fn max_batch(&self, txn_ops: usize) -> usize {
         (self.writes.burst as usize / 2).clamp(3, txn_ops)
     }
 
-    /// The most changes that a write which can wait should have: with more it would take what is kept for users.
+    /// The most changes that a deferrable transaction should have, `txn_ops` at most: with more it would take what is kept
+    /// for users.
     pub fn max_deferrable_batch(&self, txn_ops: usize) -> usize {
         let spare = self.writes.burst - self.writes.kept_for_users();
         (spare as usize).clamp(1, txn_ops)
     }
 
-    /// Queues a request; gives the tag back when the lane is full.
-    pub fn push(&mut self, urgency: WritePriority, tag: Tag, op: StoreRequest) -> Result<(), Tag> {
-        let lane = &mut self.lanes[urgency as usize];
-        if lane.len() >= LANE_LIMIT {
+    /// Queues a request.
+    ///
+    /// # Errors
+    /// The tag, when the queue of this priority is full.
+    pub fn push(
+        &mut self,
+        priority: WritePriority,
+        tag: Tag,
+        request: StoreRequest,
+    ) -> Result<(), Tag> {
+        let queue = &mut self.queues[priority as usize];
+        if queue.len() >= MAX_QUEUED {
             return Err(tag);
         }
-        lane.push_back((tag, op));
+        queue.push_back((tag, request));
         Ok(())
     }
 
-    /// Takes what may be sent now.
+    /// Takes the requests that may be sent now, by priority.
     pub fn take_ready(&mut self, now: Now) -> Vec<(Tag, StoreRequest)> {
-        self.requests.fill(now);
-        self.writes.fill(now);
+        self.requests.refill(now);
+        self.writes.refill(now);
         let mut ready = Vec::new();
-        let holding_off = self
-            .hold_off_until
-            .is_some_and(|until| now.monotonic < until);
-        // What is more urgent and too dear for now must not be overtaken for ever by what is cheap.
+        let backing_off = self.is_backing_off(now);
+        // A write that is too large for now must not be overtaken for ever by smaller ones of a lower priority.
         let mut saving = false;
-        for (lane, queue) in self.lanes.iter_mut().enumerate() {
-            if holding_off && lane != WritePriority::Lease as usize {
+        for (priority, queue) in self.queues.iter_mut().enumerate() {
+            if backing_off && priority != WritePriority::Lease as usize {
                 break;
             }
-            let kept = if lane > WritePriority::User as usize {
+            let kept = if priority > WritePriority::User as usize {
                 self.writes.kept_for_users()
             } else {
                 0.0
             };
-            while let Some((_, op)) = queue.front() {
-                let writes = cost(op);
+            while let Some((_, request)) = queue.front() {
+                let writes = cost(request);
                 // A transaction may cost more than a second's worth: it goes when the bucket is full.
                 let affordable =
                     !saving && self.writes.tokens >= (writes + kept).min(self.writes.burst);
@@ -193,26 +221,27 @@
         ready
     }
 
-    /// Whether a write of this urgency would go at once. Writes that gather changes are prepared only then, so
-    /// that each holds all that came up while the ones before it waited.
-    pub fn can_send_now(&mut self, now: Now, urgency: WritePriority) -> bool {
-        self.requests.fill(now);
-        self.writes.fill(now);
-        let holding_off = self
-            .hold_off_until
-            .is_some_and(|until| now.monotonic < until);
-        let clear = self.lanes[..=urgency as usize]
+    /// Whether a write of this priority would be sent at once. Writes that gather changes are prepared only then, so that
+    /// each holds all that came up while the ones before it waited.
+    pub fn can_send_now(&mut self, now: Now, priority: WritePriority) -> bool {
+        self.requests.refill(now);
+        self.writes.refill(now);
+        let clear = self.queues[..=priority as usize]
             .iter()
             .all(VecDeque::is_empty);
         let enough = (1.0 + self.writes.kept_for_users()).min(self.writes.burst);
-        clear && !holding_off && self.requests.tokens >= 1.0 && self.writes.tokens >= enough
+        clear
+            && !self.is_backing_off(now)
+            && self.requests.tokens >= 1.0
+            && self.writes.tokens >= enough
     }
 
-    pub fn record_response(&mut self, now: Now, outcome: &StoreResponse) {
-        match outcome {
+    /// Takes note of an answer: after one that was refused or did not come, requests back off.
+    pub fn record_response(&mut self, now: Now, response: &StoreResponse) {
+        match response {
             StoreResponse::Refused | StoreResponse::Unknown => {
                 self.last_refusal = Some(now.monotonic);
-                self.hold_off_until = Some(now.monotonic + HOLD_OFF);
+                self.backoff_until = Some(now.monotonic + BACKOFF);
             }
             _ => {
                 self.last_answer = Some(now.monotonic);
@@ -220,31 +249,35 @@
         }
     }
 
+    fn is_backing_off(&self, now: Now) -> bool {
+        self.backoff_until
+            .is_some_and(|until| now.monotonic < until)
+    }
+
     /// Whether the service answered since it last refused, or only just began to refuse.
     pub fn available(&self, now: Now) -> bool {
         match (self.last_answer, self.last_refusal) {
-            (Some(answer), Some(refusal)) => {
-                answer >= refusal || since(now, answer) < Duration::from_secs(1)
-            }
+            (Some(answer), Some(refusal)) => answer >= refusal || since(now, answer) < OUTAGE_AFTER,
             (Some(_), None) => true,
             (None, _) => false,
         }
     }
 
-    /// How long a new request of a user would wait for a write.
+    /// How long a user's new request would wait for its write at the present rate.
     pub fn estimated_user_delay(&self) -> Duration {
-        let ahead: f64 = self.lanes[..=WritePriority::User as usize]
+        let ahead: f64 = self.queues[..=WritePriority::User as usize]
             .iter()
             .flatten()
-            .map(|(_, op)| cost(op))
+            .map(|(_, request)| cost(request))
             .sum();
         let lacking = (ahead + 1.0 - self.writes.tokens).max(0.0);
         Duration::from_secs_f64(lacking / self.writes.rate)
     }
 }
 
-fn cost(op: &StoreRequest) -> f64 {
-    match op {
+/// How many writes a request counts as.
+fn cost(request: &StoreRequest) -> f64 {
+    match request {
         StoreRequest::Commit(txn) => txn.changes.len() as f64,
         _ => 0.0,
     }
--- a/src/store/rate_limiter/tests.rs
+++ b/src/store/rate_limiter/tests.rs
@@ -12,13 +12,31 @@
     StoreRequest::Commit(Transaction::default().delete("k"))
 }
 
-#[test]
-fn writes_wait_for_their_rate_and_the_urgent_go_first() {
-    let start = Now::read();
-    let later = |ms| Now {
-        monotonic: start.monotonic + Duration::from_millis(ms),
+fn later(start: Now, millis: u64) -> Now {
+    Now {
+        monotonic: start.monotonic + Duration::from_millis(millis),
         ..start
+    }
+}
+
+/// A limiter for one of these controllers, under this many writes a second.
+fn with_write_rate(write_rps: f64, controllers: usize, start: Now) -> RequestRateLimiter<i32> {
+    let limits = StateLimits {
+        write_rps,
+        ..LIMITS
     };
+    RequestRateLimiter::new(&limits, controllers, start)
+}
+
+/// The tags of the requests that are sent at this time.
+fn sent(rate_limiter: &mut RequestRateLimiter<i32>, now: Now) -> Vec<i32> {
+    let ready = rate_limiter.take_ready(now);
+    ready.iter().map(|(tag, _)| *tag).collect()
+}
+
+#[test]
+fn writes_wait_for_their_rate_and_go_by_priority() {
+    let start = Now::read();
     let mut rate_limiter = RequestRateLimiter::new(&LIMITS, 1, start);
     for n in 0..4 {
         assert!(
@@ -28,39 +46,21 @@
         );
     }
     assert!(rate_limiter.push(WritePriority::User, 9, write()).is_ok());
-    let sent = |rate_limiter: &mut RequestRateLimiter<i32>, now| {
-        rate_limiter
-            .take_ready(now)
-            .iter()
-            .map(|(tag, _)| *tag)
-            .collect::<Vec<_>>()
-    };
     // 1.8 writes a second: the user's goes at once, the others when one would be left for the next user.
     assert!(rate_limiter.has_spare_writes(start));
     assert_eq!(sent(&mut rate_limiter, start), [9]);
     assert!(!rate_limiter.has_spare_writes(start));
-    assert_eq!(sent(&mut rate_limiter, later(400)), [] as [i32; 0]);
-    assert_eq!(sent(&mut rate_limiter, later(700)), [0]);
+    assert_eq!(sent(&mut rate_limiter, later(start, 400)), [] as [i32; 0]);
+    assert_eq!(sent(&mut rate_limiter, later(start, 700)), [0]);
     assert!(rate_limiter.push(WritePriority::User, 10, write()).is_ok());
-    assert_eq!(sent(&mut rate_limiter, later(900)), [10]);
+    assert_eq!(sent(&mut rate_limiter, later(start, 900)), [10]);
 }
 
 /// Found in an incident: one-task jobs came ten a second, and each waited for a write of its own.
 #[test]
-fn several_submissions_at_once_find_writes_that_less_urgent_work_has_left() {
+fn several_submissions_at_once_find_the_writes_that_lower_priorities_leave() {
     let start = Now::read();
-    let later = |ms| Now {
-        monotonic: start.monotonic + Duration::from_millis(ms),
-        ..start
-    };
-    let mut rate_limiter = RequestRateLimiter::new(
-        &StateLimits {
-            write_rps: 10.0,
-            ..LIMITS
-        },
-        1,
-        start,
-    );
+    let mut rate_limiter = with_write_rate(10.0, 1, start);
     for n in 0..100 {
         assert!(
             rate_limiter
@@ -71,7 +71,7 @@
     // Nine a second, of which 3.6 are left whatever waits.
     assert_eq!(rate_limiter.take_ready(start).len(), 5);
     let in_a_second: usize = (1..=10)
-        .map(|n| rate_limiter.take_ready(later(n * 100)).len())
+        .map(|n| rate_limiter.take_ready(later(start, n * 100)).len())
         .sum();
     assert!(
         (8..=9).contains(&in_a_second),
@@ -80,40 +80,17 @@
     for n in 200..203 {
         assert!(rate_limiter.push(WritePriority::User, n, write()).is_ok());
     }
-    let sent: Vec<i32> = rate_limiter
-        .take_ready(later(1000))
-        .iter()
-        .map(|(tag, _)| *tag)
-        .collect();
-    assert_eq!(sent, [200, 201, 202]);
+    assert_eq!(sent(&mut rate_limiter, later(start, 1000)), [200, 201, 202]);
 }
 
 /// Found on the bench: batches of a leader waited for a full bucket, which single writes never let fill.
 #[test]
-fn a_dear_write_is_not_overtaken_by_cheap_ones() {
+fn a_large_write_is_not_overtaken_by_small_ones_of_lower_priority() {
     let start = Now::read();
-    let later = |ms| Now {
-        monotonic: start.monotonic + Duration::from_millis(ms),
-        ..start
-    };
-    let mut rate_limiter = RequestRateLimiter::new(
-        &StateLimits {
-            write_rps: 10.0,
-            ..LIMITS
-        },
-        1,
-        start,
-    );
+    let mut rate_limiter = with_write_rate(10.0, 1, start);
     let batch = StoreRequest::Commit(
         (0..9).fold(Transaction::default(), |txn, n| txn.delete(format!("k{n}"))),
     );
-    let sent = |rate_limiter: &mut RequestRateLimiter<i32>, now| {
-        rate_limiter
-            .take_ready(now)
-            .iter()
-            .map(|(tag, _)| *tag)
-            .collect::<Vec<_>>()
-    };
     assert!(
         rate_limiter
             .push(WritePriority::Placement, 1, write())
@@ -133,27 +110,23 @@
         );
     }
     let order: Vec<i32> = (0..30)
-        .flat_map(|n| sent(&mut rate_limiter, later(n * 40)))
+        .flat_map(|n| sent(&mut rate_limiter, later(start, n * 40)))
         .collect();
     assert_eq!(order.first(), Some(&2), "{order:?}");
 }
 
 #[test]
-fn an_outage_is_told_from_a_single_refusal() {
+fn a_single_refusal_is_no_outage_and_repeated_ones_are() {
     let start = Now::read();
-    let later = |ms| Now {
-        monotonic: start.monotonic + Duration::from_millis(ms),
-        ..start
-    };
     let mut rate_limiter: RequestRateLimiter<()> = RequestRateLimiter::new(&LIMITS, 1, start);
     assert!(!rate_limiter.available(start));
     rate_limiter.record_response(start, &StoreResponse::Conflict);
-    rate_limiter.record_response(later(100), &StoreResponse::Refused);
-    assert!(rate_limiter.available(later(200)));
-    rate_limiter.record_response(later(1500), &StoreResponse::Unknown);
-    assert!(!rate_limiter.available(later(1600)));
-    rate_limiter.record_response(later(1700), &StoreResponse::Conflict);
-    assert!(rate_limiter.available(later(1700)));
+    rate_limiter.record_response(later(start, 100), &StoreResponse::Refused);
+    assert!(rate_limiter.available(later(start, 200)));
+    rate_limiter.record_response(later(start, 1500), &StoreResponse::Unknown);
+    assert!(!rate_limiter.available(later(start, 1600)));
+    rate_limiter.record_response(later(start, 1700), &StoreResponse::Conflict);
+    assert!(rate_limiter.available(later(start, 1700)));
 }
 
 /// Found on the bench: under a low rate a block's write of five changes was sent when the bucket was full, and took what was
@@ -161,11 +134,7 @@
 #[test]
 fn a_write_that_can_wait_leaves_what_is_kept_for_users() {
     let start = Now::read();
-    let limits = StateLimits {
-        write_rps: 15.0,
-        ..LIMITS
-    };
-    let mut rate_limiter = RequestRateLimiter::new(&limits, 3, start);
+    let mut rate_limiter = with_write_rate(15.0, 3, start);
     let most = rate_limiter.max_deferrable_batch(5);
     assert!((1..5).contains(&most), "{most} changes");
     let batch = (0..most).fold(Transaction::default(), |txn, n| txn.delete(n.to_string()));
