--- a/src/lib.rs
+++ b/src/lib.rs
@@ -50,7 +50,6 @@
 pub mod scheduler;
 #[allow(clippy::too_many_lines, reason = "not reached yet: #30")]
 pub mod service;
-#[allow(missing_docs, clippy::too_many_lines, reason = "not reached yet: #30")]
 pub mod store;
 pub mod upgrade;
 #[allow(
--- a/src/store/cache/tests.rs
+++ b/src/store/cache/tests.rs
@@ -6,27 +6,58 @@
 use crate::domain::{Attempt, Now, TaskId};
 use crate::placement::tests::job;
 use crate::store::records::{
-    Change, InventoryEntry, JobRecord, encode, inventory_key, job_key, placements_key,
+    Change, InventoryEntry, JobRecord, Record, encode, inventory_key, job_key, placements_key,
 };
 use crate::store::{KeyValue, StoreRequest, StoreResponse};
 
+/// The time so many seconds after `start`.
+fn at(start: Now, seconds: u64) -> Now {
+    Now {
+        monotonic: start.monotonic + Duration::from_secs(seconds),
+        ..start
+    }
+}
+
+/// A record that was written as this version.
+fn put(key: String, version: u64, record: &impl Record) -> Change {
+    Change {
+        key,
+        version,
+        value: Some(encode(record)),
+    }
+}
+
+/// The open record of a job of one task.
+fn open_job() -> JobRecord {
+    JobRecord::Open(job(1, 1.0))
+}
+
+fn inventory_of(machines: &[&MachineId]) -> MachineInventory {
+    let entry = || InventoryEntry {
+        type_name: "small".into(),
+        capacity_type: CapacityType::Spot,
+        state: MachineState::InService,
+        rented_s: 0,
+    };
+    MachineInventory {
+        zone: "a".into(),
+        on: machines
+            .iter()
+            .map(|machine| ((*machine).clone(), entry()))
+            .collect(),
+    }
+}
+
 /// Found on the bench: a controller that had been cut off from the state service for 46 s asked for all changes since,
 /// more than it could take in one answer, and asked again for ever.
 #[test]
 fn a_copy_that_is_far_behind_is_read_anew_while_the_old_one_is_still_in_use() {
     let start = Now::read();
-    let at = |seconds: u64| Now {
-        monotonic: start.monotonic + Duration::from_secs(seconds),
-        ..start
-    };
+    let at = |seconds| at(start, seconds);
     let mut cache = WatchCache::following();
     cache.revision = 5;
     cache.assume_fresh(start.monotonic);
-    cache.apply(Change {
-        key: job_key(JobId(1)),
-        version: 5,
-        value: Some(encode(&JobRecord::Open(job(1, 1.0)))),
-    });
+    cache.apply(put(job_key(JobId(1)), 5, &open_job()));
     let next = |cache: &mut WatchCache, now: Now| cache.poll(now).remove(0);
     let (tag, op) = next(&mut cache, at(40));
     assert!(
@@ -62,7 +93,7 @@
     );
     let key_values = vec![KeyValue {
         key: job_key(JobId(2)),
-        value: encode(&JobRecord::Open(job(1, 1.0))),
+        value: encode(&open_job()),
         version: 800,
     }];
     cache.handle(
@@ -86,37 +117,12 @@
 /// Found by a seeded run: the place of a lost attempt hid the one that followed it, and the task was
 /// released a second time.
 #[test]
-fn a_lost_attempt_does_not_hide_the_next_one() {
+fn a_lost_attempt_does_not_hide_the_next_attempt_of_its_task() {
     let mut cache = WatchCache::following();
-    let put = |key: String, version, value| Change {
-        key,
-        version,
-        value: Some(value),
-    };
-    let entry = || InventoryEntry {
-        type_name: "small".into(),
-        capacity_type: CapacityType::Spot,
-        state: MachineState::InService,
-        rented_s: 0,
-    };
-    let inventory = |machines: &[&MachineId]| MachineInventory {
-        zone: "a".into(),
-        on: machines
-            .iter()
-            .map(|machine| ((*machine).clone(), entry()))
-            .collect(),
-    };
     let (first, second) = (MachineId::from("m-000014"), MachineId::from("m-000011"));
-    cache.apply(put(
-        job_key(JobId(1)),
-        1,
-        encode(&JobRecord::Open(job(1, 1.0))),
-    ));
-    cache.apply(put(
-        inventory_key(&"a.0".into()),
-        2,
-        encode(&inventory(&[&first, &second])),
-    ));
+    let (inventory, block) = (inventory_key(&"a.0".into()), placements_key(&"a.0".into()));
+    cache.apply(put(job_key(JobId(1)), 1, &open_job()));
+    cache.apply(put(inventory.clone(), 2, &inventory_of(&[&first, &second])));
     let attempt = |number| Attempt {
         task: TaskId {
             job: JobId(1),
@@ -126,14 +132,10 @@
     };
     let mut placements = BlockPlacements::default();
     placements.add(&first, attempt(7));
-    cache.apply(put(placements_key(&"a.0".into()), 3, encode(&placements)));
-    cache.apply(put(
-        inventory_key(&"a.0".into()),
-        4,
-        encode(&inventory(&[&second])),
-    ));
+    cache.apply(put(block.clone(), 3, &placements));
+    cache.apply(put(inventory, 4, &inventory_of(&[&second])));
     placements.add(&second, attempt(8));
-    cache.apply(put(placements_key(&"a.0".into()), 5, encode(&placements)));
+    cache.apply(put(block.clone(), 5, &placements));
     let live: Vec<u64> = cache
         .live_placements()
         .flat_map(|live| live.attempts())
@@ -146,19 +148,15 @@
         "{placed:?}"
     );
     placements.remove(&first, attempt(7));
-    cache.apply(put(placements_key(&"a.0".into()), 6, encode(&placements)));
+    cache.apply(put(block.clone(), 6, &placements));
     assert_eq!(cache.placed(JobId(1)).len(), 1);
 }
 
 /// What a controller is told by others goes before the watch, never against it.
 #[test]
-fn a_cancellation_told_by_another_controller_counts_until_the_copy_shows_what_is_true() {
+fn a_reported_cancellation_counts_until_the_cache_has_reached_its_version() {
     let mut cache = WatchCache::following();
-    let put = |id, version| Change {
-        key: job_key(JobId(id)),
-        version,
-        value: Some(encode(&JobRecord::Open(job(1, 1.0)))),
-    };
+    let put = |id, version| put(job_key(JobId(id)), version, &open_job());
     (1..=3).for_each(|id| cache.apply(put(id, id)));
     cache.revision = 10;
     let _ = cache.take_changed();
--- a/src/store/wire.rs
+++ b/src/store/wire.rs
@@ -1,22 +1,26 @@
-//! The state service's protocol, as PROTOCOL spells it.
+//! The state service's protocol: requests and answers in the spelling of PROTOCOL.
+//!
+//! The event loop turns a [`StoreRequest`] into an HTTP request with [`request`] and its reply into a [`StoreResponse`] with
+//! [`outcome`]. Nothing else in the program knows the spelling.
 
 use std::time::Duration;
 
 use ciborium::Value;
+use serde::de::DeserializeOwned;
 use serde::{Deserialize, Serialize};
 
 use super::{Change, KeyValue, StoreRequest, StoreResponse, Transaction, TransactionChange};
 use crate::http::{Reply, Request, read, write};
 
 #[derive(Serialize)]
-struct Condition<'a> {
+struct ConditionBody<'a> {
     k: &'a str,
     amended: u64,
 }
 
 #[derive(Serialize)]
 #[serde(untagged)]
-enum Apply<'a> {
+enum ChangeBody<'a> {
     Put {
         put: &'a str,
         value: &'a Value,
@@ -29,14 +33,14 @@
 }
 
 #[derive(Serialize)]
-struct Multi<'a> {
-    when: Vec<Condition<'a>>,
+struct TransactionBody<'a> {
+    when: Vec<ConditionBody<'a>>,
     #[serde(skip_serializing_if = "Vec::is_empty")]
-    apply: Vec<Apply<'a>>,
+    apply: Vec<ChangeBody<'a>>,
 }
 
 #[derive(Serialize)]
-struct NewLease {
+struct GrantLeaseBody {
     #[serde(rename = "lifeMs")]
     life_ms: u64,
 }
@@ -58,7 +62,7 @@
 }
 
 #[derive(Deserialize)]
-struct Revision {
+struct RevisionBody {
     #[serde(rename = "ledgerLine")]
     revision: u64,
 }
@@ -82,43 +86,45 @@
 }
 
 #[derive(Deserialize)]
-struct LeaseId {
+struct LeaseBody {
     tenure: u64,
 }
 
-/// Rows in a page: the service's own limit.
-const PAGE: u32 = 1000;
+/// Keys in a page: the service's own limit.
+const PAGE_KEYS: u32 = 1000;
+/// How long an answer is waited for: twice as long for a page, and beyond its own wait for a watch.
 const TIMEOUT: Duration = Duration::from_millis(1500);
 
 fn millis(duration: Duration) -> u64 {
     u64::try_from(duration.as_millis()).unwrap_or(u64::MAX)
 }
 
-fn multi(txn: &Transaction) -> Vec<u8> {
+fn transaction_body(txn: &Transaction) -> Vec<u8> {
     let when = txn
         .conditions
         .iter()
-        .map(|(k, amended)| Condition {
+        .map(|(k, amended)| ConditionBody {
             k,
             amended: *amended,
         })
         .collect();
     let apply = txn.changes.iter().map(|change| match change {
-        TransactionChange::Put { key, value, lease } => Apply::Put {
+        TransactionChange::Put { key, value, lease } => ChangeBody::Put {
             put: key,
             value,
             tenure: *lease,
         },
-        TransactionChange::Delete { key } => Apply::Remove { remove: key },
+        TransactionChange::Delete { key } => ChangeBody::Remove { remove: key },
     });
-    write(&Multi {
+    write(&TransactionBody {
         when,
         apply: apply.collect(),
     })
 }
 
-pub fn request(op: &StoreRequest) -> Request {
-    match op {
+/// The HTTP request that a request is sent as.
+pub fn request(request: &StoreRequest) -> Request {
+    match request {
         StoreRequest::Get { key } => Request::get(format!("/keys/{key}"), TIMEOUT),
         StoreRequest::Range { prefix, after } => {
             let after = after
@@ -126,11 +132,13 @@
                 .map(|key| format!("&after={key}"))
                 .unwrap_or_default();
             Request::get(
-                format!("/keys?prefix={prefix}{after}&most={PAGE}"),
+                format!("/keys?prefix={prefix}{after}&most={PAGE_KEYS}"),
                 TIMEOUT * 2,
             )
         }
-        StoreRequest::Commit(txn) => Request::post("/multi".to_owned(), multi(txn), TIMEOUT),
+        StoreRequest::Commit(txn) => {
+            Request::post("/multi".to_owned(), transaction_body(txn), TIMEOUT)
+        }
         StoreRequest::Watch {
             prefix,
             after,
@@ -144,7 +152,7 @@
         }
         StoreRequest::GrantLease { life } => Request::post(
             "/holds".to_owned(),
-            write(&NewLease {
+            write(&GrantLeaseBody {
                 life_ms: millis(*life),
             }),
             TIMEOUT,
@@ -155,60 +163,25 @@
     }
 }
 
-pub fn outcome(op: &StoreRequest, reply: Option<&Reply>) -> StoreResponse {
+/// What the reply to a request means. None: no reply came in time.
+pub fn outcome(request: &StoreRequest, reply: Option<&Reply>) -> StoreResponse {
     let Some(reply) = reply else {
         return StoreResponse::Unknown;
     };
-    match (reply.status, op) {
+    match (reply.status, request) {
         (429 | 503, _) => StoreResponse::Refused,
-        (200, StoreRequest::Get { .. }) => {
-            read(&reply.body).map_or(StoreResponse::Unknown, |row: KeyValueBody| {
-                StoreResponse::Value {
-                    value: row.value,
-                    version: row.amended,
-                }
-            })
-        }
+        (200, StoreRequest::Get { .. }) => parse::<KeyValueBody>(reply),
         (404, StoreRequest::Get { .. }) => {
-            read(&reply.body).map_or(StoreResponse::Unknown, |r: Revision| {
-                StoreResponse::Missing {
-                    revision: r.revision,
-                }
-            })
-        }
-        (200, StoreRequest::Range { .. }) => {
-            read(&reply.body).map_or(StoreResponse::Unknown, |page: RangePage| {
-                StoreResponse::RangePage {
-                    key_values: page
-                        .rows
-                        .into_iter()
-                        .map(|row| KeyValue {
-                            key: row.k,
-                            value: row.value,
-                            version: row.amended,
-                        })
-                        .collect(),
-                    more: page.more,
-                    revision: page.revision,
-                }
-            })
+            parse_revision(reply, |revision| StoreResponse::Missing { revision })
         }
+        (200, StoreRequest::Range { .. }) => parse::<RangePage>(reply),
         (200, StoreRequest::Commit(_)) => {
-            read(&reply.body).map_or(StoreResponse::Unknown, |r: Revision| {
-                StoreResponse::Committed {
-                    revision: r.revision,
-                }
-            })
+            parse_revision(reply, |revision| StoreResponse::Committed { revision })
         }
         (409, StoreRequest::Commit(_)) => StoreResponse::Conflict,
-        (200, StoreRequest::Watch { .. }) => {
-            read(&reply.body).map_or(StoreResponse::Unknown, watch_events)
-        }
+        (200, StoreRequest::Watch { .. }) => parse::<WatchResponse>(reply),
         (410, StoreRequest::Watch { .. }) => StoreResponse::Compacted,
-        (200, StoreRequest::GrantLease { .. }) => read(&reply.body)
-            .map_or(StoreResponse::Unknown, |lease: LeaseId| {
-                StoreResponse::LeaseGranted { id: lease.tenure }
-            }),
+        (200, StoreRequest::GrantLease { .. }) => parse::<LeaseBody>(reply),
         (200, StoreRequest::KeepAliveLease { id }) => StoreResponse::LeaseGranted { id: *id },
         (404, StoreRequest::KeepAliveLease { .. }) => StoreResponse::LeaseExpired,
         (400 | 404, _) => StoreResponse::Invalid,
@@ -216,28 +189,74 @@
     }
 }
 
-fn watch_events(response: WatchResponse) -> StoreResponse {
-    let changes = response
-        .news
-        .into_iter()
-        .filter_map(|item| match (item.put, item.remove) {
-            (Some(key), _) => Some(Change {
-                key,
-                version: item.amended,
-                value: item.value,
-            }),
-            (None, Some(key)) => Some(Change {
-                key,
-                version: item.amended,
-                value: None,
-            }),
-            (None, None) => None,
-        });
-    StoreResponse::WatchEvents {
-        revision: response.revision,
-        changes: changes.collect(),
+/// The answer in a reply's body. A body that can't be read says nothing of what became of the request.
+fn parse<T: DeserializeOwned + Into<StoreResponse>>(reply: &Reply) -> StoreResponse {
+    read::<T>(&reply.body).map_or(StoreResponse::Unknown, Into::into)
+}
+
+fn parse_revision(reply: &Reply, response: fn(u64) -> StoreResponse) -> StoreResponse {
+    read(&reply.body).map_or(StoreResponse::Unknown, |body: RevisionBody| {
+        response(body.revision)
+    })
+}
+
+impl From<KeyValueBody> for StoreResponse {
+    fn from(body: KeyValueBody) -> Self {
+        StoreResponse::Value {
+            value: body.value,
+            version: body.amended,
+        }
+    }
+}
+
+impl From<KeyValueBody> for KeyValue {
+    fn from(body: KeyValueBody) -> Self {
+        KeyValue {
+            key: body.k,
+            value: body.value,
+            version: body.amended,
+        }
+    }
+}
+
+impl From<RangePage> for StoreResponse {
+    fn from(page: RangePage) -> Self {
+        StoreResponse::RangePage {
+            key_values: page.rows.into_iter().map(KeyValue::from).collect(),
+            more: page.more,
+            revision: page.revision,
+        }
+    }
+}
+
+impl From<LeaseBody> for StoreResponse {
+    fn from(lease: LeaseBody) -> Self {
+        StoreResponse::LeaseGranted { id: lease.tenure }
     }
 }
 
+impl From<WatchResponse> for StoreResponse {
+    fn from(response: WatchResponse) -> Self {
+        StoreResponse::WatchEvents {
+            revision: response.revision,
+            changes: response.news.into_iter().filter_map(change).collect(),
+        }
+    }
+}
+
+/// The change that an event tells of. None: the event names no key.
+fn change(event: WatchEvent) -> Option<Change> {
+    let (key, value) = match (event.put, event.remove) {
+        (Some(key), _) => (key, event.value),
+        (None, Some(key)) => (key, None),
+        (None, None) => return None,
+    };
+    Some(Change {
+        key,
+        version: event.amended,
+        value,
+    })
+}
+
 #[cfg(test)]
 mod tests;
--- a/src/store/wire/tests.rs
+++ b/src/store/wire/tests.rs
@@ -10,7 +10,7 @@
 }
 
 #[test]
-fn transactions_have_the_form_of_the_protocol() {
+fn a_transaction_is_written_in_the_form_of_the_protocol() {
     let txn = Transaction {
         conditions: vec![("a/b".into(), 0)],
         changes: vec![
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn answers_are_told_apart() {
+fn each_status_is_read_as_its_response() {
     let commit = StoreRequest::Commit(Transaction::default());
     assert_eq!(outcome(&commit, None), StoreResponse::Unknown);
     assert_eq!(
--- a/src/store/writer.rs
+++ b/src/store/writer.rs
@@ -1,35 +1,44 @@
-//! One writer of records: at most one transaction at a time, and nothing new before the last one is understood.
+//! The state of one writer of records: at most one transaction at a time, and none before the outcome of the last is known.
+//!
+//! Each module that writes keeps a [`Writer`] and asks it before it prepares a transaction from the copy ([`Writer::ready`]);
+//! it reports when the transaction is sent and what the answer was. It sends nothing itself.
 
 use std::time::{Duration, Instant};
 
 use super::{StoreResponse, WatchCache};
 use crate::domain::{Now, since};
 
+/// What is known of a writer's last transaction.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Writer {
+    /// It is in the copy, or there was none.
     Idle,
+    /// It is queued or sent.
     InFlight,
-    /// Committed; our copy may not show it yet.
+    /// It is committed; the copy may not show it yet.
     AwaitingCache {
+        /// The revision that the copy has to reach.
         revision: u64,
     },
-    /// Failed or unknown: our copy must first be newer than this time.
+    /// It failed, or its outcome is unknown: the copy must first hold all that was committed before this time.
     Unconfirmed {
+        /// When the answer came.
         since: Instant,
     },
-    /// Refused as malformed or too large: the same again would be refused again.
+    /// It was refused as malformed or too large: the same again would be refused again.
     Rejected {
+        /// When the answer came.
         since: Instant,
     },
 }
 
-/// A refused write is tried again after this long.
-const PAUSE: Duration = Duration::from_millis(200);
-/// ... and one that was refused for what it holds, after this long: what it holds has to change first.
+/// A failed write is tried again after this long.
+const RETRY_PAUSE: Duration = Duration::from_millis(200);
+/// A rejected write is tried again after this long: its contents have to change first.
 const REJECTED_PAUSE: Duration = Duration::from_secs(2);
 
 impl Writer {
-    /// Whether a new transaction may be prepared from `cache`. Asks for a fresh copy if one is needed.
+    /// Whether a new transaction may be prepared from `cache`. Asks it to be brought up to the present if that is needed.
     pub fn ready(&mut self, now: Now, cache: &mut WatchCache) -> bool {
         match *self {
             Writer::Idle => {}
@@ -46,7 +55,11 @@
                     return false;
                 }
                 let rejected = matches!(self, Writer::Rejected { .. });
-                let pause = if rejected { REJECTED_PAUSE } else { PAUSE };
+                let pause = if rejected {
+                    REJECTED_PAUSE
+                } else {
+                    RETRY_PAUSE
+                };
                 if since(now, then) < pause {
                     return false;
                 }
@@ -56,17 +69,19 @@
         cache.ready()
     }
 
-    /// Whether the last transaction was not understood to be committed.
+    /// Whether the last transaction is not known to be committed.
     pub fn is_unconfirmed(&self) -> bool {
         matches!(self, Writer::Unconfirmed { .. } | Writer::Rejected { .. })
     }
 
+    /// A transaction was queued or sent.
     pub fn sent(&mut self) {
         *self = Writer::InFlight;
     }
 
-    pub fn answered(&mut self, now: Now, outcome: &StoreResponse) {
-        *self = match outcome {
+    /// The answer to the transaction, or that none came.
+    pub fn answered(&mut self, now: Now, response: &StoreResponse) {
+        *self = match response {
             StoreResponse::Committed { revision } => Writer::AwaitingCache {
                 revision: *revision,
             },
--- a/src/store/writer/tests.rs
+++ b/src/store/writer/tests.rs
@@ -1,5 +1,3 @@
-//! When a writer may write again.
-
 use super::*;
 
 fn at(start: Now, millis: u64) -> Now {
@@ -23,7 +21,7 @@
 
 /// A transaction that is too large was sent again five times a second, and each time cost its share of the rate.
 #[test]
-fn what_is_refused_for_what_it_holds_is_not_tried_again_at_once() {
+fn a_rejected_write_waits_longer_than_a_refused_one() {
     assert!(ready_after(&StoreResponse::Refused, 250));
     assert!(ready_after(&StoreResponse::Conflict, 250));
     assert!(!ready_after(&StoreResponse::Invalid, 250));
