--- a/crates/domain/src/attempts.rs
+++ b/crates/domain/src/attempts.rs
@@ -1,7 +1,7 @@
 //! Attempts at tasks and their numbers.
 //!
 //! All tasks of a start of a gang share one number on the wire. Within the service each has one of its own, from which the
-//! shared one can be told: so a number names one attempt of one task everywhere, whatever the kind of the job.
+//! shared one follows: so a number names one attempt of one task everywhere, whatever the kind of the job.
 
 use std::fmt;
 
--- a/crates/domain/src/ids.rs
+++ b/crates/domain/src/ids.rs
@@ -5,7 +5,7 @@
 
 use crate::text::{serialize_as_text, text_name};
 
-/// Why a text is not the id of a job or a task. All are displayed alike, as users and peers have always been told.
+/// Why a text is not the id of a job or a task. All are displayed alike: users and peers are shown this text.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum MalformedName {
     /// A job id starts with `j-`.
--- a/src/store/cache/indexes.rs
+++ b/src/store/cache/indexes.rs
@@ -1,4 +1,4 @@
-//! What follows from the records and is looked up: the attempts of a job, the machines that tasks are on, the parts of a
+//! What follows from the records and is queried: the attempts of a job, the machines that tasks are on, the parts of a
 //! block, finished tasks that are recorded twice.
 //!
 //! [`PlacementIndex`] is changed by [`super::apply`] only; the queries of [`WatchCache`] are called by all modules.
@@ -148,12 +148,12 @@
             {
                 return true;
             }
-            *done = self.not_folded(*job, done);
+            *done = self.not_recorded(*job, done);
             !done.is_empty()
         });
     }
 
-    fn not_folded(&self, job: JobId, done: &Ranges) -> Ranges {
+    fn not_recorded(&self, job: JobId, done: &Ranges) -> Ranges {
         let mut left = Ranges::default();
         for index in done.0.iter().flat_map(Clone::clone) {
             let progress = self.progress.get(&(job, index / CHUNK));
--- a/src/store/cache/mod.rs
+++ b/src/store/cache/mod.rs
@@ -22,7 +22,7 @@
 use self::indexes::PlacementIndex;
 use self::pending_cancellations::PendingCancellations;
 use self::read_barrier::ReadBarrier;
-use self::sync::{PollIntervals, Sync, SyncState};
+use self::sync::{PollIntervals, SyncState, Synchronizer};
 use super::records::{
     BlockLease, BlockPlacements, FormatSwitch, Leader, MachineInventory, MachineState, Member,
     Part, PendingRental, Progress, Ranges, Token,
@@ -95,7 +95,7 @@
 /// the records.
 #[derive(Debug, Default, PartialEq)]
 pub struct ChangedRecords {
-    /// The copy was read anew: anything may have changed.
+    /// The copy was reloaded: anything may have changed.
     pub all: bool,
     /// A block lease has changed.
     pub block_leases: bool,
@@ -135,7 +135,7 @@
 /// The copy of the records.
 #[derive(Debug)]
 pub struct WatchCache {
-    sync: Sync,
+    sync: Synchronizer,
     barrier: ReadBarrier,
     cancellations: PendingCancellations,
     /// The last change that is in the copy.
@@ -182,10 +182,10 @@
     /// An empty copy, with requests spaced so that this many controllers together keep within the limits.
     pub fn new(limits: &StateLimits, controllers: usize) -> Self {
         let intervals = PollIntervals::new(limits, controllers);
-        WatchCache::with_sync(Sync::new(intervals, limits.value_bytes as u64))
+        WatchCache::with_sync(Synchronizer::new(intervals, limits.value_bytes as u64))
     }
 
-    fn with_sync(sync: Sync) -> Self {
+    fn with_sync(sync: Synchronizer) -> Self {
         WatchCache {
             sync,
             barrier: ReadBarrier::default(),
--- a/src/store/cache/read_barrier.rs
+++ b/src/store/cache/read_barrier.rs
@@ -9,7 +9,7 @@
 use super::Tag;
 use crate::domain::{Now, since};
 use crate::store::StoreRequest;
-use crate::store::records::NOWHERE;
+use crate::store::records::UNWRITTEN_KEY;
 
 /// A revision that the service had when it answered a request of the barrier.
 #[derive(Debug)]
@@ -49,7 +49,7 @@
         let tag = Tag::Barrier {
             sent: now.monotonic,
         };
-        let key = NOWHERE.to_owned();
+        let key = UNWRITTEN_KEY.to_owned();
         Some((tag, StoreRequest::Get { key }))
     }
 
@@ -76,7 +76,7 @@
         current_as_of
     }
 
-    /// Forgets the revisions observed so far, as the copy is read anew. A read that was in flight is asked for again.
+    /// Forgets the revisions observed so far, as the copy is reloaded. A read that was in flight is asked for again.
     pub(super) fn restart(&mut self) {
         *self = ReadBarrier {
             wanted: self.wanted || self.in_flight,
--- a/src/store/cache/sync.rs
+++ b/src/store/cache/sync.rs
@@ -14,12 +14,12 @@
 use super::{Tag, WatchCache};
 use crate::config::StateLimits;
 use crate::domain::{Now, since};
-use crate::store::records::{Change, NOWHERE, ROOT};
+use crate::store::records::{Change, ROOT, UNWRITTEN_KEY};
 use crate::store::{KeyValue, StoreRequest, StoreResponse};
 
 /// A watch returns at least this often, which bounds how old the copy can be.
 const WATCH_TIMEOUT: Duration = Duration::from_millis(2500);
-/// The parts of the state service's rate of requests that all controllers' watches and fresh reads may take.
+/// The parts of the state service's rate of requests that all controllers' watches and linearizable reads may take.
 const WATCH_RATE_PART: f64 = 0.4;
 const BARRIER_RATE_PART: f64 = 0.25;
 /// Pause after a request that was refused or not answered.
@@ -87,10 +87,10 @@
 
 /// The state of loading and following.
 #[derive(Debug)]
-pub(super) struct Sync {
+pub(super) struct Synchronizer {
     pub(super) state: SyncState,
     request: RequestState,
-    /// Counts loads, so that answers of an abandoned one are told apart.
+    /// Counts loads, so that answers of an abandoned one are recognized.
     load: u64,
     /// The revision of the first page of the load.
     load_revision: u64,
@@ -102,10 +102,10 @@
     value_bytes: u64,
 }
 
-impl Sync {
+impl Synchronizer {
     /// Nothing has been read yet.
     pub(super) fn new(intervals: PollIntervals, value_bytes: u64) -> Self {
-        Sync {
+        Synchronizer {
             state: SyncState::Loading,
             request: RequestState::Idle,
             load: 0,
@@ -119,9 +119,9 @@
 
     /// Nothing has been read yet, with the limits and the count of loads kept.
     fn restarted(&self) -> Self {
-        Sync {
+        Synchronizer {
             load: self.load,
-            ..Sync::new(self.intervals, self.value_bytes)
+            ..Synchronizer::new(self.intervals, self.value_bytes)
         }
     }
 
@@ -143,7 +143,7 @@
 
     fn lag_check(&mut self) -> (Tag, StoreRequest) {
         self.request = RequestState::InFlight;
-        let key = NOWHERE.to_owned();
+        let key = UNWRITTEN_KEY.to_owned();
         (Tag::LagCheck { load: self.load }, StoreRequest::Get { key })
     }
 
--- a/src/store/rate_limiter.rs
+++ b/src/store/rate_limiter.rs
@@ -6,11 +6,15 @@
 //! clock and sends nothing itself.
 //!
 //! Invariants: within a priority requests keep their order; a write never overtakes one of a higher priority that waits for
-//! the rate; after a refusal only leases are renewed until the backoff is over.
+//! the rate; after a refusal only requests of the highest priority are sent until the backoff is
+//! over.
+
+mod token_bucket;
 
 use std::collections::VecDeque;
 use std::time::{Duration, Instant};
 
+use self::token_bucket::TokenBucket;
 use super::{StoreRequest, StoreResponse};
 use crate::config::StateLimits;
 use crate::domain::{Now, since};
@@ -34,44 +38,31 @@
 /// A queue of this many requests refuses more: the caller tries again later.
 const MAX_QUEUED: usize = 400;
 
-/// A bucket of tokens, one for each request or write. It starts with a second's worth.
-struct TokenBucket {
-    tokens: f64,
-    /// Tokens a second.
-    rate: f64,
-    /// The most tokens that it holds.
-    burst: f64,
-    refilled: Instant,
-}
+/// The part of the rate of requests that the controllers together may take. Above 1, since they are seldom busy at the same
+/// time and a refusal only delays.
+const REQUEST_SHARE_OF_ALL: f64 = 1.2;
+/// The most of the rate of requests that one controller takes.
+const MAX_REQUEST_SHARE: f64 = 0.9;
 
-impl TokenBucket {
-    fn new(rate: f64, now: Now) -> Self {
-        TokenBucket {
-            tokens: rate,
-            rate,
-            burst: rate,
-            refilled: now.monotonic,
-        }
-    }
+/// The parts of the rate of writes of a single controller, of the leader, and of all other controllers together. The leader
+/// writes what the others do and its own duties besides. Below 1 together: a refused write costs its block a read of the
+/// present state and everyone a pause.
+const SINGLE_WRITE_SHARE: f64 = 0.9;
+const LEADER_WRITE_SHARE: f64 = 0.48;
+const OTHERS_WRITE_SHARE: f64 = 0.46;
 
-    fn refill(&mut self, now: Now) {
-        self.tokens =
-            (self.tokens + since(now, self.refilled).as_secs_f64() * self.rate).min(self.burst);
-        self.refilled = now.monotonic;
-    }
+/// The part of a second's writes, but at least one, that deferrable writes leave for users: several submissions may come at
+/// once.
+const KEPT_FOR_USERS: f64 = 0.4;
 
-    /// Sets the rate, and the most that the bucket holds to a second's worth.
-    fn set_rate(&mut self, now: Now, rate: f64) {
-        self.refill(now);
-        self.rate = rate;
-        self.burst = rate;
-    }
+/// The part of a second's writes that must be left for optional writes.
+const SPARE_WRITES: f64 = 0.6;
 
-    /// The tokens that deferrable writes leave in the bucket.
-    fn kept_for_users(&self) -> f64 {
-        (self.burst * KEPT_FOR_USERS).max(1.0)
-    }
-}
+/// A refusal that follows an answer within this time is not taken for an outage.
+const OUTAGE_AFTER: Duration = Duration::from_secs(1);
+
+/// How long to back off after the service refused or did not answer.
+const BACKOFF: Duration = Duration::from_millis(150);
 
 /// Requests that wait for the rates, each with a tag by which its answer is recognized.
 pub struct RequestRateLimiter<Tag> {
@@ -87,47 +78,32 @@
     last_refusal: Option<Instant>,
 }
 
-/// The share of the rate of requests that one controller takes: together a little more than all, since controllers are
-/// seldom busy at the same time and a refusal only delays.
-fn share(limit: f64, controllers: usize) -> f64 {
-    (limit * 1.2 / controllers.max(1) as f64)
-        .min(limit * 0.9)
+/// Requests a second that one controller may send.
+fn request_share(limit: f64, controllers: usize) -> f64 {
+    (limit * REQUEST_SHARE_OF_ALL / controllers.max(1) as f64)
+        .min(limit * MAX_REQUEST_SHARE)
         .max(1.0)
 }
 
-/// The share of the rate of writes. The leader writes what the others do and its own duties besides. Together a
-/// little less than all: a refused write costs its block a fresh read and everyone a pause.
+/// Writes a second that one controller may send.
 fn write_share(limit: f64, controllers: usize, leading: bool) -> f64 {
     let others = controllers.saturating_sub(1).max(1) as f64;
     let share = if controllers <= 1 {
-        0.9
+        SINGLE_WRITE_SHARE
     } else if leading {
-        0.48
+        LEADER_WRITE_SHARE
     } else {
-        0.46 / others
+        OTHERS_WRITE_SHARE / others
     };
     (limit * share).max(1.0)
 }
 
-/// The part of a second's writes, but at least one, that deferrable writes leave for users: several submissions may come at
-/// once.
-const KEPT_FOR_USERS: f64 = 0.4;
-
-/// The part of a second's writes that must be left for optional writes.
-const SPARE: f64 = 0.6;
-
-/// A refusal that follows an answer within this time is not taken for an outage.
-const OUTAGE_AFTER: Duration = Duration::from_secs(1);
-
-/// How long to back off after the service refused or did not answer.
-const BACKOFF: Duration = Duration::from_millis(150);
-
 impl<Tag> RequestRateLimiter<Tag> {
     /// A limiter that has a second's worth of this controller's shares to spend.
     pub fn new(limits: &StateLimits, controllers: usize, now: Now) -> Self {
         RequestRateLimiter {
             queues: Default::default(),
-            requests: TokenBucket::new(share(limits.rps, controllers), now),
+            requests: TokenBucket::new(request_share(limits.rps, controllers), now),
             writes: TokenBucket::new(write_share(limits.write_rps, controllers, false), now),
             write_limit: limits.write_rps,
             controllers,
@@ -139,7 +115,7 @@
 
     /// Keeps within other limits from now on.
     pub fn set_limits(&mut self, now: Now, limits: &StateLimits, leading: bool) {
-        let rate = share(limits.rps, self.controllers);
+        let rate = request_share(limits.rps, self.controllers);
         self.requests.set_rate(now, rate);
         self.write_limit = limits.write_rps;
         self.set_leading(now, leading);
@@ -154,18 +130,18 @@
     /// Whether most of the writes that may go in a second are left, so that optional ones can be sent.
     pub fn has_spare_writes(&mut self, now: Now) -> bool {
         self.writes.refill(now);
-        self.writes.tokens >= self.writes.burst * SPARE
+        self.writes.tokens() >= self.writes.burst() * SPARE_WRITES
     }
 
     /// The most changes that one transaction should have, `txn_ops` at most: a larger one would make users wait for the rate.
     pub fn max_batch(&self, txn_ops: usize) -> usize {
-        (self.writes.burst as usize / 2).clamp(3, txn_ops)
+        (self.writes.burst() as usize / 2).clamp(3, txn_ops)
     }
 
     /// The most changes that a deferrable transaction should have, `txn_ops` at most: with more it would take what is kept
     /// for users.
     pub fn max_deferrable_batch(&self, txn_ops: usize) -> usize {
-        let spare = self.writes.burst - self.writes.kept_for_users();
+        let spare = self.writes.burst() - kept_for_users(&self.writes);
         (spare as usize).clamp(1, txn_ops)
     }
 
@@ -200,7 +176,7 @@
                 break;
             }
             let kept = if priority > WritePriority::User as usize {
-                self.writes.kept_for_users()
+                kept_for_users(&self.writes)
             } else {
                 0.0
             };
@@ -208,13 +184,13 @@
                 let writes = cost(request);
                 // A transaction may cost more than a second's worth: it goes when the bucket is full.
                 let affordable =
-                    !saving && self.writes.tokens >= (writes + kept).min(self.writes.burst);
-                if self.requests.tokens < 1.0 || (writes > 0.0 && !affordable) {
+                    !saving && self.writes.tokens() >= (writes + kept).min(self.writes.burst());
+                if self.requests.tokens() < 1.0 || (writes > 0.0 && !affordable) {
                     saving |= writes > 0.0;
                     break;
                 }
-                self.requests.tokens -= 1.0;
-                self.writes.tokens -= writes;
+                self.requests.take(1.0);
+                self.writes.take(writes);
                 ready.extend(queue.pop_front());
             }
         }
@@ -229,11 +205,11 @@
         let clear = self.queues[..=priority as usize]
             .iter()
             .all(VecDeque::is_empty);
-        let enough = (1.0 + self.writes.kept_for_users()).min(self.writes.burst);
+        let enough = (1.0 + kept_for_users(&self.writes)).min(self.writes.burst());
         clear
             && !self.is_backing_off(now)
-            && self.requests.tokens >= 1.0
-            && self.writes.tokens >= enough
+            && self.requests.tokens() >= 1.0
+            && self.writes.tokens() >= enough
     }
 
     /// Takes note of an answer: after one that was refused or did not come, requests back off.
@@ -270,11 +246,16 @@
             .flatten()
             .map(|(_, request)| cost(request))
             .sum();
-        let lacking = (ahead + 1.0 - self.writes.tokens).max(0.0);
-        Duration::from_secs_f64(lacking / self.writes.rate)
+        let lacking = (ahead + 1.0 - self.writes.tokens()).max(0.0);
+        Duration::from_secs_f64(lacking / self.writes.rate())
     }
 }
 
+/// The writes that deferrable writes leave in the bucket.
+fn kept_for_users(writes: &TokenBucket) -> f64 {
+    (writes.burst() * KEPT_FOR_USERS).max(1.0)
+}
+
 /// How many writes a request counts as.
 fn cost(request: &StoreRequest) -> f64 {
     match request {
--- a/src/store/records/block_leases.rs
+++ b/src/store/records/block_leases.rs
@@ -1,4 +1,7 @@
 //! Which controller holds a block of machines.
+//!
+//! Written by the leader only; read by all controllers from the copy. Every write of a holder is conditioned on the version of
+//! its lease.
 
 use serde::{Deserialize, Serialize};
 
--- a/src/store/records/inventory.rs
+++ b/src/store/records/inventory.rs
@@ -1,4 +1,7 @@
 //! The machines of a block and the rentals that may add to them.
+//!
+//! Written by the leader's provisioning and draining, read by all controllers. Sizes are in bytes of the form that the state
+//! service counts, and never too small.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::num::ParseIntError;
@@ -8,6 +11,13 @@
 use super::size::digits;
 use crate::domain::{CapacityType, InstanceTypeName, MachineId, Zone};
 
+/// Bytes of the value itself, without its entries: names, quotes and brackets.
+const ENVELOPE_BYTES: usize = 32;
+/// Bytes of an instance type besides its name: quotes and comma.
+const TYPE_OVERHEAD_BYTES: usize = 3;
+/// Bytes of a machine besides its id and the time of its rental: quotes, colon, comma, index of the type and letter.
+const MACHINE_OVERHEAD_BYTES: usize = 10;
+
 /// The machines of a block. One value for each block, so that many rented or returned at once are few changes.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(try_from = "InventoryEncoding", into = "InventoryEncoding")]
@@ -172,9 +182,12 @@
     pub fn size(&self) -> usize {
         let types: BTreeSet<&InstanceTypeName> =
             self.on.values().map(|entry| &entry.type_name).collect();
-        let types: usize = types.iter().map(|name| name.0.len() + 3).sum();
+        let types: usize = types
+            .iter()
+            .map(|name| name.0.len() + TYPE_OVERHEAD_BYTES)
+            .sum();
         let machines: usize = self.on.iter().map(|(id, entry)| entry.size(id)).sum();
-        32 + self.zone.0.len() + types + machines
+        ENVELOPE_BYTES + self.zone.0.len() + types + machines
     }
 
     /// Takes in the machines of another part.
@@ -188,7 +201,7 @@
 impl InventoryEntry {
     /// The bytes that a machine takes of its inventory's value.
     pub fn size(&self, id: &MachineId) -> usize {
-        id.0.len() + 10 + digits(self.rented_s)
+        id.0.len() + MACHINE_OVERHEAD_BYTES + digits(self.rented_s)
     }
 }
 
--- a/src/store/records/jobs.rs
+++ b/src/store/records/jobs.rs
@@ -1,4 +1,7 @@
 //! Jobs and the finished tasks of large ones.
+//!
+//! A job is written by the controller that accepts or cancels it, its end and its progress by the leader's scheduler. An ended
+//! job stays ended, and progress only grows.
 
 use std::sync::Arc;
 
--- a/src/store/records/keys.rs
+++ b/src/store/records/keys.rs
@@ -13,7 +13,7 @@
 /// The key of [`Token`](super::Token).
 pub const TOKEN: &str = "dappleshore/token";
 /// Never written: reading it tells the current revision.
-pub const NOWHERE: &str = "dappleshore/nowhere";
+pub const UNWRITTEN_KEY: &str = "dappleshore/nowhere";
 
 /// The key of a controller that is up.
 pub fn member_key(controller: &ControllerName) -> String {
@@ -68,11 +68,13 @@
 pub fn drain_key(id: &DrainId) -> String {
     format!("{ROOT}drain/{id}")
 }
-/// The budget that operators have set for a team by request.
+
+/// The key of the budget that operators have set for a team by request.
 pub fn drain_budget_key(team: &Team) -> String {
     format!("{ROOT}drain_budget/{team}")
 }
-/// A team's disruptions.
+
+/// The key of a team's disruptions.
 pub fn drain_ledger_key(team: &Team) -> String {
     format!("{ROOT}drain_ledger/{team}")
 }
@@ -92,7 +94,7 @@
     format!("{ROOT}progress/{job}/{chunk:05}")
 }
 
-/// A key of ours, told apart by its prefix.
+/// The kind of record that a key belongs to, with what the key names.
 #[derive(Debug, Clone, PartialEq)]
 pub enum RecordKey {
     /// Who leads.
--- a/src/store/records/membership.rs
+++ b/src/store/records/membership.rs
@@ -1,18 +1,13 @@
-//! Leadership, the controllers that are up, and the format that all of them have agreed on.
+//! Leadership and the controllers that are up.
+//!
+//! A controller writes what it says of itself attached to its lease, so that the record goes when the lease expires. The
+//! counter of terms and fencing tokens stays, and only rises.
 
 use serde::{Deserialize, Serialize};
 
+use super::formats::PRODUCTION_FORMAT;
 use crate::domain::{ControllerName, Incarnation, Term};
 
-/// The format of the production version: blocks of one value each, no gangs.
-pub const PRODUCTION_FORMAT: u32 = 0;
-/// From this format on a block may be kept in several values, and there are gangs.
-pub const PARTS_FORMAT: u32 = 1;
-/// From this format on machines may be cordoned, and there are drains, their evictions and their budgets.
-pub const DRAIN_FORMAT: u32 = 2;
-/// The newest format that this program reads and writes. It writes in it once it is switched on.
-pub const FORMAT: u32 = DRAIN_FORMAT;
-
 /// Who leads, attached to a lease. `term` comes from the same rising counter as tokens.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Leader {
@@ -47,10 +42,3 @@
 fn is_production(format: &u32) -> bool {
     *format == PRODUCTION_FORMAT
 }
-
-/// The format that is switched on: written once for all controllers, when all of them know it, and never taken back.
-#[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
-pub struct FormatSwitch {
-    /// The number of the format.
-    pub version: u32,
-}
--- a/src/store/records/mod.rs
+++ b/src/store/records/mod.rs
@@ -5,6 +5,7 @@
 //! by serde renames, and what is new is written only once its format is switched on.
 
 mod block_leases;
+mod formats;
 mod inventory;
 mod jobs;
 mod keys;
@@ -18,16 +19,15 @@
 use serde::de::DeserializeOwned;
 
 pub use block_leases::BlockLease;
+pub use formats::{DRAIN_FORMAT, FORMAT, FormatSwitch, PARTS_FORMAT};
 pub use inventory::{InventoryEntry, MachineInventory, MachineState, PendingRental};
 pub use jobs::{CHUNK, JobRecord, Progress};
 pub use keys::{
-    FIRST_PART, FORMAT_KEY, LEADER, NOWHERE, Part, ROOT, RecordKey, TOKEN, block_lease_key,
+    FIRST_PART, FORMAT_KEY, LEADER, Part, ROOT, RecordKey, TOKEN, UNWRITTEN_KEY, block_lease_key,
     drain_budget_key, drain_key, drain_ledger_key, inventory_key, inventory_part_key, job_key,
     member_key, pending_rental_key, placements_key, placements_part_key, progress_key,
 };
-pub use membership::{
-    DRAIN_FORMAT, FORMAT, FormatSwitch, Leader, Member, PARTS_FORMAT, PRODUCTION_FORMAT, Token,
-};
+pub use membership::{Leader, Member, Token};
 pub use placements::{AttemptEncoding, BlockPlacements, done_entry_size};
 pub use size::json_size;
 pub use task_ranges::Ranges;
--- a/src/store/records/placements.rs
+++ b/src/store/records/placements.rs
@@ -1,4 +1,7 @@
 //! The tasks of a block: the attempts on its machines and the finished tasks that are not recorded elsewhere yet.
+//!
+//! Written by the controller that holds the block, read by all. Sizes are in bytes of the form that the state service counts,
+//! and never too small. A machine without attempts has no entry.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::num::ParseIntError;
@@ -10,6 +13,17 @@
 use super::size::digits;
 use crate::domain::{Attempt, JobId, MachineId, TaskId};
 
+/// Bytes of the value itself, without its entries: names, quotes and brackets.
+const ENVELOPE_BYTES: usize = 32;
+/// Bytes of a machine's entry besides its id and attempts: quotes, colon, brackets and commas.
+const MACHINE_OVERHEAD_BYTES: usize = 8;
+/// Bytes of an attempt besides its numbers: quotes, separators and comma.
+const ATTEMPT_OVERHEAD_BYTES: usize = 5;
+/// Bytes of a job's entry besides its number: `"j-":"",`.
+const JOB_OVERHEAD_BYTES: usize = 8;
+/// A job id has at least so many digits.
+const MIN_JOB_DIGITS: usize = 6;
+
 /// The tasks of a block, machine by machine, and the tasks it has finished that are not yet recorded in
 /// their job's progress. One value for each block, so that a batch of starts and ends is one change.
 #[derive(Debug, Clone, PartialEq, Default, Serialize, Deserialize)]
@@ -55,7 +69,7 @@
         let placed = AttemptEncoding(attempt);
         let list = self.on.entry(machine.clone()).or_default();
         let entry = if list.is_empty() {
-            machine.0.len() + 8
+            machine.0.len() + MACHINE_OVERHEAD_BYTES
         } else {
             0
         };
@@ -99,10 +113,12 @@
             .on
             .iter()
             .map(|(machine, list)| {
-                machine.0.len() + 8 + list.iter().map(AttemptEncoding::size).sum::<usize>()
+                machine.0.len()
+                    + MACHINE_OVERHEAD_BYTES
+                    + list.iter().map(AttemptEncoding::size).sum::<usize>()
             })
             .sum();
-        32 + on + self.done_size()
+        ENVELOPE_BYTES + on + self.done_size()
     }
 
     /// The bytes of it that finished tasks take.
@@ -116,7 +132,7 @@
 
 /// The bytes that a job's entry among the finished tasks takes, without the tasks: `"j-000412":"",`.
 pub fn done_entry_size(job: JobId) -> usize {
-    digits(job.0).max(6) + 8
+    digits(job.0).max(MIN_JOB_DIGITS) + JOB_OVERHEAD_BYTES
 }
 
 /// An attempt as `412/3:17`, or `412/3:g17` for a task of a gang that was started as the 17th.
@@ -130,7 +146,10 @@
             Some(start) => digits(start) + 1,
             None => digits(self.0.number),
         };
-        digits(self.0.task.job.0) + digits(u64::from(self.0.task.index)) + number + 5
+        digits(self.0.task.job.0)
+            + digits(u64::from(self.0.task.index))
+            + number
+            + ATTEMPT_OVERHEAD_BYTES
     }
 }
 
--- a/src/store/records/task_ranges.rs
+++ b/src/store/records/task_ranges.rs
@@ -1,4 +1,6 @@
 //! Sets of task numbers, kept and stored as ranges.
+//!
+//! Used for finished tasks in placements, progress and the cache. Ranges that touch are kept as one.
 
 use std::fmt::Write as _;
 use std::num::ParseIntError;
