--- a/src/store/rate_limiter.rs
+++ b/src/store/rate_limiter.rs
@@ -1,114 +1,113 @@
-//! The state service's rates, kept on our side: requests wait here in order of importance.
+//! The state service's rates, kept on the side of the client: requests wait here by priority.
+//!
+//! The controller queues every request to the state service here ([`RequestRateLimiter::push`]), takes those that may be sent
+//! ([`RequestRateLimiter::take_ready`]) and reports the answers ([`RequestRateLimiter::record_response`]). Two token buckets hold
+//! this controller's shares of the rates of requests and of writes; a transaction costs a write for each change. It reads no
+//! clock and sends nothing itself.
+//!
+//! Invariants: within a priority requests keep their order; a write never overtakes one of a higher priority that waits for
+//! the rate; after a refusal only requests of the highest priority are sent until the backoff is
+//! over.
+
+mod token_bucket;
 
 use std::collections::VecDeque;
 use std::time::{Duration, Instant};
 
+use self::token_bucket::TokenBucket;
 use super::{StoreRequest, StoreResponse};
 use crate::config::StateLimits;
 use crate::domain::{Now, since};
 
-/// What goes first when the rate does not suffice for all.
+/// What goes first when the rate does not suffice for all, from the highest priority to the lowest.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum WritePriority {
-    /// Holds and leadership: late means lost.
+    /// Leases and leadership: late means lost.
     Lease,
     /// What a user waits for.
     User,
-    /// Ends of jobs: their users hear of them only afterwards.
+    /// Ends of jobs: their users are told only afterwards.
     JobCompletion,
-    /// Placements and their ends.
+    /// Placements and finished tasks.
     Placement,
-    /// Whatever can wait.
+    /// Whatever can be deferred.
     Maintenance,
 }
 
-const LANES: usize = 5;
-/// A lane longer than this refuses more: whoever asked tries again later.
-const LANE_LIMIT: usize = 400;
+const PRIORITIES: usize = 5;
+/// A queue of this many requests refuses more: the caller tries again later.
+const MAX_QUEUED: usize = 400;
 
-struct Bucket {
-    tokens: f64,
-    rate: f64,
-    burst: f64,
-    filled: Instant,
-}
+/// The part of the rate of requests that the controllers together may take. Above 1, since they are seldom busy at the same
+/// time and a refusal only delays.
+const REQUEST_SHARE_OF_ALL: f64 = 1.2;
+/// The most of the rate of requests that one controller takes.
+const MAX_REQUEST_SHARE: f64 = 0.9;
 
-impl Bucket {
-    fn new(rate: f64, now: Now) -> Self {
-        Bucket {
-            tokens: rate,
-            rate,
-            burst: rate,
-            filled: now.monotonic,
-        }
-    }
+/// The parts of the rate of writes of a single controller, of the leader, and of all other controllers together. The leader
+/// writes what the others do and its own duties besides. Below 1 together: a refused write costs its block a read of the
+/// present state and everyone a pause.
+const SINGLE_WRITE_SHARE: f64 = 0.9;
+const LEADER_WRITE_SHARE: f64 = 0.48;
+const OTHERS_WRITE_SHARE: f64 = 0.46;
 
-    fn fill(&mut self, now: Now) {
-        self.tokens =
-            (self.tokens + since(now, self.filled).as_secs_f64() * self.rate).min(self.burst);
-        self.filled = now.monotonic;
-    }
+/// The part of a second's writes, but at least one, that deferrable writes leave for users: several submissions may come at
+/// once.
+const KEPT_FOR_USERS: f64 = 0.4;
 
-    /// What writes that can wait leave in the bucket.
-    fn kept_for_users(&self) -> f64 {
-        (self.burst * KEPT_FOR_USERS).max(1.0)
-    }
-}
+/// The part of a second's writes that must be left for optional writes.
+const SPARE_WRITES: f64 = 0.6;
+
+/// A refusal that follows an answer within this time is not taken for an outage.
+const OUTAGE_AFTER: Duration = Duration::from_secs(1);
+
+/// How long to back off after the service refused or did not answer.
+const BACKOFF: Duration = Duration::from_millis(150);
 
-/// Requests that wait for their turn.
+/// Requests that wait for the rates, each with a tag by which its answer is recognized.
 pub struct RequestRateLimiter<Tag> {
-    lanes: [VecDeque<(Tag, StoreRequest)>; LANES],
-    requests: Bucket,
-    writes: Bucket,
+    /// By priority.
+    queues: [VecDeque<(Tag, StoreRequest)>; PRIORITIES],
+    requests: TokenBucket,
+    writes: TokenBucket,
     write_limit: f64,
     controllers: usize,
-    /// After a refusal the service is asked less often, so that its recovery is not a stampede.
-    hold_off_until: Option<Instant>,
+    /// After a refusal the service is asked less often, so that it can recover.
+    backoff_until: Option<Instant>,
     last_answer: Option<Instant>,
     last_refusal: Option<Instant>,
 }
 
-/// The share of the rate of requests that one controller takes: together a little more than all, since controllers are seldom
-/// busy at the same time and a refusal only delays.
-fn share(limit: f64, controllers: usize) -> f64 {
-    (limit * 1.2 / controllers.max(1) as f64)
-        .min(limit * 0.9)
+/// Requests a second that one controller may send.
+fn request_share(limit: f64, controllers: usize) -> f64 {
+    (limit * REQUEST_SHARE_OF_ALL / controllers.max(1) as f64)
+        .min(limit * MAX_REQUEST_SHARE)
         .max(1.0)
 }
 
-/// The share of the rate of writes. The leader writes what the others do and its own duties besides. Together a
-/// little less than all: a refused write costs its block a fresh read and everyone a pause.
+/// Writes a second that one controller may send.
 fn write_share(limit: f64, controllers: usize, leading: bool) -> f64 {
     let others = controllers.saturating_sub(1).max(1) as f64;
     let share = if controllers <= 1 {
-        0.9
+        SINGLE_WRITE_SHARE
     } else if leading {
-        0.48
+        LEADER_WRITE_SHARE
     } else {
-        0.46 / others
+        OTHERS_WRITE_SHARE / others
     };
     (limit * share).max(1.0)
 }
 
-/// Writes that can wait leave this part of a second's worth, but at least one, for users: several submissions may come
-/// at once, and would else wait for the rate one by one.
-const KEPT_FOR_USERS: f64 = 0.4;
-
-/// The part of a second's writes that must be left for writes that could be done without.
-const SPARE: f64 = 0.6;
-
-/// How long to hold off after the service refused.
-const HOLD_OFF: Duration = Duration::from_millis(150);
-
 impl<Tag> RequestRateLimiter<Tag> {
+    /// A limiter that has a second's worth of this controller's shares to spend.
     pub fn new(limits: &StateLimits, controllers: usize, now: Now) -> Self {
         RequestRateLimiter {
-            lanes: Default::default(),
-            requests: Bucket::new(share(limits.rps, controllers), now),
-            writes: Bucket::new(write_share(limits.write_rps, controllers, false), now),
+            queues: Default::default(),
+            requests: TokenBucket::new(request_share(limits.rps, controllers), now),
+            writes: TokenBucket::new(write_share(limits.write_rps, controllers, false), now),
             write_limit: limits.write_rps,
             controllers,
-            hold_off_until: None,
+            backoff_until: None,
             last_answer: None,
             last_refusal: None,
         }
@@ -116,103 +115,109 @@
 
     /// Keeps within other limits from now on.
     pub fn set_limits(&mut self, now: Now, limits: &StateLimits, leading: bool) {
-        self.requests.fill(now);
-        self.requests.rate = share(limits.rps, self.controllers);
-        self.requests.burst = self.requests.rate;
+        let rate = request_share(limits.rps, self.controllers);
+        self.requests.set_rate(now, rate);
         self.write_limit = limits.write_rps;
         self.set_leading(now, leading);
     }
 
     /// Sets this controller's share of the writes by whether it leads.
     pub fn set_leading(&mut self, now: Now, leading: bool) {
-        self.writes.fill(now);
-        self.writes.rate = write_share(self.write_limit, self.controllers, leading);
-        self.writes.burst = self.writes.rate;
+        let rate = write_share(self.write_limit, self.controllers, leading);
+        self.writes.set_rate(now, rate);
     }
 
-    /// Whether writes are to be had in plenty: most of what may go in a second is left.
+    /// Whether most of the writes that may go in a second are left, so that optional ones can be sent.
     pub fn has_spare_writes(&mut self, now: Now) -> bool {
-        self.writes.fill(now);
-        self.writes.tokens >= self.writes.burst * SPARE
+        self.writes.refill(now);
+        self.writes.tokens() >= self.writes.burst() * SPARE_WRITES
     }
 
-    /// The most changes that one batch should have: a larger one would make users wait for the rate to recover.
+    /// The most changes that one transaction should have, `txn_ops` at most: a larger one would make users wait for the rate.
     pub fn max_batch(&self, txn_ops: usize) -> usize {
-        (self.writes.burst as usize / 2).clamp(3, txn_ops)
+        (self.writes.burst() as usize / 2).clamp(3, txn_ops)
     }
 
-    /// The most changes that a write which can wait should have: with more it would take what is kept for users.
+    /// The most changes that a deferrable transaction should have, `txn_ops` at most: with more it would take what is kept
+    /// for users.
     pub fn max_deferrable_batch(&self, txn_ops: usize) -> usize {
-        let spare = self.writes.burst - self.writes.kept_for_users();
+        let spare = self.writes.burst() - kept_for_users(&self.writes);
         (spare as usize).clamp(1, txn_ops)
     }
 
-    /// Queues a request; gives the tag back when the lane is full.
-    pub fn push(&mut self, urgency: WritePriority, tag: Tag, op: StoreRequest) -> Result<(), Tag> {
-        let lane = &mut self.lanes[urgency as usize];
-        if lane.len() >= LANE_LIMIT {
+    /// Queues a request.
+    ///
+    /// # Errors
+    /// The tag, when the queue of this priority is full.
+    pub fn push(
+        &mut self,
+        priority: WritePriority,
+        tag: Tag,
+        request: StoreRequest,
+    ) -> Result<(), Tag> {
+        let queue = &mut self.queues[priority as usize];
+        if queue.len() >= MAX_QUEUED {
             return Err(tag);
         }
-        lane.push_back((tag, op));
+        queue.push_back((tag, request));
         Ok(())
     }
 
-    /// Takes what may be sent now.
+    /// Takes the requests that may be sent now, by priority.
     pub fn take_ready(&mut self, now: Now) -> Vec<(Tag, StoreRequest)> {
-        self.requests.fill(now);
-        self.writes.fill(now);
+        self.requests.refill(now);
+        self.writes.refill(now);
         let mut ready = Vec::new();
-        let holding_off = self
-            .hold_off_until
-            .is_some_and(|until| now.monotonic < until);
-        // What is more urgent and too dear for now must not be overtaken for ever by what is cheap.
+        let backing_off = self.is_backing_off(now);
+        // A write that is too large for now must not be overtaken for ever by smaller ones of a lower priority.
         let mut saving = false;
-        for (lane, queue) in self.lanes.iter_mut().enumerate() {
-            if holding_off && lane != WritePriority::Lease as usize {
+        for (priority, queue) in self.queues.iter_mut().enumerate() {
+            if backing_off && priority != WritePriority::Lease as usize {
                 break;
             }
-            let kept = if lane > WritePriority::User as usize {
-                self.writes.kept_for_users()
+            let kept = if priority > WritePriority::User as usize {
+                kept_for_users(&self.writes)
             } else {
                 0.0
             };
-            while let Some((_, op)) = queue.front() {
-                let writes = cost(op);
+            while let Some((_, request)) = queue.front() {
+                let writes = cost(request);
                 // A transaction may cost more than a second's worth: it goes when the bucket is full.
                 let affordable =
-                    !saving && self.writes.tokens >= (writes + kept).min(self.writes.burst);
-                if self.requests.tokens < 1.0 || (writes > 0.0 && !affordable) {
+                    !saving && self.writes.tokens() >= (writes + kept).min(self.writes.burst());
+                if self.requests.tokens() < 1.0 || (writes > 0.0 && !affordable) {
                     saving |= writes > 0.0;
                     break;
                 }
-                self.requests.tokens -= 1.0;
-                self.writes.tokens -= writes;
+                self.requests.take(1.0);
+                self.writes.take(writes);
                 ready.extend(queue.pop_front());
             }
         }
         ready
     }
 
-    /// Whether a write of this urgency would go at once. Writes that gather changes are prepared only then, so
-    /// that each holds all that came up while the ones before it waited.
-    pub fn can_send_now(&mut self, now: Now, urgency: WritePriority) -> bool {
-        self.requests.fill(now);
-        self.writes.fill(now);
-        let holding_off = self
-            .hold_off_until
-            .is_some_and(|until| now.monotonic < until);
-        let clear = self.lanes[..=urgency as usize]
+    /// Whether a write of this priority would be sent at once. Writes that gather changes are prepared only then, so that
+    /// each holds all that came up while the ones before it waited.
+    pub fn can_send_now(&mut self, now: Now, priority: WritePriority) -> bool {
+        self.requests.refill(now);
+        self.writes.refill(now);
+        let clear = self.queues[..=priority as usize]
             .iter()
             .all(VecDeque::is_empty);
-        let enough = (1.0 + self.writes.kept_for_users()).min(self.writes.burst);
-        clear && !holding_off && self.requests.tokens >= 1.0 && self.writes.tokens >= enough
+        let enough = (1.0 + kept_for_users(&self.writes)).min(self.writes.burst());
+        clear
+            && !self.is_backing_off(now)
+            && self.requests.tokens() >= 1.0
+            && self.writes.tokens() >= enough
     }
 
-    pub fn record_response(&mut self, now: Now, outcome: &StoreResponse) {
-        match outcome {
+    /// Takes note of an answer: after one that was refused or did not come, requests back off.
+    pub fn record_response(&mut self, now: Now, response: &StoreResponse) {
+        match response {
             StoreResponse::Refused | StoreResponse::Unknown => {
                 self.last_refusal = Some(now.monotonic);
-                self.hold_off_until = Some(now.monotonic + HOLD_OFF);
+                self.backoff_until = Some(now.monotonic + BACKOFF);
             }
             _ => {
                 self.last_answer = Some(now.monotonic);
@@ -220,31 +225,40 @@
         }
     }
 
+    fn is_backing_off(&self, now: Now) -> bool {
+        self.backoff_until
+            .is_some_and(|until| now.monotonic < until)
+    }
+
     /// Whether the service answered since it last refused, or only just began to refuse.
     pub fn available(&self, now: Now) -> bool {
         match (self.last_answer, self.last_refusal) {
-            (Some(answer), Some(refusal)) => {
-                answer >= refusal || since(now, answer) < Duration::from_secs(1)
-            }
+            (Some(answer), Some(refusal)) => answer >= refusal || since(now, answer) < OUTAGE_AFTER,
             (Some(_), None) => true,
             (None, _) => false,
         }
     }
 
-    /// How long a new request of a user would wait for a write.
+    /// How long a user's new request would wait for its write at the present rate.
     pub fn estimated_user_delay(&self) -> Duration {
-        let ahead: f64 = self.lanes[..=WritePriority::User as usize]
+        let ahead: f64 = self.queues[..=WritePriority::User as usize]
             .iter()
             .flatten()
-            .map(|(_, op)| cost(op))
+            .map(|(_, request)| cost(request))
             .sum();
-        let lacking = (ahead + 1.0 - self.writes.tokens).max(0.0);
-        Duration::from_secs_f64(lacking / self.writes.rate)
+        let lacking = (ahead + 1.0 - self.writes.tokens()).max(0.0);
+        Duration::from_secs_f64(lacking / self.writes.rate())
     }
 }
 
-fn cost(op: &StoreRequest) -> f64 {
-    match op {
+/// The writes that deferrable writes leave in the bucket.
+fn kept_for_users(writes: &TokenBucket) -> f64 {
+    (writes.burst() * KEPT_FOR_USERS).max(1.0)
+}
+
+/// How many writes a request counts as.
+fn cost(request: &StoreRequest) -> f64 {
+    match request {
         StoreRequest::Commit(txn) => txn.changes.len() as f64,
         _ => 0.0,
     }
--- /dev/null
+++ b/src/store/records/mod.rs
@@ -0,0 +1,76 @@
+//! The records that this service keeps in the state service, one key prefix for each kind.
+//!
+//! It owns their types, their keys, the spelling in which they are stored and the sizes that this takes. Writers build
+//! transactions of them, [`super::cache`] reads them. What is stored must stay readable by the versions before: names are kept
+//! by serde renames, and what is new is written only once its format is switched on.
+
+mod block_leases;
+mod formats;
+mod inventory;
+mod jobs;
+mod keys;
+mod membership;
+mod placements;
+mod size;
+mod task_ranges;
+
+use dappleshore_drain::{DrainRecord, Ledger, TeamBudget};
+use serde::Serialize;
+use serde::de::DeserializeOwned;
+
+pub use block_leases::BlockLease;
+pub use formats::{DRAIN_FORMAT, FORMAT, FormatSwitch, PARTS_FORMAT};
+pub use inventory::{InventoryEntry, MachineInventory, MachineState, PendingRental};
+pub use jobs::{CHUNK, JobRecord, Progress};
+pub use keys::{
+    FIRST_PART, FORMAT_KEY, LEADER, Part, ROOT, RecordKey, TOKEN, UNWRITTEN_KEY, block_lease_key,
+    drain_budget_key, drain_key, drain_ledger_key, inventory_key, inventory_part_key, job_key,
+    member_key, pending_rental_key, placements_key, placements_part_key, progress_key,
+};
+pub use membership::{Leader, Member, Token};
+pub use placements::{AttemptEncoding, BlockPlacements, done_entry_size};
+pub use size::json_size;
+pub use task_ranges::Ranges;
+
+/// Something that is stored as one value.
+pub trait Record: Serialize + DeserializeOwned {}
+
+/// The value that a record is stored as. Records are maps of text and numbers, which always have a CBOR form.
+pub fn encode(record: &impl Record) -> ciborium::Value {
+    ciborium::Value::serialized(record).unwrap_or(ciborium::Value::Null)
+}
+
+macro_rules! records {
+    ($($name:ident),*) => { $(impl Record for $name {})* };
+}
+records!(
+    Leader,
+    Token,
+    Member,
+    FormatSwitch,
+    BlockLease,
+    MachineInventory,
+    PendingRental,
+    BlockPlacements,
+    JobRecord,
+    Progress,
+    DrainRecord,
+    TeamBudget,
+    Ledger
+);
+
+/// A changed key.
+#[derive(Debug, Clone, PartialEq)]
+pub struct Change {
+    /// The key.
+    pub key: String,
+    /// The revision of the change.
+    pub version: u64,
+    /// None: the key was removed.
+    pub value: Option<ciborium::Value>,
+}
+
+#[cfg(test)]
+mod fixtures;
+#[cfg(test)]
+mod tests;
