--- a/src/lib.rs
+++ b/src/lib.rs
@@ -35,7 +35,6 @@
     reason = "not reached yet: #30"
 )]
 pub mod peer;
-#[allow(missing_docs, reason = "not reached yet: #30")]
 pub mod placement;
 #[allow(missing_docs, reason = "not reached yet: #30")]
 pub mod policy;
--- a/src/placement/mod.rs
+++ b/src/placement/mod.rs
@@ -1,4 +1,12 @@
-//! Which machine a task goes to: one that holds its image, then the one with the least room left over.
+//! Which machine a task goes to.
+//!
+//! Owns the ranking of machines for a task. The scheduler calls it with the machines of all blocks, the holder of a block
+//! with its own; both get the same order for the same input. The functions are pure: they read candidates and a job, and
+//! change neither.
+//!
+//! Invariants: only machines that satisfy the job's constraints and have enough free resources are ranked. Among these the
+//! shortest image fetch wins, then a machine of the capacity type meant for the job, then the one with the least
+//! resources left over (best fit); machines of equal rank keep the order in which they were given.
 
 use std::cmp::Ordering;
 
@@ -6,22 +14,29 @@
 use crate::domain::{CapacityType, Image, InstanceTypeName, Job, MachineId, Resources, Zone};
 use crate::store::Machine;
 
-/// A machine that takes tasks, as the leader or its holder knows it.
+/// A machine that accepts tasks, with its free resources as its caller knows them.
 #[derive(Debug, Clone)]
 pub struct Candidate {
+    /// The machine.
     pub machine: MachineId,
+    /// The name of its instance type.
     pub type_name: InstanceTypeName,
+    /// Its zone.
     pub zone: Zone,
+    /// Whether it is a spot or an on-demand machine.
     pub capacity_type: CapacityType,
+    /// The resources of its instance type.
     pub size: Resources,
+    /// The part of `size` that no task uses. The caller reduces it as it places tasks.
     pub free: Resources,
+    /// The images that it has fetched.
     pub images: Vec<Image>,
-    /// How long a fetch of a gigabyte takes here.
+    /// How long it takes to fetch one gigabyte of an image, in seconds.
     pub fetch_s_per_gb: f64,
 }
 
 impl Candidate {
-    /// A machine of which `taken` is in use.
+    /// A machine of which the resources `taken` are in use.
     pub fn new(
         id: &MachineId,
         machine: &Machine,
@@ -44,6 +59,8 @@
         }
     }
 
+    /// Whether the job's constraints (instance types, zone, capacity type) allow its tasks on this machine, whatever is
+    /// free there.
     pub fn allows(&self, job: &Job) -> bool {
         job.allows_type(&self.type_name)
             && job.allows_zone(&self.zone)
@@ -51,14 +68,18 @@
     }
 }
 
-/// The best of the machines that have room. `zone_open` says whether one more task of the job may go to a zone.
+/// The best machine with enough free resources for one task of the job, or `None` if there is none.
+///
+/// `zone_open` says whether one more task of the job may go to a zone.
 pub fn choose<'c>(
     candidates: impl Iterator<Item = &'c Candidate>,
     job: &Job,
     zone_open: impl Fn(&Zone) -> bool,
 ) -> Option<&'c Candidate> {
     candidates
-        .filter(|c| c.free.fits(&job.need) && c.allows(job) && zone_open(&c.zone))
+        .filter(|candidate| {
+            candidate.free.fits(&job.need) && candidate.allows(job) && zone_open(&candidate.zone)
+        })
         .min_by(|a, b| {
             rank(a, job)
                 .partial_cmp(&rank(b, job))
@@ -66,16 +87,24 @@
         })
 }
 
-/// Machines in the order in which tasks of one shape and image go to them, worked out once for many tasks. Room
-/// only shrinks while it is used, so a machine that has become too full is never looked at again.
+/// Machines in the order in which tasks with the same constraints, resources and image go to them, computed once for many
+/// tasks.
+///
+/// While it is used, the free resources of its candidates may only shrink: a machine that has become too full is never
+/// considered again.
 #[derive(Debug)]
 pub struct Ranking {
+    /// Indexes of the candidates, best first.
     order: Vec<usize>,
+    /// The position in `order` of the first machine that may still have enough free resources.
     next: usize,
 }
 
 impl Ranking {
-    /// `allowed`: where the task may go at all. `avoided`: where it goes only if there is room nowhere else.
+    /// Ranks the candidates that have enough free resources for one task of the job.
+    ///
+    /// `allowed`: the machines that the task may go to at all. `avoided`: those that it goes to only if no other machine has
+    /// enough free resources.
     pub fn new(
         candidates: &[Candidate],
         job: &Job,
@@ -85,8 +114,10 @@
         let mut ranked: Vec<(bool, Rank, usize)> = candidates
             .iter()
             .enumerate()
-            .filter(|(_, c)| c.free.fits(&job.need) && c.allows(job) && allowed(c))
-            .map(|(index, c)| (avoided(c), rank(c, job), index))
+            .filter(|(_, candidate)| {
+                candidate.free.fits(&job.need) && candidate.allows(job) && allowed(candidate)
+            })
+            .map(|(index, candidate)| (avoided(candidate), rank(candidate, job), index))
             .collect();
         ranked.sort_by(|a, b| a.partial_cmp(b).unwrap_or(Ordering::Equal));
         Ranking {
@@ -95,7 +126,9 @@
         }
     }
 
-    /// The first that still has room.
+    /// The best machine that still has enough free resources for one task, or `None` if there is none left.
+    ///
+    /// `candidates` must be the slice that the ranking was made from, in the same order.
     pub fn best<'c>(&mut self, candidates: &'c [Candidate], job: &Job) -> Option<&'c Candidate> {
         while let Some(index) = self.order.get(self.next) {
             match candidates.get(*index) {
@@ -107,39 +140,42 @@
     }
 }
 
-/// The machines with room for at least one task, in the order in which tasks of the job go to them.
+/// The indexes of the machines with enough free resources for at least one task of the job, best first.
 pub fn ranked_indexes(candidates: &[Candidate], job: &Job) -> Vec<usize> {
     Ranking::new(candidates, job, |_| true, |_| false).order
 }
 
-/// How long the job's image takes to fetch there.
+/// How long the candidate takes to fetch the job's image, in seconds; 0 if it has the image.
 pub fn image_fetch_s(candidate: &Candidate, job: &Job) -> f64 {
     rank(candidate, job).fetch_s
 }
 
-/// Lower is better: no fetch, the kind of machine meant for such work, little left over.
+/// How well a machine suits a task. Lower is better; the fields are compared in this order.
 #[derive(Debug, PartialEq, PartialOrd)]
 struct Rank {
+    /// How long the fetch of the image takes, in seconds.
     fetch_s: f64,
-    misplaced: bool,
+    /// Whether the machine is an on-demand one and the job may run on spot machines.
+    wastes_on_demand: bool,
+    /// What is left of the machine's resources, relative to its size.
     left_over: f64,
 }
 
 fn rank(candidate: &Candidate, job: &Job) -> Rank {
     let cached = candidate.images.contains(&job.image);
-    let mut left = candidate.free;
-    left.take(&job.need);
+    let mut remaining = candidate.free;
+    remaining.take(&job.need);
     Rank {
         fetch_s: if cached {
             0.0
         } else {
             job.image_gb * candidate.fetch_s_per_gb
         },
-        // Work that may run on spot machines leaves the ordinary ones to work that may not.
-        misplaced: job.spot && !candidate.capacity_type.is_spot(),
-        left_over: candidate.size.left_over(&left),
+        // Jobs that may run on spot machines leave the on-demand ones to jobs that may not.
+        wastes_on_demand: job.spot && !candidate.capacity_type.is_spot(),
+        left_over: candidate.size.left_over(&remaining),
     }
 }
 
 #[cfg(test)]
-pub mod tests;
+pub(crate) mod tests;
--- a/src/placement/tests.rs
+++ b/src/placement/tests.rs
@@ -1,7 +1,8 @@
 use super::*;
 use crate::domain::{JobKind, Priority};
 
-pub fn job(tasks: u32, cpus: f64) -> Job {
+/// An open array job of `tasks` tasks with 1 GB of memory and the image `img` each, without constraints.
+pub(crate) fn job(tasks: u32, cpus: f64) -> Job {
     Job {
         class: "c".into(),
         team: "red".into(),
