--- a/src/lib.rs
+++ b/src/lib.rs
@@ -52,11 +52,4 @@
 #[allow(missing_docs, clippy::too_many_lines, reason = "not reached yet: #30")]
 pub mod store;
 pub mod upgrade;
-#[allow(
-    missing_docs,
-    clippy::cognitive_complexity,
-    clippy::struct_excessive_bools,
-    clippy::too_many_lines,
-    reason = "not reached yet: #30"
-)]
 pub mod workers;
--- /dev/null
+++ b/src/workers/block/commands.rs
@@ -0,0 +1,287 @@
+//! What workers are told: which tasks to launch, to stop and to forget.
+
+use std::collections::BTreeMap;
+use std::time::Duration;
+
+use tracing::debug;
+
+use super::heartbeats::HeartbeatSource;
+use super::{Block, EndedAttempt, job_is_active};
+use crate::domain::{AgentEpoch, Attempt, JobKind, MachineId, Now, TaskId};
+use crate::store::WatchCache;
+use crate::workers::wire::{TaskState, WorkerCommand, WorkerCommands};
+use crate::workers::worker::{LaunchOutcome, ObservedTask, Worker};
+use crate::workers::{CommandOutcome, DirectCommand};
+
+/// The agent epoch of a worker that has not lost its lease yet.
+const FIRST_AGENT_EPOCH: AgentEpoch = AgentEpoch(1);
+
+/// How commands reach a worker.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub(in crate::workers) enum CommandChannel {
+    /// In the response to its heartbeat. Nothing is launched that way, so that each launch has a response of its own.
+    HeartbeatResponse,
+    /// In a request of ours.
+    Direct {
+        /// The worker refuses the request in any other agent epoch.
+        agent_epoch: AgentEpoch,
+        /// Whether the block lease is known to last, so that tasks may be launched.
+        may_launch: bool,
+    },
+}
+
+impl Block {
+    /// The direct command that a worker should get now, if it can take one: with commands that should not wait for its next
+    /// heartbeat, or as a probe.
+    ///
+    /// `lease_valid`: whether the block lease is known to last. `overdue_after`: the age of the last heartbeat from which on
+    /// the next one is overdue.
+    pub(in crate::workers) fn direct_command(
+        &mut self,
+        now: Now,
+        machine: MachineId,
+        cache: &WatchCache,
+        lease_valid: bool,
+        overdue_after: Duration,
+    ) -> Option<DirectCommand> {
+        let worker = self.workers.get(&machine)?;
+        let probe = lease_valid && worker.probe_due(now, overdue_after);
+        if worker.command_in_flight || !(worker.command_pending || probe) {
+            // It comes back here with the response to the command in flight, or its first heartbeat.
+            return None;
+        }
+        let addr = worker.addr.clone()?;
+        let channel = CommandChannel::Direct {
+            // Of a worker that has not reported yet only the address is known. If its epoch is another than the first, it
+            // says so, and executes nothing.
+            agent_epoch: worker.agent_epoch.max(FIRST_AGENT_EPOCH),
+            may_launch: lease_valid,
+        };
+        let mut body = self.commands(now, &machine, cache, channel);
+        if !lease_valid {
+            body.commands.retain(|command| is_final(command, cache));
+        }
+        let token = self.token;
+        let worker = self.workers.get_mut(&machine)?;
+        // Other commands wait until the lease is known to last again: the next review finds them.
+        worker.command_pending = !lease_valid;
+        if body.commands.is_empty() && (worker.token >= token || !lease_valid) && !probe {
+            return None;
+        }
+        if probe {
+            worker.liveness.record_probe(now);
+        }
+        worker.command_in_flight = true;
+        Some(DirectCommand {
+            block: self.id.clone(),
+            machine,
+            addr,
+            body,
+        })
+    }
+
+    /// All that the worker of a machine should be told now. Launches are recorded as sent.
+    pub(in crate::workers) fn commands(
+        &mut self,
+        now: Now,
+        machine: &MachineId,
+        cache: &WatchCache,
+        channel: CommandChannel,
+    ) -> WorkerCommands {
+        let recorded = self.recorded.numbers_on(machine);
+        let mut commands = self.stops_and_reaps(machine, &recorded, cache);
+        let agent_epoch = match channel {
+            CommandChannel::HeartbeatResponse => None,
+            CommandChannel::Direct {
+                agent_epoch,
+                may_launch,
+            } => {
+                if may_launch {
+                    commands.extend(self.launches(now, machine, &recorded, cache));
+                }
+                Some(agent_epoch)
+            }
+        };
+        WorkerCommands {
+            token: self.token,
+            agent_epoch,
+            commands,
+        }
+    }
+
+    /// Commands for the tasks that the worker reports: those that it should not run are stopped, and those that have ended
+    /// and that it need not remember are reaped.
+    fn stops_and_reaps(
+        &self,
+        machine: &MachineId,
+        recorded: &BTreeMap<TaskId, u64>,
+        cache: &WatchCache,
+    ) -> Vec<WorkerCommand> {
+        let Some(worker) = self.workers.get(machine) else {
+            return Vec::new();
+        };
+        let command = |(task, observed): (&TaskId, &ObservedTask)| {
+            let is_recorded = recorded.get(task) == Some(&observed.number);
+            self.stop_or_reap(worker, *task, observed, is_recorded, cache)
+        };
+        worker.tasks.iter().filter_map(command).collect()
+    }
+
+    fn stop_or_reap(
+        &self,
+        worker: &Worker,
+        task: TaskId,
+        observed: &ObservedTask,
+        is_recorded: bool,
+        cache: &WatchCache,
+    ) -> Option<WorkerCommand> {
+        let attempt = observed.attempt(task);
+        let number = attempt.wire_number();
+        if observed.state == TaskState::Exited {
+            // Reaped only once its end is recorded, and never while an old launch of it may come late.
+            let reap = !is_recorded && worker.may_forget(&attempt, observed.cause);
+            return reap.then_some(WorkerCommand::Reap { task, number });
+        }
+        if is_recorded && self.should_run(cache, &attempt) {
+            return None;
+        }
+        Some(WorkerCommand::Stop {
+            task,
+            number,
+            grace_s: grace_s(cache, task, is_recorded),
+        })
+    }
+
+    /// Launches of recorded attempts that the worker does not report. There are none before the worker has shown our token.
+    fn launches(
+        &mut self,
+        now: Now,
+        machine: &MachineId,
+        recorded: &BTreeMap<TaskId, u64>,
+        cache: &WatchCache,
+    ) -> Vec<WorkerCommand> {
+        let Some(worker) = self.workers.get(machine) else {
+            return Vec::new();
+        };
+        if worker.token < self.token {
+            return Vec::new();
+        }
+        let attempts: Vec<Attempt> = recorded
+            .iter()
+            .map(|(task, number)| Attempt {
+                task: *task,
+                number: *number,
+            })
+            .filter(|attempt| {
+                let ended = EndedAttempt {
+                    machine: machine.clone(),
+                    attempt: *attempt,
+                };
+                worker.observed(attempt).is_none()
+                    && worker.launches.may_send(now, attempt)
+                    && self.should_run(cache, attempt)
+                    && !self.ended.contains_key(&ended)
+            })
+            .collect();
+        let token = self.token;
+        let Some(worker) = self.workers.get_mut(machine) else {
+            return Vec::new();
+        };
+        let mut commands = Vec::new();
+        for attempt in attempts {
+            debug!(%attempt, %machine, %token, agent_epoch = %worker.agent_epoch, "task launch sent");
+            worker.launches.record_sent(attempt);
+            commands.push(WorkerCommand::Launch {
+                task: attempt.task,
+                number: attempt.wire_number(),
+            });
+        }
+        commands
+    }
+
+    /// Whether a recorded attempt should run.
+    fn should_run(&self, cache: &WatchCache, attempt: &Attempt) -> bool {
+        job_is_active(cache, attempt.task.job) && !self.assignments.is_stopped(attempt)
+    }
+
+    /// Applies the response to a direct command, or that there was none.
+    pub(in crate::workers) fn apply_command_outcome(
+        &mut self,
+        now: Now,
+        machine: &MachineId,
+        body: &WorkerCommands,
+        outcome: CommandOutcome,
+        cache: &WatchCache,
+    ) {
+        let token = self.token;
+        let Some(worker) = self.workers.get_mut(machine) else {
+            return;
+        };
+        worker.command_in_flight = false;
+        if worker.command_pending {
+            self.workers_to_command.insert(machine.clone());
+        }
+        if body.agent_epoch == Some(worker.agent_epoch) && body.token == token {
+            record_launch_outcomes(worker, now, machine, body, &outcome);
+        }
+        match outcome {
+            CommandOutcome::Executed(heartbeat) | CommandOutcome::Rejected(heartbeat) => {
+                if heartbeat.machine == *machine {
+                    worker.liveness.record_answered_command();
+                    self.apply_heartbeat(now, heartbeat, cache, HeartbeatSource::CommandResponse);
+                }
+            }
+            CommandOutcome::Unknown => {
+                worker.liveness.record_unanswered_command(now);
+                self.workers_to_report.insert(machine.clone());
+            }
+        }
+    }
+}
+
+/// Records what became of the launches in a direct command that was sent under the present token and agent epoch.
+fn record_launch_outcomes(
+    worker: &mut Worker,
+    now: Now,
+    machine: &MachineId,
+    body: &WorkerCommands,
+    outcome: &CommandOutcome,
+) {
+    let outcome = match outcome {
+        CommandOutcome::Executed(_) => LaunchOutcome::Executed,
+        CommandOutcome::Rejected(_) => LaunchOutcome::Rejected,
+        CommandOutcome::Unknown => LaunchOutcome::Unknown,
+    };
+    for command in &body.commands {
+        let WorkerCommand::Launch { task, number } = command else {
+            continue;
+        };
+        let attempt = Attempt::from_wire(*task, *number);
+        if outcome == LaunchOutcome::Unknown {
+            debug!(%attempt, %machine, "task launch unacknowledged");
+        }
+        worker.launches.record_outcome(now, attempt, outcome);
+    }
+}
+
+/// Whether a command only ends a task whose job is known to be cancelled or over.
+fn is_final(command: &WorkerCommand, cache: &WatchCache) -> bool {
+    let over = |job| {
+        cache.ended.contains_key(&job)
+            || cache.open.contains_key(&job) && !job_is_active(cache, job)
+    };
+    matches!(command, WorkerCommand::Stop { task, .. } if over(task.job))
+}
+
+/// How long a task that is stopped may take to save, in seconds.
+fn grace_s(cache: &WatchCache, task: TaskId, is_recorded: bool) -> f64 {
+    let job = cache
+        .open
+        .get(&task.job)
+        .filter(|open| !open.cancelled)
+        .map(|open| &open.job);
+    // What is left of a gang that has lost a task can't save any more.
+    job.filter(|job| job.kind != JobKind::Gang)
+        .filter(|job| job.checkpoint_every_s > 0.0 && is_recorded)
+        .map_or(0.0, |job| job.checkpoint_s)
+}
--- /dev/null
+++ b/src/workers/block/status.rs
@@ -0,0 +1,135 @@
+//! What the leader is told of a block.
+
+use super::Block;
+use super::TOKEN_RENEWAL_DELAY;
+use crate::domain::{FencingToken, MachineId, Now, since};
+use crate::peer::{BlockStatus, MachineStatus};
+use crate::policy::Policy;
+use crate::workers::wire::TaskState;
+use crate::workers::worker::{ReportedStatus, Worker};
+
+/// The numbers of the block's status messages. The leader names the last one that it has received, so that the status of a
+/// machine is repeated until it has.
+#[derive(Debug, Default)]
+pub(super) struct StatusSequence {
+    last_sent: u64,
+    last_acknowledged: u64,
+}
+
+impl StatusSequence {
+    /// The number of the next message.
+    fn next(&mut self) -> u64 {
+        self.last_sent += 1;
+        self.last_sent
+    }
+
+    /// Notes the last message that the leader has received.
+    pub(super) fn acknowledge(&mut self, number: u64) {
+        self.last_acknowledged = self.last_acknowledged.max(number);
+    }
+
+    /// Whether the leader has received the message of this number, or a later one.
+    fn is_acknowledged(&self, number: u64) -> bool {
+        number <= self.last_acknowledged
+    }
+}
+
+impl Block {
+    /// The next status message. Machines are in it until the leader has acknowledged what is said of them.
+    pub(in crate::workers) fn status(&mut self, now: Now, policy: &Policy) -> BlockStatus {
+        let number = self.status_sequence.next();
+        self.update_reported_statuses(now, policy, number);
+        let unacknowledged = |worker: &Worker| {
+            worker
+                .reported_status
+                .as_ref()
+                .filter(|reported| !self.status_sequence.is_acknowledged(reported.number))
+                .map(|reported| reported.status.clone())
+        };
+        let mut pending: Vec<u64> = self
+            .assignments
+            .pending
+            .iter()
+            .map(|assignment| assignment.attempt.number)
+            .collect();
+        pending.extend(self.writer.undecided_attempts());
+        BlockStatus {
+            block: self.id.clone(),
+            token: self.token,
+            lease_version: self.lease_version,
+            last_assignment_update: self.assignments.last_update(),
+            pending,
+            refused: self.assignments.unplaceable.clone(),
+            ended: self
+                .ended
+                .keys()
+                .map(|ended| ended.attempt.number)
+                .collect(),
+            revision: self.recorded.version(),
+            wants_new_token: self
+                .token_renewal
+                .needed_since
+                .is_some_and(|at| since(now, at) > TOKEN_RENEWAL_DELAY),
+            expected: self
+                .workers
+                .values()
+                .filter(|worker| worker.addr.is_some())
+                .count() as u32,
+            overdue: self.overdue_workers,
+            number,
+            machines: self.workers.values().filter_map(unacknowledged).collect(),
+            running: self.watched_running(),
+        }
+    }
+
+    /// Takes the status of the workers that have changed into the message of this number.
+    fn update_reported_statuses(&mut self, now: Now, policy: &Policy, number: u64) {
+        for id in std::mem::take(&mut self.workers_to_report) {
+            let Some(worker) = self.workers.get_mut(&id) else {
+                continue;
+            };
+            let status = machine_status(now, id, worker, self.token, policy);
+            let unchanged = worker
+                .reported_status
+                .as_ref()
+                .is_some_and(|reported| reported.status == status);
+            if !unchanged {
+                worker.reported_status = Some(ReportedStatus { status, number });
+            }
+        }
+    }
+
+    /// The numbers of the watched attempts that their workers report as running.
+    fn watched_running(&self) -> Vec<u64> {
+        if !self.assignments.any_watched() {
+            return Vec::new();
+        }
+        self.workers
+            .values()
+            .flat_map(|worker| worker.tasks.values())
+            .filter(|observed| observed.state == TaskState::Running)
+            .map(|observed| observed.number)
+            .filter(|number| self.assignments.is_watched(*number))
+            .collect()
+    }
+}
+
+/// What the leader is to know of a machine.
+fn machine_status(
+    now: Now,
+    machine: MachineId,
+    worker: &Worker,
+    token: FencingToken,
+    policy: &Policy,
+) -> MachineStatus {
+    MachineStatus {
+        machine,
+        usable: worker.usable(now, token),
+        seen: worker.liveness.has_reported(),
+        silent: worker.is_unresponsive(now, policy),
+        notice: worker.termination_notice,
+        errors: worker.failures.reported_errors(),
+        failures: worker.failures.by_job(),
+        images: worker.images.iter().cloned().collect(),
+    }
+}
--- /dev/null
+++ b/src/workers/parts/division.rs
@@ -0,0 +1,112 @@
+//! The division of a value that is too large for the limits in force into others, step by step.
+
+use std::collections::{BTreeMap, BTreeSet};
+
+use super::{PartLimits, PartsTransaction, RESERVE_BYTES, empty_part, growth};
+use crate::domain::JobId;
+use crate::store::cache::Parts;
+use crate::store::records::{BlockPlacements, Part, Ranges, done_entry};
+
+/// How full a part is made when a large value is divided, as a part of its limit. The rest is for tasks that end there.
+const DIVISION_FILL_RATIO: f64 = 0.7;
+
+impl PartsTransaction {
+    /// A transaction that only copies a value which is too large to others, if there is one.
+    pub(in crate::workers) fn dividing(
+        parts: &Parts<BlockPlacements>,
+        limits: PartLimits,
+        undecided: &BTreeSet<Part>,
+    ) -> Option<Self> {
+        let (large, _) = parts.iter().find(|(_, part)| {
+            limits.divided && part.value.size().max(part.value.worst()) > limits.value_bytes
+        })?;
+        let mut transaction = PartsTransaction::new(parts, limits, undecided);
+        transaction.divide(*large);
+        Some(transaction)
+    }
+
+    /// Copies what no other part holds to new ones, as much as one transaction can, and deletes the large part if that was
+    /// all.
+    fn divide(&mut self, large: Part) {
+        let mut not_copied = self
+            .parts
+            .get(&large)
+            .map(|part| part.value.clone())
+            .unwrap_or_default();
+        for (_, part) in self.parts.iter().filter(|(index, _)| **index != large) {
+            subtract(&mut not_copied, &part.value);
+        }
+        // One change is left for the deletion.
+        let max_copies = self.limits.changes.saturating_sub(1).max(1);
+        let fill_bytes = (self.limits.value_bytes as f64 * DIVISION_FILL_RATIO) as usize;
+        while !not_copied.is_empty()
+            && self.changed.iter().filter(|part| **part != large).count() < max_copies
+        {
+            let copied = take_up_to(&mut not_copied, fill_bytes);
+            let next = self.next_part();
+            let mut part = empty_part();
+            part.value = copied;
+            self.parts.insert(next, part);
+            self.changed.insert(next);
+        }
+        if not_copied.is_empty() {
+            self.parts.remove(&large);
+            self.changed.insert(large);
+        }
+    }
+}
+
+/// Removes what the other part holds too.
+fn subtract(placements: &mut BlockPlacements, other: &BlockPlacements) {
+    for (machine, list) in &other.on {
+        for placed in list {
+            placements.remove(machine, placed.0);
+        }
+    }
+    placements.done.retain(|job, done| {
+        if let Some(known) = other.done.get(job) {
+            known
+                .0
+                .iter()
+                .for_each(|range| done.0.remove(range.clone()));
+        }
+        !done.is_empty()
+    });
+}
+
+/// Takes out attempts, then finished tasks, that together make a part of this size, but at least one entry.
+fn take_up_to(placements: &mut BlockPlacements, bytes: usize) -> BlockPlacements {
+    let mut taken = BlockPlacements::default();
+    while let Some((machine, list)) = placements.on.pop_first() {
+        let mut rest = list;
+        while let Some(placed) = rest.pop() {
+            if taken.worst() + growth(&taken, &machine, placed.0) > bytes && !taken.is_empty() {
+                rest.push(placed);
+                placements.on.insert(machine, rest);
+                return taken;
+            }
+            taken.add(&machine, placed.0);
+        }
+    }
+    take_done(placements, &mut taken, bytes);
+    taken
+}
+
+/// Takes out finished tasks, as many as fit a part of this size, but at least one range of them if `taken` is empty.
+fn take_done(placements: &mut BlockPlacements, taken: &mut BlockPlacements, bytes: usize) {
+    let jobs: BTreeMap<JobId, Ranges> = std::mem::take(&mut placements.done);
+    let mut size = taken.worst();
+    for (job, done) in jobs {
+        size += done_entry(job);
+        for range in done.0.iter() {
+            let one = Ranges([range.clone()].into_iter().collect());
+            size += one.size();
+            let target = if size + RESERVE_BYTES > bytes && !taken.is_empty() {
+                &mut placements.done
+            } else {
+                &mut taken.done
+            };
+            target.entry(job).or_default().merge(&one);
+        }
+    }
+}
--- /dev/null
+++ b/src/workers/parts/mod.rs
@@ -0,0 +1,301 @@
+//! The values that a block's placements are kept in, and changes to them that fit one transaction.
+//!
+//! Owns the choice of the part that an attempt is recorded in, and the limits on the size of a part and on the parts that
+//! one transaction changes. The block prepares each of its transactions with a [`PartsTransaction`] and takes over the parts
+//! that this leaves once it is committed.
+//!
+//! Invariants: an attempt is recorded in one part only, whichever has space, so that placements of one time are one change;
+//! no part is made larger than its limit. A value that is too large for the limits in force can't be written again: what it
+//! holds is copied to other parts, and it is deleted once they hold everything (`division`).
+
+mod division;
+
+use std::cmp::Reverse;
+use std::collections::{BTreeMap, BTreeSet};
+
+use crate::config::StateLimits;
+use crate::domain::{Attempt, BlockId, MachineId};
+use crate::store::cache::Parts;
+use crate::store::records::{
+    AttemptEncoding, BlockPlacements, FIRST_PART, Part, done_entry, placements_part_key,
+};
+use crate::store::{Transaction, Versioned, WatchCache};
+
+/// Finished tasks that are recorded elsewhere are removed when their part is written anyway, or when it is this full, as a
+/// part of its limit: until then they do no harm, and each part costs a change.
+const PRUNE_FILL_RATIO: f64 = 0.6;
+/// A large value is divided by copying a part of it and, in the end, deleting it.
+const MIN_CHANGES: usize = 2;
+/// How many other ends it is worth to record one on a machine that another task is to be placed on.
+const AWAITED_END_WEIGHT: usize = 4;
+/// Added to the computed growth of a part, for what the computation leaves out.
+const RESERVE_BYTES: usize = 64;
+
+/// What one value and one transaction may hold.
+#[derive(Debug, Clone, Copy)]
+pub(super) struct PartLimits {
+    /// The most bytes of one value.
+    pub(super) value_bytes: usize,
+    /// The most parts that one transaction changes.
+    pub(super) changes: usize,
+    /// Whether there may be other parts than the first.
+    pub(super) divided: bool,
+}
+
+impl PartLimits {
+    /// `max_changes`: the changes that a transaction should not exceed, by the rate at which we may write.
+    pub(super) fn new(limits: &StateLimits, max_changes: usize, divided: bool) -> Self {
+        let changes = max_changes.clamp(MIN_CHANGES, limits.txn_ops);
+        PartLimits {
+            value_bytes: limits.value_bytes,
+            changes: if divided { changes } else { 1 },
+            divided,
+        }
+    }
+}
+
+/// A recorded attempt that is proven to have ended.
+#[derive(Debug, Clone, Copy)]
+pub(super) struct EndedPlacement<'a> {
+    pub(super) machine: &'a MachineId,
+    pub(super) attempt: Attempt,
+    /// Its task is to be recorded as finished.
+    pub(super) done: bool,
+    /// Another task is to be placed on its machine.
+    pub(super) awaited: bool,
+}
+
+/// The ends to be recorded in one part, and how much it is worth to do so.
+#[derive(Debug, Default)]
+struct WeightedEnds<'a> {
+    weight: usize,
+    ends: Vec<EndedPlacement<'a>>,
+}
+
+/// All parts together.
+pub(super) fn merged(parts: &Parts<BlockPlacements>) -> BlockPlacements {
+    let mut merged = BlockPlacements::default();
+    parts.values().for_each(|part| merged.merge(&part.value));
+    merged
+}
+
+/// A transaction on a block's parts, while it is prepared and until its outcome is known.
+#[derive(Debug, Clone)]
+pub(super) struct PartsTransaction {
+    limits: PartLimits,
+    /// The parts as it is to leave them.
+    parts: Parts<BlockPlacements>,
+    /// The parts that it writes or deletes.
+    changed: BTreeSet<Part>,
+}
+
+impl PartsTransaction {
+    /// A transaction without changes but for the parts in `undecided`, which are those of a transaction of unknown outcome.
+    /// Writing them once more decides that one: either of the two fails.
+    pub(super) fn new(
+        parts: &Parts<BlockPlacements>,
+        limits: PartLimits,
+        undecided: &BTreeSet<Part>,
+    ) -> Self {
+        let mut transaction = PartsTransaction {
+            limits,
+            parts: parts.clone(),
+            changed: undecided.clone(),
+        };
+        for part in undecided {
+            transaction.parts.entry(*part).or_insert_with(empty_part);
+        }
+        transaction
+    }
+
+    /// Whether it changes anything.
+    pub(super) fn has_changes(&self) -> bool {
+        !self.changed.is_empty()
+    }
+
+    /// The parts that it writes or deletes.
+    pub(super) fn changed(&self) -> &BTreeSet<Part> {
+        &self.changed
+    }
+
+    /// The placements as it is to leave them.
+    pub(super) fn merged(&self) -> BlockPlacements {
+        merged(&self.parts)
+    }
+
+    /// The most parts that it may change.
+    pub(super) fn max_changes(&self) -> usize {
+        self.limits.changes
+    }
+
+    fn may_change(&self, part: Part) -> bool {
+        self.changed.contains(&part) || self.changed.len() < self.limits.changes
+    }
+
+    /// Removes attempts that have ended, as many as the transaction can: those of the parts with the most of them.
+    pub(super) fn remove_ended(&mut self, ended: Vec<EndedPlacement<'_>>) {
+        let mut by_part: BTreeMap<Part, WeightedEnds<'_>> = BTreeMap::new();
+        for end in ended {
+            let mut parts = self.parts.iter();
+            let holding = parts.find(|(_, part)| holds(&part.value, end.machine, end.attempt));
+            let Some((index, _)) = holding else {
+                continue;
+            };
+            let of_part = by_part.entry(*index).or_default();
+            of_part.weight += if end.awaited { AWAITED_END_WEIGHT } else { 1 };
+            of_part.ends.push(end);
+        }
+        let mut by_weight: Vec<WeightedEnds<'_>> = by_part.into_values().collect();
+        by_weight.sort_by_key(|of_part| Reverse(of_part.weight));
+        for end in by_weight.into_iter().flat_map(|of_part| of_part.ends) {
+            self.remove(end.machine, end.attempt, end.done);
+        }
+    }
+
+    /// Removes an attempt that has ended, and records its task as finished if it is `done`. Returns false if there is no such
+    /// attempt, or no more parts can be changed.
+    fn remove(&mut self, machine: &MachineId, attempt: Attempt, done: bool) -> bool {
+        let holding: Vec<Part> = self
+            .parts
+            .iter()
+            .filter(|(_, part)| holds(&part.value, machine, attempt))
+            .map(|(part, _)| *part)
+            .collect();
+        if holding.is_empty() || !holding.iter().all(|part| self.may_change(*part)) {
+            return false;
+        }
+        for index in holding {
+            let Some(part) = self.parts.get_mut(&index) else {
+                continue;
+            };
+            part.value.remove(machine, attempt);
+            if done {
+                let task = attempt.task;
+                part.value
+                    .done
+                    .entry(task.job)
+                    .or_default()
+                    .insert(task.index);
+            }
+            self.changed.insert(index);
+        }
+        true
+    }
+
+    /// Removes finished tasks that are recorded elsewhere.
+    pub(super) fn prune(&mut self, cache: &WatchCache) {
+        let full = self.limits.value_bytes as f64 * PRUNE_FILL_RATIO;
+        let indexes: Vec<Part> = self.parts.keys().copied().collect();
+        for index in indexes {
+            let may_change = self.may_change(index);
+            let Some(part) = self.parts.get_mut(&index) else {
+                continue;
+            };
+            let worth_a_change = !self.limits.divided
+                || self.changed.contains(&index)
+                || part.value.worst() as f64 > full;
+            if part.value.done.is_empty() || !worth_a_change || !may_change {
+                continue;
+            }
+            let mut pruned = part.value.clone();
+            cache.forget_recorded_ends(&mut pruned);
+            if pruned != part.value {
+                part.value = pruned;
+                self.changed.insert(index);
+            }
+        }
+    }
+
+    /// Records an attempt in a part with space: one that is changed anyway, else the emptiest, else a new one. Returns false if
+    /// this transaction has no space for it.
+    pub(super) fn add(&mut self, machine: &MachineId, attempt: Attempt) -> bool {
+        let Some(index) = self.part_for(machine, attempt) else {
+            return false;
+        };
+        let part = self.parts.entry(index).or_insert_with(empty_part);
+        part.value.add(machine, attempt);
+        self.changed.insert(index);
+        true
+    }
+
+    /// The first number that no part has, nor any part after it.
+    fn next_part(&self) -> Part {
+        self.parts
+            .last_key_value()
+            .map_or(FIRST_PART, |(last, _)| last + 1)
+    }
+
+    /// The part to record an attempt in, if there is one with space that the transaction may change.
+    fn part_for(&self, machine: &MachineId, attempt: Attempt) -> Option<Part> {
+        let changeable = self
+            .parts
+            .iter()
+            .filter(|(index, _)| self.may_change(**index));
+        let with_space = changeable.filter_map(|(index, part)| {
+            let size = part.value.worst();
+            let fits = size + growth(&part.value, machine, attempt) <= self.limits.value_bytes;
+            fits.then_some((!self.changed.contains(index), size, *index))
+        });
+        let emptiest = with_space.min().map(|(_, _, index)| index);
+        emptiest.or_else(|| {
+            let next = self.next_part();
+            let allowed = next == FIRST_PART || self.limits.divided;
+            (allowed && self.may_change(next)).then_some(next)
+        })
+    }
+
+    /// Adds its conditions and changes to a transaction of the state service. `old`: the parts that it was made from.
+    pub(super) fn add_to(
+        &self,
+        block: &BlockId,
+        old: &Parts<BlockPlacements>,
+        mut txn: Transaction,
+    ) -> Transaction {
+        for index in &self.changed {
+            let key = placements_part_key(block, *index);
+            txn = txn.when(key.clone(), old.get(index).map_or(0, |part| part.version));
+            txn = match self.parts.get(index) {
+                Some(part) => txn.put(key, &part.value),
+                None => txn.delete(key),
+            };
+        }
+        txn
+    }
+
+    /// The parts once it is committed with this revision.
+    pub(super) fn into_committed(mut self, revision: u64) -> Parts<BlockPlacements> {
+        for index in &self.changed {
+            if let Some(part) = self.parts.get_mut(index) {
+                part.version = revision;
+            }
+        }
+        self.parts
+    }
+}
+
+fn empty_part() -> Versioned<BlockPlacements> {
+    Versioned {
+        value: BlockPlacements::default(),
+        version: 0,
+    }
+}
+
+fn holds(placements: &BlockPlacements, machine: &MachineId, attempt: Attempt) -> bool {
+    placements
+        .on
+        .get(machine)
+        .is_some_and(|list| list.contains(&AttemptEncoding(attempt)))
+}
+
+/// By how much a part may grow with one more attempt, until that has ended.
+fn growth(placements: &BlockPlacements, machine: &MachineId, attempt: Attempt) -> usize {
+    let entry = if placements.on.contains_key(machine) {
+        0
+    } else {
+        machine.0.len() + 8
+    };
+    entry + AttemptEncoding(attempt).size() + done_entry(attempt.task.job) + RESERVE_BYTES
+}
+
+#[cfg(test)]
+mod tests;
--- a/src/workers/parts/tests.rs
+++ b/src/workers/parts/tests.rs
@@ -5,7 +5,7 @@
 use rand::{Rng, SeedableRng};
 
 use super::*;
-use crate::domain::TaskId;
+use crate::domain::{JobId, TaskId};
 use crate::store::TransactionChange;
 use crate::store::records::{encode, json_size};
 
@@ -29,13 +29,13 @@
     format!("m-{n:06}").as_str().into()
 }
 
-/// What the state service holds after the draft's transaction; checks what it must keep to.
+/// What the state service holds after the transaction; checks what it must keep to.
 fn commit(
     old: &Parts<BlockPlacements>,
-    draft: PartsDraft,
+    transaction: PartsTransaction,
     revision: u64,
 ) -> Parts<BlockPlacements> {
-    let txn = draft.apply(&"a.0".into(), old, Transaction::default());
+    let txn = transaction.add_to(&"a.0".into(), old, Transaction::default());
     assert!(
         txn.changes.len() <= LIMITS.changes,
         "{} changes",
@@ -47,7 +47,7 @@
             assert!(size <= LIMITS.value_bytes, "{key} is {size} bytes");
         }
     }
-    draft.committed(revision)
+    transaction.into_committed(revision)
 }
 
 fn one_part(placements: BlockPlacements) -> Parts<BlockPlacements> {
@@ -66,10 +66,10 @@
         let mut placed: Vec<(MachineId, Attempt)> = Vec::new();
         let mut finished: BTreeMap<JobId, BTreeSet<u32>> = BTreeMap::new();
         for step in 0..120u64 {
-            let mut draft = PartsDraft::new(&parts, LIMITS, &BTreeSet::new());
+            let mut transaction = PartsTransaction::new(&parts, LIMITS, &BTreeSet::new());
             for _ in 0..rng.random_range(0..20) {
                 if let Some((on, ended)) = placed.choose(&mut rng).cloned()
-                    && draft.end(&on, ended, true)
+                    && transaction.remove(&on, ended, true)
                 {
                     placed.retain(|(_, attempt)| *attempt != ended);
                     finished
@@ -80,11 +80,11 @@
             }
             for index in 0..rng.random_range(0..30) {
                 let (on, new) = (machine(rng.random_range(0..90)), attempt(step, index));
-                if placed.len() < 400 && draft.add(&on, new) {
+                if placed.len() < 400 && transaction.add(&on, new) {
                     placed.push((on, new));
                 }
             }
-            parts = commit(&parts, draft, step + 1);
+            parts = commit(&parts, transaction, step + 1);
             let all = merged(&parts);
             assert_eq!(
                 all.attempts().count(),
@@ -116,10 +116,10 @@
     assert!(json_size(&encode(&large)) > 10_000);
     let mut parts = one_part(large.clone());
     let mut steps = 0;
-    while let Some(draft) = PartsDraft::dividing(&parts, LIMITS, &BTreeSet::new()) {
+    while let Some(transaction) = PartsTransaction::dividing(&parts, LIMITS, &BTreeSet::new()) {
         steps += 1;
-        assert!(draft.any() && steps < 20, "step {steps}");
-        parts = commit(&parts, draft, steps + 1);
+        assert!(transaction.has_changes() && steps < 20, "step {steps}");
+        parts = commit(&parts, transaction, steps + 1);
         // In between, too, nothing is missing.
         assert_same(&merged(&parts), &large);
     }
@@ -155,17 +155,17 @@
         large.add(&machine(n), attempt(n, 0));
     });
     let parts = one_part(large);
-    assert!(PartsDraft::dividing(&parts, limits, &BTreeSet::new()).is_none());
-    let mut draft = PartsDraft::new(&parts, limits, &BTreeSet::new());
+    assert!(PartsTransaction::dividing(&parts, limits, &BTreeSet::new()).is_none());
+    let mut transaction = PartsTransaction::new(&parts, limits, &BTreeSet::new());
     assert!(
-        !draft.add(&machine(1), attempt(900, 0)),
+        !transaction.add(&machine(1), attempt(900, 0)),
         "no room and no other part"
     );
     assert!(
-        draft.end(&machine(0), attempt(0, 0), true),
+        transaction.remove(&machine(0), attempt(0, 0), true),
         "what ends makes room"
     );
-    assert_eq!(draft.changed().len(), 1);
+    assert_eq!(transaction.changed().len(), 1);
 }
 
 /// Without it a late copy of the first transaction would be carried out after the second one.
@@ -182,16 +182,16 @@
             (index, part)
         })
         .collect();
-    let mut unknown = PartsDraft::new(&parts, LIMITS, &BTreeSet::new());
-    unknown.end(&machine(1), attempt(1, 0), true);
-    let settle = unknown.changed().clone();
-    let mut next = PartsDraft::new(&parts, LIMITS, &settle);
-    next.end(&machine(2), attempt(2, 0), true);
-    let keys = |draft: &PartsDraft| -> BTreeSet<(String, u64)> {
-        let txn = draft.apply(&"a.0".into(), &parts, Transaction::default());
+    let mut unknown = PartsTransaction::new(&parts, LIMITS, &BTreeSet::new());
+    unknown.remove(&machine(1), attempt(1, 0), true);
+    let undecided = unknown.changed().clone();
+    let mut next = PartsTransaction::new(&parts, LIMITS, &undecided);
+    next.remove(&machine(2), attempt(2, 0), true);
+    let keys = |transaction: &PartsTransaction| -> BTreeSet<(String, u64)> {
+        let txn = transaction.add_to(&"a.0".into(), &parts, Transaction::default());
         txn.conditions.into_iter().collect()
     };
     assert!(keys(&unknown).is_subset(&keys(&next)));
-    let written = |draft: &PartsDraft| draft.changed().clone();
+    let written = |transaction: &PartsTransaction| transaction.changed().clone();
     assert!(written(&unknown).is_subset(&written(&next)));
 }
--- /dev/null
+++ b/src/workers/tests/heartbeats.rs
@@ -0,0 +1,77 @@
+//! What heartbeats prove.
+
+use super::*;
+
+/// A copy of an old heartbeat, or one that was held back until a new holder had acted, shows what was once so.
+#[test]
+fn a_heartbeat_that_is_older_than_the_last_proves_nothing() {
+    let mut holder = Holder::new(job(1, 1.0));
+    holder.assignments(9, "m-1", 1);
+    let before = holder.message("m-1", FencingToken(4), &[]);
+    holder.write();
+    let command = holder.commands().remove(0);
+    let shown = holder.message("m-1", FencingToken(4), &[(9, TaskState::Running, None)]);
+    holder.answer(&command, CommandOutcome::Executed(shown));
+    holder.cancel();
+    let mut of_another_session = holder.message("m-1", FencingToken(4), &[]);
+    of_another_session.agent_epoch = AgentEpoch(0);
+    let attempt = first_attempt(9);
+    for late in [before, of_another_session] {
+        holder
+            .fleet
+            .handle_heartbeat(holder.now, late, &holder.config, &holder.cache, true);
+        assert!(
+            !holder
+                .fleet
+                .proven_gone(&"a.0".into(), &"m-1".into(), &attempt)
+        );
+    }
+    let gone = holder.message("m-1", FencingToken(4), &[]);
+    holder
+        .fleet
+        .handle_heartbeat(holder.now, gone, &holder.config, &holder.cache, true);
+    assert!(
+        holder
+            .fleet
+            .proven_gone(&"a.0".into(), &"m-1".into(), &attempt),
+        "a newer one does"
+    );
+}
+
+#[test]
+fn a_task_missing_from_a_heartbeat_is_gone_only_if_unwanted_and_fenced() {
+    let mut holder = Holder::new(job(1, 1.0));
+    holder.assignments(9, "m-1", 1);
+    holder.write();
+    let command = holder.commands().remove(0);
+    holder.heartbeat("m-1", FencingToken(4), &[]);
+    assert_eq!(holder.write().len(), 1, "its launch is on its way");
+    holder.put(
+        job_key(JobId(1)),
+        encode(&JobRecord::Cancelled(job(1, 1.0), 0)),
+    );
+    holder.heartbeat("m-1", FencingToken(4), &[]);
+    assert_eq!(
+        holder.write().len(),
+        1,
+        "cancelled, but the launch may still come"
+    );
+    let empty = holder.message("m-1", FencingToken(4), &[]);
+    holder.answer(&command, CommandOutcome::Rejected(empty));
+    assert_eq!(holder.write(), [], "refused: it never started");
+}
+
+#[test]
+fn a_heartbeat_with_a_higher_token_or_an_old_block_lease_is_not_answered_with_commands() {
+    let mut holder = Holder::new(job(1, 1.0));
+    assert_eq!(
+        holder.heartbeat("m-1", FencingToken(5), &[]),
+        HeartbeatResponse::Redirect(None)
+    );
+    let heartbeat = holder.message("m-1", FencingToken(4), &[]);
+    let answer =
+        holder
+            .fleet
+            .handle_heartbeat(holder.now, heartbeat, &holder.config, &holder.cache, false);
+    assert_eq!(answer, HeartbeatResponse::Unavailable);
+}
--- /dev/null
+++ b/src/workers/tests/liveness.rs
@@ -0,0 +1,113 @@
+//! Which machines the leader is told are unresponsive or faulty.
+
+use super::*;
+
+/// Reports arrive, but neither answers nor commands reach the machine: nothing more is placed there, and it is
+/// given up although it is heard all the time.
+#[test]
+fn a_machine_that_reports_but_does_not_answer_is_noticed() {
+    let mut holder = Holder::new(job(1, 1.0));
+    let policy = Policy::defaults(&holder.config);
+    holder.assignments(9, "m-1", 1);
+    holder.write();
+    let usable = |holder: &mut Holder| {
+        let status = holder.fleet.status(holder.now, &policy).remove(0);
+        status
+            .machines
+            .iter()
+            .find(|m| &*m.machine.0 == "m-1")
+            .map(|m| (m.usable, m.silent))
+    };
+    assert_eq!(usable(&mut holder), Some((true, false)));
+    let command = holder.commands().remove(0);
+    holder.answer(&command, CommandOutcome::Unknown);
+    holder.heartbeat("m-1", FencingToken(4), &[]);
+    assert_eq!(usable(&mut holder), Some((false, false)));
+    let mut asked = 0;
+    for _ in 0..20 {
+        holder.now.monotonic += Duration::from_secs(1);
+        holder.heartbeat("m-1", FencingToken(4), &[]);
+        holder.heartbeat("m-2", FencingToken(4), &[]);
+        holder.tick();
+        for command in holder.commands() {
+            asked += 1;
+            holder.answer(&command, CommandOutcome::Unknown);
+        }
+    }
+    assert!(asked > 2, "asked {asked} times");
+    assert_eq!(usable(&mut holder), Some((false, true)));
+    // An answer settles it, and all is as before.
+    let shown = holder.message("m-1", FencingToken(4), &[]);
+    holder.answer(&command, CommandOutcome::Executed(shown));
+    assert_eq!(usable(&mut holder), Some((true, false)));
+}
+
+/// Found on the bench: a controller that had stood still took all its workers for silent when it went on, and
+/// machines that nothing was wrong with were deleted.
+#[test]
+fn time_in_which_a_holder_was_paused_is_no_silence_of_its_workers() {
+    let mut holder = Holder::new(job(1, 1.0));
+    let policy = Policy::defaults(&holder.config);
+    let silent = |holder: &mut Holder| {
+        holder.tick();
+        let status = holder.fleet.status(holder.now, &policy).remove(0);
+        status
+            .machines
+            .iter()
+            .filter(|machine| machine.silent)
+            .count()
+    };
+    let gap = policy.unheard_after * 2;
+    holder.now.monotonic += gap;
+    holder.fleet.process_paused(gap);
+    assert_eq!(silent(&mut holder), 0);
+    holder.now.monotonic += gap;
+    assert_eq!(silent(&mut holder), 2);
+}
+
+/// Found by a search of seeds: a sight of a running task reset the count, and machines whose tasks fail after
+/// running were never given up.
+#[test]
+fn a_machine_is_faulty_when_tasks_of_two_jobs_fail_there_though_they_ran() {
+    let mut holder = Holder::new(job(1, 1.0));
+    holder.put(job_key(JobId(2)), encode(&JobRecord::Open(job(1, 1.0))));
+    let policy = Policy::defaults(&holder.config);
+    let mut errors = Vec::new();
+    for (number, of) in [(9, 1), (10, 1), (11, 1), (12, 2)] {
+        let attempt = Attempt {
+            task: TaskId {
+                job: JobId(of),
+                index: 0,
+            },
+            number,
+        };
+        let lease_version = holder.fleet.lease_version(&"a.0".into());
+        let assignments = vec![Assignment {
+            attempt,
+            machine: "m-1".into(),
+        }];
+        assert!(holder.fleet.apply_assignments(assignment_update(
+            lease_version,
+            number,
+            assignments
+        )));
+        holder.write();
+        for (state, cause) in [
+            (TaskState::Running, None),
+            (TaskState::Exited, Some(Cause::Error)),
+        ] {
+            let mut heartbeat = holder.message("m-1", FencingToken(4), &[(number, state, cause)]);
+            heartbeat.tasks[0].task = attempt.task;
+            holder.fleet.handle_heartbeat(
+                holder.now,
+                heartbeat,
+                &holder.config,
+                &holder.cache,
+                true,
+            );
+        }
+        holder.write();
+        errors.push(holder.fleet.status(holder.now, &policy)[0].machines[0].errors);
+    }
+    assert_eq!(errors, [1, 2, 2, 4]);
+}
--- /dev/null
+++ b/src/workers/tests/mod.rs
@@ -0,0 +1,286 @@
+//! A holder's duties, as the leader, the workers and the state service see them.
+
+mod commands;
+mod heartbeats;
+mod liveness;
+mod placement_writes;
+
+use std::collections::{BTreeSet, HashMap};
+use std::time::Duration;
+
+use super::block::{TOKEN_RENEWAL_DELAY, WRITE_CHECK_INTERVAL};
+use super::wire::{Cause, TaskStatus, WorkerCommand};
+use super::worker::PROBE_INTERVAL;
+use super::*;
+use crate::cloud::wire::InstanceTypeList;
+use crate::cloud::wire::tests::instance_type;
+use crate::config::tests::SETTINGS;
+use crate::domain::{
+    AgentEpoch, Attempt, CapacityType, FencingToken, Incarnation, Job, JobId, Term,
+};
+use crate::peer::Assignment;
+use crate::placement::tests::job;
+use crate::store::Change;
+use crate::store::records::{
+    BlockLease, InventoryEntry, JobRecord, MachineInventory, MachineState, block_lease_key, encode,
+    inventory_key, job_key,
+};
+
+const INCARNATION: Incarnation = Incarnation(7);
+
+const AMPLE: WriteAllowance = WriteAllowance {
+    max_changes: 16,
+    ample: true,
+};
+
+struct Holder {
+    config: Config,
+    catalog: InstanceCatalog,
+    cache: WatchCache,
+    fleet: WorkerFleet,
+    now: Now,
+    version: u64,
+    seq: u64,
+}
+
+impl Holder {
+    /// Holds block `a.0` under token 4, with `m-1` and `m-2` that have shown it, and job 1.
+    fn new(job: Job) -> Self {
+        let config = Config::parse("s.toml", SETTINGS).expect("valid");
+        let mut catalog = InstanceCatalog::default();
+        catalog.answered(Some(InstanceTypeList {
+            types: vec![instance_type()],
+        }));
+        let (cache, fleet) = (WatchCache::following(), WorkerFleet::new());
+        let mut holder = Holder {
+            config,
+            catalog,
+            cache,
+            fleet,
+            now: Now::read(),
+            version: 0,
+            seq: 0,
+        };
+        holder.put_inventory("a.0", &["m-1", "m-2"]);
+        holder.put(job_key(JobId(1)), encode(&JobRecord::Open(job)));
+        holder.lease(FencingToken(4));
+        holder.heartbeat("m-1", FencingToken(4), &[]);
+        holder.heartbeat("m-2", FencingToken(4), &[]);
+        holder
+    }
+
+    fn put(&mut self, key: String, value: ciborium::Value) {
+        self.version += 1;
+        self.cache.apply(Change {
+            key,
+            version: self.version,
+            value: Some(value),
+        });
+        self.sync();
+    }
+
+    /// Records that these machines are in the block.
+    fn put_inventory(&mut self, block: &str, machines: &[&str]) {
+        let entry = InventoryEntry {
+            type_name: "large".into(),
+            capacity_type: CapacityType::OnDemand,
+            state: MachineState::InService,
+            rented_s: 0,
+        };
+        let on = machines
+            .iter()
+            .map(|machine| ((*machine).into(), entry.clone()));
+        let inventory = MachineInventory {
+            zone: "a".into(),
+            on: on.collect(),
+        };
+        self.put(inventory_key(&block.into()), encode(&inventory));
+    }
+
+    fn sync(&mut self) {
+        let changed = self.cache.take_changed();
+        self.fleet
+            .sync(self.now, &self.config, INCARNATION, &self.cache, &changed);
+    }
+
+    /// Leases block `a.0` to the holder under this token.
+    fn lease(&mut self, token: FencingToken) {
+        self.lease_block("a.0", token);
+    }
+
+    fn lease_block(&mut self, block: &str, token: FencingToken) {
+        let holder = self.config.name.clone();
+        let lease = BlockLease {
+            zone: "a".into(),
+            holder,
+            incarnation: INCARNATION,
+            token,
+            term: Term(3),
+        };
+        self.put(block_lease_key(&block.into()), encode(&lease));
+    }
+
+    fn message(
+        &mut self,
+        machine: &str,
+        token: FencingToken,
+        tasks: &[(u64, TaskState, Option<Cause>)],
+    ) -> Heartbeat {
+        self.seq += 1;
+        let task = first_task();
+        let of = |(number, state, cause): &(u64, TaskState, Option<Cause>)| TaskStatus {
+            task,
+            number: *number,
+            state: *state,
+            cause: *cause,
+        };
+        Heartbeat {
+            machine: machine.into(),
+            addr: "10.1.0.1:9000".to_owned(),
+            type_name: "large".into(),
+            zone: "a".into(),
+            spot: false,
+            agent_epoch: AgentEpoch(1),
+            seq: self.seq,
+            token,
+            notice_s: None,
+            tasks: tasks.iter().map(of).collect(),
+        }
+    }
+
+    fn heartbeat(
+        &mut self,
+        machine: &str,
+        token: FencingToken,
+        tasks: &[(u64, TaskState, Option<Cause>)],
+    ) -> HeartbeatResponse {
+        let heartbeat = self.message(machine, token, tasks);
+        self.fleet
+            .handle_heartbeat(self.now, heartbeat, &self.config, &self.cache, true)
+    }
+
+    fn assignments(&mut self, number: u64, machine: &str, message: u64) {
+        let lease_version = self.fleet.lease_version(&"a.0".into());
+        let assignments = vec![Assignment {
+            attempt: first_attempt(number),
+            machine: machine.into(),
+        }];
+        let work = assignment_update(lease_version, message, assignments);
+        assert!(self.fleet.apply_assignments(work));
+    }
+
+    /// WriteAllowance and commits what is due. Returns where the attempts are then.
+    fn write(&mut self) -> Vec<(String, u64)> {
+        self.now.monotonic += WRITE_CHECK_INTERVAL;
+        while let Some((block, op)) = self.fleet.write(
+            self.now,
+            &self.config,
+            AMPLE,
+            &mut self.cache,
+            &self.catalog,
+        ) {
+            let StoreRequest::Commit(txn) = op else {
+                panic!("{op:?}")
+            };
+            self.version += 1;
+            for change in txn.changes {
+                let crate::store::TransactionChange::Put { key, value, .. } = change else {
+                    panic!("{change:?}")
+                };
+                self.cache.apply(Change {
+                    key,
+                    version: self.version,
+                    value: Some(value),
+                });
+            }
+            let lease_version = self.fleet.lease_version(&block);
+            self.fleet.apply_write_outcome(
+                self.now,
+                &block,
+                lease_version,
+                &StoreResponse::Committed {
+                    revision: self.version,
+                },
+            );
+        }
+        let recorded = &self.fleet.blocks[&BlockId::from("a.0")].recorded;
+        recorded
+            .attempts()
+            .map(|(machine, attempt)| (machine.to_string(), attempt.number))
+            .collect()
+    }
+
+    fn tick(&mut self) {
+        let policy = Policy::defaults(&self.config);
+        self.fleet.tick(self.now, &self.config, &policy);
+    }
+
+    fn commands(&mut self) -> Vec<DirectCommand> {
+        self.fleet
+            .commands(self.now, &self.config, &self.cache, true)
+    }
+
+    fn answer(&mut self, command: &DirectCommand, outcome: CommandOutcome) {
+        let (block, machine) = (command.block.clone(), command.machine.clone());
+        self.fleet.apply_command_outcome(
+            self.now,
+            &block,
+            &machine,
+            &command.body,
+            outcome,
+            &self.cache,
+        );
+    }
+
+    fn cancel(&mut self) {
+        self.put(
+            job_key(JobId(1)),
+            encode(&JobRecord::Cancelled(job(1, 1.0), self.now.unix_ms())),
+        );
+    }
+
+    /// The commands that go out without a block lease that is known to last.
+    fn commands_without_lease(&mut self) -> Vec<WorkerCommand> {
+        let commands = self
+            .fleet
+            .commands(self.now, &self.config, &self.cache, false);
+        commands
+            .into_iter()
+            .flat_map(|command| command.body.commands)
+            .collect()
+    }
+}
+
+fn assignment_update(
+    lease_version: u64,
+    number: u64,
+    assignments: Vec<Assignment>,
+) -> AssignmentUpdate {
+    let (stop, addresses) = (Vec::new(), Vec::new());
+    AssignmentUpdate {
+        block: "a.0".into(),
+        lease_version,
+        number,
+        heard: 0,
+        assignments,
+        stop,
+        addresses,
+        watch: Vec::new(),
+    }
+}
+
+/// The first task of job 1.
+fn first_task() -> TaskId {
+    TaskId {
+        job: JobId(1),
+        index: 0,
+    }
+}
+
+/// An attempt of the first task of job 1.
+fn first_attempt(number: u64) -> Attempt {
+    Attempt {
+        task: first_task(),
+        number,
+    }
+}
--- /dev/null
+++ b/src/workers/tests/placement_writes.rs
@@ -0,0 +1,200 @@
+//! The transactions that record what runs where.
+
+use super::*;
+
+/// A placement is committed only if none of its jobs was cancelled before, whatever our copy says.
+#[test]
+fn a_placement_is_conditioned_on_its_jobs() {
+    let mut holder = Holder::new(job(1, 1.0));
+    holder.assignments(9, "m-1", 1);
+    holder.now.monotonic += WRITE_CHECK_INTERVAL;
+    let write = holder.fleet.write(
+        holder.now,
+        &holder.config,
+        AMPLE,
+        &mut holder.cache,
+        &holder.catalog,
+    );
+    let Some((_, StoreRequest::Commit(txn))) = write else {
+        panic!("{write:?}")
+    };
+    let version = holder.cache.open[&JobId(1)].version;
+    assert!(
+        txn.conditions.contains(&(job_key(JobId(1)), version)),
+        "{:?}",
+        txn.conditions
+    );
+}
+
+/// Found on the bench: blocks that the leader kept sending work to went first each time, and the ends of another
+/// block's tasks were not recorded for over a minute.
+#[test]
+fn no_block_waits_for_others_that_have_more_to_write() {
+    let mut holder = Holder::new(Job {
+        tasks: 50,
+        ..job(1, 0.1)
+    });
+    holder.put_inventory("a.1", &["m-3"]);
+    holder.lease_block("a.1", FencingToken(5));
+    holder.heartbeat("m-3", FencingToken(5), &[]);
+    // Each round brings new work for both, but only one write can be sent.
+    let mut written: HashMap<BlockId, usize> = HashMap::new();
+    for round in 0..8 {
+        for (block, machine) in [("a.0", "m-1"), ("a.1", "m-3")] {
+            let lease_version = holder.fleet.lease_version(&block.into());
+            let index = round * 2 + u32::from(block == "a.1");
+            let attempt = Attempt {
+                task: TaskId {
+                    job: JobId(1),
+                    index,
+                },
+                number: u64::from(index) + 20,
+            };
+            let assignments = vec![Assignment {
+                attempt,
+                machine: machine.into(),
+            }];
+            let number = u64::from(round) + 1;
+            let work = AssignmentUpdate {
+                block: block.into(),
+                ..assignment_update(lease_version, number, assignments)
+            };
+            assert!(holder.fleet.apply_assignments(work));
+        }
+        holder.now.monotonic += WRITE_CHECK_INTERVAL;
+        let next = holder.fleet.write(
+            holder.now,
+            &holder.config,
+            AMPLE,
+            &mut holder.cache,
+            &holder.catalog,
+        );
+        let (block, _) = next.expect("there is work");
+        let lease_version = holder.fleet.lease_version(&block);
+        *written.entry(block.clone()).or_default() += 1;
+        holder.version += 1;
+        let revision = holder.version;
+        holder.fleet.apply_write_outcome(
+            holder.now,
+            &block,
+            lease_version,
+            &StoreResponse::Committed { revision },
+        );
+    }
+    assert_eq!(written.values().min(), Some(&4), "{written:?}");
+}
+
+/// Found on the bench: each end was recorded by itself as it came, and starts waited up to two seconds for a write.
+#[test]
+fn ends_gather_while_writes_are_scarce() {
+    let mut holder = Holder::new(Job {
+        tasks: 3,
+        ..job(1, 0.1)
+    });
+    holder.assignments(20, "m-1", 1);
+    assert_eq!(holder.write().len(), 1);
+    holder.heartbeat(
+        "m-1",
+        FencingToken(4),
+        &[(20, TaskState::Exited, Some(Cause::Done))],
+    );
+    let scarce = WriteAllowance {
+        ample: false,
+        ..AMPLE
+    };
+    let mut next = |writes: WriteAllowance, after: Duration| {
+        holder.now.monotonic += after;
+        let Holder {
+            fleet,
+            now,
+            config,
+            cache,
+            catalog,
+            ..
+        } = &mut holder;
+        fleet.write(*now, config, writes, cache, catalog).is_some()
+    };
+    assert!(!next(scarce, WRITE_CHECK_INTERVAL), "it has just written");
+    assert!(next(scarce, Duration::from_secs(1)), "but not for long");
+}
+
+#[test]
+fn ends_are_recorded_at_once_while_there_are_writes_in_plenty_or_starts_to_record() {
+    for starts in [false, true] {
+        let mut holder = Holder::new(Job {
+            tasks: 3,
+            ..job(1, 0.1)
+        });
+        holder.assignments(20, "m-1", 1);
+        assert_eq!(holder.write().len(), 1);
+        holder.heartbeat(
+            "m-1",
+            FencingToken(4),
+            &[(20, TaskState::Exited, Some(Cause::Done))],
+        );
+        if starts {
+            holder.assignments(21, "m-2", 2);
+        }
+        holder.now.monotonic += WRITE_CHECK_INTERVAL;
+        let writes = WriteAllowance {
+            ample: !starts,
+            ..AMPLE
+        };
+        let write = holder.fleet.write(
+            holder.now,
+            &holder.config,
+            writes,
+            &mut holder.cache,
+            &holder.catalog,
+        );
+        assert!(write.is_some(), "starts: {starts}");
+    }
+}
+
+/// A transaction whose answer was lost can still be carried out, whatever becomes of the one after it: as long as that is
+/// so, the leader must not release its tasks again.
+#[test]
+fn a_placement_of_unknown_outcome_stays_pending_when_the_next_write_is_refused() {
+    let mut holder = Holder::new(job(1, 1.0));
+    holder.assignments(20, "m-1", 1);
+    let write = |holder: &mut Holder, outcome: StoreResponse| {
+        holder.now.monotonic += Duration::from_secs(1);
+        holder.cache.assume_fresh(holder.now.monotonic);
+        let Holder {
+            fleet,
+            now,
+            config,
+            cache,
+            catalog,
+            ..
+        } = holder;
+        let (block, _) = fleet
+            .write(*now, config, AMPLE, cache, catalog)
+            .expect("something to write");
+        let lease_version = fleet.lease_version(&block);
+        fleet.apply_write_outcome(*now, &block, lease_version, &outcome);
+    };
+    let policy = Policy::defaults(&holder.config);
+    write(&mut holder, StoreResponse::Unknown);
+    // The leader takes the release back.
+    let lease_version = holder.fleet.lease_version(&"a.0".into());
+    assert!(
+        holder
+            .fleet
+            .apply_assignments(assignment_update(lease_version, 2, Vec::new()))
+    );
+    for outcome in [
+        StoreResponse::Refused,
+        StoreResponse::Conflict,
+        StoreResponse::Refused,
+    ] {
+        write(&mut holder, outcome);
+        let status = holder.fleet.status(holder.now, &policy).remove(0);
+        assert_eq!(status.pending, [20]);
+    }
+    // The next one that is carried out decides it.
+    let revision = holder.version + 1;
+    write(&mut holder, StoreResponse::Committed { revision });
+    let status = holder.fleet.status(holder.now, &policy).remove(0);
+    assert_eq!(status.pending, [] as [u64; 0]);
+}
--- a/src/workers/worker/mod.rs
+++ b/src/workers/worker/mod.rs
@@ -1,198 +1,202 @@
-//! A machine's worker as its holder knows it.
+//! A machine's worker as the holder of its block knows it.
+//!
+//! Owns what a worker reported last, its [`Liveness`], the [`Launches`] sent to it and the [`TaskFailures`] of its machine.
+//! The block changes it as heartbeats and responses arrive, and reads it when it prepares commands, placements and the
+//! status for the leader. Nothing here is stored: a new holder learns it anew from heartbeats.
+//!
+//! Invariants: agent epoch and sequence number of the last report only grow; `launches` holds nothing that was sent under an
+//! earlier token of the block or an earlier agent epoch.
 
-use std::collections::{BTreeMap, BTreeSet, HashMap, HashSet};
-use std::time::{Duration, Instant};
+mod failures;
+mod launches;
+mod liveness;
 
-use super::wire::{Cause, TaskState};
-use crate::domain::{AgentEpoch, Attempt, FencingToken, Image, JobId, Now, TaskId, since};
-use crate::peer::{JobFailures, MachineStatus};
-use crate::policy::Policy;
+use std::collections::{BTreeMap, BTreeSet};
+use std::time::Duration;
 
-/// A worker that has not reported for this long gets no new tasks.
-pub(super) const QUIET: Duration = Duration::from_secs(9);
-pub(super) const PROBE_AGAIN: Duration = Duration::from_secs(4);
-/// Jobs whose failures on one machine are kept in mind.
-const MOST_FAILED_JOBS: usize = 16;
+use super::wire::{Cause, Heartbeat, TaskState};
+use crate::domain::{AgentEpoch, Attempt, FencingToken, Image, Now, TaskId};
+use crate::peer::MachineStatus;
+use crate::policy::Policy;
+use crate::store::WatchCache;
+use failures::TaskFailures;
+pub(super) use launches::LaunchOutcome;
+use launches::Launches;
+use liveness::Liveness;
+#[cfg(test)]
+pub(super) use liveness::PROBE_INTERVAL;
 
-/// How a launch under the present token and session went.
-#[derive(Debug, Clone, Copy, PartialEq)]
-pub(super) enum Launch {
-    /// Sent; no answer yet.
-    Sent { at: Instant },
-    /// The worker's answer shows it.
-    Confirmed,
-    /// No answer came: it is repeated after a while.
-    Lost { at: Instant },
-}
+/// Ended tasks that a worker remembers, so that no copy of a launch starts them again, before a new token lets it forget
+/// them.
+const MAX_REMEMBERED_TASKS: usize = 40;
 
+/// An attempt as the worker's last report shows it.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(super) struct ObservedTask {
+    /// The number of the attempt.
     pub(super) number: u64,
     pub(super) state: TaskState,
+    /// How it ended, if it did and the worker says.
     pub(super) cause: Option<Cause>,
 }
 
-/// A machine's worker as its holder knows it.
+impl ObservedTask {
+    /// The attempt of the task that is observed.
+    pub(super) fn attempt(&self, task: TaskId) -> Attempt {
+        Attempt {
+            task,
+            number: self.number,
+        }
+    }
+}
+
+/// The status of a worker that the leader is told, until it acknowledges it.
+#[derive(Debug)]
+pub(super) struct ReportedStatus {
+    pub(super) status: MachineStatus,
+    /// The number of the first block status that holds it.
+    pub(super) number: u64,
+}
+
+/// A machine's worker as the holder of its block knows it.
 #[derive(Debug)]
 pub(super) struct Worker {
+    /// Where it takes commands; unknown until it, or the leader, has told it.
     pub(super) addr: Option<String>,
     pub(super) agent_epoch: AgentEpoch,
-    pub(super) seq: u64,
+    /// The sequence number of its last report.
+    seq: u64,
+    /// The highest fencing token that it has shown.
     pub(super) token: FencingToken,
-    /// Steady time of the last heartbeat that reached us, or of the block lease if there was none yet. Answers don't count.
-    pub(super) heard: Instant,
-    pub(super) reported: bool,
-    pub(super) notice: bool,
+    pub(super) liveness: Liveness,
+    /// The cloud is about to take the machine away.
+    pub(super) termination_notice: bool,
+    /// The tasks of its last report.
     pub(super) tasks: BTreeMap<TaskId, ObservedTask>,
-    pub(super) launches: HashMap<Attempt, Launch>,
-    /// Attempts of which some launch went unanswered: it may still be executed, minutes later, as long as
-    /// token and session stay the same. Only the worker's memory of the attempt keeps it from starting again.
-    pub(super) tainted: HashSet<Attempt>,
-    /// Every attempt that was launched under the present token and session. Copies of a launch may come late though it
-    /// was answered, so those that did not end as done are remembered by the worker until the token has changed: a
-    /// finished task ends again at once, any other would run a second time.
-    pub(super) launched: HashSet<Attempt>,
-    /// A direct command is on its way.
-    pub(super) busy: bool,
-    /// Something to tell the worker that should not wait for its next heartbeat.
-    pub(super) due: bool,
-    /// Since when commands have gone unanswered. Its heartbeats may still come: then what we say does not reach it,
-    /// its lease runs out whatever we answer, and a task that is launched there never starts.
-    pub(super) deaf: Option<Instant>,
-    /// Asked for a sign of life since its last heartbeat: when, and whether it failed to give one.
-    pub(super) probed: Option<(Instant, bool)>,
-    /// Tasks that failed since one was done here. A job with a mistake fails on every machine, so it takes two jobs to
-    /// tell a faulty machine.
-    pub(super) errors: u32,
-    /// How often tasks of each job failed here since one was done.
-    pub(super) failures: BTreeMap<JobId, u32>,
+    pub(super) launches: Launches,
+    pub(super) failures: TaskFailures,
+    /// Images that its tasks have fetched.
     pub(super) images: BTreeSet<Image>,
-    /// What the leader is told of it, and the number of the message that first said so.
-    pub(super) told: Option<(MachineStatus, u64)>,
+    /// A direct command is on its way.
+    pub(super) command_in_flight: bool,
+    /// There may be a command that should not wait for the next heartbeat.
+    pub(super) command_pending: bool,
+    pub(super) reported_status: Option<ReportedStatus>,
 }
 
 impl Worker {
+    /// A worker that has not reported yet.
     pub(super) fn new(now: Now) -> Self {
         Worker {
             addr: None,
             agent_epoch: AgentEpoch(0),
             seq: 0,
             token: FencingToken(0),
-            heard: now.monotonic,
-            reported: false,
-            notice: false,
+            liveness: Liveness::new(now),
+            termination_notice: false,
             tasks: BTreeMap::new(),
-            launches: HashMap::new(),
-            tainted: HashSet::new(),
-            launched: HashSet::new(),
-            busy: false,
-            due: false,
-            deaf: None,
-            probed: None,
-            errors: 0,
-            failures: BTreeMap::new(),
+            launches: Launches::default(),
+            failures: TaskFailures::default(),
             images: BTreeSet::new(),
-            told: None,
+            command_in_flight: false,
+            command_pending: false,
+            reported_status: None,
         }
     }
 
-    /// Takes in how a task ended.
-    pub(super) fn note_end(&mut self, job: JobId, cause: Option<Cause>) {
-        match cause {
-            Some(Cause::Done) => {
-                self.errors = 0;
-                self.failures.clear();
-            }
-            // What another task of its gang ran into says nothing of this one.
-            None | Some(Cause::Stopped | Cause::PeerGone | Cause::Incomplete) => {}
-            Some(cause) => {
-                self.errors += u32::from(cause == Cause::Error);
-                *self.failures.entry(job).or_default() += 1;
-                if self.failures.len() > MOST_FAILED_JOBS {
-                    // The oldest job most likely, by its name.
-                    self.failures.pop_first();
-                }
+    /// Whether a report was made after the last one that was applied.
+    pub(super) fn is_newer(&self, heartbeat: &Heartbeat) -> bool {
+        (heartbeat.agent_epoch, heartbeat.seq) > (self.agent_epoch, self.seq)
+    }
+
+    /// Whether a report shows that the worker has begun a new agent epoch: its lease had expired.
+    pub(super) fn has_new_epoch(&self, heartbeat: &Heartbeat) -> bool {
+        self.agent_epoch != AgentEpoch(0) && heartbeat.agent_epoch != self.agent_epoch
+    }
+
+    /// Takes over what a report says of the worker itself; its tasks apart.
+    pub(super) fn apply_report(&mut self, heartbeat: &Heartbeat) {
+        self.agent_epoch = heartbeat.agent_epoch;
+        self.seq = heartbeat.seq;
+        self.termination_notice = heartbeat.notice_s.is_some();
+        self.addr = Some(heartbeat.addr.clone());
+    }
+
+    /// Takes over the token that a report shows. A worker that has to be shown the block's token, or has just shown it, so
+    /// that tasks can be launched, gets a command.
+    pub(super) fn apply_token(&mut self, shown: FencingToken, block_token: FencingToken) {
+        let reached = shown >= block_token && self.token < block_token;
+        self.token = shown;
+        if self.token < block_token || reached {
+            self.command_pending = true;
+        }
+    }
+
+    /// Notes the images of its tasks, which the machine must have fetched or be fetching.
+    pub(super) fn record_images(&mut self, cache: &WatchCache) {
+        for (task, observed) in &self.tasks {
+            let has_image = matches!(
+                observed.state,
+                TaskState::Running | TaskState::Saving | TaskState::Waiting
+            );
+            if has_image && let Some(open) = cache.open.get(&task.job) {
+                self.images.insert(open.job.image.clone());
             }
         }
     }
 
-    /// What the leader is told of failures here. One job alone never makes a machine faulty.
-    pub(super) fn told_failures(&self) -> (u32, Vec<JobFailures>) {
-        let errors = if self.failures.len() > 1 {
-            self.errors
-        } else {
-            self.errors.min(2)
-        };
-        let failures = self
-            .failures
-            .iter()
-            .map(|(job, count)| JobFailures {
-                job: *job,
-                count: *count,
-            })
-            .collect();
-        (errors, failures)
+    /// The observed task, if it is this attempt.
+    pub(super) fn observed(&self, attempt: &Attempt) -> Option<&ObservedTask> {
+        self.tasks
+            .get(&attempt.task)
+            .filter(|observed| observed.number == attempt.number)
     }
 
-    /// Whether it should be asked for a sign of life: its heartbeat is overdue, or it did not answer lately.
-    pub(super) fn probe_due(&self, now: Now, quiet: Duration) -> bool {
-        (self.reported || self.addr.is_some())
-            && (since(now, self.heard) > quiet || self.deaf.is_some())
-            && self
-                .probed
-                .is_none_or(|(at, _)| since(now, at) > PROBE_AGAIN)
+    /// Whether it should be probed now.
+    pub(super) fn probe_due(&self, now: Now, overdue_after: Duration) -> bool {
+        (self.liveness.has_reported() || self.addr.is_some())
+            && self.liveness.probe_due(now, overdue_after)
     }
 
-    /// Whether it has shown the token, reports, hears us, and is not being taken away.
+    /// Whether tasks can be placed here: it has shown the token, reports, answers commands, and the machine stays.
     pub(super) fn usable(&self, now: Now, token: FencingToken) -> bool {
-        let reachable = self.token >= token && self.deaf.is_none();
-        self.reported && reachable && !self.notice && since(now, self.heard) < QUIET
+        let reachable = self.token >= token && self.liveness.answers_commands();
+        self.liveness.has_reported()
+            && reachable
+            && !self.termination_notice
+            && self.liveness.heartbeat_is_recent(now)
     }
 
-    /// Whether it gives no sign of life: heartbeats are missing and a question went unanswered.
-    pub(super) fn silent(&self, now: Now, policy: &Policy) -> bool {
-        let unanswered = self.probed.is_some_and(|(_, failed)| failed);
-        let patience = match (unanswered, &self.addr) {
-            (true, _) => policy.silent_after,
-            (false, Some(_)) => policy.unheard_after,
-            // Nobody knows where it is, so it can't be asked, and the block's last holder, if it lost only the state
-            // service, answers its heartbeats for the life of its block lease.
-            (false, None) => policy
-                .unheard_after
-                .max(policy.block_lease_duration + policy.silent_after),
-        };
-        let deaf = self
-            .deaf
-            .is_some_and(|at| since(now, at) >= policy.unheard_after);
-        since(now, self.heard) >= patience || deaf
+    /// Whether it is taken for unresponsive.
+    pub(super) fn is_unresponsive(&self, now: Now, policy: &Policy) -> bool {
+        self.liveness
+            .is_unresponsive(now, policy, self.addr.is_some())
     }
 
-    /// Whether a worker may forget an attempt that has ended: no launch of it, nor a copy of one, could start it again.
+    /// Whether the worker may forget an attempt that has ended: no launch of it, nor a copy of one, could start it again.
     pub(super) fn may_forget(&self, attempt: &Attempt, cause: Option<Cause>) -> bool {
-        let harmless = cause == Some(Cause::Done) || !self.launched.contains(attempt);
-        harmless && !self.may_start_late(attempt)
+        let harmless = cause == Some(Cause::Done) || !self.launches.was_sent(attempt);
+        harmless && !self.launches.may_start_late(attempt)
     }
 
-    /// Forgets launches of attempts that the worker has forgotten too: those that it neither lists nor is to list.
-    /// Without this every task that ever ran here would be kept in mind.
+    /// Forgets the launches of attempts that the worker has forgotten too.
     pub(super) fn forget_launches(&mut self, placed: impl Fn(&Attempt) -> bool) {
-        let Worker {
-            launched,
-            tasks,
-            tainted,
-            ..
-        } = self;
-        launched.retain(|attempt| {
-            let listed = tasks
+        let tasks = &self.tasks;
+        let listed = |attempt: &Attempt| {
+            tasks
                 .get(&attempt.task)
-                .is_some_and(|seen| seen.number == attempt.number);
-            listed || tainted.contains(attempt) || placed(attempt)
-        });
+                .is_some_and(|observed| observed.number == attempt.number)
+        };
+        self.launches.forget(listed, placed);
     }
 
-    /// Whether a launch of this attempt may still be on its way.
-    pub(super) fn may_start_late(&self, attempt: &Attempt) -> bool {
-        self.tainted.contains(attempt)
-            || matches!(self.launches.get(attempt), Some(Launch::Sent { .. }))
+    /// Whether only a new token lets it forget what it must remember now.
+    pub(super) fn needs_new_token(&self) -> bool {
+        let ended = self
+            .tasks
+            .values()
+            .filter(|observed| observed.state == TaskState::Exited)
+            .count();
+        self.launches.any_unacknowledged() || ended > MAX_REMEMBERED_TASKS
     }
 }
