--- a/src/workers/block/assignments.rs
+++ b/src/workers/block/assignments.rs
@@ -15,7 +15,7 @@
     pub(super) pending: Vec<Assignment>,
     /// The numbers of attempts that were placed, though the leader may not know that yet.
     handled: HashSet<u64>,
-    /// Those that no machine had room for when the last transaction was prepared.
+    /// Those that fitted no machine when the last transaction was prepared.
     pub(super) unplaceable: Vec<u64>,
     /// Attempts that are to be stopped.
     stops: HashSet<Attempt>,
--- a/src/workers/block/mod.rs
+++ b/src/workers/block/mod.rs
@@ -63,7 +63,7 @@
 struct TokenRenewal {
     /// Since when it is needed.
     needed_since: Option<Instant>,
-    /// The only machines with room for some task must not forget an earlier attempt of it yet.
+    /// The only machines with free resources for some task must not forget an earlier attempt of it yet.
     placement_fenced: bool,
 }
 
@@ -162,7 +162,7 @@
         }
     }
 
-    /// Has the commands to these machines looked for without waiting for their next heartbeats.
+    /// Makes the next round of direct commands include these machines, without waiting for their heartbeats.
     pub(super) fn request_commands(&mut self, machines: impl IntoIterator<Item = MachineId>) {
         for machine in machines {
             if let Some(worker) = self.workers.get_mut(&machine) {
--- a/src/workers/block/placement_writes.rs
+++ b/src/workers/block/placement_writes.rs
@@ -132,7 +132,7 @@
         let (recorded, undecided) = (self.recorded.parts(), self.writer.undecided_parts());
         let (parts, new) = match PartsTransaction::dividing(recorded, limits, undecided) {
             Some(parts) => {
-                info!(block = %self.id, changes = parts.changed().len(), "oversized placements divided");
+                info!(block = %self.id, changes = parts.changed().len(), "a value is too large: divided");
                 (parts, NewPlacements::default())
             }
             None => {
@@ -201,7 +201,7 @@
         parts
     }
 
-    /// Prepares the placement of pending assignments, as far as machines, values and the transaction have room for them.
+    /// Prepares the placement of pending assignments, as far as they fit the machines, the values and the transaction.
     fn prepare_placements(
         &mut self,
         now: Now,
@@ -224,7 +224,7 @@
                 continue;
             };
             let Some(machine) = self.choose_machine(assignment, &open.job, &candidates) else {
-                // Only a machine that must remember an earlier attempt has room: a new token lets it forget.
+                // Only a machine that must remember an earlier attempt could take it: a new token lets it forget.
                 fenced |= candidates
                     .iter()
                     .any(|candidate| accepts(candidate, &open.job));
@@ -252,7 +252,7 @@
         new
     }
 
-    /// The machine for an assignment: the one that the leader has chosen if it still has room, else the best of the block.
+    /// The machine for an assignment: the one that the leader has chosen if the task still fits there, else the best of the block.
     ///
     /// Machines that an earlier attempt of the task may still be launched on are left out.
     fn choose_machine(
--- a/src/workers/mod.rs
+++ b/src/workers/mod.rs
@@ -125,7 +125,7 @@
         }
     }
 
-    /// Has workers told at once when jobs end that have tasks on them.
+    /// Requests commands to the workers that run tasks of jobs which have ended, so that these are stopped at once.
     fn request_stops(&mut self, cache: &WatchCache, changed: &ChangedRecords) {
         for job in &changed.ended {
             for ((index, _), placement) in cache.placed(*job) {
--- a/src/workers/wire/tests.rs
+++ b/src/workers/wire/tests.rs
@@ -30,7 +30,7 @@
 }
 
 #[test]
-fn orders_have_the_form_of_the_protocol() {
+fn commands_have_the_form_of_the_protocol() {
     let task = "j-000377/1".parse().expect("valid");
     let commands = WorkerCommands {
         token: FencingToken(41),
