--- a/src/lib.rs
+++ b/src/lib.rs
@@ -35,7 +35,6 @@
     reason = "not reached yet: #30"
 )]
 pub mod peer;
-#[allow(missing_docs, reason = "not reached yet: #30")]
 pub mod placement;
 #[allow(missing_docs, reason = "not reached yet: #30")]
 pub mod policy;
@@ -52,11 +51,4 @@
 pub mod service;
 pub mod store;
 pub mod upgrade;
-#[allow(
-    missing_docs,
-    clippy::cognitive_complexity,
-    clippy::struct_excessive_bools,
-    clippy::too_many_lines,
-    reason = "not reached yet: #30"
-)]
 pub mod workers;
--- /dev/null
+++ b/src/workers/block/mod.rs
@@ -0,0 +1,300 @@
+//! A block that is leased to this controller.
+//!
+//! A [`Block`] owns all that its holder knows and wants of the block's machines: the workers and their reports
+//! (`heartbeats`), the commands to them (`commands`), the leader's assignments (`assignments`), the record of what runs
+//! where (`recorded`) and the transactions on it (`placement_writes`, `placement_writer`), and the status for the leader
+//! (`status`). [`super::WorkerFleet`] calls it; it sends nothing itself, but returns commands, transactions and messages.
+//!
+//! Invariants:
+//! - An attempt is launched only once it is recorded, and by a worker that has shown the block's token.
+//! - An end is noted in `ended` only if it is proven: the worker, having shown our token, reports the exit, or does not
+//!   report the attempt and no launch of it can be under way; or the machine is deleted.
+//! - One transaction on the placements is under way at a time.
+
+mod assignments;
+mod commands;
+mod heartbeats;
+mod placement_writer;
+mod placement_writes;
+mod recorded;
+mod status;
+
+use std::collections::{BTreeMap, BTreeSet};
+use std::time::{Duration, Instant};
+
+use tracing::info;
+
+use super::worker::Worker;
+use crate::domain::{Attempt, BlockId, FencingToken, JobId, MachineId, Now};
+use crate::policy::Policy;
+use crate::store::records::BlockLease;
+use crate::store::{Versioned, WatchCache};
+use assignments::Assignments;
+pub(super) use commands::CommandChannel;
+pub(super) use heartbeats::HeartbeatSource;
+use placement_writer::PlacementWriter;
+#[cfg(test)]
+pub(super) use placement_writes::WRITE_CHECK_INTERVAL;
+pub(super) use recorded::RecordedPlacements;
+use status::StatusSequence;
+
+/// A new token is asked for when one has been needed for this long.
+pub(super) const TOKEN_RENEWAL_DELAY: Duration = Duration::from_secs(3);
+
+/// How an attempt ended.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+enum Exit {
+    /// It finished its task.
+    Done,
+    /// It is gone, and its task may have to run again.
+    Gone,
+}
+
+/// An attempt that is proven to have ended.
+#[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
+struct EndedAttempt {
+    machine: MachineId,
+    attempt: Attempt,
+}
+
+/// Whether the block needs a new fencing token: workers that show it execute nothing that was sent under the old one, and
+/// may forget the attempts that they had to remember until then.
+#[derive(Debug, Default)]
+struct TokenRenewal {
+    /// Since when it is needed.
+    needed_since: Option<Instant>,
+    /// The only machines with free resources for some task must not forget an earlier attempt of it yet.
+    placement_fenced: bool,
+}
+
+/// A block that is leased to us.
+#[derive(Debug)]
+pub(super) struct Block {
+    pub(super) id: BlockId,
+    pub(super) token: FencingToken,
+    pub(super) lease_version: u64,
+    pub(super) recorded: RecordedPlacements,
+    writer: PlacementWriter,
+    pub(super) workers: BTreeMap<MachineId, Worker>,
+    assignments: Assignments,
+    /// What is proven to have ended, and not yet recorded as such.
+    ended: BTreeMap<EndedAttempt, Exit>,
+    token_renewal: TokenRenewal,
+    /// Workers whose heartbeats were overdue at the last review.
+    overdue_workers: u32,
+    /// Workers that there may be commands for; so that no event has to go through all of them.
+    pub(super) workers_to_command: BTreeSet<MachineId>,
+    /// Workers whose status may have changed since the last message to the leader.
+    workers_to_report: BTreeSet<MachineId>,
+    status_sequence: StatusSequence,
+    /// When it was last checked for something to write.
+    last_write_check: Option<Instant>,
+    /// When it last wrote: the block that has waited longest writes next.
+    pub(super) last_write: Option<Instant>,
+    /// When the jobs were accepted whose tasks were seen to have started, in ms of Unix time, for the metrics.
+    started_accepted_ms: Vec<u64>,
+}
+
+impl Block {
+    /// A block that was just leased to us. Its workers are not known yet.
+    pub(super) fn new(
+        id: BlockId,
+        lease: &Versioned<BlockLease>,
+        recorded: RecordedPlacements,
+    ) -> Self {
+        Block {
+            id,
+            token: lease.value.token,
+            lease_version: lease.version,
+            recorded,
+            writer: PlacementWriter::new(),
+            workers: BTreeMap::new(),
+            assignments: Assignments::default(),
+            ended: BTreeMap::new(),
+            token_renewal: TokenRenewal::default(),
+            overdue_workers: 0,
+            workers_to_command: BTreeSet::new(),
+            workers_to_report: BTreeSet::new(),
+            status_sequence: StatusSequence::default(),
+            last_write_check: None,
+            last_write: None,
+            started_accepted_ms: Vec::new(),
+        }
+    }
+
+    /// Takes up a newer version of the lease, which comes from a new leader. What the old one wanted is void, and no write
+    /// under the old version can be committed any more, so `recorded` holds all that were.
+    pub(super) fn renew_lease(
+        &mut self,
+        lease: &Versioned<BlockLease>,
+        recorded: RecordedPlacements,
+    ) {
+        self.lease_version = lease.version;
+        self.raise_token(lease.value.token);
+        self.recorded = recorded;
+        self.assignments.clear();
+        self.writer.lease_renewed();
+        self.repeat_status();
+    }
+
+    /// Takes up a new token. Workers that have shown it execute nothing that was sent under the old one.
+    fn raise_token(&mut self, token: FencingToken) {
+        if token == self.token {
+            return;
+        }
+        info!(block = %self.id, old = %self.token, %token, "fencing token raised");
+        self.token = token;
+        self.token_renewal = TokenRenewal::default();
+        for (id, worker) in &mut self.workers {
+            worker.launches.clear();
+            worker.command_pending = true;
+            self.workers_to_command.insert(id.clone());
+            self.workers_to_report.insert(id.clone());
+        }
+    }
+
+    /// Makes the next status tell of all machines: a new leader, or the same under a new lease, knows nothing of them.
+    fn repeat_status(&mut self) {
+        self.status_sequence = StatusSequence::default();
+        for (id, worker) in &mut self.workers {
+            worker.reported_status = None;
+            self.workers_to_report.insert(id.clone());
+        }
+    }
+
+    /// Makes the next round of direct commands include these machines, without waiting for their heartbeats.
+    pub(super) fn request_commands(&mut self, machines: impl IntoIterator<Item = MachineId>) {
+        for machine in machines {
+            if let Some(worker) = self.workers.get_mut(&machine) {
+                worker.command_pending = true;
+                self.workers_to_command.insert(machine);
+            }
+        }
+    }
+
+    /// Compares all machines that the block has, or had, with the records.
+    pub(super) fn sync_machines(&mut self, now: Now, cache: &WatchCache) {
+        let inventory = cache.inventories.get(&self.id);
+        let known: BTreeSet<MachineId> = self
+            .workers
+            .keys()
+            .chain(self.recorded.machines())
+            .chain(
+                inventory
+                    .iter()
+                    .flat_map(|inventory| inventory.value.on.keys()),
+            )
+            .cloned()
+            .collect();
+        for machine in known {
+            let record = cache.machines.get(&machine);
+            let in_block = record.is_some_and(|record| record.block == self.id);
+            self.sync_machine(now, &machine, in_block);
+        }
+    }
+
+    /// Takes up a machine that is in the block, and drops one that is not.
+    pub(super) fn sync_machine(&mut self, now: Now, id: &MachineId, in_block: bool) {
+        if in_block {
+            if !self.workers.contains_key(id) {
+                self.workers.insert(id.clone(), Worker::new(now));
+                self.workers_to_report.insert(id.clone());
+            }
+            return;
+        }
+        self.workers.remove(id);
+        // The record of a machine is removed after the cloud has deleted it: its tasks are gone.
+        for attempt in self.recorded.on(id) {
+            let ended = EndedAttempt {
+                machine: id.clone(),
+                attempt,
+            };
+            self.ended.entry(ended).or_insert_with(|| {
+                info!(%attempt, proof = "machine deleted", "task lost");
+                Exit::Gone
+            });
+        }
+    }
+
+    /// Whether an attempt is proven gone, or not recorded on this machine.
+    pub(super) fn proven_gone(&self, machine: &MachineId, attempt: &Attempt) -> bool {
+        let ended = EndedAttempt {
+            machine: machine.clone(),
+            attempt: *attempt,
+        };
+        self.ended.contains_key(&ended) || !self.recorded.contains(machine, attempt)
+    }
+
+    /// The number of workers whose status may have changed.
+    pub(super) fn workers_to_report(&self) -> usize {
+        self.workers_to_report.len()
+    }
+
+    /// The number of attempts that are to be placed or recorded as ended.
+    pub(super) fn changes_pending(&self) -> usize {
+        self.assignments.pending.len() + self.ended.len()
+    }
+
+    /// When the jobs were accepted whose tasks have been seen to start since the last call, in ms of Unix time.
+    pub(super) fn take_started(&mut self) -> Vec<u64> {
+        std::mem::take(&mut self.started_accepted_ms)
+    }
+
+    /// Leaves out a time in which this process was paused and could hear nothing.
+    pub(super) fn process_paused(&mut self, pause: Duration) {
+        for worker in self.workers.values_mut() {
+            worker.liveness.process_paused(pause);
+        }
+    }
+
+    /// What follows from the clock alone: overdue heartbeats, launches to be sent again, probes, a new token.
+    ///
+    /// `overdue_after`: the age of the last heartbeat from which on the next one is overdue.
+    pub(super) fn review(&mut self, now: Now, overdue_after: Duration, policy: &Policy) {
+        self.review_token(now);
+        self.overdue_workers = 0;
+        for (id, worker) in &mut self.workers {
+            let overdue =
+                worker.addr.is_some() && worker.liveness.heartbeat_overdue(now, overdue_after);
+            self.overdue_workers += u32::from(overdue);
+            let recorded = &self.recorded;
+            worker
+                .launches
+                .retain_states(|attempt| recorded.contains(id, attempt));
+            if worker.launches.resend_due(now) && worker.liveness.heartbeat_is_recent(now) {
+                worker.command_pending = true;
+            }
+            let command_due = worker.command_pending || worker.probe_due(now, overdue_after);
+            if command_due && !worker.command_in_flight {
+                self.workers_to_command.insert(id.clone());
+            }
+            let health = (
+                worker.is_unresponsive(now, policy),
+                worker.usable(now, self.token),
+            );
+            let unchanged = worker
+                .reported_status
+                .as_ref()
+                .is_some_and(|reported| (reported.status.silent, reported.status.usable) == health);
+            if !unchanged {
+                self.workers_to_report.insert(id.clone());
+            }
+        }
+    }
+
+    /// Notes since when a new token is needed.
+    fn review_token(&mut self, now: Now) {
+        let needed = self.token_renewal.placement_fenced
+            || self.workers.values().any(Worker::needs_new_token);
+        self.token_renewal.needed_since = self
+            .token_renewal
+            .needed_since
+            .filter(|_| needed)
+            .or_else(|| needed.then_some(now.monotonic));
+    }
+}
+
+/// Whether a job's tasks should run at all.
+pub(super) fn job_is_active(cache: &WatchCache, job: JobId) -> bool {
+    cache.open.get(&job).is_some_and(|open| !open.cancelled)
+}
