--- /dev/null
+++ b/src/provisioning/cloud_requests.rs
@@ -0,0 +1,340 @@
+//! The provisioner's requests to the cloud and what their responses change.
+//!
+//! Requests follow from the records: each recorded rental is (again) requested under its name until its result is
+//! recorded, and each machine that is failed or being returned is (again) terminated. So a request that is lost, repeated
+//! or sent by an earlier leader does no harm. Each request takes a call permit.
+
+use std::time::{Duration, Instant};
+
+use tracing::{debug, info};
+
+use super::{Demand, Provisioner, RETRY_AFTER, ZonedPool};
+use crate::cloud::wire::{ListedMachine, ListedState, MachineList, MachineNames, ScaleOutRequest};
+use crate::cloud::{CloudRequest, CloudResponse};
+use crate::config::Config;
+use crate::domain::{Amount, InstanceTypeName, MachineId, Now, since};
+use crate::policy::Policy;
+use crate::store::WatchCache;
+use crate::store::records::{MachineState, PendingRental};
+use crate::workers::wire::Heartbeat;
+
+/// The protocol's limit for one termination request.
+const MAX_TERMINATED: usize = 100;
+/// How often the cloud's machines are listed.
+const LIST_INTERVAL: Duration = Duration::from_secs(10);
+
+/// What a request to the cloud was sent for. It comes back with the response.
+#[derive(Debug, Clone, PartialEq)]
+pub enum CloudRequestPurpose {
+    /// To read the instance types.
+    RefreshCatalog,
+    /// To carry out a recorded rental.
+    ScaleOut {
+        /// The instance type, which is the key of the rental's record.
+        type_name: InstanceTypeName,
+        /// The recorded rental.
+        pending_rental: PendingRental,
+        /// The version of its record.
+        version: u64,
+    },
+    /// To terminate these machines.
+    Terminate(Vec<MachineId>),
+    /// To terminate machines whose cancelled tasks must stop, by whichever controller.
+    TerminateForCancellation,
+    /// To find machines that nobody has recorded, and workers' addresses.
+    ListMachines,
+}
+
+/// How far the scale-out of an instance type is. One that has no state is to be requested as soon as it is recorded.
+#[derive(Debug)]
+pub(super) enum ScaleOutState {
+    /// The request is sent.
+    InFlight,
+    /// The request was refused or not answered.
+    RetryAt(Instant),
+    /// The cloud has granted or denied it.
+    Fulfilled(FulfilledScaleOut),
+}
+
+/// A scale-out that the cloud has answered, until its machines are recorded.
+#[derive(Debug)]
+pub(super) struct FulfilledScaleOut {
+    pub(super) pending_rental: PendingRental,
+    /// The version of the record of the rental.
+    pub(super) version: u64,
+    /// The machines granted: fewer than requested, or none, if there was no more capacity.
+    pub(super) machines: Vec<MachineId>,
+}
+
+/// How far the listing of the cloud's machines is.
+#[derive(Debug, Default)]
+pub(super) struct MachineListing {
+    in_flight: bool,
+    last_request: Option<Instant>,
+    /// Where the next page begins, if the last one was not the end of the list.
+    next_page_after: Option<MachineId>,
+}
+
+/// A machine that the cloud lists or that reports, but that nobody has recorded.
+#[derive(Debug)]
+pub(super) struct UnrecordedMachine {
+    pub(super) listed: ListedMachine,
+    pub(super) since: Instant,
+}
+
+impl Provisioner {
+    /// The requests that the records call for and that the cloud's rate limit allows now.
+    pub fn cloud_requests(
+        &mut self,
+        now: Now,
+        config: &Config,
+        cache: &WatchCache,
+        demand: &Demand,
+    ) -> Vec<(CloudRequestPurpose, CloudRequest)> {
+        // An earlier leader's writes must be seen first.
+        if !cache.covers(self.term_since) {
+            return Vec::new();
+        }
+        let mut requests = self.scale_out_requests(now, config, cache);
+        requests.extend(self.termination_request(now, config, cache, demand));
+        requests.extend(self.list_request(now, config));
+        requests
+    }
+
+    fn scale_out_requests(
+        &mut self,
+        now: Now,
+        config: &Config,
+        cache: &WatchCache,
+    ) -> Vec<(CloudRequestPurpose, CloudRequest)> {
+        let mut requests = Vec::new();
+        for (type_name, record) in &cache.pending_rentals {
+            let due = match self.scale_outs.get(type_name) {
+                None => true,
+                Some(ScaleOutState::RetryAt(at)) => now.monotonic >= *at,
+                Some(ScaleOutState::InFlight | ScaleOutState::Fulfilled(_)) => false,
+            };
+            if !due || !self.permits.try_acquire(now, config.cloud_rps) {
+                continue;
+            }
+            self.scale_outs
+                .insert(type_name.clone(), ScaleOutState::InFlight);
+            let pending_rental = record.value.clone();
+            let request = ScaleOutRequest {
+                request: pending_rental.request.clone(),
+                type_name: type_name.clone(),
+                zone: pending_rental.zone.clone(),
+                spot: pending_rental.capacity_type.is_spot(),
+                count: pending_rental.count,
+            };
+            let purpose = CloudRequestPurpose::ScaleOut {
+                type_name: type_name.clone(),
+                pending_rental,
+                version: record.version,
+            };
+            requests.push((purpose, CloudRequest::Rent(request)));
+        }
+        requests
+    }
+
+    fn termination_request(
+        &mut self,
+        now: Now,
+        config: &Config,
+        cache: &WatchCache,
+        demand: &Demand,
+    ) -> Option<(CloudRequestPurpose, CloudRequest)> {
+        if !self.terminations.can_request(now) {
+            return None;
+        }
+        let is_due = |id: &MachineId, state: MachineState| {
+            let returned = state == MachineState::Returning && !demand.occupied.contains(id);
+            !self.terminations.is_unrecorded(id) && (self.machines.is_failed(id) || returned)
+        };
+        let due: Vec<MachineId> = cache
+            .machines
+            .iter()
+            .filter(|(id, machine)| is_due(id, machine.state))
+            .map(|(id, _)| id.clone())
+            .take(MAX_TERMINATED)
+            .collect();
+        if due.is_empty() || !self.permits.try_acquire(now, config.cloud_rps) {
+            return None;
+        }
+        self.terminations.requested();
+        let purpose = CloudRequestPurpose::Terminate(due.clone());
+        Some((
+            purpose,
+            CloudRequest::Delete(MachineNames { machines: due }),
+        ))
+    }
+
+    fn list_request(
+        &mut self,
+        now: Now,
+        config: &Config,
+    ) -> Option<(CloudRequestPurpose, CloudRequest)> {
+        let listing = &mut self.listing;
+        let due = listing.next_page_after.is_some()
+            || listing
+                .last_request
+                .is_none_or(|at| since(now, at) >= LIST_INTERVAL);
+        if listing.in_flight || !due || !self.permits.try_acquire(now, config.cloud_rps) {
+            return None;
+        }
+        listing.in_flight = true;
+        listing.last_request = Some(now.monotonic);
+        let after = listing.next_page_after.clone();
+        Some((
+            CloudRequestPurpose::ListMachines,
+            CloudRequest::List { after },
+        ))
+    }
+
+    /// Takes in the cloud's response to a request of [`Provisioner::cloud_requests`].
+    pub fn cloud_responded(
+        &mut self,
+        now: Now,
+        policy: &Policy,
+        config: &Config,
+        cache: &WatchCache,
+        purpose: CloudRequestPurpose,
+        response: CloudResponse,
+    ) {
+        match (purpose, response) {
+            (
+                CloudRequestPurpose::ScaleOut {
+                    type_name,
+                    pending_rental,
+                    version,
+                },
+                response,
+            ) => {
+                self.scale_out_responded(now, policy, &type_name, pending_rental, version, response)
+            }
+            (CloudRequestPurpose::Terminate(machines), CloudResponse::Deleted) => {
+                self.terminations.succeeded(now, machines);
+            }
+            (CloudRequestPurpose::Terminate(_), _) => self.terminations.failed(now),
+            (CloudRequestPurpose::ListMachines, CloudResponse::Listed(list)) => {
+                self.listing.in_flight = false;
+                let last = list.machines.last().filter(|_| list.more);
+                self.listing.next_page_after = last.map(|machine| machine.id.clone());
+                self.observe_list(now, config, cache, list);
+            }
+            (CloudRequestPurpose::ListMachines, _) => self.listing.in_flight = false,
+            // Not the provisioner's own.
+            (
+                CloudRequestPurpose::RefreshCatalog | CloudRequestPurpose::TerminateForCancellation,
+                _,
+            ) => {}
+        }
+    }
+
+    fn scale_out_responded(
+        &mut self,
+        now: Now,
+        policy: &Policy,
+        type_name: &InstanceTypeName,
+        pending_rental: PendingRental,
+        version: u64,
+        response: CloudResponse,
+    ) {
+        let PendingRental {
+            ref request,
+            ref zone,
+            capacity_type,
+            count,
+        } = pending_rental;
+        let machines = match response {
+            CloudResponse::Rented(MachineNames { machines }) => {
+                let got = machines.len();
+                info!(%request, %type_name, %zone, ?capacity_type, wanted = count, got, "scale-out fulfilled");
+                if got < count as usize {
+                    self.mark_unavailable(now, policy, type_name, &pending_rental);
+                }
+                self.machines.boots.start(now, &machines);
+                machines
+            }
+            CloudResponse::NoCapacity => {
+                debug!(%request, %type_name, %zone, ?capacity_type, "instance type unavailable");
+                self.mark_unavailable(now, policy, type_name, &pending_rental);
+                Vec::new()
+            }
+            _ => {
+                // A late response to an earlier leader's request must not hide what was granted since.
+                let granted = self.scale_outs.get(type_name);
+                if !matches!(granted, Some(ScaleOutState::Fulfilled(_))) {
+                    let retry = ScaleOutState::RetryAt(now.monotonic + RETRY_AFTER);
+                    self.scale_outs.insert(type_name.clone(), retry);
+                }
+                return;
+            }
+        };
+        let fulfilled = FulfilledScaleOut {
+            pending_rental,
+            version,
+            machines,
+        };
+        self.scale_outs
+            .insert(type_name.clone(), ScaleOutState::Fulfilled(fulfilled));
+    }
+
+    /// Notes that the cloud has no more machines of a type where they were requested.
+    pub(super) fn mark_unavailable(
+        &mut self,
+        now: Now,
+        policy: &Policy,
+        type_name: &InstanceTypeName,
+        pending_rental: &PendingRental,
+    ) {
+        let capacity = ZonedPool::new(
+            type_name.clone(),
+            pending_rental.capacity_type,
+            pending_rental.zone.clone(),
+        );
+        self.unavailable.mark(now, capacity, policy.stockout_memory);
+    }
+
+    fn observe_list(&mut self, now: Now, config: &Config, cache: &WatchCache, list: MachineList) {
+        for listed in list.machines {
+            if cache.machines.contains_key(&listed.id) {
+                if let (ListedState::Running, Some(address)) = (listed.state, &listed.addr) {
+                    self.machines.listed_address(&listed.id, address);
+                }
+                if listed.state == ListedState::Failed {
+                    self.machines.listed_as_failed(&listed.id);
+                }
+            } else if since(now, self.term_since) > config.list_lag * 3
+                && listed.age_s.0 > config.list_lag.as_secs_f64()
+            {
+                // What an earlier leader terminated is listed a while longer; only what stays is unrecorded.
+                self.observe_unrecorded(now, listed);
+            }
+        }
+    }
+
+    /// Takes in the heartbeat of a worker whose machine nobody has recorded: a scale-out that was carried out late, or a
+    /// machine that was there before this cluster.
+    pub fn observe_unrecorded_machine(&mut self, now: Now, heartbeat: &Heartbeat) {
+        let listed = ListedMachine {
+            id: heartbeat.machine.clone(),
+            addr: Some(heartbeat.addr.clone()),
+            type_name: heartbeat.type_name.clone(),
+            zone: heartbeat.zone.clone(),
+            spot: heartbeat.spot,
+            state: ListedState::Running,
+            age_s: Amount(0.0),
+        };
+        self.observe_unrecorded(now, listed);
+    }
+
+    fn observe_unrecorded(&mut self, now: Now, listed: ListedMachine) {
+        if !self.terminations.is_recent(&listed.id) {
+            let since = now.monotonic;
+            self.unrecorded
+                .entry(listed.id.clone())
+                .or_insert(UnrecordedMachine { listed, since });
+        }
+    }
+}
--- a/src/provisioning/demand.rs
+++ b/src/provisioning/demand.rs
@@ -44,6 +44,17 @@
     pub zone: Zone,
 }
 
+impl ZonedPool {
+    /// The machines of this type and capacity type in this zone.
+    #[must_use]
+    pub fn new(type_name: InstanceTypeName, capacity_type: CapacityType, zone: Zone) -> Self {
+        ZonedPool {
+            pool: MachinePool::new(type_name, capacity_type),
+            zone,
+        }
+    }
+}
+
 /// How long tasks have run in a pool, and how many of them have ended. The mean run time is the total over the tasks
 /// that ended, so that tasks that still run count too.
 #[derive(Debug, Clone, Copy, Default)]
--- a/src/provisioning/inventory_edits.rs
+++ b/src/provisioning/inventory_edits.rs
@@ -7,7 +7,8 @@
 use crate::domain::{BlockId, InstanceTypeName, MachineId, Zone};
 use crate::leader_context::LeaderContext;
 use crate::store::records::{
-    FIRST_PART, InventoryEntry, MachineInventory, PARTS_FORMAT, Part, inventory_part_key,
+    FIRST_PART, InventoryEntry, MachineInventory, MachineState, PARTS_FORMAT, Part,
+    inventory_part_key,
 };
 use crate::store::{Transaction, WatchCache};
 
@@ -89,6 +90,19 @@
         edits
     }
 
+    /// Edits that change at most `most` values.
+    pub(super) fn with_limit(
+        leader: &LeaderContext<'_>,
+        cache: &'a WatchCache,
+        demand: &Demand,
+        most: usize,
+    ) -> Self {
+        InventoryEdits {
+            most,
+            ..InventoryEdits::new(leader, cache, demand)
+        }
+    }
+
     /// The part of a block's values that a machine may come to need.
     pub(super) fn share(&self, id: &MachineId, entry: &InventoryEntry) -> f64 {
         let tasks = self
@@ -202,6 +216,15 @@
         true
     }
 
+    /// Sets the state of a recorded machine. False: the transaction has no room, or there is no such machine.
+    pub(super) fn set_state(&mut self, id: &MachineId, state: MachineState) -> bool {
+        self.change(id, |inventory| {
+            if let Some(entry) = inventory.on.get_mut(id) {
+                entry.state = state;
+            }
+        })
+    }
+
     /// Brings a value that is too large into parts that fit. Nothing else may be changed before that is done. None: there
     /// is no such value.
     pub(super) fn divide(&mut self) -> Option<Division> {
--- /dev/null
+++ b/src/provisioning/inventory_writes.rs
@@ -0,0 +1,196 @@
+//! The provisioner's writes to inventories: machines that were granted, terminated, found unrecorded, or whose state
+//! operators want changed, and values that are too large.
+//!
+//! Each function returns one transaction, conditioned on the leader's record by its caller, or None if there is nothing
+//! of its kind to write. The caller sends one at a time, in the order of their urgency.
+
+use std::time::Duration;
+
+use tracing::info;
+
+use super::cloud_requests::{FulfilledScaleOut, ScaleOutState, UnrecordedMachine};
+use super::inventory_edits::{InventoryEdits, too_large};
+use super::machine_observations::has_tasks;
+use super::scaling_round::Round;
+use super::{Demand, Provisioner};
+use crate::domain::{CapacityType, MachineId, since};
+use crate::leader_context::LeaderContext;
+use crate::store::records::{
+    DRAIN_FORMAT, InventoryEntry, MachineState, PARTS_FORMAT, inventory_part_key,
+    pending_rental_key,
+};
+use crate::store::{Transaction, WatchCache};
+
+/// How long a pending rental of the same type may explain an unrecorded machine.
+const MAY_BE_GRANTED_FOR: Duration = Duration::from_secs(5);
+/// The cloud's ages beyond this, in seconds, are taken for mistakes.
+const OLDEST_S: f64 = 1e9;
+
+impl Provisioner {
+    /// Records the machines of one fulfilled scale-out in place of its pending rental.
+    pub(super) fn record_fulfilled(
+        &mut self,
+        round: Round<'_>,
+        txn: &Transaction,
+    ) -> Option<Transaction> {
+        let cache = round.cache;
+        // Recorded already, if our copy no longer has the rental.
+        self.scale_outs.retain(|name, state| match state {
+            ScaleOutState::Fulfilled(fulfilled) => cache
+                .pending_rentals
+                .get(name)
+                .is_some_and(|rental| rental.version == fulfilled.version),
+            ScaleOutState::InFlight | ScaleOutState::RetryAt(_) => true,
+        });
+        let (name, fulfilled) = self
+            .scale_outs
+            .iter()
+            .find_map(|(name, state)| match state {
+                ScaleOutState::Fulfilled(fulfilled) => Some((name, fulfilled)),
+                ScaleOutState::InFlight | ScaleOutState::RetryAt(_) => None,
+            })?;
+        let FulfilledScaleOut {
+            pending_rental,
+            version,
+            machines,
+        } = fulfilled;
+        let mut edits = InventoryEdits::new(round.leader, cache, round.demand);
+        for machine in machines
+            .iter()
+            .filter(|machine| !cache.machines.contains_key(*machine))
+        {
+            let entry = InventoryEntry {
+                type_name: name.clone(),
+                capacity_type: pending_rental.capacity_type,
+                state: MachineState::InService,
+                rented_s: round.now.unix_ms() / 1000,
+            };
+            // What does not fit this transaction reports, or is listed, and is recorded then.
+            edits.add(&pending_rental.zone, machine, entry, 1);
+        }
+        let key = pending_rental_key(name);
+        Some(edits.apply(txn.clone().when(key.clone(), *version).delete(key)))
+    }
+
+    /// Takes terminated machines out of their inventories.
+    pub(super) fn record_terminated(
+        &self,
+        round: Round<'_>,
+        txn: &Transaction,
+    ) -> Option<Transaction> {
+        let machines = self
+            .terminations
+            .to_record(round.now, |id| has_tasks(round.cache, id));
+        if machines.is_empty() {
+            return None;
+        }
+        let mut edits = round.batched_edits();
+        for machine in machines {
+            edits.change(machine, |inventory| {
+                inventory.on.remove(machine);
+            });
+        }
+        edits.any().then(|| edits.apply(txn.clone()))
+    }
+
+    /// Adds machines that nobody has recorded to inventories.
+    pub(super) fn record_unrecorded(
+        &mut self,
+        round: Round<'_>,
+        txn: &Transaction,
+    ) -> Option<Transaction> {
+        let Round { now, cache, .. } = round;
+        self.unrecorded
+            .retain(|id, _| !cache.machines.contains_key(id));
+        let is_due = |machine: &UnrecordedMachine| {
+            !cache
+                .pending_rentals
+                .contains_key(&machine.listed.type_name)
+                || since(now, machine.since) > MAY_BE_GRANTED_FOR
+        };
+        let due: Vec<MachineId> = self
+            .unrecorded
+            .iter()
+            .filter(|(_, machine)| is_due(machine))
+            .map(|(id, _)| id.clone())
+            .collect();
+        if due.is_empty() {
+            return None;
+        }
+        let mut edits = round.batched_edits();
+        for id in due {
+            let Some(UnrecordedMachine { listed, .. }) = self.unrecorded.get(&id) else {
+                continue;
+            };
+            let entry = InventoryEntry {
+                type_name: listed.type_name.clone(),
+                capacity_type: CapacityType::from_spot(listed.spot),
+                state: MachineState::InService,
+                rented_s: (now.unix_ms() / 1000)
+                    .saturating_sub(listed.age_s.0.clamp(0.0, OLDEST_S) as u64),
+            };
+            if !edits.add(&listed.zone, &id, entry, 0) {
+                break;
+            }
+            info!(machine = %id, type_name = %listed.type_name, "unrecorded machine added to inventory");
+            self.unrecorded.remove(&id);
+        }
+        edits.any().then(|| edits.apply(txn.clone()))
+    }
+
+    /// Records the states of machines that operators cordon, drain, return or put back into service.
+    pub(super) fn record_desired_states(
+        &mut self,
+        round: Round<'_>,
+        txn: &Transaction,
+    ) -> Option<Transaction> {
+        let Round { cache, demand, .. } = round;
+        let differs = |id: &MachineId, state: MachineState| {
+            let machine = cache.machines.get(id);
+            machine.is_some_and(|machine| machine.state != state)
+        };
+        self.desired_states.retain(|id, state| differs(id, *state));
+        if self.desired_states.is_empty() || cache.format() < DRAIN_FORMAT {
+            return None;
+        }
+        let mut edits = round.batched_edits();
+        for (id, state) in &self.desired_states {
+            let occupied = demand.occupied.contains(id);
+            if *state == MachineState::Returning && occupied {
+                continue;
+            }
+            if edits.set_state(id, *state) {
+                info!(machine = %id, ?state, "machine state changed");
+            }
+        }
+        edits.any().then(|| edits.apply(txn.clone()))
+    }
+}
+
+/// Divides the value of an inventory that is too large for the limits in force into parts.
+pub(super) fn divide_inventory(
+    leader: &LeaderContext<'_>,
+    cache: &WatchCache,
+    demand: &Demand,
+    txn: &Transaction,
+) -> Option<Transaction> {
+    // Seldom is there one, and the edits look at all tasks there are.
+    if cache.format() < PARTS_FORMAT
+        || too_large(cache, leader.config.state_limits.value_bytes).is_none()
+    {
+        return None;
+    }
+    let mut edits = InventoryEdits::new(leader, cache, demand);
+    let division = edits.divide()?;
+    info!(block = %division.block, "a value is too large: divided");
+    let mut txn = edits.apply(txn.clone());
+    if let Some(part) = division.finished {
+        let parts = cache.inventory_parts(&division.block);
+        let version = parts.and_then(|parts| parts.get(&part));
+        let key = inventory_part_key(&division.block, part);
+        txn = txn
+            .when(key.clone(), version.map_or(0, |part| part.version))
+            .delete(key);
+    }
+    Some(txn)
+}
--- a/src/provisioning/scaling_round.rs
+++ b/src/provisioning/scaling_round.rs
@@ -1,4 +1,7 @@
-//! One round of the rule: which machines are ordered and which are returned.
+//! One round of the scale-out rule: which machines are requested and which are returned.
+//!
+//! Called for the next write when nothing more urgent is to be recorded, at most once in each `round` of the policy. Its
+//! effect is one transaction: at most one pending rental for each instance type, and machines marked as returning.
 
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
@@ -7,15 +10,20 @@
 use tracing::{debug, info};
 
 use super::inventory_edits::InventoryEdits;
-use super::{
-    ASK_AGAIN, Demand, MOST_RENTED, MachinePool, Provisioner, RunTimes, ZonedPool, square_root_rule,
-};
+use super::{Demand, MachinePool, Provisioner, RunTimes, ZonedPool, square_root_rule};
 use crate::cloud::wire::InstanceType;
 use crate::domain::{BlockId, CapacityType, MachineId, Now, Zone, since};
 use crate::leader_context::LeaderContext;
 use crate::store::records::{MachineState, PendingRental, pending_rental_key};
 use crate::store::{Machine, Transaction, WatchCache};
 
+/// The protocol's limit for one scale-out request.
+const MAX_REQUESTED: i64 = 50;
+/// Shares of machines below this are rounding errors.
+const ROUNDING: f64 = 1e-9;
+/// Boot times are taken for at least this many seconds.
+const SHORTEST_BOOT_S: f64 = 0.1;
+
 /// What a round goes by.
 #[derive(Clone, Copy)]
 pub(super) struct Round<'a> {
@@ -25,22 +33,44 @@
     pub(super) demand: &'a Demand,
 }
 
-/// Machines that a pool lacks.
+impl<'a> Round<'a> {
+    /// Edits of as many inventories as the rate of writes allows.
+    pub(super) fn batched_edits(self) -> InventoryEdits<'a> {
+        InventoryEdits::with_limit(self.leader, self.cache, self.demand, self.leader.batch)
+    }
+}
+
+/// What the scale-out rule says of a pool.
+struct Recommendation {
+    /// The demand that the rule was applied to, in machines.
+    demand: f64,
+    /// Machines to rent; to return, if negative.
+    machines_to_add: i64,
+}
+
+/// A zone in which tasks wait that may not go elsewhere.
+struct ZoneShortage {
+    zone: Zone,
+    /// The machines that are not yet requested for them.
+    count: i64,
+}
+
+/// Machines that a pool is short of.
 #[derive(Debug, Clone, PartialEq)]
 pub(super) struct Shortage {
     pub(super) capacity_type: CapacityType,
     /// The only zone that will do for some of the tasks that wait.
     zone: Option<Zone>,
     count: i64,
-    /// Tasks wait, beyond the margin that is short.
+    /// Whether the demand itself is not covered, and not only its margin.
     tasks_wait: bool,
-    /// Some are to be had, as far as is known.
+    /// Whether some can be had, as far as is known.
     obtainable: bool,
 }
 
 impl Shortage {
-    /// The one to order for: one call for each type goes out in a round. What has run out must not keep the other kind
-    /// from being ordered, however much of it is short.
+    /// The one to request for: one request for each type goes out in a round. What is unavailable must not keep the other
+    /// capacity type from being requested, however much of it is short.
     pub(super) fn worst(shortages: impl IntoIterator<Item = Option<Shortage>>) -> Option<Shortage> {
         shortages
             .into_iter()
@@ -50,30 +80,24 @@
 }
 
 impl Provisioner {
-    /// One round of the rule.
+    /// One round of the rule, if it is time for one. Adds what it decides to the transaction.
     pub(super) fn round(&mut self, round: Round<'_>, mut txn: Transaction) -> Option<Transaction> {
         let Round {
-            now,
-            leader,
-            cache,
-            demand,
+            now, leader, cache, ..
         } = round;
-        if !cache.covers(self.term_since)
-            || self
-                .round
-                .is_some_and(|at| since(now, at) < leader.policy.round)
-        {
+        let early = |at| since(now, at) < leader.policy.round;
+        if !cache.covers(self.term_since) || self.last_round.is_some_and(early) {
             return None;
         }
-        self.round = Some(now.monotonic);
+        self.last_round = Some(now.monotonic);
         let machines = self.machines(cache);
-        let mut edits = InventoryEdits::new(leader, cache, demand);
-        // One change for each type's order, the rest for the blocks of machines that are returned.
-        edits.most = leader
+        // One change for each type's rental, the rest for the blocks of machines that are returned.
+        let limit = leader
             .batch
             .saturating_sub(leader.catalog.all().count())
             .max(1);
-        let mut ordered = false;
+        let mut edits = InventoryEdits::with_limit(leader, cache, round.demand, limit);
+        let mut requested = false;
         for instance_type in leader
             .catalog
             .all()
@@ -86,18 +110,17 @@
                 self.shortage(round, instance_type, &pool, available)
             });
             if let Some(pending_rental) = Shortage::worst(shortages)
-                .and_then(|shortage| self.pending_rental(round, instance_type, shortage))
+                .and_then(|shortage| self.request_scale_out(round, instance_type, shortage))
             {
-                txn = txn
-                    .when(pending_rental_key(&instance_type.name), 0)
-                    .put(pending_rental_key(&instance_type.name), &pending_rental);
-                ordered = true;
+                let key = pending_rental_key(&instance_type.name);
+                txn = txn.when(key.clone(), 0).put(key, &pending_rental);
+                requested = true;
             }
         }
-        (ordered || edits.any()).then(|| edits.apply(txn))
+        (requested || edits.any()).then(|| edits.apply(txn))
     }
 
-    /// Drains machines of a pool that has too many.
+    /// Marks machines of a pool that has too many as returning.
     fn return_surplus(
         &self,
         round: Round<'_>,
@@ -105,38 +128,43 @@
         available: u32,
         edits: &mut InventoryEdits<'_>,
     ) {
-        let (change, needed) = self.change(round, pool, available);
-        let Ok(surplus) = usize::try_from(-change) else {
+        let Recommendation {
+            demand: needed,
+            machines_to_add,
+        } = self.recommendation(round, pool, available);
+        let Ok(surplus) = usize::try_from(-machines_to_add) else {
             return;
         };
         for id in self.returnable(round, pool, surplus) {
-            let drained = edits.change(&id, |inventory| {
-                if let Some(entry) = inventory.on.get_mut(&id) {
-                    entry.state = MachineState::Returning;
-                }
-            });
-            if drained {
-                info!(machine = %id, type_name = %pool.type_name, capacity_type = ?pool.capacity_type, needed, available, "returning");
+            if edits.set_state(&id, MachineState::Returning) {
+                info!(machine = %id, type_name = %pool.type_name, capacity_type = ?pool.capacity_type, needed, available, "scale-in requested");
             }
         }
     }
 
-    /// What the rule says of a pool, and the demand that it is about.
-    fn change(&self, round: Round<'_>, pool: &MachinePool, available: u32) -> (i64, f64) {
+    /// Applies the scale-out rule to a pool.
+    fn recommendation(
+        &self,
+        round: Round<'_>,
+        pool: &MachinePool,
+        available: u32,
+    ) -> Recommendation {
         let Round { leader, demand, .. } = round;
-        let needed = demand.of(pool);
         let eta = leader
             .catalog
             .get(&pool.type_name)
             .map_or(1.0, |instance_type| {
                 self.eta(instance_type, demand.run_times.get(pool))
             });
-        (
-            square_root_rule::machines_to_add(needed, available, eta, leader.policy.headroom),
-            needed,
-        )
+        let demand = demand.of(pool);
+        let headroom = leader.policy.headroom;
+        Recommendation {
+            demand,
+            machines_to_add: square_root_rule::machines_to_add(demand, available, eta, headroom),
+        }
     }
 
+    /// What a pool is short of, if it is. `available`: its machines, up or requested.
     pub(super) fn shortage(
         &self,
         round: Round<'_>,
@@ -144,22 +172,25 @@
         pool: &MachinePool,
         available: u32,
     ) -> Option<Shortage> {
-        let (change, needed) = self.change(round, pool, available);
+        let Recommendation {
+            demand: needed,
+            machines_to_add,
+        } = self.recommendation(round, pool, available);
         // The rule counts machines of all zones. Tasks that wait for one zone are short there whatever stands idle
         // elsewhere.
-        let pinned = self.short_zone(round, pool);
-        let count = change.max(pinned.as_ref().map_or(0, |(_, short)| *short));
+        let pinned = self.zone_shortage(round, pool);
+        let count = machines_to_add.max(pinned.as_ref().map_or(0, |pinned| pinned.count));
         if count <= 0 {
             return None;
         }
         let in_stock =
             |zone: &Zone| self.available(round.now, &instance_type.name, zone, pool.capacity_type);
-        let zone = pinned.map(|(zone, _)| zone);
+        let zone = pinned.map(|pinned| pinned.zone);
         let obtainable = match &zone {
             Some(zone) => in_stock(zone),
             None => instance_type.zones.iter().any(in_stock),
         };
-        debug!(type_name = %pool.type_name, capacity_type = ?pool.capacity_type, needed, available, count, obtainable, "short of machines");
+        debug!(type_name = %pool.type_name, capacity_type = ?pool.capacity_type, needed, available, count, obtainable, "machine shortage");
         Some(Shortage {
             capacity_type: pool.capacity_type,
             zone,
@@ -169,8 +200,8 @@
         })
     }
 
-    /// The order for a shortage, unless it was asked for in vain just now.
-    fn pending_rental(
+    /// The rental for a shortage, unless it was requested in vain just now.
+    fn request_scale_out(
         &mut self,
         round: Round<'_>,
         instance_type: &InstanceType,
@@ -191,67 +222,65 @@
         if self.is_closed(&instance_type.name, &zone) {
             return None;
         }
-        if !self.available(now, &instance_type.name, &zone, capacity_type) {
-            let again = self.asked_again.get(&instance_type.name);
-            if !leader.spare && again.is_some_and(|at| since(now, *at) < ASK_AGAIN) {
-                return None;
-            }
-            self.asked_again
-                .insert(instance_type.name.clone(), now.monotonic);
+        if !self.available(now, &instance_type.name, &zone, capacity_type)
+            && !self
+                .unavailable
+                .try_probe(now, &instance_type.name, leader.spare)
+        {
+            return None;
         }
-        self.next_request += 1;
+        self.last_request += 1;
         let pending_rental = PendingRental {
-            request: format!("r-{}-{}", self.term, self.next_request),
+            request: format!("r-{}-{}", self.term, self.last_request),
             zone,
             capacity_type,
-            count: u32::try_from(count.min(MOST_RENTED)).unwrap_or(1),
+            count: u32::try_from(count.min(MAX_REQUESTED)).unwrap_or(1),
         };
-        info!(request = %pending_rental.request, type_name = %instance_type.name, zone = %pending_rental.zone, ?capacity_type, count, "order");
+        info!(request = %pending_rental.request, type_name = %instance_type.name, zone = %pending_rental.zone, ?capacity_type, count, "scale-out requested");
         Some(pending_rental)
     }
 
-    /// A zone in which tasks wait that may not go elsewhere, and the machines that are not yet on order for them.
-    fn short_zone(&self, round: Round<'_>, pool: &MachinePool) -> Option<(Zone, i64)> {
+    /// The zone that lacks the most machines for tasks that may not go elsewhere, among those with capacity.
+    fn zone_shortage(&self, round: Round<'_>, pool: &MachinePool) -> Option<ZoneShortage> {
         let Round {
             now, cache, demand, ..
         } = round;
-        let coming = |zone: &Zone| {
-            let here = |m: &Machine| {
-                pool.contains(&m.type_name, m.capacity_type)
-                    && m.zone == *zone
-                    && m.state.takes_tasks()
-            };
-            let booting = |id: &MachineId| {
-                !self.up.contains(id) && !self.failed.contains(id) && !self.late.contains(id)
+        let booting_in = |zone: &Zone| {
+            let here = |machine: &Machine| {
+                pool.contains(&machine.type_name, machine.capacity_type)
+                    && machine.zone == *zone
+                    && machine.state.takes_tasks()
             };
             cache
                 .machines
                 .iter()
-                .filter(|(id, machine)| here(machine) && booting(id))
+                .filter(|(id, machine)| here(machine) && self.machines.is_booting(id))
                 .count() as i64
         };
+        let available =
+            |zone: &Zone| self.available(now, &pool.type_name, zone, pool.capacity_type);
         demand
             .pinned
             .iter()
-            .filter(|(zoned, _)| {
-                zoned.pool == *pool
-                    && self.available(now, &pool.type_name, &zoned.zone, pool.capacity_type)
-            })
-            .map(|(ZonedPool { zone, .. }, share)| {
-                (zone.clone(), (share - 1e-9).ceil() as i64 - coming(zone))
+            .filter(|(zoned, _)| zoned.pool == *pool && available(&zoned.zone))
+            .map(|(ZonedPool { zone, .. }, machines)| ZoneShortage {
+                zone: zone.clone(),
+                count: (machines - ROUNDING).ceil() as i64 - booting_in(zone),
             })
-            .filter(|(_, short)| *short > 0)
-            .max_by_key(|(_, short)| *short)
+            .filter(|shortage| shortage.count > 0)
+            .max_by_key(|shortage| shortage.count)
     }
 
-    /// Boot time over mean run time. Both are measured; the run time starts as if one task had run for one
-    /// boot, which makes eta 1 until there is more to go by.
+    /// The eta of the scale-out rule: expected boot time over mean run time. Both are measured; the run time starts as if
+    /// one task had run for one boot, which makes eta 1 until there is more to go by.
+    #[must_use]
     pub fn eta(&self, instance_type: &InstanceType, run_times: Option<&RunTimes>) -> f64 {
         let boot = self
-            .boot_times
-            .expected(&instance_type.name, instance_type.boot_time())
+            .machines
+            .boots
+            .expected(instance_type)
             .as_secs_f64()
-            .max(0.1);
+            .max(SHORTEST_BOOT_S);
         let RunTimes { total, ended } = run_times.copied().unwrap_or_default();
         let mean_run = (total.as_secs_f64() + boot) / (f64::from(ended) + 1.0);
         boot / mean_run
@@ -272,9 +301,9 @@
             .map_or(0.0, |instance_type| instance_type.boot_s.0);
         let patience = Duration::from_secs_f64(boot * leader.policy.idle_boots);
         let rested = |id: &MachineId| {
-            self.idle
-                .get(id)
-                .is_some_and(|at| since(now, *at) >= patience)
+            self.machines
+                .idle_for(now, id)
+                .is_some_and(|idle| idle >= patience)
         };
         let mut idle: Vec<_> = cache
             .machines
@@ -284,7 +313,7 @@
                     && machine.state.takes_tasks()
                     && !demand.occupied.contains(*id)
                     && rested(id)
-                    && !self.failed.contains(*id)
+                    && !self.machines.is_failed(id)
                     && now.unix_ms().saturating_sub(machine.rented_s * 1000) >= least_ms
             })
             .collect();
@@ -305,20 +334,20 @@
         idle.into_iter().map(|(id, _)| id.clone()).collect()
     }
 
-    /// The zone with the fewest machines among those that may have some to give. If all have run out, the one
-    /// that did so first is asked again, as long as tasks wait.
+    /// The zone with the fewest machines among those that may have capacity. If none has, the one found so first is tried
+    /// again, as long as tasks wait.
     fn zone_for(
         &self,
         now: Now,
         instance_type: &InstanceType,
         capacity_type: CapacityType,
-        wanted: bool,
+        tasks_wait: bool,
         cache: &WatchCache,
     ) -> Option<Zone> {
-        let out_until = |zone: &Zone| {
-            self.stockouts
-                .get(&(instance_type.name.clone(), zone.clone(), capacity_type))
-                .copied()
+        let unavailable_until = |zone: &Zone| {
+            let name = instance_type.name.clone();
+            self.unavailable
+                .until(&ZonedPool::new(name, capacity_type, zone.clone()))
         };
         let count = |zone: &Zone| cache.machines.values().filter(|m| m.zone == *zone).count();
         instance_type
@@ -330,8 +359,8 @@
                 instance_type
                     .zones
                     .iter()
-                    .filter(|zone| wanted && !self.is_closed(&instance_type.name, zone))
-                    .min_by_key(|zone| out_until(zone))
+                    .filter(|zone| tasks_wait && !self.is_closed(&instance_type.name, zone))
+                    .min_by_key(|zone| unavailable_until(zone))
             })
             .cloned()
     }
--- a/src/provisioning/tests.rs
+++ b/src/provisioning/tests.rs
@@ -2,17 +2,19 @@
 
 use super::*;
 use crate::block_leases;
+use crate::cancellation;
+use crate::cloud::InstanceCatalog;
 use crate::cloud::wire::InstanceTypeList;
 use crate::cloud::wire::tests::instance_type;
+use crate::config::Config;
 use crate::config::tests::SETTINGS;
-use crate::domain::{Attempt, JobId, TaskId, Term};
+use crate::domain::{JobId, TaskId};
 use crate::placement::tests::job;
 use crate::policy::Policy;
 use crate::store::Change;
-use crate::store::records::PendingRental;
 use crate::store::records::{
-    BlockPlacements, JobRecord, MachineInventory, MachineState, encode, inventory_key, job_key,
-    placements_key,
+    BlockPlacements, InventoryEntry, JobRecord, MachineInventory, PendingRental, encode,
+    inventory_key, job_key, placements_key,
 };
 
 /// Found by a search of seeds: a machine hung with a cancelled task on it, and its block changed hands so often that
@@ -72,9 +74,12 @@
             wall: start.wall + after,
             ..start
         };
-        provisioner.overdue(now, &config, &cache, |_, _| false);
         provisioner
-            .failed
+            .machines
+            .fail_overdue_cancellations(now, &config, &cache, |_, _| false);
+        provisioner
+            .machines
+            .failed()
             .iter()
             .map(|id| id.0.to_string())
             .collect::<Vec<_>>()
@@ -162,7 +167,7 @@
             });
             provisioner.observe(now, &leader, &cache, &health.collect(), heard, |_, _| false);
         }
-        provisioner.failed.len()
+        provisioner.machines.failed().len()
     };
     let heard: BTreeSet<Zone> = ["a".into(), "b".into()].into();
     let given_up = |zones: &[&str], after: Duration| given_up_if(zones, after, &heard);
@@ -197,7 +202,7 @@
         });
     }
     assert_eq!(
-        provisioner.failed.len(),
+        provisioner.machines.failed().len(),
         0,
         "they may just not have reported yet"
     );
