--- a/src/cloud/instance_catalog.rs
+++ b/src/cloud/instance_catalog.rs
@@ -1,4 +1,8 @@
-//! The machine types, as the cloud tells them.
+//! The catalogue of instance types, as the cloud lists them.
+//!
+//! Owned by each controller, which reads it anew every half minute. Invariants: one request is in flight at a time; types
+//! with a number that is not finite or is negative are left out; a type that is no longer listed stays known, since
+//! machines of it may run on.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::{Duration, Instant};
@@ -7,31 +11,39 @@
 use crate::config::Config;
 use crate::domain::{InstanceTypeName, Job, Now, Zone, since};
 
-/// The machine types, once the cloud has told them.
+/// The instance types, once the cloud has listed them.
 #[derive(Debug, Default)]
 pub struct InstanceCatalog {
     types: BTreeMap<InstanceTypeName, InstanceType>,
-    asked: Option<Instant>,
-    busy: bool,
+    last_request: Option<Instant>,
+    in_flight: bool,
 }
 
+/// How long after a request the next one is due while no type is known.
 const CATALOG_RETRY: Duration = Duration::from_secs(1);
+/// How long after a request the next one is due once types are known.
 const CATALOG_REFRESH: Duration = Duration::from_secs(30);
 
 impl InstanceCatalog {
+    /// Whether any type is known.
+    #[must_use]
     pub fn known(&self) -> bool {
         !self.types.is_empty()
     }
 
+    /// The type of that name.
+    #[must_use]
     pub fn get(&self, name: &InstanceTypeName) -> Option<&InstanceType> {
         self.types.get(name)
     }
 
+    /// All types, by name.
     pub fn all(&self) -> impl Iterator<Item = &InstanceType> {
         self.types.values()
     }
 
-    /// Whether an empty machine of some allowed type holds a task.
+    /// Whether a task of the job fits on an empty machine of some type and zone that the job allows.
+    #[must_use]
     pub fn fit(&self, job: &Job) -> bool {
         self.all().any(|instance_type| {
             job.allows_type(&instance_type.name)
@@ -40,6 +52,8 @@
         })
     }
 
+    /// The zones of the settings and of all types, by name.
+    #[must_use]
     pub fn zones(&self, config: &Config) -> Vec<Zone> {
         let mut zones: BTreeSet<Zone> = config.zones.iter().cloned().collect();
         zones.extend(
@@ -49,37 +63,39 @@
         zones.into_iter().collect()
     }
 
+    /// Whether the types are to be requested now; if so, notes that they are.
     pub fn due(&mut self, now: Now) -> bool {
         let pause = if self.known() {
             CATALOG_REFRESH
         } else {
             CATALOG_RETRY
         };
-        let due = !self.busy && self.asked.is_none_or(|asked| since(now, asked) >= pause);
+        let due = !self.in_flight && self.last_request.is_none_or(|at| since(now, at) >= pause);
         if due {
-            self.busy = true;
-            self.asked = Some(now.monotonic);
+            self.in_flight = true;
+            self.last_request = Some(now.monotonic);
         }
         due
     }
 
+    /// Takes in the response to the request. None: it was refused or not answered.
     pub fn answered(&mut self, list: Option<InstanceTypeList>) {
-        self.busy = false;
+        self.in_flight = false;
         let Some(list) = list else { return };
-        let sane = |f: &InstanceType| {
+        let is_plausible = |instance_type: &InstanceType| {
             [
-                f.cpus,
-                f.gpus,
-                f.memory_gb,
-                f.price,
-                f.spot_price,
-                f.boot_s,
-                f.fetch_gb_per_s,
+                instance_type.cpus,
+                instance_type.gpus,
+                instance_type.memory_gb,
+                instance_type.price,
+                instance_type.spot_price,
+                instance_type.boot_s,
+                instance_type.fetch_gb_per_s,
             ]
             .iter()
             .all(|value| value.0.is_finite() && value.0 >= 0.0)
         };
-        for instance_type in list.types.into_iter().filter(sane) {
+        for instance_type in list.types.into_iter().filter(is_plausible) {
             self.types.insert(instance_type.name.clone(), instance_type);
         }
     }
--- a/src/cloud/wire.rs
+++ b/src/cloud/wire.rs
@@ -1,4 +1,7 @@
-//! The cloud's protocol, as PROTOCOL spells it.
+//! The cloud's protocol: its messages as PROTOCOL spells them, and the translation of requests and responses.
+//!
+//! The names on the wire stand in serde attributes only. Called by the event loop, which sends what [`request`] returns and
+//! hands the reply to [`outcome`].
 
 use std::time::Duration;
 
@@ -8,31 +11,43 @@
 use crate::domain::{Amount, InstanceTypeName, MachineId, Resources, Zone};
 use crate::http::{Reply, Request, read, write};
 
+/// All instance types that the cloud has.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct InstanceTypeList {
+    /// The instance types, in no particular order.
     #[serde(rename = "berthKinds")]
     pub types: Vec<InstanceType>,
 }
 
-/// A machine type.
+/// An instance type: what a machine of it has, costs and takes to boot.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct InstanceType {
+    /// Its unique name.
     pub name: InstanceTypeName,
+    /// CPUs of a machine.
     pub cpus: Amount,
+    /// GPUs of a machine.
     #[serde(rename = "cards", default)]
     pub gpus: Amount,
+    /// Memory of a machine, in gigabytes.
     #[serde(rename = "ramGb")]
     pub memory_gb: Amount,
+    /// Space for cached images, in gigabytes.
     #[serde(rename = "cacheGb", default)]
     pub cache_gb: Amount,
+    /// How fast a machine fetches images, in gigabytes a second.
     #[serde(rename = "pullGbPerS")]
     pub fetch_gb_per_s: Amount,
+    /// Price of an on-demand machine, as the cloud states it.
     #[serde(rename = "rate")]
     pub price: Amount,
+    /// Price of a spot machine, in the same unit.
     #[serde(rename = "spotPrice")]
     pub spot_price: Amount,
+    /// The stated boot time, in seconds. See [`InstanceType::boot_time`].
     #[serde(rename = "readyS")]
     pub boot_s: Amount,
+    /// The zones that have machines of this type.
     #[serde(rename = "wings")]
     pub zones: Vec<Zone>,
 }
@@ -41,12 +56,15 @@
 const LONGEST_BOOT: Duration = Duration::from_secs(3600);
 
 impl InstanceType {
-    /// The boot time that the cloud states.
+    /// The boot time that the cloud states, at most an hour.
+    #[must_use]
     pub fn boot_time(&self) -> Duration {
         Duration::try_from_secs_f64(self.boot_s.0)
             .map_or(LONGEST_BOOT, |boot| boot.min(LONGEST_BOOT))
     }
 
+    /// The resources of an empty machine.
+    #[must_use]
     pub fn room(&self) -> Resources {
         Resources {
             cpus: self.cpus.0,
@@ -55,72 +73,101 @@
         }
     }
 
+    /// How long a machine takes to fetch an image, in seconds for each gigabyte.
+    #[must_use]
     pub fn fetch_s_per_gb(&self) -> f64 {
         1.0 / self.fetch_gb_per_s.0.max(1e-3)
     }
 }
 
+/// A request for machines. It may be repeated: the cloud carries out each name once.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct ScaleOutRequest {
+    /// The unique name of the request.
     #[serde(rename = "requisition")]
     pub request: String,
+    /// The instance type.
     #[serde(rename = "berthKind")]
     pub type_name: InstanceTypeName,
+    /// The zone.
     #[serde(rename = "wing")]
     pub zone: Zone,
+    /// Spot machines, not on-demand ones.
     #[serde(rename = "loaner")]
     pub spot: bool,
+    /// The number of machines requested.
     #[serde(rename = "howMany")]
     pub count: u32,
 }
 
+/// The machines that were granted, or are to be terminated.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct MachineNames {
+    /// Their ids.
     #[serde(rename = "berths")]
     pub machines: Vec<MachineId>,
 }
 
+/// One page of the list of machines.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct MachineList {
+    /// The machines of the page.
     #[serde(rename = "berths")]
     pub machines: Vec<ListedMachine>,
+    /// Whether more pages follow.
     #[serde(default)]
     pub more: bool,
 }
 
+/// A machine as the cloud lists it.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct ListedMachine {
+    /// Its id.
     pub id: MachineId,
-    /// Its worker's address.
+    /// Its worker's address, once that is known.
     #[serde(rename = "endpoint", default)]
     pub addr: Option<String>,
+    /// The instance type.
     #[serde(rename = "berthKind")]
     pub type_name: InstanceTypeName,
+    /// The zone.
     #[serde(rename = "wing")]
     pub zone: Zone,
+    /// Spot machines, not on-demand ones.
     #[serde(rename = "loaner")]
     pub spot: bool,
+    /// Its state.
     #[serde(rename = "status")]
     pub state: ListedState,
+    /// How long it has been rented, in seconds.
     #[serde(rename = "heldS", default)]
     pub age_s: Amount,
 }
 
+/// The state of a machine as the cloud lists it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ListedState {
+    /// Granted, but its worker has not started.
     #[serde(rename = "booting")]
     Booting,
+    /// Its worker has started.
     #[serde(rename = "running")]
     Running,
+    /// It will never come up, or has broken down.
     #[serde(rename = "failed")]
     Failed,
+    /// A state that this version does not know.
     #[serde(other)]
     Other,
 }
 
+/// How long a response is waited for.
 const TIMEOUT: Duration = Duration::from_secs(5);
+/// The machines of one page of the list.
 const PAGE: u32 = 500;
 
+/// The HTTP request for a call.
+#[must_use]
 pub fn request(call: &CloudRequest) -> Request {
     match call {
         CloudRequest::ListInstanceTypes => Request::get("/flavors".to_owned(), TIMEOUT),
@@ -138,6 +185,8 @@
     }
 }
 
+/// What a reply to a call means. None: there was none, or it did not come in time.
+#[must_use]
 pub fn outcome(call: &CloudRequest, reply: Option<&Reply>) -> CloudResponse {
     let Some(reply) = reply else {
         return CloudResponse::Unknown;
--- a/src/cloud/wire/tests.rs
+++ b/src/cloud/wire/tests.rs
@@ -1,3 +1,5 @@
+//! The cloud's protocol, and an instance type for the tests of other modules.
+
 use ciborium::cbor;
 
 use super::*;
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -10,7 +10,6 @@
 #[allow(missing_docs, reason = "not reached yet: #30")]
 pub mod cli;
 pub mod client;
-#[allow(missing_docs, reason = "not reached yet: #30")]
 pub mod cloud;
 #[allow(missing_docs, clippy::too_many_lines, reason = "not reached yet: #30")]
 pub mod config;
@@ -39,12 +38,6 @@
 pub mod placement;
 #[allow(missing_docs, reason = "not reached yet: #30")]
 pub mod policy;
-#[allow(
-    missing_docs,
-    clippy::struct_excessive_bools,
-    clippy::too_many_lines,
-    reason = "not reached yet: #30"
-)]
 pub mod provisioning;
 #[allow(missing_docs, clippy::too_many_lines, reason = "not reached yet: #30")]
 pub mod scheduler;
--- a/src/provisioning/cloud_requests.rs
+++ b/src/provisioning/cloud_requests.rs
@@ -45,13 +45,12 @@
     ListMachines,
 }
 
-/// How far the scale-out of an instance type is. One that has no state is to be requested as soon as it is recorded.
+/// How far the scale-out of an instance type is. One that has no state is to be requested as soon as it is recorded, but
+/// not before its time for a retry.
 #[derive(Debug)]
 pub(super) enum ScaleOutState {
     /// The request is sent.
     InFlight,
-    /// The request was refused or not answered.
-    RetryAt(Instant),
     /// The cloud has granted or denied it.
     Fulfilled(FulfilledScaleOut),
 }
@@ -109,12 +108,12 @@
     ) -> Vec<(CloudRequestPurpose, CloudRequest)> {
         let mut requests = Vec::new();
         for (type_name, record) in &cache.pending_rentals {
-            let due = match self.scale_outs.get(type_name) {
-                None => true,
-                Some(ScaleOutState::RetryAt(at)) => now.monotonic >= *at,
-                Some(ScaleOutState::InFlight | ScaleOutState::Fulfilled(_)) => false,
-            };
-            if !due || !self.permits.try_acquire(now, config.cloud_rps) {
+            let waits = self
+                .scale_out_retries
+                .get(type_name)
+                .is_some_and(|at| now.monotonic < *at);
+            let busy = self.scale_outs.contains_key(type_name);
+            if busy || waits || !self.permits.try_acquire(now, config.cloud_rps) {
                 continue;
             }
             self.scale_outs
@@ -262,12 +261,12 @@
                 Vec::new()
             }
             _ => {
-                // A late response to an earlier leader's request must not hide what was granted since.
-                let granted = self.scale_outs.get(type_name);
-                if !matches!(granted, Some(ScaleOutState::Fulfilled(_))) {
-                    let retry = ScaleOutState::RetryAt(now.monotonic + RETRY_AFTER);
-                    self.scale_outs.insert(type_name.clone(), retry);
+                // A late response to a request of an earlier term must not hide what was granted since.
+                if let Some(ScaleOutState::InFlight) = self.scale_outs.get(type_name) {
+                    self.scale_outs.remove(type_name);
                 }
+                self.scale_out_retries
+                    .insert(type_name.clone(), now.monotonic + RETRY_AFTER);
                 return;
             }
         };
--- a/src/provisioning/inventory_edits.rs
+++ b/src/provisioning/inventory_edits.rs
@@ -1,9 +1,16 @@
-//! Which block a machine goes to, and changes to inventories so that each block's value is written once.
+//! Changes to inventories, gathered so that each value is written once, and the choice of the block that a machine
+//! goes to.
+//!
+//! Made anew for each transaction of the provisioner, from the local copy of the records; [`InventoryEdits::apply`] turns
+//! it into changes of that transaction, each conditioned on the version that was read. Invariant: it never touches more
+//! values than its limit.
 
 use std::collections::{BTreeMap, HashMap};
 
 use super::Demand;
 use crate::block_leases;
+use crate::cloud::InstanceCatalog;
+use crate::cloud::wire::InstanceType;
 use crate::domain::{BlockId, InstanceTypeName, MachineId, Zone};
 use crate::leader_context::LeaderContext;
 use crate::store::records::{
@@ -12,30 +19,40 @@
 };
 use crate::store::{Transaction, WatchCache};
 
-/// Changes to inventories, gathered so that each value is written once.
+/// Room left in each part of an inventory, in bytes.
+const INVENTORY_RESERVE_BYTES: usize = 64;
+/// What one placed task takes of its block's value, in bytes.
+const TASK_BYTES: f64 = 22.0;
+/// The most tasks that are reckoned with on one machine.
+const MOST_TASKS: f64 = 32.0;
+
+/// Changes to inventories that are not yet written.
 pub(super) struct InventoryEdits<'a> {
-    pub(super) cache: &'a WatchCache,
+    cache: &'a WatchCache,
     inventories: BTreeMap<(BlockId, Part), MachineInventory>,
     /// Values that one transaction may change.
-    pub(super) most: usize,
+    most: usize,
     /// What one of them may measure; None: blocks are not divided yet.
     part_bytes: Option<usize>,
     /// The blocks of each zone, and how full each is for its value: by its machines, and by the tasks they may get.
-    pub(super) blocks: BTreeMap<Zone, BTreeMap<BlockId, f64>>,
-    pub(super) value_bytes: f64,
-    pub(super) tasks: HashMap<InstanceTypeName, f64>,
+    blocks: BTreeMap<Zone, BTreeMap<BlockId, f64>>,
+    value_bytes: f64,
+    /// The tasks to expect on a machine of each type.
+    tasks: HashMap<InstanceTypeName, f64>,
 }
 
 /// How full a block may be of what its machines may hold before a new one is opened: what a value can't hold can't
 /// be placed. The rest is for finished tasks of arrays that are spread over many blocks.
-pub(super) const BLOCK_FULL: f64 = 0.7;
+const BLOCK_FULL: f64 = 0.7;
 /// Tasks expected on a machine before there are any to go by.
-pub(super) const TASKS_UNKNOWN: f64 = 4.0;
-/// From so many machines on, what they have tells how many tasks to expect, with so much to spare.
-pub(super) const ENOUGH_SEEN: usize = 10;
-pub(super) const TASKS_SPARE: f64 = 1.25;
+const TASKS_UNKNOWN: f64 = 4.0;
+/// From so many machines of a type on, their tasks tell how many to expect.
+const ENOUGH_SEEN: usize = 10;
+/// Tasks to expect are those observed times this.
+const TASKS_SPARE: f64 = 1.25;
 
 impl<'a> InventoryEdits<'a> {
+    /// No edits yet. At most as many values may be changed as one transaction takes beside the leader's condition.
     pub(super) fn new(leader: &LeaderContext<'_>, cache: &'a WatchCache, demand: &Demand) -> Self {
         let LeaderContext {
             config,
@@ -43,30 +60,6 @@
             catalog,
             ..
         } = *leader;
-        let mut seen: HashMap<&InstanceTypeName, (usize, usize)> = HashMap::new();
-        for live in cache.live_placements() {
-            let (machines, tasks) = seen.entry(&live.machine.type_name).or_default();
-            *machines += 1;
-            *tasks += live.attempts().count();
-        }
-        let tasks = catalog
-            .all()
-            .map(|instance_type| {
-                let most = demand.smallest.map_or(TASKS_UNKNOWN, |need| {
-                    f64::from(instance_type.room().count_of(&need))
-                });
-                let usual = seen
-                    .get(&instance_type.name)
-                    .filter(|(machines, _)| *machines >= ENOUGH_SEEN)
-                    .map_or(most, |(machines, tasks)| {
-                        *tasks as f64 / *machines as f64 * TASKS_SPARE
-                    });
-                (
-                    instance_type.name.clone(),
-                    usual.min(most).clamp(1.0, MOST_TASKS),
-                )
-            })
-            .collect();
         let mut edits = InventoryEdits {
             cache,
             inventories: BTreeMap::new(),
@@ -74,7 +67,7 @@
             most: config.state_limits.txn_ops - 1,
             blocks: BTreeMap::new(),
             value_bytes: config.block_bytes as f64,
-            tasks,
+            tasks: expected_tasks(catalog, cache, demand),
         };
         for (block, zone) in block_leases::wanted(&catalog.zones(config), config, policy, cache) {
             let fill = cache.inventories.get(&block).map_or(0.0, |inventory| {
@@ -104,7 +97,7 @@
     }
 
     /// The part of a block's values that a machine may come to need.
-    pub(super) fn share(&self, id: &MachineId, entry: &InventoryEntry) -> f64 {
+    fn share(&self, id: &MachineId, entry: &InventoryEntry) -> f64 {
         let tasks = self
             .tasks
             .get(&entry.type_name)
@@ -169,7 +162,7 @@
         let mut parts: Vec<Part> = edited.map(|(_, part)| *part).chain(parts).collect();
         let next = parts.iter().max().map_or(FIRST_PART, |last| last + 1);
         parts.push(next);
-        let needed = entry.size(id) + entry.type_name.0.len() + ROSTER_RESERVE_BYTES;
+        let needed = entry.size(id) + entry.type_name.0.len() + INVENTORY_RESERVE_BYTES;
         let fits = |part: &Part| {
             let edited = self.inventories.get(&(block.clone(), *part));
             let recorded = || Some(&known?.get(part)?.value);
@@ -261,10 +254,12 @@
         })
     }
 
+    /// Whether anything is changed.
     pub(super) fn any(&self) -> bool {
         !self.inventories.is_empty()
     }
 
+    /// Adds the changes to a transaction, each on condition that its value is still the one that was read.
     pub(super) fn apply(self, mut txn: Transaction) -> Transaction {
         for ((block, part), inventory) in &self.inventories {
             let old = self
@@ -280,7 +275,43 @@
     }
 }
 
-/// An inventory's value that is larger than this.
+/// How many tasks to expect on a machine of each type: those observed, if there are enough machines to go by, else as
+/// many of the smallest tasks as fit.
+fn expected_tasks(
+    catalog: &InstanceCatalog,
+    cache: &WatchCache,
+    demand: &Demand,
+) -> HashMap<InstanceTypeName, f64> {
+    #[derive(Default)]
+    struct Seen {
+        machines: usize,
+        tasks: usize,
+    }
+    let mut seen: HashMap<&InstanceTypeName, Seen> = HashMap::new();
+    for live in cache.live_placements() {
+        let of_type = seen.entry(&live.machine.type_name).or_default();
+        of_type.machines += 1;
+        of_type.tasks += live.attempts().count();
+    }
+    let expected = |instance_type: &InstanceType| {
+        let most = demand.smallest.map_or(TASKS_UNKNOWN, |need| {
+            f64::from(instance_type.room().count_of(&need))
+        });
+        let usual = seen
+            .get(&instance_type.name)
+            .filter(|seen| seen.machines >= ENOUGH_SEEN)
+            .map_or(most, |seen| {
+                seen.tasks as f64 / seen.machines as f64 * TASKS_SPARE
+            });
+        usual.min(most).clamp(1.0, MOST_TASKS)
+    };
+    catalog
+        .all()
+        .map(|instance_type| (instance_type.name.clone(), expected(instance_type)))
+        .collect()
+}
+
+/// The first part of an inventory whose value is larger than this.
 pub(super) fn too_large(cache: &WatchCache, bytes: usize) -> Option<(BlockId, Part)> {
     cache.inventories.keys().find_map(|block| {
         let mut parts = cache.inventory_parts(block)?.iter();
@@ -295,10 +326,3 @@
     /// All that it holds is in other parts with this transaction, so that it can be deleted in it.
     pub(super) finished: Option<Part>,
 }
-
-/// Room left in each part of an inventory.
-const ROSTER_RESERVE_BYTES: usize = 64;
-
-/// What one placed task takes of its block's value, and the most of them that are reckoned with on one machine.
-pub(super) const TASK_BYTES: f64 = 22.0;
-pub(super) const MOST_TASKS: f64 = 32.0;
--- a/src/provisioning/inventory_writes.rs
+++ b/src/provisioning/inventory_writes.rs
@@ -40,14 +40,14 @@
                 .pending_rentals
                 .get(name)
                 .is_some_and(|rental| rental.version == fulfilled.version),
-            ScaleOutState::InFlight | ScaleOutState::RetryAt(_) => true,
+            ScaleOutState::InFlight => true,
         });
         let (name, fulfilled) = self
             .scale_outs
             .iter()
             .find_map(|(name, state)| match state {
                 ScaleOutState::Fulfilled(fulfilled) => Some((name, fulfilled)),
-                ScaleOutState::InFlight | ScaleOutState::RetryAt(_) => None,
+                ScaleOutState::InFlight => None,
             })?;
         let FulfilledScaleOut {
             pending_rental,
--- a/src/provisioning/mod.rs
+++ b/src/provisioning/mod.rs
@@ -59,6 +59,8 @@
     /// The number of the last scale-out request of this term.
     last_request: u64,
     scale_outs: BTreeMap<InstanceTypeName, ScaleOutState>,
+    /// When types may be requested again whose request was refused or not answered.
+    scale_out_retries: BTreeMap<InstanceTypeName, Instant>,
     unavailable: UnavailableCapacity,
     terminations: Terminations,
     listing: MachineListing,
@@ -84,6 +86,7 @@
             last_round: None,
             last_request: 0,
             scale_outs: BTreeMap::new(),
+            scale_out_retries: BTreeMap::new(),
             unavailable: UnavailableCapacity::default(),
             terminations: Terminations::new(),
             listing: MachineListing::default(),
--- a/src/provisioning/terminations.rs
+++ b/src/provisioning/terminations.rs
@@ -16,17 +16,12 @@
 /// How long the cloud may still list a machine that it has terminated.
 const LISTED_FOR: Duration = Duration::from_secs(120);
 
-#[derive(Debug, Clone, Copy)]
-enum RequestState {
-    Idle,
-    InFlight,
-    RetryAt(Instant),
-}
-
 /// The terminations requested and carried out in this term.
 #[derive(Debug)]
 pub(super) struct Terminations {
-    request: RequestState,
+    in_flight: bool,
+    /// When the next request may be sent after one that was refused or not answered.
+    not_before: Option<Instant>,
     unrecorded: BTreeSet<MachineId>,
     recent: HashMap<MachineId, Instant>,
 }
@@ -35,7 +30,8 @@
     /// None requested yet.
     pub(super) fn new() -> Self {
         Terminations {
-            request: RequestState::Idle,
+            in_flight: false,
+            not_before: None,
             unrecorded: BTreeSet::new(),
             recent: HashMap::new(),
         }
@@ -43,21 +39,17 @@
 
     /// Whether the next request may be sent.
     pub(super) fn can_request(&self, now: Now) -> bool {
-        match self.request {
-            RequestState::Idle => true,
-            RequestState::InFlight => false,
-            RequestState::RetryAt(at) => now.monotonic >= at,
-        }
+        !self.in_flight && self.not_before.is_none_or(|at| now.monotonic >= at)
     }
 
     /// Notes that a request was sent.
     pub(super) fn requested(&mut self) {
-        self.request = RequestState::InFlight;
+        self.in_flight = true;
     }
 
     /// Notes that the cloud has terminated these machines.
     pub(super) fn succeeded(&mut self, now: Now, machines: Vec<MachineId>) {
-        self.request = RequestState::Idle;
+        self.in_flight = false;
         for machine in machines {
             self.recent.insert(machine.clone(), now.monotonic);
             self.unrecorded.insert(machine);
@@ -66,7 +58,8 @@
 
     /// Notes that the cloud refused the request or did not respond.
     pub(super) fn failed(&mut self, now: Now) {
-        self.request = RequestState::RetryAt(now.monotonic + RETRY_AFTER);
+        self.in_flight = false;
+        self.not_before = Some(now.monotonic + RETRY_AFTER);
     }
 
     /// Forgets what is recorded and what the cloud no longer lists.
