--- a/src/scheduler/opportunistic.rs
+++ b/src/scheduler/best_effort.rs
@@ -17,7 +17,7 @@
 pub(super) const RESTRICTED_FOR: Duration = Duration::from_secs(45);
 
 /// Whether the job's team has no guarantee, while others have one, and the job is not urgent.
-pub(super) fn is_opportunistic(config: &Config, job: &Job) -> bool {
+pub(super) fn is_best_effort(config: &Config, job: &Job) -> bool {
     let urgent = matches!(job.priority, Priority::Production | Priority::High);
     let has_guarantee = |cpus: f64, gpus: f64| cpus > 0.0 || gpus > 0.0;
     let of_job = config
@@ -34,9 +34,9 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub(super) enum Reach {
     All,
-    /// Opportunistic work that may cost what it will.
+    /// Best-effort work that may cost what it will.
     Unreserved,
-    /// Opportunistic work.
+    /// Best-effort work.
     CheapAndUnreserved,
 }
 
@@ -53,7 +53,7 @@
     allowed.then(|| price / f64::from(each))
 }
 
-/// The most that a task of the job may cost. Of an opportunistic job a multiple of what it costs on the cheapest
+/// The most that a task of the job may cost. Of a best-effort job a multiple of what it costs on the cheapest
 /// machines, whether these can be had or not. Those may all be taken for good: if less than half of it got anywhere in
 /// a while, the rest may cost what it will. `waited`: since it was accepted; `begun`: its tasks that are done, placed or
 /// released.
@@ -70,7 +70,7 @@
         ..
     } = *leader;
     let starved = waited >= policy.opportunistic_patience && begun * 2 < u64::from(job.tasks);
-    if !is_opportunistic(config, job) || starved {
+    if !is_best_effort(config, job) || starved {
         return f64::INFINITY;
     }
     let pools = catalog.all().flat_map(|instance_type| {
@@ -83,14 +83,14 @@
     prices.fold(f64::INFINITY, f64::min) * policy.opportunistic_price * (1.0 + 1e-9)
 }
 
-/// Where opportunistic work may go.
-pub(super) struct Opportunities<'a> {
+/// Where best-effort work may go.
+pub(super) struct BestEffortPlacement<'a> {
     catalog: &'a InstanceCatalog,
     /// Machines whose room is left for the next starts of guaranteed work.
     reserved: HashSet<MachineId>,
 }
 
-impl<'a> Opportunities<'a> {
+impl<'a> BestEffortPlacement<'a> {
     /// `guaranteed`: the demand of all other work, in machines. What the rule adds to it as its margin is reserved, on
     /// the machines with the most room.
     pub(super) fn new(
@@ -109,13 +109,13 @@
             let margin = square_root_rule::headroom(*demand, eta) * leader.policy.headroom;
             reserved.extend(emptiest(candidates, pool, (margin - 1e-9).ceil() as usize));
         }
-        Opportunities {
+        BestEffortPlacement {
             catalog: leader.catalog,
             reserved,
         }
     }
 
-    /// Whether a task of an opportunistic job may go to this machine.
+    /// Whether a task of a best-effort job may go to this machine.
     pub(super) fn allow(&self, job: &Job, price_limit: f64, candidate: &Candidate) -> bool {
         let instance_type = self.catalog.get(&candidate.type_name);
         let price = instance_type
--- a/src/scheduler/opportunistic/tests.rs
+++ b/src/scheduler/best_effort/tests.rs
@@ -48,14 +48,14 @@
 }
 
 #[test]
-fn work_is_opportunistic_if_its_team_alone_has_no_guarantee_and_it_is_not_urgent() {
+fn work_is_best_effort_if_its_team_alone_has_no_guarantee_and_it_is_not_urgent() {
     let config = config();
-    assert!(is_opportunistic(&config, &guests(Priority::Low)));
-    assert!(is_opportunistic(&config, &guests(Priority::Standard)));
-    assert!(!is_opportunistic(&config, &guests(Priority::High)));
-    assert!(!is_opportunistic(&config, &guests(Priority::Production)));
+    assert!(is_best_effort(&config, &guests(Priority::Low)));
+    assert!(is_best_effort(&config, &guests(Priority::Standard)));
+    assert!(!is_best_effort(&config, &guests(Priority::High)));
+    assert!(!is_best_effort(&config, &guests(Priority::Production)));
     assert!(
-        !is_opportunistic(
+        !is_best_effort(
             &config,
             &Job {
                 priority: Priority::Low,
@@ -67,7 +67,7 @@
     let mut none = config;
     none.teams.retain(|team| &*team.name.0 == "guests");
     assert!(
-        !is_opportunistic(&none, &guests(Priority::Low)),
+        !is_best_effort(&none, &guests(Priority::Low)),
         "nobody has a guarantee"
     );
 }
@@ -91,7 +91,7 @@
             spare: true,
         };
         let provisioner = Provisioner::new(now, Term(1));
-        let opportunities = Opportunities::new(
+        let best_effort = BestEffortPlacement::new(
             &leader,
             &provisioner,
             &BTreeMap::new(),
@@ -99,7 +99,7 @@
             &[],
         );
         let limit = price_limit(&leader, job, waited, begun);
-        opportunities.allow(job, limit, &candidate("m-1", capacity_type, 16.0))
+        best_effort.allow(job, limit, &candidate("m-1", capacity_type, 16.0))
     };
     let fresh = Duration::ZERO;
     let job = Job {
@@ -154,7 +154,7 @@
         let now = Now::read();
         let provisioner = Provisioner::new(now, Term(1));
         let guaranteed = BTreeMap::from([(pool, demand)]);
-        let opportunities = Opportunities::new(
+        let best_effort = BestEffortPlacement::new(
             &leader,
             &provisioner,
             &BTreeMap::new(),
@@ -164,7 +164,7 @@
         let job = guests(Priority::Low);
         let left: Vec<&str> = candidates
             .iter()
-            .filter(|c| !opportunities.allow(&job, f64::INFINITY, c))
+            .filter(|c| !best_effort.allow(&job, f64::INFINITY, c))
             .map(|c| &*c.machine.0)
             .collect();
         left.join(" ")
--- a/src/scheduler/stock.rs
+++ b/src/scheduler/capacity_outlook.rs
@@ -9,10 +9,10 @@
 use crate::provisioning::{Demand, MachinePool, Provisioner};
 
 /// Whether a pool has run out, what a task costs there, and what a machine does.
-pub(super) type Cost = (bool, f64, f64);
+pub(super) type PlacementCost = (bool, f64, f64);
 
 /// What machines there are and can be had.
-pub(super) struct Stock<'a> {
+pub(super) struct CapacityOutlook<'a> {
     pub(super) now: Now,
     pub(super) leader: &'a LeaderContext<'a>,
     pub(super) provisioner: &'a Provisioner,
@@ -20,7 +20,7 @@
     pub(super) machines: BTreeMap<MachinePool, u32>,
 }
 
-impl Stock<'_> {
+impl CapacityOutlook<'_> {
     /// The zone that a job's next task has to go to, if not all zones will do: one that has machines to give, if
     /// any of those that will do has.
     pub(super) fn pinned(&self, waiting: &Waiting<'_>) -> Option<Zone> {
@@ -74,7 +74,7 @@
         pinned: Option<&Zone>,
         price_limit: f64,
     ) -> Option<(MachinePool, f64)> {
-        let mut best: Option<(Cost, (MachinePool, f64))> = None;
+        let mut best: Option<(PlacementCost, (MachinePool, f64))> = None;
         for instance_type in self
             .leader
             .catalog
--- a/src/scheduler/folding.rs
+++ b/src/scheduler/completion_compaction.rs
@@ -1,4 +1,4 @@
-//! Folding: finished tasks are moved from the values of blocks that are nearly full into their jobs' progress.
+//! Compaction of completions: finished tasks are moved from the values of blocks that are nearly full into their jobs' progress.
 //!
 //! Each chunk of progress costs a change, and jobs that are over soon need none, so this is done only where it frees
 //! much.
@@ -11,26 +11,26 @@
 use crate::store::records::{BlockPlacements, CHUNK, PARTS_FORMAT, Progress, Ranges, progress_key};
 use crate::store::{Transaction, WatchCache};
 
-/// A block's finished tasks are folded when its value is this full of all that it may come to hold ...
+/// A block's finished tasks are compacted when its value is this full of all that it may come to hold ...
 const FULL: f64 = 0.8;
 /// ... and they take this much of it. A block that is full of running tasks alone gains nothing: its every finished task
-/// would be folded by itself, which once left the leader no writes for anything else.
-const WORTH_FOLDING: f64 = 0.15;
-const WORTH_FOLDING_DIVIDED: f64 = 0.5;
+/// would be recorded by itself.
+const WORTH_COMPACTING: f64 = 0.15;
+const WORTH_COMPACTING_DIVIDED: f64 = 0.5;
 
-/// Adds to the transaction what should be folded, up to `most` changes.
-pub(super) fn fold(
+/// Adds to the transaction what should be compacted, up to `most` changes.
+pub(super) fn compact(
     config: &Config,
     cache: &WatchCache,
     mut txn: Transaction,
     most: usize,
 ) -> Transaction {
     let limit = config.state_limits.value_bytes as f64;
-    // Where a block may have more values, room for finished tasks is had more cheaply than by folding.
+    // Where a block may have more values, room for finished tasks is had more cheaply than by compaction.
     let worth = if cache.format() >= PARTS_FORMAT {
-        WORTH_FOLDING_DIVIDED
+        WORTH_COMPACTING_DIVIDED
     } else {
-        WORTH_FOLDING
+        WORTH_COMPACTING
     };
     for placements in cache
         .all_placements_parts()
@@ -45,7 +45,7 @@
             if txn.changes.len() >= most {
                 return txn;
             }
-            txn = fold_chunk(cache, txn, job, chunk);
+            txn = compact_chunk(cache, txn, job, chunk);
         }
     }
     txn
@@ -68,7 +68,7 @@
 }
 
 /// Records all finished tasks of a chunk, whichever blocks they finished in.
-fn fold_chunk(cache: &WatchCache, txn: Transaction, job: JobId, chunk: u32) -> Transaction {
+fn compact_chunk(cache: &WatchCache, txn: Transaction, job: JobId, chunk: u32) -> Transaction {
     let Some(open) = cache.open.get(&job) else {
         return txn;
     };
--- a/src/scheduler/folding/tests.rs
+++ b/src/scheduler/completion_compaction/tests.rs
@@ -58,7 +58,7 @@
     }
 
     fn folded(&self) -> Vec<String> {
-        let txn = fold(&self.config, &self.cache, Transaction::default(), 16);
+        let txn = compact(&self.config, &self.cache, Transaction::default(), 16);
         txn.conditions.into_iter().map(|(key, _)| key).collect()
     }
 }
@@ -69,7 +69,7 @@
 }
 
 #[test]
-fn finished_tasks_of_a_nearly_full_block_are_folded_by_chunk() {
+fn finished_tasks_of_a_nearly_full_block_are_compacted_by_chunk() {
     let block = Block::new(0.6, every_other(300));
     assert_eq!(block.folded(), [progress_key(JOB, 0), progress_key(JOB, 1)]);
 }
@@ -85,7 +85,7 @@
 /// Found in an incident: blocks were full of running tasks, each task that ended was folded by itself, and for six minutes
 /// the leader had no writes left for its own blocks.
 #[test]
-fn a_block_full_of_running_tasks_is_not_folded_for_a_few_finished_ones() {
+fn a_block_full_of_running_tasks_is_not_compacted_for_a_few_finished_ones() {
     assert_eq!(
         Block::new(0.95, every_other(10)).folded(),
         [] as [String; 0]
@@ -94,7 +94,7 @@
 
 /// Found in the same incident: what is folded still stands in the block's value until its holder writes it anew.
 #[test]
-fn what_is_folded_already_is_not_counted_again() {
+fn what_is_compacted_already_is_not_counted_again() {
     let mut block = Block::new(0.6, every_other(300));
     for chunk in 0..2 {
         let mut progress = Progress::default();
--- a/src/scheduler/demand.rs
+++ b/src/scheduler/demand.rs
@@ -3,8 +3,8 @@
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
 use super::Scheduler;
-use super::opportunistic::{Reach, is_opportunistic};
-use super::stock::Stock;
+use super::best_effort::{Reach, is_best_effort};
+use super::capacity_outlook::CapacityOutlook;
 use super::usage::Usage;
 use super::waiting::{Shape, Waiting};
 use crate::domain::{Job, Team, Zone};
@@ -20,7 +20,7 @@
 #[derive(Default)]
 pub(super) struct Present {
     pub(super) usage: Usage,
-    /// The demand of all work that is not opportunistic, in machines.
+    /// The demand of all work that is not best effort, in machines.
     pub(super) guaranteed: BTreeMap<MachinePool, f64>,
     pub(super) demand: Demand,
 }
@@ -44,7 +44,7 @@
         let instance_type = leader.catalog.get(&machine.type_name)?;
         let share = 1.0 / f64::from(instance_type.room().count_of(&open.job.need).max(1));
         let pool = MachinePool::new(machine.type_name.clone(), machine.capacity_type);
-        if !is_opportunistic(leader.config, &open.job) {
+        if !is_best_effort(leader.config, &open.job) {
             *self.guaranteed.entry(pool.clone()).or_default() += share;
         }
         if open.job.spot && !machine.capacity_type.is_spot() {
@@ -57,7 +57,7 @@
 
 impl Scheduler {
     /// Counts all that is placed or released.
-    pub(super) fn present(&self, stock: &Stock<'_>, cache: &WatchCache) -> Present {
+    pub(super) fn present(&self, outlook: &CapacityOutlook<'_>, cache: &WatchCache) -> Present {
         let mut present = Present::default();
         present.demand.run_times = self.run_times.clone();
         let mut misplaced = Vec::new();
@@ -67,7 +67,7 @@
                 .attempts()
                 .filter_map(|attempt| cache.open.get(&attempt.task.job))
             {
-                misplaced.extend(present.count(stock.leader, live.machine, open));
+                misplaced.extend(present.count(outlook.leader, live.machine, open));
             }
         }
         for release in self
@@ -80,13 +80,13 @@
                 continue;
             };
             match cache.machines.get(&release.machine) {
-                Some(machine) => misplaced.extend(present.count(stock.leader, machine, open)),
+                Some(machine) => misplaced.extend(present.count(outlook.leader, machine, open)),
                 // Its machine is gone, but its holder may still choose another.
                 None => present.usage.add(&open.job),
             }
         }
         for Misplaced { open, pool, share } in misplaced {
-            let cheapest = stock.cheapest(&open.job, &present.demand, None, f64::INFINITY);
+            let cheapest = outlook.cheapest(&open.job, &present.demand, None, f64::INFINITY);
             let (pool, share) = cheapest.unwrap_or((pool, share));
             present.demand.add(pool, share);
         }
@@ -96,7 +96,7 @@
 
 /// Adds the waiting tasks that their team's limit allows, each in the cheapest type that can be had.
 pub(super) fn count_waiting(
-    stock: &Stock<'_>,
+    outlook: &CapacityOutlook<'_>,
     queue: &[Waiting<'_>],
     usage: &mut Usage,
     demand: &mut Demand,
@@ -106,8 +106,8 @@
     let mut known: HashMap<(Shape, &Team, Option<Zone>), usize> = HashMap::new();
     for waiting in queue {
         let job = &waiting.open.job;
-        let pinned = stock.pinned(waiting);
-        let limit = waiting.price_limit(stock.leader);
+        let pinned = outlook.pinned(waiting);
+        let limit = waiting.price_limit(outlook.leader);
         let reach = if limit.is_finite() {
             Reach::CheapAndUnreserved
         } else {
@@ -123,13 +123,13 @@
         groups[index].3 += waiting.left;
     }
     for (job, pinned, limit, left) in groups {
-        let mut left = left.min(usage.room_within_limit(stock.leader.config, job));
+        let mut left = left.min(usage.room_within_limit(outlook.leader.config, job));
         // A few tasks at a time, but no more than so many steps: jobs have up to 100,000 tasks.
         let step = left.div_ceil(COUNTING_STEPS).max(1);
         while left > 0 {
             let count = step.min(left);
             left -= count;
-            let Some((pool, share)) = stock.cheapest(job, demand, pinned.as_ref(), limit) else {
+            let Some((pool, share)) = outlook.cheapest(job, demand, pinned.as_ref(), limit) else {
                 break;
             };
             usage.add_tasks(job, count as f64);
--- a/src/scheduler/draining/mod.rs
+++ b/src/scheduler/draining/mod.rs
@@ -23,7 +23,7 @@
 use fleet_view::{FleetView, attempts_of};
 use replacement::count_unplaced;
 
-use super::stock::Stock;
+use super::capacity_outlook::CapacityOutlook;
 use super::{Plan, STATUS_LIFE, Scheduler};
 use crate::domain::{Attempt, BlockId, Job, JobKind, MachineId, Now, TaskId, Team, Zone, since};
 use crate::leader_context::LeaderContext;
@@ -336,28 +336,33 @@
 
     /// Stops what is recorded as evicted, releases replacements, keeps room for those to come, and decides what is
     /// evicted next.
-    pub(super) fn plan_drains(&mut self, stock: &Stock<'_>, cache: &WatchCache, plan: &mut Plan) {
+    pub(super) fn plan_drains(
+        &mut self,
+        outlook: &CapacityOutlook<'_>,
+        cache: &WatchCache,
+        plan: &mut Plan,
+    ) {
         if self
             .draining
             .as_ref()
             .is_none_or(|draining| draining.is_idle(cache))
         {
             if let Some(draining) = &mut self.draining {
-                draining.rest(stock.now, cache);
+                draining.rest(outlook.now, cache);
             }
             return;
         }
         let drains: BTreeMap<DrainId, DrainRecord> = values(&cache.drains);
         let ledgers: BTreeMap<Team, Ledger> = values(&cache.drain_ledgers);
-        self.stop_evicted(stock.now, cache, &ledgers);
-        self.replace_evicted(stock, cache, plan, &ledgers);
-        self.decide_drains(stock, cache, plan, &drains, &ledgers);
+        self.stop_evicted(outlook.now, cache, &ledgers);
+        self.replace_evicted(outlook, cache, plan, &ledgers);
+        self.decide_drains(outlook, cache, plan, &drains, &ledgers);
         self.watch(cache, &ledgers);
     }
 
     fn decide_drains(
         &mut self,
-        stock: &Stock<'_>,
+        outlook: &CapacityOutlook<'_>,
         cache: &WatchCache,
         plan: &mut Plan,
         drains: &BTreeMap<DrainId, DrainRecord>,
@@ -370,7 +375,7 @@
         let draining = &*draining;
         let budgets = budgets(&draining.settings, cache);
         let settings = draining.settings.clone();
-        let usable = self.usable_machines(stock.now, stock.provisioner);
+        let usable = self.usable_machines(outlook.now, outlook.provisioner);
         let expecting: HashSet<&MachineId> = self
             .block_states
             .values()
@@ -380,11 +385,11 @@
         let machines = machine_views(
             cache,
             |id| usable.contains(id),
-            |id| stock.provisioner.is_failed(id),
+            |id| outlook.provisioner.is_failed(id),
             |id| expecting.contains(id),
         );
-        let running = self.running_attempts(stock.now, cache, &usable);
-        let leader = stock.leader;
+        let running = self.running_attempts(outlook.now, cache, &usable);
+        let leader = outlook.leader;
         let limits = &leader.config.state_limits;
         let bounds = Bounds {
             step: settings.step,
@@ -396,7 +401,7 @@
         // Room for replacements is only kept while the plan is made: what is decided is taken up below.
         let mut fleet = FleetView {
             scheduler: self,
-            stock,
+            outlook,
             cache,
             plan,
             machines,
@@ -412,14 +417,20 @@
             bounds,
             fleet: &mut fleet,
         };
-        let decided = planner.handle(stock.now, event);
+        let decided = planner.handle(outlook.now, event);
         let unplaced = std::mem::take(&mut fleet.unplaced);
         if let Some(draining) = &mut self.draining {
             draining.planner = planner;
             draining.decided = decided;
         }
         for task in unplaced {
-            count_unplaced(stock, cache, plan, task, &self.zones_of_others(cache, task));
+            count_unplaced(
+                outlook,
+                cache,
+                plan,
+                task,
+                &self.zones_of_others(cache, task),
+            );
         }
     }
 
--- a/src/scheduler/turns.rs
+++ b/src/scheduler/fair_share_order.rs
@@ -10,7 +10,7 @@
 /// The order in which waiting tasks are served: replicas first, then teams within their guarantee, then by priority,
 /// then the team that has the least for its share, then the class of that team that has the least. Jobs of one team,
 /// priority, kind and class are served in their order, so only the first of each such line has to be compared.
-pub(super) struct Turns {
+pub(super) struct FairShareOrder {
     lines: Vec<VecDeque<usize>>,
 }
 
@@ -24,7 +24,7 @@
     class_share: f64,
 }
 
-impl Turns {
+impl FairShareOrder {
     pub(super) fn new(queue: &[Waiting<'_>]) -> Self {
         let mut lines: BTreeMap<(&Team, Priority, bool, &str), VecDeque<usize>> = BTreeMap::new();
         for (index, waiting) in queue.iter().enumerate() {
@@ -34,7 +34,7 @@
                 .or_default()
                 .push_back(index);
         }
-        Turns {
+        FairShareOrder {
             lines: lines.into_values().collect(),
         }
     }
--- a/src/scheduler/mod.rs
+++ b/src/scheduler/mod.rs
@@ -1,20 +1,20 @@
 //! The leader's queues: one for each team, served in turn by shares. Only the leader releases tasks to the
 //! holders of blocks, so only it has to keep the teams' limits.
 //!
-//! A released task counts as placed until its holder has said that it never will be: see `settle`.
+//! A released task counts as placed until its holder has said that it never will be: see `reconcile`.
 
+mod best_effort;
 mod block_state;
+mod capacity_outlook;
+mod completion_compaction;
 mod demand;
 pub mod draining;
 mod failures;
-mod folding;
+mod fair_share_order;
 mod gangs;
-mod holders;
-mod opportunistic;
+mod holder_health;
 mod preemption;
 mod releases;
-mod stock;
-mod turns;
 mod usage;
 mod waiting;
 
@@ -35,13 +35,13 @@
 use crate::provisioning::{Demand, MachineHealth, MachinePool, Provisioner, RunTimes};
 use crate::store::records::{JobRecord, LEADER, job_key, progress_key};
 use crate::store::{StoreRequest, StoreResponse, Transaction, WatchCache, Writer};
+use best_effort::BestEffortPlacement;
 use block_state::BlockState;
+use capacity_outlook::CapacityOutlook;
 use demand::Present;
 use draining::Draining;
 use failures::Failures;
-use opportunistic::Opportunities;
 use releases::Releases;
-use stock::Stock;
 use usage::Usage;
 use waiting::{Shape, smallest};
 
@@ -221,7 +221,7 @@
     }
 
     /// Blocks under block leases of this term, and what became of the releases to them.
-    fn settle(&mut self, now: Now, cache: &WatchCache) {
+    fn reconcile(&mut self, now: Now, cache: &WatchCache) {
         let term = self.term;
         self.block_states
             .retain(|block, _| cache.block_leases.contains_key(block));
@@ -452,9 +452,9 @@
         let LeaderContext {
             config, catalog, ..
         } = *leader;
-        self.settle(now, cache);
+        self.reconcile(now, cache);
         self.take_back_broken_gangs(now, cache);
-        let stock = Stock {
+        let outlook = CapacityOutlook {
             now,
             leader,
             provisioner,
@@ -464,9 +464,9 @@
             usage,
             guaranteed,
             demand,
-        } = self.present(&stock, cache);
+        } = self.present(&outlook, cache);
         let candidates = self.candidates(now, cache, catalog, provisioner);
-        let opportunities = Opportunities::new(
+        let best_effort = BestEffortPlacement::new(
             leader,
             provisioner,
             &self.run_times,
@@ -489,16 +489,16 @@
                 .values()
                 .all(|lease| lease.value.term == self.term);
         if complete {
-            self.plan_drains(&stock, cache, &mut plan);
+            self.plan_drains(&outlook, cache, &mut plan);
         }
         let mut queue = self.queue(now, cache);
         self.count_waiting(&queue);
         plan.demand.smallest = smallest(&queue);
         if complete {
-            let mut releases = Releases::new(now, leader, cache, opportunities);
+            let mut releases = Releases::new(now, leader, cache, best_effort);
             self.release_in_turn(&mut releases, &mut queue, &mut plan);
         }
-        demand::count_waiting(&stock, &queue, &mut plan.usage, &mut plan.demand);
+        demand::count_waiting(&outlook, &queue, &mut plan.usage, &mut plan.demand);
         plan.demand
     }
 
@@ -511,7 +511,7 @@
         }
     }
 
-    /// The next write: jobs that are over, and progress to be folded.
+    /// The next write: jobs that are over, and progress to be compacted.
     pub fn write(
         &mut self,
         now: Now,
@@ -557,7 +557,7 @@
             }
         }
         if txn.changes.is_empty() {
-            txn = folding::fold(config, cache, txn, most);
+            txn = completion_compaction::compact(config, cache, txn, most);
         }
         if txn.changes.is_empty() {
             return None;
--- a/src/scheduler/preemption.rs
+++ b/src/scheduler/preemption.rs
@@ -17,7 +17,7 @@
 const STOPS_LEAST: usize = 40;
 
 /// A way to make room: the work it loses, the machine, and the tasks to be stopped there.
-pub(super) type Way<'c, 'v> = (f64, &'c Candidate, Vec<Victim<'v>>);
+pub(super) type PreemptionOption<'c, 'v> = (f64, &'c Candidate, Vec<Victim<'v>>);
 
 #[derive(Debug, Clone)]
 pub(super) struct Victim<'v> {
@@ -72,7 +72,7 @@
             let for_guarantee = policy.preempt_for_guarantee && owed && beyond && equal;
             for_priority || for_guarantee
         };
-        let mut best: Option<Way<'c, '_>> = None;
+        let mut best: Option<PreemptionOption<'c, '_>> = None;
         for candidate in candidates
             .iter()
             .filter(|c| c.allows(job) && zone_open(&c.zone))
--- a/src/scheduler/releases.rs
+++ b/src/scheduler/releases.rs
@@ -4,9 +4,9 @@
 
 use tracing::debug;
 
-use super::opportunistic::{Opportunities, Reach};
+use super::best_effort::{BestEffortPlacement, Reach};
+use super::fair_share_order::FairShareOrder;
 use super::preemption::{MadeRoom, Victims};
-use super::turns::Turns;
 use super::waiting::{Shape, Waiting, zone_open};
 use super::{Plan, Scheduler};
 use crate::domain::{Attempt, BlockId, Image, JobId, JobKind, Now, Resources, TaskId, Zone};
@@ -29,7 +29,7 @@
     leader: &'a LeaderContext<'a>,
     cache: &'v WatchCache,
     zones: BTreeSet<Zone>,
-    opportunities: Opportunities<'a>,
+    best_effort: BestEffortPlacement<'a>,
     /// Machines in order for each kind of task; jobs that keep failing have an order of their own.
     rankings: HashMap<(Shape, Image, Option<JobId>), Ranking>,
     victims: Option<Victims<'v>>,
@@ -41,7 +41,7 @@
         now: Now,
         leader: &'a LeaderContext<'a>,
         cache: &'v WatchCache,
-        opportunities: Opportunities<'a>,
+        best_effort: BestEffortPlacement<'a>,
     ) -> Self {
         let zones = cache
             .block_leases
@@ -52,7 +52,7 @@
             leader,
             cache,
             zones: zones.collect(),
-            opportunities,
+            best_effort,
             rankings: HashMap::new(),
             victims: None,
         }
@@ -83,7 +83,7 @@
         plan: &mut Plan,
     ) {
         let mut released = 0;
-        let mut turns = Turns::new(queue);
+        let mut turns = FairShareOrder::new(queue);
         while released < RELEASES {
             let Some(next) = turns.next(queue, &plan.usage, releases.leader) else {
                 break;
@@ -112,8 +112,8 @@
         let reach = waiting.reach(leader);
         let limit = waiting.price_limit(leader);
         let job = &waiting.open.job;
-        let opportunities = &releases.opportunities;
-        let allowed = |c: &Candidate| reach == Reach::All || opportunities.allow(job, limit, c);
+        let best_effort = &releases.best_effort;
+        let allowed = |c: &Candidate| reach == Reach::All || best_effort.allow(job, limit, c);
         let shape = Shape::of(job, &releases.zones, |zone| job.allows_zone(zone), reach);
         self.release_gang(now, leader, cache, waiting, shape, allowed, plan)
     }
@@ -242,10 +242,10 @@
         let id = waiting.id;
         let failing = self.failures.keeps_failing(id).then_some(id);
         let key = (shape.clone(), job.image.clone(), failing);
-        let (leader, opportunities) = (releases.leader, &releases.opportunities);
+        let (leader, best_effort) = (releases.leader, &releases.best_effort);
         let ranking = releases.rankings.entry(key).or_insert_with(|| {
             let limit = waiting.price_limit(leader);
-            let open = |c: &Candidate| reach == Reach::All || opportunities.allow(job, limit, c);
+            let open = |c: &Candidate| reach == Reach::All || best_effort.allow(job, limit, c);
             let allowed = |c: &Candidate| zone_open(job, &waiting.zones, &c.zone) && open(c);
             let avoided =
                 |c: &Candidate| failing.is_some() && self.failures.failed_on(id, &c.machine);
--- a/src/scheduler/tests.rs
+++ b/src/scheduler/tests.rs
@@ -1,6 +1,6 @@
 //! The leader's queues, as holders and the records show them.
 
-use super::opportunistic::Reach;
+use super::best_effort::Reach;
 use super::waiting::BEGIN_WITHIN;
 use super::*;
 use crate::cloud::wire::InstanceTypeList;
@@ -636,7 +636,7 @@
         let leader = lead_of(config, policy, catalog);
         scheduler.queue(*now, cache)[0].reach(&leader)
     };
-    let late = opportunistic::RESTRICTED_FOR + Duration::from_secs(1);
+    let late = best_effort::RESTRICTED_FOR + Duration::from_secs(1);
     assert_eq!(reach(0, false, Duration::ZERO), Reach::CheapAndUnreserved);
     assert_eq!(reach(0, false, late), Reach::All);
     assert_eq!(reach(6, false, late), Reach::All, "some done, nothing runs");
--- a/src/scheduler/waiting.rs
+++ b/src/scheduler/waiting.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use super::Scheduler;
-use super::opportunistic::{RESTRICTED_FOR, Reach, is_opportunistic, price_limit};
+use super::best_effort::{RESTRICTED_FOR, Reach, is_best_effort, price_limit};
 use crate::domain::{InstanceTypeName, Job, JobId, JobKind, Now, Resources, Zone};
 use crate::leader_context::LeaderContext;
 use crate::store::WatchCache;
@@ -66,7 +66,7 @@
     pub(super) fn reach(&self, leader: &LeaderContext<'_>) -> Reach {
         let under_way = self.taken.len() > self.open.done.len();
         let begins_late = !under_way && self.waited > RESTRICTED_FOR;
-        if !is_opportunistic(leader.config, &self.open.job) || begins_late {
+        if !is_best_effort(leader.config, &self.open.job) || begins_late {
             Reach::All
         } else if self.price_limit(leader).is_finite() {
             Reach::CheapAndUnreserved
