--- a/src/client/mod.rs
+++ b/src/client/mod.rs
@@ -1,53 +1,72 @@
-//! The operators' side of the exchange: asks controllers until one of them has answered or the time is over.
+//! Sends operators' requests to the controllers until one gives a final reply or the time is over.
+//!
+//! The command line calls it. A controller that does not lead names the leader, which is then asked; controllers that
+//! don't reply are asked again in turn.
 
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
 use dappleshore_drain::operator::{Problem, ProblemKind, Reply, Request};
+use tracing::debug;
 
 use crate::http::{self, read, write};
 
-/// Where controllers take operators' requests, on the address that they use among themselves.
+/// On the address that controllers use among themselves.
 const PATH: &str = "/operate";
 /// Longer than a controller takes for any answer.
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(5);
 const RETRY_PAUSE: Duration = Duration::from_millis(300);
 
-/// Asks the controllers of one service.
+/// Why one controller gave no reply.
+#[derive(Debug, thiserror::Error)]
+enum ExchangeError {
+    #[error(transparent)]
+    Http(#[from] http::ClientError),
+    #[error("status {0}")]
+    Status(u16),
+    #[error(transparent)]
+    Malformed(#[from] http::MalformedBody),
+}
+
+/// Sends requests to the controllers of one service.
 pub struct Client {
     http: http::Client,
     controllers: Vec<SocketAddr>,
-    /// How long a request may take in all.
-    within: Duration,
+    /// For all tries of one request together.
+    timeout: Duration,
 }
 
 impl Client {
-    /// Of the controllers at these addresses.
-    pub fn new(controllers: Vec<SocketAddr>, within: Duration) -> Self {
+    /// Asks the controllers at these addresses, in this order. `timeout`: for all tries of one request together.
+    pub fn new(controllers: Vec<SocketAddr>, timeout: Duration) -> Self {
         Client {
             http: http::Client::new(REQUEST_TIMEOUT),
             controllers,
-            within,
+            timeout,
         }
     }
 
-    /// The first answer that settles the request. Asking again is harmless: no request acts twice.
+    /// The first reply that is final. A request may be sent several times, which is harmless: none acts twice.
+    ///
+    /// # Errors
+    ///
+    /// What a controller says is wrong with the request, or `Unavailable` if none could decide it in time.
     pub async fn ask(&self, request: &Request) -> Result<Reply, Problem> {
-        let deadline = Instant::now() + self.within;
+        let deadline = Instant::now() + self.timeout;
         let mut last = self.nobody_answered();
         loop {
             for controller in &self.controllers {
                 match self.ask_one(*controller, request, deadline).await {
-                    Some(Reply::Problem(problem)) if problem.kind == ProblemKind::Unavailable => {
+                    Ok(Reply::Problem(problem)) if problem.kind == ProblemKind::Unavailable => {
                         last = problem;
                     }
-                    Some(Reply::Problem(problem)) => return Err(problem),
-                    Some(Reply::Elsewhere { leader, .. }) => {
+                    Ok(Reply::Problem(problem)) => return Err(problem),
+                    Ok(Reply::Elsewhere { leader, .. }) => {
                         let message = format!("{leader} leads, but does not answer");
                         last = Problem::new(ProblemKind::Unavailable, message);
                     }
-                    Some(reply) => return Ok(reply),
-                    None => {}
+                    Ok(reply) => return Ok(reply),
+                    Err(error) => debug!(%controller, %error, "no reply from controller"),
                 }
                 if Instant::now() >= deadline {
                     return Err(last);
@@ -72,15 +91,15 @@
         controller: SocketAddr,
         request: &Request,
         deadline: Instant,
-    ) -> Option<Reply> {
+    ) -> Result<Reply, ExchangeError> {
         let reply = self.exchange(controller, request, deadline).await?;
         if let Reply::Elsewhere { addr, .. } = &reply
             && let Ok(leader) = addr.parse()
-            && let Some(answer) = self.exchange(leader, request, deadline).await
+            && let Ok(answer) = self.exchange(leader, request, deadline).await
         {
-            return Some(answer);
+            return Ok(answer);
         }
-        Some(reply)
+        Ok(reply)
     }
 
     async fn exchange(
@@ -88,15 +107,14 @@
         controller: SocketAddr,
         request: &Request,
         deadline: Instant,
-    ) -> Option<Reply> {
+    ) -> Result<Reply, ExchangeError> {
         let left = deadline.saturating_duration_since(Instant::now());
         let timeout = left.min(REQUEST_TIMEOUT);
         let request = http::Request::post(PATH.to_owned(), write(request), timeout);
         let reply = self.http.send(controller, request).await?;
-        if reply.status == 200 {
-            read(&reply.body)
-        } else {
-            None
+        if reply.status != 200 {
+            return Err(ExchangeError::Status(reply.status));
         }
+        Ok(read(&reply.body)?)
     }
 }
--- a/src/cloud/wire.rs
+++ b/src/cloud/wire.rs
@@ -155,7 +155,7 @@
         }
         // An outage is a 503 too, but says so.
         (503, CloudRequest::Rent(_)) => match read::<Problem>(&reply.body) {
-            Some(problem) if problem.error == "no capacity" => CloudResponse::NoCapacity,
+            Ok(problem) if problem.error == "no capacity" => CloudResponse::NoCapacity,
             _ => CloudResponse::Refused,
         },
         // A request that the cloud calls malformed would be so for ever.
--- /dev/null
+++ b/src/http/client.rs
@@ -0,0 +1,110 @@
+//! Sends requests over pooled connections.
+
+use std::net::SocketAddr;
+use std::time::Duration;
+
+use bytes::Bytes;
+use http_body_util::{BodyExt, Full, Limited};
+use hyper_util::client::legacy::Client as HyperClient;
+use hyper_util::client::legacy::connect::HttpConnector;
+use hyper_util::rt::{TokioExecutor, TokioTimer};
+
+use super::{Method, Reply, Request};
+
+/// More than a watch can hold, the largest of all replies.
+const MAX_REPLY_BYTES: usize = 16 << 20;
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(1000);
+const MAX_IDLE_PER_HOST: usize = 4;
+
+/// Why a request has no reply. After each of these but `InvalidRequest` and `Connect` the request may have been executed,
+/// or may still be.
+#[derive(Debug, thiserror::Error)]
+pub enum ClientError {
+    /// Path or address make no valid URI.
+    #[error("invalid request: {0}")]
+    InvalidRequest(#[from] hyper::http::Error),
+    /// Refused, unreachable, or not connected in time.
+    #[error("no connection: {0}")]
+    Connect(#[source] hyper_util::client::legacy::Error),
+    /// The connection ended before the head of the reply.
+    #[error("no reply: {0}")]
+    Exchange(#[source] hyper_util::client::legacy::Error),
+    /// The body of the reply was cut short, or is too large.
+    #[error("incomplete reply: {0}")]
+    Body(#[source] Box<dyn std::error::Error + Send + Sync>),
+    /// The request's timeout passed before the reply was whole.
+    #[error("no reply within {0:?}")]
+    TimedOut(Duration),
+}
+
+/// A pool of connections. Clones share it.
+#[derive(Clone)]
+pub struct Client {
+    pool: HyperClient<HttpConnector, Full<Bytes>>,
+}
+
+impl Client {
+    /// `idle_timeout`: how long a connection is kept that nothing goes over.
+    pub fn new(idle_timeout: Duration) -> Self {
+        let mut connector = HttpConnector::new();
+        connector.set_nodelay(true);
+        connector.set_connect_timeout(Some(CONNECT_TIMEOUT));
+        let pool = HyperClient::builder(TokioExecutor::new())
+            .pool_timer(TokioTimer::new())
+            .pool_idle_timeout(idle_timeout)
+            .pool_max_idle_per_host(MAX_IDLE_PER_HOST)
+            .retry_canceled_requests(false)
+            .build(connector);
+        Client { pool }
+    }
+
+    /// Sends a request once and waits for the whole reply, whatever its status.
+    ///
+    /// # Errors
+    ///
+    /// There is no reply: see [`ClientError`] for what that says of the request.
+    pub async fn send(&self, addr: SocketAddr, request: Request) -> Result<Reply, ClientError> {
+        let timeout = request.timeout;
+        tokio::time::timeout(timeout, self.exchange(build(addr, request)?))
+            .await
+            .unwrap_or(Err(ClientError::TimedOut(timeout)))
+    }
+
+    async fn exchange(&self, request: hyper::Request<Full<Bytes>>) -> Result<Reply, ClientError> {
+        let response = self.pool.request(request).await.map_err(|error| {
+            if error.is_connect() {
+                ClientError::Connect(error)
+            } else {
+                ClientError::Exchange(error)
+            }
+        })?;
+        let status = response.status().as_u16();
+        let body = Limited::new(response.into_body(), MAX_REPLY_BYTES)
+            .collect()
+            .await
+            .map_err(ClientError::Body)?
+            .to_bytes();
+        Ok(Reply { status, body })
+    }
+}
+
+fn build(
+    addr: SocketAddr,
+    request: Request,
+) -> Result<hyper::Request<Full<Bytes>>, hyper::http::Error> {
+    let method = match request.method {
+        Method::Get => hyper::Method::GET,
+        Method::Post => hyper::Method::POST,
+    };
+    let mut builder = hyper::Request::builder()
+        .method(method)
+        .uri(format!("http://{addr}{}", request.path))
+        .header(hyper::header::CONTENT_TYPE, "application/cbor");
+    if request.close {
+        builder = builder.header(hyper::header::CONNECTION, "close");
+    }
+    builder.body(Full::new(Bytes::from(request.body)))
+}
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/src/http/connections.rs
@@ -0,0 +1,110 @@
+//! Accepts connections on a listener and bounds how many are open at a time.
+//!
+//! The service runs [`serve`] once for each of its two listeners. A connection over the limit is closed at once, without a
+//! reply; one that does not send the head of a request in time is closed too, so that idle or slow callers can't keep
+//! others out.
+
+use std::convert::Infallible;
+use std::net::SocketAddr;
+use std::sync::Arc;
+use std::time::{Duration, Instant};
+
+use hyper_util::rt::{TokioIo, TokioTimer};
+use hyper_util::service::TowerToHyperService;
+use tokio::net::TcpListener;
+use tokio::sync::{OwnedSemaphorePermit, Semaphore};
+use tracing::{debug, warn};
+use warp::{Filter, Reply};
+
+const HEADER_TIMEOUT: Duration = Duration::from_secs(20);
+const ACCEPT_RETRY_PAUSE: Duration = Duration::from_millis(50);
+const ACCEPT_WARNING_INTERVAL: Duration = Duration::from_secs(10);
+const MAX_HEADER_BUFFER_BYTES: usize = 32 * 1024;
+/// The part of all connections beyond which workers are asked to close theirs after each reply, so that users and health
+/// checks still get in.
+const NEAR_LIMIT_FRACTION: f64 = 0.7;
+
+/// Bounds the number of connections that are open at a time. Clones share the count.
+#[derive(Debug, Clone)]
+pub struct ConnectionLimiter {
+    available: Arc<Semaphore>,
+    limit: usize,
+}
+
+impl ConnectionLimiter {
+    /// At most `limit` open connections.
+    pub fn new(limit: usize) -> Self {
+        ConnectionLimiter {
+            available: Arc::new(Semaphore::new(limit)),
+            limit,
+        }
+    }
+
+    /// The right to one connection until it is dropped, or none at the limit.
+    pub(super) fn try_acquire(&self) -> Option<OwnedSemaphorePermit> {
+        self.available.clone().try_acquire_owned().ok()
+    }
+
+    /// Whether so many are open that callers who can come back should close theirs.
+    pub(super) fn near_limit(&self) -> bool {
+        (self.available.available_permits() as f64)
+            < self.limit as f64 * (1.0 - NEAR_LIMIT_FRACTION)
+    }
+}
+
+/// Listens on an address and serves the routes to all connections that the limiter admits, until the process ends.
+///
+/// # Errors
+///
+/// The address can't be bound. Failures to accept a connection are logged and tried again.
+pub async fn serve<F>(
+    addr: SocketAddr,
+    limiter: ConnectionLimiter,
+    routes: F,
+) -> std::io::Result<Infallible>
+where
+    F: Filter<Error = Infallible> + Clone + Send + Sync + 'static,
+    F::Extract: Reply,
+{
+    let listener = TcpListener::bind(addr).await?;
+    let service = warp::service(routes);
+    let mut warned: Option<Instant> = None;
+    loop {
+        let (stream, from) = match listener.accept().await {
+            Ok(accepted) => accepted,
+            Err(error) => {
+                // Out of sockets, most likely: some will be closed.
+                if warned.is_none_or(|at| at.elapsed() > ACCEPT_WARNING_INTERVAL) {
+                    warned = Some(Instant::now());
+                    warn!(%addr, %error, "connections could not be accepted");
+                }
+                tokio::time::sleep(ACCEPT_RETRY_PAUSE).await;
+                continue;
+            }
+        };
+        let Some(permit) = limiter.try_acquire() else {
+            debug!(%from, "connection rejected: too many open");
+            continue;
+        };
+        // Small replies must not wait for the acknowledgement of the last one.
+        let _ = stream.set_nodelay(true);
+        let service = TowerToHyperService::new(service.clone());
+        tokio::spawn(async move {
+            let mut builder = hyper::server::conn::http1::Builder::new();
+            builder
+                .timer(TokioTimer::new())
+                .header_read_timeout(HEADER_TIMEOUT)
+                .max_buf_size(MAX_HEADER_BUFFER_BYTES);
+            let served = builder
+                .serve_connection(TokioIo::new(stream), service)
+                .await;
+            if let Err(error) = served {
+                debug!(%from, %error, "connection ended");
+            }
+            drop(permit);
+        });
+    }
+}
+
+#[cfg(test)]
+mod tests;
--- a/src/http/mod.rs
+++ b/src/http/mod.rs
@@ -1,32 +1,54 @@
-//! HTTP at the edge: one client for all we call, with CBOR bodies.
+//! HTTP/1.1 with CBOR bodies: what a controller sends, what it serves, and how both are encoded.
+//!
+//! `client` sends requests to the state service, the cloud, workers and other controllers; `server` holds the routes of
+//! the two listeners; `connections` accepts connections and bounds their number. The wire modules of `store`, `cloud` and
+//! the job API build [`Request`]s and read [`Reply`]s; the service's event loop sends and serves them.
+//!
+//! Invariant: a request is sent at most once. Whether a lost reply is worth another request is for the caller to decide,
+//! as the first may have been executed.
 
+mod client;
+pub mod connections;
 pub mod server;
 
-use std::net::SocketAddr;
 use std::time::Duration;
 
 use bytes::Bytes;
-use http_body_util::{BodyExt, Full, Limited};
-use hyper_util::client::legacy::Client as HyperClient;
-use hyper_util::client::legacy::connect::HttpConnector;
-use hyper_util::rt::{TokioExecutor, TokioTimer};
 use serde::Serialize;
 use serde::de::DeserializeOwned;
+use tracing::debug;
 
+pub use client::{Client, ClientError};
+
+/// The methods that the protocols use.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub enum Method {
+    /// Reads; sent without a body.
+    Get,
+    /// Changes something, or carries a body.
+    Post,
+}
+
+/// A request as it is to be sent, without the address it goes to.
 #[derive(Debug, Clone)]
 pub struct Request {
-    pub post: bool,
+    /// The method.
+    pub method: Method,
+    /// Path and query, from the slash on.
     pub path: String,
+    /// The encoded body; empty for a GET.
     pub body: Vec<u8>,
+    /// For connecting, sending and reading the reply together.
     pub timeout: Duration,
     /// Whether the connection is of no more use afterwards.
     pub close: bool,
 }
 
 impl Request {
+    /// A GET whose connection is kept.
     pub fn get(path: String, timeout: Duration) -> Self {
         Request {
-            post: false,
+            method: Method::Get,
             path,
             body: Vec::new(),
             timeout,
@@ -34,9 +56,10 @@
         }
     }
 
+    /// A POST whose connection is kept.
     pub fn post(path: String, body: Vec<u8>, timeout: Duration) -> Self {
         Request {
-            post: true,
+            method: Method::Post,
             path,
             body,
             timeout,
@@ -45,12 +68,21 @@
     }
 }
 
+/// A reply that arrived whole.
 #[derive(Debug, Clone)]
 pub struct Reply {
+    /// The status code.
     pub status: u16,
+    /// The body, still encoded.
     pub body: Bytes,
 }
 
+/// The body is not the CBOR of what was expected.
+#[derive(Debug, thiserror::Error)]
+#[error("malformed body: {0}")]
+pub struct MalformedBody(#[from] ciborium::de::Error<std::io::Error>);
+
+/// Encodes a body.
 pub fn write(value: &impl Serialize) -> Vec<u8> {
     let mut bytes = Vec::new();
     // Writing our own types to memory can't fail.
@@ -58,64 +90,13 @@
     bytes
 }
 
-pub fn read<T: DeserializeOwned>(body: &[u8]) -> Option<T> {
-    ciborium::from_reader(body).ok()
-}
-
-/// No answer that we ask for is larger: a watch has no limit, but this much is more than it can hold.
-const MAX_REPLY_BYTES: usize = 16 << 20;
-const CONNECT_TIMEOUT: Duration = Duration::from_millis(1000);
-const MAX_IDLE_PER_HOST: usize = 4;
-
-#[derive(Clone)]
-pub struct Client {
-    inner: HyperClient<HttpConnector, Full<Bytes>>,
-}
-
-impl Client {
-    /// `idle`: how long connections are kept that nothing goes over.
-    pub fn new(idle: Duration) -> Self {
-        let mut connector = HttpConnector::new();
-        connector.set_nodelay(true);
-        connector.set_connect_timeout(Some(CONNECT_TIMEOUT));
-        let inner = HyperClient::builder(TokioExecutor::new())
-            .pool_timer(TokioTimer::new())
-            .pool_idle_timeout(idle)
-            .pool_max_idle_per_host(MAX_IDLE_PER_HOST)
-            // A request is sent once: what to do about a lost answer is for the slices to decide.
-            .retry_canceled_requests(false)
-            .build(connector);
-        Client { inner }
-    }
-
-    /// None: no answer. The request may have been executed, or may still be.
-    pub async fn send(&self, addr: SocketAddr, request: Request) -> Option<Reply> {
-        let method = if request.post {
-            hyper::Method::POST
-        } else {
-            hyper::Method::GET
-        };
-        let mut built = hyper::Request::builder()
-            .method(method)
-            .uri(format!("http://{addr}{}", request.path))
-            .header(hyper::header::CONTENT_TYPE, "application/cbor");
-        if request.close {
-            built = built.header(hyper::header::CONNECTION, "close");
-        }
-        let built = built.body(Full::new(Bytes::from(request.body))).ok()?;
-        let exchange = async {
-            let response = self.inner.request(built).await.ok()?;
-            let status = response.status().as_u16();
-            let body = Limited::new(response.into_body(), MAX_REPLY_BYTES)
-                .collect()
-                .await
-                .ok()?
-                .to_bytes();
-            Some(Reply { status, body })
-        };
-        tokio::time::timeout(request.timeout, exchange)
-            .await
-            .ok()
-            .flatten()
-    }
+/// Decodes a body. What is wrong with it is logged at debug level, as most callers answer all faults alike.
+///
+/// # Errors
+///
+/// The body is not CBOR, or not of the expected form.
+pub fn read<T: DeserializeOwned>(body: &[u8]) -> Result<T, MalformedBody> {
+    ciborium::from_reader(body)
+        .map_err(MalformedBody)
+        .inspect_err(|error| debug!(%error, bytes = body.len(), "body could not be decoded"))
 }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -18,7 +18,6 @@
 pub mod controller;
 #[allow(missing_docs, reason = "not reached yet: #30")]
 pub mod features;
-#[allow(missing_docs, reason = "not reached yet: #30")]
 pub mod http;
 #[allow(missing_docs, clippy::too_many_lines, reason = "not reached yet: #30")]
 pub mod job_api;
@@ -48,7 +47,6 @@
 pub mod provisioning;
 #[allow(missing_docs, clippy::too_many_lines, reason = "not reached yet: #30")]
 pub mod scheduler;
-#[allow(clippy::too_many_lines, reason = "not reached yet: #30")]
 pub mod service;
 #[allow(missing_docs, clippy::too_many_lines, reason = "not reached yet: #30")]
 pub mod store;
--- a/src/main.rs
+++ b/src/main.rs
@@ -1,4 +1,5 @@
-//! The command line of dappleshore.
+//! The binary: parses the command line, starts logging and the runtime, and maps outcomes to exit codes. All else is in
+//! the library.
 
 use std::path::Path;
 use std::process::ExitCode;
@@ -24,7 +25,7 @@
     }
 }
 
-/// What a controller goes by.
+/// The settings, the policy and the features of a controller, each valid with the others.
 struct Loaded {
     config: Config,
     policy: Policy,
@@ -58,19 +59,19 @@
 fn report(files: &Files, loaded: &Loaded) -> ExitCode {
     let policy = files.policy.as_deref();
     let features = loaded.found.path.as_deref();
-    let named: [Option<&Path>; 3] = [Some(&files.config), policy, features];
-    for path in named.into_iter().flatten() {
+    let paths: [Option<&Path>; 3] = [Some(&files.config), policy, features];
+    for path in paths.into_iter().flatten() {
         println!("{}: correct", path.display());
     }
     ExitCode::SUCCESS
 }
 
 fn start_logging() {
-    let wanted = std::env::var("LOG_LEVEL").unwrap_or_default();
-    let level = if wanted.is_empty() {
+    let requested = std::env::var("LOG_LEVEL").unwrap_or_default();
+    let level = if requested.is_empty() {
         Ok(Level::INFO)
     } else {
-        wanted.parse()
+        requested.parse()
     };
     let known = level.is_ok();
     tracing_subscriber::fmt()
@@ -80,7 +81,7 @@
         .with_target(false)
         .init();
     if !known {
-        warn!(LOG_LEVEL = wanted, "unknown log level; using info");
+        warn!(LOG_LEVEL = requested, "unknown log level; using info");
     }
 }
 
@@ -98,15 +99,16 @@
         found,
     } = loaded;
     info!(features = ?found.path, drain = found.features.drain.enabled, "features");
-    let outcome = runtime()
-        .and_then(|runtime| runtime.block_on(service::run(config, policy, found.features)));
-    match outcome {
-        Ok(()) => ExitCode::SUCCESS,
-        Err(problem) => {
-            error!(%problem, "the service could not run");
-            ExitCode::FAILURE
+    let runtime = match runtime() {
+        Ok(runtime) => runtime,
+        Err(error) => {
+            error!(%error, "service failed: the runtime can't be started");
+            return ExitCode::FAILURE;
         }
-    }
+    };
+    let Err(error) = runtime.block_on(service::run(config, policy, found.features));
+    error!(%error, "service failed");
+    ExitCode::FAILURE
 }
 
 fn operate(operation: Result<Operation, String>) -> ExitCode {
--- /dev/null
+++ b/src/service/effects.rs
@@ -0,0 +1,160 @@
+//! Carries out the effects that the state machine decides on.
+//!
+//! Each request is sent by a task of its own, whose result comes back to the event loop as an event. A request that is
+//! bound to an authority is not sent after that has expired, as the process may have been paused since the decision.
+
+use std::net::SocketAddr;
+use std::time::{Duration, Instant};
+
+use tracing::debug;
+
+use super::{EventLoop, PendingReply};
+use crate::controller::{Effect, Event};
+use crate::domain::{ControllerName, Now};
+use crate::http::{Client, Reply, Request, read, write};
+use crate::job_api::{RequestId, Response};
+use crate::peer::Message;
+use crate::workers::wire::Heartbeat;
+use crate::workers::{CommandOutcome, DirectCommand};
+use crate::{cloud, store};
+
+const COMMAND_TIMEOUT: Duration = Duration::from_secs(3);
+const PEER_TIMEOUT: Duration = Duration::from_secs(2);
+
+impl EventLoop {
+    pub(super) fn perform(&mut self, effect: Effect) {
+        match effect {
+            Effect::RespondToUser { id, response } => self.respond_to_user(id, response),
+            Effect::RespondToWorker { id, answer, until } => {
+                if let Some(PendingReply::Worker(reply)) = self.pending.remove(&id) {
+                    let _ = reply.send((answer, until));
+                }
+            }
+            Effect::RespondToHealthCheck { id, healthy } => {
+                if let Some(PendingReply::Health(reply)) = self.pending.remove(&id) {
+                    let _ = reply.send(healthy);
+                }
+            }
+            Effect::RespondToOperator { id, reply } => {
+                if let Some(PendingReply::Operator(pending)) = self.pending.remove(&id) {
+                    let _ = pending.send(reply);
+                }
+            }
+            Effect::Store { tag, op } => {
+                let sent = Now::read().monotonic;
+                let request = store::wire::request(&op);
+                self.exchange(&self.client, self.state, request, None, move |reply| {
+                    let outcome = store::wire::outcome(&op, reply.as_ref());
+                    Event::Store { tag, sent, outcome }
+                });
+            }
+            Effect::Cloud { tag, call, until } => {
+                let request = cloud::wire::request(&call);
+                self.exchange(&self.client, self.cloud, request, until, move |reply| {
+                    let outcome = cloud::wire::outcome(&call, reply.as_ref());
+                    Event::CloudResponse { tag, outcome }
+                });
+            }
+            Effect::Command { command, until } => self.send_command(command, until),
+            Effect::Unsupported { format } => self.unsupported_format = Some(format),
+            Effect::Peer { to, message } => self.send_to_peer(&to, &message),
+        }
+    }
+
+    fn respond_to_user(&mut self, id: RequestId, response: Response) {
+        let Some(PendingReply::User(reply, since)) = self.pending.remove(&id) else {
+            return;
+        };
+        if matches!(response, Response::State { status: 201, .. }) {
+            let elapsed_ms = u64::try_from(since.elapsed().as_millis()).unwrap_or(u64::MAX);
+            self.controller.metrics().accept_ms.record(elapsed_ms);
+        }
+        // Whoever asked may be gone.
+        let _ = reply.send(response);
+    }
+
+    fn send_command(&mut self, command: DirectCommand, until: Option<Instant>) {
+        let Ok(addr) = command.addr.parse() else {
+            debug!(machine = %command.machine, addr = command.addr, "command not sent: invalid worker address");
+            self.handle(command_event(command, CommandOutcome::Unknown));
+            return;
+        };
+        let now = Now::read().monotonic;
+        let request = Request {
+            close: !self.recent_commands.try_keep_alive(now),
+            ..Request::post(
+                "/commands".to_owned(),
+                write(&command.body),
+                COMMAND_TIMEOUT,
+            )
+        };
+        self.exchange(&self.worker_client, addr, request, until, move |reply| {
+            command_event(command, command_outcome(reply.as_ref()))
+        });
+    }
+
+    fn send_to_peer(&self, to: &ControllerName, message: &Message) {
+        let Some(addr) = self.peers.get(to).copied() else {
+            return;
+        };
+        let request = Request::post("/peer".to_owned(), write(message), PEER_TIMEOUT);
+        let client = self.client.clone();
+        // Lost messages are repeated by whoever needs them.
+        tokio::spawn(async move { send(&client, addr, request).await });
+    }
+
+    /// Sends a request, unless its authority has expired at `until`, and queues the event that the reply, or its lack,
+    /// makes.
+    fn exchange(
+        &self,
+        client: &Client,
+        addr: SocketAddr,
+        request: Request,
+        until: Option<Instant>,
+        event: impl FnOnce(Option<Reply>) -> Event + Send + 'static,
+    ) {
+        let client = client.clone();
+        let events = self.events.clone();
+        tokio::spawn(async move {
+            let reply = match until {
+                Some(until) if Now::read().monotonic >= until => {
+                    debug!(%addr, path = request.path, "request not sent: authority expired");
+                    None
+                }
+                _ => send(&client, addr, request).await,
+            };
+            // The receiver lives as long as the process.
+            let _ = events.send(event(reply));
+        });
+    }
+}
+
+/// All faults are alike to the state machine: the request may have been executed.
+async fn send(client: &Client, addr: SocketAddr, request: Request) -> Option<Reply> {
+    let path = request.path.clone();
+    client
+        .send(addr, request)
+        .await
+        .inspect_err(|error| debug!(%addr, path, %error, "request without a reply"))
+        .ok()
+}
+
+fn command_outcome(reply: Option<&Reply>) -> CommandOutcome {
+    let Some(reply) = reply else {
+        return CommandOutcome::Unknown;
+    };
+    match (reply.status, read::<Heartbeat>(&reply.body)) {
+        (200, Ok(heartbeat)) => CommandOutcome::Executed(heartbeat),
+        (409, Ok(heartbeat)) => CommandOutcome::Rejected(heartbeat),
+        _ => CommandOutcome::Unknown,
+    }
+}
+
+fn command_event(command: DirectCommand, outcome: CommandOutcome) -> Event {
+    Event::Commanded {
+        block: command.block,
+        machine: command.machine,
+        body: command.body,
+        outcome,
+    }
+}
--- /dev/null
+++ b/src/service/mod.rs
@@ -0,0 +1,212 @@
+//! Runs one controller: turns requests, replies and ticks into events for its state machine, and the effects that it
+//! decides on into requests and replies.
+//!
+//! The binary calls [`run`]. One task owns the state machine and handles one event at a time; the listeners and each
+//! request that is sent have tasks of their own, which reach it through channels. So the state machine needs no lock, and
+//! nothing in it may block.
+
+mod effects;
+mod sockets;
+
+use std::collections::HashMap;
+use std::convert::Infallible;
+use std::net::SocketAddr;
+use std::time::{Duration, Instant};
+
+use dappleshore_drain::operator;
+use tokio::sync::{mpsc, oneshot};
+use tracing::info;
+
+use crate::config::Config;
+use crate::controller::{Controller, Event};
+use crate::domain::{ControllerName, Now};
+use crate::features::Features;
+use crate::http::Client;
+use crate::http::connections::serve;
+use crate::http::server::{IncomingRequest, MAX_QUEUED_REQUESTS, peer_routes, public_routes};
+use crate::job_api::{RequestId, Response};
+use crate::policy::Policy;
+use crate::store::records::FORMAT;
+use crate::workers::{COMMAND_PART, HeartbeatResponse};
+use sockets::{ConnectionLimits, IDLE_TIMEOUT, RecentCommands, WORKER_IDLE_TIMEOUT};
+
+const TICK_INTERVAL: Duration = Duration::from_millis(40);
+
+/// Why a controller can't start or go on.
+#[derive(Debug, thiserror::Error)]
+pub enum ServeError {
+    /// A listener's address can't be bound.
+    #[error("can't listen on {address} (setting `{setting}`): {cause}")]
+    Listen {
+        /// The name of the setting in the settings file.
+        setting: &'static str,
+        /// Its value.
+        address: SocketAddr,
+        /// What the operating system says.
+        #[source]
+        cause: std::io::Error,
+    },
+    /// The stored records are of a format that a newer version has written.
+    #[error(
+        "the records are in format {format}, newer than this version's {FORMAT}: start a newer version"
+    )]
+    UnsupportedFormat {
+        /// The format of the records.
+        format: u32,
+    },
+}
+
+/// Where the reply to a request goes once the state machine has decided it.
+enum PendingReply {
+    /// With the time at which the request arrived.
+    User(oneshot::Sender<Response>, Instant),
+    /// The reply goes with the time until which it may be sent.
+    Worker(oneshot::Sender<(HeartbeatResponse, Instant)>),
+    Health(oneshot::Sender<bool>),
+    Operator(oneshot::Sender<operator::Reply>),
+}
+
+struct EventLoop {
+    controller: Controller,
+    /// For requests to anyone but workers.
+    client: Client,
+    /// For commands to workers.
+    worker_client: Client,
+    recent_commands: RecentCommands,
+    /// For what the tasks that send requests have to tell.
+    events: mpsc::UnboundedSender<Event>,
+    pending: HashMap<RequestId, PendingReply>,
+    last_request: RequestId,
+    state: SocketAddr,
+    cloud: SocketAddr,
+    peers: HashMap<ControllerName, SocketAddr>,
+    /// A format of the records that this program does not know.
+    unsupported_format: Option<u32>,
+}
+
+/// Runs until the process is killed.
+///
+/// # Errors
+///
+/// A listener can't be opened, or the records turn out to be of a newer version.
+pub async fn run(
+    config: Config,
+    policy: Policy,
+    features: Features,
+) -> Result<Infallible, ServeError> {
+    let (incoming, mut requests) = mpsc::channel(MAX_QUEUED_REQUESTS);
+    let (events, mut queued_events) = mpsc::unbounded_channel();
+    let limits = ConnectionLimits::new(config.max_sockets);
+    let (listen, peer_listen) = (config.listen, config.peer_listen);
+    let public = serve(
+        listen,
+        limits.public.clone(),
+        public_routes(incoming.clone(), limits.public),
+    );
+    let peers = serve(peer_listen, limits.peers, peer_routes(incoming));
+    info!(controller = %config.name, zone = %config.zone, %listen, "starting");
+    let mut event_loop = EventLoop::new(config, policy, features, events);
+    tokio::pin!(public);
+    tokio::pin!(peers);
+    let mut tick = tokio::time::interval(TICK_INTERVAL);
+    tick.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
+    loop {
+        tokio::select! {
+            served = &mut public => return served.map_err(|cause| ServeError::Listen {
+                setting: "bind",
+                address: listen,
+                cause,
+            }),
+            served = &mut peers => return served.map_err(|cause| ServeError::Listen {
+                setting: "back",
+                address: peer_listen,
+                cause,
+            }),
+            _ = tick.tick() => event_loop.handle(Event::Tick),
+            Some(event) = queued_events.recv() => event_loop.handle(event),
+            Some(request) = requests.recv() => event_loop.accept(request),
+        }
+        if let Some(format) = event_loop.unsupported_format {
+            return Err(ServeError::UnsupportedFormat { format });
+        }
+    }
+}
+
+impl EventLoop {
+    fn new(
+        config: Config,
+        policy: Policy,
+        features: Features,
+        events: mpsc::UnboundedSender<Event>,
+    ) -> Self {
+        EventLoop {
+            client: Client::new(IDLE_TIMEOUT),
+            worker_client: Client::new(WORKER_IDLE_TIMEOUT),
+            recent_commands: RecentCommands::new(config.max_sockets / COMMAND_PART),
+            events,
+            pending: HashMap::new(),
+            last_request: 0,
+            state: config.state,
+            cloud: config.cloud,
+            peers: config
+                .peers
+                .iter()
+                .map(|peer| (peer.name.clone(), peer.addr))
+                .collect(),
+            unsupported_format: None,
+            controller: Controller::new(config, policy, rand::random(), Now::read())
+                .with_features(features),
+        }
+    }
+
+    /// Hands a request to the state machine and keeps the channel for its reply.
+    fn accept(&mut self, request: IncomingRequest) {
+        self.last_request += 1;
+        let id = self.last_request;
+        let now = Now::read().monotonic;
+        let (pending, event) = match request {
+            IncomingRequest::Submit(body, reply) => (
+                PendingReply::User(reply, now),
+                Event::Submit {
+                    id,
+                    body: body.to_vec(),
+                },
+            ),
+            IncomingRequest::Poll(job, reply) => {
+                (PendingReply::User(reply, now), Event::Poll { id, job })
+            }
+            IncomingRequest::Cancel(job, reply) => {
+                (PendingReply::User(reply, now), Event::Cancel { id, job })
+            }
+            IncomingRequest::Health(reply) => (PendingReply::Health(reply), Event::Health { id }),
+            IncomingRequest::Heartbeat(heartbeat, reply) => (
+                PendingReply::Worker(reply),
+                Event::Heartbeat { id, heartbeat },
+            ),
+            IncomingRequest::Operate(request, reply) => (
+                PendingReply::Operator(reply),
+                Event::Operate { id, request },
+            ),
+            IncomingRequest::Peer(message) => return self.handle(Event::Peer(message)),
+            IncomingRequest::Metrics(reply) => {
+                // Whoever asked may be gone.
+                let _ = reply.send(self.controller.metrics().show());
+                return;
+            }
+        };
+        self.pending.insert(id, pending);
+        self.handle(event);
+    }
+
+    fn handle(&mut self, event: Event) {
+        let began = Now::read();
+        let effects = self.controller.handle(began, event);
+        self.controller.took(began, began.monotonic.elapsed());
+        for effect in effects {
+            self.perform(effect);
+        }
+    }
+}
+
+#[cfg(test)]
+mod tests;
