--- a/src/http/server.rs
+++ b/src/http/server.rs
@@ -166,14 +166,7 @@
             };
             await_reply(events, IncomingRequest::Health, show).into_rejection()
         });
-    let heartbeat = warp::path!("v1" / "report")
-        .and(warp::post())
-        .and(body(MAX_BODY_BYTES))
-        .and(event_sender)
-        .and_then(move |body: Bytes, events| {
-            apply_heartbeat(body, events, limiter.clone()).into_rejection()
-        });
-    heartbeat
+    heartbeat_route(event_sender, limiter)
         .or(poll)
         .unify()
         .or(submit)
@@ -186,6 +179,23 @@
         .unify()
 }
 
+fn heartbeat_route(
+    event_sender: impl Filter<Extract = (mpsc::Sender<IncomingRequest>,), Error = Infallible>
+    + Clone
+    + Send
+    + Sync
+    + 'static,
+    limiter: ConnectionLimiter,
+) -> impl Filter<Extract = (HttpResponse,), Error = Rejection> + Clone {
+    warp::path!("v1" / "report")
+        .and(warp::post())
+        .and(body(MAX_BODY_BYTES))
+        .and(event_sender)
+        .and_then(move |body: Bytes, events| {
+            apply_heartbeat(body, events, limiter.clone()).into_rejection()
+        })
+}
+
 async fn apply_heartbeat(
     body: Bytes,
     events: mpsc::Sender<IncomingRequest>,
