--- a/src/block_leases/tests.rs
+++ b/src/block_leases/tests.rs
@@ -1,3 +1,5 @@
+//! Which holders get blocks.
+
 use super::*;
 use crate::cloud::InstanceCatalog;
 use crate::cloud::wire::InstanceTypeList;
@@ -7,84 +9,119 @@
 use crate::store::records::{Member, encode, member_key};
 use crate::store::{Change, TransactionChange};
 
-/// A controller that can't do a holder's work must not win blocks back at once: they would go to and fro.
-#[test]
-fn blocks_leave_a_suspended_holder_and_stay_away_longer_each_time() {
-    let config = Config::parse("s.toml", SETTINGS).expect("valid");
-    let policy = Policy::defaults(&config);
-    let mut catalog = InstanceCatalog::default();
-    catalog.answered(Some(InstanceTypeList {
-        types: vec![instance_type()],
-    }));
-    let start = Now::read();
-    let at = |seconds: u64| Now {
-        monotonic: start.monotonic + Duration::from_secs(seconds),
-        ..start
-    };
-    let mut cache = WatchCache::following();
-    let other = config.peers[0].name.clone();
-    for (version, controller) in [(1, &config.name), (2, &other)] {
-        let change = Change {
-            key: member_key(controller),
-            version,
-            value: Some(encode(&Member {
-                incarnation: Incarnation(1),
-                format: 0,
-            })),
-        };
-        cache.apply(change);
+/// A leader, and another controller that is a member too.
+struct Fixture {
+    config: Config,
+    policy: Policy,
+    catalog: InstanceCatalog,
+    start: Now,
+    cache: WatchCache,
+    /// The version of the last record written.
+    version: u64,
+    other: ControllerName,
+    manager: BlockLeaseManager,
+}
+
+impl Fixture {
+    fn new() -> Self {
+        let config = Config::parse("s.toml", SETTINGS).expect("valid");
+        let mut catalog = InstanceCatalog::default();
+        catalog.answered(Some(InstanceTypeList {
+            types: vec![instance_type()],
+        }));
+        let mut cache = WatchCache::following();
+        let other = config.peers[0].name.clone();
+        for (version, controller) in [(1, &config.name), (2, &other)] {
+            cache.apply(Change {
+                key: member_key(controller),
+                version,
+                value: Some(encode(&Member {
+                    incarnation: Incarnation(1),
+                    format: 0,
+                })),
+            });
+        }
+        Fixture {
+            policy: Policy::defaults(&config),
+            config,
+            catalog,
+            start: Now::read(),
+            cache,
+            version: 2,
+            other,
+            manager: BlockLeaseManager::new(),
+        }
     }
-    let mut block_lease_manager = BlockLeaseManager::new();
-    let mut version = 2;
-    // Grants what is due and commits it. Returns how many blocks the other one holds.
-    let mut lease = |block_lease_manager: &mut BlockLeaseManager, now: Now| {
+
+    fn at(&self, seconds: u64) -> Now {
+        Now {
+            monotonic: self.start.monotonic + Duration::from_secs(seconds),
+            ..self.start
+        }
+    }
+
+    fn suspend(&mut self, seconds: u64, controller: &ControllerName) {
+        self.manager.suspend_holder(self.at(seconds), controller);
+    }
+
+    /// Commits the leases that are due then. Returns how many blocks the other controller holds.
+    fn commit_leases(&mut self, seconds: u64) -> usize {
+        let now = self.at(seconds);
         let leader = LeaderContext {
-            config: &config,
-            policy: &policy,
-            catalog: &catalog,
+            config: &self.config,
+            policy: &self.policy,
+            catalog: &self.catalog,
             term: Term(1),
             version: 1,
             batch: 16,
             spare: true,
         };
         for _ in 0..40 {
-            block_lease_manager.record_heartbeat(now, &other, Incarnation(1));
-            block_lease_manager.writer = Writer::Idle;
-            let Some(StoreRequest::Commit(txn)) =
-                block_lease_manager.poll(now, &leader, &mut cache)
+            self.manager
+                .record_heartbeat(now, &self.other, Incarnation(1));
+            self.manager.writer = Writer::Idle;
+            let Some(StoreRequest::Commit(transaction)) =
+                self.manager.poll(now, &leader, &mut self.cache)
             else {
                 break;
             };
-            version += 1;
-            for change in txn.changes {
+            self.version += 1;
+            for change in transaction.changes {
                 let TransactionChange::Put { key, value, .. } = change else {
                     panic!("{change:?}")
                 };
-                cache.apply(Change {
+                self.cache.apply(Change {
                     key,
-                    version,
+                    version: self.version,
                     value: Some(value),
                 });
             }
         }
-        cache
-            .block_leases
-            .values()
-            .filter(|lease| lease.value.holder == other)
+        let leases = self.cache.block_leases.values();
+        leases
+            .filter(|lease| lease.value.holder == self.other)
             .count()
-    };
-    lease(&mut block_lease_manager, at(0));
-    block_lease_manager.writer = Writer::Idle;
-    assert!(lease(&mut block_lease_manager, at(1)) > 0);
-    block_lease_manager.suspend_holder(at(10), &other);
-    assert_eq!(lease(&mut block_lease_manager, at(10)), 0);
-    assert_eq!(lease(&mut block_lease_manager, at(39)), 0);
-    assert!(lease(&mut block_lease_manager, at(41)) > 0);
-    block_lease_manager.suspend_holder(at(50), &other);
-    assert_eq!(lease(&mut block_lease_manager, at(100)), 0, "twice as long");
-    assert!(lease(&mut block_lease_manager, at(111)) > 0);
+    }
+}
+
+/// A controller that can't do a holder's work must not win blocks back at once: they would go to and fro.
+#[test]
+fn blocks_leave_a_suspended_holder_and_stay_away_longer_each_time() {
+    let mut fixture = Fixture::new();
+    let other = fixture.other.clone();
+    fixture.commit_leases(0);
+    fixture.manager.writer = Writer::Idle;
+    assert!(fixture.commit_leases(1) > 0);
+    fixture.suspend(10, &other);
+    assert_eq!(fixture.commit_leases(10), 0);
+    assert_eq!(fixture.commit_leases(39), 0);
+    assert!(fixture.commit_leases(41) > 0);
+    fixture.suspend(50, &other);
+    assert_eq!(fixture.commit_leases(100), 0, "twice as long");
+    assert!(fixture.commit_leases(111) > 0);
     // If nobody can do it, things stay as they are.
-    block_lease_manager.suspend_holder(at(120), &other);
-    block_lease_manager.suspend_holder(at(120), &config.name);
-    assert!(lease(&mut block_lease_manager, at(121)) > 0);
+    let leader = fixture.config.name.clone();
+    fixture.suspend(120, &other);
+    fixture.suspend(120, &leader);
+    assert!(fixture.commit_leases(121) > 0);
 }
--- a/src/cancellation/tests.rs
+++ b/src/cancellation/tests.rs
@@ -11,14 +11,19 @@
 use crate::provisioning::Tag;
 use crate::store::Change;
 use crate::store::records::{
-    BlockPlacements, InventoryEntry, JobRecord, MachineInventory, MachineState, block_lease_key,
-    encode, inventory_key, job_key, placements_key,
+    BlockPlacements, InventoryEntry, JobRecord, MachineInventory, MachineState, Record,
+    block_lease_key, encode, inventory_key, job_key, placements_key,
 };
 
 const INCARNATION: Incarnation = Incarnation(7);
 
-/// The local copy of the records: block `a.0` is ours with `m-1`, block `b.0` another's (process 3) with `m-2`. On both is a task of job 1,
-/// which is cancelled, and on `m-3` of ours one of job 2, which is not.
+/// The `number`th of our heartbeats, as the others name it.
+fn ours(number: u64) -> Option<(Incarnation, u64)> {
+    Some((INCARNATION, number))
+}
+
+/// The local copy of the records: block `a.0` is ours with `m-1`, block `b.0` another's (process 3) with `m-2`. On both is a
+/// task of job 1, which is cancelled, and on `m-3` of ours one of job 2, which is not.
 struct Fixture {
     config: Config,
     cache: WatchCache,
@@ -28,70 +33,82 @@
     reaches_state: bool,
 }
 
+/// Enters records into a local copy, each with a version of its own.
+struct RecordWriter<'a> {
+    cache: &'a mut WatchCache,
+    version: u64,
+}
+
+impl RecordWriter<'_> {
+    fn put(&mut self, key: String, record: &impl Record) {
+        self.version += 1;
+        self.cache.apply(Change {
+            key,
+            version: self.version,
+            value: Some(encode(record)),
+        });
+    }
+}
+
+fn lease(holder: &ControllerName, incarnation: Incarnation) -> BlockLease {
+    BlockLease {
+        zone: "a".into(),
+        holder: holder.clone(),
+        incarnation,
+        token: FencingToken(4),
+        term: Term(3),
+    }
+}
+
+/// Enters a block with machines, each with the task of this index of a job.
+fn put_block(
+    records: &mut RecordWriter<'_>,
+    block: &str,
+    lease: &BlockLease,
+    index: u32,
+    machines: &[(&str, u64)],
+) {
+    let mut inventory = MachineInventory {
+        zone: "a".into(),
+        on: BTreeMap::new(),
+    };
+    let mut placements = BlockPlacements::default();
+    for (machine, job) in machines {
+        let entry = InventoryEntry {
+            type_name: "large".into(),
+            capacity_type: CapacityType::Spot,
+            state: MachineState::InService,
+            rented_s: 0,
+        };
+        inventory.on.insert((*machine).into(), entry);
+        let task = TaskId {
+            job: JobId(*job),
+            index,
+        };
+        placements.add(&(*machine).into(), Attempt { task, number: 9 });
+    }
+    records.put(inventory_key(&block.into()), &inventory);
+    records.put(block_lease_key(&block.into()), lease);
+    records.put(placements_key(&block.into()), &placements);
+}
+
 impl Fixture {
     fn new() -> Self {
         let config = Config::parse("s.toml", SETTINGS).expect("valid");
         let start = Now::read();
         let mut cache = WatchCache::following();
-        let mut version = 0;
-        let mut put = |key: String, value| {
-            version += 1;
-            cache.apply(Change {
-                key,
-                version,
-                value: Some(value),
-            });
+        let other = &config.peers[0].name;
+        let mut records = RecordWriter {
+            cache: &mut cache,
+            version: 0,
         };
-        let other = config.peers[0].name.clone();
-        for (block, holder, incarnation, on) in [
-            (
-                "a.0",
-                &config.name,
-                INCARNATION,
-                &[("m-1", 1), ("m-3", 2)][..],
-            ),
-            ("b.0", &other, Incarnation(3), &[("m-2", 1)]),
-        ] {
-            let entry = || InventoryEntry {
-                type_name: "large".into(),
-                capacity_type: CapacityType::Spot,
-                state: MachineState::InService,
-                rented_s: 0,
-            };
-            let machines = on
-                .iter()
-                .map(|(machine, _)| ((*machine).into(), entry()))
-                .collect();
-            put(
-                inventory_key(&block.into()),
-                encode(&MachineInventory {
-                    zone: "a".into(),
-                    on: machines,
-                }),
-            );
-            let lease = BlockLease {
-                zone: "a".into(),
-                holder: holder.clone(),
-                incarnation: Incarnation(incarnation.0),
-                token: FencingToken(4),
-                term: Term(3),
-            };
-            put(block_lease_key(&block.into()), encode(&lease));
-            let mut placements = BlockPlacements::default();
-            for (machine, job) in on {
-                let task = TaskId {
-                    job: JobId(*job),
-                    index: u32::from(block == "b.0"),
-                };
-                placements.add(&(*machine).into(), Attempt { task, number: 9 });
-            }
-            put(placements_key(&block.into()), encode(&placements));
-        }
-        put(
-            job_key(JobId(1)),
-            encode(&JobRecord::Cancelled(job(2, 1.0), start.unix_ms())),
-        );
-        put(job_key(JobId(2)), encode(&JobRecord::Open(job(2, 1.0))));
+        let ours = lease(&config.name, INCARNATION);
+        let others = lease(other, Incarnation(3));
+        put_block(&mut records, "a.0", &ours, 0, &[("m-1", 1), ("m-3", 2)]);
+        put_block(&mut records, "b.0", &others, 1, &[("m-2", 1)]);
+        let cancelled = JobRecord::Cancelled(job(2, 1.0), start.unix_ms());
+        records.put(job_key(JobId(1)), &cancelled);
+        records.put(job_key(JobId(2)), &JobRecord::Open(job(2, 1.0)));
         let mut cancellations = Cancellations::new();
         let changed = cache.take_changed();
         cancellations.sync(&cache, &changed);
@@ -283,36 +300,15 @@
     for second in 1..=9 {
         assert_eq!(fixture.next_heartbeat(seconds(second)).number, second);
     }
-    fixture.hear(
-        0,
-        seconds(10),
-        Incarnation(3),
-        1,
-        true,
-        Some((INCARNATION, 5)),
-    );
+    fixture.hear(0, seconds(10), Incarnation(3), 1, true, ours(5));
     assert_eq!(known(&fixture), None, "only one of two");
-    fixture.hear(
-        1,
-        seconds(10),
-        Incarnation(4),
-        1,
-        true,
-        Some((INCARNATION, 7)),
-    );
+    fixture.hear(1, seconds(10), Incarnation(4), 1, true, ours(7));
     assert_eq!(
         known(&fixture),
         Some(seconds(5)),
         "when we sent that, not when the answer came"
     );
-    fixture.hear(
-        0,
-        seconds(11),
-        Incarnation(3),
-        2,
-        false,
-        Some((INCARNATION, 9)),
-    );
+    fixture.hear(0, seconds(11), Incarnation(3), 2, false, ours(9));
     fixture.hear(
         0,
         seconds(11),
@@ -327,36 +323,15 @@
         Some(seconds(5)),
         "not all it knows; another process of ours; it has not heard us"
     );
-    fixture.hear(
-        0,
-        seconds(12),
-        Incarnation(3),
-        6,
-        true,
-        Some((INCARNATION, 9)),
-    );
+    fixture.hear(0, seconds(12), Incarnation(3), 6, true, ours(9));
     assert_eq!(known(&fixture), Some(seconds(7)));
-    fixture.hear(
-        1,
-        seconds(12),
-        Incarnation(4),
-        1,
-        true,
-        Some((INCARNATION, 9)),
-    );
+    fixture.hear(1, seconds(12), Incarnation(4), 1, true, ours(9));
     assert_eq!(
         known(&fixture),
         Some(seconds(7)),
         "a copy of an earlier message"
     );
-    fixture.hear(
-        1,
-        seconds(13),
-        Incarnation(5),
-        1,
-        false,
-        Some((INCARNATION, 9)),
-    );
+    fixture.hear(1, seconds(13), Incarnation(5), 1, false, ours(9));
     assert_eq!(
         known(&fixture),
         None,
@@ -376,41 +351,13 @@
             .is_some()
     };
     fixture.next_heartbeat(seconds(1));
-    fixture.hear(
-        0,
-        seconds(2),
-        Incarnation(3),
-        1,
-        true,
-        Some((INCARNATION, 1)),
-    );
-    fixture.hear(
-        1,
-        seconds(2),
-        Incarnation(4),
-        1,
-        true,
-        Some((INCARNATION, 1)),
-    );
+    fixture.hear(0, seconds(2), Incarnation(3), 1, true, ours(1));
+    fixture.hear(1, seconds(2), Incarnation(4), 1, true, ours(1));
     assert!(known(&fixture, 3));
     fixture.reaches_state = true;
-    fixture.hear(
-        0,
-        seconds(4),
-        Incarnation(3),
-        2,
-        true,
-        Some((INCARNATION, 1)),
-    );
+    fixture.hear(0, seconds(4), Incarnation(3), 2, true, ours(1));
     assert!(known(&fixture, 7), "it is out of it first, we follow");
-    fixture.hear(
-        0,
-        seconds(8),
-        Incarnation(3),
-        3,
-        true,
-        Some((INCARNATION, 1)),
-    );
+    fixture.hear(0, seconds(8), Incarnation(3), 3, true, ours(1));
     assert!(!known(&fixture, 8));
 }
 
--- a/src/controller/tests.rs
+++ b/src/controller/tests.rs
@@ -12,17 +12,12 @@
 use crate::provisioning;
 use crate::store::{StoreResponse, cache};
 
-#[test]
-fn a_controller_is_unhealthy_only_while_it_alone_cannot_reach_the_state_service() {
+/// A controller that knows the instance types and has read an empty state service.
+fn ready_controller(start: Now, ready_at: Now) -> Controller {
     let config = Config::parse("s.toml", SETTINGS).expect("valid");
     let policy = Policy::defaults(&config);
-    let start = Now::read();
-    let at = |ms| Now {
-        monotonic: start.monotonic + Duration::from_millis(ms),
-        ..start
-    };
     let mut controller = Controller::new(config, policy, 1, start);
-    assert!(!controller.healthy(at(1)), "nothing is known yet");
+    assert!(!controller.healthy(ready_at), "nothing is known yet");
     let list = InstanceTypeList {
         types: vec![crate::cloud::wire::tests::instance_type()],
     };
@@ -30,28 +25,35 @@
         tag: provisioning::Tag::InstanceCatalog,
         outcome: CloudResponse::InstanceTypes(list),
     };
-    // An empty state service.
     for effect in controller.handle(start, event) {
         if let Effect::Store {
             tag: tag @ StoreTag::WatchCache(cache::Tag::Page { .. }),
             ..
         } = effect
         {
-            let outcome = StoreResponse::Rows {
-                rows: Vec::new(),
-                more: false,
-                revision: 0,
-            };
-            controller.handle(
-                at(5),
-                Event::Store {
-                    tag,
-                    sent: start.monotonic,
-                    outcome,
+            let event = Event::Store {
+                tag,
+                sent: start.monotonic,
+                outcome: StoreResponse::Rows {
+                    rows: Vec::new(),
+                    more: false,
+                    revision: 0,
                 },
-            );
+            };
+            controller.handle(ready_at, event);
         }
     }
+    controller
+}
+
+#[test]
+fn a_controller_is_unhealthy_only_while_it_alone_cannot_reach_the_state_service() {
+    let start = Now::read();
+    let at = |ms| Now {
+        monotonic: start.monotonic + Duration::from_millis(ms),
+        ..start
+    };
+    let mut controller = ready_controller(start, at(5));
     assert!(controller.healthy(at(20)));
     controller
         .rate_limiter
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -3,9 +3,7 @@
 
 pub use dappleshore_domain as domain;
 
-#[allow(missing_docs, clippy::too_many_lines, reason = "not reached yet: #30")]
 pub mod block_leases;
-#[allow(missing_docs, clippy::too_many_lines, reason = "not reached yet: #30")]
 pub mod cancellation;
 #[allow(missing_docs, reason = "not reached yet: #30")]
 pub mod cli;
@@ -14,7 +12,6 @@
 pub mod cloud;
 #[allow(missing_docs, clippy::too_many_lines, reason = "not reached yet: #30")]
 pub mod config;
-#[allow(missing_docs, clippy::too_many_lines, reason = "not reached yet: #30")]
 pub mod controller;
 #[allow(missing_docs, reason = "not reached yet: #30")]
 pub mod features;
@@ -23,17 +20,10 @@
 #[allow(missing_docs, clippy::too_many_lines, reason = "not reached yet: #30")]
 pub mod job_api;
 pub mod leader_context;
-#[allow(missing_docs, clippy::too_many_lines, reason = "not reached yet: #30")]
 pub mod leadership;
-#[allow(missing_docs, reason = "not reached yet: #30")]
 pub mod metrics;
 #[allow(missing_docs, reason = "not reached yet: #30")]
 pub mod operations;
-#[allow(
-    missing_docs,
-    clippy::struct_excessive_bools,
-    reason = "not reached yet: #30"
-)]
 pub mod peer;
 #[allow(missing_docs, reason = "not reached yet: #30")]
 pub mod placement;
