--- a/src/lib.rs
+++ b/src/lib.rs
@@ -3,9 +3,7 @@
 
 pub use dappleshore_domain as domain;
 
-#[allow(missing_docs, clippy::too_many_lines, reason = "not reached yet: #30")]
 pub mod block_leases;
-#[allow(missing_docs, clippy::too_many_lines, reason = "not reached yet: #30")]
 pub mod cancellation;
 #[allow(missing_docs, reason = "not reached yet: #30")]
 pub mod cli;
@@ -13,24 +11,16 @@
 pub mod cloud;
 #[allow(missing_docs, clippy::too_many_lines, reason = "not reached yet: #30")]
 pub mod config;
-#[allow(missing_docs, clippy::too_many_lines, reason = "not reached yet: #30")]
 pub mod controller;
 #[allow(missing_docs, reason = "not reached yet: #30")]
 pub mod features;
 pub mod http;
 pub mod job_api;
 pub mod leader_context;
-#[allow(missing_docs, clippy::too_many_lines, reason = "not reached yet: #30")]
 pub mod leadership;
-#[allow(missing_docs, reason = "not reached yet: #30")]
 pub mod metrics;
 #[allow(missing_docs, reason = "not reached yet: #30")]
 pub mod operations;
-#[allow(
-    missing_docs,
-    clippy::struct_excessive_bools,
-    reason = "not reached yet: #30"
-)]
 pub mod peer;
 pub mod placement;
 #[allow(missing_docs, reason = "not reached yet: #30")]
