--- a/src/store/records/inventory.rs
+++ b/src/store/records/inventory.rs
@@ -1,6 +1,6 @@
 //! The machines of a block and the rentals that may add to them.
 //!
-//! Written by the leader's provisioning and draining, read by all controllers. Sizes are in bytes of the form that the state
+//! Written by the leader's provisioning, read by all controllers. Sizes are in bytes of the form that the state
 //! service counts, and never too small.
 
 use std::collections::{BTreeMap, BTreeSet};
