--- a/src/controller/tests.rs
+++ b/src/controller/tests.rs
@@ -22,7 +22,7 @@
         types: vec![crate::cloud::wire::tests::instance_type()],
     };
     let event = Event::CloudResponse {
-        tag: provisioning::Tag::InstanceCatalog,
+        tag: provisioning::CloudRequestPurpose::RefreshCatalog,
         outcome: CloudResponse::InstanceTypes(list),
     };
     for effect in controller.handle(start, event) {
@@ -57,7 +57,7 @@
     assert!(controller.healthy(at(20)));
     controller
         .rate_limiter
-        .note(at(2000), &StoreResponse::Refused);
+        .record_response(at(2000), &StoreResponse::Refused);
     let mut healthy = |now: Now, reaches_state: bool| {
         let number =
             now.unix_ms() + u64::try_from(since(now, start.monotonic).as_millis()).expect("short");
