--- a/src/scheduler/best_effort.rs
+++ b/src/scheduler/best_effort.rs
@@ -1,5 +1,7 @@
-//! Work of teams without a guarantee. It runs where machines are cheap and leaves free what guaranteed work needs for
-//! its next starts: else it fills every gap, and each start of the others has to wait for a stop.
+//! Best-effort work: that of teams without a guarantee. It runs where machines are cheap and leaves free what guaranteed
+//! work needs for its next starts: else it fills every gap, and each start of the others has to wait for a preemption.
+//!
+//! Asked by the plan for each task and machine; it changes nothing. The settings call such work `opportunistic`.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, HashSet};
--- a/src/scheduler/capacity_outlook.rs
+++ b/src/scheduler/capacity_outlook.rs
@@ -1,4 +1,6 @@
-//! In which type of machine a waiting task's demand counts.
+//! The capacity there is and that can be had, and in which pool a waiting task's demand is counted by it.
+//!
+//! Made anew for each plan, which asks it for each kind of task that waits; it changes nothing.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -8,15 +10,15 @@
 use crate::leader_context::LeaderContext;
 use crate::provisioning::{Demand, MachinePool, Provisioner};
 
-/// Whether a pool has run out, what a task costs there, and what a machine does.
+/// Whether a pool is unavailable, what a task costs there, and what a machine does.
 pub(super) type PlacementCost = (bool, f64, f64);
 
-/// What machines there are and can be had.
+/// The machines that there are and that can be had, as known in one plan.
 pub(super) struct CapacityOutlook<'a> {
     pub(super) now: Now,
     pub(super) leader: &'a LeaderContext<'a>,
     pub(super) provisioner: &'a Provisioner,
-    /// Machines of each pool, those on order included.
+    /// Machines of each pool, up or requested.
     pub(super) machines: BTreeMap<MachinePool, u32>,
 }
 
--- a/src/scheduler/completion_compaction.rs
+++ b/src/scheduler/completion_compaction.rs
@@ -1,7 +1,7 @@
 //! Compaction of completions: finished tasks are moved from the values of blocks that are nearly full into their jobs' progress.
 //!
 //! Each chunk of progress costs a change, and jobs that are over soon need none, so this is done only where it frees
-//! much.
+//! much. Called for the scheduler's next write when no job is over.
 
 use std::cmp::Reverse;
 use std::collections::BTreeSet;
--- a/src/scheduler/completion_compaction/tests.rs
+++ b/src/scheduler/completion_compaction/tests.rs
@@ -1,4 +1,4 @@
-//! What is folded, and what is not worth its writes.
+//! What is compacted, and what is not worth its writes.
 
 use super::*;
 use crate::config::tests::SETTINGS;
@@ -82,7 +82,7 @@
     );
 }
 
-/// Found in an incident: blocks were full of running tasks, each task that ended was folded by itself, and for six minutes
+/// Found in an incident: blocks were full of running tasks, each task that ended was recorded by itself, and for six minutes
 /// the leader had no writes left for its own blocks.
 #[test]
 fn a_block_full_of_running_tasks_is_not_compacted_for_a_few_finished_ones() {
@@ -92,7 +92,7 @@
     );
 }
 
-/// Found in the same incident: what is folded still stands in the block's value until its holder writes it anew.
+/// Found in the same incident: what is compacted still stands in the block's value until its holder writes it anew.
 #[test]
 fn what_is_compacted_already_is_not_counted_again() {
     let mut block = Block::new(0.6, every_other(300));
--- a/src/scheduler/fair_share_order.rs
+++ b/src/scheduler/fair_share_order.rs
@@ -1,4 +1,6 @@
-//! Whose turn it is: by the teams' guarantees, the priorities and the shares.
+//! Fair share: the order in which waiting tasks are served, by the teams' guarantees, the priorities and the shares.
+//!
+//! Made anew for each plan, which asks for the next task after each release: the usage of the teams changes with it.
 
 use std::collections::{BTreeMap, VecDeque};
 
--- a/src/scheduler/holder_health.rs
+++ b/src/scheduler/holder_health.rs
@@ -1,4 +1,7 @@
-//! Which holders can't do their work: they hear few of their machines, while others hear them.
+//! Holder health: which holders of block leases can't do their work, since they receive heartbeats of few of their
+//! machines while other controllers receive them.
+//!
+//! Asked by the leader in each round, which then gives these holders' blocks to others for a while.
 
 use std::collections::{BTreeMap, BTreeSet};
 
