--- a/src/scheduler/capacity_outlook.rs
+++ b/src/scheduler/capacity_outlook.rs
@@ -10,8 +10,14 @@
 use crate::leader_context::LeaderContext;
 use crate::provisioning::{Demand, MachinePool, Provisioner};
 
-/// Whether a pool is unavailable, what a task costs there, and what a machine does.
-pub(super) type PlacementCost = (bool, f64, f64);
+/// What placing a task in a pool costs. Compared in the order of the fields; the least is best.
+#[derive(Debug, PartialEq, PartialOrd)]
+struct PlacementCost {
+    unavailable: bool,
+    /// The price of the task's share, in hundredths of hundredths: equal prices for each task must compare as equal.
+    task_price: f64,
+    machine_price: f64,
+}
 
 /// The machines that there are and that can be had, as known in one plan.
 pub(super) struct CapacityOutlook<'a> {
@@ -114,9 +120,12 @@
                 if price * share > price_limit {
                     continue;
                 }
-                // To the cent of a cent: equal prices for each task must compare as equal.
                 // What has run out everywhere is still asked for, again each round.
-                let cost = (!can_be_had, (price * share * 1e4).round(), price);
+                let cost = PlacementCost {
+                    unavailable: !can_be_had,
+                    task_price: (price * share * 1e4).round(),
+                    machine_price: price,
+                };
                 if best.as_ref().is_none_or(|(least, _)| cost < *least) {
                     best = Some((cost, (pool, share)));
                 }
--- a/src/scheduler/preemption.rs
+++ b/src/scheduler/preemption.rs
@@ -16,8 +16,14 @@
 const STOPS_PART: usize = 4;
 const STOPS_LEAST: usize = 40;
 
-/// A way to make room: the work it loses, the machine, and the tasks to be stopped there.
-pub(super) type PreemptionOption<'c, 'v> = (f64, &'c Candidate, Vec<Victim<'v>>);
+/// A way to make room on a machine.
+struct PreemptionOption<'c, 'v> {
+    /// The work that it loses, in CPU seconds.
+    cost: f64,
+    candidate: &'c Candidate,
+    /// The tasks to be preempted there.
+    victims: Vec<Victim<'v>>,
+}
 
 #[derive(Debug, Clone)]
 pub(super) struct Victim<'v> {
@@ -95,11 +101,19 @@
                 cost += victim.lost;
                 chosen.push(victim.clone());
             }
-            if free.fits(&job.need) && best.as_ref().is_none_or(|(least, _, _)| cost < *least) {
-                best = Some((cost, candidate, chosen));
+            if free.fits(&job.need) && best.as_ref().is_none_or(|best| cost < best.cost) {
+                best = Some(PreemptionOption {
+                    cost,
+                    candidate,
+                    victims: chosen,
+                });
             }
         }
-        let (lost, candidate, chosen) = best?;
+        let PreemptionOption {
+            cost: lost,
+            candidate,
+            victims: chosen,
+        } = best?;
         if let Some(there) = victims.get_mut(&candidate.machine) {
             there.retain(|victim| chosen.iter().all(|chosen| chosen.attempt != victim.attempt));
         }
