--- a/src/cli/mod.rs
+++ b/src/cli/mod.rs
@@ -52,7 +52,7 @@
     /// Show drains and cordons, call one off, or let a halted one go on.
     Drains(operate::DrainsArgs),
     /// Show, set or clear disruption budgets.
-    RequestRateLimiter(operate::BudgetArgs),
+    Budget(operate::BudgetArgs),
 }
 
 /// Exit codes beside those of success and failure.
@@ -70,3 +70,6 @@
         ExitCode::from(exit as u8)
     }
 }
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/src/cli/tests.rs
@@ -0,0 +1,19 @@
+use clap::CommandFactory;
+
+use super::*;
+
+/// Operators' scripts name them.
+#[test]
+fn the_names_of_the_commands_stay() {
+    let command = Cli::command();
+    let names: Vec<&str> = command
+        .get_subcommands()
+        .map(|command| command.get_name())
+        .collect();
+    assert_eq!(
+        names,
+        [
+            "serve", "check", "cordon", "drain", "uncordon", "drains", "budget"
+        ]
+    );
+}
--- a/src/main.rs
+++ b/src/main.rs
@@ -21,7 +21,7 @@
         Command::Drain(args) => operate(args.operation()),
         Command::Uncordon(args) => operate(Ok(args.operation())),
         Command::Drains(args) => operate(Ok(args.operation())),
-        Command::RequestRateLimiter(args) => operate(Ok(args.operation())),
+        Command::Budget(args) => operate(Ok(args.operation())),
     }
 }
 
