--- a/crates/drain/src/budget.rs
+++ b/crates/drain/src/budget.rs
@@ -1,4 +1,7 @@
 //! How many tasks of a team may be disrupted at a time.
+//!
+//! Limits are read from settings, policy and operators' requests, and are part of stored budgets. The planner and the
+//! operators' view ask [`Budgets`], where what operators have requested goes before the settings.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -16,7 +19,10 @@
     /// So many.
     Count(u32),
     /// So many hundredths of a percent of all, rounded down. Rounding down can come to 0.
-    Share { basis_points: u32 },
+    Share {
+        /// Hundredths of a percent, at most 10,000.
+        basis_points: u32,
+    },
 }
 
 /// One percent, in basis points.
@@ -104,8 +110,11 @@
 /// The budgets of all teams: what operators have set by request, else what the settings say.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Budgets {
+    /// For teams without a limit of their own.
     pub default: Limit,
+    /// As the settings say.
     pub settings: BTreeMap<Team, TeamBudget>,
+    /// As operators have set them by request.
     pub requested: BTreeMap<Team, TeamBudget>,
 }
 
--- a/crates/drain/src/disruption.rs
+++ b/crates/drain/src/disruption.rs
@@ -1,4 +1,7 @@
-//! Which tasks are disrupted: evicted, lost, or on machines that can't be relied on, and not seen to run again.
+//! Which tasks are disrupted: evicted, lost, or on machines that are not usable, and not seen to run again.
+//!
+//! The planner calls it in each pass. [`Tracker`] is the leader's memory of what the ledgers do not show yet;
+//! [`Disruptions`] is the count at one time, which is compared with the budgets.
 
 use std::collections::{BTreeMap, BTreeSet, HashSet};
 use std::sync::Arc;
@@ -6,10 +9,10 @@
 use dappleshore_domain::{Attempt, TaskId, Team};
 
 use crate::budget::Budgets;
+use crate::fleet::Fleet;
 use crate::ledger::{Eviction, Ledger, Subject};
-use crate::planner::Fleet;
 
-/// What is known of disruptions beyond what is recorded: the leader's memory.
+/// What is known of disruptions beyond what is recorded.
 #[derive(Debug, Default)]
 pub struct Tracker {
     /// Tasks lost by no decision of a drain, with the attempt that was lost.
@@ -101,7 +104,9 @@
 /// Tasks that exist and those that are disrupted.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Count {
+    /// Disrupted tasks.
     pub disrupted: u64,
+    /// All tasks that exist, disrupted or not.
     pub tasks: u64,
 }
 
@@ -117,12 +122,15 @@
 /// A budget that leaves no room for another disruption.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Exceeded {
+    /// Whose budget it is.
     pub team: Team,
     /// None: the budget of the whole team.
     pub class: Option<Arc<str>>,
+    /// Tasks that are disrupted already.
     pub disrupted: u64,
     /// How many the eviction would add.
     pub more: u64,
+    /// How many may be disrupted.
     pub allowed: u64,
 }
 
--- a/crates/drain/src/ledger.rs
+++ b/crates/drain/src/ledger.rs
@@ -1,4 +1,6 @@
 //! The record of disruptions: one value for each team, so that all that spend its budget change the same value.
+//!
+//! The planner decides its changes, and the leader stores them before any task is told to stop.
 
 use dappleshore_domain::{Attempt, JobId, MachineId, TaskId};
 use serde::{Deserialize, Serialize};
@@ -8,11 +10,19 @@
 /// What is evicted: a task, or a gang as a whole.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Subject {
+    /// One attempt of a task.
     #[serde(rename = "t")]
     Task(Attempt),
     /// All tasks of a start of a gang.
     #[serde(rename = "g")]
-    Gang { job: JobId, start: u64, tasks: u32 },
+    Gang {
+        /// The gang's job.
+        job: JobId,
+        /// The number of the start.
+        start: u64,
+        /// How many tasks the gang has.
+        tasks: u32,
+    },
 }
 
 impl Subject {
@@ -47,6 +57,7 @@
 /// A decision to move a task to another machine, recorded before the task is told to stop.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Eviction {
+    /// What is moved.
     #[serde(rename = "s")]
     pub subject: Subject,
     /// The drain that it is for.
@@ -55,7 +66,7 @@
     /// The machine that is emptied.
     #[serde(rename = "m")]
     pub machine: MachineId,
-    /// By the leader's time of day.
+    /// When it was decided, in milliseconds by the leader's time of day.
     #[serde(rename = "at")]
     pub at_ms: u64,
 }
--- a/crates/drain/src/operator.rs
+++ b/crates/drain/src/operator.rs
@@ -1,10 +1,14 @@
 //! What operators ask controllers, and what they are answered.
+//!
+//! The command line sends a [`Request`] to the leader and shows its [`Reply`]. The statuses are also the output of
+//! `--json`, whose schemas are part of the interface.
 
 use dappleshore_domain::{ControllerName, Team};
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
 
 use crate::budget::Limit;
+use crate::fleet::NoRoom;
 use crate::id::DrainId;
 use crate::planner::{Progress, State};
 use crate::record::{DrainRecord, Purpose};
@@ -15,37 +19,53 @@
 pub enum Request {
     /// Cordons or drains machines.
     Start {
+        /// The name of the drain or cordon.
         id: DrainId,
+        /// Which machines.
         scope: Scope,
+        /// Whether their tasks are moved.
         purpose: Purpose,
+        /// Whether the machines are returned to the cloud once they are empty.
         return_machines: bool,
+        /// Machines that are emptied at a time. None: as the settings say.
         step: Option<Limit>,
     },
     /// Puts machines back into service.
     Uncordon {
+        /// Which machines.
         scope: Scope,
     },
     /// Calls a drain off.
     Cancel {
+        /// Its name.
         id: DrainId,
     },
     /// Lets a halted drain go on.
     Resume {
+        /// Its name.
         id: DrainId,
     },
     /// All drains and cordons, or one.
     List {
+        /// Its name. None: all.
         id: Option<DrainId>,
     },
     /// The budgets of all teams.
     Budgets,
+    /// Sets a team's budget.
     SetBudget {
+        /// The team.
         team: Team,
+        /// For the tasks of a class. None: for all tasks of the team.
         class: Option<String>,
+        /// The budget.
         limit: Limit,
     },
+    /// Removes a budget that was set by request.
     ClearBudget {
+        /// The team.
         team: Team,
+        /// For the tasks of a class. None: for all tasks of the team.
         class: Option<String>,
     },
 }
@@ -60,17 +80,23 @@
 /// An answer.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum Reply {
+    /// The drains and cordons that were asked for.
     Drains(Vec<DrainStatus>),
+    /// The budgets of all teams.
     Budgets(Vec<BudgetStatus>),
     /// Records that no longer hold these machines back.
     Uncordoned {
+        /// Their names.
         records: Vec<DrainId>,
     },
     /// Another controller leads.
     Elsewhere {
+        /// Its name.
         leader: ControllerName,
+        /// Its address for operators' requests.
         addr: String,
     },
+    /// The request was not carried out.
     Problem(Problem),
 }
 
@@ -187,7 +213,6 @@
 
     /// What it waits for, for people.
     pub fn reason(&self) -> Option<String> {
-        use crate::planner::NoRoom;
         match self {
             State::WaitingForBudget(exceeded) => {
                 let class = exceeded.class.as_ref();
--- /dev/null
+++ b/crates/drain/src/planner/evictions.rs
@@ -0,0 +1,182 @@
+//! Which tasks are evicted next.
+
+use std::collections::BTreeSet;
+
+use dappleshore_domain::{Attempt, MachineId, TaskId, Team};
+
+use super::Effect;
+use super::pass::Pass;
+use crate::budget::Limit;
+use crate::disruption::Exceeded;
+use crate::fleet::{Fleet, MachineView, NoRoom};
+use crate::id::DrainId;
+use crate::ledger::{Eviction, Subject};
+use crate::record::{DrainRecord, Phase};
+
+/// A task that has to be moved and has no room elsewhere.
+pub(super) struct MissingRoom {
+    pub task: TaskId,
+    pub reason: NoRoom,
+}
+
+/// What a pass has decided for one drain, and the first of each kind of obstacle that kept it from more.
+#[derive(Default)]
+pub(super) struct EvictionRound {
+    /// Number of evictions.
+    pub decided: usize,
+    pub exceeded: Option<Exceeded>,
+    pub missing_room: Option<MissingRoom>,
+}
+
+enum Decision {
+    Evicted,
+    /// The transaction or the ledger's value has no room for it now, the drain is halted, or the job has ended.
+    Deferred,
+}
+
+/// Why a task or a gang can't be evicted now.
+enum EvictionError {
+    Budget(Exceeded),
+    NoRoom(MissingRoom),
+}
+
+impl<F: Fleet> Pass<'_, F> {
+    /// How many machines of a drain may be emptied at a time.
+    fn step(&self, record: &DrainRecord, machines: usize) -> usize {
+        let step = match record.step.unwrap_or(self.bounds.step) {
+            Limit::Count(count) => count as usize,
+            Limit::Share { basis_points } => (machines * basis_points as usize).div_ceil(10_000),
+        };
+        step.max(1)
+    }
+
+    /// Decides on evictions as far as the step, the budgets, the ledgers and the room go.
+    pub(super) fn evict(
+        &mut self,
+        id: &DrainId,
+        record: &DrainRecord,
+        machines: &[MachineView],
+        outstanding: &[&Eviction],
+    ) -> EvictionRound {
+        let mut emptying: BTreeSet<&MachineId> = outstanding
+            .iter()
+            .map(|eviction| &eviction.machine)
+            .collect();
+        let step = self.step(record, machines.len());
+        let mut order: Vec<&MachineView> =
+            machines.iter().filter(|m| !m.tasks.is_empty()).collect();
+        // Those that are begun first, then those that are quickest to empty.
+        order.sort_by_key(|m| (!emptying.contains(&m.id), m.tasks.len(), &m.id));
+        let mut round = EvictionRound::default();
+        for machine in order {
+            if emptying.len() >= step && !emptying.contains(&machine.id) {
+                break;
+            }
+            for subject in self.subjects(machine) {
+                match self.try_evict(id, record, machine, subject) {
+                    Ok(Decision::Evicted) => {
+                        round.decided += 1;
+                        emptying.insert(&machine.id);
+                    }
+                    Ok(Decision::Deferred) => {}
+                    Err(EvictionError::Budget(exceeded)) => {
+                        round.exceeded.get_or_insert(exceeded);
+                    }
+                    Err(EvictionError::NoRoom(missing)) => {
+                        round.missing_room.get_or_insert(missing);
+                    }
+                }
+            }
+        }
+        round
+    }
+
+    /// What has to be moved off a machine: a gang counts once.
+    fn subjects(&self, machine: &MachineView) -> BTreeSet<Subject> {
+        let subject = |attempt: &Attempt| {
+            let job = self.fleet.job(attempt.task.job)?;
+            match (job.gang_tasks, attempt.gang_start()) {
+                (Some(tasks), Some(start)) => Some(Subject::Gang {
+                    job: attempt.task.job,
+                    start,
+                    tasks,
+                }),
+                _ => Some(Subject::Task(*attempt)),
+            }
+        };
+        let moved =
+            |attempt: &&Attempt| !self.is_evicted(attempt) && !self.fleet.is_stopping(attempt);
+        machine
+            .tasks
+            .iter()
+            .filter(moved)
+            .filter_map(subject)
+            .collect()
+    }
+
+    /// Whether an attempt's eviction is recorded, or decided in this pass.
+    fn is_evicted(&self, attempt: &Attempt) -> bool {
+        let recorded = self.records.ledgers.values().flat_map(|l| &l.evictions);
+        let decided = self.evictions.values().flatten();
+        let mut all = recorded.chain(decided);
+        all.any(|eviction| eviction.subject.covers(attempt))
+    }
+
+    /// Evicts a task or a gang, if its budget allows it and there is room for it elsewhere.
+    fn try_evict(
+        &mut self,
+        id: &DrainId,
+        record: &DrainRecord,
+        machine: &MachineView,
+        subject: Subject,
+    ) -> Result<Decision, EvictionError> {
+        let Some(job) = self.fleet.job(subject.job()) else {
+            return Ok(Decision::Deferred);
+        };
+        let exceeded = self
+            .disruptions
+            .exceeded(&*self.fleet, self.records.budgets, &subject);
+        if let Some(exceeded) = exceeded {
+            return Err(EvictionError::Budget(exceeded));
+        }
+        if !self.ledger_has_room(&job.team) {
+            return Ok(Decision::Deferred);
+        }
+        let first = subject.tasks().next();
+        let reservations = match (self.fleet.reserve(&subject), first) {
+            (Ok(reservations), _) => reservations,
+            (Err(reason), Some(task)) => {
+                return Err(EvictionError::NoRoom(MissingRoom { task, reason }));
+            }
+            (Err(_), None) => return Ok(Decision::Deferred),
+        };
+        if record.phase != Phase::Active {
+            return Ok(Decision::Deferred);
+        }
+        for task in subject.tasks() {
+            self.disruptions.disrupt(&*self.fleet, task);
+        }
+        let eviction = Eviction {
+            subject,
+            drain: id.clone(),
+            machine: machine.id.clone(),
+            at_ms: self.now.unix_ms(),
+        };
+        self.evictions.entry(job.team).or_default().push(eviction);
+        self.effects
+            .extend(reservations.into_iter().map(Effect::Reserve));
+        Ok(Decision::Evicted)
+    }
+
+    /// Whether the team's ledger, and the transaction that changes it, can take another eviction.
+    fn ledger_has_room(&self, team: &Team) -> bool {
+        let decided = self.evictions.get(team).map_or(0, Vec::len);
+        let recorded = self
+            .records
+            .ledgers
+            .get(team)
+            .map_or(0, |l| l.evictions.len());
+        let open = decided > 0 || self.evictions.len() < self.bounds.ledgers_at_once;
+        open && recorded + decided < self.bounds.ledger_entries
+    }
+}
--- /dev/null
+++ b/crates/drain/src/planner/ledgers.rs
@@ -0,0 +1,59 @@
+//! What a pass changes in the teams' ledgers.
+
+use std::collections::{BTreeMap, BTreeSet};
+
+use dappleshore_domain::{TaskId, Team};
+
+use super::Effect;
+use super::pass::Pass;
+use crate::disruption::Tracker;
+use crate::fleet::Fleet;
+use crate::ledger::Ledger;
+use crate::record::DrainRecord;
+
+impl<F: Fleet> Pass<'_, F> {
+    /// Writes the ledgers that change: evictions that are decided are added, those whose replacement runs are dropped,
+    /// losses are as observed. Those that spend a budget come first, as one transaction holds only so many.
+    pub(super) fn write_ledgers(&mut self, tracker: &Tracker) {
+        let lost = tracker.lost(self.records.ledgers);
+        let mut lost_of: BTreeMap<Team, Vec<TaskId>> = BTreeMap::new();
+        for task in lost {
+            if let Some(job) = self.fleet.job(task.job) {
+                lost_of.entry(job.team).or_default().push(task);
+            }
+        }
+        let under_way = self.records.drains.values().any(DrainRecord::is_under_way);
+        let mut teams: BTreeSet<&Team> = self.records.ledgers.keys().collect();
+        teams.extend(self.evictions.keys());
+        if under_way {
+            teams.extend(lost_of.keys());
+        }
+        let mut written = 0;
+        let spending = |team: &&Team| !self.evictions.contains_key(*team);
+        let mut order: Vec<&Team> = teams.into_iter().collect();
+        order.sort_by_key(spending);
+        let mut effects = Vec::new();
+        for team in order {
+            let old = self.records.ledgers.get(team).cloned().unwrap_or_default();
+            let mut ledger = Ledger {
+                evictions: old.evictions.clone(),
+                lost: lost_of.get(team).cloned().unwrap_or_default(),
+            };
+            ledger.evictions.retain(|e| tracker.is_outstanding(e));
+            ledger
+                .evictions
+                .extend(self.evictions.get(team).cloned().unwrap_or_default());
+            let left = self
+                .bounds
+                .ledger_entries
+                .saturating_sub(ledger.evictions.len());
+            ledger.lost.truncate(left);
+            if ledger != old && written < self.bounds.ledgers_at_once {
+                written += 1;
+                let team = team.clone();
+                effects.push(Effect::WriteLedger { team, ledger });
+            }
+        }
+        self.effects.extend(effects);
+    }
+}
--- /dev/null
+++ b/crates/drain/src/planner/mod.rs
@@ -0,0 +1,312 @@
+//! The planner compares what operators want with what is observed, and decides what follows.
+//!
+//! The leader calls [`Planner::handle`] with each event and carries out the effects. Nothing is carried out before it is
+//! recorded. All that must survive a change of leaders is in the records; the planner only remembers since when a drain
+//! has found no room, and losses that are not recorded yet.
+
+mod evictions;
+mod ledgers;
+mod pass;
+mod progress;
+
+use std::collections::{BTreeMap, BTreeSet};
+use std::time::{Duration, Instant};
+
+use dappleshore_domain::{Attempt, MachineId, Now, TaskId, Team, since};
+
+use crate::budget::{Budgets, Limit};
+use crate::disruption::{Disruptions, Tracker};
+use crate::fleet::Fleet;
+use crate::id::DrainId;
+use crate::ledger::{Eviction, Ledger};
+use crate::record::{DrainRecord, HaltReason, Phase, Purpose};
+use evictions::{EvictionRound, MissingRoom};
+use pass::Pass;
+
+pub use crate::fleet::{MachineView, NoRoom, Reservation, ServiceState};
+pub use progress::{Progress, State};
+
+/// The stored records.
+#[derive(Debug, Clone, Copy)]
+pub struct Records<'a> {
+    /// All drains and cordons.
+    pub drains: &'a BTreeMap<DrainId, DrainRecord>,
+    /// Each team's disruptions.
+    pub ledgers: &'a BTreeMap<Team, Ledger>,
+    /// Each team's limits.
+    pub budgets: &'a Budgets,
+}
+
+/// The limits of one pass, and the timeouts.
+#[derive(Debug, Clone, Copy)]
+pub struct Bounds {
+    /// Machines that a drain empties at a time, unless its record says otherwise.
+    pub step: Limit,
+    /// A drain that finds no room for this long is halted.
+    pub room_timeout: Duration,
+    /// A drain is halted when an evicted task does not run again within this.
+    pub replacement_timeout: Duration,
+    /// Entries that a ledger's value has room for.
+    pub ledger_entries: usize,
+    /// Ledgers that one transaction may change.
+    pub ledgers_at_once: usize,
+}
+
+/// What the leader is to do.
+#[derive(Debug, Clone, PartialEq, Eq)]
+pub enum Effect {
+    /// Take a machine out of service.
+    Cordon(MachineId),
+    /// Put a machine back into service.
+    Uncordon(MachineId),
+    /// Return a machine to the cloud.
+    Return(MachineId),
+    /// Write a ledger, on condition of its present version and the team's budget.
+    WriteLedger {
+        /// Whose it is.
+        team: Team,
+        /// The new value.
+        ledger: Ledger,
+    },
+    /// Write the record of a drain.
+    WriteRecord {
+        /// The drain.
+        id: DrainId,
+        /// The new value.
+        record: DrainRecord,
+    },
+    /// Keep room for a task whose eviction is being recorded.
+    Reserve(Reservation),
+}
+
+/// What the planner is told.
+pub enum Event<'a, F> {
+    /// A task's attempt has gone, neither done nor stopped.
+    Lost(Attempt),
+    /// Nothing is to be drained.
+    Idle {
+        /// Whether a task is still to run: losses of others are forgotten.
+        is_wanted: &'a dyn Fn(TaskId) -> bool,
+    },
+    /// What the fleet and the records show now.
+    Observed {
+        /// The stored records.
+        records: Records<'a>,
+        /// The limits of this pass.
+        bounds: Bounds,
+        /// The fleet.
+        fleet: &'a mut F,
+    },
+}
+
+/// Plans drains, and remembers what the records do not hold.
+#[derive(Debug, Default)]
+pub struct Planner {
+    tracker: Tracker,
+    /// Since when a drain has found no room.
+    blocked_since: BTreeMap<DrainId, Instant>,
+    progress: BTreeMap<DrainId, Progress>,
+    disruptions: Disruptions,
+}
+
+impl Planner {
+    /// Takes in an event and decides what follows.
+    pub fn handle<F: Fleet>(&mut self, now: Now, event: Event<'_, F>) -> Vec<Effect> {
+        match event {
+            Event::Lost(attempt) => {
+                self.tracker.note_lost(attempt);
+                Vec::new()
+            }
+            Event::Idle { is_wanted } => {
+                self.tracker.forget_unless(is_wanted);
+                self.progress.clear();
+                Vec::new()
+            }
+            Event::Observed {
+                records,
+                bounds,
+                fleet,
+            } => self.observe(now, records, bounds, fleet),
+        }
+    }
+
+    /// How far each drain was at the latest observation.
+    pub fn progress(&self) -> &BTreeMap<DrainId, Progress> {
+        &self.progress
+    }
+
+    /// The disruptions at the latest observation, with what was then decided.
+    pub fn disruptions(&self) -> &Disruptions {
+        &self.disruptions
+    }
+
+    /// Recorded evictions whose replacement was not yet seen to run.
+    pub fn outstanding<'l>(&self, ledgers: &'l BTreeMap<Team, Ledger>) -> Vec<&'l Eviction> {
+        self.tracker.outstanding(ledgers).collect()
+    }
+
+    /// Tasks of which the planner needs to know whether they run.
+    pub fn watched(&self, ledgers: &BTreeMap<Team, Ledger>) -> BTreeSet<TaskId> {
+        let evicted = self.tracker.outstanding(ledgers);
+        let mut watched: BTreeSet<TaskId> = evicted.flat_map(|e| e.subject.tasks()).collect();
+        watched.extend(self.tracker.lost(ledgers));
+        watched
+    }
+
+    fn observe<F: Fleet>(
+        &mut self,
+        now: Now,
+        records: Records<'_>,
+        bounds: Bounds,
+        fleet: &mut F,
+    ) -> Vec<Effect> {
+        self.tracker.observe(records.ledgers, fleet);
+        let disruptions = Disruptions::count(&self.tracker, records.ledgers, fleet);
+        self.progress
+            .retain(|id, _| records.drains.contains_key(id));
+        self.blocked_since
+            .retain(|id, _| records.drains.contains_key(id));
+        let mut pass = Pass {
+            now,
+            records,
+            bounds,
+            fleet,
+            disruptions,
+            evictions: BTreeMap::new(),
+            effects: Vec::new(),
+        };
+        pass.reconcile_cordons();
+        let mut order: Vec<(&DrainId, &DrainRecord)> = records.drains.iter().collect();
+        order.sort_by_key(|(id, record)| (record.requested_ms, *id));
+        for (id, record) in order {
+            let progress = self.advance(&mut pass, id, record);
+            self.progress.insert(id.clone(), progress);
+        }
+        pass.write_ledgers(&self.tracker);
+        self.disruptions = pass.disruptions;
+        pass.effects
+    }
+
+    /// Decides what one drain needs.
+    fn advance<F: Fleet>(
+        &mut self,
+        pass: &mut Pass<'_, F>,
+        id: &DrainId,
+        record: &DrainRecord,
+    ) -> Progress {
+        let machines = pass.machines_of(record);
+        let outstanding: Vec<&Eviction> = self
+            .tracker
+            .outstanding(pass.records.ledgers)
+            .filter(|eviction| eviction.drain == *id)
+            .collect();
+        let mut progress = Progress {
+            state: State::Requested,
+            machines: machines.len(),
+            empty: machines.iter().filter(|machine| machine.is_empty()).count(),
+            tasks_left: machines.iter().map(|machine| machine.tasks.len()).sum(),
+            outstanding: outstanding.len(),
+        };
+        progress.state = match &record.phase {
+            Phase::Cancelled | Phase::Uncordoned => State::Cancelled,
+            Phase::Done => State::Done,
+            Phase::Active | Phase::Halted { .. } => {
+                self.advance_under_way(pass, id, record, &machines, &outstanding)
+            }
+        };
+        progress
+    }
+
+    fn advance_under_way<F: Fleet>(
+        &mut self,
+        pass: &mut Pass<'_, F>,
+        id: &DrainId,
+        record: &DrainRecord,
+        machines: &[MachineView],
+        outstanding: &[&Eviction],
+    ) -> State {
+        let cordoned = machines
+            .iter()
+            .all(|machine| machine.state != ServiceState::InService);
+        if !cordoned {
+            return State::Requested;
+        }
+        if record.purpose == Purpose::Cordon {
+            pass.set_phase(id, record, Phase::Done);
+            return State::Done;
+        }
+        pass.return_empty(record, machines);
+        if machines.iter().all(MachineView::is_empty) {
+            self.blocked_since.remove(id);
+            if pass.is_over(record, machines, outstanding) {
+                pass.set_phase(id, record, Phase::Done);
+                return State::Done;
+            }
+        }
+        if let Some(reason) = pass.failed_replacement(record, outstanding) {
+            return pass.halt(id, record, reason);
+        }
+        if machines.iter().all(MachineView::is_empty) {
+            pass.resume_if_halted(id, record);
+            return State::Empty;
+        }
+        self.evict_next(pass, id, record, machines, outstanding)
+    }
+
+    fn evict_next<F: Fleet>(
+        &mut self,
+        pass: &mut Pass<'_, F>,
+        id: &DrainId,
+        record: &DrainRecord,
+        machines: &[MachineView],
+        outstanding: &[&Eviction],
+    ) -> State {
+        let round = pass.evict(id, record, machines, outstanding);
+        let waits_for_room = match round.missing_room {
+            Some(MissingRoom {
+                task,
+                reason: NoRoom::Yet,
+            }) if round.decided == 0 => Some(task),
+            _ => None,
+        };
+        match waits_for_room {
+            Some(task) => {
+                let began = *self
+                    .blocked_since
+                    .entry(id.clone())
+                    .or_insert(pass.now.monotonic);
+                if since(pass.now, began) >= pass.bounds.room_timeout {
+                    return pass.halt(id, record, HaltReason::NoRoom { task });
+                }
+            }
+            None => {
+                self.blocked_since.remove(id);
+            }
+        }
+        if let Phase::Halted { reason } = &record.phase {
+            // Its cause is gone, or there is room again: the next pass evicts.
+            if waits_for_room.is_none() {
+                pass.resume_if_halted(id, record);
+            }
+            return State::Halted(reason.clone());
+        }
+        let mut evicted = outstanding.iter().flat_map(|e| e.subject.tasks());
+        let stranded = evicted.find_map(|task| Some((task, pass.fleet.lacks_room(task)?)));
+        if let Some((task, reason)) = stranded {
+            return State::Replacing { task, reason };
+        }
+        match round {
+            _ if round.decided > 0 || !outstanding.is_empty() => State::Evicting,
+            EvictionRound {
+                exceeded: Some(exceeded),
+                ..
+            } => State::WaitingForBudget(exceeded),
+            EvictionRound {
+                missing_room: Some(MissingRoom { task, reason }),
+                ..
+            } => State::Replacing { task, reason },
+            // What is left goes by itself: its jobs have ended.
+            EvictionRound { .. } => State::Evicting,
+        }
+    }
+}
--- /dev/null
+++ b/crates/drain/src/planner/pass.rs
@@ -0,0 +1,117 @@
+//! One pass: cordons, phases and halts. Evictions and ledgers have modules of their own.
+
+use std::collections::BTreeMap;
+
+use dappleshore_domain::{Now, Team};
+
+use super::{Bounds, Effect, Records, State};
+use crate::disruption::Disruptions;
+use crate::fleet::{Fleet, MachineView, ServiceState};
+use crate::id::DrainId;
+use crate::ledger::Eviction;
+use crate::record::{DrainRecord, HaltReason, Phase};
+
+/// One pass over all drains, with what it has decided so far.
+pub(super) struct Pass<'a, F> {
+    pub now: Now,
+    pub records: Records<'a>,
+    pub bounds: Bounds,
+    pub fleet: &'a mut F,
+    /// As observed, with those that this pass has decided.
+    pub disruptions: Disruptions,
+    /// Evictions decided in this pass.
+    pub evictions: BTreeMap<Team, Vec<Eviction>>,
+    pub effects: Vec<Effect>,
+}
+
+impl<F: Fleet> Pass<'_, F> {
+    /// The machines that a record holds.
+    pub(super) fn machines_of(&self, record: &DrainRecord) -> Vec<MachineView> {
+        let held = |machine: &&MachineView| record.holds_machine(machine.membership());
+        self.fleet.machines().iter().filter(held).cloned().collect()
+    }
+
+    /// Cordons machines that a record holds, and uncordons those that none holds any more.
+    pub(super) fn reconcile_cordons(&mut self) {
+        for machine in self.fleet.machines() {
+            let mut records = self.records.drains.values();
+            let held = records.any(|record| record.holds_machine(machine.membership()));
+            match machine.state {
+                ServiceState::InService if held => {
+                    self.effects.push(Effect::Cordon(machine.id.clone()));
+                }
+                ServiceState::Cordoned if !held => {
+                    self.effects.push(Effect::Uncordon(machine.id.clone()));
+                }
+                _ => {}
+            }
+        }
+    }
+
+    /// Returns the empty machines of a record, if that was asked for.
+    pub(super) fn return_empty(&mut self, record: &DrainRecord, machines: &[MachineView]) {
+        if !record.return_machines {
+            return;
+        }
+        let ready =
+            |machine: &&MachineView| machine.is_empty() && machine.state == ServiceState::Cordoned;
+        let returned = machines.iter().filter(ready);
+        self.effects
+            .extend(returned.map(|machine| Effect::Return(machine.id.clone())));
+    }
+
+    /// Nothing is left on its machines, what was on them runs elsewhere, and those to be returned are gone.
+    pub(super) fn is_over(
+        &self,
+        record: &DrainRecord,
+        machines: &[MachineView],
+        outstanding: &[&Eviction],
+    ) -> bool {
+        outstanding.is_empty() && (!record.return_machines || machines.is_empty())
+    }
+
+    /// Writes a record whose phase changes.
+    pub(super) fn set_phase(&mut self, id: &DrainId, record: &DrainRecord, phase: Phase) {
+        if record.phase != phase {
+            let record = DrainRecord {
+                phase,
+                ..record.clone()
+            };
+            let id = id.clone();
+            self.effects.push(Effect::WriteRecord { id, record });
+        }
+    }
+
+    /// Halts an active drain.
+    pub(super) fn halt(&mut self, id: &DrainId, record: &DrainRecord, reason: HaltReason) -> State {
+        if record.phase == Phase::Active {
+            let reason = reason.clone();
+            self.set_phase(id, record, Phase::Halted { reason });
+        }
+        State::Halted(reason)
+    }
+
+    /// Lets a halted drain go on.
+    pub(super) fn resume_if_halted(&mut self, id: &DrainId, record: &DrainRecord) {
+        self.set_phase(id, record, Phase::Active);
+    }
+
+    /// Why the drain must halt, if an evicted task does not run again.
+    pub(super) fn failed_replacement(
+        &self,
+        record: &DrainRecord,
+        outstanding: &[&Eviction],
+    ) -> Option<HaltReason> {
+        let timeout_ms =
+            u64::try_from(self.bounds.replacement_timeout.as_millis()).unwrap_or(u64::MAX);
+        outstanding.iter().find_map(|eviction| {
+            let task = eviction.subject.tasks().next()?;
+            if self.fleet.keeps_failing(task.job) {
+                return Some(HaltReason::ReplacementFails { task });
+            }
+            let began = eviction.at_ms.max(record.resumed_ms);
+            let overdue = self.now.unix_ms().saturating_sub(began) >= timeout_ms;
+            overdue.then_some(HaltReason::ReplacementNotRunning { task })
+        })
+    }
+}
--- a/crates/drain/src/record.rs
+++ b/crates/drain/src/record.rs
@@ -1,4 +1,6 @@
 //! A drain or a cordon as it is stored: what operators want, and whether it is still wanted.
+//!
+//! Operators' requests create records and change them; the planner changes their phase.
 
 use std::collections::BTreeSet;
 use std::fmt;
@@ -30,13 +32,22 @@
 pub enum HaltReason {
     /// No machine had room for a task that must be moved, for too long.
     #[serde(rename = "no_room")]
-    NoRoom { task: TaskId },
+    NoRoom {
+        /// The task.
+        task: TaskId,
+    },
     /// An evicted task does not run again.
     #[serde(rename = "not_running")]
-    ReplacementNotRunning { task: TaskId },
+    ReplacementNotRunning {
+        /// The task.
+        task: TaskId,
+    },
     /// An evicted task fails again and again.
     #[serde(rename = "failing")]
-    ReplacementFails { task: TaskId },
+    ReplacementFails {
+        /// The task.
+        task: TaskId,
+    },
 }
 
 impl fmt::Display for HaltReason {
@@ -58,11 +69,15 @@
 /// Whether it is still wanted.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Phase {
+    /// It has work to do.
     #[serde(rename = "active")]
     Active,
     /// It evicts nothing until the cause is gone or an operator resumes it.
     #[serde(rename = "halted")]
-    Halted { reason: HaltReason },
+    Halted {
+        /// Why.
+        reason: HaltReason,
+    },
     /// All its machines are empty (a drain) or take no tasks (a cordon), and stay so.
     #[serde(rename = "done")]
     Done,
@@ -77,7 +92,9 @@
 /// The stored value.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct DrainRecord {
+    /// Which machines it applies to.
     pub scope: Scope,
+    /// Whether their tasks are moved.
     pub purpose: Purpose,
     /// Whether its machines are returned to the cloud once they are empty.
     #[serde(default)]
@@ -85,11 +102,12 @@
     /// Machines that it empties at a time. None: as the settings say.
     #[serde(default)]
     pub step: Option<Limit>,
-    /// By the leader's time of day.
+    /// When it was requested, in milliseconds by the leader's time of day.
     pub requested_ms: u64,
-    /// When an operator last told it to go on, by the leader's time of day; 0: never.
+    /// When an operator last resumed it, in milliseconds by the leader's time of day; 0: never.
     #[serde(default)]
     pub resumed_ms: u64,
+    /// Whether it is still wanted.
     pub phase: Phase,
     /// Machines that were put back into service since.
     #[serde(default, skip_serializing_if = "BTreeSet::is_empty")]
--- a/crates/drain/src/requests.rs
+++ b/crates/drain/src/requests.rs
@@ -5,31 +5,42 @@
 use dappleshore_domain::{BlockId, InstanceTypeName, MachineId, Team, Zone};
 
 use crate::budget::{Limit, TeamBudget};
+use crate::fleet::MachineView;
 use crate::id::DrainId;
 use crate::operator::{Problem, ProblemKind, Request};
-use crate::planner::MachineView;
 use crate::record::{DrainRecord, MOST_ENDED, MOST_HOLDING, Phase, Purpose};
 use crate::scope::{Membership, Scope};
 
 /// A change of a record.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Change {
+    /// Create or replace a drain's record.
     PutDrain(DrainId, DrainRecord),
+    /// Delete a drain's record.
     DeleteDrain(DrainId),
+    /// Create or replace a team's budget.
     PutBudget(Team, TeamBudget),
+    /// Delete a team's budget.
     DeleteBudget(Team),
 }
 
 /// What a request is checked against.
 pub struct Known<'a> {
+    /// The leader's time of day in milliseconds.
     pub now_ms: u64,
+    /// The stored drains and cordons.
     pub drains: &'a BTreeMap<DrainId, DrainRecord>,
-    /// As operators have set them by request.
+    /// The budgets that operators have set by request.
     pub budgets: &'a BTreeMap<Team, TeamBudget>,
+    /// All machines.
     pub machines: &'a [MachineView],
+    /// All blocks.
     pub blocks: BTreeSet<BlockId>,
+    /// All machine types that the cloud offers.
     pub types: BTreeSet<InstanceTypeName>,
+    /// All zones.
     pub zones: BTreeSet<Zone>,
+    /// The teams of the settings.
     pub teams: BTreeSet<Team>,
     /// Changes that one transaction may have.
     pub most_changes: usize,
@@ -51,6 +62,10 @@
 }
 
 /// The changes that a request comes to: none, if all is as it asks for.
+///
+/// # Errors
+///
+/// What the request names is unknown or invalid, or it conflicts with what is stored.
 pub fn changes(request: &Request, known: &Known<'_>) -> Result<Vec<Change>, Problem> {
     match request {
         Request::Start {
--- a/crates/drain/src/scope.rs
+++ b/crates/drain/src/scope.rs
@@ -1,4 +1,7 @@
-//! Which machines a drain or a cordon is about.
+//! Which machines a drain or a cordon applies to.
+//!
+//! Part of operators' requests and of the stored records. A scope is evaluated again at each use, so that machines that
+//! join later are included.
 
 use std::collections::BTreeSet;
 use std::fmt;
@@ -26,9 +29,13 @@
 /// Where a machine belongs.
 #[derive(Debug, Clone, Copy)]
 pub struct Membership<'a> {
+    /// Its id.
     pub id: &'a MachineId,
+    /// Its block.
     pub block: &'a BlockId,
+    /// Its machine type.
     pub type_name: &'a InstanceTypeName,
+    /// Its zone.
     pub zone: &'a Zone,
 }
 
