--- a/src/lib.rs
+++ b/src/lib.rs
@@ -25,7 +25,6 @@
 pub mod leadership;
 #[allow(missing_docs, reason = "not reached yet: #30")]
 pub mod metrics;
-#[allow(missing_docs, reason = "not reached yet: #30")]
 pub mod operations;
 #[allow(
     missing_docs,
--- a/src/operations/mod.rs
+++ b/src/operations/mod.rs
@@ -1,7 +1,10 @@
 //! Operators' requests: checked and recorded by the leader, answered once they are recorded.
 //!
-//! A request stays here until a fresh copy of the records shows that all is as it asks for. So it does not matter
-//! whether a transaction of it was lost, carried out late, or carried out twice.
+//! The controller adds each request, polls for replies and for the next transaction, and reports what became of that.
+//! What a request changes is decided in `dappleshore_drain::requests`.
+//!
+//! Invariants: one transaction is under way at a time. A request stays pending until a fresh copy of the records shows
+//! that all is as it asks for, so that it does not matter whether a transaction of it was lost, or executed late or twice.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::time::{Duration, Instant};
@@ -22,19 +25,19 @@
 use crate::store::records::{DRAIN_FORMAT, LEADER, drain_budget_key, drain_key, encode, json_size};
 use crate::store::{StoreRequest, StoreResponse, Transaction, WatchCache, Writer};
 
-/// Requests that wait at a time; more are refused at once.
-const MOST_WAITING: usize = 32;
+/// More pending requests than this are refused at once.
+const MAX_PENDING_REQUESTS: usize = 32;
 /// A request is answered within this, whatever happens.
 pub const ANSWER_WITHIN: Duration = Duration::from_secs(4);
 /// What a drain's record may grow by after it was accepted.
 const RECORD_RESERVE_BYTES: usize = 256;
 
 #[derive(Debug)]
-struct Pending {
+struct PendingRequest {
     id: RequestId,
     request: Request,
     asked: Instant,
-    /// A transaction of it was sent.
+    /// Whether a transaction of it was sent.
     sent: bool,
     /// The records that the request to uncordon changes.
     uncordoned: BTreeSet<DrainId>,
@@ -43,21 +46,24 @@
 /// Requests that are not answered yet.
 #[derive(Debug)]
 pub struct Operations {
-    pending: VecDeque<Pending>,
+    pending: VecDeque<PendingRequest>,
     writer: Writer,
 }
 
-/// What the leader goes by.
+/// What requests are decided on.
 pub struct Context<'a> {
+    /// The leader's own version, settings and catalogue.
     pub leader: &'a LeaderContext<'a>,
     /// None: draining is switched off.
     pub draining: Option<&'a Draining>,
 }
 
-/// What becomes of requests.
+/// What a poll has come to.
 #[derive(Default)]
 pub struct Progress {
+    /// The replies that are decided.
     pub replies: Vec<(RequestId, Reply)>,
+    /// A transaction to send.
     pub op: Option<StoreRequest>,
 }
 
@@ -76,12 +82,12 @@
 }
 
 impl Operations {
-    /// Takes a request in. A reply: there are too many.
+    /// Adds a request. The reply, if there are too many already.
     pub fn ask(&mut self, now: Now, id: RequestId, request: Request) -> Option<Reply> {
-        if self.pending.len() >= MOST_WAITING {
+        if self.pending.len() >= MAX_PENDING_REQUESTS {
             return Some(unavailable("too many requests are waiting"));
         }
-        self.pending.push_back(Pending {
+        self.pending.push_back(PendingRequest {
             id,
             request,
             asked: now.monotonic,
@@ -91,15 +97,15 @@
         None
     }
 
-    /// Whether nothing waits for an answer.
+    /// Whether no request is pending.
     pub fn is_idle(&self) -> bool {
         self.pending.is_empty()
     }
 
-    /// This controller does not lead: sends those who ask to the one that does, if it is known.
+    /// Refers all pending requests to the controller that leads, if it is known, as this one does not.
     pub fn refer(&mut self, leader: Option<(ControllerName, String)>) -> Vec<(RequestId, Reply)> {
         self.writer = Writer::Idle;
-        let reply = |pending: Pending| {
+        let reply = |pending: PendingRequest| {
             let reply = match &leader {
                 Some((leader, addr)) => Reply::Elsewhere {
                     leader: leader.clone(),
@@ -112,7 +118,7 @@
         self.pending.drain(..).map(reply).collect()
     }
 
-    /// Answers what can be answered, and records what the first request that changes anything asks for.
+    /// Decides what can be decided, and makes the transaction that the first request with changes needs.
     pub fn poll(&mut self, now: Now, cx: &Context<'_>, cache: &mut WatchCache) -> Progress {
         let mut progress = Progress::default();
         self.answer_overdue(now, &mut progress);
@@ -130,7 +136,7 @@
         match changes(&pending.request, now, cx, cache) {
             Err(problem) => progress.replies.push((pending.id, Reply::Problem(problem))),
             Ok(changes) if changes.is_empty() => {
-                let reply = done(pending, cx, cache);
+                let reply = final_reply(pending, cx, cache);
                 progress.replies.push((pending.id, reply));
             }
             Ok(changes) => {
@@ -183,7 +189,7 @@
             }
             progress
                 .replies
-                .push((pending.id, read(&pending.request, cx, cache)));
+                .push((pending.id, read_reply(&pending.request, cx, cache)));
             false
         });
         if fresh_wanted {
@@ -191,7 +197,7 @@
         }
     }
 
-    /// What became of the transaction.
+    /// Takes in the outcome of the transaction.
     pub fn written(&mut self, now: Now, outcome: &StoreResponse) {
         self.writer.answered(now, outcome);
     }
@@ -286,8 +292,8 @@
     txn
 }
 
-/// The answer to a request that needs no change any more.
-fn done(pending: &Pending, cx: &Context<'_>, cache: &WatchCache) -> Reply {
+/// The reply to a request that needs no further change.
+fn final_reply(pending: &PendingRequest, cx: &Context<'_>, cache: &WatchCache) -> Reply {
     match &pending.request {
         Request::Start {
             id,
@@ -307,11 +313,11 @@
         Request::Uncordon { .. } => Reply::Uncordoned {
             records: pending.uncordoned.iter().cloned().collect(),
         },
-        request => read(request, cx, cache),
+        request => read_reply(request, cx, cache),
     }
 }
 
-fn read(request: &Request, cx: &Context<'_>, cache: &WatchCache) -> Reply {
+fn read_reply(request: &Request, cx: &Context<'_>, cache: &WatchCache) -> Reply {
     match request {
         Request::List { id } => drains_reply(id.as_ref(), cx, cache),
         _ => Reply::Budgets(budget_statuses(cx, cache)),
