--- a/src/features.rs
+++ b/src/features.rs
@@ -1,4 +1,7 @@
-//! What operators have switched on: the features file. Whatever it does not name is off.
+//! The features file: what operators have switched on. Whatever it does not name is off.
+//!
+//! The binary reads it at the start, for `serve` and for `check`, with the settings that it must agree with. Faults are
+//! reported with the line they stand on.
 
 use std::path::{Path, PathBuf};
 
@@ -23,21 +26,32 @@
 /// Why a features file can't be used.
 #[derive(Debug, thiserror::Error)]
 pub enum FeaturesError {
+    /// The file can't be read.
     #[error("{path}: {source}")]
     Unreadable {
+        /// The file.
         path: String,
+        /// What the operating system says.
         source: std::io::Error,
     },
+    /// The file is malformed, or does not agree with the settings.
     #[error("{path}:{line}: {problem}")]
     Wrong {
+        /// The file.
         path: String,
+        /// The line, from 1 on.
         line: usize,
+        /// What is wrong, in one line.
         problem: String,
     },
 }
 
 impl Features {
-    /// Reads the file that is named, else the one at the usual place; if there is none there, everything is off.
+    /// Reads the file that is named, else the one at [`DEFAULT_PATH`]; if there is none there, everything is off.
+    ///
+    /// # Errors
+    ///
+    /// The file can't be read, or is not valid under these settings.
     pub fn find(named: Option<&Path>, config: &Config) -> Result<Found, FeaturesError> {
         let path = named.unwrap_or(Path::new(DEFAULT_PATH));
         if named.is_none() && !path.exists() {
@@ -57,7 +71,11 @@
         })
     }
 
-    /// Checks all that the text says.
+    /// Reads a file's text. `path` is only for messages.
+    ///
+    /// # Errors
+    ///
+    /// The text is malformed, or does not agree with the settings.
     pub fn parse(path: &str, text: &str, config: &Config) -> Result<Self, FeaturesError> {
         let wrong = |line, problem| FeaturesError::Wrong {
             path: path.to_owned(),
@@ -90,7 +108,9 @@
 /// The features, and the file that states them, if there is one.
 #[derive(Debug)]
 pub struct Found {
+    /// The features.
     pub features: Features,
+    /// The file, if there is one.
     pub path: Option<PathBuf>,
 }
 
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -16,7 +16,6 @@
 pub mod config;
 #[allow(missing_docs, clippy::too_many_lines, reason = "not reached yet: #30")]
 pub mod controller;
-#[allow(missing_docs, reason = "not reached yet: #30")]
 pub mod features;
 pub mod http;
 pub mod job_api;
