--- a/src/lib.rs
+++ b/src/lib.rs
@@ -12,14 +12,12 @@
 #[allow(missing_docs, clippy::too_many_lines, reason = "not reached yet: #30")]
 pub mod config;
 pub mod controller;
-#[allow(missing_docs, reason = "not reached yet: #30")]
 pub mod features;
 pub mod http;
 pub mod job_api;
 pub mod leader_context;
 pub mod leadership;
 pub mod metrics;
-#[allow(missing_docs, reason = "not reached yet: #30")]
 pub mod operations;
 pub mod peer;
 pub mod placement;
