--- a/src/controller/metrics_summary.rs
+++ b/src/controller/metrics_summary.rs
@@ -1,5 +1,6 @@
 //! The lines that sum up once a minute what this process has done and, on the leader, how the service is.
 
+use std::collections::BTreeMap;
 use std::time::Duration;
 
 use tracing::info;
@@ -27,6 +28,10 @@
             transactions,
             ..
         } = &self.metrics;
+        let transactions: BTreeMap<String, u64> = transactions
+            .iter()
+            .map(|(labels, count)| (format!("{} {}", labels.module, labels.outcome), *count))
+            .collect();
         info!(
             accepted = accept_ms.count(),
             accept_p90_ms = accept_ms.quantile(0.9),
