--- a/tests/documentation.rs
+++ b/tests/documentation.rs
@@ -103,6 +103,26 @@
     assert_eq!(missing, [] as [String; 0], "named but not there");
 }
 
+/// The last part of a path such as `module::CONSTANT`, if that is what a code span is.
+fn constant_name(span: &str) -> Option<&str> {
+    let name = span.rsplit("::").next()?;
+    let constant = name.len() > 3
+        && name
+            .chars()
+            .all(|c| c.is_ascii_uppercase() || c == '_' || c.is_ascii_digit());
+    constant.then_some(name)
+}
+
+#[test]
+fn every_constant_that_the_capacity_page_names_is_defined() {
+    let defined = defined_names();
+    let missing: Vec<String> = code_spans(&text_of("docs/capacity.md"))
+        .into_iter()
+        .filter(|span| constant_name(span).is_some_and(|name| !defined.contains(name)))
+        .collect();
+    assert_eq!(missing, [] as [String; 0], "named but not defined");
+}
+
 #[test]
 fn every_type_that_the_architecture_page_names_is_defined() {
     let defined = defined_names();
