--- a/src/cancellation/deletion.rs
+++ b/src/cancellation/deletion.rs
@@ -22,7 +22,7 @@
 
 impl Cancellations {
     /// Deletes machines that must be rid of a cancelled task: those of this holder's blocks of which that is not proven,
-    /// and those of holders that are not heard. `incarnation`: this process. `proven_gone`: whether a task of this holder
+    /// and those of holders that are not heard. `incarnation`: this process. `is_proven_ended`: whether a task of this holder
     /// is.
     pub fn poll(
         &mut self,
@@ -30,7 +30,7 @@
         config: &Config,
         incarnation: Incarnation,
         cache: &WatchCache,
-        proven_gone: impl Fn(&BlockId, &MachineId, &Attempt) -> bool,
+        is_proven_ended: impl Fn(&BlockId, &MachineId, &Attempt) -> bool,
     ) -> Option<(CloudRequestPurpose, CloudRequest)> {
         if self.open.is_empty()
             || self
@@ -55,7 +55,7 @@
                 };
                 let lease = &lease.value;
                 let resolved = if lease.holder == config.name && lease.incarnation == incarnation {
-                    proven_gone(block, machine, &attempt)
+                    is_proven_ended(block, machine, &attempt)
                 } else {
                     self.holder_is_alive(now, lease)
                 };
--- a/src/controller/dispatcher.rs
+++ b/src/controller/dispatcher.rs
@@ -178,15 +178,15 @@
 
     /// Deletes the machines whose cancelled tasks must be gone. It needs no authority: a cancellation is final.
     fn delete_machines_of_cancelled_tasks(&mut self, now: Now, effects: &mut Vec<Effect>) {
-        let proven_gone = |block: &BlockId, machine: &MachineId, attempt: &Attempt| {
-            self.worker_fleet.proven_gone(block, machine, attempt)
+        let is_proven_ended = |block: &BlockId, machine: &MachineId, attempt: &Attempt| {
+            self.worker_fleet.is_proven_ended(block, machine, attempt)
         };
         let request = self.cancellations.poll(
             now,
             &self.config,
             self.incarnation,
             &self.cache,
-            proven_gone,
+            is_proven_ended,
         );
         effects.extend(request.map(|(tag, call)| Effect::Cloud {
             tag,
--- a/src/workers/block/mod.rs
+++ b/src/workers/block/mod.rs
@@ -217,7 +217,7 @@
     }
 
     /// Whether an attempt is proven gone, or not recorded on this machine.
-    pub(super) fn proven_gone(&self, machine: &MachineId, attempt: &Attempt) -> bool {
+    pub(super) fn is_proven_ended(&self, machine: &MachineId, attempt: &Attempt) -> bool {
         let ended = EndedAttempt {
             machine: machine.clone(),
             attempt: *attempt,
--- a/src/workers/mod.rs
+++ b/src/workers/mod.rs
@@ -327,10 +327,10 @@
     }
 
     /// Whether an attempt of ours is proven gone, by its worker or by the end of its machine.
-    pub fn proven_gone(&self, block: &BlockId, machine: &MachineId, attempt: &Attempt) -> bool {
+    pub fn is_proven_ended(&self, block: &BlockId, machine: &MachineId, attempt: &Attempt) -> bool {
         self.blocks
             .get(block)
-            .is_some_and(|block| block.proven_gone(machine, attempt))
+            .is_some_and(|block| block.is_proven_ended(machine, attempt))
     }
 
     /// Leaves out a time in which this process was paused: what it did not hear meanwhile is no silence of its workers.
--- a/src/workers/tests/commands.rs
+++ b/src/workers/tests/commands.rs
@@ -46,12 +46,12 @@
     assert!(
         holder
             .fleet
-            .proven_gone(&"a.0".into(), &"m-1".into(), &attempt)
+            .is_proven_ended(&"a.0".into(), &"m-1".into(), &attempt)
     );
     assert!(
         !holder
             .fleet
-            .proven_gone(&"a.1".into(), &"m-1".into(), &attempt),
+            .is_proven_ended(&"a.1".into(), &"m-1".into(), &attempt),
         "not ours to say"
     );
 }
--- a/src/workers/tests/heartbeats.rs
+++ b/src/workers/tests/heartbeats.rs
@@ -23,7 +23,7 @@
         assert!(
             !holder
                 .fleet
-                .proven_gone(&"a.0".into(), &"m-1".into(), &attempt)
+                .is_proven_ended(&"a.0".into(), &"m-1".into(), &attempt)
         );
     }
     let gone = holder.message("m-1", FencingToken(4), &[]);
@@ -33,7 +33,7 @@
     assert!(
         holder
             .fleet
-            .proven_gone(&"a.0".into(), &"m-1".into(), &attempt),
+            .is_proven_ended(&"a.0".into(), &"m-1".into(), &attempt),
         "a newer one does"
     );
 }
