--- a/src/controller/workers.rs
+++ b/src/controller/workers.rs
@@ -43,9 +43,13 @@
             .rate_limiter
             .can_send_now(now, WritePriority::Placement)
             && let writes = self.spare_writes(now)
-            && let Some((block, request)) =
-                self.worker_fleet
-                    .write(now, &self.config, writes, &mut self.cache, &self.catalog)
+            && let Some((block, request)) = self.worker_fleet.next_transaction(
+                now,
+                &self.config,
+                writes,
+                &mut self.cache,
+                &self.catalog,
+            )
         {
             let lease_version = self.worker_fleet.lease_version(&block);
             let tag = StoreTag::Block {
--- a/src/workers/block/placement_writes.rs
+++ b/src/workers/block/placement_writes.rs
@@ -111,7 +111,7 @@
     /// The next transaction, if there is something to write and it can be written now.
     ///
     /// `max_changes`: the most changes that it should have, by the rate at which we may write.
-    pub(in crate::workers) fn write(
+    pub(in crate::workers) fn next_transaction(
         &mut self,
         now: Now,
         config: &Config,
--- a/src/workers/mod.rs
+++ b/src/workers/mod.rs
@@ -235,7 +235,7 @@
     /// Prepares the next write: of the block that has waited longest. To be called when it can be sent at once,
     /// so that it holds all that has come up until then. Ends alone are left to gather while writes are scarce, so that
     /// placements find some.
-    pub fn write(
+    pub fn next_transaction(
         &mut self,
         now: Now,
         config: &Config,
@@ -256,7 +256,8 @@
                 continue;
             };
             self.items_examined += block.changes_pending() as u64;
-            let request = block.write(now, config, allowance.max_changes, cache, catalog);
+            let request =
+                block.next_transaction(now, config, allowance.max_changes, cache, catalog);
             if let Some(request) = request {
                 block.last_write = Some(now.monotonic);
                 self.items_examined += block.recorded.attempts().count() as u64;
--- a/src/workers/tests/mod.rs
+++ b/src/workers/tests/mod.rs
@@ -172,7 +172,7 @@
     /// WriteAllowance and commits what is due. Returns where the attempts are then.
     fn write(&mut self) -> Vec<(String, u64)> {
         self.now.monotonic += WRITE_CHECK_INTERVAL;
-        while let Some((block, op)) = self.fleet.write(
+        while let Some((block, op)) = self.fleet.next_transaction(
             self.now,
             &self.config,
             AMPLE,
--- a/src/workers/tests/placement_writes.rs
+++ b/src/workers/tests/placement_writes.rs
@@ -8,7 +8,7 @@
     let mut holder = Holder::new(job(1, 1.0));
     holder.assignments(9, "m-1", 1);
     holder.now.monotonic += WRITE_CHECK_INTERVAL;
-    let write = holder.fleet.write(
+    let write = holder.fleet.next_transaction(
         holder.now,
         &holder.config,
         AMPLE,
@@ -62,7 +62,7 @@
             assert!(holder.fleet.apply_assignments(work));
         }
         holder.now.monotonic += WRITE_CHECK_INTERVAL;
-        let next = holder.fleet.write(
+        let next = holder.fleet.next_transaction(
             holder.now,
             &holder.config,
             AMPLE,
@@ -112,7 +112,9 @@
             catalog,
             ..
         } = &mut holder;
-        fleet.write(*now, config, writes, cache, catalog).is_some()
+        fleet
+            .next_transaction(*now, config, writes, cache, catalog)
+            .is_some()
     };
     assert!(!next(scarce, WRITE_CHECK_INTERVAL), "it has just written");
     assert!(next(scarce, Duration::from_secs(1)), "but not for long");
@@ -140,7 +142,7 @@
             ample: !starts,
             ..AMPLE
         };
-        let write = holder.fleet.write(
+        let write = holder.fleet.next_transaction(
             holder.now,
             &holder.config,
             writes,
@@ -169,7 +171,7 @@
             ..
         } = holder;
         let (block, _) = fleet
-            .write(*now, config, AMPLE, cache, catalog)
+            .next_transaction(*now, config, AMPLE, cache, catalog)
             .expect("something to write");
         let lease_version = fleet.lease_version(&block);
         fleet.apply_write_outcome(*now, &block, lease_version, &outcome);
