--- a/src/controller/workers.rs
+++ b/src/controller/workers.rs
@@ -75,9 +75,9 @@
     pub(super) fn send_worker_commands(&mut self, now: Now, effects: &mut Vec<Effect>) {
         let until = self.authority_until(now);
         let authorized = now.monotonic < until;
-        let commands = self
-            .worker_fleet
-            .commands(now, &self.config, &self.cache, authorized);
+        let commands =
+            self.worker_fleet
+                .prepare_direct_commands(now, &self.config, &self.cache, authorized);
         let until = authorized.then_some(until);
         effects.extend(
             commands
--- a/src/workers/mod.rs
+++ b/src/workers/mod.rs
@@ -291,7 +291,7 @@
     ///
     /// `lease_valid`: whether our block leases are known to last. If not, only tasks of cancelled jobs are ended: a
     /// cancellation is final, whoever may hold the block by now.
-    pub fn commands(
+    pub fn prepare_direct_commands(
         &mut self,
         now: Now,
         config: &Config,
--- a/src/workers/tests/mod.rs
+++ b/src/workers/tests/mod.rs
@@ -217,7 +217,7 @@
 
     fn commands(&mut self) -> Vec<DirectCommand> {
         self.fleet
-            .commands(self.now, &self.config, &self.cache, true)
+            .prepare_direct_commands(self.now, &self.config, &self.cache, true)
     }
 
     fn answer(&mut self, command: &DirectCommand, outcome: CommandOutcome) {
@@ -241,9 +241,9 @@
 
     /// The commands that go out without a block lease that is known to last.
     fn commands_without_lease(&mut self) -> Vec<WorkerCommand> {
-        let commands = self
-            .fleet
-            .commands(self.now, &self.config, &self.cache, false);
+        let commands =
+            self.fleet
+                .prepare_direct_commands(self.now, &self.config, &self.cache, false);
         commands
             .into_iter()
             .flat_map(|command| command.body.commands)
