--- a/src/controller/peer_messages.rs
+++ b/src/controller/peer_messages.rs
@@ -186,7 +186,7 @@
         let status = ControllerStatus {
             controller: self.config.name.clone(),
             incarnation: self.incarnation,
-            blocks: self.worker_fleet.status(now, &self.policy),
+            blocks: self.worker_fleet.prepare_block_statuses(now, &self.policy),
             misrouted: self.worker_fleet.misrouted(now, &self.config),
         };
         if leader == self.config.name {
--- a/src/workers/mod.rs
+++ b/src/workers/mod.rs
@@ -357,7 +357,7 @@
     }
 
     /// The next status message of each block for the leader.
-    pub fn status(&mut self, now: Now, policy: &Policy) -> Vec<BlockStatus> {
+    pub fn prepare_block_statuses(&mut self, now: Now, policy: &Policy) -> Vec<BlockStatus> {
         let to_report = self.blocks.values().map(|block| block.workers_to_report());
         self.items_examined += to_report.sum::<usize>() as u64;
         self.blocks
--- a/src/workers/tests/commands.rs
+++ b/src/workers/tests/commands.rs
@@ -138,7 +138,7 @@
     holder.now.monotonic += TOKEN_RENEWAL_DELAY + Duration::from_secs(1);
     holder.tick();
     let policy = Policy::defaults(&holder.config);
-    assert!(holder.fleet.status(holder.now, &policy)[0].token_renewal_required);
+    assert!(holder.fleet.prepare_block_statuses(holder.now, &policy)[0].token_renewal_required);
     holder.lease(FencingToken(6));
     assert!(reaped(holder.heartbeat("m-1", FencingToken(6), &failed)));
 }
@@ -168,7 +168,7 @@
     holder.tick();
     let policy = Policy::defaults(&holder.config);
     assert!(
-        !holder.fleet.status(holder.now, &policy)[0].token_renewal_required,
+        !holder.fleet.prepare_block_statuses(holder.now, &policy)[0].token_renewal_required,
         "nothing waits for it"
     );
     holder.lease(FencingToken(6));
@@ -226,7 +226,7 @@
     assert_eq!(holder.commands(), [], "nothing is known of them");
     holder.now.monotonic += policy.unheard_after + Duration::from_secs(1);
     assert!(
-        holder.fleet.status(holder.now, &policy)[0]
+        holder.fleet.prepare_block_statuses(holder.now, &policy)[0]
             .machines
             .iter()
             .all(|machine| !machine.silent)
--- a/src/workers/tests/liveness.rs
+++ b/src/workers/tests/liveness.rs
@@ -11,7 +11,10 @@
     holder.assignments(9, "m-1", 1);
     holder.write();
     let usable = |holder: &mut Holder| {
-        let status = holder.fleet.status(holder.now, &policy).remove(0);
+        let status = holder
+            .fleet
+            .prepare_block_statuses(holder.now, &policy)
+            .remove(0);
         status
             .machines
             .iter()
@@ -50,7 +53,10 @@
     let policy = Policy::defaults(&holder.config);
     let silent = |holder: &mut Holder| {
         holder.tick();
-        let status = holder.fleet.status(holder.now, &policy).remove(0);
+        let status = holder
+            .fleet
+            .prepare_block_statuses(holder.now, &policy)
+            .remove(0);
         status
             .machines
             .iter()
@@ -107,7 +113,7 @@
             );
         }
         holder.write();
-        errors.push(holder.fleet.status(holder.now, &policy)[0].machines[0].errors);
+        errors.push(holder.fleet.prepare_block_statuses(holder.now, &policy)[0].machines[0].errors);
     }
     assert_eq!(errors, [1, 2, 2, 4]);
 }
--- a/src/workers/tests/placement_writes.rs
+++ b/src/workers/tests/placement_writes.rs
@@ -191,12 +191,18 @@
         StoreResponse::Refused,
     ] {
         write(&mut holder, outcome);
-        let status = holder.fleet.status(holder.now, &policy).remove(0);
+        let status = holder
+            .fleet
+            .prepare_block_statuses(holder.now, &policy)
+            .remove(0);
         assert_eq!(status.pending, [20]);
     }
     // The next one that is carried out decides it.
     let revision = holder.version + 1;
     write(&mut holder, StoreResponse::Committed { revision });
-    let status = holder.fleet.status(holder.now, &policy).remove(0);
+    let status = holder
+        .fleet
+        .prepare_block_statuses(holder.now, &policy)
+        .remove(0);
     assert_eq!(status.pending, [] as [u64; 0]);
 }
