--- a/src/controller/peer_messages.rs
+++ b/src/controller/peer_messages.rs
@@ -187,7 +187,9 @@
             controller: self.config.name.clone(),
             incarnation: self.incarnation,
             blocks: self.worker_fleet.prepare_block_statuses(now, &self.policy),
-            misrouted: self.worker_fleet.misrouted(now, &self.config),
+            misrouted: self
+                .worker_fleet
+                .recent_misrouted_machines(now, &self.config),
         };
         if leader == self.config.name {
             self.handle_peer_message(now, Message::Status(status));
--- a/src/workers/mod.rs
+++ b/src/workers/mod.rs
@@ -342,7 +342,7 @@
     }
 
     /// Some of the machines of others' blocks whose workers have reported here recently.
-    pub fn misrouted(&mut self, now: Now, config: &Config) -> Vec<MachineId> {
+    pub fn recent_misrouted_machines(&mut self, now: Now, config: &Config) -> Vec<MachineId> {
         self.misrouted.recent(now, config)
     }
 
