--- a/src/controller/health.rs
+++ b/src/controller/health.rs
@@ -86,7 +86,7 @@
     /// What is done with every tick.
     pub(super) fn tick(&mut self, now: Now) {
         self.worker_fleet.tick(now, &self.config, &self.policy);
-        for accepted_ms in self.worker_fleet.take_started() {
+        for accepted_ms in self.worker_fleet.take_accept_times_of_started_tasks() {
             self.metrics
                 .start_ms
                 .record(now.unix_ms().saturating_sub(accepted_ms));
--- a/src/workers/block/mod.rs
+++ b/src/workers/block/mod.rs
@@ -236,7 +236,7 @@
     }
 
     /// When the jobs were accepted whose tasks have been seen to start since the last call, in ms of Unix time.
-    pub(super) fn take_started(&mut self) -> Vec<u64> {
+    pub(super) fn take_accept_times_of_started_tasks(&mut self) -> Vec<u64> {
         std::mem::take(&mut self.started_accepted_ms)
     }
 
--- a/src/workers/mod.rs
+++ b/src/workers/mod.rs
@@ -347,8 +347,10 @@
     }
 
     /// When the jobs were accepted whose tasks have been seen to start since the last call, in ms of Unix time.
-    pub fn take_started(&mut self) -> impl Iterator<Item = u64> {
-        self.blocks.values_mut().flat_map(Block::take_started)
+    pub fn take_accept_times_of_started_tasks(&mut self) -> impl Iterator<Item = u64> {
+        self.blocks
+            .values_mut()
+            .flat_map(Block::take_accept_times_of_started_tasks)
     }
 
     /// Machines and tasks gone through so far.
