--- a/src/controller/workers.rs
+++ b/src/controller/workers.rs
@@ -67,7 +67,7 @@
             max_changes: self
                 .rate_limiter
                 .max_deferrable_batch(self.config.state_limits.txn_ops),
-            ample: self.rate_limiter.has_spare_writes(now),
+            has_spare_writes: self.rate_limiter.has_spare_writes(now),
         }
     }
 
--- a/src/workers/messages.rs
+++ b/src/workers/messages.rs
@@ -44,5 +44,5 @@
     /// The most changes that one transaction should have.
     pub max_changes: usize,
     /// Whether most of what may be written in a second is left.
-    pub ample: bool,
+    pub has_spare_writes: bool,
 }
--- a/src/workers/mod.rs
+++ b/src/workers/mod.rs
@@ -247,7 +247,7 @@
             .blocks
             .values()
             .filter(|block| block.write_due(now))
-            .filter(|block| allowance.ample || !block.may_batch_ends(now))
+            .filter(|block| allowance.has_spare_writes || !block.may_batch_ends(now))
             .map(|block| (block.last_write, block.id.clone()))
             .collect();
         waiting.sort();
--- a/src/workers/tests/mod.rs
+++ b/src/workers/tests/mod.rs
@@ -30,7 +30,7 @@
 
 const AMPLE: WriteAllowance = WriteAllowance {
     max_changes: 16,
-    ample: true,
+    has_spare_writes: true,
 };
 
 struct Holder {
--- a/src/workers/tests/placement_writes.rs
+++ b/src/workers/tests/placement_writes.rs
@@ -99,7 +99,7 @@
         &[(20, TaskState::Exited, Some(Cause::Done))],
     );
     let scarce = WriteAllowance {
-        ample: false,
+        has_spare_writes: false,
         ..AMPLE
     };
     let mut next = |writes: WriteAllowance, after: Duration| {
@@ -139,7 +139,7 @@
         }
         holder.now.monotonic += WRITE_CHECK_INTERVAL;
         let writes = WriteAllowance {
-            ample: !starts,
+            has_spare_writes: !starts,
             ..AMPLE
         };
         let write = holder.fleet.next_transaction(
