--- a/src/workers/block/commands.rs
+++ b/src/workers/block/commands.rs
@@ -136,18 +136,18 @@
         cache: &WatchCache,
     ) -> Option<WorkerCommand> {
         let attempt = observed.attempt(task);
-        let number = attempt.wire_number();
+        let wire_number = attempt.wire_number();
         if observed.state == TaskState::Exited {
             // Reaped only once its end is recorded, and never while an old launch of it may come late.
             let reap = !is_recorded && worker.may_forget(&attempt, observed.cause);
-            return reap.then_some(WorkerCommand::Reap { task, number });
+            return reap.then_some(WorkerCommand::Reap { task, wire_number });
         }
         if is_recorded && self.should_run(cache, &attempt) {
             return None;
         }
         Some(WorkerCommand::Stop {
             task,
-            number,
+            wire_number,
             grace_s: grace_s(cache, task, is_recorded),
         })
     }
@@ -193,7 +193,7 @@
             worker.launches.record_sent(attempt);
             commands.push(WorkerCommand::Launch {
                 task: attempt.task,
-                number: attempt.wire_number(),
+                wire_number: attempt.wire_number(),
             });
         }
         commands
@@ -253,10 +253,10 @@
         CommandOutcome::Unknown => LaunchOutcome::Unknown,
     };
     for command in &body.commands {
-        let WorkerCommand::Launch { task, number } = command else {
+        let WorkerCommand::Launch { task, wire_number } = command else {
             continue;
         };
-        let attempt = Attempt::from_wire(*task, *number);
+        let attempt = Attempt::from_wire(*task, *wire_number);
         if outcome == LaunchOutcome::Unknown {
             debug!(%attempt, %machine, "task launch unacknowledged");
         }
--- a/src/workers/block/heartbeats.rs
+++ b/src/workers/block/heartbeats.rs
@@ -139,7 +139,7 @@
 /// The tasks of a report; of each the last entry.
 fn observed_tasks(reported: &[TaskStatus]) -> BTreeMap<TaskId, ObservedTask> {
     let observed = |status: &TaskStatus| ObservedTask {
-        number: Attempt::from_wire(status.task, status.number).number,
+        number: Attempt::from_wire(status.task, status.wire_number).number,
         state: status.state,
         cause: status.cause,
     };
--- a/src/workers/tests/commands.rs
+++ b/src/workers/tests/commands.rs
@@ -28,7 +28,7 @@
     holder.cancel();
     let stop = WorkerCommand::Stop {
         task: first_task(),
-        number: 9,
+        wire_number: 9,
         grace_s: 0.0,
     };
     assert_eq!(holder.commands_without_lease(), [stop]);
@@ -72,7 +72,7 @@
         .flat_map(|command| command.body.commands)
         .collect();
     assert!(
-        matches!(commands[..], [WorkerCommand::Stop { number: 9, .. }]),
+        matches!(commands[..], [WorkerCommand::Stop { wire_number: 9, .. }]),
         "{commands:?}"
     );
 }
--- a/src/workers/tests/mod.rs
+++ b/src/workers/tests/mod.rs
@@ -130,7 +130,7 @@
         let task = first_task();
         let of = |(number, state, cause): &(u64, TaskState, Option<Cause>)| TaskStatus {
             task,
-            number: *number,
+            wire_number: *number,
             state: *state,
             cause: *cause,
         };
--- a/src/workers/wire.rs
+++ b/src/workers/wire.rs
@@ -51,7 +51,7 @@
     pub task: TaskId,
     /// The number of the attempt, in its form on the wire.
     #[serde(rename = "try")]
-    pub number: u64,
+    pub wire_number: u64,
     /// What it does.
     #[serde(rename = "status")]
     pub state: TaskState,
@@ -141,7 +141,7 @@
         task: TaskId,
         /// The number of the attempt, in its form on the wire.
         #[serde(rename = "try")]
-        number: u64,
+        wire_number: u64,
     },
     /// End a task.
     #[serde(rename = "stop")]
@@ -151,7 +151,7 @@
         task: TaskId,
         /// The number of the attempt, in its form on the wire.
         #[serde(rename = "try")]
-        number: u64,
+        wire_number: u64,
         /// How long it may save before it is killed, in seconds.
         #[serde(rename = "leaveS")]
         grace_s: f64,
@@ -164,7 +164,7 @@
         task: TaskId,
         /// The number of the attempt, in its form on the wire.
         #[serde(rename = "try")]
-        number: u64,
+        wire_number: u64,
     },
 }
 
--- a/src/workers/wire/tests.rs
+++ b/src/workers/wire/tests.rs
@@ -37,7 +37,7 @@
         agent_epoch: Some(AgentEpoch(1)),
         commands: vec![WorkerCommand::Stop {
             task,
-            number: 1,
+            wire_number: 1,
             grace_s: 10.0,
         }],
     };
--- a/tests/simulation/machine.rs
+++ b/tests/simulation/machine.rs
@@ -103,7 +103,7 @@
                 .iter()
                 .map(|(task, t)| TaskStatus {
                     task: *task,
-                    number: t.number,
+                    wire_number: t.number,
                     state: t.state,
                     cause: t.cause,
                 })
@@ -142,13 +142,15 @@
         let mut happened = Vec::new();
         for command in commands {
             match command {
-                WorkerCommand::Launch { task, number } => {
-                    happened.extend(self.launch(*task, *number, jobs, results, &run_for));
+                WorkerCommand::Launch { task, wire_number } => {
+                    happened.extend(self.launch(*task, *wire_number, jobs, results, &run_for));
                 }
-                WorkerCommand::Stop { task, number, .. } => {
-                    happened.extend(self.stop(*task, *number));
+                WorkerCommand::Stop {
+                    task, wire_number, ..
+                } => {
+                    happened.extend(self.stop(*task, *wire_number));
                 }
-                WorkerCommand::Reap { task, number } => self.reap(*task, *number),
+                WorkerCommand::Reap { task, wire_number } => self.reap(*task, *wire_number),
             }
         }
         happened
