--- a/src/workers/block/heartbeats.rs
+++ b/src/workers/block/heartbeats.rs
@@ -8,7 +8,7 @@
 use super::{Block, EndedAttempt, Exit, job_is_active};
 use crate::domain::{Attempt, MachineId, Now, TaskId};
 use crate::store::WatchCache;
-use crate::workers::wire::{Cause, Heartbeat, TaskState, TaskStatus};
+use crate::workers::wire::{ExitCause, Heartbeat, TaskState, TaskStatus};
 use crate::workers::worker::ObservedTask;
 
 /// How a report reached us. Only a heartbeat can renew a worker's lease: a worker that answers commands and reaches no
@@ -127,7 +127,7 @@
             worker
                 .failures
                 .record_exit(attempt.task.job, observed.cause);
-            entry.insert(if observed.cause == Some(Cause::Done) {
+            entry.insert(if observed.cause == Some(ExitCause::Done) {
                 Exit::Done
             } else {
                 Exit::Gone
--- a/src/workers/tests/commands.rs
+++ b/src/workers/tests/commands.rs
@@ -36,7 +36,7 @@
     let gone = holder.message(
         "m-1",
         FencingToken(4),
-        &[(9, TaskState::Exited, Some(Cause::Stopped))],
+        &[(9, TaskState::Exited, Some(ExitCause::Stopped))],
     );
     let answer =
         holder
@@ -121,7 +121,7 @@
     holder.write();
     let command = holder.commands().remove(0);
     holder.answer(&command, CommandOutcome::Unknown);
-    let failed = [(9, TaskState::Exited, Some(Cause::Error))];
+    let failed = [(9, TaskState::Exited, Some(ExitCause::Error))];
     holder.heartbeat("m-1", FencingToken(4), &failed);
     assert_eq!(holder.write(), []);
     assert!(
@@ -153,7 +153,7 @@
     let command = holder.commands().remove(0);
     let running = holder.message("m-1", FencingToken(4), &[(9, TaskState::Running, None)]);
     holder.answer(&command, CommandOutcome::Executed(running));
-    let stopped = [(9, TaskState::Exited, Some(Cause::Stopped))];
+    let stopped = [(9, TaskState::Exited, Some(ExitCause::Stopped))];
     holder.heartbeat("m-1", FencingToken(4), &stopped);
     assert_eq!(holder.write(), []);
     assert!(!reaped(holder.heartbeat("m-1", FencingToken(4), &stopped)));
@@ -181,7 +181,7 @@
         .expect("raised");
     let running = holder.message("m-2", FencingToken(6), &[(10, TaskState::Running, None)]);
     holder.answer(&command, CommandOutcome::Executed(running));
-    let done = [(10, TaskState::Exited, Some(Cause::Done))];
+    let done = [(10, TaskState::Exited, Some(ExitCause::Done))];
     holder.heartbeat("m-2", FencingToken(6), &done);
     holder.write();
     assert!(reaped(holder.heartbeat("m-2", FencingToken(6), &done)));
@@ -207,7 +207,7 @@
     holder.heartbeat(
         "m-1",
         FencingToken(4),
-        &[(9, TaskState::Exited, Some(Cause::Done))],
+        &[(9, TaskState::Exited, Some(ExitCause::Done))],
     );
     holder.write();
     assert_eq!(remembered(&holder), 1, "not reaped yet");
--- a/src/workers/tests/liveness.rs
+++ b/src/workers/tests/liveness.rs
@@ -100,7 +100,7 @@
         holder.write();
         for (state, cause) in [
             (TaskState::Running, None),
-            (TaskState::Exited, Some(Cause::Error)),
+            (TaskState::Exited, Some(ExitCause::Error)),
         ] {
             let mut heartbeat = holder.message("m-1", FencingToken(4), &[(number, state, cause)]);
             heartbeat.tasks[0].task = attempt.task;
--- a/src/workers/tests/mod.rs
+++ b/src/workers/tests/mod.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 
 use super::block::{TOKEN_RENEWAL_DELAY, WRITE_CHECK_INTERVAL};
-use super::wire::{Cause, TaskStatus, WorkerCommand};
+use super::wire::{ExitCause, TaskStatus, WorkerCommand};
 use super::worker::PROBE_INTERVAL;
 use super::*;
 use crate::cloud::wire::InstanceTypeList;
@@ -124,11 +124,11 @@
         &mut self,
         machine: &str,
         token: FencingToken,
-        tasks: &[(u64, TaskState, Option<Cause>)],
+        tasks: &[(u64, TaskState, Option<ExitCause>)],
     ) -> Heartbeat {
         self.seq += 1;
         let task = first_task();
-        let of = |(number, state, cause): &(u64, TaskState, Option<Cause>)| TaskStatus {
+        let of = |(number, state, cause): &(u64, TaskState, Option<ExitCause>)| TaskStatus {
             task,
             wire_number: *number,
             state: *state,
@@ -152,7 +152,7 @@
         &mut self,
         machine: &str,
         token: FencingToken,
-        tasks: &[(u64, TaskState, Option<Cause>)],
+        tasks: &[(u64, TaskState, Option<ExitCause>)],
     ) -> HeartbeatResponse {
         let heartbeat = self.message(machine, token, tasks);
         self.fleet
--- a/src/workers/tests/placement_writes.rs
+++ b/src/workers/tests/placement_writes.rs
@@ -96,7 +96,7 @@
     holder.heartbeat(
         "m-1",
         FencingToken(4),
-        &[(20, TaskState::Exited, Some(Cause::Done))],
+        &[(20, TaskState::Exited, Some(ExitCause::Done))],
     );
     let scarce = WriteAllowance {
         has_spare_writes: false,
@@ -132,7 +132,7 @@
         holder.heartbeat(
             "m-1",
             FencingToken(4),
-            &[(20, TaskState::Exited, Some(Cause::Done))],
+            &[(20, TaskState::Exited, Some(ExitCause::Done))],
         );
         if starts {
             holder.assignments(21, "m-2", 2);
--- a/src/workers/wire.rs
+++ b/src/workers/wire.rs
@@ -57,7 +57,7 @@
     pub state: TaskState,
     /// Why it has exited, if it has.
     #[serde(rename = "cause", default, skip_serializing_if = "Option::is_none")]
-    pub cause: Option<Cause>,
+    pub cause: Option<ExitCause>,
 }
 
 /// What a task on a machine does.
@@ -85,7 +85,7 @@
 
 /// Why a task has exited.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Cause {
+pub enum ExitCause {
     /// It finished its work.
     #[serde(rename = "done")]
     Done,
--- a/src/workers/worker/failures.rs
+++ b/src/workers/worker/failures.rs
@@ -4,7 +4,7 @@
 
 use crate::domain::JobId;
 use crate::peer::JobFailures;
-use crate::workers::wire::Cause;
+use crate::workers::wire::ExitCause;
 
 /// Jobs whose failures on one machine are counted.
 const MAX_FAILED_JOBS: usize = 16;
@@ -24,16 +24,16 @@
 
 impl TaskFailures {
     /// Records how a task ended. A success sets all counts back.
-    pub(in crate::workers) fn record_exit(&mut self, job: JobId, cause: Option<Cause>) {
+    pub(in crate::workers) fn record_exit(&mut self, job: JobId, cause: Option<ExitCause>) {
         match cause {
-            Some(Cause::Done) => {
+            Some(ExitCause::Done) => {
                 self.errors = 0;
                 self.by_job.clear();
             }
             // A stop by command, or the failure of another task of the gang, says nothing of this machine.
-            None | Some(Cause::Stopped | Cause::PeerGone | Cause::Incomplete) => {}
+            None | Some(ExitCause::Stopped | ExitCause::PeerGone | ExitCause::Incomplete) => {}
             Some(cause) => {
-                self.errors += u32::from(cause == Cause::Error);
+                self.errors += u32::from(cause == ExitCause::Error);
                 *self.by_job.entry(job).or_default() += 1;
                 if self.by_job.len() > MAX_FAILED_JOBS {
                     // Ids grow with time: the first is most likely the oldest.
--- a/src/workers/worker/mod.rs
+++ b/src/workers/worker/mod.rs
@@ -14,7 +14,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-use super::wire::{Cause, Heartbeat, TaskState};
+use super::wire::{ExitCause, Heartbeat, TaskState};
 use crate::domain::{AgentEpoch, Attempt, FencingToken, Image, Now, TaskId};
 use crate::peer::MachineStatus;
 use crate::policy::Policy;
@@ -37,7 +37,7 @@
     pub(super) number: u64,
     pub(super) state: TaskState,
     /// How it ended, if it did and the worker says.
-    pub(super) cause: Option<Cause>,
+    pub(super) cause: Option<ExitCause>,
 }
 
 impl ObservedTask {
@@ -174,8 +174,8 @@
     }
 
     /// Whether the worker may forget an attempt that has ended: no launch of it, nor a copy of one, could start it again.
-    pub(super) fn may_forget(&self, attempt: &Attempt, cause: Option<Cause>) -> bool {
-        let harmless = cause == Some(Cause::Done) || !self.launches.was_sent(attempt);
+    pub(super) fn may_forget(&self, attempt: &Attempt, cause: Option<ExitCause>) -> bool {
+        let harmless = cause == Some(ExitCause::Done) || !self.launches.was_sent(attempt);
         harmless && !self.launches.may_start_late(attempt)
     }
 
--- a/tests/simulation/gangs.rs
+++ b/tests/simulation/gangs.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use dappleshore::domain::{Job, JobId, JobKind, Priority, Resources, TaskId};
-use dappleshore::workers::wire::{Cause, TaskState};
+use dappleshore::workers::wire::{ExitCause, TaskState};
 
 use super::cluster::{CALM_FROM, Faults, SimulatedCluster, Size, array};
 use super::machine::{Machine, MachineEvent};
@@ -88,7 +88,7 @@
                 let since = *running.broken.get_or_insert(now);
                 if now >= since + GANG_PEER {
                     for member in members.iter().filter(|member| !member.stuck) {
-                        happened.push(exit(machines, member, Cause::PeerGone));
+                        happened.push(exit(machines, member, ExitCause::PeerGone));
                     }
                 }
                 continue;
@@ -97,7 +97,7 @@
             if running.left.is_zero() {
                 self.completed.insert(start.0);
                 for member in &members {
-                    happened.push(exit(machines, member, Cause::Done));
+                    happened.push(exit(machines, member, ExitCause::Done));
                 }
             }
         }
@@ -150,7 +150,7 @@
         let task = machine.tasks.get_mut(&member.task).expect("listed");
         task.left = task.left.saturating_sub(passed);
         if task.left.is_zero() {
-            happened.push(exit(machines, member, Cause::Incomplete));
+            happened.push(exit(machines, member, ExitCause::Incomplete));
         }
     }
     happened
@@ -160,7 +160,7 @@
     machines: &mut BTreeMap<String, Machine>,
     member: &Member,
     state: TaskState,
-    cause: Option<Cause>,
+    cause: Option<ExitCause>,
 ) {
     let machine = machines.get_mut(&member.machine).expect("listed");
     machine.changed = true;
@@ -172,10 +172,10 @@
 fn exit(
     machines: &mut BTreeMap<String, Machine>,
     member: &Member,
-    cause: Cause,
+    cause: ExitCause,
 ) -> (String, MachineEvent) {
     set(machines, member, TaskState::Exited, Some(cause));
-    let event = MachineEvent::Ended(member.task, cause == Cause::Done);
+    let event = MachineEvent::Ended(member.task, cause == ExitCause::Done);
     (member.machine.clone(), event)
 }
 
--- a/tests/simulation/machine.rs
+++ b/tests/simulation/machine.rs
@@ -8,14 +8,14 @@
     Resources, TaskId, Zone,
 };
 use dappleshore::workers::wire::{
-    Cause, Heartbeat, TaskState, TaskStatus, WorkerCommand, WorkerCommands,
+    ExitCause, Heartbeat, TaskState, TaskStatus, WorkerCommand, WorkerCommands,
 };
 
 #[derive(Debug)]
 pub struct Task {
     pub number: u64,
     pub state: TaskState,
-    pub cause: Option<Cause>,
+    pub cause: Option<ExitCause>,
     /// Progress still to be made before the next change of state.
     pub left: Duration,
 }
@@ -183,11 +183,11 @@
             left: Duration::ZERO,
         };
         let Some(job) = jobs.get(&task.job) else {
-            self.tasks.insert(task, refused(Cause::Unknown));
+            self.tasks.insert(task, refused(ExitCause::Unknown));
             return Vec::new();
         };
         if !free.fits(&job.need) {
-            self.tasks.insert(task, refused(Cause::NoRoom));
+            self.tasks.insert(task, refused(ExitCause::NoRoom));
             return Vec::new();
         }
         let cached = self.images.contains(&*job.image.0);
@@ -212,7 +212,7 @@
         }
         let ran = matches!(entry.state, TaskState::Running | TaskState::Waiting);
         entry.state = TaskState::Exited;
-        entry.cause = Some(Cause::Stopped);
+        entry.cause = Some(ExitCause::Stopped);
         self.changed = true;
         ran.then_some(MachineEvent::Ended(task, false))
     }
@@ -238,7 +238,7 @@
         };
         if results.contains(&task) {
             t.state = TaskState::Exited;
-            t.cause = Some(Cause::Done);
+            t.cause = Some(ExitCause::Done);
             return vec![];
         }
         if is_gang(jobs, task) {
@@ -288,7 +288,11 @@
                 t.state = TaskState::Exited;
                 let broken = jobs.get(&task.job).is_some_and(|job| *job.class == *BROKEN);
                 let failed = self.faulty || broken;
-                t.cause = Some(if failed { Cause::Error } else { Cause::Done });
+                t.cause = Some(if failed {
+                    ExitCause::Error
+                } else {
+                    ExitCause::Done
+                });
                 self.changed = true;
                 happened.push(MachineEvent::Ended(task, !failed));
             }
