--- a/src/workers/wire.rs
+++ b/src/workers/wire.rs
@@ -103,13 +103,13 @@
     Busy,
     /// Its start was refused: there is no such task, or its job was not submitted.
     #[serde(rename = "unknown")]
-    Unknown,
+    UnknownTask,
     /// Another task of the gang is gone.
     #[serde(rename = "peers")]
-    PeerGone,
+    GangMemberLost,
     /// The gang was not complete in time.
     #[serde(rename = "alone")]
-    Incomplete,
+    GangIncomplete,
     /// A cause this version does not know.
     #[serde(other)]
     Other,
--- a/src/workers/worker/failures.rs
+++ b/src/workers/worker/failures.rs
@@ -31,7 +31,8 @@
                 self.by_job.clear();
             }
             // A stop by command, or the failure of another task of the gang, says nothing of this machine.
-            None | Some(ExitCause::Stopped | ExitCause::PeerGone | ExitCause::Incomplete) => {}
+            None
+            | Some(ExitCause::Stopped | ExitCause::GangMemberLost | ExitCause::GangIncomplete) => {}
             Some(cause) => {
                 self.errors += u32::from(cause == ExitCause::Error);
                 *self.by_job.entry(job).or_default() += 1;
--- a/tests/simulation/gangs.rs
+++ b/tests/simulation/gangs.rs
@@ -88,7 +88,7 @@
                 let since = *running.broken.get_or_insert(now);
                 if now >= since + GANG_PEER {
                     for member in members.iter().filter(|member| !member.stuck) {
-                        happened.push(exit(machines, member, ExitCause::PeerGone));
+                        happened.push(exit(machines, member, ExitCause::GangMemberLost));
                     }
                 }
                 continue;
@@ -150,7 +150,7 @@
         let task = machine.tasks.get_mut(&member.task).expect("listed");
         task.left = task.left.saturating_sub(passed);
         if task.left.is_zero() {
-            happened.push(exit(machines, member, ExitCause::Incomplete));
+            happened.push(exit(machines, member, ExitCause::GangIncomplete));
         }
     }
     happened
--- a/tests/simulation/machine.rs
+++ b/tests/simulation/machine.rs
@@ -183,7 +183,7 @@
             left: Duration::ZERO,
         };
         let Some(job) = jobs.get(&task.job) else {
-            self.tasks.insert(task, refused(ExitCause::Unknown));
+            self.tasks.insert(task, refused(ExitCause::UnknownTask));
             return Vec::new();
         };
         if !free.fits(&job.need) {
