--- a/src/workers/tests/mod.rs
+++ b/src/workers/tests/mod.rs
@@ -143,7 +143,7 @@
             agent_epoch: AgentEpoch(1),
             seq: self.seq,
             token,
-            notice_s: None,
+            termination_notice_s: None,
             tasks: tasks.iter().map(of).collect(),
         }
     }
--- a/src/workers/wire.rs
+++ b/src/workers/wire.rs
@@ -37,7 +37,7 @@
     pub token: FencingToken,
     /// The cloud takes the machine away in so many seconds, if it has said so.
     #[serde(rename = "recallS", default)]
-    pub notice_s: Option<Amount>,
+    pub termination_notice_s: Option<Amount>,
     /// The tasks that the worker has or remembers.
     #[serde(rename = "entries")]
     pub tasks: Vec<TaskStatus>,
--- a/src/workers/wire/tests.rs
+++ b/src/workers/wire/tests.rs
@@ -23,7 +23,7 @@
     .expect("valid");
     let heartbeat: Heartbeat =
         ciborium::from_reader(bytes_of(&value).as_slice()).expect("readable");
-    assert_eq!(heartbeat.notice_s, None);
+    assert_eq!(heartbeat.termination_notice_s, None);
     assert_eq!(heartbeat.tasks[1].cause, Some(ExitCause::Done));
     assert_eq!(heartbeat.tasks[2].state, TaskState::Other);
     assert_eq!(heartbeat.tasks[2].cause, Some(ExitCause::Other));
--- a/src/workers/worker/mod.rs
+++ b/src/workers/worker/mod.rs
@@ -118,7 +118,7 @@
     pub(super) fn apply_report(&mut self, heartbeat: &Heartbeat) {
         self.agent_epoch = heartbeat.agent_epoch;
         self.seq = heartbeat.seq;
-        self.termination_notice = heartbeat.notice_s.is_some();
+        self.termination_notice = heartbeat.termination_notice_s.is_some();
         self.addr = Some(heartbeat.addr.clone());
     }
 
--- a/tests/simulation/machine.rs
+++ b/tests/simulation/machine.rs
@@ -97,7 +97,7 @@
             agent_epoch: self.agent_epoch,
             seq: self.seq,
             token: self.token,
-            notice_s: self.notice.map(|_| Amount(5.0)),
+            termination_notice_s: self.notice.map(|_| Amount(5.0)),
             tasks: self
                 .tasks
                 .iter()
