--- a/src/http/server.rs
+++ b/src/http/server.rs
@@ -213,9 +213,7 @@
     // controller's own has expired.
     let show = |(answer, until)| {
         heartbeat_response(
-            if Now::read().monotonic < until
-                || !matches!(answer, HeartbeatResponse::WorkerCommands(_))
-            {
+            if Now::read().monotonic < until || !matches!(answer, HeartbeatResponse::Commands(_)) {
                 answer
             } else {
                 HeartbeatResponse::Unavailable
@@ -239,7 +237,7 @@
 
 fn heartbeat_response(answer: HeartbeatResponse) -> HttpResponse {
     match answer {
-        HeartbeatResponse::WorkerCommands(commands) => cbor_response(200, &commands),
+        HeartbeatResponse::Commands(commands) => cbor_response(200, &commands),
         HeartbeatResponse::Redirect(holder) => cbor_response(421, &Redirect { holder }),
         HeartbeatResponse::Unavailable => unavailable(),
     }
--- a/src/workers/messages.rs
+++ b/src/workers/messages.rs
@@ -31,7 +31,7 @@
 #[derive(Debug, Clone, PartialEq)]
 pub enum HeartbeatResponse {
     /// The commands of the worker's holder. They renew the worker's lease.
-    WorkerCommands(WorkerCommands),
+    Commands(WorkerCommands),
     /// We are not the holder: the worker should report to this controller, or to any other one if `None`.
     Redirect(Option<ControllerName>),
     /// Nobody may respond for the holder now: the block leases that we know of may be outdated.
--- a/src/workers/tests/commands.rs
+++ b/src/workers/tests/commands.rs
@@ -291,7 +291,7 @@
 /// Whether a response to a heartbeat tells the worker to forget a task.
 fn reaped(response: HeartbeatResponse) -> bool {
     match response {
-        HeartbeatResponse::WorkerCommands(commands) => commands
+        HeartbeatResponse::Commands(commands) => commands
             .commands
             .iter()
             .any(|command| matches!(command, WorkerCommand::Reap { .. })),
--- a/tests/simulation/cluster/machines.rs
+++ b/tests/simulation/cluster/machines.rs
@@ -359,7 +359,7 @@
             "hears"
         );
         match answer {
-            Some(HeartbeatResponse::WorkerCommands(orders)) => {
+            Some(HeartbeatResponse::Commands(orders)) => {
                 if orders.token < machine.token {
                     return;
                 }
--- a/tests/simulation/cluster/network.rs
+++ b/tests/simulation/cluster/network.rs
@@ -324,7 +324,7 @@
         until: Instant,
     ) {
         let over = self.clock(controller).monotonic >= until
-            && matches!(response, HeartbeatResponse::WorkerCommands(_));
+            && matches!(response, HeartbeatResponse::Commands(_));
         let response = if over {
             HeartbeatResponse::Unavailable
         } else {
--- a/tests/simulation/digest.rs
+++ b/tests/simulation/digest.rs
@@ -98,7 +98,7 @@
     /// Takes in a response to a worker's heartbeat.
     fn heartbeat_response(&mut self, response: &HeartbeatResponse) {
         match response {
-            HeartbeatResponse::WorkerCommands(commands) => {
+            HeartbeatResponse::Commands(commands) => {
                 self.number(200);
                 self.field(&write(commands));
             }
