--- a/src/http/server.rs
+++ b/src/http/server.rs
@@ -22,7 +22,7 @@
 use crate::job_api::Response;
 use crate::peer::Message;
 use crate::workers::HeartbeatResponse;
-use crate::workers::wire::{Heartbeat, Redirect};
+use crate::workers::wire::{Heartbeat, RedirectBody};
 
 /// A request for the state machine, with the channel for its reply.
 #[derive(Debug)]
@@ -238,7 +238,7 @@
 fn heartbeat_response(answer: HeartbeatResponse) -> HttpResponse {
     match answer {
         HeartbeatResponse::Commands(commands) => cbor_response(200, &commands),
-        HeartbeatResponse::Redirect(holder) => cbor_response(421, &Redirect { holder }),
+        HeartbeatResponse::Redirect(holder) => cbor_response(421, &RedirectBody { holder }),
         HeartbeatResponse::Unavailable => unavailable(),
     }
 }
--- a/src/workers/wire.rs
+++ b/src/workers/wire.rs
@@ -170,7 +170,7 @@
 
 /// The body of a 421: heartbeats of this machine belong to another controller.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Redirect {
+pub struct RedirectBody {
     /// The controller that holds its block, if known.
     #[serde(rename = "clerk", skip_serializing_if = "Option::is_none")]
     pub holder: Option<crate::domain::ControllerName>,
--- a/tests/loopback/workers.rs
+++ b/tests/loopback/workers.rs
@@ -7,7 +7,7 @@
 
 use dappleshore::domain::{AgentEpoch, TaskId};
 use dappleshore::http::{Client, Request, read, write};
-use dappleshore::workers::wire::{Heartbeat, Redirect, WorkerCommands};
+use dappleshore::workers::wire::{Heartbeat, RedirectBody, WorkerCommands};
 use tokio::net::TcpListener;
 use warp::Filter;
 use warp::http::StatusCode;
@@ -119,7 +119,7 @@
                 );
                 None
             }
-            Ok(reply) if reply.status == 421 => read::<Redirect>(&reply.body)
+            Ok(reply) if reply.status == 421 => read::<RedirectBody>(&reply.body)
                 .ok()
                 .and_then(|redirect| redirect.holder)
                 .and_then(|holder| holder.0.trim_start_matches("node-").parse::<usize>().ok())
--- a/tests/simulation/digest.rs
+++ b/tests/simulation/digest.rs
@@ -12,7 +12,7 @@
 use dappleshore::job_api::Response;
 use dappleshore::store::records::FORMAT;
 use dappleshore::workers::HeartbeatResponse;
-use dappleshore::workers::wire::Redirect;
+use dappleshore::workers::wire::RedirectBody;
 use dappleshore::{cloud, store};
 use dappleshore_drain::{DrainSettings, Limit, Scope};
 
@@ -105,7 +105,7 @@
             HeartbeatResponse::Redirect(holder) => {
                 self.number(421);
                 let holder = holder.clone();
-                self.field(&write(&Redirect { holder }));
+                self.field(&write(&RedirectBody { holder }));
             }
             HeartbeatResponse::Unavailable => self.number(503),
         }
