--- a/src/workers/tests/mod.rs
+++ b/src/workers/tests/mod.rs
@@ -40,7 +40,7 @@
     fleet: WorkerFleet,
     now: Now,
     version: u64,
-    seq: u64,
+    sequence_number: u64,
 }
 
 impl Holder {
@@ -59,7 +59,7 @@
             fleet,
             now: Now::read(),
             version: 0,
-            seq: 0,
+            sequence_number: 0,
         };
         holder.put_inventory("a.0", &["m-1", "m-2"]);
         holder.put(job_key(JobId(1)), encode(&JobRecord::Open(job)));
@@ -126,7 +126,7 @@
         token: FencingToken,
         tasks: &[(u64, TaskState, Option<ExitCause>)],
     ) -> Heartbeat {
-        self.seq += 1;
+        self.sequence_number += 1;
         let task = first_task();
         let of = |(number, state, cause): &(u64, TaskState, Option<ExitCause>)| TaskStatus {
             task,
@@ -141,7 +141,7 @@
             zone: "a".into(),
             spot: false,
             agent_epoch: AgentEpoch(1),
-            seq: self.seq,
+            sequence_number: self.sequence_number,
             token,
             termination_notice_s: None,
             tasks: tasks.iter().map(of).collect(),
--- a/src/workers/wire.rs
+++ b/src/workers/wire.rs
@@ -31,7 +31,7 @@
     pub agent_epoch: AgentEpoch,
     /// The number of the report; it grows with each.
     #[serde(rename = "folio")]
-    pub seq: u64,
+    pub sequence_number: u64,
     /// The highest fencing token that the worker has been shown.
     #[serde(rename = "seal")]
     pub token: FencingToken,
--- a/src/workers/worker/mod.rs
+++ b/src/workers/worker/mod.rs
@@ -65,7 +65,7 @@
     pub(super) addr: Option<String>,
     pub(super) agent_epoch: AgentEpoch,
     /// The sequence number of its last report.
-    seq: u64,
+    sequence_number: u64,
     /// The highest fencing token that it has shown.
     pub(super) token: FencingToken,
     pub(super) liveness: Liveness,
@@ -90,7 +90,7 @@
         Worker {
             addr: None,
             agent_epoch: AgentEpoch(0),
-            seq: 0,
+            sequence_number: 0,
             token: FencingToken(0),
             liveness: Liveness::new(now),
             termination_notice: false,
@@ -106,7 +106,8 @@
 
     /// Whether a report was made after the last one that was applied.
     pub(super) fn is_newer(&self, heartbeat: &Heartbeat) -> bool {
-        (heartbeat.agent_epoch, heartbeat.seq) > (self.agent_epoch, self.seq)
+        (heartbeat.agent_epoch, heartbeat.sequence_number)
+            > (self.agent_epoch, self.sequence_number)
     }
 
     /// Whether a report shows that the worker has begun a new agent epoch: its lease had expired.
@@ -117,7 +118,7 @@
     /// Takes over what a report says of the worker itself; its tasks apart.
     pub(super) fn apply_report(&mut self, heartbeat: &Heartbeat) {
         self.agent_epoch = heartbeat.agent_epoch;
-        self.seq = heartbeat.seq;
+        self.sequence_number = heartbeat.sequence_number;
         self.termination_notice = heartbeat.termination_notice_s.is_some();
         self.addr = Some(heartbeat.addr.clone());
     }
--- a/tests/loopback/cloud.rs
+++ b/tests/loopback/cloud.rs
@@ -156,7 +156,7 @@
         notice: None,
         faulty: false,
         agent_epoch: AgentEpoch(1),
-        seq: 0,
+        sequence_number: 0,
         token: FencingToken(0),
         lease_from: now + BOOT,
         tasks: BTreeMap::new(),
--- a/tests/simulation/cluster/cloud.rs
+++ b/tests/simulation/cluster/cloud.rs
@@ -157,7 +157,7 @@
             notice: None,
             faulty,
             agent_epoch: AgentEpoch(1),
-            seq: 0,
+            sequence_number: 0,
             token: FencingToken(0),
             lease_from: self.now + boot,
             tasks: BTreeMap::new(),
--- a/tests/simulation/cluster/machines.rs
+++ b/tests/simulation/cluster/machines.rs
@@ -49,7 +49,7 @@
         self.last_heartbeat = now;
         self.next_heartbeat = now + interval;
         let heartbeat = self.message();
-        self.heartbeat = Some((heartbeat.seq, now));
+        self.heartbeat = Some((heartbeat.sequence_number, now));
         Some(heartbeat)
     }
 }
@@ -261,7 +261,7 @@
         let request = HeartbeatRequest {
             machine: id.to_owned(),
             agent_epoch: heartbeat.agent_epoch,
-            seq: heartbeat.seq,
+            sequence_number: heartbeat.sequence_number,
             sent: now,
         };
         let heartbeat = Box::new(heartbeat);
@@ -324,7 +324,7 @@
         let asker = Asker::Worker(HeartbeatRequest {
             machine: heartbeat.machine.0.to_string(),
             agent_epoch: heartbeat.agent_epoch,
-            seq: heartbeat.seq,
+            sequence_number: heartbeat.sequence_number,
             sent,
         });
         slot.waiting.insert(id, asker);
@@ -346,7 +346,7 @@
         let waited_for = machine.agent_epoch == request.agent_epoch
             && machine
                 .heartbeat
-                .is_some_and(|(number, _)| number == request.seq);
+                .is_some_and(|(number, _)| number == request.sequence_number);
         if !waited_for || now > request.sent + HEARTBEAT_TIMEOUT || !machine.runs(now) {
             return;
         }
--- a/tests/simulation/cluster/users.rs
+++ b/tests/simulation/cluster/users.rs
@@ -23,7 +23,7 @@
 pub(super) struct HeartbeatRequest {
     pub(super) machine: String,
     pub(super) agent_epoch: AgentEpoch,
-    pub(super) seq: u64,
+    pub(super) sequence_number: u64,
     pub(super) sent: Duration,
 }
 
--- a/tests/simulation/machine.rs
+++ b/tests/simulation/machine.rs
@@ -40,7 +40,7 @@
     pub notice: Option<Duration>,
     pub faulty: bool,
     pub agent_epoch: AgentEpoch,
-    pub seq: u64,
+    pub sequence_number: u64,
     pub token: FencingToken,
     /// When the last answered heartbeat was sent, or the session began.
     pub lease_from: Duration,
@@ -87,7 +87,7 @@
     }
 
     pub fn message(&mut self) -> Heartbeat {
-        self.seq += 1;
+        self.sequence_number += 1;
         Heartbeat {
             machine: self.id.as_str().into(),
             addr: self.addr(),
@@ -95,7 +95,7 @@
             zone: self.zone.clone(),
             spot: self.capacity_type.is_spot(),
             agent_epoch: self.agent_epoch,
-            seq: self.seq,
+            sequence_number: self.sequence_number,
             token: self.token,
             termination_notice_s: self.notice.map(|_| Amount(5.0)),
             tasks: self
