--- a/src/scheduler/demand.rs
+++ b/src/scheduler/demand.rs
@@ -6,7 +6,7 @@
 use super::best_effort::{Reach, is_best_effort};
 use super::capacity_outlook::CapacityOutlook;
 use super::usage::Usage;
-use super::waiting::{Shape, Waiting};
+use super::waiting::{PlacementRequirements, Waiting};
 use crate::domain::{Job, Team, Zone};
 use crate::leader_context::LeaderContext;
 use crate::provisioning::{Demand, MachinePool};
@@ -103,7 +103,7 @@
 ) {
     // Jobs that ask for the same are counted as one, where the first of them stands.
     let mut groups: Vec<(&Job, Option<Zone>, f64, u64)> = Vec::new();
-    let mut known: HashMap<(Shape, &Team, Option<Zone>), usize> = HashMap::new();
+    let mut known: HashMap<(PlacementRequirements, &Team, Option<Zone>), usize> = HashMap::new();
     for waiting in queue {
         let job = &waiting.open.job;
         let pinned = outlook.pinned(waiting);
@@ -113,7 +113,7 @@
         } else {
             Reach::All
         };
-        let shape = Shape::of(job, &BTreeSet::new(), |_| true, reach);
+        let shape = PlacementRequirements::of(job, &BTreeSet::new(), |_| true, reach);
         let index = *known
             .entry((shape, &job.team, pinned.clone()))
             .or_insert_with(|| {
--- a/src/scheduler/gangs.rs
+++ b/src/scheduler/gangs.rs
@@ -9,7 +9,7 @@
 
 use tracing::{debug, info};
 
-use super::waiting::{Shape, Waiting};
+use super::waiting::{PlacementRequirements, Waiting};
 use super::{Plan, Scheduler};
 use crate::domain::{Attempt, BlockId, JobId, JobKind, MachineId, Now, TaskId, Zone};
 use crate::leader_context::LeaderContext;
@@ -76,7 +76,7 @@
         leader: &LeaderContext<'_>,
         cache: &WatchCache,
         waiting: &mut Waiting<'_>,
-        shape: Shape,
+        shape: PlacementRequirements,
         allowed: impl Fn(&Candidate) -> bool,
         plan: &mut Plan,
     ) -> usize {
--- a/src/scheduler/mod.rs
+++ b/src/scheduler/mod.rs
@@ -43,7 +43,7 @@
 use failures::Failures;
 use releases::Releases;
 use usage::Usage;
-use waiting::{Shape, smallest};
+use waiting::{PlacementRequirements, smallest};
 
 /// A holder's word on its machines is believed this long.
 const STATUS_LIFE: Duration = Duration::from_secs(5);
@@ -82,10 +82,10 @@
 /// What was found not to go while planning, so that it is not tried for each of a thousand jobs alike.
 #[derive(Debug, Default)]
 struct Exhausted {
-    no_room: HashSet<Shape>,
-    no_way: HashSet<(Shape, Team, Priority)>,
+    no_room: HashSet<PlacementRequirements>,
+    no_way: HashSet<(PlacementRequirements, Team, Priority)>,
     /// Gangs, by their tasks' shape and image and their number of tasks.
-    gangs: HashSet<(Shape, Image, u32)>,
+    gangs: HashSet<(PlacementRequirements, Image, u32)>,
 }
 
 /// What is left to be given away, while a plan is made.
--- a/src/scheduler/releases.rs
+++ b/src/scheduler/releases.rs
@@ -7,7 +7,7 @@
 use super::best_effort::{BestEffortPlacement, Reach};
 use super::fair_share_order::FairShareOrder;
 use super::preemption::{MadeRoom, Victims};
-use super::waiting::{Shape, Waiting, zone_open};
+use super::waiting::{PlacementRequirements, Waiting, zone_open};
 use super::{Plan, Scheduler};
 use crate::domain::{Attempt, BlockId, Image, JobId, JobKind, Now, Resources, TaskId, Zone};
 use crate::leader_context::LeaderContext;
@@ -31,7 +31,7 @@
     zones: BTreeSet<Zone>,
     best_effort: BestEffortPlacement<'a>,
     /// Machines in order for each kind of task; jobs that keep failing have an order of their own.
-    rankings: HashMap<(Shape, Image, Option<JobId>), Ranking>,
+    rankings: HashMap<(PlacementRequirements, Image, Option<JobId>), Ranking>,
     victims: Option<Victims<'v>>,
 }
 
@@ -114,7 +114,8 @@
         let job = &waiting.open.job;
         let best_effort = &releases.best_effort;
         let allowed = |c: &Candidate| reach == Reach::All || best_effort.allow(job, limit, c);
-        let shape = Shape::of(job, &releases.zones, |zone| job.allows_zone(zone), reach);
+        let shape =
+            PlacementRequirements::of(job, &releases.zones, |zone| job.allows_zone(zone), reach);
         self.release_gang(now, leader, cache, waiting, shape, allowed, plan)
     }
 
@@ -199,7 +200,7 @@
         }
         let open_zone = |zone: &Zone| zone_open(job, &waiting.zones, zone);
         let reach = waiting.reach(releases.leader);
-        let shape = Shape::of(job, &releases.zones, open_zone, reach);
+        let shape = PlacementRequirements::of(job, &releases.zones, open_zone, reach);
         // Jobs alike find no room where one of them found none: room only shrinks while tasks are released.
         if !plan.exhausted.no_room.contains(&shape) {
             if let Some(machine) = self.best_machine(releases, waiting, plan, &shape, reach) {
@@ -234,7 +235,7 @@
         releases: &mut Releases<'_, '_>,
         waiting: &Waiting<'_>,
         plan: &Plan,
-        shape: &Shape,
+        shape: &PlacementRequirements,
         reach: Reach,
     ) -> Option<Candidate> {
         let job = &waiting.open.job;
--- a/src/scheduler/waiting.rs
+++ b/src/scheduler/waiting.rs
@@ -17,7 +17,7 @@
 
 /// What decides where a task may go: tasks of one shape can go to the same machines.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
-pub(super) struct Shape {
+pub(super) struct PlacementRequirements {
     need: [u64; 3],
     types: Option<Vec<InstanceTypeName>>,
     zone: Option<Zone>,
@@ -27,14 +27,14 @@
     reach: Reach,
 }
 
-impl Shape {
+impl PlacementRequirements {
     pub(super) fn of(
         job: &Job,
         zones: &BTreeSet<Zone>,
         open: impl Fn(&Zone) -> bool,
         reach: Reach,
     ) -> Self {
-        Shape {
+        PlacementRequirements {
             need: [job.need.cpus, job.need.gpus, job.need.memory_gb].map(f64::to_bits),
             types: job.types.clone(),
             zone: job.zone.clone(),
