--- a/src/scheduler/best_effort.rs
+++ b/src/scheduler/best_effort.rs
@@ -34,7 +34,7 @@
 
 /// Which machines a job's next task may go to, of those that fit.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
-pub(super) enum Reach {
+pub(super) enum EligibleMachines {
     All,
     /// Best-effort work that may cost what it will.
     Unreserved,
--- a/src/scheduler/demand.rs
+++ b/src/scheduler/demand.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
 use super::Scheduler;
-use super::best_effort::{Reach, is_best_effort};
+use super::best_effort::{EligibleMachines, is_best_effort};
 use super::capacity_outlook::CapacityOutlook;
 use super::usage::Usage;
 use super::waiting::{PlacementRequirements, Waiting};
@@ -109,9 +109,9 @@
         let pinned = outlook.pinned(waiting);
         let limit = waiting.price_limit(outlook.leader);
         let reach = if limit.is_finite() {
-            Reach::CheapAndUnreserved
+            EligibleMachines::CheapAndUnreserved
         } else {
-            Reach::All
+            EligibleMachines::All
         };
         let shape = PlacementRequirements::of(job, &BTreeSet::new(), |_| true, reach);
         let index = *known
--- a/src/scheduler/releases.rs
+++ b/src/scheduler/releases.rs
@@ -4,7 +4,7 @@
 
 use tracing::debug;
 
-use super::best_effort::{BestEffortPlacement, Reach};
+use super::best_effort::{BestEffortPlacement, EligibleMachines};
 use super::fair_share_order::FairShareOrder;
 use super::preemption::{MadeRoom, Victims};
 use super::waiting::{PlacementRequirements, Waiting, zone_open};
@@ -109,11 +109,12 @@
             now, leader, cache, ..
         } = *releases;
         waiting.blocked = true;
-        let reach = waiting.reach(leader);
+        let reach = waiting.eligible_machines(leader);
         let limit = waiting.price_limit(leader);
         let job = &waiting.open.job;
         let best_effort = &releases.best_effort;
-        let allowed = |c: &Candidate| reach == Reach::All || best_effort.allow(job, limit, c);
+        let allowed =
+            |c: &Candidate| reach == EligibleMachines::All || best_effort.allow(job, limit, c);
         let shape =
             PlacementRequirements::of(job, &releases.zones, |zone| job.allows_zone(zone), reach);
         self.release_gang(now, leader, cache, waiting, shape, allowed, plan)
@@ -199,7 +200,7 @@
             return None;
         }
         let open_zone = |zone: &Zone| zone_open(job, &waiting.zones, zone);
-        let reach = waiting.reach(releases.leader);
+        let reach = waiting.eligible_machines(releases.leader);
         let shape = PlacementRequirements::of(job, &releases.zones, open_zone, reach);
         // Jobs alike find no room where one of them found none: room only shrinks while tasks are released.
         if !plan.exhausted.no_room.contains(&shape) {
@@ -212,7 +213,7 @@
             plan.exhausted.no_room.insert(shape.clone());
         }
         let urgency = (shape, job.team.clone(), job.priority);
-        if reach != Reach::All || plan.exhausted.no_way.contains(&urgency) {
+        if reach != EligibleMachines::All || plan.exhausted.no_way.contains(&urgency) {
             return None;
         }
         let Releases {
@@ -236,7 +237,7 @@
         waiting: &Waiting<'_>,
         plan: &Plan,
         shape: &PlacementRequirements,
-        reach: Reach,
+        reach: EligibleMachines,
     ) -> Option<Candidate> {
         let job = &waiting.open.job;
         // A job that keeps failing goes to machines on which it has not failed yet: its own ranking.
@@ -246,7 +247,8 @@
         let (leader, best_effort) = (releases.leader, &releases.best_effort);
         let ranking = releases.rankings.entry(key).or_insert_with(|| {
             let limit = waiting.price_limit(leader);
-            let open = |c: &Candidate| reach == Reach::All || best_effort.allow(job, limit, c);
+            let open =
+                |c: &Candidate| reach == EligibleMachines::All || best_effort.allow(job, limit, c);
             let allowed = |c: &Candidate| zone_open(job, &waiting.zones, &c.zone) && open(c);
             let avoided =
                 |c: &Candidate| failing.is_some() && self.failures.failed_on(id, &c.machine);
--- a/src/scheduler/tests.rs
+++ b/src/scheduler/tests.rs
@@ -1,6 +1,6 @@
 //! The leader's queues, as holders and the records show them.
 
-use super::best_effort::Reach;
+use super::best_effort::EligibleMachines;
 use super::waiting::BEGIN_WITHIN;
 use super::*;
 use crate::cloud::wire::InstanceTypeList;
@@ -634,11 +634,18 @@
             ..
         } = &fixture;
         let leader = lead_of(config, policy, catalog);
-        scheduler.queue(*now, cache)[0].reach(&leader)
+        scheduler.queue(*now, cache)[0].eligible_machines(&leader)
     };
     let late = best_effort::RESTRICTED_FOR + Duration::from_secs(1);
-    assert_eq!(reach(0, false, Duration::ZERO), Reach::CheapAndUnreserved);
-    assert_eq!(reach(0, false, late), Reach::All);
-    assert_eq!(reach(6, false, late), Reach::All, "some done, nothing runs");
-    assert_eq!(reach(6, true, late), Reach::CheapAndUnreserved);
+    assert_eq!(
+        reach(0, false, Duration::ZERO),
+        EligibleMachines::CheapAndUnreserved
+    );
+    assert_eq!(reach(0, false, late), EligibleMachines::All);
+    assert_eq!(
+        reach(6, false, late),
+        EligibleMachines::All,
+        "some done, nothing runs"
+    );
+    assert_eq!(reach(6, true, late), EligibleMachines::CheapAndUnreserved);
 }
--- a/src/scheduler/waiting.rs
+++ b/src/scheduler/waiting.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use super::Scheduler;
-use super::best_effort::{RESTRICTED_FOR, Reach, is_best_effort, price_limit};
+use super::best_effort::{EligibleMachines, RESTRICTED_FOR, is_best_effort, price_limit};
 use crate::domain::{InstanceTypeName, Job, JobId, JobKind, Now, Resources, Zone};
 use crate::leader_context::LeaderContext;
 use crate::store::WatchCache;
@@ -24,7 +24,7 @@
     spot: bool,
     /// The zones that the job's other tasks leave open.
     zones: Vec<Zone>,
-    reach: Reach,
+    reach: EligibleMachines,
 }
 
 impl PlacementRequirements {
@@ -32,7 +32,7 @@
         job: &Job,
         zones: &BTreeSet<Zone>,
         open: impl Fn(&Zone) -> bool,
-        reach: Reach,
+        reach: EligibleMachines,
     ) -> Self {
         PlacementRequirements {
             need: [job.need.cpus, job.need.gpus, job.need.memory_gb].map(f64::to_bits),
@@ -63,15 +63,15 @@
 impl Waiting<'_> {
     /// Where its next task may go. A job that has waited for long, and of which nothing is under way, gets one task
     /// wherever there is room.
-    pub(super) fn reach(&self, leader: &LeaderContext<'_>) -> Reach {
+    pub(super) fn eligible_machines(&self, leader: &LeaderContext<'_>) -> EligibleMachines {
         let under_way = self.taken.len() > self.open.done.len();
         let begins_late = !under_way && self.waited > RESTRICTED_FOR;
         if !is_best_effort(leader.config, &self.open.job) || begins_late {
-            Reach::All
+            EligibleMachines::All
         } else if self.price_limit(leader).is_finite() {
-            Reach::CheapAndUnreserved
+            EligibleMachines::CheapAndUnreserved
         } else {
-            Reach::Unreserved
+            EligibleMachines::Unreserved
         }
     }
 
