--- a/src/scheduler/capacity_outlook.rs
+++ b/src/scheduler/capacity_outlook.rs
@@ -5,7 +5,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use super::gangs::keeps_room;
-use super::waiting::{Waiting, zone_open};
+use super::waiting::{WaitingJob, zone_open};
 use crate::domain::{CapacityType, Job, Now, Zone};
 use crate::leader_context::LeaderContext;
 use crate::provisioning::{Demand, MachinePool, Provisioner};
@@ -31,7 +31,7 @@
 impl CapacityOutlook<'_> {
     /// The zone that a job's next task has to go to, if not all zones will do: one that has machines to give, if
     /// any of those that will do has.
-    pub(super) fn pinned(&self, waiting: &Waiting<'_>) -> Option<Zone> {
+    pub(super) fn pinned(&self, waiting: &WaitingJob<'_>) -> Option<Zone> {
         let job = &waiting.open.job;
         let zones: BTreeSet<&Zone> = self
             .leader
@@ -39,7 +39,8 @@
             .all()
             .flat_map(|instance_type| &instance_type.zones)
             .collect();
-        let open = |zone: &&Zone| job.allows_zone(zone) && zone_open(job, &waiting.zones, zone);
+        let open =
+            |zone: &&Zone| job.allows_zone(zone) && zone_open(job, &waiting.tasks_per_zone, zone);
         let allowed: Vec<&Zone> = zones.iter().copied().filter(open).collect();
         // The rule counts machines of all zones alike: a gang that must be in one could wait for ever beside enough room
         // in all of them together.
--- a/src/scheduler/demand.rs
+++ b/src/scheduler/demand.rs
@@ -6,7 +6,7 @@
 use super::best_effort::{EligibleMachines, is_best_effort};
 use super::capacity_outlook::CapacityOutlook;
 use super::usage::Usage;
-use super::waiting::{PlacementRequirements, Waiting};
+use super::waiting::{PlacementRequirements, WaitingJob};
 use crate::domain::{Job, Team, Zone};
 use crate::leader_context::LeaderContext;
 use crate::provisioning::{Demand, MachinePool};
@@ -97,7 +97,7 @@
 /// Adds the waiting tasks that their team's limit allows, each in the cheapest type that can be had.
 pub(super) fn count_waiting(
     outlook: &CapacityOutlook<'_>,
-    queue: &[Waiting<'_>],
+    queue: &[WaitingJob<'_>],
     usage: &mut Usage,
     demand: &mut Demand,
 ) {
@@ -120,7 +120,7 @@
                 groups.push((job, pinned, limit, 0));
                 groups.len() - 1
             });
-        groups[index].3 += waiting.left;
+        groups[index].3 += waiting.pending_tasks;
     }
     for (job, pinned, limit, left) in groups {
         let mut left = left.min(usage.room_within_limit(outlook.leader.config, job));
--- a/src/scheduler/draining/fleet_view.rs
+++ b/src/scheduler/draining/fleet_view.rs
@@ -8,7 +8,7 @@
 
 use super::super::capacity_outlook::CapacityOutlook;
 use super::super::gangs::find_room;
-use super::super::waiting::{Waiting, zone_open};
+use super::super::waiting::{WaitingJob, zone_open};
 use super::super::{Plan, Scheduler};
 use crate::cloud::wire::InstanceType;
 use crate::domain::{Attempt, Job, JobId, JobKind, MachineId, TaskId, Zone};
@@ -114,13 +114,13 @@
     }
 }
 
-pub(super) fn gang_waiting<'v>(id: JobId, open: &'v OpenJob) -> Waiting<'v> {
-    Waiting {
+pub(super) fn gang_waiting<'v>(id: JobId, open: &'v OpenJob) -> WaitingJob<'v> {
+    WaitingJob {
         id,
         open,
-        left: u64::from(open.job.tasks),
+        pending_tasks: u64::from(open.job.tasks),
         taken: Ranges::default(),
-        zones: BTreeMap::new(),
+        tasks_per_zone: BTreeMap::new(),
         overdue: false,
         waited: Duration::ZERO,
         blocked: false,
--- a/src/scheduler/draining/replacement.rs
+++ b/src/scheduler/draining/replacement.rs
@@ -7,7 +7,7 @@
 use tracing::info;
 
 use super::super::capacity_outlook::CapacityOutlook;
-use super::super::waiting::{Waiting, zone_open};
+use super::super::waiting::{WaitingJob, zone_open};
 use super::super::{Plan, Scheduler};
 use super::fleet_view::{attempts_of, gang_waiting, no_room};
 use crate::domain::{Attempt, Job, JobId, MachineId, Now, Resources, TaskId, Team, Zone};
@@ -320,8 +320,8 @@
     let Some(open) = cache.open.get(&task.job) else {
         return;
     };
-    let waiting = Waiting {
-        zones: zones.clone(),
+    let waiting = WaitingJob {
+        tasks_per_zone: zones.clone(),
         ..gang_waiting(task.job, open)
     };
     let pinned = outlook.pinned(&waiting);
--- a/src/scheduler/fair_share_order.rs
+++ b/src/scheduler/fair_share_order.rs
@@ -5,7 +5,7 @@
 use std::collections::{BTreeMap, VecDeque};
 
 use super::usage::Usage;
-use super::waiting::Waiting;
+use super::waiting::WaitingJob;
 use crate::domain::{Job, JobKind, Priority, Team};
 use crate::leader_context::LeaderContext;
 
@@ -27,7 +27,7 @@
 }
 
 impl FairShareOrder {
-    pub(super) fn new(queue: &[Waiting<'_>]) -> Self {
+    pub(super) fn new(queue: &[WaitingJob<'_>]) -> Self {
         let mut lines: BTreeMap<(&Team, Priority, bool, &str), VecDeque<usize>> = BTreeMap::new();
         for (index, waiting) in queue.iter().enumerate() {
             let job = &waiting.open.job;
@@ -43,7 +43,7 @@
 
     pub(super) fn next(
         &mut self,
-        queue: &[Waiting<'_>],
+        queue: &[WaitingJob<'_>],
         usage: &Usage,
         leader: &LeaderContext<'_>,
     ) -> Option<usize> {
@@ -51,7 +51,7 @@
         for line in &mut self.lines {
             while line
                 .front()
-                .is_some_and(|index| queue[*index].blocked || queue[*index].left == 0)
+                .is_some_and(|index| queue[*index].blocked || queue[*index].pending_tasks == 0)
             {
                 line.pop_front();
             }
--- a/src/scheduler/gangs.rs
+++ b/src/scheduler/gangs.rs
@@ -9,7 +9,7 @@
 
 use tracing::{debug, info};
 
-use super::waiting::{PlacementRequirements, Waiting};
+use super::waiting::{PlacementRequirements, WaitingJob};
 use super::{Plan, Scheduler};
 use crate::domain::{Attempt, BlockId, JobId, JobKind, MachineId, Now, TaskId, Zone};
 use crate::leader_context::LeaderContext;
@@ -75,7 +75,7 @@
         now: Now,
         leader: &LeaderContext<'_>,
         cache: &WatchCache,
-        waiting: &mut Waiting<'_>,
+        waiting: &mut WaitingJob<'_>,
         shape: PlacementRequirements,
         allowed: impl Fn(&Candidate) -> bool,
         plan: &mut Plan,
@@ -118,7 +118,7 @@
                 block_state.release(now, attempt, machine, Vec::new());
                 plan.take(*candidate, &block, job);
                 waiting.taken.insert(index);
-                waiting.left -= 1;
+                waiting.pending_tasks -= 1;
             }
         }
         room.tasks.len()
@@ -206,7 +206,7 @@
 }
 
 /// Whether a waiting gang has the room kept that there is.
-pub(super) fn keeps_room(waiting: &Waiting<'_>) -> bool {
+pub(super) fn keeps_room(waiting: &WaitingJob<'_>) -> bool {
     waiting.open.job.kind == JobKind::Gang && waiting.waited >= KEEP_ROOM_AFTER
 }
 
@@ -222,7 +222,7 @@
 /// since no task starts before the last has its image.
 pub(super) fn find_room(
     candidates: &[Candidate],
-    waiting: &Waiting<'_>,
+    waiting: &WaitingJob<'_>,
     allowed: impl Fn(&Candidate) -> bool,
     spaces: &BTreeMap<BlockId, usize>,
     block_of: impl Fn(&MachineId) -> Option<BlockId>,
@@ -268,7 +268,7 @@
 
 fn fill<'i>(
     candidates: &[Candidate],
-    waiting: &Waiting<'_>,
+    waiting: &WaitingJob<'_>,
     order: impl Iterator<Item = &'i usize>,
     spaces: &BTreeMap<BlockId, usize>,
     block_of: &impl Fn(&MachineId) -> Option<BlockId>,
--- a/src/scheduler/mod.rs
+++ b/src/scheduler/mod.rs
@@ -503,11 +503,11 @@
     }
 
     /// Counts the tasks that wait, by team.
-    fn count_waiting(&mut self, queue: &[waiting::Waiting<'_>]) {
+    fn count_waiting(&mut self, queue: &[waiting::WaitingJob<'_>]) {
         self.pending_tasks.clear();
         for waiting in queue {
             let team = waiting.open.job.team.clone();
-            *self.pending_tasks.entry(team).or_default() += waiting.left;
+            *self.pending_tasks.entry(team).or_default() += waiting.pending_tasks;
         }
     }
 
--- a/src/scheduler/releases.rs
+++ b/src/scheduler/releases.rs
@@ -7,7 +7,7 @@
 use super::best_effort::{BestEffortPlacement, EligibleMachines};
 use super::fair_share_order::FairShareOrder;
 use super::preemption::{MadeRoom, Victims};
-use super::waiting::{PlacementRequirements, Waiting, zone_open};
+use super::waiting::{PlacementRequirements, WaitingJob, zone_open};
 use super::{Plan, Scheduler};
 use crate::domain::{Attempt, BlockId, Image, JobId, JobKind, Now, Resources, TaskId, Zone};
 use crate::leader_context::LeaderContext;
@@ -79,7 +79,7 @@
     pub(super) fn release_in_turn(
         &mut self,
         releases: &mut Releases<'_, '_>,
-        queue: &mut [Waiting<'_>],
+        queue: &mut [WaitingJob<'_>],
         plan: &mut Plan,
     ) {
         let mut released = 0;
@@ -102,7 +102,7 @@
     fn release_next_gang(
         &mut self,
         releases: &Releases<'_, '_>,
-        waiting: &mut Waiting<'_>,
+        waiting: &mut WaitingJob<'_>,
         plan: &mut Plan,
     ) -> usize {
         let Releases {
@@ -124,7 +124,7 @@
     fn release_next_task(
         &mut self,
         releases: &mut Releases<'_, '_>,
-        waiting: &mut Waiting<'_>,
+        waiting: &mut WaitingJob<'_>,
         plan: &mut Plan,
     ) -> usize {
         let index = waiting.taken.first_gap(waiting.open.job.tasks);
@@ -156,7 +156,7 @@
     fn release_to(
         &mut self,
         now: Now,
-        waiting: &mut Waiting<'_>,
+        waiting: &mut WaitingJob<'_>,
         plan: &mut Plan,
         (block, candidate): (BlockId, usize),
         choice: Choice,
@@ -180,9 +180,9 @@
         debug!(%attempt, machine = %machine.machine, "released");
         block_state.release(now, attempt, machine.machine, preempted);
         plan.take(candidate, &block, &waiting.open.job);
-        *waiting.zones.entry(machine.zone).or_default() += 1;
+        *waiting.tasks_per_zone.entry(machine.zone).or_default() += 1;
         waiting.taken.insert(index);
-        waiting.left -= 1;
+        waiting.pending_tasks -= 1;
         // It has begun: the rest of it waits for its turn.
         waiting.blocked = waiting.overdue;
         1
@@ -192,14 +192,14 @@
     fn choose_place(
         &mut self,
         releases: &mut Releases<'_, '_>,
-        waiting: &Waiting<'_>,
+        waiting: &WaitingJob<'_>,
         plan: &mut Plan,
     ) -> Option<Choice> {
         let job = &waiting.open.job;
         if !plan.usage.within_limit(releases.leader.config, job) {
             return None;
         }
-        let open_zone = |zone: &Zone| zone_open(job, &waiting.zones, zone);
+        let open_zone = |zone: &Zone| zone_open(job, &waiting.tasks_per_zone, zone);
         let reach = waiting.eligible_machines(releases.leader);
         let shape = PlacementRequirements::of(job, &releases.zones, open_zone, reach);
         // Jobs alike find no room where one of them found none: room only shrinks while tasks are released.
@@ -234,7 +234,7 @@
     fn best_machine(
         &self,
         releases: &mut Releases<'_, '_>,
-        waiting: &Waiting<'_>,
+        waiting: &WaitingJob<'_>,
         plan: &Plan,
         shape: &PlacementRequirements,
         reach: EligibleMachines,
@@ -249,7 +249,8 @@
             let limit = waiting.price_limit(leader);
             let open =
                 |c: &Candidate| reach == EligibleMachines::All || best_effort.allow(job, limit, c);
-            let allowed = |c: &Candidate| zone_open(job, &waiting.zones, &c.zone) && open(c);
+            let allowed =
+                |c: &Candidate| zone_open(job, &waiting.tasks_per_zone, &c.zone) && open(c);
             let avoided =
                 |c: &Candidate| failing.is_some() && self.failures.failed_on(id, &c.machine);
             Ranking::new(&plan.candidates, job, allowed, avoided)
--- a/src/scheduler/waiting.rs
+++ b/src/scheduler/waiting.rs
@@ -46,13 +46,13 @@
 }
 
 /// What a task may have and what it takes, in the order in which it is served.
-pub(super) struct Waiting<'v> {
+pub(super) struct WaitingJob<'v> {
     pub(super) id: JobId,
     pub(super) open: &'v OpenJob,
     /// Tasks that are neither done, placed nor released.
-    pub(super) left: u64,
+    pub(super) pending_tasks: u64,
     pub(super) taken: Ranges,
-    pub(super) zones: BTreeMap<Zone, u32>,
+    pub(super) tasks_per_zone: BTreeMap<Zone, u32>,
     /// None of its tasks has got anywhere for so long that one goes before its team's other work.
     pub(super) overdue: bool,
     /// How long ago it was accepted.
@@ -60,7 +60,7 @@
     pub(super) blocked: bool,
 }
 
-impl Waiting<'_> {
+impl WaitingJob<'_> {
     /// Where its next task may go. A job that has waited for long, and of which nothing is under way, gets one task
     /// wherever there is room.
     pub(super) fn eligible_machines(&self, leader: &LeaderContext<'_>) -> EligibleMachines {
@@ -83,7 +83,7 @@
 
 impl Scheduler {
     /// The jobs with tasks that wait, in the order in which they are served within a line.
-    pub(super) fn queue<'v>(&self, now: Now, cache: &'v WatchCache) -> Vec<Waiting<'v>> {
+    pub(super) fn queue<'v>(&self, now: Now, cache: &'v WatchCache) -> Vec<WaitingJob<'v>> {
         let mut released: HashMap<JobId, Vec<(u32, Zone)>> = HashMap::new();
         for (block, block_state) in &self.block_states {
             // A block is of one zone, so this holds even when the machine meant is gone: its holder may choose
@@ -140,12 +140,12 @@
                 let waited =
                     Duration::from_millis(now.unix_ms().saturating_sub(open.job.accepted_ms));
                 let overdue = taken.is_empty() && waited > BEGIN_WITHIN;
-                queue.push(Waiting {
+                queue.push(WaitingJob {
                     id: *id,
                     open,
-                    left,
+                    pending_tasks: left,
                     taken,
-                    zones,
+                    tasks_per_zone: zones,
                     overdue,
                     waited,
                     blocked: false,
@@ -174,7 +174,7 @@
 }
 
 /// The least that any waiting task takes, each resource for itself.
-pub(super) fn smallest(queue: &[Waiting<'_>]) -> Option<Resources> {
+pub(super) fn smallest(queue: &[WaitingJob<'_>]) -> Option<Resources> {
     let needs = queue.iter().map(|waiting| waiting.open.job.need);
     needs.reduce(|a, b| Resources {
         cpus: a.cpus.min(b.cpus),
