--- a/src/controller/leader_round.rs
+++ b/src/controller/leader_round.rs
@@ -21,7 +21,7 @@
 use crate::policy::Policy;
 use crate::provisioning::{self, Demand, Provisioner};
 use crate::scheduler::Scheduler;
-use crate::scheduler::draining::Draining;
+use crate::scheduler::draining::DrainCoordinator;
 use crate::store::rate_limiter::WritePriority;
 use crate::store::{StoreRequest, WatchCache};
 use crate::upgrade::Upgrade;
@@ -54,7 +54,7 @@
         let scheduler = Scheduler::new(now, term);
         let settings = &features.drain;
         let scheduler = if settings.enabled {
-            scheduler.with_draining(Draining::new(now, settings.clone()))
+            scheduler.with_draining(DrainCoordinator::new(now, settings.clone()))
         } else {
             scheduler
         };
--- a/src/operations/mod.rs
+++ b/src/operations/mod.rs
@@ -20,7 +20,7 @@
 use crate::domain::{ControllerName, Now, Team, since};
 use crate::job_api::RequestId;
 use crate::leader_context::LeaderContext;
-use crate::scheduler::draining::{Draining, machine_views};
+use crate::scheduler::draining::{DrainCoordinator, machine_views};
 use crate::store::cache::{values, version_of};
 use crate::store::records::{DRAIN_FORMAT, LEADER, drain_budget_key, drain_key, encode, json_size};
 use crate::store::{StoreRequest, StoreResponse, Transaction, WatchCache, Writer};
@@ -55,7 +55,7 @@
     /// The leader's own version, settings and catalogue.
     pub leader: &'a LeaderContext<'a>,
     /// None: draining is switched off.
-    pub draining: Option<&'a Draining>,
+    pub draining: Option<&'a DrainCoordinator>,
 }
 
 /// What a poll has come to.
--- a/src/scheduler/draining/mod.rs
+++ b/src/scheduler/draining/mod.rs
@@ -39,7 +39,7 @@
 
 /// The leader's part in draining.
 #[derive(Debug)]
-pub struct Draining {
+pub struct DrainCoordinator {
     settings: DrainSettings,
     planner: Planner,
     writer: Writer,
@@ -56,10 +56,10 @@
     evictions: u64,
 }
 
-impl Draining {
+impl DrainCoordinator {
     /// A leader that has decided nothing yet.
     pub fn new(now: Now, settings: DrainSettings) -> Self {
-        Draining {
+        DrainCoordinator {
             settings,
             planner: Planner::default(),
             writer: Writer::Unconfirmed {
@@ -267,13 +267,13 @@
 
 impl Scheduler {
     /// Carries out drains from now on.
-    pub fn with_draining(mut self, draining: Draining) -> Self {
+    pub fn with_draining(mut self, draining: DrainCoordinator) -> Self {
         self.draining = Some(draining);
         self
     }
 
     /// What the leader knows of drains. None: they are switched off.
-    pub fn draining(&self) -> Option<&Draining> {
+    pub fn draining(&self) -> Option<&DrainCoordinator> {
         self.draining.as_ref()
     }
 
@@ -534,7 +534,7 @@
     }
 }
 
-impl Draining {
+impl DrainCoordinator {
     /// No drain is left, and no disruption is recorded.
     fn rest(&mut self, now: Now, cache: &WatchCache) {
         self.decided.clear();
--- a/src/scheduler/mod.rs
+++ b/src/scheduler/mod.rs
@@ -39,7 +39,7 @@
 use block_state::BlockState;
 use capacity_outlook::CapacityOutlook;
 use demand::Present;
-use draining::Draining;
+use draining::DrainCoordinator;
 use failures::Failures;
 use releases::Releases;
 use usage::Usage;
@@ -75,7 +75,7 @@
     /// Machines heard by another controller than their holder, and when.
     misrouted: HashMap<MachineId, Instant>,
     /// What operators want emptied. None: draining is switched off.
-    draining: Option<Draining>,
+    draining: Option<DrainCoordinator>,
     pub pending_tasks: BTreeMap<Team, u64>,
 }
 
