--- a/src/controller/leader_round.rs
+++ b/src/controller/leader_round.rs
@@ -253,9 +253,9 @@
             ..
         } = &mut *self.state;
         if let Some(draining) = scheduler.draining() {
-            provisioner.set_desired_states(draining.machine_states());
+            provisioner.set_desired_states(draining.desired_machine_states());
         }
-        let request = scheduler.write_drains(now, &self.context, self.cache);
+        let request = scheduler.next_drain_transaction(now, &self.context, self.cache);
         let tag = StoreTag::Draining(term);
         self.output.write(WritePriority::Placement, tag, request);
         let request = scheduler.write(now, &self.context, self.cache);
--- a/src/controller/metrics_summary.rs
+++ b/src/controller/metrics_summary.rs
@@ -60,7 +60,7 @@
         gauges.clear();
         state.provisioner.summary(self.cache, &state.demand, gauges);
         if let Some(draining) = state.scheduler.draining() {
-            draining.summary(self.cache, gauges);
+            draining.record_gauges(self.cache, gauges);
         }
         for (team, count) in &state.scheduler.pending_tasks {
             gauges.insert(format!("waiting{{team=\"{team}\"}}"), *count as f64);
--- a/src/controller/store_responses.rs
+++ b/src/controller/store_responses.rs
@@ -85,7 +85,7 @@
             }
             StoreTag::Draining(term) => {
                 if let Some(state) = self.leader_state_of(term) {
-                    state.scheduler.drains_written(now, &outcome);
+                    state.scheduler.handle_drain_store_response(now, &outcome);
                 }
             }
             StoreTag::Operations => self.operations.written(now, &outcome),
--- a/src/scheduler/draining/mod.rs
+++ b/src/scheduler/draining/mod.rs
@@ -90,7 +90,7 @@
     }
 
     /// What becomes of machines, as the last look says.
-    pub fn machine_states(&self) -> BTreeMap<MachineId, MachineState> {
+    pub fn desired_machine_states(&self) -> BTreeMap<MachineId, MachineState> {
         let state = |effect: &Effect| match effect {
             Effect::Cordon(machine) => Some((machine.clone(), MachineState::Cordoned)),
             Effect::Uncordon(machine) => Some((machine.clone(), MachineState::InService)),
@@ -101,7 +101,7 @@
     }
 
     /// Values for the metrics.
-    pub fn summary(&self, cache: &WatchCache, gauges: &mut BTreeMap<String, f64>) {
+    pub fn record_gauges(&self, cache: &WatchCache, gauges: &mut BTreeMap<String, f64>) {
         let mut states: BTreeMap<&str, f64> = BTreeMap::new();
         for progress in self.progress().values() {
             *states.entry(progress.state.name().as_str()).or_default() += 1.0;
@@ -278,7 +278,7 @@
     }
 
     /// A task's attempt is gone and was not done: lost, unless it was told to stop or failed by itself.
-    pub(super) fn note_lost(&mut self, now: Now, attempt: Attempt, machine: &MachineId) {
+    pub(super) fn record_lost_attempt(&mut self, now: Now, attempt: Attempt, machine: &MachineId) {
         if self.draining.is_none() {
             return;
         }
@@ -495,7 +495,7 @@
     }
 
     /// The transaction that records evictions and what became of drains.
-    pub fn write_drains(
+    pub fn next_drain_transaction(
         &mut self,
         now: Now,
         leader: &LeaderContext<'_>,
@@ -527,7 +527,7 @@
     }
 
     /// What became of it.
-    pub fn drains_written(&mut self, now: Now, outcome: &StoreResponse) {
+    pub fn handle_drain_store_response(&mut self, now: Now, outcome: &StoreResponse) {
         if let Some(draining) = &mut self.draining {
             draining.writer.answered(now, outcome);
         }
--- a/src/scheduler/mod.rs
+++ b/src/scheduler/mod.rs
@@ -333,7 +333,7 @@
             if done {
                 self.failures.succeeded(task.job);
             } else if open.is_some() {
-                self.note_lost(now, Attempt { task, number }, &machine);
+                self.record_lost_attempt(now, Attempt { task, number }, &machine);
             }
             if (done || open.is_none())
                 && let Some(machine) = cache.machines.get(&machine)
