--- a/src/scheduler/capacity_outlook.rs
+++ b/src/scheduler/capacity_outlook.rs
@@ -4,7 +4,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use super::gangs::keeps_room;
+use super::gangs::may_reserve_capacity;
 use super::waiting::{WaitingJob, zone_open};
 use crate::domain::{CapacityType, Job, Now, Zone};
 use crate::leader_context::LeaderContext;
@@ -44,7 +44,7 @@
         let allowed: Vec<&Zone> = zones.iter().copied().filter(open).collect();
         // The rule counts machines of all zones alike: a gang that must be in one could wait for ever beside enough room
         // in all of them together.
-        let settles_on_one = job.one_zone && keeps_room(waiting);
+        let settles_on_one = job.one_zone && may_reserve_capacity(waiting);
         if allowed.len() == zones.len() && !settles_on_one {
             return None;
         }
--- a/src/scheduler/gangs.rs
+++ b/src/scheduler/gangs.rs
@@ -84,16 +84,16 @@
         if plan.usage.room_within_limit(leader.config, job) < u64::from(job.tasks) {
             return 0;
         }
-        let keeps_room = keeps_room(waiting) && !plan.room_kept;
+        let reserves_capacity = may_reserve_capacity(waiting) && !plan.room_kept;
         let like = (shape, job.image.clone(), job.tasks);
-        if plan.exhausted.gangs.contains(&like) && !keeps_room {
+        if plan.exhausted.gangs.contains(&like) && !reserves_capacity {
             return 0;
         }
         let block_of = |machine: &MachineId| Some(cache.machines.get(machine)?.block.clone());
         let room = find_room(&plan.candidates, waiting, allowed, &plan.spaces, block_of);
         if !room.whole {
             plan.exhausted.gangs.insert(like);
-            if keeps_room {
+            if reserves_capacity {
                 plan.room_kept = true;
                 for index in room.tasks {
                     plan.candidates[index].free.take(&job.need);
@@ -125,7 +125,7 @@
     }
 
     /// Takes back what is left of gangs that have lost a task.
-    pub(super) fn take_back_broken_gangs(&mut self, now: Now, cache: &WatchCache) {
+    pub(super) fn stop_incomplete_gangs(&mut self, now: Now, cache: &WatchCache) {
         for (id, under_way) in self.gangs_under_way(cache) {
             let Some(open) = cache.open.get(&id).filter(|open| !open.cancelled) else {
                 continue;
@@ -206,7 +206,7 @@
 }
 
 /// Whether a waiting gang has the room kept that there is.
-pub(super) fn keeps_room(waiting: &WaitingJob<'_>) -> bool {
+pub(super) fn may_reserve_capacity(waiting: &WaitingJob<'_>) -> bool {
     waiting.open.job.kind == JobKind::Gang && waiting.waited >= KEEP_ROOM_AFTER
 }
 
--- a/src/scheduler/mod.rs
+++ b/src/scheduler/mod.rs
@@ -453,7 +453,7 @@
             config, catalog, ..
         } = *leader;
         self.reconcile(now, cache);
-        self.take_back_broken_gangs(now, cache);
+        self.stop_incomplete_gangs(now, cache);
         let outlook = CapacityOutlook {
             now,
             leader,
