--- a/src/scheduler/mod.rs
+++ b/src/scheduler/mod.rs
@@ -41,7 +41,7 @@
 use demand::Present;
 use draining::DrainCoordinator;
 use failures::Failures;
-use releases::Releases;
+use releases::ReleaseContext;
 use usage::Usage;
 use waiting::{PlacementRequirements, smallest};
 
@@ -495,8 +495,8 @@
         self.count_waiting(&queue);
         plan.demand.smallest = smallest(&queue);
         if complete {
-            let mut releases = Releases::new(now, leader, cache, best_effort);
-            self.release_in_turn(&mut releases, &mut queue, &mut plan);
+            let mut releases = ReleaseContext::new(now, leader, cache, best_effort);
+            self.release_waiting_tasks(&mut releases, &mut queue, &mut plan);
         }
         demand::count_waiting(&outlook, &queue, &mut plan.usage, &mut plan.demand);
         plan.demand
--- a/src/scheduler/releases.rs
+++ b/src/scheduler/releases.rs
@@ -24,7 +24,7 @@
 };
 
 /// What the releases of one plan go by, and what was worked out for several of them.
-pub(super) struct Releases<'a, 'v> {
+pub(super) struct ReleaseContext<'a, 'v> {
     now: Now,
     leader: &'a LeaderContext<'a>,
     cache: &'v WatchCache,
@@ -35,7 +35,7 @@
     victims: Option<Victims<'v>>,
 }
 
-impl<'a, 'v> Releases<'a, 'v> {
+impl<'a, 'v> ReleaseContext<'a, 'v> {
     /// Of a plan that begins.
     pub(super) fn new(
         now: Now,
@@ -47,7 +47,7 @@
             .block_leases
             .values()
             .map(|lease| lease.value.zone.clone());
-        Releases {
+        ReleaseContext {
             now,
             leader,
             cache,
@@ -76,9 +76,9 @@
 
 impl Scheduler {
     /// Releases what may run and has room, one job after the other in turn.
-    pub(super) fn release_in_turn(
+    pub(super) fn release_waiting_tasks(
         &mut self,
-        releases: &mut Releases<'_, '_>,
+        releases: &mut ReleaseContext<'_, '_>,
         queue: &mut [WaitingJob<'_>],
         plan: &mut Plan,
     ) {
@@ -101,11 +101,11 @@
 
     fn release_next_gang(
         &mut self,
-        releases: &Releases<'_, '_>,
+        releases: &ReleaseContext<'_, '_>,
         waiting: &mut WaitingJob<'_>,
         plan: &mut Plan,
     ) -> usize {
-        let Releases {
+        let ReleaseContext {
             now, leader, cache, ..
         } = *releases;
         waiting.blocked = true;
@@ -123,7 +123,7 @@
     /// Releases a task of the job, if there is a place for it. Returns how many.
     fn release_next_task(
         &mut self,
-        releases: &mut Releases<'_, '_>,
+        releases: &mut ReleaseContext<'_, '_>,
         waiting: &mut WaitingJob<'_>,
         plan: &mut Plan,
     ) -> usize {
@@ -191,7 +191,7 @@
     /// A machine with room, or one where room is made.
     fn choose_place(
         &mut self,
-        releases: &mut Releases<'_, '_>,
+        releases: &mut ReleaseContext<'_, '_>,
         waiting: &WaitingJob<'_>,
         plan: &mut Plan,
     ) -> Option<Choice> {
@@ -216,7 +216,7 @@
         if reach != EligibleMachines::All || plan.exhausted.no_way.contains(&urgency) {
             return None;
         }
-        let Releases {
+        let ReleaseContext {
             now, leader, cache, ..
         } = *releases;
         let victims = releases
@@ -233,7 +233,7 @@
 
     fn best_machine(
         &self,
-        releases: &mut Releases<'_, '_>,
+        releases: &mut ReleaseContext<'_, '_>,
         waiting: &WaitingJob<'_>,
         plan: &Plan,
         shape: &PlacementRequirements,
