--- a/src/scheduler/capacity_outlook.rs
+++ b/src/scheduler/capacity_outlook.rs
@@ -5,7 +5,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use super::gangs::may_reserve_capacity;
-use super::waiting::{WaitingJob, zone_open};
+use super::waiting::{WaitingJob, allows_task_in_zone};
 use crate::domain::{CapacityType, Job, Now, Zone};
 use crate::leader_context::LeaderContext;
 use crate::provisioning::{Demand, MachinePool, Provisioner};
@@ -39,8 +39,9 @@
             .all()
             .flat_map(|instance_type| &instance_type.zones)
             .collect();
-        let open =
-            |zone: &&Zone| job.allows_zone(zone) && zone_open(job, &waiting.tasks_per_zone, zone);
+        let open = |zone: &&Zone| {
+            job.allows_zone(zone) && allows_task_in_zone(job, &waiting.tasks_per_zone, zone)
+        };
         let allowed: Vec<&Zone> = zones.iter().copied().filter(open).collect();
         // The rule counts machines of all zones alike: a gang that must be in one could wait for ever beside enough room
         // in all of them together.
--- a/src/scheduler/draining/fleet_view.rs
+++ b/src/scheduler/draining/fleet_view.rs
@@ -8,7 +8,7 @@
 
 use super::super::capacity_outlook::CapacityOutlook;
 use super::super::gangs::find_room;
-use super::super::waiting::{WaitingJob, zone_open};
+use super::super::waiting::{WaitingJob, allows_task_in_zone};
 use super::super::{Plan, Scheduler};
 use crate::cloud::wire::InstanceType;
 use crate::domain::{Attempt, Job, JobId, JobKind, MachineId, TaskId, Zone};
@@ -96,7 +96,7 @@
 ) -> NoRoom {
     let open = |instance_type: &InstanceType, zone: &Zone| {
         job.allows_zone(zone)
-            && zone_open(job, zones, zone)
+            && allows_task_in_zone(job, zones, zone)
             && !outlook.provisioner.is_closed(&instance_type.name, zone)
     };
     let obtainable = outlook.leader.catalog.all().any(|instance_type| {
--- a/src/scheduler/draining/replacement.rs
+++ b/src/scheduler/draining/replacement.rs
@@ -7,7 +7,7 @@
 use tracing::info;
 
 use super::super::capacity_outlook::CapacityOutlook;
-use super::super::waiting::{WaitingJob, zone_open};
+use super::super::waiting::{WaitingJob, allows_task_in_zone};
 use super::super::{Plan, Scheduler};
 use super::fleet_view::{attempts_of, gang_waiting, no_room};
 use crate::domain::{Attempt, Job, JobId, MachineId, Now, Resources, TaskId, Team, Zone};
@@ -28,7 +28,7 @@
             block.is_some_and(|block| self.spaces.get(block).is_some_and(|space| *space > 0))
         };
         let open = self.candidates.iter().filter(|c| has_space(&c.machine));
-        let chosen = placement::choose(open, job, |zone| zone_open(job, zones, zone))?;
+        let chosen = placement::choose(open, job, |zone| allows_task_in_zone(job, zones, zone))?;
         let machine = chosen.machine.clone();
         let index = self.index_of(&machine)?;
         self.take_room(cache, index, &job.need);
@@ -173,7 +173,7 @@
         let kept = draining.reserved.get(&task).and_then(|machine| {
             let candidate = plan.room_on(machine, &open.job)?;
             let zone = plan.candidates[candidate].zone.clone();
-            zone_open(&open.job, &zones, &zone).then(|| machine.clone())
+            allows_task_in_zone(&open.job, &zones, &zone).then(|| machine.clone())
         });
         let machine = match kept {
             Some(machine) => {
--- a/src/scheduler/mod.rs
+++ b/src/scheduler/mod.rs
@@ -43,7 +43,7 @@
 use failures::Failures;
 use releases::ReleaseContext;
 use usage::Usage;
-use waiting::{PlacementRequirements, smallest};
+use waiting::{PlacementRequirements, minimum_need};
 
 /// A holder's word on its machines is believed this long.
 const STATUS_LIFE: Duration = Duration::from_secs(5);
@@ -491,9 +491,9 @@
         if complete {
             self.plan_drains(&outlook, cache, &mut plan);
         }
-        let mut queue = self.queue(now, cache);
+        let mut queue = self.waiting_jobs(now, cache);
         self.count_waiting(&queue);
-        plan.demand.smallest = smallest(&queue);
+        plan.demand.smallest = minimum_need(&queue);
         if complete {
             let mut releases = ReleaseContext::new(now, leader, cache, best_effort);
             self.release_waiting_tasks(&mut releases, &mut queue, &mut plan);
--- a/src/scheduler/preemption.rs
+++ b/src/scheduler/preemption.rs
@@ -54,7 +54,7 @@
         kept: &mut Usage,
         victims: &mut Victims<'_>,
         job: &Job,
-        zone_open: &impl Fn(&Zone) -> bool,
+        allows_task_in_zone: &impl Fn(&Zone) -> bool,
     ) -> Option<MadeRoom> {
         let most = (candidates.len() / STOPS_PART).max(STOPS_LEAST);
         if self
@@ -81,7 +81,7 @@
         let mut best: Option<PreemptionOption<'c, '_>> = None;
         for candidate in candidates
             .iter()
-            .filter(|c| c.allows(job) && zone_open(&c.zone))
+            .filter(|c| c.allows(job) && allows_task_in_zone(&c.zone))
         {
             let Some(there) = victims.get(&candidate.machine) else {
                 continue;
--- a/src/scheduler/releases.rs
+++ b/src/scheduler/releases.rs
@@ -7,7 +7,7 @@
 use super::best_effort::{BestEffortPlacement, EligibleMachines};
 use super::fair_share_order::FairShareOrder;
 use super::preemption::{MadeRoom, Victims};
-use super::waiting::{PlacementRequirements, WaitingJob, zone_open};
+use super::waiting::{PlacementRequirements, WaitingJob, allows_task_in_zone};
 use super::{Plan, Scheduler};
 use crate::domain::{Attempt, BlockId, Image, JobId, JobKind, Now, Resources, TaskId, Zone};
 use crate::leader_context::LeaderContext;
@@ -199,7 +199,7 @@
         if !plan.usage.within_limit(releases.leader.config, job) {
             return None;
         }
-        let open_zone = |zone: &Zone| zone_open(job, &waiting.tasks_per_zone, zone);
+        let open_zone = |zone: &Zone| allows_task_in_zone(job, &waiting.tasks_per_zone, zone);
         let reach = waiting.eligible_machines(releases.leader);
         let shape = PlacementRequirements::of(job, &releases.zones, open_zone, reach);
         // Jobs alike find no room where one of them found none: room only shrinks while tasks are released.
@@ -249,8 +249,9 @@
             let limit = waiting.price_limit(leader);
             let open =
                 |c: &Candidate| reach == EligibleMachines::All || best_effort.allow(job, limit, c);
-            let allowed =
-                |c: &Candidate| zone_open(job, &waiting.tasks_per_zone, &c.zone) && open(c);
+            let allowed = |c: &Candidate| {
+                allows_task_in_zone(job, &waiting.tasks_per_zone, &c.zone) && open(c)
+            };
             let avoided =
                 |c: &Candidate| failing.is_some() && self.failures.failed_on(id, &c.machine);
             Ranking::new(&plan.candidates, job, allowed, avoided)
--- a/src/scheduler/tests.rs
+++ b/src/scheduler/tests.rs
@@ -634,7 +634,7 @@
             ..
         } = &fixture;
         let leader = lead_of(config, policy, catalog);
-        scheduler.queue(*now, cache)[0].eligible_machines(&leader)
+        scheduler.waiting_jobs(*now, cache)[0].eligible_machines(&leader)
     };
     let late = best_effort::RESTRICTED_FOR + Duration::from_secs(1);
     assert_eq!(
--- a/src/scheduler/waiting.rs
+++ b/src/scheduler/waiting.rs
@@ -83,7 +83,7 @@
 
 impl Scheduler {
     /// The jobs with tasks that wait, in the order in which they are served within a line.
-    pub(super) fn queue<'v>(&self, now: Now, cache: &'v WatchCache) -> Vec<WaitingJob<'v>> {
+    pub(super) fn waiting_jobs<'v>(&self, now: Now, cache: &'v WatchCache) -> Vec<WaitingJob<'v>> {
         let mut released: HashMap<JobId, Vec<(u32, Zone)>> = HashMap::new();
         for (block, block_state) in &self.block_states {
             // A block is of one zone, so this holds even when the machine meant is gone: its holder may choose
@@ -165,7 +165,7 @@
 }
 
 /// Whether one more task of the job may go to a zone, given where its others are.
-pub(super) fn zone_open(job: &Job, zones: &BTreeMap<Zone, u32>, zone: &Zone) -> bool {
+pub(super) fn allows_task_in_zone(job: &Job, zones: &BTreeMap<Zone, u32>, zone: &Zone) -> bool {
     let others_elsewhere = zones
         .iter()
         .any(|(other, count)| other != zone && *count > 0);
@@ -174,7 +174,7 @@
 }
 
 /// The least that any waiting task takes, each resource for itself.
-pub(super) fn smallest(queue: &[WaitingJob<'_>]) -> Option<Resources> {
+pub(super) fn minimum_need(queue: &[WaitingJob<'_>]) -> Option<Resources> {
     let needs = queue.iter().map(|waiting| waiting.open.job.need);
     needs.reduce(|a, b| Resources {
         cpus: a.cpus.min(b.cpus),
