--- a/src/scheduler/best_effort.rs
+++ b/src/scheduler/best_effort.rs
@@ -16,7 +16,7 @@
 use crate::provisioning::{MachinePool, Provisioner, RunTimes, square_root_rule};
 
 /// A job of which nothing has run for this long gets its first task wherever there is room.
-pub(super) const RESTRICTED_FOR: Duration = Duration::from_secs(45);
+pub(super) const BEST_EFFORT_RESTRICTION_TIME: Duration = Duration::from_secs(45);
 
 /// Whether the job's team has no guarantee, while others have one, and the job is not urgent.
 pub(super) fn is_best_effort(config: &Config, job: &Job) -> bool {
--- a/src/scheduler/tests.rs
+++ b/src/scheduler/tests.rs
@@ -1,7 +1,7 @@
 //! The leader's queues, as holders and the records show them.
 
 use super::best_effort::EligibleMachines;
-use super::waiting::BEGIN_WITHIN;
+use super::waiting::FIRST_TASK_OVERDUE_AFTER;
 use super::*;
 use crate::cloud::wire::InstanceTypeList;
 use crate::cloud::wire::tests::instance_type;
@@ -367,7 +367,7 @@
     };
     assert_eq!(begins(Duration::from_secs(10)), 0, "older jobs first");
     assert_eq!(
-        begins(BEGIN_WITHIN + Duration::from_secs(1)),
+        begins(FIRST_TASK_OVERDUE_AFTER + Duration::from_secs(1)),
         1,
         "one task, not all"
     );
@@ -636,7 +636,7 @@
         let leader = lead_of(config, policy, catalog);
         scheduler.waiting_jobs(*now, cache)[0].eligible_machines(&leader)
     };
-    let late = best_effort::RESTRICTED_FOR + Duration::from_secs(1);
+    let late = best_effort::BEST_EFFORT_RESTRICTION_TIME + Duration::from_secs(1);
     assert_eq!(
         reach(0, false, Duration::ZERO),
         EligibleMachines::CheapAndUnreserved
--- a/src/scheduler/waiting.rs
+++ b/src/scheduler/waiting.rs
@@ -4,7 +4,9 @@
 use std::time::Duration;
 
 use super::Scheduler;
-use super::best_effort::{EligibleMachines, RESTRICTED_FOR, is_best_effort, price_limit};
+use super::best_effort::{
+    BEST_EFFORT_RESTRICTION_TIME, EligibleMachines, is_best_effort, price_limit,
+};
 use crate::domain::{InstanceTypeName, Job, JobId, JobKind, Now, Resources, Zone};
 use crate::leader_context::LeaderContext;
 use crate::store::WatchCache;
@@ -13,7 +15,7 @@
 
 /// A job that has waited this long gets a first task before older jobs of its team and priority get more: when there is
 /// far too much work, large jobs would else not begin for many minutes.
-pub(super) const BEGIN_WITHIN: Duration = Duration::from_secs(90);
+pub(super) const FIRST_TASK_OVERDUE_AFTER: Duration = Duration::from_secs(90);
 
 /// What decides where a task may go: tasks of one shape can go to the same machines.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
@@ -65,7 +67,7 @@
     /// wherever there is room.
     pub(super) fn eligible_machines(&self, leader: &LeaderContext<'_>) -> EligibleMachines {
         let under_way = self.taken.len() > self.open.done.len();
-        let begins_late = !under_way && self.waited > RESTRICTED_FOR;
+        let begins_late = !under_way && self.waited > BEST_EFFORT_RESTRICTION_TIME;
         if !is_best_effort(leader.config, &self.open.job) || begins_late {
             EligibleMachines::All
         } else if self.price_limit(leader).is_finite() {
@@ -139,7 +141,7 @@
             if left > 0 {
                 let waited =
                     Duration::from_millis(now.unix_ms().saturating_sub(open.job.accepted_ms));
-                let overdue = taken.is_empty() && waited > BEGIN_WITHIN;
+                let overdue = taken.is_empty() && waited > FIRST_TASK_OVERDUE_AFTER;
                 queue.push(WaitingJob {
                     id: *id,
                     open,
