--- a/src/scheduler/draining/mod.rs
+++ b/src/scheduler/draining/mod.rs
@@ -24,7 +24,7 @@
 use replacement::count_unplaced;
 
 use super::capacity_outlook::CapacityOutlook;
-use super::{Plan, STATUS_LIFE, Scheduler};
+use super::{HOLDER_STATUS_TTL, Plan, Scheduler};
 use crate::domain::{Attempt, BlockId, Job, JobKind, MachineId, Now, TaskId, Team, Zone, since};
 use crate::leader_context::LeaderContext;
 use crate::provisioning::Provisioner;
@@ -454,7 +454,7 @@
             let Some((status, at)) = &block_state.status else {
                 continue;
             };
-            if since(now, *at) >= STATUS_LIFE || status.running.is_empty() {
+            if since(now, *at) >= HOLDER_STATUS_TTL || status.running.is_empty() {
                 continue;
             }
             let told: HashSet<u64> = status.running.iter().copied().collect();
--- a/src/scheduler/holder_health.rs
+++ b/src/scheduler/holder_health.rs
@@ -5,7 +5,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use super::{STATUS_LIFE, Scheduler};
+use super::{HOLDER_STATUS_TTL, Scheduler};
 use crate::config::Config;
 use crate::domain::{ControllerName, MachineId, Now, since};
 use crate::store::WatchCache;
@@ -88,7 +88,7 @@
             let recent = block_state
                 .status
                 .as_ref()
-                .filter(|(_, at)| since(now, *at) < STATUS_LIFE);
+                .filter(|(_, at)| since(now, *at) < HOLDER_STATUS_TTL);
             if let (Some((status, _)), Some(lease)) = (recent, cache.block_leases.get(block)) {
                 let counts = holders.entry(lease.value.holder.clone()).or_default();
                 counts.expected += status.expected;
--- a/src/scheduler/mod.rs
+++ b/src/scheduler/mod.rs
@@ -46,7 +46,7 @@
 use waiting::{PlacementRequirements, minimum_need};
 
 /// A holder's word on its machines is believed this long.
-const STATUS_LIFE: Duration = Duration::from_secs(5);
+const HOLDER_STATUS_TTL: Duration = Duration::from_secs(5);
 /// What one attempt takes of its block's value, at the most.
 const ATTEMPT_BYTES: usize = 64;
 
@@ -185,7 +185,7 @@
                 block_state
                     .status
                     .as_ref()
-                    .is_some_and(|(_, at)| since(now, *at) < STATUS_LIFE)
+                    .is_some_and(|(_, at)| since(now, *at) < HOLDER_STATUS_TTL)
             })
             .flat_map(|block_state| block_state.machines.values())
     }
