--- a/src/scheduler/gangs.rs
+++ b/src/scheduler/gangs.rs
@@ -86,13 +86,13 @@
         }
         let reserves_capacity = may_reserve_capacity(waiting) && !plan.room_kept;
         let like = (shape, job.image.clone(), job.tasks);
-        if plan.exhausted.gangs.contains(&like) && !reserves_capacity {
+        if plan.infeasible.gangs_without_capacity.contains(&like) && !reserves_capacity {
             return 0;
         }
         let block_of = |machine: &MachineId| Some(cache.machines.get(machine)?.block.clone());
         let room = find_room(&plan.candidates, waiting, allowed, &plan.spaces, block_of);
         if !room.whole {
-            plan.exhausted.gangs.insert(like);
+            plan.infeasible.gangs_without_capacity.insert(like);
             if reserves_capacity {
                 plan.room_kept = true;
                 for index in room.tasks {
--- a/src/scheduler/mod.rs
+++ b/src/scheduler/mod.rs
@@ -81,11 +81,11 @@
 
 /// What was found not to go while planning, so that it is not tried for each of a thousand jobs alike.
 #[derive(Debug, Default)]
-struct Exhausted {
-    no_room: HashSet<PlacementRequirements>,
-    no_way: HashSet<(PlacementRequirements, Team, Priority)>,
+struct InfeasiblePlacements {
+    without_capacity: HashSet<PlacementRequirements>,
+    preemption_failed: HashSet<(PlacementRequirements, Team, Priority)>,
     /// Gangs, by their tasks' shape and image and their number of tasks.
-    gangs: HashSet<(PlacementRequirements, Image, u32)>,
+    gangs_without_capacity: HashSet<(PlacementRequirements, Image, u32)>,
 }
 
 /// What is left to be given away, while a plan is made.
@@ -97,7 +97,7 @@
     /// What each team will use once the tasks that are being stopped are gone.
     kept: Usage,
     demand: Demand,
-    exhausted: Exhausted,
+    infeasible: InfeasiblePlacements,
     /// A gang has the room kept that there is for it.
     room_kept: bool,
 }
@@ -479,7 +479,7 @@
             candidates,
             usage,
             demand,
-            exhausted: Exhausted::default(),
+            infeasible: InfeasiblePlacements::default(),
             room_kept: false,
         };
         // Releases only where all that is placed is known: every block under a block lease of this term.
--- a/src/scheduler/releases.rs
+++ b/src/scheduler/releases.rs
@@ -203,17 +203,17 @@
         let reach = waiting.eligible_machines(releases.leader);
         let shape = PlacementRequirements::of(job, &releases.zones, open_zone, reach);
         // Jobs alike find no room where one of them found none: room only shrinks while tasks are released.
-        if !plan.exhausted.no_room.contains(&shape) {
+        if !plan.infeasible.without_capacity.contains(&shape) {
             if let Some(machine) = self.best_machine(releases, waiting, plan, &shape, reach) {
                 return Some(Choice {
                     machine,
                     preempted: Vec::new(),
                 });
             }
-            plan.exhausted.no_room.insert(shape.clone());
+            plan.infeasible.without_capacity.insert(shape.clone());
         }
         let urgency = (shape, job.team.clone(), job.priority);
-        if reach != EligibleMachines::All || plan.exhausted.no_way.contains(&urgency) {
+        if reach != EligibleMachines::All || plan.infeasible.preemption_failed.contains(&urgency) {
             return None;
         }
         let ReleaseContext {
@@ -226,7 +226,7 @@
         let kept = &mut plan.kept;
         let room = self.make_room(now, leader, candidates, kept, victims, job, &open_zone);
         if room.is_none() {
-            plan.exhausted.no_way.insert(urgency);
+            plan.infeasible.preemption_failed.insert(urgency);
         }
         room.map(Choice::from)
     }
