--- a/src/scheduler/draining/fleet_view.rs
+++ b/src/scheduler/draining/fleet_view.rs
@@ -65,7 +65,7 @@
             &self.plan.candidates,
             &waiting,
             |_| true,
-            &self.plan.spaces,
+            &self.plan.block_slots,
             block_of,
         );
         if !room.whole {
--- a/src/scheduler/draining/replacement.rs
+++ b/src/scheduler/draining/replacement.rs
@@ -25,7 +25,7 @@
     ) -> Option<MachineId> {
         let has_space = |machine: &MachineId| {
             let block = cache.machines.get(machine).map(|machine| &machine.block);
-            block.is_some_and(|block| self.spaces.get(block).is_some_and(|space| *space > 0))
+            block.is_some_and(|block| self.block_slots.get(block).is_some_and(|space| *space > 0))
         };
         let open = self.candidates.iter().filter(|c| has_space(&c.machine));
         let chosen = placement::choose(open, job, |zone| allows_task_in_zone(job, zones, zone))?;
@@ -40,7 +40,7 @@
         let chosen = &mut self.candidates[candidate];
         chosen.free.take(need);
         let block = cache.machines.get(&chosen.machine).map(|m| &m.block);
-        if let Some(space) = block.and_then(|block| self.spaces.get_mut(block)) {
+        if let Some(space) = block.and_then(|block| self.block_slots.get_mut(block)) {
             *space = space.saturating_sub(1);
         }
     }
--- a/src/scheduler/gangs.rs
+++ b/src/scheduler/gangs.rs
@@ -90,7 +90,13 @@
             return 0;
         }
         let block_of = |machine: &MachineId| Some(cache.machines.get(machine)?.block.clone());
-        let room = find_room(&plan.candidates, waiting, allowed, &plan.spaces, block_of);
+        let room = find_room(
+            &plan.candidates,
+            waiting,
+            allowed,
+            &plan.block_slots,
+            block_of,
+        );
         if !room.whole {
             plan.infeasible.gangs_without_capacity.insert(like);
             if reserves_capacity {
@@ -224,7 +230,7 @@
     candidates: &[Candidate],
     waiting: &WaitingJob<'_>,
     allowed: impl Fn(&Candidate) -> bool,
-    spaces: &BTreeMap<BlockId, usize>,
+    block_slots: &BTreeMap<BlockId, usize>,
     block_of: impl Fn(&MachineId) -> Option<BlockId>,
 ) -> GangRoom {
     let job = &waiting.open.job;
@@ -245,7 +251,7 @@
             candidates,
             waiting,
             order.iter().filter(within),
-            spaces,
+            block_slots,
             &block_of,
         );
         let fetch_s = tasks
@@ -270,16 +276,17 @@
     candidates: &[Candidate],
     waiting: &WaitingJob<'_>,
     order: impl Iterator<Item = &'i usize>,
-    spaces: &BTreeMap<BlockId, usize>,
+    block_slots: &BTreeMap<BlockId, usize>,
     block_of: &impl Fn(&MachineId) -> Option<BlockId>,
 ) -> Vec<usize> {
     let job = &waiting.open.job;
-    let mut spaces = spaces.clone();
+    let mut block_slots = block_slots.clone();
     let mut in_zone: BTreeMap<&Zone, u32> = BTreeMap::new();
     let mut tasks = Vec::new();
     for index in order {
         let candidate = &candidates[*index];
-        let Some(space) = block_of(&candidate.machine).and_then(|block| spaces.get_mut(&block))
+        let Some(space) =
+            block_of(&candidate.machine).and_then(|block| block_slots.get_mut(&block))
         else {
             continue;
         };
--- a/src/scheduler/mod.rs
+++ b/src/scheduler/mod.rs
@@ -92,7 +92,7 @@
 struct Plan {
     candidates: Vec<Candidate>,
     /// How many more tasks each block holds.
-    spaces: BTreeMap<BlockId, usize>,
+    block_slots: BTreeMap<BlockId, usize>,
     usage: Usage,
     /// What each team will use once the tasks that are being stopped are gone.
     kept: Usage,
@@ -107,7 +107,7 @@
     fn take(&mut self, index: usize, block: &BlockId, job: &Job) {
         let chosen = &mut self.candidates[index];
         chosen.free.take(&job.need);
-        if let Some(space) = self.spaces.get_mut(block) {
+        if let Some(space) = self.block_slots.get_mut(block) {
             *space = space.saturating_sub(1);
         }
         self.count_released(index, job);
@@ -415,7 +415,7 @@
     }
 
     /// How many more tasks each block's value holds: what does not fit it can't be placed there.
-    fn spaces(&self, config: &Config, cache: &WatchCache) -> BTreeMap<BlockId, usize> {
+    fn block_slots(&self, config: &Config, cache: &WatchCache) -> BTreeMap<BlockId, usize> {
         let space = |(block, block_state): (&BlockId, &BlockState)| {
             let placements = cache.placements.get(block);
             let size = placements.map_or(0, |placements| placements.value.worst_case_size());
@@ -474,7 +474,7 @@
             &candidates,
         );
         let mut plan = Plan {
-            spaces: self.spaces(config, cache),
+            block_slots: self.block_slots(config, cache),
             kept: self.usage_after_stops(&usage, cache),
             candidates,
             usage,
--- a/src/scheduler/releases.rs
+++ b/src/scheduler/releases.rs
@@ -162,7 +162,7 @@
         choice: Choice,
         index: u32,
     ) -> usize {
-        let space = plan.spaces.get(&block).copied().unwrap_or(0);
+        let space = plan.block_slots.get(&block).copied().unwrap_or(0);
         let block_state = self.block_states.get_mut(&block).filter(|_| space > 0);
         let Some(block_state) = block_state else {
             plan.candidates[candidate].free = BLOCK_IS_FULL;
