--- a/src/scheduler/mod.rs
+++ b/src/scheduler/mod.rs
@@ -95,7 +95,7 @@
     block_slots: BTreeMap<BlockId, usize>,
     usage: Usage,
     /// What each team will use once the tasks that are being stopped are gone.
-    kept: Usage,
+    usage_after_stops: Usage,
     demand: Demand,
     infeasible: InfeasiblePlacements,
     /// A gang has the room kept that there is for it.
@@ -121,7 +121,7 @@
     fn count_released(&mut self, index: usize, job: &Job) {
         let chosen = &self.candidates[index];
         self.usage.add(job);
-        self.kept.add(job);
+        self.usage_after_stops.add(job);
         let each = f64::from(chosen.size.count_of(&job.need).max(1));
         let pool = MachinePool::new(chosen.type_name.clone(), chosen.capacity_type);
         self.demand.add(pool, 1.0 / each);
@@ -475,7 +475,7 @@
         );
         let mut plan = Plan {
             block_slots: self.block_slots(config, cache),
-            kept: self.usage_after_stops(&usage, cache),
+            usage_after_stops: self.usage_after_stops(&usage, cache),
             candidates,
             usage,
             demand,
--- a/src/scheduler/releases.rs
+++ b/src/scheduler/releases.rs
@@ -223,7 +223,7 @@
             .victims
             .get_or_insert_with(|| self.victims(now, cache));
         let candidates = &plan.candidates;
-        let kept = &mut plan.kept;
+        let kept = &mut plan.usage_after_stops;
         let room = self.make_room(now, leader, candidates, kept, victims, job, &open_zone);
         if room.is_none() {
             plan.infeasible.preemption_failed.insert(urgency);
