--- a/src/scheduler/gangs.rs
+++ b/src/scheduler/gangs.rs
@@ -84,7 +84,7 @@
         if plan.usage.room_within_limit(leader.config, job) < u64::from(job.tasks) {
             return 0;
         }
-        let reserves_capacity = may_reserve_capacity(waiting) && !plan.room_kept;
+        let reserves_capacity = may_reserve_capacity(waiting) && !plan.gang_capacity_reserved;
         let like = (shape, job.image.clone(), job.tasks);
         if plan.infeasible.gangs_without_capacity.contains(&like) && !reserves_capacity {
             return 0;
@@ -100,7 +100,7 @@
         if !room.whole {
             plan.infeasible.gangs_without_capacity.insert(like);
             if reserves_capacity {
-                plan.room_kept = true;
+                plan.gang_capacity_reserved = true;
                 for index in room.tasks {
                     plan.candidates[index].free.take(&job.need);
                 }
--- a/src/scheduler/mod.rs
+++ b/src/scheduler/mod.rs
@@ -99,7 +99,7 @@
     demand: Demand,
     infeasible: InfeasiblePlacements,
     /// A gang has the room kept that there is for it.
-    room_kept: bool,
+    gang_capacity_reserved: bool,
 }
 
 impl Plan {
@@ -480,7 +480,7 @@
             usage,
             demand,
             infeasible: InfeasiblePlacements::default(),
-            room_kept: false,
+            gang_capacity_reserved: false,
         };
         // Releases only where all that is placed is known: every block under a block lease of this term.
         let complete = !cache.block_leases.is_empty()
