--- a/src/scheduler/draining/replacement.rs
+++ b/src/scheduler/draining/replacement.rs
@@ -220,7 +220,7 @@
         info!(%attempt, %machine, "replacement released");
         block_state.release(now, attempt, machine.clone(), Vec::new());
         if let Some(index) = plan.index_of(machine) {
-            plan.count_released(index, &open.job);
+            plan.count_release(index, &open.job);
         }
         if let Some(draining) = &mut self.draining {
             draining.reserved.remove(&task);
@@ -299,7 +299,7 @@
                 block_state.release(now, attempt, machine.clone(), Vec::new());
             }
             if let Some(index) = plan.index_of(machine) {
-                plan.count_released(index, &open.job);
+                plan.count_release(index, &open.job);
             }
             if let Some(draining) = &mut self.draining {
                 draining.reserved.remove(&task);
--- a/src/scheduler/mod.rs
+++ b/src/scheduler/mod.rs
@@ -104,13 +104,13 @@
 
 impl Plan {
     /// Takes what a released task needs of a machine.
-    fn take(&mut self, index: usize, block: &BlockId, job: &Job) {
+    fn allocate(&mut self, index: usize, block: &BlockId, job: &Job) {
         let chosen = &mut self.candidates[index];
         chosen.free.take(&job.need);
         if let Some(space) = self.block_slots.get_mut(block) {
             *space = space.saturating_sub(1);
         }
-        self.count_released(index, job);
+        self.count_release(index, job);
     }
 
     fn index_of(&self, machine: &MachineId) -> Option<usize> {
@@ -118,7 +118,7 @@
     }
 
     /// Counts a task that is released to a machine.
-    fn count_released(&mut self, index: usize, job: &Job) {
+    fn count_release(&mut self, index: usize, job: &Job) {
         let chosen = &self.candidates[index];
         self.usage.add(job);
         self.usage_after_stops.add(job);
--- a/src/scheduler/releases.rs
+++ b/src/scheduler/releases.rs
@@ -179,7 +179,7 @@
         let Choice { machine, preempted } = choice;
         debug!(%attempt, machine = %machine.machine, "released");
         block_state.release(now, attempt, machine.machine, preempted);
-        plan.take(candidate, &block, &waiting.open.job);
+        plan.allocate(candidate, &block, &waiting.open.job);
         *waiting.tasks_per_zone.entry(machine.zone).or_default() += 1;
         waiting.taken.insert(index);
         waiting.pending_tasks -= 1;
