--- a/src/scheduler/mod.rs
+++ b/src/scheduler/mod.rs
@@ -51,10 +51,10 @@
 const ATTEMPT_BYTES: usize = 64;
 
 #[derive(Debug, Clone)]
-struct PlacedSince {
+struct ObservedAttempt {
     task: TaskId,
     machine: MachineId,
-    at: Instant,
+    first_seen: Instant,
     /// The last look in which it was there.
     look: u64,
 }
@@ -67,7 +67,7 @@
     block_states: BTreeMap<BlockId, BlockState>,
     writer: Writer,
     /// Where each attempt was when last looked, to notice those that vanish without being done.
-    placed: HashMap<u64, PlacedSince>,
+    observed_attempts: HashMap<u64, ObservedAttempt>,
     looks: u64,
     failures: Failures,
     run_times: BTreeMap<MachinePool, RunTimes>,
@@ -140,7 +140,7 @@
             writer: Writer::Unconfirmed {
                 since: now.monotonic,
             },
-            placed: HashMap::new(),
+            observed_attempts: HashMap::new(),
             looks: 0,
             failures: Failures::default(),
             run_times: BTreeMap::new(),
@@ -263,12 +263,12 @@
             for attempt in live.attempts() {
                 count += 1;
                 let seen = self
-                    .placed
+                    .observed_attempts
                     .entry(attempt.number)
-                    .or_insert_with(|| PlacedSince {
+                    .or_insert_with(|| ObservedAttempt {
                         task: attempt.task,
                         machine: live.id.clone(),
-                        at: now.monotonic,
+                        first_seen: now.monotonic,
                         look,
                     });
                 seen.look = look;
@@ -277,14 +277,14 @@
             self.run_times.entry(pool).or_default().total += passed * count;
         }
         let mut gone = Vec::new();
-        self.placed.retain(|number, seen| {
+        self.observed_attempts.retain(|number, seen| {
             if seen.look != look {
                 gone.push((*number, seen.clone()));
             }
             seen.look == look
         });
         self.note_ends(now, cache, gone);
-        let live = &self.placed;
+        let live = &self.observed_attempts;
         for (block, block_state) in &mut self.block_states {
             block_state
                 .machines
@@ -326,8 +326,8 @@
     }
 
     /// Counts tasks that have ended.
-    fn note_ends(&mut self, now: Now, cache: &WatchCache, gone: Vec<(u64, PlacedSince)>) {
-        for (number, PlacedSince { task, machine, .. }) in gone {
+    fn note_ends(&mut self, now: Now, cache: &WatchCache, gone: Vec<(u64, ObservedAttempt)>) {
+        for (number, ObservedAttempt { task, machine, .. }) in gone {
             let open = cache.open.get(&task.job).filter(|open| !open.cancelled);
             let done = open.is_some_and(|open| open.done.contains(task.index));
             if done {
--- a/src/scheduler/preemption.rs
+++ b/src/scheduler/preemption.rs
@@ -161,9 +161,9 @@
                 continue;
             }
             let ran = self
-                .placed
+                .observed_attempts
                 .get(&attempt.number)
-                .map_or(Duration::ZERO, |seen| since(now, seen.at));
+                .map_or(Duration::ZERO, |seen| since(now, seen.first_seen));
             let lost = ran.as_secs_f64() * open.job.need.cpus.max(0.1);
             victims.entry(live.id).or_default().push(Victim {
                 lost,
