--- a/src/controller/peer_messages.rs
+++ b/src/controller/peer_messages.rs
@@ -80,7 +80,7 @@
         self.block_lease_manager
             .record_heartbeat(now, &status.controller, status.incarnation);
         if let Some(state) = &mut self.leader_state {
-            state.scheduler.note_misrouted(now, status.misrouted);
+            state.scheduler.record_misrouted(now, status.misrouted);
         }
         for block in status.blocks {
             let lease = self.cache.block_leases.get(&block.block);
--- a/src/scheduler/holder_health.rs
+++ b/src/scheduler/holder_health.rs
@@ -40,7 +40,7 @@
 
 impl Scheduler {
     /// Machines that reported to a controller that is not their holder.
-    pub fn note_misrouted(&mut self, now: Now, machines: Vec<MachineId>) {
+    pub fn record_misrouted(&mut self, now: Now, machines: Vec<MachineId>) {
         self.misrouted
             .extend(machines.into_iter().map(|machine| (machine, now.monotonic)));
     }
--- a/src/scheduler/tests.rs
+++ b/src/scheduler/tests.rs
@@ -301,7 +301,7 @@
         fixture.scheduler.misrouted.clear();
         fixture
             .scheduler
-            .note_misrouted(fixture.now, (0..misrouted).map(name).collect());
+            .record_misrouted(fixture.now, (0..misrouted).map(name).collect());
         let isolated_holders =
             fixture
                 .scheduler
