--- a/src/scheduler/draining/mod.rs
+++ b/src/scheduler/draining/mod.rs
@@ -436,7 +436,7 @@
 
     /// Machines whose holder has told lately that they are well.
     fn usable_machines(&self, now: Now, provisioner: &Provisioner) -> HashSet<MachineId> {
-        self.machines(now)
+        self.recent_machine_statuses(now)
             .filter(|status| status.usable && !provisioner.is_failed(&status.machine))
             .map(|status| status.machine.clone())
             .collect()
--- a/src/scheduler/mod.rs
+++ b/src/scheduler/mod.rs
@@ -178,7 +178,7 @@
         Some(status.ended.contains(&attempt.number))
     }
 
-    fn machines(&self, now: Now) -> impl Iterator<Item = &MachineStatus> {
+    fn recent_machine_statuses(&self, now: Now) -> impl Iterator<Item = &MachineStatus> {
         self.block_states
             .values()
             .filter(move |block_state| {
@@ -204,7 +204,7 @@
                 .get(block)
                 .map(|lease| &lease.value.holder)
         };
-        self.machines(now)
+        self.recent_machine_statuses(now)
             .map(|machine| {
                 let health = MachineHealth {
                     seen: machine.seen,
@@ -389,7 +389,7 @@
         }
         let mut candidates = Vec::new();
         for status in self
-            .machines(now)
+            .recent_machine_statuses(now)
             .filter(|status| status.usable && !self.failures.is_faulty(status, cache))
         {
             let Some(machine) = cache.machines.get(&status.machine) else {
