--- a/src/scheduler/block_state.rs
+++ b/src/scheduler/block_state.rs
@@ -67,7 +67,7 @@
     pub(super) releases: BTreeMap<u64, Release>,
     pub(super) stops: BTreeMap<Attempt, Instant>,
     /// Attempts that the holder is asked to tell of once they run.
-    pub(super) watch: Vec<u64>,
+    pub(super) watched_attempts: Vec<u64>,
     /// The holder's last word, without its machines: those are kept by name, for it tells only what changed.
     pub(super) status: Option<(BlockStatus, Instant)>,
     pub(super) machines: BTreeMap<MachineId, MachineStatus>,
@@ -205,7 +205,7 @@
                 assignments,
                 stop,
                 addresses: block_state.unseen_addresses(addresses),
-                watch: block_state.watch.clone(),
+                watch: block_state.watched_attempts.clone(),
             });
         }
         messages
--- a/src/scheduler/draining/mod.rs
+++ b/src/scheduler/draining/mod.rs
@@ -487,8 +487,8 @@
         }
         for (block, block_state) in &mut self.block_states {
             let watch = watched.remove(block).unwrap_or_default();
-            if block_state.watch != watch {
-                block_state.watch = watch;
+            if block_state.watched_attempts != watch {
+                block_state.watched_attempts = watch;
                 block_state.dirty = true;
             }
         }
--- a/src/scheduler/mod.rs
+++ b/src/scheduler/mod.rs
@@ -241,7 +241,7 @@
                     lease_version: lease.version,
                     releases: BTreeMap::new(),
                     stops: BTreeMap::new(),
-                    watch: Vec::new(),
+                    watched_attempts: Vec::new(),
                     status: None,
                     machines: BTreeMap::new(),
                     heard: 0,
