--- a/src/scheduler/block_state.rs
+++ b/src/scheduler/block_state.rs
@@ -65,7 +65,7 @@
 pub(super) struct BlockState {
     pub(super) lease_version: u64,
     pub(super) releases: BTreeMap<u64, Release>,
-    pub(super) stops: BTreeMap<Attempt, Instant>,
+    pub(super) stop_requests: BTreeMap<Attempt, Instant>,
     /// Attempts that the holder is asked to tell of once they run.
     pub(super) watched_attempts: Vec<u64>,
     /// The holder's last word, without its machines: those are kept by name, for it tells only what changed.
@@ -196,7 +196,7 @@
                     machine: release.machine.clone(),
                 })
                 .collect();
-            let stop = block_state.stops.keys().copied().collect();
+            let stop = block_state.stop_requests.keys().copied().collect();
             messages.push(AssignmentUpdate {
                 block: block.clone(),
                 lease_version: block_state.lease_version,
--- a/src/scheduler/draining/mod.rs
+++ b/src/scheduler/draining/mod.rs
@@ -294,7 +294,7 @@
 
     fn is_told_to_stop(&self, attempt: &Attempt) -> bool {
         let mut blocks = self.block_states.values();
-        blocks.any(|block_state| block_state.stops.contains_key(attempt))
+        blocks.any(|block_state| block_state.stop_requests.contains_key(attempt))
     }
 
     /// Where the other tasks of a job are, and where room is kept for them.
--- a/src/scheduler/draining/replacement.rs
+++ b/src/scheduler/draining/replacement.rs
@@ -74,8 +74,8 @@
                 let Some(block_state) = self.block_states.get_mut(&placement.block) else {
                     continue;
                 };
-                if subject.covers(&attempt) && !block_state.stops.contains_key(&attempt) {
-                    block_state.stops.insert(attempt, now.monotonic);
+                if subject.covers(&attempt) && !block_state.stop_requests.contains_key(&attempt) {
+                    block_state.stop_requests.insert(attempt, now.monotonic);
                     block_state.dirty = true;
                 }
             }
--- a/src/scheduler/gangs.rs
+++ b/src/scheduler/gangs.rs
@@ -178,7 +178,7 @@
     fn is_stopping(&self, block: &BlockId, attempt: &Attempt) -> bool {
         self.block_states
             .get(block)
-            .is_some_and(|block_state| block_state.stops.contains_key(attempt))
+            .is_some_and(|block_state| block_state.stop_requests.contains_key(attempt))
     }
 
     fn take_back(&mut self, now: Now, id: JobId, under_way: &UnderWay) {
@@ -187,8 +187,8 @@
             let Some(block_state) = self.block_states.get_mut(block) else {
                 continue;
             };
-            if !block_state.stops.contains_key(attempt) {
-                block_state.stops.insert(*attempt, now.monotonic);
+            if !block_state.stop_requests.contains_key(attempt) {
+                block_state.stop_requests.insert(*attempt, now.monotonic);
                 block_state.dirty = true;
                 stopped += 1;
             }
--- a/src/scheduler/mod.rs
+++ b/src/scheduler/mod.rs
@@ -240,7 +240,7 @@
                 let block_state = BlockState {
                     lease_version: lease.version,
                     releases: BTreeMap::new(),
-                    stops: BTreeMap::new(),
+                    stop_requests: BTreeMap::new(),
                     watched_attempts: Vec::new(),
                     status: None,
                     machines: BTreeMap::new(),
@@ -307,7 +307,7 @@
                 !settled
             });
             block_state
-                .stops
+                .stop_requests
                 .retain(|attempt, _| live.contains_key(&attempt.number));
             for release in block_state.releases.values_mut() {
                 let alive = cache
@@ -316,7 +316,7 @@
                     .is_some_and(|open| !open.cancelled);
                 let refused =
                     status.is_some_and(|status| status.refused.contains(&release.attempt.number));
-                let stuck = release.is_stuck(now, &block_state.stops, refused);
+                let stuck = release.is_stuck(now, &block_state.stop_requests, refused);
                 if !release.withdrawn && (!alive || stuck) {
                     release.withdraw();
                     block_state.dirty = true;
@@ -434,7 +434,7 @@
         let stops = self
             .block_states
             .values()
-            .flat_map(|block_state| block_state.stops.keys());
+            .flat_map(|block_state| block_state.stop_requests.keys());
         for open in stops.filter_map(|attempt| cache.open.get(&attempt.task.job)) {
             kept.remove(&open.job);
         }
--- a/src/scheduler/preemption.rs
+++ b/src/scheduler/preemption.rs
@@ -60,7 +60,7 @@
         if self
             .block_states
             .values()
-            .map(|block_state| block_state.stops.len())
+            .map(|block_state| block_state.stop_requests.len())
             .sum::<usize>()
             >= most
         {
@@ -128,7 +128,7 @@
             info!(%attempt, machine = %candidate.machine, class = %job.class, lost, "preempted");
             kept.remove(other);
             if let Some(block_state) = self.block_states.get_mut(block) {
-                block_state.stops.insert(attempt, now.monotonic);
+                block_state.stop_requests.insert(attempt, now.monotonic);
                 block_state.dirty = true;
             }
         }
@@ -156,7 +156,7 @@
             let stopping = self
                 .block_states
                 .get(live.block)
-                .is_none_or(|block_state| block_state.stops.contains_key(&attempt));
+                .is_none_or(|block_state| block_state.stop_requests.contains_key(&attempt));
             if stopping || open.job.kind != JobKind::Array {
                 continue;
             }
