--- a/src/scheduler/block_state.rs
+++ b/src/scheduler/block_state.rs
@@ -77,7 +77,7 @@
     pub(super) ack_due: bool,
     pub(super) sent: Option<Instant>,
     pub(super) last_message: u64,
-    pub(super) dirty: bool,
+    pub(super) update_pending: bool,
     /// Machines whose address the holder was told, or needs no more.
     pub(super) addressed: HashSet<MachineId>,
 }
@@ -101,7 +101,7 @@
             placeable_since: now.monotonic,
         };
         self.releases.insert(attempt.number, release);
-        self.dirty = true;
+        self.update_pending = true;
     }
 
     /// Notes machines that the holder could ask if it were told where they are.
@@ -128,7 +128,7 @@
         {
             let seen = self.machines.get(&id).is_some_and(|status| status.seen);
             if seen || addresses.contains_key(&id) {
-                self.dirty |= !seen;
+                self.update_pending |= !seen;
                 self.addressed.insert(id);
             }
         }
@@ -171,12 +171,12 @@
                 && block_state
                     .sent
                     .is_some_and(|sent| since(now, sent) >= RESEND);
-            if !block_state.dirty && !overdue && !block_state.ack_due {
+            if !block_state.update_pending && !overdue && !block_state.ack_due {
                 continue;
             }
             self.next_message += 1;
             let number = self.next_message;
-            block_state.dirty = false;
+            block_state.update_pending = false;
             block_state.ack_due = false;
             block_state.sent = Some(now.monotonic);
             block_state.last_message = number;
--- a/src/scheduler/draining/mod.rs
+++ b/src/scheduler/draining/mod.rs
@@ -489,7 +489,7 @@
             let watch = watched.remove(block).unwrap_or_default();
             if block_state.watched_attempts != watch {
                 block_state.watched_attempts = watch;
-                block_state.dirty = true;
+                block_state.update_pending = true;
             }
         }
     }
--- a/src/scheduler/draining/replacement.rs
+++ b/src/scheduler/draining/replacement.rs
@@ -76,7 +76,7 @@
                 };
                 if subject.covers(&attempt) && !block_state.stop_requests.contains_key(&attempt) {
                     block_state.stop_requests.insert(attempt, now.monotonic);
-                    block_state.dirty = true;
+                    block_state.update_pending = true;
                 }
             }
         }
--- a/src/scheduler/gangs.rs
+++ b/src/scheduler/gangs.rs
@@ -189,7 +189,7 @@
             };
             if !block_state.stop_requests.contains_key(attempt) {
                 block_state.stop_requests.insert(*attempt, now.monotonic);
-                block_state.dirty = true;
+                block_state.update_pending = true;
                 stopped += 1;
             }
         }
@@ -197,7 +197,7 @@
         for (block, attempt) in &under_way.released {
             let block_state = self.block_states.get_mut(block);
             let release = block_state.and_then(|block_state| {
-                block_state.dirty = true;
+                block_state.update_pending = true;
                 block_state.releases.get_mut(&attempt.number)
             });
             if let Some(release) = release.filter(|release| !release.withdrawn) {
--- a/src/scheduler/mod.rs
+++ b/src/scheduler/mod.rs
@@ -248,7 +248,7 @@
                     ack_due: false,
                     sent: None,
                     last_message: 0,
-                    dirty: false,
+                    update_pending: false,
                     addressed: HashSet::new(),
                 };
                 self.block_states.insert(block.clone(), block_state);
@@ -319,7 +319,7 @@
                 let stuck = release.is_stuck(now, &block_state.stop_requests, refused);
                 if !release.withdrawn && (!alive || stuck) {
                     release.withdraw();
-                    block_state.dirty = true;
+                    block_state.update_pending = true;
                 }
             }
         }
--- a/src/scheduler/preemption.rs
+++ b/src/scheduler/preemption.rs
@@ -129,7 +129,7 @@
             kept.remove(other);
             if let Some(block_state) = self.block_states.get_mut(block) {
                 block_state.stop_requests.insert(attempt, now.monotonic);
-                block_state.dirty = true;
+                block_state.update_pending = true;
             }
         }
         Some(MadeRoom {
