--- a/src/scheduler/capacity_outlook.rs
+++ b/src/scheduler/capacity_view.rs
@@ -20,7 +20,7 @@
 }
 
 /// The machines that there are and that can be had, as known in one plan.
-pub(super) struct CapacityOutlook<'a> {
+pub(super) struct CapacityView<'a> {
     pub(super) now: Now,
     pub(super) leader: &'a LeaderContext<'a>,
     pub(super) provisioner: &'a Provisioner,
@@ -28,10 +28,10 @@
     pub(super) machines: BTreeMap<MachinePool, u32>,
 }
 
-impl CapacityOutlook<'_> {
+impl CapacityView<'_> {
     /// The zone that a job's next task has to go to, if not all zones will do: one that has machines to give, if
     /// any of those that will do has.
-    pub(super) fn pinned(&self, waiting: &WaitingJob<'_>) -> Option<Zone> {
+    pub(super) fn pinned_zone(&self, waiting: &WaitingJob<'_>) -> Option<Zone> {
         let job = &waiting.open.job;
         let zones: BTreeSet<&Zone> = self
             .leader
@@ -77,7 +77,7 @@
     /// refused order for spare machines moved the whole queue to the next dearer type.
     ///
     /// A task that costs more than `price_limit` there waits for cheaper machines.
-    pub(super) fn cheapest(
+    pub(super) fn cheapest_pool(
         &self,
         job: &Job,
         demand: &Demand,
--- a/src/scheduler/demand.rs
+++ b/src/scheduler/demand.rs
@@ -4,7 +4,7 @@
 
 use super::Scheduler;
 use super::best_effort::{EligibleMachines, is_best_effort};
-use super::capacity_outlook::CapacityOutlook;
+use super::capacity_view::CapacityView;
 use super::usage::Usage;
 use super::waiting::{PlacementRequirements, WaitingJob};
 use crate::domain::{Job, Team, Zone};
@@ -57,7 +57,7 @@
 
 impl Scheduler {
     /// Counts all that is placed or released.
-    pub(super) fn present(&self, outlook: &CapacityOutlook<'_>, cache: &WatchCache) -> Present {
+    pub(super) fn present(&self, capacity: &CapacityView<'_>, cache: &WatchCache) -> Present {
         let mut present = Present::default();
         present.demand.run_times = self.run_times.clone();
         let mut misplaced = Vec::new();
@@ -67,7 +67,7 @@
                 .attempts()
                 .filter_map(|attempt| cache.open.get(&attempt.task.job))
             {
-                misplaced.extend(present.count(outlook.leader, live.machine, open));
+                misplaced.extend(present.count(capacity.leader, live.machine, open));
             }
         }
         for release in self
@@ -80,13 +80,13 @@
                 continue;
             };
             match cache.machines.get(&release.machine) {
-                Some(machine) => misplaced.extend(present.count(outlook.leader, machine, open)),
+                Some(machine) => misplaced.extend(present.count(capacity.leader, machine, open)),
                 // Its machine is gone, but its holder may still choose another.
                 None => present.usage.add(&open.job),
             }
         }
         for Misplaced { open, pool, share } in misplaced {
-            let cheapest = outlook.cheapest(&open.job, &present.demand, None, f64::INFINITY);
+            let cheapest = capacity.cheapest_pool(&open.job, &present.demand, None, f64::INFINITY);
             let (pool, share) = cheapest.unwrap_or((pool, share));
             present.demand.add(pool, share);
         }
@@ -96,7 +96,7 @@
 
 /// Adds the waiting tasks that their team's limit allows, each in the cheapest type that can be had.
 pub(super) fn count_waiting(
-    outlook: &CapacityOutlook<'_>,
+    capacity: &CapacityView<'_>,
     queue: &[WaitingJob<'_>],
     usage: &mut Usage,
     demand: &mut Demand,
@@ -106,8 +106,8 @@
     let mut known: HashMap<(PlacementRequirements, &Team, Option<Zone>), usize> = HashMap::new();
     for waiting in queue {
         let job = &waiting.open.job;
-        let pinned = outlook.pinned(waiting);
-        let limit = waiting.price_limit(outlook.leader);
+        let pinned = capacity.pinned_zone(waiting);
+        let limit = waiting.price_limit(capacity.leader);
         let reach = if limit.is_finite() {
             EligibleMachines::CheapAndUnreserved
         } else {
@@ -123,13 +123,14 @@
         groups[index].3 += waiting.pending_tasks;
     }
     for (job, pinned, limit, left) in groups {
-        let mut left = left.min(usage.room_within_limit(outlook.leader.config, job));
+        let mut left = left.min(usage.room_within_limit(capacity.leader.config, job));
         // A few tasks at a time, but no more than so many steps: jobs have up to 100,000 tasks.
         let step = left.div_ceil(COUNTING_STEPS).max(1);
         while left > 0 {
             let count = step.min(left);
             left -= count;
-            let Some((pool, share)) = outlook.cheapest(job, demand, pinned.as_ref(), limit) else {
+            let Some((pool, share)) = capacity.cheapest_pool(job, demand, pinned.as_ref(), limit)
+            else {
                 break;
             };
             usage.add_tasks(job, count as f64);
--- a/src/scheduler/draining/fleet_view.rs
+++ b/src/scheduler/draining/fleet_view.rs
@@ -6,7 +6,7 @@
 use dappleshore_drain::planner::{NoRoom, Reservation};
 use dappleshore_drain::{Fleet, JobFacts, MachineView, Subject};
 
-use super::super::capacity_outlook::CapacityOutlook;
+use super::super::capacity_view::CapacityView;
 use super::super::gangs::find_room;
 use super::super::waiting::{WaitingJob, allows_task_in_zone};
 use super::super::{Plan, Scheduler};
@@ -19,7 +19,7 @@
 /// What the planner sees, and the room that it may give away.
 pub(super) struct FleetView<'a, 'v> {
     pub(super) scheduler: &'a Scheduler,
-    pub(super) outlook: &'a CapacityOutlook<'a>,
+    pub(super) capacity: &'a CapacityView<'a>,
     pub(super) cache: &'v WatchCache,
     pub(super) plan: &'a mut Plan,
     pub(super) machines: Vec<MachineView>,
@@ -46,7 +46,7 @@
         match self.plan.keep_room(self.cache, &open.job, &zones) {
             Some(machine) => Ok(vec![Reservation { task, machine }]),
             None => {
-                let reason = no_room(self.outlook, &open.job, &zones);
+                let reason = no_room(self.capacity, &open.job, &zones);
                 if reason == NoRoom::Yet {
                     self.unplaced.push(task);
                 }
@@ -69,7 +69,7 @@
             block_of,
         );
         if !room.whole {
-            if no_room(self.outlook, &open.job, &BTreeMap::new()) == NoRoom::Anywhere {
+            if no_room(self.capacity, &open.job, &BTreeMap::new()) == NoRoom::Anywhere {
                 return Err(NoRoom::Anywhere);
             }
             let missing = room.tasks.len() as u32..open.job.tasks;
@@ -90,16 +90,16 @@
 
 /// Why there is no room for a task whose job's others are in these zones: whether machines can be had where it may go.
 pub(super) fn no_room(
-    outlook: &CapacityOutlook<'_>,
+    capacity: &CapacityView<'_>,
     job: &Job,
     zones: &BTreeMap<Zone, u32>,
 ) -> NoRoom {
     let open = |instance_type: &InstanceType, zone: &Zone| {
         job.allows_zone(zone)
             && allows_task_in_zone(job, zones, zone)
-            && !outlook.provisioner.is_closed(&instance_type.name, zone)
+            && !capacity.provisioner.is_closed(&instance_type.name, zone)
     };
-    let obtainable = outlook.leader.catalog.all().any(|instance_type| {
+    let obtainable = capacity.leader.catalog.all().any(|instance_type| {
         let fits =
             job.allows_type(&instance_type.name) && instance_type.room().count_of(&job.need) > 0;
         fits && instance_type
--- a/src/scheduler/draining/mod.rs
+++ b/src/scheduler/draining/mod.rs
@@ -23,7 +23,7 @@
 use fleet_view::{FleetView, attempts_of};
 use replacement::count_unplaced;
 
-use super::capacity_outlook::CapacityOutlook;
+use super::capacity_view::CapacityView;
 use super::{HOLDER_STATUS_TTL, Plan, Scheduler};
 use crate::domain::{Attempt, BlockId, Job, JobKind, MachineId, Now, TaskId, Team, Zone, since};
 use crate::leader_context::LeaderContext;
@@ -338,7 +338,7 @@
     /// evicted next.
     pub(super) fn plan_drains(
         &mut self,
-        outlook: &CapacityOutlook<'_>,
+        capacity: &CapacityView<'_>,
         cache: &WatchCache,
         plan: &mut Plan,
     ) {
@@ -348,21 +348,21 @@
             .is_none_or(|draining| draining.is_idle(cache))
         {
             if let Some(draining) = &mut self.draining {
-                draining.rest(outlook.now, cache);
+                draining.rest(capacity.now, cache);
             }
             return;
         }
         let drains: BTreeMap<DrainId, DrainRecord> = values(&cache.drains);
         let ledgers: BTreeMap<Team, Ledger> = values(&cache.drain_ledgers);
-        self.stop_evicted(outlook.now, cache, &ledgers);
-        self.replace_evicted(outlook, cache, plan, &ledgers);
-        self.decide_drains(outlook, cache, plan, &drains, &ledgers);
+        self.stop_evicted(capacity.now, cache, &ledgers);
+        self.replace_evicted(capacity, cache, plan, &ledgers);
+        self.decide_drains(capacity, cache, plan, &drains, &ledgers);
         self.watch(cache, &ledgers);
     }
 
     fn decide_drains(
         &mut self,
-        outlook: &CapacityOutlook<'_>,
+        capacity: &CapacityView<'_>,
         cache: &WatchCache,
         plan: &mut Plan,
         drains: &BTreeMap<DrainId, DrainRecord>,
@@ -375,7 +375,7 @@
         let draining = &*draining;
         let budgets = budgets(&draining.settings, cache);
         let settings = draining.settings.clone();
-        let usable = self.usable_machines(outlook.now, outlook.provisioner);
+        let usable = self.usable_machines(capacity.now, capacity.provisioner);
         let expecting: HashSet<&MachineId> = self
             .block_states
             .values()
@@ -385,11 +385,11 @@
         let machines = machine_views(
             cache,
             |id| usable.contains(id),
-            |id| outlook.provisioner.is_failed(id),
+            |id| capacity.provisioner.is_failed(id),
             |id| expecting.contains(id),
         );
-        let running = self.running_attempts(outlook.now, cache, &usable);
-        let leader = outlook.leader;
+        let running = self.running_attempts(capacity.now, cache, &usable);
+        let leader = capacity.leader;
         let limits = &leader.config.state_limits;
         let bounds = Bounds {
             step: settings.step,
@@ -401,7 +401,7 @@
         // Room for replacements is only kept while the plan is made: what is decided is taken up below.
         let mut fleet = FleetView {
             scheduler: self,
-            outlook,
+            capacity,
             cache,
             plan,
             machines,
@@ -417,7 +417,7 @@
             bounds,
             fleet: &mut fleet,
         };
-        let decided = planner.handle(outlook.now, event);
+        let decided = planner.handle(capacity.now, event);
         let unplaced = std::mem::take(&mut fleet.unplaced);
         if let Some(draining) = &mut self.draining {
             draining.planner = planner;
@@ -425,7 +425,7 @@
         }
         for task in unplaced {
             count_unplaced(
-                outlook,
+                capacity,
                 cache,
                 plan,
                 task,
--- a/src/scheduler/draining/replacement.rs
+++ b/src/scheduler/draining/replacement.rs
@@ -6,7 +6,7 @@
 use dappleshore_drain::{Ledger, Subject};
 use tracing::info;
 
-use super::super::capacity_outlook::CapacityOutlook;
+use super::super::capacity_view::CapacityView;
 use super::super::waiting::{WaitingJob, allows_task_in_zone};
 use super::super::{Plan, Scheduler};
 use super::fleet_view::{attempts_of, gang_waiting, no_room};
@@ -86,7 +86,7 @@
     /// room is kept on.
     pub(super) fn replace_evicted(
         &mut self,
-        outlook: &CapacityOutlook<'_>,
+        capacity: &CapacityView<'_>,
         cache: &WatchCache,
         plan: &mut Plan,
         ledgers: &BTreeMap<Team, Ledger>,
@@ -116,9 +116,9 @@
             };
             match subject {
                 Subject::Task(old) => {
-                    self.replace_task(outlook, cache, plan, open, old);
+                    self.replace_task(capacity, cache, plan, open, old);
                 }
-                Subject::Gang { job, .. } => self.replace_gang(outlook, cache, plan, open, job),
+                Subject::Gang { job, .. } => self.replace_gang(capacity, cache, plan, open, job),
             }
         }
         self.keep_proposed_room(cache, plan);
@@ -126,7 +126,7 @@
         let unplaced = without_room.filter(|(_, reason)| **reason == NoRoom::Yet);
         for (task, _) in unplaced {
             count_unplaced(
-                outlook,
+                capacity,
                 cache,
                 plan,
                 *task,
@@ -152,7 +152,7 @@
 
     fn replace_task(
         &mut self,
-        outlook: &CapacityOutlook<'_>,
+        capacity: &CapacityView<'_>,
         cache: &WatchCache,
         plan: &mut Plan,
         open: &OpenJob,
@@ -186,15 +186,15 @@
         };
         let Some(machine) = machine else {
             draining.reserved.remove(&task);
-            let reason = no_room(outlook, &open.job, &zones);
+            let reason = no_room(capacity, &open.job, &zones);
             draining.without_room.insert(task, reason);
             return;
         };
         draining.reserved.insert(task, machine.clone());
         let gone = attempts_of(cache, task).next().is_none();
-        let within_limit = plan.usage.within_limit(outlook.leader.config, &open.job);
-        if gone && within_limit && !self.failures.backs_off(outlook.now, task.job) {
-            self.release_replacement(outlook.now, cache, plan, open, task, &machine);
+        let within_limit = plan.usage.within_limit(capacity.leader.config, &open.job);
+        if gone && within_limit && !self.failures.backs_off(capacity.now, task.job) {
+            self.release_replacement(capacity.now, cache, plan, open, task, &machine);
         }
     }
 
@@ -229,7 +229,7 @@
 
     fn replace_gang(
         &mut self,
-        outlook: &CapacityOutlook<'_>,
+        capacity: &CapacityView<'_>,
         cache: &WatchCache,
         plan: &mut Plan,
         open: &OpenJob,
@@ -272,9 +272,9 @@
         }
         let within = plan
             .usage
-            .room_within_limit(outlook.leader.config, &open.job);
+            .room_within_limit(capacity.leader.config, &open.job);
         if placed.is_empty() && within >= u64::from(open.job.tasks) {
-            self.release_gang_replacement(outlook.now, cache, plan, open, job, &machines);
+            self.release_gang_replacement(capacity.now, cache, plan, open, job, &machines);
         }
     }
 
@@ -311,7 +311,7 @@
 /// Counts a task for which no machine has room as waiting, so that the rule orders one. Where it may go only to some
 /// zones, one of those.
 pub(super) fn count_unplaced(
-    outlook: &CapacityOutlook<'_>,
+    capacity: &CapacityView<'_>,
     cache: &WatchCache,
     plan: &mut Plan,
     task: TaskId,
@@ -324,8 +324,8 @@
         tasks_per_zone: zones.clone(),
         ..gang_waiting(task.job, open)
     };
-    let pinned = outlook.pinned(&waiting);
-    let cheapest = outlook.cheapest(&open.job, &plan.demand, pinned.as_ref(), f64::INFINITY);
+    let pinned = capacity.pinned_zone(&waiting);
+    let cheapest = capacity.cheapest_pool(&open.job, &plan.demand, pinned.as_ref(), f64::INFINITY);
     let Some((pool, share)) = cheapest else {
         return;
     };
--- a/src/scheduler/mod.rs
+++ b/src/scheduler/mod.rs
@@ -5,7 +5,7 @@
 
 mod best_effort;
 mod block_state;
-mod capacity_outlook;
+mod capacity_view;
 mod completion_compaction;
 mod demand;
 pub mod draining;
@@ -37,7 +37,7 @@
 use crate::store::{StoreRequest, StoreResponse, Transaction, WatchCache, Writer};
 use best_effort::BestEffortPlacement;
 use block_state::BlockState;
-use capacity_outlook::CapacityOutlook;
+use capacity_view::CapacityView;
 use demand::Present;
 use draining::DrainCoordinator;
 use failures::Failures;
@@ -454,7 +454,7 @@
         } = *leader;
         self.reconcile(now, cache);
         self.stop_incomplete_gangs(now, cache);
-        let outlook = CapacityOutlook {
+        let capacity = CapacityView {
             now,
             leader,
             provisioner,
@@ -464,7 +464,7 @@
             usage,
             guaranteed,
             demand,
-        } = self.present(&outlook, cache);
+        } = self.present(&capacity, cache);
         let candidates = self.candidates(now, cache, catalog, provisioner);
         let best_effort = BestEffortPlacement::new(
             leader,
@@ -489,7 +489,7 @@
                 .values()
                 .all(|lease| lease.value.term == self.term);
         if complete {
-            self.plan_drains(&outlook, cache, &mut plan);
+            self.plan_drains(&capacity, cache, &mut plan);
         }
         let mut queue = self.waiting_jobs(now, cache);
         self.count_waiting(&queue);
@@ -498,7 +498,7 @@
             let mut releases = ReleaseContext::new(now, leader, cache, best_effort);
             self.release_waiting_tasks(&mut releases, &mut queue, &mut plan);
         }
-        demand::count_waiting(&outlook, &queue, &mut plan.usage, &mut plan.demand);
+        demand::count_waiting(&capacity, &queue, &mut plan.usage, &mut plan.demand);
         plan.demand
     }
 
