--- a/src/scheduler/draining/replacement.rs
+++ b/src/scheduler/draining/replacement.rs
@@ -193,7 +193,7 @@
         draining.reserved.insert(task, machine.clone());
         let gone = attempts_of(cache, task).next().is_none();
         let within_limit = plan.usage.within_limit(capacity.leader.config, &open.job);
-        if gone && within_limit && !self.failures.backs_off(capacity.now, task.job) {
+        if gone && within_limit && !self.failures.is_backing_off(capacity.now, task.job) {
             self.release_replacement(capacity.now, cache, plan, open, task, &machine);
         }
     }
--- a/src/scheduler/failures.rs
+++ b/src/scheduler/failures.rs
@@ -93,7 +93,7 @@
     }
 
     /// Whether the job should wait before it is tried again.
-    pub(super) fn backs_off(&self, now: Now, job: JobId) -> bool {
+    pub(super) fn is_backing_off(&self, now: Now, job: JobId) -> bool {
         self.jobs
             .get(&job)
             .and_then(|failures| failures.retry_at)
--- a/src/scheduler/failures/tests.rs
+++ b/src/scheduler/failures/tests.rs
@@ -51,7 +51,7 @@
     let mut failures = Failures::default();
     failures.observe(now, &status("m-1", &[(1, 2)]), None);
     assert!(
-        !failures.keeps_failing(JobId(1)) && !failures.backs_off(now, JobId(1)),
+        !failures.keeps_failing(JobId(1)) && !failures.is_backing_off(now, JobId(1)),
         "may be bad luck"
     );
     // Told again, as it is until the leader is known to have heard: nothing new.
@@ -67,14 +67,14 @@
         let before = status("m-1", &[(1, count - 1)]);
         failures.observe(at, &status("m-1", &[(1, count)]), Some(&before));
         let wait = (0..60)
-            .find(|seconds| !failures.backs_off(later(at, *seconds), JobId(1)))
+            .find(|seconds| !failures.is_backing_off(later(at, *seconds), JobId(1)))
             .expect("ends");
         waits.push(wait);
         at = later(at, wait);
     }
     assert_eq!(waits, [1, 2, 4, 8, 16, 20, 20]);
     failures.succeeded(JobId(1));
-    assert!(!failures.keeps_failing(JobId(1)) && !failures.backs_off(at, JobId(1)));
+    assert!(!failures.keeps_failing(JobId(1)) && !failures.is_backing_off(at, JobId(1)));
 }
 
 /// A hundred tasks of a job that began together fail together: that is no reason to wait for as long as after a hundred
@@ -85,7 +85,7 @@
     let mut failures = Failures::default();
     failures.observe(now, &status("m-1", &[(1, 3)]), None);
     failures.observe(now, &status("m-2", &[(1, 50)]), None);
-    assert!(!failures.backs_off(later(now, 1), JobId(1)));
+    assert!(!failures.is_backing_off(later(now, 1), JobId(1)));
 }
 
 /// Two jobs with a mistake each ran on the same machines, which would then have looked faulty one after the other.
--- a/src/scheduler/waiting.rs
+++ b/src/scheduler/waiting.rs
@@ -107,7 +107,7 @@
         }
         let mut queue = Vec::new();
         for (id, open) in &cache.open {
-            if open.cancelled || self.failures.backs_off(now, *id) {
+            if open.cancelled || self.failures.is_backing_off(now, *id) {
                 continue;
             }
             // Most jobs have all their tasks somewhere: they need no closer look.
