--- a/src/scheduler/demand.rs
+++ b/src/scheduler/demand.rs
@@ -123,7 +123,7 @@
         groups[index].3 += waiting.pending_tasks;
     }
     for (job, pinned, limit, left) in groups {
-        let mut left = left.min(usage.room_within_limit(capacity.leader.config, job));
+        let mut left = left.min(usage.tasks_within_limit(capacity.leader.config, job));
         // A few tasks at a time, but no more than so many steps: jobs have up to 100,000 tasks.
         let step = left.div_ceil(COUNTING_STEPS).max(1);
         while left > 0 {
--- a/src/scheduler/draining/replacement.rs
+++ b/src/scheduler/draining/replacement.rs
@@ -272,7 +272,7 @@
         }
         let within = plan
             .usage
-            .room_within_limit(capacity.leader.config, &open.job);
+            .tasks_within_limit(capacity.leader.config, &open.job);
         if placed.is_empty() && within >= u64::from(open.job.tasks) {
             self.release_gang_replacement(capacity.now, cache, plan, open, job, &machines);
         }
--- a/src/scheduler/fair_share_order.rs
+++ b/src/scheduler/fair_share_order.rs
@@ -83,7 +83,7 @@
         not_replica: !is_replica(job),
         beyond_guarantee: !usage.within_guarantee(leader.config, job),
         priority: job.priority,
-        team_share: usage.share(limits) / weight,
+        team_share: usage.ratio_to_guarantee(limits) / weight,
         class_share: of_class.cpus + of_class.gpus,
     })
 }
--- a/src/scheduler/gangs.rs
+++ b/src/scheduler/gangs.rs
@@ -81,7 +81,7 @@
         plan: &mut Plan,
     ) -> usize {
         let job = &waiting.open.job;
-        if plan.usage.room_within_limit(leader.config, job) < u64::from(job.tasks) {
+        if plan.usage.tasks_within_limit(leader.config, job) < u64::from(job.tasks) {
             return 0;
         }
         let reserves_capacity = may_reserve_capacity(waiting) && !plan.gang_capacity_reserved;
--- a/src/scheduler/usage.rs
+++ b/src/scheduler/usage.rs
@@ -55,7 +55,7 @@
     }
 
     /// How many more tasks of the job its team's limit allows.
-    pub(super) fn room_within_limit(&self, config: &Config, job: &Job) -> u64 {
+    pub(super) fn tasks_within_limit(&self, config: &Config, job: &Job) -> u64 {
         let Some(limits) = config.team(&job.team) else {
             return 0;
         };
@@ -99,7 +99,7 @@
     }
 
     /// What the team uses for each unit that it is guaranteed.
-    pub(super) fn share(&self, limits: &TeamLimits) -> f64 {
+    pub(super) fn ratio_to_guarantee(&self, limits: &TeamLimits) -> f64 {
         let used = self.of_team(&limits.name);
         used.cpus / limits.cpus.max(1.0) + used.gpus / limits.gpus.max(1.0)
     }
