--- a/src/scheduler/gangs/tests.rs
+++ b/src/scheduler/gangs/tests.rs
@@ -1,6 +1,6 @@
 //! When gangs are released, taken back and over.
 
-use super::super::tests::{Fixture, name};
+use super::super::tests::{Fixture, machine_id};
 use super::*;
 use crate::domain::Job;
 use crate::placement::tests::job;
@@ -49,13 +49,13 @@
 fn all_tasks_are_released_at_once_under_one_number_or_none_is() {
     let mut fixture = Fixture::new(2);
     // Machines have 16 CPUs.
-    fixture.job(1, gang(5, 8.0));
+    fixture.add_job(1, gang(5, 8.0));
     let released = fixture.plan().1;
     assert!(
         released.iter().all(|work| work.assignments.is_empty()),
         "room for four only"
     );
-    fixture.job(2, gang(4, 8.0));
+    fixture.add_job(2, gang(4, 8.0));
     let (_, work) = fixture.plan();
     let attempts: Vec<Attempt> = work[0]
         .assignments
@@ -72,11 +72,11 @@
 fn a_gang_needs_its_team_to_have_room_for_all_of_it() {
     let mut fixture = Fixture::new(6);
     // The team `red` may use 64 CPUs.
-    fixture.job(1, job(1, 16.0));
+    fixture.add_job(1, job(1, 16.0));
     let (_, work) = fixture.plan();
-    fixture.placement(&work[0]);
-    fixture.job(2, gang(4, 16.0));
-    fixture.status(6, work[0].number, &[]);
+    fixture.record_assignments(&work[0]);
+    fixture.add_job(2, gang(4, 16.0));
+    fixture.report_status(6, work[0].number, &[]);
     assert!(
         fixture
             .plan()
@@ -84,7 +84,7 @@
             .iter()
             .all(|work| work.assignments.is_empty())
     );
-    fixture.job(3, gang(3, 16.0));
+    fixture.add_job(3, gang(3, 16.0));
     let released: usize = fixture
         .plan()
         .1
@@ -98,11 +98,11 @@
 #[test]
 fn what_is_left_of_a_gang_that_lost_a_task_is_stopped_before_it_starts_anew() {
     let mut fixture = Fixture::new(3);
-    fixture.job(1, gang(3, 16.0));
+    fixture.add_job(1, gang(3, 16.0));
     let (_, work) = fixture.plan();
     let first = work[0].assignments[0].attempt.gang_start();
-    fixture.placement(&work[0]);
-    fixture.status(3, work[0].number, &[]);
+    fixture.record_assignments(&work[0]);
+    fixture.report_status(3, work[0].number, &[]);
     assert_eq!(
         fixture
             .plan()
@@ -118,7 +118,7 @@
     let lost = work[0].assignments[1].clone();
     assert!(placements.remove(&lost.machine, lost.attempt));
     fixture.put(placements_key(&block), encode(&placements));
-    fixture.status(3, work[0].number, &[]);
+    fixture.report_status(3, work[0].number, &[]);
     let (_, stopping) = fixture.plan();
     let stopped: Vec<Attempt> = stopping.iter().flat_map(|work| work.stop.clone()).collect();
     assert_eq!(stopped.len(), 2);
@@ -127,7 +127,7 @@
         "not before they are gone"
     );
     fixture.put(placements_key(&block), encode(&BlockPlacements::default()));
-    fixture.status(3, stopping[0].number, &[]);
+    fixture.report_status(3, stopping[0].number, &[]);
     let (_, anew) = fixture.plan();
     let assignments: Vec<_> = anew.iter().flat_map(|work| &work.assignments).collect();
     assert_eq!(assignments.len(), 3);
@@ -141,9 +141,9 @@
 #[test]
 fn one_task_done_ends_the_whole_gang() {
     let mut fixture = Fixture::new(3);
-    fixture.job(1, gang(3, 16.0));
+    fixture.add_job(1, gang(3, 16.0));
     let (_, work) = fixture.plan();
-    fixture.placement(&work[0]);
+    fixture.record_assignments(&work[0]);
     let block: BlockId = "a.0".into();
     let mut placements = fixture.cache.placements[&block].value.clone();
     let done = work[0].assignments[1].clone();
@@ -154,7 +154,7 @@
         .or_default()
         .insert(done.attempt.task.index);
     fixture.put(placements_key(&block), encode(&placements));
-    fixture.status(3, work[0].number, &[]);
+    fixture.report_status(3, work[0].number, &[]);
     let (_, messages) = fixture.plan();
     assert!(
         messages
@@ -169,20 +169,20 @@
 #[test]
 fn a_gang_that_has_waited_keeps_the_room_that_there_is() {
     let mut fixture = Fixture::new(2);
-    fixture.job(1, job(1, 16.0));
+    fixture.add_job(1, job(1, 16.0));
     let (_, work) = fixture.plan();
-    fixture.placement(&work[0]);
+    fixture.record_assignments(&work[0]);
     let waited = u64::try_from(KEEP_ROOM_AFTER.as_millis()).expect("short") + 1;
     let accepted_ms = fixture.now.unix_ms() - waited;
-    fixture.job(
+    fixture.add_job(
         2,
         Job {
             accepted_ms,
             ..gang(2, 16.0)
         },
     );
-    fixture.job(3, job(1, 4.0));
-    fixture.status(2, work[0].number, &[]);
+    fixture.add_job(3, job(1, 4.0));
+    fixture.report_status(2, work[0].number, &[]);
     assert!(
         fixture
             .plan()
@@ -192,5 +192,10 @@
     );
     let gone = JobRecord::Cancelled(gang(2, 16.0), 0);
     fixture.put(job_key(JobId(2)), encode(&gone));
-    assert_eq!(fixture.plan().1[0].assignments.len(), 1, "{}", name(0));
+    assert_eq!(
+        fixture.plan().1[0].assignments.len(),
+        1,
+        "{}",
+        machine_id(0)
+    );
 }
--- a/src/scheduler/tests.rs
+++ b/src/scheduler/tests.rs
@@ -59,7 +59,7 @@
         fixture.put(block_lease_key(&"a.0".into()), encode(&lease));
         fixture.inventory(0..machines);
         fixture.plan();
-        fixture.status(machines, 0, &[]);
+        fixture.report_status(machines, 0, &[]);
         fixture
     }
 
@@ -80,7 +80,7 @@
             state: MachineState::InService,
             rented_s: 0,
         };
-        let on = machines.map(|n| (name(n), entry())).collect();
+        let on = machines.map(|n| (machine_id(n), entry())).collect();
         self.put(
             inventory_key(&"a.0".into()),
             encode(&MachineInventory {
@@ -91,14 +91,19 @@
     }
 
     /// Accepted just now, unless it says when.
-    pub(super) fn job(&mut self, id: u64, mut job: Job) {
+    pub(super) fn add_job(&mut self, id: u64, mut job: Job) {
         if job.accepted_ms == 0 {
             job.accepted_ms = self.now.unix_ms();
         }
         self.put(job_key(JobId(id)), encode(&JobRecord::Open(job)));
     }
 
-    pub(super) fn status(&mut self, machines: u32, last_assignment_update: u64, pending: &[u64]) {
+    pub(super) fn report_status(
+        &mut self,
+        machines: u32,
+        last_assignment_update: u64,
+        pending: &[u64],
+    ) {
         let lease = &self.cache.block_leases[&BlockId::from("a.0")];
         let status = BlockStatus {
             block: "a.0".into(),
@@ -119,7 +124,7 @@
             number: self.version * 1000 + last_assignment_update + 1,
             machines: (0..machines)
                 .map(|n| MachineStatus {
-                    machine: name(n),
+                    machine: machine_id(n),
                     usable: true,
                     seen: true,
                     silent: false,
@@ -177,7 +182,7 @@
     }
 
     /// Everything that is wanted is placed where the leader meant it.
-    pub(super) fn placement(&mut self, work: &AssignmentUpdate) {
+    pub(super) fn record_assignments(&mut self, work: &AssignmentUpdate) {
         let mut placements = self
             .cache
             .placements
@@ -206,7 +211,7 @@
     }
 }
 
-pub(super) fn name(n: u32) -> MachineId {
+pub(super) fn machine_id(n: u32) -> MachineId {
     format!("m-{n:06}").as_str().into()
 }
 
@@ -215,20 +220,20 @@
 #[test]
 fn a_release_counts_until_its_holder_has_let_go_of_it() {
     let mut fixture = Fixture::new(2);
-    fixture.job(1, job(1, 4.0));
+    fixture.add_job(1, job(1, 4.0));
     let (_, work) = fixture.plan();
     let [wanted] = work[0].assignments.as_slice() else {
         panic!("{work:?}")
     };
     let number = wanted.attempt.number;
     // The machine it was meant for goes.
-    fixture.inventory(if wanted.machine == name(0) {
+    fixture.inventory(if wanted.machine == machine_id(0) {
         1..2
     } else {
         0..1
     });
     for (last_assignment_update, pending) in [(0, vec![]), (work[0].number, vec![number])] {
-        fixture.status(2, last_assignment_update, &pending);
+        fixture.report_status(2, last_assignment_update, &pending);
         assert!(
             fixture
                 .plan()
@@ -238,7 +243,7 @@
         );
     }
     // Heard, and neither pending nor placed: now it is free.
-    fixture.status(2, work[0].number, &[]);
+    fixture.report_status(2, work[0].number, &[]);
     fixture.plan();
     let (_, work) = fixture.plan();
     assert!(
@@ -252,12 +257,12 @@
 #[test]
 fn the_room_of_a_task_that_has_ended_is_given_away_before_its_record_is_written() {
     let mut fixture = Fixture::new(1);
-    fixture.job(1, job(1, 16.0));
+    fixture.add_job(1, job(1, 16.0));
     let (_, work) = fixture.plan();
     let number = work[0].assignments[0].attempt.number;
-    fixture.placement(&work[0]);
-    fixture.job(2, job(1, 16.0));
-    fixture.status(1, work[0].number, &[]);
+    fixture.record_assignments(&work[0]);
+    fixture.add_job(2, job(1, 16.0));
+    fixture.report_status(1, work[0].number, &[]);
     let wanted = |fixture: &mut Fixture| {
         fixture
             .plan()
@@ -301,7 +306,7 @@
         fixture.scheduler.misrouted.clear();
         fixture
             .scheduler
-            .record_misrouted(fixture.now, (0..misrouted).map(name).collect());
+            .record_misrouted(fixture.now, (0..misrouted).map(machine_id).collect());
         let isolated_holders =
             fixture
                 .scheduler
@@ -338,11 +343,11 @@
             accepted_ms,
             ..job(1, 1.0)
         };
-        fixture.job(1, job(100, accepted_ms - 1000));
+        fixture.add_job(1, job(100, accepted_ms - 1000));
         let (_, work) = fixture.plan();
-        fixture.placement(&work[0]);
-        fixture.status(1, work[0].number, &[]);
-        fixture.job(2, job(100, accepted_ms));
+        fixture.record_assignments(&work[0]);
+        fixture.report_status(1, work[0].number, &[]);
+        fixture.add_job(2, job(100, accepted_ms));
         // Four tasks end: room for as many.
         let placed = fixture.cache.placements[&BlockId::from("a.0")]
             .value
@@ -377,7 +382,7 @@
 fn a_team_gets_no_more_than_its_limit_however_large_its_job() {
     let mut fixture = Fixture::new(30);
     // 48 CPUs at most: see the sample settings.
-    fixture.job(
+    fixture.add_job(
         1,
         Job {
             team: "blue".into(),
@@ -394,8 +399,8 @@
         let room: f64 = demand.machines.values().sum();
         assert!(room <= 3.0 + 1e-6, "{room} machines for 48 CPUs");
         for work in &work {
-            fixture.placement(work);
-            fixture.status(30, work.number, &[]);
+            fixture.record_assignments(work);
+            fixture.report_status(30, work.number, &[]);
         }
     }
     assert_eq!(placed, 96);
@@ -404,11 +409,11 @@
 #[test]
 fn a_block_is_given_no_more_than_its_value_holds() {
     let mut fixture = Fixture::new(3);
-    fixture.job(1, job(100_000, 0.0));
+    fixture.add_job(1, job(100_000, 0.0));
     for _ in 0..30 {
         for work in fixture.plan().1 {
-            fixture.placement(&work);
-            fixture.status(3, work.number, &[]);
+            fixture.record_assignments(&work);
+            fixture.report_status(3, work.number, &[]);
         }
     }
     let placements = &fixture.cache.placements[&BlockId::from("a.0")];
@@ -421,11 +426,11 @@
 fn preemption_follows_priority_and_guarantee_without_going_in_circles() {
     let stops = |waiting: Job, running: Job, tasks: u32| {
         let mut fixture = Fixture::new(2);
-        fixture.job(1, Job { tasks, ..running });
+        fixture.add_job(1, Job { tasks, ..running });
         let (_, work) = fixture.plan();
-        fixture.placement(&work[0]);
-        fixture.status(2, work[0].number, &[]);
-        fixture.job(2, waiting);
+        fixture.record_assignments(&work[0]);
+        fixture.report_status(2, work[0].number, &[]);
+        fixture.add_job(2, waiting);
         let (_, work) = fixture.plan();
         work.iter().map(|work| work.stop.len()).sum::<usize>()
     };
@@ -487,7 +492,7 @@
         priority: Priority::Low,
         ..job(100, 4.0)
     };
-    fixture.job(
+    fixture.add_job(
         1,
         Job {
             team: "red".into(),
@@ -495,9 +500,9 @@
         },
     );
     let work = fixture.plan().1;
-    fixture.placement(&work[0]);
-    fixture.status(1, work[0].number, &[]);
-    fixture.job(
+    fixture.record_assignments(&work[0]);
+    fixture.report_status(1, work[0].number, &[]);
+    fixture.add_job(
         2,
         Job {
             team: "blue".into(),
@@ -509,7 +514,7 @@
     assert_eq!(stop.len(), 4);
     let release = work[0].assignments[0].attempt;
     let refuse = |fixture: &mut Fixture| {
-        fixture.status(1, work[0].number, &[release.number]);
+        fixture.report_status(1, work[0].number, &[release.number]);
         let block_state = fixture
             .scheduler
             .block_states
@@ -558,7 +563,7 @@
 #[test]
 fn a_release_does_not_wait_for_preempted_tasks_for_ever() {
     let mut fixture = Fixture::new(1);
-    fixture.job(
+    fixture.add_job(
         1,
         Job {
             team: "red".into(),
@@ -567,9 +572,9 @@
         },
     );
     let work = fixture.plan().1;
-    fixture.placement(&work[0]);
-    fixture.status(1, work[0].number, &[]);
-    fixture.job(
+    fixture.record_assignments(&work[0]);
+    fixture.report_status(1, work[0].number, &[]);
+    fixture.add_job(
         2,
         Job {
             team: "blue".into(),
@@ -581,7 +586,7 @@
     let withdrawn = |fixture: &mut Fixture, after: u64| {
         fixture.now.monotonic += Duration::from_secs(after);
         fixture.version += 1;
-        fixture.status(1, work[0].number, &[number]);
+        fixture.report_status(1, work[0].number, &[number]);
         fixture.plan();
         fixture.scheduler.block_states[&BlockId::from("a.0")].releases[&number].withdrawn
     };
@@ -610,7 +615,7 @@
             spot: true,
             ..job(10, 1.0)
         };
-        fixture.job(1, low);
+        fixture.add_job(1, low);
         let mut placements = BlockPlacements::default();
         for index in 0..done {
             placements.done.entry(JobId(1)).or_default().insert(index);
@@ -620,7 +625,7 @@
                 job: JobId(1),
                 index: done,
             };
-            placements.add(&name(0), Attempt { task, number: 1 });
+            placements.add(&machine_id(0), Attempt { task, number: 1 });
         }
         fixture.put(placements_key(&"a.0".into()), encode(&placements));
         fixture.now.wall += waited;
