--- a/src/controller/leader_round.rs
+++ b/src/controller/leader_round.rs
@@ -206,7 +206,7 @@
                 lease.is_some_and(|lease| cancellations.holder_is_alive(now, &lease.value))
             };
             scheduler
-                .proven_gone(block, attempt)
+                .is_proven_ended(block, attempt)
                 .unwrap_or_else(holder_is_alive)
         };
         provisioner.observe(
@@ -258,7 +258,7 @@
         let request = scheduler.next_drain_transaction(now, &self.context, self.cache);
         let tag = StoreTag::Draining(term);
         self.output.write(WritePriority::Placement, tag, request);
-        let request = scheduler.write(now, &self.context, self.cache);
+        let request = scheduler.next_transaction(now, &self.context, self.cache);
         let tag = StoreTag::Scheduler(term);
         self.output
             .write(WritePriority::JobCompletion, tag, request);
--- a/src/controller/store_responses.rs
+++ b/src/controller/store_responses.rs
@@ -80,7 +80,7 @@
             }
             StoreTag::Scheduler(term) => {
                 if let Some(state) = self.leader_state_of(term) {
-                    state.scheduler.answered(now, &outcome);
+                    state.scheduler.handle_store_response(now, &outcome);
                 }
             }
             StoreTag::Draining(term) => {
--- a/src/scheduler/mod.rs
+++ b/src/scheduler/mod.rs
@@ -173,7 +173,7 @@
     }
 
     /// Whether a placed attempt's holder has proven it gone. None: it has not spoken under its present block lease.
-    pub fn proven_gone(&self, block: &BlockId, attempt: &Attempt) -> Option<bool> {
+    pub fn is_proven_ended(&self, block: &BlockId, attempt: &Attempt) -> Option<bool> {
         let (status, _) = self.block_states.get(block)?.status.as_ref()?;
         Some(status.ended.contains(&attempt.number))
     }
@@ -512,7 +512,7 @@
     }
 
     /// The next write: jobs that are over, and progress to be compacted.
-    pub fn write(
+    pub fn next_transaction(
         &mut self,
         now: Now,
         leader: &LeaderContext<'_>,
@@ -573,7 +573,7 @@
             .any(|release| release.attempt.task.job == job)
     }
 
-    pub fn answered(&mut self, now: Now, outcome: &StoreResponse) {
+    pub fn handle_store_response(&mut self, now: Now, outcome: &StoreResponse) {
         self.writer.answered(now, outcome);
     }
 
--- a/src/scheduler/tests.rs
+++ b/src/scheduler/tests.rs
@@ -170,7 +170,8 @@
         } = self;
         let leader = lead_of(config, policy, catalog);
         scheduler.writer = Writer::Idle;
-        let Some(StoreRequest::Commit(txn)) = scheduler.write(self.now, &leader, cache) else {
+        let Some(StoreRequest::Commit(txn)) = scheduler.next_transaction(self.now, &leader, cache)
+        else {
             return Vec::new();
         };
         let keys = txn.conditions.iter().map(|(key, _)| key);
