--- a/src/controller/dispatcher.rs
+++ b/src/controller/dispatcher.rs
@@ -55,20 +55,20 @@
                 id,
                 healthy: self.healthy(now),
             }),
-            Event::Operate { id, request } => {
+            Event::OperatorRequest { id, request } => {
                 let reply = self.operations.ask(now, id, request);
                 effects.extend(reply.map(|reply| Effect::RespondToOperator { id, reply }));
             }
             Event::Heartbeat { id, heartbeat } => {
                 self.handle_worker_heartbeat(now, id, heartbeat, effects);
             }
-            Event::Store { tag, sent, outcome } => {
+            Event::StoreResponse { tag, sent, outcome } => {
                 self.handle_store_response(now, tag, sent, outcome, effects);
             }
-            Event::Commanded {
+            Event::CommandCompleted {
                 block,
                 machine,
-                body,
+                commands: body,
                 outcome,
             } => {
                 self.worker_fleet.apply_command_outcome(
@@ -90,7 +90,7 @@
     fn advance(&mut self, now: Now, effects: &mut Vec<Effect>) {
         let format = self.cache.format();
         if format > FORMAT {
-            effects.push(Effect::Unsupported { format });
+            effects.push(Effect::UnsupportedFormat { format });
             return;
         }
         self.adopt_record_format(now);
@@ -132,7 +132,11 @@
     /// Sends the queued requests that the rate allows.
     pub(super) fn send_store_requests(&mut self, now: Now, effects: &mut Vec<Effect>) {
         let ready = self.rate_limiter.take_ready(now);
-        effects.extend(ready.into_iter().map(|(tag, op)| Effect::Store { tag, op }));
+        effects.extend(
+            ready
+                .into_iter()
+                .map(|(tag, op)| Effect::Store { tag, request: op }),
+        );
     }
 
     /// Takes up the format to which the records were switched. From then on the limits to come count as well as the
@@ -154,8 +158,8 @@
         if self.catalog.due(now) {
             effects.push(Effect::Cloud {
                 tag: provisioning::CloudRequestPurpose::RefreshCatalog,
-                call: CloudRequest::ListInstanceTypes,
-                until: None,
+                request: CloudRequest::ListInstanceTypes,
+                authority_until: None,
             });
         }
     }
@@ -190,8 +194,8 @@
         );
         effects.extend(request.map(|(tag, call)| Effect::Cloud {
             tag,
-            call,
-            until: None,
+            request: call,
+            authority_until: None,
         }));
     }
 }
--- a/src/controller/events.rs
+++ b/src/controller/events.rs
@@ -79,7 +79,7 @@
         id: RequestId,
     },
     /// An operator sends a request.
-    Operate {
+    OperatorRequest {
         /// Names the request in its response.
         id: RequestId,
         /// The request.
@@ -93,7 +93,7 @@
         heartbeat: Heartbeat,
     },
     /// The state service has responded, or has not in time.
-    Store {
+    StoreResponse {
         /// The tag of the request.
         tag: StoreTag,
         /// When the request was sent.
@@ -102,13 +102,13 @@
         outcome: StoreResponse,
     },
     /// A worker has answered a direct command, or has not in time.
-    Commanded {
+    CommandCompleted {
         /// The block of the worker's machine.
         block: BlockId,
         /// The worker's machine.
         machine: MachineId,
         /// The commands that were sent.
-        body: WorkerCommands,
+        commands: WorkerCommands,
         /// What became of them.
         outcome: CommandOutcome,
     },
@@ -125,7 +125,7 @@
 
 /// What a controller asks whoever runs it to do.
 ///
-/// `until`: the end of the authority under which it was decided. The sender compares it with the clock once more; without
+/// `authority_until`: the end of the authority under which it was decided. The sender compares it with the clock once more; without
 /// one no authority is needed.
 #[derive(Debug)]
 pub enum Effect {
@@ -134,23 +134,23 @@
         /// Comes back with the response.
         tag: StoreTag,
         /// The request.
-        op: StoreRequest,
+        request: StoreRequest,
     },
     /// Send commands to a worker.
     Command {
         /// The commands and where they go.
         command: DirectCommand,
         /// The end of the authority.
-        until: Option<Instant>,
+        authority_until: Option<Instant>,
     },
     /// Send a request to the cloud.
     Cloud {
         /// Comes back with the response.
         tag: provisioning::CloudRequestPurpose,
         /// The request.
-        call: CloudRequest,
+        request: CloudRequest,
         /// The end of the authority.
-        until: Option<Instant>,
+        authority_until: Option<Instant>,
     },
     /// Send a message to another controller.
     Peer {
@@ -171,9 +171,9 @@
         /// The request.
         id: RequestId,
         /// The response.
-        answer: HeartbeatResponse,
+        response: HeartbeatResponse,
         /// The end of the authority.
-        until: Instant,
+        authority_until: Instant,
     },
     /// Respond to a health check.
     RespondToHealthCheck {
@@ -190,7 +190,7 @@
         reply: operator::Reply,
     },
     /// The records are in a format newer than this program knows: the process must end.
-    Unsupported {
+    UnsupportedFormat {
         /// The format of the records.
         format: u32,
     },
--- a/src/controller/leader_round.rs
+++ b/src/controller/leader_round.rs
@@ -303,8 +303,8 @@
                 .into_iter()
                 .map(|(tag, call)| Effect::Cloud {
                     tag,
-                    call,
-                    until: Some(authority_until),
+                    request: call,
+                    authority_until: Some(authority_until),
                 }),
         );
         for write in output.writes {
--- a/src/controller/tests.rs
+++ b/src/controller/tests.rs
@@ -31,7 +31,7 @@
             ..
         } = effect
         {
-            let event = Event::Store {
+            let event = Event::StoreResponse {
                 tag,
                 sent: start.monotonic,
                 outcome: StoreResponse::RangePage {
--- a/src/controller/workers.rs
+++ b/src/controller/workers.rs
@@ -33,7 +33,11 @@
             authorized,
         );
         self.reports.request_status();
-        effects.push(Effect::RespondToWorker { id, answer, until });
+        effects.push(Effect::RespondToWorker {
+            id,
+            response: answer,
+            authority_until: until,
+        });
     }
 
     /// WriteAllowance placements of blocks while the state service's rate allows. Each request is sent before the next one is made
@@ -79,10 +83,9 @@
             self.worker_fleet
                 .prepare_direct_commands(now, &self.config, &self.cache, authorized);
         let until = authorized.then_some(until);
-        effects.extend(
-            commands
-                .into_iter()
-                .map(|command| Effect::Command { command, until }),
-        );
+        effects.extend(commands.into_iter().map(|command| Effect::Command {
+            command,
+            authority_until: until,
+        }));
     }
 }
--- a/src/service/effects.rs
+++ b/src/service/effects.rs
@@ -25,7 +25,11 @@
     pub(super) fn perform(&mut self, effect: Effect) {
         match effect {
             Effect::RespondToUser { id, response } => self.respond_to_user(id, response),
-            Effect::RespondToWorker { id, answer, until } => {
+            Effect::RespondToWorker {
+                id,
+                response: answer,
+                authority_until: until,
+            } => {
                 if let Some(PendingReply::Worker(reply)) = self.pending.remove(&id) {
                     let _ = reply.send((answer, until));
                 }
@@ -40,23 +44,30 @@
                     let _ = pending.send(reply);
                 }
             }
-            Effect::Store { tag, op } => {
+            Effect::Store { tag, request: op } => {
                 let sent = Now::read().monotonic;
                 let request = store::wire::request(&op);
                 self.exchange(&self.client, self.state, request, None, move |reply| {
                     let outcome = store::wire::outcome(&op, reply.as_ref());
-                    Event::Store { tag, sent, outcome }
+                    Event::StoreResponse { tag, sent, outcome }
                 });
             }
-            Effect::Cloud { tag, call, until } => {
+            Effect::Cloud {
+                tag,
+                request: call,
+                authority_until: until,
+            } => {
                 let request = cloud::wire::request(&call);
                 self.exchange(&self.client, self.cloud, request, until, move |reply| {
                     let outcome = cloud::wire::outcome(&call, reply.as_ref());
                     Event::CloudResponse { tag, outcome }
                 });
             }
-            Effect::Command { command, until } => self.send_command(command, until),
-            Effect::Unsupported { format } => self.unsupported_format = Some(format),
+            Effect::Command {
+                command,
+                authority_until: until,
+            } => self.send_command(command, until),
+            Effect::UnsupportedFormat { format } => self.unsupported_format = Some(format),
             Effect::Peer { to, message } => self.send_to_peer(&to, &message),
         }
     }
@@ -151,10 +162,10 @@
 }
 
 fn command_event(command: DirectCommand, outcome: CommandOutcome) -> Event {
-    Event::Commanded {
+    Event::CommandCompleted {
         block: command.block,
         machine: command.machine,
-        body: command.body,
+        commands: command.body,
         outcome,
     }
 }
--- a/src/service/mod.rs
+++ b/src/service/mod.rs
@@ -185,7 +185,7 @@
             ),
             IncomingRequest::Operate(request, reply) => (
                 PendingReply::Operator(reply),
-                Event::Operate { id, request },
+                Event::OperatorRequest { id, request },
             ),
             IncomingRequest::Peer(message) => return self.handle(Event::Peer(message)),
             IncomingRequest::Metrics(reply) => {
--- a/tests/simulation/cluster/controllers.rs
+++ b/tests/simulation/cluster/controllers.rs
@@ -143,7 +143,7 @@
     pub(super) fn effects(&mut self, controller: usize, event: Event) -> Vec<Effect> {
         let now = self.clock(controller);
         let slot = &mut self.slots[controller];
-        slot.commands -= usize::from(matches!(event, Event::Commanded { .. }));
+        slot.commands -= usize::from(matches!(event, Event::CommandCompleted { .. }));
         let Some(machine) = &mut slot.controller else {
             return Vec::new();
         };
--- a/tests/simulation/cluster/machines.rs
+++ b/tests/simulation/cluster/machines.rs
@@ -124,10 +124,10 @@
             } else {
                 CommandOutcome::Rejected(heartbeat)
             };
-            let event = Event::Commanded {
+            let event = Event::CommandCompleted {
                 block: command.block,
                 machine: command.machine,
-                body: command.body,
+                commands: command.body,
                 outcome,
             };
             self.deliver_soon(process, event);
--- a/tests/simulation/cluster/mod.rs
+++ b/tests/simulation/cluster/mod.rs
@@ -366,10 +366,10 @@
         let changes = matches!(request, Request::Start { .. } | Request::Cancel { .. });
         if changes && let Some(late) = copied {
             let request = request.clone();
-            let event = Box::new(Event::Operate { id: 0, request });
+            let event = Box::new(Event::OperatorRequest { id: 0, request });
             self.at(late, ClusterEvent::Repeat { controller, event });
         }
-        self.deliver_soon(process, Event::Operate { id, request });
+        self.deliver_soon(process, Event::OperatorRequest { id, request });
     }
 
     pub fn run_until(&mut self, end: Duration) {
--- a/tests/simulation/cluster/network.rs
+++ b/tests/simulation/cluster/network.rs
@@ -106,19 +106,30 @@
     /// Carries out an effect of a process.
     pub(super) fn perform(&mut self, process: Process, effect: Effect) {
         match effect {
-            Effect::Store { tag, op } => self.send_store_request(process, tag, op),
-            Effect::Command { command, until } => self.send_command(process, command, until),
-            Effect::Cloud { tag, call, until } => {
+            Effect::Store { tag, request: op } => self.send_store_request(process, tag, op),
+            Effect::Command {
+                command,
+                authority_until: until,
+            } => self.send_command(process, command, until),
+            Effect::Cloud {
+                tag,
+                request: call,
+                authority_until: until,
+            } => {
                 self.send_cloud_request(process, tag, call, until);
             }
             Effect::Peer { to, message } => {
                 self.send_peer_message(process.controller, &to, message)
             }
-            Effect::Unsupported { format } => panic!("format {format} is not known"),
+            Effect::UnsupportedFormat { format } => panic!("format {format} is not known"),
             Effect::RespondToUser { id, response } => {
                 self.respond_to_user(process.controller, id, &response);
             }
-            Effect::RespondToWorker { id, answer, until } => {
+            Effect::RespondToWorker {
+                id,
+                response: answer,
+                authority_until: until,
+            } => {
                 self.respond_to_worker(process.controller, id, answer, until);
             }
             Effect::RespondToHealthCheck { .. } => {}
@@ -185,7 +196,7 @@
         tag: StoreTag,
         sent: Instant,
     ) {
-        let unknown = Event::Store {
+        let unknown = Event::StoreResponse {
             tag,
             sent,
             outcome: StoreResponse::Unknown,
@@ -227,10 +238,10 @@
 
     /// The process hears nothing of a command.
     pub(super) fn command_times_out(&mut self, process: Process, command: &DirectCommand) {
-        let unknown = Event::Commanded {
+        let unknown = Event::CommandCompleted {
             block: command.block.clone(),
             machine: command.machine.clone(),
-            body: command.body.clone(),
+            commands: command.body.clone(),
             outcome: CommandOutcome::Unknown,
         };
         self.deliver_at(self.now + COMMAND_TIMEOUT, process, unknown);
--- a/tests/simulation/cluster/store_requests.rs
+++ b/tests/simulation/cluster/store_requests.rs
@@ -79,7 +79,7 @@
             self.wake_watchers();
         }
         if answer {
-            self.deliver_soon(process, Event::Store { tag, sent, outcome });
+            self.deliver_soon(process, Event::StoreResponse { tag, sent, outcome });
         }
     }
 
@@ -107,7 +107,7 @@
             let later = self.now + Duration::from_millis(500);
             if self.now > watcher.until + Duration::from_secs(2) {
                 let watcher = self.watchers.remove(&id).expect("looked up");
-                let event = Event::Store {
+                let event = Event::StoreResponse {
                     tag: watcher.tag,
                     sent: watcher.sent,
                     outcome: StoreResponse::Unknown,
@@ -124,7 +124,7 @@
             revision: self.state.revision,
             changes,
         };
-        let event = Event::Store {
+        let event = Event::StoreResponse {
             tag: watcher.tag,
             sent: watcher.sent,
             outcome,
--- a/tests/simulation/digest.rs
+++ b/tests/simulation/digest.rs
@@ -119,11 +119,17 @@
         self.number(controller as u64);
         self.duration(now);
         match effect {
-            Effect::Store { tag: _, op } => {
+            Effect::Store {
+                tag: _,
+                request: op,
+            } => {
                 self.number(1);
                 self.request(&store::wire::request(op));
             }
-            Effect::Command { command, until } => {
+            Effect::Command {
+                command,
+                authority_until: until,
+            } => {
                 self.number(2);
                 self.field(command.block.0.as_bytes());
                 self.field(command.machine.0.as_bytes());
@@ -133,8 +139,8 @@
             }
             Effect::Cloud {
                 tag: _,
-                call,
-                until,
+                request: call,
+                authority_until: until,
             } => {
                 self.number(3);
                 self.request(&cloud::wire::request(call));
@@ -150,7 +156,11 @@
                 self.number(*id);
                 self.response(response);
             }
-            Effect::RespondToWorker { id, answer, until } => {
+            Effect::RespondToWorker {
+                id,
+                response: answer,
+                authority_until: until,
+            } => {
                 self.number(6);
                 self.number(*id);
                 self.heartbeat_response(answer);
@@ -166,7 +176,7 @@
                 self.number(*id);
                 self.field(&write(reply));
             }
-            Effect::Unsupported { format } => {
+            Effect::UnsupportedFormat { format } => {
                 self.number(9);
                 self.number(u64::from(*format));
             }
