--- a/src/block_leases/assignment.rs
+++ b/src/block_leases/assignment.rs
@@ -198,7 +198,7 @@
         let LeaderContext {
             config,
             term,
-            version: leader_version,
+            record_version: leader_version,
             ..
         } = *self.leader;
         self.changes.truncate(config.state_limits.txn_ops - 1);
--- a/src/block_leases/tests.rs
+++ b/src/block_leases/tests.rs
@@ -72,9 +72,9 @@
             policy: &self.policy,
             catalog: &self.catalog,
             term: Term(1),
-            version: 1,
-            batch: 16,
-            spare: true,
+            record_version: 1,
+            max_changes: 16,
+            has_spare_writes: true,
         };
         for _ in 0..40 {
             self.manager
--- a/src/controller/leader_round.rs
+++ b/src/controller/leader_round.rs
@@ -104,9 +104,9 @@
         policy,
         catalog,
         term: leader.term,
-        version: leader.record_version,
-        batch,
-        spare,
+        record_version: leader.record_version,
+        max_changes: batch,
+        has_spare_writes: spare,
     }
 }
 
--- a/src/leader_context.rs
+++ b/src/leader_context.rs
@@ -17,9 +17,9 @@
     /// The term in which the leader acts.
     pub term: Term,
     /// The leader record's version: the authority of every write.
-    pub version: u64,
+    pub record_version: u64,
     /// The changes that one transaction should not exceed, by the state service's rate.
-    pub batch: usize,
+    pub max_changes: usize,
     /// Whether there are writes to spare just now.
-    pub spare: bool,
+    pub has_spare_writes: bool,
 }
--- a/src/operations/mod.rs
+++ b/src/operations/mod.rs
@@ -250,7 +250,7 @@
             .collect(),
         zones: catalog.zones(config).into_iter().collect(),
         teams: config.teams.iter().map(|team| team.name.clone()).collect(),
-        most_changes: cx.leader.batch,
+        most_changes: cx.leader.max_changes,
         fits: &fits,
     };
     requests::changes(request, &known)
@@ -271,7 +271,7 @@
 }
 
 fn transaction(leader: &LeaderContext<'_>, cache: &WatchCache, changes: &[Change]) -> Transaction {
-    let mut txn = Transaction::default().when(LEADER, leader.version);
+    let mut txn = Transaction::default().when(LEADER, leader.record_version);
     for change in changes {
         let (key, version) = match change {
             Change::PutDrain(id, _) | Change::DeleteDrain(id) => {
--- a/src/provisioning/mod.rs
+++ b/src/provisioning/mod.rs
@@ -185,7 +185,7 @@
             cache,
             demand,
         };
-        let txn = Transaction::default().when(LEADER, leader.version);
+        let txn = Transaction::default().when(LEADER, leader.record_version);
         let txn = divide_inventory(leader, round.cache, demand, &txn)
             .or_else(|| self.record_fulfilled(round, &txn))
             .or_else(|| self.record_terminated(round, &txn))
--- a/src/provisioning/scaling_round.rs
+++ b/src/provisioning/scaling_round.rs
@@ -36,7 +36,12 @@
 impl<'a> Round<'a> {
     /// Edits of as many inventories as the rate of writes allows.
     pub(super) fn batched_edits(self) -> InventoryEdits<'a> {
-        InventoryEdits::with_limit(self.leader, self.cache, self.demand, self.leader.batch)
+        InventoryEdits::with_limit(
+            self.leader,
+            self.cache,
+            self.demand,
+            self.leader.max_changes,
+        )
     }
 }
 
@@ -93,7 +98,7 @@
         let machines = self.machines(cache);
         // One change for each type's rental, the rest for the blocks of machines that are returned.
         let limit = leader
-            .batch
+            .max_changes
             .saturating_sub(leader.catalog.all().count())
             .max(1);
         let mut edits = InventoryEdits::with_limit(leader, cache, round.demand, limit);
@@ -225,7 +230,7 @@
         if !self.available(now, &instance_type.name, &zone, capacity_type)
             && !self
                 .unavailable
-                .try_probe(now, &instance_type.name, leader.spare)
+                .try_probe(now, &instance_type.name, leader.has_spare_writes)
         {
             return None;
         }
--- a/src/provisioning/tests.rs
+++ b/src/provisioning/tests.rs
@@ -44,9 +44,9 @@
             policy: &self.policy,
             catalog: &self.catalog,
             term: Term(1),
-            version: 1,
-            batch,
-            spare: true,
+            record_version: 1,
+            max_changes: batch,
+            has_spare_writes: true,
         }
     }
 }
--- a/src/scheduler/best_effort/tests.rs
+++ b/src/scheduler/best_effort/tests.rs
@@ -86,9 +86,9 @@
             policy,
             catalog: &catalog,
             term: Term(1),
-            version: 1,
-            batch: 16,
-            spare: true,
+            record_version: 1,
+            max_changes: 16,
+            has_spare_writes: true,
         };
         let provisioner = Provisioner::new(now, Term(1));
         let best_effort = BestEffortPlacement::new(
@@ -142,9 +142,9 @@
         policy: &policy,
         catalog: &catalog,
         term: Term(1),
-        version: 1,
-        batch: 16,
-        spare: true,
+        record_version: 1,
+        max_changes: 16,
+        has_spare_writes: true,
     };
     let candidates: Vec<Candidate> = (0..20)
         .map(|n| candidate(&format!("m-{n:02}"), CapacityType::Spot, f64::from(n % 16)))
--- a/src/scheduler/draining/mod.rs
+++ b/src/scheduler/draining/mod.rs
@@ -132,9 +132,9 @@
         leader: &LeaderContext<'_>,
         cache: &WatchCache,
     ) -> Option<Transaction> {
-        let mut txn = Transaction::default().when(LEADER, leader.version);
+        let mut txn = Transaction::default().when(LEADER, leader.record_version);
         let mut drains: BTreeSet<&DrainId> = BTreeSet::new();
-        let most = leader.batch.max(1);
+        let most = leader.max_changes.max(1);
         let upkeep_due = self.upkeep.is_none_or(|at| since(now, at) >= UPKEEP_EVERY);
         for effect in &self.decided {
             if txn.changes.len() >= most {
@@ -396,7 +396,7 @@
             room_timeout: settings.room_timeout_s.duration(),
             replacement_timeout: settings.replacement_timeout_s.duration(),
             ledger_entries: (limits.value_bytes / LEDGER_ENTRY_BYTES).max(1),
-            ledgers_at_once: (leader.batch / 2).max(1),
+            ledgers_at_once: (leader.max_changes / 2).max(1),
         };
         // Room for replacements is only kept while the plan is made: what is decided is taken up below.
         let mut fleet = FleetView {
--- a/src/scheduler/mod.rs
+++ b/src/scheduler/mod.rs
@@ -518,7 +518,8 @@
         leader: &LeaderContext<'_>,
         cache: &mut WatchCache,
     ) -> Option<StoreRequest> {
-        let (config, leader_version, most) = (leader.config, leader.version, leader.batch);
+        let (config, leader_version, most) =
+            (leader.config, leader.record_version, leader.max_changes);
         if !self.writer.ready(now, cache) {
             return None;
         }
--- a/src/scheduler/tests.rs
+++ b/src/scheduler/tests.rs
@@ -206,9 +206,9 @@
         policy,
         catalog,
         term: Term(TERM),
-        version: 1,
-        batch: 16,
-        spare: true,
+        record_version: 1,
+        max_changes: 16,
+        has_spare_writes: true,
     }
 }
 
--- a/src/upgrade/mod.rs
+++ b/src/upgrade/mod.rs
@@ -44,7 +44,7 @@
             return None;
         }
         let mut txn = Transaction::default()
-            .when(LEADER, leader.version)
+            .when(LEADER, leader.record_version)
             .when(FORMAT_KEY, cache.format_version());
         for record in records {
             txn = txn.when(member_key(&record.controller), record.version);
--- a/src/upgrade/tests.rs
+++ b/src/upgrade/tests.rs
@@ -42,9 +42,9 @@
             policy: &policy,
             catalog: &InstanceCatalog::default(),
             term: Term(1),
-            version: 9,
-            batch: 16,
-            spare: true,
+            record_version: 9,
+            max_changes: 16,
+            has_spare_writes: true,
         };
         match upgrade.poll(Now::read(), &leader, &mut self.cache)? {
             StoreRequest::Commit(txn) => Some(txn),
