--- a/src/peer/mod.rs
+++ b/src/peer/mod.rs
@@ -205,15 +205,20 @@
     /// Has shown our token, reports, and is not being taken away.
     pub usable: bool,
     /// Has reported to this holder at all.
-    pub seen: bool,
+    #[serde(rename = "seen")]
+    pub has_reported: bool,
     /// Has sent no heartbeat for too long.
-    pub silent: bool,
+    #[serde(rename = "silent")]
+    pub unresponsive: bool,
     /// The cloud has announced that it takes the machine away.
-    pub notice: bool,
+    #[serde(rename = "notice")]
+    pub termination_notice: bool,
     /// Tasks that failed here one after the other, as far as this holder knows.
-    pub errors: u32,
+    #[serde(rename = "errors")]
+    pub consecutive_failures: u32,
     /// Of which jobs tasks have failed here since one was done.
-    pub failures: Vec<JobFailures>,
+    #[serde(rename = "failures")]
+    pub failures_by_job: Vec<JobFailures>,
     /// The images that are on the machine.
     pub images: Vec<Image>,
 }
--- a/src/peer/tests.rs
+++ b/src/peer/tests.rs
@@ -11,11 +11,11 @@
     MachineStatus {
         machine: format!("m-{n:06}").as_str().into(),
         usable: true,
-        seen: true,
-        silent: false,
-        notice: false,
-        errors: 2,
-        failures: vec![JobFailures {
+        has_reported: true,
+        unresponsive: false,
+        termination_notice: false,
+        consecutive_failures: 2,
+        failures_by_job: vec![JobFailures {
             job: JobId(123_456),
             count: 3,
         }],
@@ -119,7 +119,7 @@
                         && !block.ended.is_empty()
                         && !block.running.is_empty()
                         && block.machines.iter().any(|machine| {
-                            !machine.failures.is_empty() && !machine.images.is_empty()
+                            !machine.failures_by_job.is_empty() && !machine.images.is_empty()
                         })
                 });
                 assert!(full && !status.misrouted.is_empty(), "{name}");
--- a/src/scheduler/block_state.rs
+++ b/src/scheduler/block_state.rs
@@ -126,7 +126,10 @@
             .cloned()
             .collect::<Vec<_>>()
         {
-            let seen = self.machines.get(&id).is_some_and(|status| status.seen);
+            let seen = self
+                .machines
+                .get(&id)
+                .is_some_and(|status| status.has_reported);
             if seen || addresses.contains_key(&id) {
                 self.update_pending |= !seen;
                 self.addressed.insert(id);
@@ -139,7 +142,11 @@
         &self,
         addresses: &HashMap<MachineId, String>,
     ) -> Vec<(MachineId, String)> {
-        let unseen = |id: &&MachineId| self.machines.get(*id).is_none_or(|status| !status.seen);
+        let unseen = |id: &&MachineId| {
+            self.machines
+                .get(*id)
+                .is_none_or(|status| !status.has_reported)
+        };
         let unmet = self.addressed.iter().filter(unseen);
         unmet
             .filter_map(|id| addresses.get(id).map(|addr| (id.clone(), addr.clone())))
--- a/src/scheduler/failures.rs
+++ b/src/scheduler/failures.rs
@@ -43,10 +43,10 @@
         status: &MachineStatus,
         before: Option<&MachineStatus>,
     ) {
-        for failures in &status.failures {
+        for failures in &status.failures_by_job {
             let known = before
                 .into_iter()
-                .flat_map(|before| &before.failures)
+                .flat_map(|before| &before.failures_by_job)
                 .find(|old| old.job == failures.job);
             let more = failures
                 .count
@@ -110,9 +110,9 @@
     /// Whether so many tasks of so many jobs have failed on the machine that it must be faulty.
     pub(super) fn is_faulty(&self, status: &MachineStatus, cache: &WatchCache) -> bool {
         let blames_machine = |job: JobId| !self.fails_elsewhere(job, cache);
-        status.errors >= FAULTY_AFTER
+        status.consecutive_failures >= FAULTY_AFTER
             && status
-                .failures
+                .failures_by_job
                 .iter()
                 .filter(|failures| blames_machine(failures.job))
                 .count()
--- a/src/scheduler/failures/tests.rs
+++ b/src/scheduler/failures/tests.rs
@@ -10,11 +10,11 @@
     MachineStatus {
         machine: machine.into(),
         usable: true,
-        seen: true,
-        silent: false,
-        notice: false,
-        errors: failures.iter().map(|(_, count)| count).sum(),
-        failures: failures
+        has_reported: true,
+        unresponsive: false,
+        termination_notice: false,
+        consecutive_failures: failures.iter().map(|(_, count)| count).sum(),
+        failures_by_job: failures
             .iter()
             .map(|(job, count)| Told {
                 job: JobId(*job),
--- a/src/scheduler/mod.rs
+++ b/src/scheduler/mod.rs
@@ -207,8 +207,8 @@
         self.recent_machine_statuses(now)
             .map(|machine| {
                 let health = MachineHealth {
-                    seen: machine.seen,
-                    silent: machine.silent,
+                    seen: machine.has_reported,
+                    silent: machine.unresponsive,
                     faulty: self.failures.is_faulty(machine, cache),
                     usable: machine.usable,
                     heard_elsewhere: !isolated_holders.is_empty()
--- a/src/scheduler/tests.rs
+++ b/src/scheduler/tests.rs
@@ -126,11 +126,11 @@
                 .map(|n| MachineStatus {
                     machine: machine_id(n),
                     usable: true,
-                    seen: true,
-                    silent: false,
-                    notice: false,
-                    errors: 0,
-                    failures: Vec::new(),
+                    has_reported: true,
+                    unresponsive: false,
+                    termination_notice: false,
+                    consecutive_failures: 0,
+                    failures_by_job: Vec::new(),
                     images: vec!["img".into()],
                 })
                 .collect(),
--- a/src/workers/block/mod.rs
+++ b/src/workers/block/mod.rs
@@ -272,10 +272,9 @@
                 worker.is_unresponsive(now, policy),
                 worker.usable(now, self.token),
             );
-            let unchanged = worker
-                .reported_status
-                .as_ref()
-                .is_some_and(|reported| (reported.status.silent, reported.status.usable) == health);
+            let unchanged = worker.reported_status.as_ref().is_some_and(|reported| {
+                (reported.status.unresponsive, reported.status.usable) == health
+            });
             if !unchanged {
                 self.workers_to_report.insert(id.clone());
             }
--- a/src/workers/block/status.rs
+++ b/src/workers/block/status.rs
@@ -125,11 +125,11 @@
     MachineStatus {
         machine,
         usable: worker.usable(now, token),
-        seen: worker.liveness.has_reported(),
-        silent: worker.is_unresponsive(now, policy),
-        notice: worker.termination_notice,
-        errors: worker.failures.reported_errors(),
-        failures: worker.failures.by_job(),
+        has_reported: worker.liveness.has_reported(),
+        unresponsive: worker.is_unresponsive(now, policy),
+        termination_notice: worker.termination_notice,
+        consecutive_failures: worker.failures.reported_errors(),
+        failures_by_job: worker.failures.by_job(),
         images: worker.images.iter().cloned().collect(),
     }
 }
--- a/src/workers/tests/commands.rs
+++ b/src/workers/tests/commands.rs
@@ -229,7 +229,7 @@
         holder.fleet.prepare_block_statuses(holder.now, &policy)[0]
             .machines
             .iter()
-            .all(|machine| !machine.silent)
+            .all(|machine| !machine.unresponsive)
     );
     let lease_version = holder.fleet.lease_version(&"a.0".into());
     let addresses = vec![("m-1".into(), "10.1.0.1:9000".to_owned())];
--- a/src/workers/tests/liveness.rs
+++ b/src/workers/tests/liveness.rs
@@ -19,7 +19,7 @@
             .machines
             .iter()
             .find(|m| &*m.machine.0 == "m-1")
-            .map(|m| (m.usable, m.silent))
+            .map(|m| (m.usable, m.unresponsive))
     };
     assert_eq!(usable(&mut holder), Some((true, false)));
     let command = holder.commands().remove(0);
@@ -60,7 +60,7 @@
         status
             .machines
             .iter()
-            .filter(|machine| machine.silent)
+            .filter(|machine| machine.unresponsive)
             .count()
     };
     let gap = policy.unheard_after * 2;
@@ -113,7 +113,10 @@
             );
         }
         holder.write();
-        errors.push(holder.fleet.prepare_block_statuses(holder.now, &policy)[0].machines[0].errors);
+        errors.push(
+            holder.fleet.prepare_block_statuses(holder.now, &policy)[0].machines[0]
+                .consecutive_failures,
+        );
     }
     assert_eq!(errors, [1, 2, 2, 4]);
 }
