--- a/src/peer/mod.rs
+++ b/src/peer/mod.rs
@@ -135,7 +135,7 @@
         }];
         let mut items = 0;
         for block in blocks {
-            let more = block.machines.len() + block.pending.len() + block.ended.len();
+            let more = block.machines.len() + block.pending.len() + block.proven_ended.len();
             if items > 0 && items + more > STATUS_ITEMS_PER_MESSAGE {
                 items = 0;
                 messages.push(ControllerStatus {
@@ -171,21 +171,27 @@
     /// here nor in the block's placements of `revision` never will be.
     pub pending: Vec<u64>,
     /// Those of them for which no machine here has room.
-    pub refused: Vec<u64>,
+    #[serde(rename = "refused")]
+    pub unplaceable: Vec<u64>,
     /// Attempts proven gone whose record still stands. The next write removes them, so that what it places may
     /// have their room.
-    pub ended: Vec<u64>,
+    #[serde(rename = "ended")]
+    pub proven_ended: Vec<u64>,
     /// The revision of the state service that the holder's copy of the placements has reached.
-    pub revision: u64,
+    #[serde(rename = "revision")]
+    pub placements_revision: u64,
     /// The token must be renewed: a command of unknown outcome stands in the way.
     #[serde(rename = "wants_new_token")]
     pub token_renewal_required: bool,
     /// Workers that this holder has heard from or could ask.
-    pub expected: u32,
+    #[serde(rename = "expected")]
+    pub expected_workers: u32,
     /// How many of them are overdue.
-    pub overdue: u32,
+    #[serde(rename = "overdue")]
+    pub overdue_workers: u32,
     /// Rises with every message under a block lease. A message that is not newer than the last one is late.
-    pub number: u64,
+    #[serde(rename = "number")]
+    pub sequence_number: u64,
     /// The machines that have changed since the last status that the leader is known to have received.
     pub machines: Vec<MachineStatus>,
     /// The attempts that the leader watches and that were seen to run. Production does not tell.
@@ -241,7 +247,8 @@
     #[serde(rename = "grant_version")]
     pub lease_version: u64,
     /// Rises with every message of a term.
-    pub number: u64,
+    #[serde(rename = "number")]
+    pub sequence_number: u64,
     /// The number of the last status of this block that the leader has processed.
     #[serde(rename = "heard")]
     pub last_status: u64,
@@ -249,12 +256,13 @@
     /// All tasks that are to be placed in the block.
     pub assignments: Vec<Assignment>,
     /// Tasks to be stopped, to make room or to drain a machine.
-    pub stop: Vec<Attempt>,
+    #[serde(rename = "stop")]
+    pub attempts_to_stop: Vec<Attempt>,
     /// Where workers are that this holder has not heard from yet, so that it can raise their token at once.
     pub addresses: Vec<(MachineId, String)>,
     /// Attempts of which the leader needs to know whether they run. Production does not ask.
-    #[serde(default, skip_serializing_if = "Vec::is_empty")]
-    pub watch: Vec<u64>,
+    #[serde(rename = "watch", default, skip_serializing_if = "Vec::is_empty")]
+    pub watched_attempts: Vec<u64>,
 }
 
 /// A task that the leader assigns to a machine.
--- a/src/peer/tests.rs
+++ b/src/peer/tests.rs
@@ -33,13 +33,13 @@
         lease_version: 1 << 30,
         last_assignment_update: 1 << 20,
         pending: (0..150).map(|n| (1 << 50) + n).collect(),
-        refused: Vec::new(),
-        ended: Vec::new(),
-        revision: 1 << 30,
+        unplaceable: Vec::new(),
+        proven_ended: Vec::new(),
+        placements_revision: 1 << 30,
         token_renewal_required: false,
-        expected: machines as u32,
-        overdue: 0,
-        number: 77,
+        expected_workers: machines as u32,
+        overdue_workers: 0,
+        sequence_number: 77,
         machines: (first..first + machines).map(machine).collect(),
         running: Vec::new(),
     }
@@ -115,8 +115,8 @@
             Message::Status(status) => {
                 let full = status.blocks.iter().any(|block| {
                     !block.pending.is_empty()
-                        && !block.refused.is_empty()
-                        && !block.ended.is_empty()
+                        && !block.unplaceable.is_empty()
+                        && !block.proven_ended.is_empty()
                         && !block.running.is_empty()
                         && block.machines.iter().any(|machine| {
                             !machine.failures_by_job.is_empty() && !machine.images.is_empty()
@@ -136,9 +136,9 @@
             Message::AssignmentUpdates(updates) => {
                 let full = updates.iter().any(|update| {
                     !update.assignments.is_empty()
-                        && !update.stop.is_empty()
+                        && !update.attempts_to_stop.is_empty()
                         && !update.addresses.is_empty()
-                        && !update.watch.is_empty()
+                        && !update.watched_attempts.is_empty()
                 });
                 assert!(full, "{name}");
                 "work"
--- a/src/scheduler/block_state.rs
+++ b/src/scheduler/block_state.rs
@@ -207,12 +207,12 @@
             messages.push(AssignmentUpdate {
                 block: block.clone(),
                 lease_version: block_state.lease_version,
-                number,
+                sequence_number: number,
                 last_status: block_state.heard,
                 assignments,
-                stop,
+                attempts_to_stop: stop,
                 addresses: block_state.unseen_addresses(addresses),
-                watch: block_state.watched_attempts.clone(),
+                watched_attempts: block_state.watched_attempts.clone(),
             });
         }
         messages
--- a/src/scheduler/gangs/tests.rs
+++ b/src/scheduler/gangs/tests.rs
@@ -76,7 +76,7 @@
     let (_, work) = fixture.plan();
     fixture.record_assignments(&work[0]);
     fixture.add_job(2, gang(4, 16.0));
-    fixture.report_status(6, work[0].number, &[]);
+    fixture.report_status(6, work[0].sequence_number, &[]);
     assert!(
         fixture
             .plan()
@@ -102,13 +102,13 @@
     let (_, work) = fixture.plan();
     let first = work[0].assignments[0].attempt.gang_start();
     fixture.record_assignments(&work[0]);
-    fixture.report_status(3, work[0].number, &[]);
+    fixture.report_status(3, work[0].sequence_number, &[]);
     assert_eq!(
         fixture
             .plan()
             .1
             .iter()
-            .map(|work| work.stop.len())
+            .map(|work| work.attempts_to_stop.len())
             .sum::<usize>(),
         0
     );
@@ -118,16 +118,19 @@
     let lost = work[0].assignments[1].clone();
     assert!(placements.remove(&lost.machine, lost.attempt));
     fixture.put(placements_key(&block), encode(&placements));
-    fixture.report_status(3, work[0].number, &[]);
+    fixture.report_status(3, work[0].sequence_number, &[]);
     let (_, stopping) = fixture.plan();
-    let stopped: Vec<Attempt> = stopping.iter().flat_map(|work| work.stop.clone()).collect();
+    let stopped: Vec<Attempt> = stopping
+        .iter()
+        .flat_map(|work| work.attempts_to_stop.clone())
+        .collect();
     assert_eq!(stopped.len(), 2);
     assert!(
         stopping.iter().all(|work| work.assignments.is_empty()),
         "not before they are gone"
     );
     fixture.put(placements_key(&block), encode(&BlockPlacements::default()));
-    fixture.report_status(3, stopping[0].number, &[]);
+    fixture.report_status(3, stopping[0].sequence_number, &[]);
     let (_, anew) = fixture.plan();
     let assignments: Vec<_> = anew.iter().flat_map(|work| &work.assignments).collect();
     assert_eq!(assignments.len(), 3);
@@ -154,12 +157,12 @@
         .or_default()
         .insert(done.attempt.task.index);
     fixture.put(placements_key(&block), encode(&placements));
-    fixture.report_status(3, work[0].number, &[]);
+    fixture.report_status(3, work[0].sequence_number, &[]);
     let (_, messages) = fixture.plan();
     assert!(
         messages
             .iter()
-            .all(|work| work.stop.is_empty() && work.assignments.is_empty())
+            .all(|work| work.attempts_to_stop.is_empty() && work.assignments.is_empty())
     );
     let ended = fixture.ended_jobs();
     assert_eq!(ended, [JobId(1)]);
@@ -182,7 +185,7 @@
         },
     );
     fixture.add_job(3, job(1, 4.0));
-    fixture.report_status(2, work[0].number, &[]);
+    fixture.report_status(2, work[0].sequence_number, &[]);
     assert!(
         fixture
             .plan()
--- a/src/scheduler/holder_health.rs
+++ b/src/scheduler/holder_health.rs
@@ -91,8 +91,8 @@
                 .filter(|(_, at)| since(now, *at) < HOLDER_STATUS_TTL);
             if let (Some((status, _)), Some(lease)) = (recent, cache.block_leases.get(block)) {
                 let counts = holders.entry(lease.value.holder.clone()).or_default();
-                counts.expected += status.expected;
-                counts.overdue += status.overdue;
+                counts.expected += status.expected_workers;
+                counts.overdue += status.overdue_workers;
             }
         }
         holders
--- a/src/scheduler/mod.rs
+++ b/src/scheduler/mod.rs
@@ -157,10 +157,12 @@
             return;
         };
         // A message that comes late holds nothing that the later ones did not say too, or correct.
-        if block_state.lease_version != status.lease_version || status.number <= block_state.heard {
+        if block_state.lease_version != status.lease_version
+            || status.sequence_number <= block_state.heard
+        {
             return;
         }
-        block_state.heard = status.number;
+        block_state.heard = status.sequence_number;
         block_state.ack_due |= !status.machines.is_empty();
         for machine in status.machines.drain(..) {
             self.failures
@@ -175,7 +177,7 @@
     /// Whether a placed attempt's holder has proven it gone. None: it has not spoken under its present block lease.
     pub fn is_proven_ended(&self, block: &BlockId, attempt: &Attempt) -> Option<bool> {
         let (status, _) = self.block_states.get(block)?.status.as_ref()?;
-        Some(status.ended.contains(&attempt.number))
+        Some(status.proven_ended.contains(&attempt.number))
     }
 
     fn recent_machine_statuses(&self, now: Now) -> impl Iterator<Item = &MachineStatus> {
@@ -301,7 +303,7 @@
                 // Its holder has heard of it, does not hold it any more, and our copy shows all it recorded.
                 let settled = status.is_some_and(|status| {
                     status.last_assignment_update >= release.message
-                        && placements >= status.revision
+                        && placements >= status.placements_revision
                         && !status.pending.contains(number)
                 });
                 !settled
@@ -314,8 +316,8 @@
                     .open
                     .get(&release.attempt.task.job)
                     .is_some_and(|open| !open.cancelled);
-                let refused =
-                    status.is_some_and(|status| status.refused.contains(&release.attempt.number));
+                let refused = status
+                    .is_some_and(|status| status.unplaceable.contains(&release.attempt.number));
                 let stuck = release.is_stuck(now, &block_state.stop_requests, refused);
                 if !release.withdrawn && (!alive || stuck) {
                     release.withdraw();
@@ -363,7 +365,7 @@
             .values()
             .filter_map(|block_state| block_state.status.as_ref());
         let ended: HashSet<u64> = statuses
-            .flat_map(|(status, _)| status.ended.iter().copied())
+            .flat_map(|(status, _)| status.proven_ended.iter().copied())
             .collect();
         for live in cache.live_placements() {
             let taken = taken.entry(live.id).or_default();
--- a/src/scheduler/tests.rs
+++ b/src/scheduler/tests.rs
@@ -111,17 +111,17 @@
             lease_version: lease.version,
             last_assignment_update,
             pending: pending.to_vec(),
-            refused: Vec::new(),
-            ended: Vec::new(),
-            revision: self
+            unplaceable: Vec::new(),
+            proven_ended: Vec::new(),
+            placements_revision: self
                 .cache
                 .placements
                 .get(&"a.0".into())
                 .map_or(0, |placements| placements.version),
             token_renewal_required: false,
-            expected: machines,
-            overdue: 0,
-            number: self.version * 1000 + last_assignment_update + 1,
+            expected_workers: machines,
+            overdue_workers: 0,
+            sequence_number: self.version * 1000 + last_assignment_update + 1,
             machines: (0..machines)
                 .map(|n| MachineStatus {
                     machine: machine_id(n),
@@ -233,7 +233,8 @@
     } else {
         0..1
     });
-    for (last_assignment_update, pending) in [(0, vec![]), (work[0].number, vec![number])] {
+    for (last_assignment_update, pending) in [(0, vec![]), (work[0].sequence_number, vec![number])]
+    {
         fixture.report_status(2, last_assignment_update, &pending);
         assert!(
             fixture
@@ -244,7 +245,7 @@
         );
     }
     // Heard, and neither pending nor placed: now it is free.
-    fixture.report_status(2, work[0].number, &[]);
+    fixture.report_status(2, work[0].sequence_number, &[]);
     fixture.plan();
     let (_, work) = fixture.plan();
     assert!(
@@ -263,7 +264,7 @@
     let number = work[0].assignments[0].attempt.number;
     fixture.record_assignments(&work[0]);
     fixture.add_job(2, job(1, 16.0));
-    fixture.report_status(1, work[0].number, &[]);
+    fixture.report_status(1, work[0].sequence_number, &[]);
     let wanted = |fixture: &mut Fixture| {
         fixture
             .plan()
@@ -283,7 +284,7 @@
         .as_mut()
         .expect("heard")
         .0
-        .ended
+        .proven_ended
         .push(number);
     assert_eq!(wanted(&mut fixture), 1);
 }
@@ -300,7 +301,12 @@
             .block_states
             .get_mut(&BlockId::from("a.0"))
             .expect("granted");
-        block_state.status.as_mut().expect("heard").0.overdue = overdue;
+        block_state
+            .status
+            .as_mut()
+            .expect("heard")
+            .0
+            .overdue_workers = overdue;
         for status in block_state.machines.values_mut() {
             status.usable = false;
         }
@@ -347,7 +353,7 @@
         fixture.add_job(1, job(100, accepted_ms - 1000));
         let (_, work) = fixture.plan();
         fixture.record_assignments(&work[0]);
-        fixture.report_status(1, work[0].number, &[]);
+        fixture.report_status(1, work[0].sequence_number, &[]);
         fixture.add_job(2, job(100, accepted_ms));
         // Four tasks end: room for as many.
         let placed = fixture.cache.placements[&BlockId::from("a.0")]
@@ -363,7 +369,7 @@
             .block_states
             .get_mut(&BlockId::from("a.0"))
             .expect("granted");
-        block_state.status.as_mut().expect("heard").0.ended = ended;
+        block_state.status.as_mut().expect("heard").0.proven_ended = ended;
         fixture.now.wall += waited;
         let work = fixture.plan().1;
         work.iter()
@@ -401,7 +407,7 @@
         assert!(room <= 3.0 + 1e-6, "{room} machines for 48 CPUs");
         for work in &work {
             fixture.record_assignments(work);
-            fixture.report_status(30, work.number, &[]);
+            fixture.report_status(30, work.sequence_number, &[]);
         }
     }
     assert_eq!(placed, 96);
@@ -414,7 +420,7 @@
     for _ in 0..30 {
         for work in fixture.plan().1 {
             fixture.record_assignments(&work);
-            fixture.report_status(3, work.number, &[]);
+            fixture.report_status(3, work.sequence_number, &[]);
         }
     }
     let placements = &fixture.cache.placements[&BlockId::from("a.0")];
@@ -430,10 +436,12 @@
         fixture.add_job(1, Job { tasks, ..running });
         let (_, work) = fixture.plan();
         fixture.record_assignments(&work[0]);
-        fixture.report_status(2, work[0].number, &[]);
+        fixture.report_status(2, work[0].sequence_number, &[]);
         fixture.add_job(2, waiting);
         let (_, work) = fixture.plan();
-        work.iter().map(|work| work.stop.len()).sum::<usize>()
+        work.iter()
+            .map(|work| work.attempts_to_stop.len())
+            .sum::<usize>()
     };
     let blue = |priority, cpus| Job {
         team: "blue".into(),
@@ -502,7 +510,7 @@
     );
     let work = fixture.plan().1;
     fixture.record_assignments(&work[0]);
-    fixture.report_status(1, work[0].number, &[]);
+    fixture.report_status(1, work[0].sequence_number, &[]);
     fixture.add_job(
         2,
         Job {
@@ -511,11 +519,11 @@
         },
     );
     let (_, work) = fixture.plan();
-    let stop = work[0].stop.clone();
+    let stop = work[0].attempts_to_stop.clone();
     assert_eq!(stop.len(), 4);
     let release = work[0].assignments[0].attempt;
     let refuse = |fixture: &mut Fixture| {
-        fixture.report_status(1, work[0].number, &[release.number]);
+        fixture.report_status(1, work[0].sequence_number, &[release.number]);
         let block_state = fixture
             .scheduler
             .block_states
@@ -526,7 +534,7 @@
             .as_mut()
             .expect("heard")
             .0
-            .refused
+            .unplaceable
             .push(release.number);
     };
     let still_wanted = |fixture: &mut Fixture| {
@@ -574,7 +582,7 @@
     );
     let work = fixture.plan().1;
     fixture.record_assignments(&work[0]);
-    fixture.report_status(1, work[0].number, &[]);
+    fixture.report_status(1, work[0].sequence_number, &[]);
     fixture.add_job(
         2,
         Job {
@@ -587,7 +595,7 @@
     let withdrawn = |fixture: &mut Fixture, after: u64| {
         fixture.now.monotonic += Duration::from_secs(after);
         fixture.version += 1;
-        fixture.report_status(1, work[0].number, &[number]);
+        fixture.report_status(1, work[0].sequence_number, &[number]);
         fixture.plan();
         fixture.scheduler.block_states[&BlockId::from("a.0")].releases[&number].withdrawn
     };
--- a/src/workers/block/assignments.rs
+++ b/src/workers/block/assignments.rs
@@ -88,10 +88,10 @@
 impl Block {
     /// Applies what the leader wants of this block. An update that is not newer than the last one changes nothing.
     pub(in crate::workers) fn apply_assignments(&mut self, update: AssignmentUpdate) {
-        if update.number <= self.assignments.last_update {
+        if update.sequence_number <= self.assignments.last_update {
             return;
         }
-        self.assignments.last_update = update.number;
+        self.assignments.last_update = update.sequence_number;
         self.status_sequence.acknowledge(update.last_status);
         self.last_write_check = None;
         let recorded: HashSet<u64> = self
@@ -102,8 +102,8 @@
         self.assignments
             .replace_pending(update.assignments, &recorded);
         self.learn_addresses(update.addresses);
-        self.assignments.stops = update.stop.into_iter().collect();
-        self.assignments.watched = update.watch.into_iter().collect();
+        self.assignments.stops = update.attempts_to_stop.into_iter().collect();
+        self.assignments.watched = update.watched_attempts.into_iter().collect();
         let with_stops: BTreeSet<MachineId> = self
             .recorded
             .attempts()
--- a/src/workers/block/status.rs
+++ b/src/workers/block/status.rs
@@ -59,24 +59,24 @@
             lease_version: self.lease_version,
             last_assignment_update: self.assignments.last_update(),
             pending,
-            refused: self.assignments.unplaceable.clone(),
-            ended: self
+            unplaceable: self.assignments.unplaceable.clone(),
+            proven_ended: self
                 .ended
                 .keys()
                 .map(|ended| ended.attempt.number)
                 .collect(),
-            revision: self.recorded.version(),
+            placements_revision: self.recorded.version(),
             token_renewal_required: self
                 .token_renewal
                 .needed_since
                 .is_some_and(|at| since(now, at) > TOKEN_RENEWAL_DELAY),
-            expected: self
+            expected_workers: self
                 .workers
                 .values()
                 .filter(|worker| worker.addr.is_some())
                 .count() as u32,
-            overdue: self.overdue_workers,
-            number,
+            overdue_workers: self.overdue_workers,
+            sequence_number: number,
             machines: self.workers.values().filter_map(unacknowledged).collect(),
             running: self.watched_running(),
         }
--- a/src/workers/tests/commands.rs
+++ b/src/workers/tests/commands.rs
@@ -21,7 +21,7 @@
     let attempt = first_attempt(9);
     let version = holder.fleet.lease_version(&"a.0".into());
     assert!(holder.fleet.apply_assignments(AssignmentUpdate {
-        stop: vec![attempt],
+        attempts_to_stop: vec![attempt],
         ..assignment_update(version, 2, Vec::new())
     }));
     assert_eq!(holder.commands_without_lease(), []);
--- a/src/workers/tests/mod.rs
+++ b/src/workers/tests/mod.rs
@@ -260,12 +260,12 @@
     AssignmentUpdate {
         block: "a.0".into(),
         lease_version,
-        number,
+        sequence_number: number,
         last_status: 0,
         assignments,
-        stop,
+        attempts_to_stop: stop,
         addresses,
-        watch: Vec::new(),
+        watched_attempts: Vec::new(),
     }
 }
 
