--- a/src/block_leases/mod.rs
+++ b/src/block_leases/mod.rs
@@ -257,7 +257,7 @@
     }
 
     /// The state service has answered the last transaction.
-    pub fn answered(&mut self, now: Now, outcome: &StoreResponse) {
+    pub fn handle_store_response(&mut self, now: Now, outcome: &StoreResponse) {
         self.writer.answered(now, outcome);
     }
 }
--- a/src/cancellation/deletion.rs
+++ b/src/cancellation/deletion.rs
@@ -5,7 +5,7 @@
 
 use tracing::warn;
 
-use super::{Cancellations, is_overdue};
+use super::{Cancellations, is_machine_deletion_due};
 use crate::cloud::wire::MachineNames;
 use crate::cloud::{CloudRequest, CloudResponse};
 use crate::config::Config;
@@ -47,7 +47,7 @@
         let overdue = self
             .open
             .iter()
-            .filter(|(_, record)| is_overdue(now, config, record.cancelled_ms));
+            .filter(|(_, record)| is_machine_deletion_due(now, config, record.cancelled_ms));
         for (job, _) in overdue {
             for (attempt, block, machine) in self.remaining_attempts(*job, cache) {
                 let Some(lease) = cache.block_leases.get(block) else {
@@ -95,7 +95,7 @@
     }
 
     /// The cloud has answered a deletion. The inventory is changed by the leader, which finds the machine overdue as well.
-    pub fn cloud_responded(&mut self, now: Now, outcome: &CloudResponse) {
+    pub fn handle_cloud_response(&mut self, now: Now, outcome: &CloudResponse) {
         let machines = std::mem::take(&mut self.deleting);
         match outcome {
             CloudResponse::Deleted => self.deleted.extend(machines),
--- a/src/cancellation/mod.rs
+++ b/src/cancellation/mod.rs
@@ -30,7 +30,7 @@
 const MAX_CANCELLED_JOBS_PER_HEARTBEAT: usize = 256;
 
 /// Whether a job cancelled at `cancelled_ms` is so late that machines which still have tasks of it are given up.
-pub fn is_overdue(now: Now, config: &Config, cancelled_ms: u64) -> bool {
+pub fn is_machine_deletion_due(now: Now, config: &Config, cancelled_ms: u64) -> bool {
     let patience = config
         .cancel_within
         .saturating_sub(DELETION_MARGIN)
--- a/src/cancellation/tests.rs
+++ b/src/cancellation/tests.rs
@@ -204,7 +204,7 @@
     assert_eq!(fixture.deleted(later, false), ["m-1"]);
     fixture
         .cancellations
-        .cloud_responded(fixture.at(later), &CloudResponse::Unknown);
+        .handle_cloud_response(fixture.at(later), &CloudResponse::Unknown);
     assert_eq!(
         fixture.deleted(later + POLL_INTERVAL, false),
         [] as [&str; 0],
@@ -215,7 +215,7 @@
         ["m-1"],
         "the call may be lost"
     );
-    fixture.cancellations.cloud_responded(
+    fixture.cancellations.handle_cloud_response(
         fixture.at(later + DELETION_RETRY_INTERVAL),
         &CloudResponse::Deleted,
     );
--- a/src/controller/store_responses.rs
+++ b/src/controller/store_responses.rs
@@ -69,10 +69,11 @@
             StoreTag::BlockLeases(term) => {
                 let leader = self.leadership.current_term(&self.cache);
                 if leader.is_some_and(|leader| leader.term == term) {
-                    self.block_lease_manager.answered(now, &outcome);
+                    self.block_lease_manager
+                        .handle_store_response(now, &outcome);
                 }
             }
-            StoreTag::Upgrade => self.upgrade.answered(now, &outcome),
+            StoreTag::Upgrade => self.upgrade.handle_store_response(now, &outcome),
             StoreTag::Provisioning(term) => {
                 if let Some(state) = self.leader_state_of(term) {
                     state.provisioner.answered(now, &outcome);
@@ -133,7 +134,7 @@
         outcome: CloudResponse,
     ) {
         if tag == provisioning::CloudRequestPurpose::TerminateForCancellation {
-            self.cancellations.cloud_responded(now, &outcome);
+            self.cancellations.handle_cloud_response(now, &outcome);
         } else if tag == provisioning::CloudRequestPurpose::RefreshCatalog {
             self.catalog.answered(match outcome {
                 CloudResponse::InstanceTypes(list) => Some(list),
--- a/src/provisioning/machine_observations.rs
+++ b/src/provisioning/machine_observations.rs
@@ -144,7 +144,7 @@
         proven_stopped: impl Fn(&BlockId, &Attempt) -> bool,
     ) {
         for (id, open) in cache.open.iter().filter(|(_, open)| open.cancelled) {
-            if !cancellation::is_overdue(now, config, open.cancelled_ms) {
+            if !cancellation::is_machine_deletion_due(now, config, open.cancelled_ms) {
                 continue;
             }
             for ((index, number), placement) in cache.placed(*id) {
--- a/src/upgrade/mod.rs
+++ b/src/upgrade/mod.rs
@@ -57,7 +57,7 @@
     }
 
     /// The state service has answered the transaction.
-    pub fn answered(&mut self, now: Now, outcome: &StoreResponse) {
+    pub fn handle_store_response(&mut self, now: Now, outcome: &StoreResponse) {
         self.writer.answered(now, outcome);
     }
 }
