--- a/src/block_leases/mod.rs
+++ b/src/block_leases/mod.rs
@@ -253,7 +253,7 @@
                 .as_ref()
                 .map_or(Duration::ZERO, |current| since(now, current.since)),
         };
-        silence < leader.policy.suspect_after
+        silence < leader.policy.controller_timeout
     }
 
     /// The state service has answered the last transaction.
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -29,11 +29,11 @@
     pub block_lease_duration: Duration,
     pub blocks_per_controller: usize,
     /// How long a controller may be silent before its blocks are leased to others.
-    pub suspect_after: Duration,
+    pub controller_timeout: Duration,
     /// How long a worker may be silent before its machine is given up, if a question went unanswered too.
-    pub silent_after: Duration,
+    pub worker_timeout_after_failed_probe: Duration,
     /// The same for a worker that can't be asked.
-    pub unheard_after: Duration,
+    pub worker_timeout: Duration,
     /// A machine is returned only after it has been idle for this many times its boot time.
     pub idle_boots: f64,
     /// A rented machine is kept at least this long, since a deleted machine costs a minute anyway.
@@ -142,9 +142,9 @@
                 (shortest_block_lease_s, longest_block_lease_s),
             )?,
             blocks_per_controller: values.number("blocks_per_controller", (1.0, 4.0))? as usize,
-            suspect_after: values.seconds("suspect_after_s", (1.0, 30.0))?,
-            silent_after: values.seconds("silent_after_s", silence)?,
-            unheard_after: values.seconds("unheard_after_s", silence)?,
+            controller_timeout: values.seconds("suspect_after_s", (1.0, 30.0))?,
+            worker_timeout_after_failed_probe: values.seconds("silent_after_s", silence)?,
+            worker_timeout: values.seconds("unheard_after_s", silence)?,
             idle_boots: values.number("idle_boots", (0.0, 100.0))?,
             least_rental: values.seconds("least_rental_s", (0.0, 3600.0))?,
             stockout_memory: values.seconds("stockout_memory_s", (1.0, 600.0))?,
--- a/src/provisioning/demand.rs
+++ b/src/provisioning/demand.rs
@@ -112,7 +112,7 @@
 pub struct MachineHealth {
     /// Its worker has reported at least once.
     pub seen: bool,
-    /// Its worker has not reported for longer than `silent_after`.
+    /// Its worker has not reported for longer than `worker_timeout_after_failed_probe`.
     pub silent: bool,
     /// Tasks of several jobs fail on it.
     pub faulty: bool,
--- a/src/provisioning/machine_observations.rs
+++ b/src/provisioning/machine_observations.rs
@@ -123,9 +123,9 @@
     fn may_still_run(&mut self, now: Now, leader: &LeaderContext<'_>, id: &MachineId) -> bool {
         let LeaderContext { config, policy, .. } = *leader;
         // A holder in an isolated zone renews its workers' leases for the life of its block lease, and they keep their
-        // tasks for a lease longer. It takes at least `silent_after` until they are called silent.
+        // tasks for a lease longer. It takes at least `worker_timeout_after_failed_probe` until they are called silent.
         let patience = (policy.block_lease_duration + config.worker_lease + ISOLATION_MARGIN)
-            .saturating_sub(policy.silent_after);
+            .saturating_sub(policy.worker_timeout_after_failed_probe);
         let since_when = *self.silent_since.entry(id.clone()).or_insert(now.monotonic);
         since(now, since_when) < patience
     }
--- a/src/provisioning/tests.rs
+++ b/src/provisioning/tests.rs
@@ -230,7 +230,8 @@
     let LeaderFixture { policy, config, .. } = &zones.leader;
     let both = ["a", "b"];
     let failed = |silent: &[&str], after: Duration| zones.failed_if_silent(silent, after, &both);
-    let survive = policy.block_lease_duration + config.worker_lease - policy.silent_after;
+    let survive = policy.block_lease_duration + config.worker_lease
+        - policy.worker_timeout_after_failed_probe;
     assert_eq!(failed(&["a"], survive), 0, "may be isolated");
     assert_eq!(
         failed(&["a"], survive + Duration::from_secs(4)),
--- a/src/workers/tests/commands.rs
+++ b/src/workers/tests/commands.rs
@@ -224,7 +224,7 @@
     holder.put(block_lease_key(&"a.0".into()), ciborium::Value::Null);
     holder.lease(FencingToken(6));
     assert_eq!(holder.commands(), [], "nothing is known of them");
-    holder.now.monotonic += policy.unheard_after + Duration::from_secs(1);
+    holder.now.monotonic += policy.worker_timeout + Duration::from_secs(1);
     assert!(
         holder.fleet.prepare_block_statuses(holder.now, &policy)[0]
             .machines
--- a/src/workers/tests/liveness.rs
+++ b/src/workers/tests/liveness.rs
@@ -63,7 +63,7 @@
             .filter(|machine| machine.unresponsive)
             .count()
     };
-    let gap = policy.unheard_after * 2;
+    let gap = policy.worker_timeout * 2;
     holder.now.monotonic += gap;
     holder.fleet.process_paused(gap);
     assert_eq!(silent(&mut holder), 0);
--- a/src/workers/worker/liveness.rs
+++ b/src/workers/worker/liveness.rs
@@ -132,17 +132,17 @@
     ) -> bool {
         let probe_failed = self.probe.is_some_and(|probe| probe.unanswered);
         let timeout = match (probe_failed, addr_known) {
-            (true, _) => policy.silent_after,
-            (false, true) => policy.unheard_after,
+            (true, _) => policy.worker_timeout_after_failed_probe,
+            (false, true) => policy.worker_timeout,
             // Nobody knows its address, so it can't be probed, and the block's last holder, if it lost only the state
             // service, answers its heartbeats for the life of its block lease.
             (false, false) => policy
-                .unheard_after
-                .max(policy.block_lease_duration + policy.silent_after),
+                .worker_timeout
+                .max(policy.block_lease_duration + policy.worker_timeout_after_failed_probe),
         };
         let unreachable = self
             .unanswered_since
-            .is_some_and(|at| since(now, at) >= policy.unheard_after);
+            .is_some_and(|at| since(now, at) >= policy.worker_timeout);
         since(now, self.last_heartbeat) >= timeout || unreachable
     }
 }
