--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -42,9 +42,9 @@
     pub stockout_memory: Duration,
     /// Work of teams without a guarantee has no machines rented, and takes none, that cost it more than so many times
     /// as much as the cheapest.
-    pub opportunistic_price: f64,
+    pub best_effort_max_price_ratio: f64,
     /// ... until it has waited this long and less than half of it is done or running.
-    pub opportunistic_patience: Duration,
+    pub best_effort_price_limit_duration: Duration,
     pub team_shares: BTreeMap<Team, f64>,
     pub preempt_for_priority: bool,
     pub preempt_for_guarantee: bool,
@@ -148,8 +148,9 @@
             idle_boots: values.number("idle_boots", (0.0, 100.0))?,
             least_rental: values.seconds("least_rental_s", (0.0, 3600.0))?,
             stockout_memory: values.seconds("stockout_memory_s", (1.0, 600.0))?,
-            opportunistic_price: values.number("opportunistic_price", (1.0, 1000.0))?,
-            opportunistic_patience: values.seconds("opportunistic_patience_s", (0.0, 86400.0))?,
+            best_effort_max_price_ratio: values.number("opportunistic_price", (1.0, 1000.0))?,
+            best_effort_price_limit_duration: values
+                .seconds("opportunistic_patience_s", (0.0, 86400.0))?,
             team_shares,
             preempt_for_priority: values.truth("preempt_for_priority")?,
             preempt_for_guarantee: values.truth("preempt_for_guarantee")?,
--- a/src/scheduler/best_effort.rs
+++ b/src/scheduler/best_effort.rs
@@ -71,7 +71,8 @@
         catalog,
         ..
     } = *leader;
-    let starved = waited >= policy.opportunistic_patience && begun * 2 < u64::from(job.tasks);
+    let starved =
+        waited >= policy.best_effort_price_limit_duration && begun * 2 < u64::from(job.tasks);
     if !is_best_effort(config, job) || starved {
         return f64::INFINITY;
     }
@@ -82,7 +83,7 @@
     let prices = pools
         .filter_map(|(instance_type, capacity_type)| price_of(job, instance_type, capacity_type));
     // A little more, since equal prices may be computed in different ways.
-    prices.fold(f64::INFINITY, f64::min) * policy.opportunistic_price * (1.0 + 1e-9)
+    prices.fold(f64::INFINITY, f64::min) * policy.best_effort_max_price_ratio * (1.0 + 1e-9)
 }
 
 /// Where best-effort work may go.
--- a/src/scheduler/best_effort/tests.rs
+++ b/src/scheduler/best_effort/tests.rs
@@ -77,9 +77,10 @@
 fn work_without_a_guarantee_goes_only_where_it_is_cheap() {
     let (config, catalog) = (config(), catalog());
     let mut policy = Policy::defaults(&config);
-    policy.opportunistic_price = instance_type().price.0 / instance_type().spot_price.0 - 0.1;
+    policy.best_effort_max_price_ratio =
+        instance_type().price.0 / instance_type().spot_price.0 - 0.1;
     let now = Now::read();
-    let patience = policy.opportunistic_patience;
+    let patience = policy.best_effort_price_limit_duration;
     let allowed = |policy: &Policy, job: &Job, capacity_type, waited, begun| {
         let leader = LeaderContext {
             config: &config,
@@ -129,7 +130,7 @@
         !allowed(&policy, &job, CapacityType::OnDemand, patience, 5),
         "half of it got somewhere"
     );
-    policy.opportunistic_price += 0.2;
+    policy.best_effort_max_price_ratio += 0.2;
     assert!(allowed(&policy, &job, CapacityType::OnDemand, fresh, 0));
 }
 
