--- a/src/block_leases/tests.rs
+++ b/src/block_leases/tests.rs
@@ -42,7 +42,7 @@
             });
         }
         Fixture {
-            policy: Policy::defaults(&config),
+            policy: Policy::built_in(&config),
             config,
             catalog,
             start: Now::read(),
--- a/src/config/tests.rs
+++ b/src/config/tests.rs
@@ -86,7 +86,7 @@
     );
     let red = config.team(&"red".into()).expect("known");
     assert_eq!(red.cpus_max, 64.0);
-    let policy = crate::policy::Policy::defaults(&config);
+    let policy = crate::policy::Policy::built_in(&config);
     assert_eq!(policy.team_shares[&"guests".into()], 1.0);
 }
 
--- a/src/controller/tests.rs
+++ b/src/controller/tests.rs
@@ -15,7 +15,7 @@
 /// A controller that knows the instance types and has read an empty state service.
 fn ready_controller(start: Now, ready_at: Now) -> Controller {
     let config = Config::parse("s.toml", SETTINGS).expect("valid");
-    let policy = Policy::defaults(&config);
+    let policy = Policy::built_in(&config);
     let mut controller = Controller::new(config, policy, 1, start);
     assert!(!controller.healthy(ready_at), "nothing is known yet");
     let list = InstanceTypeList {
--- a/src/main.rs
+++ b/src/main.rs
@@ -46,7 +46,7 @@
     let config = Config::load(&files.config)?;
     let policy = match &files.policy {
         Some(path) => Policy::load(path, &config)?,
-        None => Policy::defaults(&config),
+        None => Policy::built_in(&config),
     };
     let found = Features::find(files.features.as_deref(), &config)?;
     Ok(Loaded {
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -90,7 +90,7 @@
 
 impl Policy {
     /// The built-in policy.
-    pub fn defaults(config: &Config) -> Self {
+    pub fn built_in(config: &Config) -> Self {
         match Self::parse("built-in policy", "", config) {
             Ok(policy) => policy,
             // The tests evaluate it for all kinds of settings; each bound is wider than its value.
--- a/src/policy/tests.rs
+++ b/src/policy/tests.rs
@@ -7,7 +7,7 @@
 
 #[test]
 fn a_cut_off_holder_is_over_before_a_cancelled_task_must_be_gone() {
-    let policy = Policy::defaults(&config());
+    let policy = Policy::built_in(&config());
     assert!(policy.block_lease_duration + config().worker_lease < config().cancel_within);
     assert!(policy.block_lease_duration > Duration::from_secs(20));
     // Nor can a policy change that.
@@ -31,7 +31,7 @@
             .replace("lease_s = 20.0", &format!("lease_s = {worker_lease}"))
             .replace("cancel_s = 50.0", &format!("cancel_s = {cancel}"));
         let config = Config::parse("s.toml", &text).expect("valid");
-        let policy = Policy::defaults(&config);
+        let policy = Policy::built_in(&config);
         assert!(policy.block_lease_duration + config.worker_lease < config.cancel_within);
     }
 }
@@ -41,7 +41,7 @@
     let text = "round_s = \"zones > 2.0 ? 4.0 : 2.0\"\nteam_share = \"team == 'red' ? 2.0 : cpus / 32.0\"\n\
                 headroom = 2\npreempt_for_guarantee = false\n";
     let policy = Policy::parse("p.toml", text, &config()).expect("valid");
-    let built_in = Policy::defaults(&config());
+    let built_in = Policy::built_in(&config());
     assert_eq!(policy.round, Duration::from_secs(4));
     assert_eq!(policy.team_shares[&Team::from("red")], 2.0);
     assert_eq!(policy.team_shares[&Team::from("blue")], 1.0);
@@ -59,7 +59,7 @@
 #[test]
 fn the_example_file_is_the_built_in_policy() {
     let example = Policy::parse("policy.toml", BUILT_IN, &config()).expect("valid");
-    assert_eq!(example, Policy::defaults(&config()));
+    assert_eq!(example, Policy::built_in(&config()));
 }
 
 #[test]
--- a/src/provisioning/tests.rs
+++ b/src/provisioning/tests.rs
@@ -26,7 +26,7 @@
 
 impl LeaderFixture {
     fn new(config: Config) -> Self {
-        let policy = Policy::defaults(&config);
+        let policy = Policy::built_in(&config);
         let mut catalog = InstanceCatalog::default();
         catalog.answered(Some(InstanceTypeList {
             types: vec![instance_type()],
--- a/src/scheduler/best_effort/tests.rs
+++ b/src/scheduler/best_effort/tests.rs
@@ -76,7 +76,7 @@
 #[test]
 fn work_without_a_guarantee_goes_only_where_it_is_cheap() {
     let (config, catalog) = (config(), catalog());
-    let mut policy = Policy::defaults(&config);
+    let mut policy = Policy::built_in(&config);
     policy.best_effort_max_price_ratio =
         instance_type().price.0 / instance_type().spot_price.0 - 0.1;
     let now = Now::read();
@@ -137,7 +137,7 @@
 #[test]
 fn the_margin_of_guaranteed_work_is_kept_free_on_the_emptiest_machines() {
     let (config, catalog) = (config(), catalog());
-    let policy = Policy::defaults(&config);
+    let policy = Policy::built_in(&config);
     let leader = LeaderContext {
         config: &config,
         policy: &policy,
--- a/src/scheduler/tests.rs
+++ b/src/scheduler/tests.rs
@@ -39,7 +39,7 @@
             types: vec![instance_type()],
         }));
         let mut fixture = Fixture {
-            policy: Policy::defaults(&config),
+            policy: Policy::built_in(&config),
             catalog,
             cache: WatchCache::following(),
             now,
--- a/src/service/tests.rs
+++ b/src/service/tests.rs
@@ -15,7 +15,7 @@
         };
         config.state = taken.1;
         config.cloud = taken.1;
-        let policy = Policy::defaults(&config);
+        let policy = Policy::built_in(&config);
         let Err(error) = run(config, policy, Features::default()).await;
         let expected = format!("can't listen on {} (setting `{setting}`): ", taken.1);
         assert!(error.to_string().starts_with(&expected), "{error}");
--- a/src/upgrade/tests.rs
+++ b/src/upgrade/tests.rs
@@ -36,7 +36,7 @@
     }
 
     fn poll(&mut self, upgrade: &mut Upgrade) -> Option<Transaction> {
-        let policy = Policy::defaults(&self.config);
+        let policy = Policy::built_in(&self.config);
         let leader = LeaderContext {
             config: &self.config,
             policy: &policy,
--- a/src/workers/tests/commands.rs
+++ b/src/workers/tests/commands.rs
@@ -137,7 +137,7 @@
     holder.tick();
     holder.now.monotonic += TOKEN_RENEWAL_DELAY + Duration::from_secs(1);
     holder.tick();
-    let policy = Policy::defaults(&holder.config);
+    let policy = Policy::built_in(&holder.config);
     assert!(holder.fleet.prepare_block_statuses(holder.now, &policy)[0].token_renewal_required);
     holder.lease(FencingToken(6));
     assert!(reaped(holder.heartbeat("m-1", FencingToken(6), &failed)));
@@ -166,7 +166,7 @@
     holder.tick();
     holder.now.monotonic += TOKEN_RENEWAL_DELAY * 2;
     holder.tick();
-    let policy = Policy::defaults(&holder.config);
+    let policy = Policy::built_in(&holder.config);
     assert!(
         !holder.fleet.prepare_block_statuses(holder.now, &policy)[0].token_renewal_required,
         "nothing waits for it"
@@ -220,7 +220,7 @@
 #[test]
 fn a_new_holder_raises_the_token_of_workers_that_it_was_told_of() {
     let mut holder = Holder::new(job(1, 1.0));
-    let policy = Policy::defaults(&holder.config);
+    let policy = Policy::built_in(&holder.config);
     holder.put(block_lease_key(&"a.0".into()), ciborium::Value::Null);
     holder.lease(FencingToken(6));
     assert_eq!(holder.commands(), [], "nothing is known of them");
--- a/src/workers/tests/liveness.rs
+++ b/src/workers/tests/liveness.rs
@@ -7,7 +7,7 @@
 #[test]
 fn a_machine_that_reports_but_does_not_answer_is_noticed() {
     let mut holder = Holder::new(job(1, 1.0));
-    let policy = Policy::defaults(&holder.config);
+    let policy = Policy::built_in(&holder.config);
     holder.assignments(9, "m-1", 1);
     holder.write();
     let usable = |holder: &mut Holder| {
@@ -50,7 +50,7 @@
 #[test]
 fn time_in_which_a_holder_was_paused_is_no_silence_of_its_workers() {
     let mut holder = Holder::new(job(1, 1.0));
-    let policy = Policy::defaults(&holder.config);
+    let policy = Policy::built_in(&holder.config);
     let silent = |holder: &mut Holder| {
         holder.tick();
         let status = holder
@@ -77,7 +77,7 @@
 fn a_machine_is_faulty_when_tasks_of_two_jobs_fail_there_though_they_ran() {
     let mut holder = Holder::new(job(1, 1.0));
     holder.put(job_key(JobId(2)), encode(&JobRecord::Open(job(1, 1.0))));
-    let policy = Policy::defaults(&holder.config);
+    let policy = Policy::built_in(&holder.config);
     let mut errors = Vec::new();
     for (number, of) in [(9, 1), (10, 1), (11, 1), (12, 2)] {
         let attempt = Attempt {
--- a/src/workers/tests/mod.rs
+++ b/src/workers/tests/mod.rs
@@ -211,7 +211,7 @@
     }
 
     fn tick(&mut self) {
-        let policy = Policy::defaults(&self.config);
+        let policy = Policy::built_in(&self.config);
         self.fleet.tick(self.now, &self.config, &policy);
     }
 
--- a/src/workers/tests/placement_writes.rs
+++ b/src/workers/tests/placement_writes.rs
@@ -176,7 +176,7 @@
         let lease_version = fleet.lease_version(&block);
         fleet.apply_write_outcome(*now, &block, lease_version, &outcome);
     };
-    let policy = Policy::defaults(&holder.config);
+    let policy = Policy::built_in(&holder.config);
     write(&mut holder, StoreResponse::Unknown);
     // The leader takes the release back.
     let lease_version = holder.fleet.lease_version(&"a.0".into());
--- a/tests/simulation/cluster/controllers.rs
+++ b/tests/simulation/cluster/controllers.rs
@@ -165,7 +165,7 @@
             return;
         }
         let config = self.controller_config(controller);
-        let mut policy = Policy::defaults(&config);
+        let mut policy = Policy::built_in(&config);
         policy.preempt_for_priority &= self.preemption;
         policy.preempt_for_guarantee &= self.preemption;
         let seed = self.rng.random();
