--- a/src/cloud/instance_catalog.rs
+++ b/src/cloud/instance_catalog.rs
@@ -27,7 +27,7 @@
 impl InstanceCatalog {
     /// Whether any type is known.
     #[must_use]
-    pub fn known(&self) -> bool {
+    pub fn is_loaded(&self) -> bool {
         !self.types.is_empty()
     }
 
@@ -44,7 +44,7 @@
 
     /// Whether a task of the job fits on an empty machine of some type and zone that the job allows.
     #[must_use]
-    pub fn fit(&self, job: &Job) -> bool {
+    pub fn fits_job(&self, job: &Job) -> bool {
         self.all().any(|instance_type| {
             job.allows_type(&instance_type.name)
                 && instance_type.room().fits(&job.need)
@@ -64,8 +64,8 @@
     }
 
     /// Whether the types are to be requested now; if so, notes that they are.
-    pub fn due(&mut self, now: Now) -> bool {
-        let pause = if self.known() {
+    pub fn try_begin_refresh(&mut self, now: Now) -> bool {
+        let pause = if self.is_loaded() {
             CATALOG_REFRESH
         } else {
             CATALOG_RETRY
@@ -79,7 +79,7 @@
     }
 
     /// Takes in the response to the request. None: it was refused or not answered.
-    pub fn answered(&mut self, list: Option<InstanceTypeList>) {
+    pub fn handle_response(&mut self, list: Option<InstanceTypeList>) {
         self.in_flight = false;
         let Some(list) = list else { return };
         let is_plausible = |instance_type: &InstanceType| {
--- a/src/controller/dispatcher.rs
+++ b/src/controller/dispatcher.rs
@@ -155,7 +155,7 @@
 
     /// Asks the cloud for its instance types when the list is due.
     fn request_instance_catalog(&mut self, now: Now, effects: &mut Vec<Effect>) {
-        if self.catalog.due(now) {
+        if self.catalog.try_begin_refresh(now) {
             effects.push(Effect::Cloud {
                 tag: provisioning::CloudRequestPurpose::RefreshCatalog,
                 request: CloudRequest::ListInstanceTypes,
--- a/src/controller/health.rs
+++ b/src/controller/health.rs
@@ -56,7 +56,7 @@
     /// Whether users should come here. Not if only this controller can't reach the state service; during an outage for all,
     /// staying is better than being taken out, since coming back takes the load balancer its time.
     pub(super) fn healthy(&self, now: Now) -> bool {
-        self.cache.ready() && self.catalog.known() && !self.reachability.isolated(now)
+        self.cache.ready() && self.catalog.is_loaded() && !self.reachability.isolated(now)
     }
 
     /// Until when the known block leases may be acted on: counted from before they were asked for. That others may hold
--- a/src/controller/leader_round.rs
+++ b/src/controller/leader_round.rs
@@ -160,7 +160,7 @@
 
     /// Leases blocks to controllers. Zones are known by the catalogue only.
     fn write_block_leases(&mut self) {
-        if !self.context.catalog.known() {
+        if !self.context.catalog.is_loaded() {
             return;
         }
         let request = self
@@ -172,7 +172,7 @@
 
     /// Whether it is time for a plan.
     fn plan_due(&self, outdated: bool) -> bool {
-        self.context.catalog.known() && self.state.plan_due(self.now, outdated)
+        self.context.catalog.is_loaded() && self.state.plan_due(self.now, outdated)
     }
 
     /// Makes a plan, and all that follows from it.
--- a/src/controller/store_responses.rs
+++ b/src/controller/store_responses.rs
@@ -136,7 +136,7 @@
         if tag == provisioning::CloudRequestPurpose::TerminateForCancellation {
             self.cancellations.handle_cloud_response(now, &outcome);
         } else if tag == provisioning::CloudRequestPurpose::RefreshCatalog {
-            self.catalog.answered(match outcome {
+            self.catalog.handle_response(match outcome {
                 CloudResponse::InstanceTypes(list) => Some(list),
                 _ => None,
             });
--- a/src/job_api/admission.rs
+++ b/src/job_api/admission.rs
@@ -36,7 +36,7 @@
     let Some(limits) = config.team(&job.team) else {
         return Some(UnschedulableReason::UnknownTeam);
     };
-    if !catalog.fit(job) {
+    if !catalog.fits_job(job) {
         return Some(UnschedulableReason::NoFittingInstanceType);
     }
     let at_once = match job.kind {
--- a/src/job_api/mod.rs
+++ b/src/job_api/mod.rs
@@ -140,7 +140,7 @@
         record: &JobRecord,
         cx: &mut Context<'_, Tag>,
     ) -> Option<Response> {
-        if !cx.catalog.known() {
+        if !cx.catalog.is_loaded() {
             return Some(retry_later(503, "the machine types are not known yet"));
         }
         let delay = cx.rate_limiter.estimated_user_delay();
@@ -376,7 +376,7 @@
 ) -> Option<Response> {
     // Without a copy the job may be one that was accepted before.
     if cx.cache.ready()
-        && cx.catalog.known()
+        && cx.catalog.is_loaded()
         && let Some(reason) = unschedulable_reason(cx.config, cx.catalog, job)
     {
         return Some(reject(422, reason.message()));
--- a/src/job_api/tests.rs
+++ b/src/job_api/tests.rs
@@ -22,7 +22,7 @@
     fn new() -> Self {
         let config = Config::parse("s.toml", SETTINGS).expect("valid");
         let mut catalog = InstanceCatalog::default();
-        catalog.answered(Some(InstanceTypeList {
+        catalog.handle_response(Some(InstanceTypeList {
             types: vec![instance_type()],
         }));
         let now = Now::read();
--- a/src/provisioning/mod.rs
+++ b/src/provisioning/mod.rs
@@ -176,7 +176,7 @@
     ) -> Option<StoreRequest> {
         self.machines
             .observe_idle(now, cache, |id| demand.occupied.contains(id));
-        if !self.writer.ready(now, cache) || !leader.catalog.known() {
+        if !self.writer.ready(now, cache) || !leader.catalog.is_loaded() {
             return None;
         }
         let round = Round {
--- a/src/provisioning/tests.rs
+++ b/src/provisioning/tests.rs
@@ -28,7 +28,7 @@
     fn new(config: Config) -> Self {
         let policy = Policy::built_in(&config);
         let mut catalog = InstanceCatalog::default();
-        catalog.answered(Some(InstanceTypeList {
+        catalog.handle_response(Some(InstanceTypeList {
             types: vec![instance_type()],
         }));
         LeaderFixture {
--- a/src/scheduler/best_effort/tests.rs
+++ b/src/scheduler/best_effort/tests.rs
@@ -41,7 +41,7 @@
 
 fn catalog() -> InstanceCatalog {
     let mut catalog = InstanceCatalog::default();
-    catalog.answered(Some(InstanceTypeList {
+    catalog.handle_response(Some(InstanceTypeList {
         types: vec![instance_type()],
     }));
     catalog
--- a/src/scheduler/tests.rs
+++ b/src/scheduler/tests.rs
@@ -35,7 +35,7 @@
         let config = Config::parse("s.toml", SETTINGS).expect("valid");
         let now = Now::read();
         let mut catalog = InstanceCatalog::default();
-        catalog.answered(Some(InstanceTypeList {
+        catalog.handle_response(Some(InstanceTypeList {
             types: vec![instance_type()],
         }));
         let mut fixture = Fixture {
--- a/src/workers/tests/mod.rs
+++ b/src/workers/tests/mod.rs
@@ -48,7 +48,7 @@
     fn new(job: Job) -> Self {
         let config = Config::parse("s.toml", SETTINGS).expect("valid");
         let mut catalog = InstanceCatalog::default();
-        catalog.answered(Some(InstanceTypeList {
+        catalog.handle_response(Some(InstanceTypeList {
             types: vec![instance_type()],
         }));
         let (cache, fleet) = (WatchCache::following(), WorkerFleet::new());
