--- a/src/cloud/wire.rs
+++ b/src/cloud/wire.rs
@@ -1,7 +1,7 @@
 //! The cloud's protocol: its messages as PROTOCOL spells them, and the translation of requests and responses.
 //!
-//! The names on the wire stand in serde attributes only. Called by the event loop, which sends what [`request`] returns and
-//! hands the reply to [`outcome`].
+//! The names on the wire stand in serde attributes only. Called by the event loop, which sends what [`http_request`] returns and
+//! hands the reply to [`parse_response`].
 
 use std::time::Duration;
 
@@ -168,7 +168,7 @@
 
 /// The HTTP request for a call.
 #[must_use]
-pub fn request(call: &CloudRequest) -> Request {
+pub fn http_request(call: &CloudRequest) -> Request {
     match call {
         CloudRequest::ListInstanceTypes => Request::get("/flavors".to_owned(), TIMEOUT),
         CloudRequest::Rent(rent) => Request::post("/machines".to_owned(), write(rent), TIMEOUT),
@@ -187,7 +187,7 @@
 
 /// What a reply to a call means. None: there was none, or it did not come in time.
 #[must_use]
-pub fn outcome(call: &CloudRequest, reply: Option<&Reply>) -> CloudResponse {
+pub fn parse_response(call: &CloudRequest, reply: Option<&Reply>) -> CloudResponse {
     let Some(reply) = reply else {
         return CloudResponse::Unknown;
     };
--- a/src/cloud/wire/tests.rs
+++ b/src/cloud/wire/tests.rs
@@ -34,12 +34,12 @@
         body: write(&cbor!({"error" => error}).expect("valid")).into(),
     };
     assert_eq!(
-        outcome(&rent, Some(&reply("no capacity"))),
+        parse_response(&rent, Some(&reply("no capacity"))),
         CloudResponse::NoCapacity
     );
     assert_eq!(
-        outcome(&rent, Some(&reply("trouble"))),
+        parse_response(&rent, Some(&reply("trouble"))),
         CloudResponse::Refused
     );
-    assert_eq!(outcome(&rent, None), CloudResponse::Unknown);
+    assert_eq!(parse_response(&rent, None), CloudResponse::Unknown);
 }
--- a/src/service/effects.rs
+++ b/src/service/effects.rs
@@ -57,9 +57,9 @@
                 request: call,
                 authority_until: until,
             } => {
-                let request = cloud::wire::request(&call);
+                let request = cloud::wire::http_request(&call);
                 self.exchange(&self.client, self.cloud, request, until, move |reply| {
-                    let outcome = cloud::wire::outcome(&call, reply.as_ref());
+                    let outcome = cloud::wire::parse_response(&call, reply.as_ref());
                     Event::CloudResponse { tag, outcome }
                 });
             }
--- a/tests/simulation/digest.rs
+++ b/tests/simulation/digest.rs
@@ -143,7 +143,7 @@
                 authority_until: until,
             } => {
                 self.number(3);
-                self.request(&cloud::wire::request(call));
+                self.request(&cloud::wire::http_request(call));
                 self.until(base, *until);
             }
             Effect::Peer { to, message } => {
