--- a/src/cancellation/deletion.rs
+++ b/src/cancellation/deletion.rs
@@ -69,7 +69,7 @@
             return None;
         }
         self.deleting.clone_from(&machines);
-        let request = CloudRequest::Delete(MachineNames { machines });
+        let request = CloudRequest::Terminate(MachineNames { machines });
         Some((CloudRequestPurpose::TerminateForCancellation, request))
     }
 
@@ -98,7 +98,7 @@
     pub fn handle_cloud_response(&mut self, now: Now, outcome: &CloudResponse) {
         let machines = std::mem::take(&mut self.deleting);
         match outcome {
-            CloudResponse::Deleted => self.deleted.extend(machines),
+            CloudResponse::Terminated => self.deleted.extend(machines),
             _ => self.retry_at = Some(now.monotonic + DELETION_RETRY_INTERVAL),
         }
     }
--- a/src/cancellation/tests.rs
+++ b/src/cancellation/tests.rs
@@ -172,13 +172,14 @@
                     proven
                 });
         match call {
-            Some((CloudRequestPurpose::TerminateForCancellation, CloudRequest::Delete(names))) => {
-                names
-                    .machines
-                    .iter()
-                    .map(|machine| machine.0.to_string())
-                    .collect()
-            }
+            Some((
+                CloudRequestPurpose::TerminateForCancellation,
+                CloudRequest::Terminate(names),
+            )) => names
+                .machines
+                .iter()
+                .map(|machine| machine.0.to_string())
+                .collect(),
             None => Vec::new(),
             other => panic!("{other:?}"),
         }
@@ -217,7 +218,7 @@
     );
     fixture.cancellations.handle_cloud_response(
         fixture.at(later + DELETION_RETRY_INTERVAL),
-        &CloudResponse::Deleted,
+        &CloudResponse::Terminated,
     );
     assert_eq!(
         fixture.deleted(later + DELETION_RETRY_INTERVAL * 2, false),
--- a/src/cloud/mod.rs
+++ b/src/cloud/mod.rs
@@ -16,11 +16,11 @@
     /// Lists the instance types.
     ListInstanceTypes,
     /// Rents machines. It may be repeated: the cloud carries out each name once.
-    Rent(ScaleOutRequest),
+    ScaleOut(ScaleOutRequest),
     /// Terminates machines. It may be repeated: what is gone is ignored.
-    Delete(MachineNames),
+    Terminate(MachineNames),
     /// Lists rented machines, a page at a time.
-    List {
+    ListMachines {
         /// The last machine of the page before.
         after: Option<MachineId>,
     },
@@ -32,13 +32,13 @@
     /// The instance types.
     InstanceTypes(InstanceTypeList),
     /// The machines granted, which may be fewer than requested.
-    Rented(MachineNames),
+    ScaledOut(MachineNames),
     /// No machines of this kind can be had now, or ever.
     NoCapacity,
     /// The machines are terminated.
-    Deleted,
+    Terminated,
     /// A page of the list of machines.
-    Listed(MachineList),
+    Machines(MachineList),
     /// The rate limit, an outage, or a response that can't be read: nothing was done.
     Refused,
     /// No response, or an unreadable one to a request that may have been carried out.
--- a/src/cloud/wire.rs
+++ b/src/cloud/wire.rs
@@ -171,11 +171,11 @@
 pub fn http_request(call: &CloudRequest) -> Request {
     match call {
         CloudRequest::ListInstanceTypes => Request::get("/flavors".to_owned(), TIMEOUT),
-        CloudRequest::Rent(rent) => Request::post("/machines".to_owned(), write(rent), TIMEOUT),
-        CloudRequest::Delete(names) => {
+        CloudRequest::ScaleOut(rent) => Request::post("/machines".to_owned(), write(rent), TIMEOUT),
+        CloudRequest::Terminate(names) => {
             Request::post("/machines/delete".to_owned(), write(names), TIMEOUT)
         }
-        CloudRequest::List { after } => {
+        CloudRequest::ListMachines { after } => {
             let after = after
                 .as_ref()
                 .map(|id| format!("after={id}&"))
@@ -195,20 +195,20 @@
         (200, CloudRequest::ListInstanceTypes) => {
             read(&reply.body).map_or(CloudResponse::Refused, CloudResponse::InstanceTypes)
         }
-        (200, CloudRequest::Rent(_)) => {
-            read(&reply.body).map_or(CloudResponse::Unknown, CloudResponse::Rented)
+        (200, CloudRequest::ScaleOut(_)) => {
+            read(&reply.body).map_or(CloudResponse::Unknown, CloudResponse::ScaledOut)
         }
-        (200, CloudRequest::Delete(_)) => CloudResponse::Deleted,
-        (200, CloudRequest::List { .. }) => {
-            read(&reply.body).map_or(CloudResponse::Refused, CloudResponse::Listed)
+        (200, CloudRequest::Terminate(_)) => CloudResponse::Terminated,
+        (200, CloudRequest::ListMachines { .. }) => {
+            read(&reply.body).map_or(CloudResponse::Refused, CloudResponse::Machines)
         }
         // An outage is a 503 too, but says so.
-        (503, CloudRequest::Rent(_)) => match read::<Problem>(&reply.body) {
+        (503, CloudRequest::ScaleOut(_)) => match read::<Problem>(&reply.body) {
             Ok(problem) if problem.error == "no capacity" => CloudResponse::NoCapacity,
             _ => CloudResponse::Refused,
         },
         // A request that the cloud calls malformed would be so for ever.
-        (400, CloudRequest::Rent(_)) => CloudResponse::NoCapacity,
+        (400, CloudRequest::ScaleOut(_)) => CloudResponse::NoCapacity,
         _ => CloudResponse::Refused,
     }
 }
--- a/src/cloud/wire/tests.rs
+++ b/src/cloud/wire/tests.rs
@@ -22,7 +22,7 @@
 
 #[test]
 fn no_capacity_is_told_from_an_outage() {
-    let rent = CloudRequest::Rent(ScaleOutRequest {
+    let rent = CloudRequest::ScaleOut(ScaleOutRequest {
         request: "r-1-1".into(),
         type_name: "g8".into(),
         zone: "a".into(),
--- a/src/provisioning/cloud_requests.rs
+++ b/src/provisioning/cloud_requests.rs
@@ -131,7 +131,7 @@
                 pending_rental,
                 version: record.version,
             };
-            requests.push((purpose, CloudRequest::Rent(request)));
+            requests.push((purpose, CloudRequest::ScaleOut(request)));
         }
         requests
     }
@@ -164,7 +164,7 @@
         let purpose = CloudRequestPurpose::Terminate(due.clone());
         Some((
             purpose,
-            CloudRequest::Delete(MachineNames { machines: due }),
+            CloudRequest::Terminate(MachineNames { machines: due }),
         ))
     }
 
@@ -186,7 +186,7 @@
         let after = listing.next_page_after.clone();
         Some((
             CloudRequestPurpose::ListMachines,
-            CloudRequest::List { after },
+            CloudRequest::ListMachines { after },
         ))
     }
 
@@ -211,11 +211,11 @@
             ) => {
                 self.scale_out_responded(now, policy, &type_name, pending_rental, version, response)
             }
-            (CloudRequestPurpose::Terminate(machines), CloudResponse::Deleted) => {
+            (CloudRequestPurpose::Terminate(machines), CloudResponse::Terminated) => {
                 self.terminations.succeeded(now, machines);
             }
             (CloudRequestPurpose::Terminate(_), _) => self.terminations.failed(now),
-            (CloudRequestPurpose::ListMachines, CloudResponse::Listed(list)) => {
+            (CloudRequestPurpose::ListMachines, CloudResponse::Machines(list)) => {
                 self.listing.in_flight = false;
                 let last = list.machines.last().filter(|_| list.more);
                 self.listing.next_page_after = last.map(|machine| machine.id.clone());
@@ -246,7 +246,7 @@
             count,
         } = pending_rental;
         let machines = match response {
-            CloudResponse::Rented(MachineNames { machines }) => {
+            CloudResponse::ScaledOut(MachineNames { machines }) => {
                 let got = machines.len();
                 info!(%request, %type_name, %zone, ?capacity_type, wanted = count, got, "scale-out fulfilled");
                 if got < count as usize {
--- a/tests/simulation/cluster/cloud.rs
+++ b/tests/simulation/cluster/cloud.rs
@@ -46,12 +46,14 @@
         }
         match call {
             CloudRequest::ListInstanceTypes => CloudResponse::InstanceTypes(instance_types()),
-            CloudRequest::Rent(request) => self.rent_machines(request),
-            CloudRequest::Delete(names) => {
+            CloudRequest::ScaleOut(request) => self.rent_machines(request),
+            CloudRequest::Terminate(names) => {
                 self.delete_machines(names);
-                CloudResponse::Deleted
+                CloudResponse::Terminated
+            }
+            CloudRequest::ListMachines { after } => {
+                CloudResponse::Machines(self.list_machines(after))
             }
-            CloudRequest::List { after } => CloudResponse::Listed(self.list_machines(after)),
         }
     }
 
@@ -61,7 +63,7 @@
             machines: names.iter().map(|name| name.as_str().into()).collect(),
         };
         if let Some(names) = self.requests.get(&request.request) {
-            return CloudResponse::Rented(machine_names(names));
+            return CloudResponse::ScaledOut(machine_names(names));
         }
         let capacity_type = CapacityType::from_spot(request.spot);
         let alike = |machine: &&Machine| {
@@ -80,7 +82,7 @@
             .collect();
         let rented = machine_names(&names);
         self.requests.insert(request.request.clone(), names);
-        CloudResponse::Rented(rented)
+        CloudResponse::ScaledOut(rented)
     }
 
     fn delete_machines(&mut self, names: &MachineNames) {
