--- a/src/cancellation/deletion.rs
+++ b/src/cancellation/deletion.rs
@@ -6,7 +6,7 @@
 use tracing::warn;
 
 use super::{Cancellations, is_machine_deletion_due};
-use crate::cloud::wire::MachineNames;
+use crate::cloud::wire::MachineIds;
 use crate::cloud::{CloudRequest, CloudResponse};
 use crate::config::Config;
 use crate::domain::{Attempt, BlockId, Incarnation, JobId, MachineId, Now, TaskId, since};
@@ -69,7 +69,7 @@
             return None;
         }
         self.deleting.clone_from(&machines);
-        let request = CloudRequest::Terminate(MachineNames { machines });
+        let request = CloudRequest::Terminate(MachineIds { machines });
         Some((CloudRequestPurpose::TerminateForCancellation, request))
     }
 
--- a/src/cloud/mod.rs
+++ b/src/cloud/mod.rs
@@ -8,7 +8,7 @@
 
 use crate::domain::MachineId;
 pub use instance_catalog::InstanceCatalog;
-use wire::{InstanceTypeList, MachineList, MachineNames, ScaleOutRequest};
+use wire::{InstanceTypeList, MachineIds, MachineList, ScaleOutRequest};
 
 /// A request to the cloud.
 #[derive(Debug, Clone, PartialEq)]
@@ -18,7 +18,7 @@
     /// Rents machines. It may be repeated: the cloud carries out each name once.
     ScaleOut(ScaleOutRequest),
     /// Terminates machines. It may be repeated: what is gone is ignored.
-    Terminate(MachineNames),
+    Terminate(MachineIds),
     /// Lists rented machines, a page at a time.
     ListMachines {
         /// The last machine of the page before.
@@ -32,7 +32,7 @@
     /// The instance types.
     InstanceTypes(InstanceTypeList),
     /// The machines granted, which may be fewer than requested.
-    ScaledOut(MachineNames),
+    ScaledOut(MachineIds),
     /// No machines of this kind can be had now, or ever.
     NoCapacity,
     /// The machines are terminated.
--- a/src/cloud/wire.rs
+++ b/src/cloud/wire.rs
@@ -102,7 +102,7 @@
 
 /// The machines that were granted, or are to be terminated.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct MachineNames {
+pub struct MachineIds {
     /// Their ids.
     #[serde(rename = "berths")]
     pub machines: Vec<MachineId>,
--- a/src/provisioning/cloud_requests.rs
+++ b/src/provisioning/cloud_requests.rs
@@ -9,7 +9,7 @@
 use tracing::{debug, info};
 
 use super::{Demand, Provisioner, RETRY_AFTER, ZonedPool};
-use crate::cloud::wire::{ListedMachine, ListedState, MachineList, MachineNames, ScaleOutRequest};
+use crate::cloud::wire::{ListedMachine, ListedState, MachineIds, MachineList, ScaleOutRequest};
 use crate::cloud::{CloudRequest, CloudResponse};
 use crate::config::Config;
 use crate::domain::{Amount, InstanceTypeName, MachineId, Now, since};
@@ -164,7 +164,7 @@
         let purpose = CloudRequestPurpose::Terminate(due.clone());
         Some((
             purpose,
-            CloudRequest::Terminate(MachineNames { machines: due }),
+            CloudRequest::Terminate(MachineIds { machines: due }),
         ))
     }
 
@@ -246,7 +246,7 @@
             count,
         } = pending_rental;
         let machines = match response {
-            CloudResponse::ScaledOut(MachineNames { machines }) => {
+            CloudResponse::ScaledOut(MachineIds { machines }) => {
                 let got = machines.len();
                 info!(%request, %type_name, %zone, ?capacity_type, wanted = count, got, "scale-out fulfilled");
                 if got < count as usize {
--- a/tests/loopback/cloud.rs
+++ b/tests/loopback/cloud.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use ciborium::{Value, cbor};
-use dappleshore::cloud::wire::{MachineNames, ScaleOutRequest};
+use dappleshore::cloud::wire::{MachineIds, ScaleOutRequest};
 use dappleshore::domain::{AgentEpoch, CapacityType, FencingToken, Resources};
 use dappleshore::http::read;
 use warp::Filter;
@@ -42,7 +42,7 @@
         .and(body)
         .and(with.clone())
         .map(|body: bytes::Bytes, fleet: Arc<Mutex<Fleet>>| {
-            let names = read::<MachineNames>(&body).map_or(Vec::new(), |names| names.machines);
+            let names = read::<MachineIds>(&body).map_or(Vec::new(), |names| names.machines);
             let mut fleet = lock(&fleet);
             for name in names {
                 if let Some(machine) = fleet.machines.get_mut(&*name.0) {
--- a/tests/simulation/cluster/cloud.rs
+++ b/tests/simulation/cluster/cloud.rs
@@ -59,7 +59,7 @@
 
     /// Rents as many machines as there are left. The same request again gets the same machines.
     fn rent_machines(&mut self, request: &ScaleOutRequest) -> CloudResponse {
-        let machine_names = |names: &[String]| MachineNames {
+        let machine_names = |names: &[String]| MachineIds {
             machines: names.iter().map(|name| name.as_str().into()).collect(),
         };
         if let Some(names) = self.requests.get(&request.request) {
@@ -85,7 +85,7 @@
         CloudResponse::ScaledOut(rented)
     }
 
-    fn delete_machines(&mut self, names: &MachineNames) {
+    fn delete_machines(&mut self, names: &MachineIds) {
         for name in &names.machines {
             let Some(mut machine) = self.machines.remove(&*name.0) else {
                 continue;
--- a/tests/simulation/cluster/mod.rs
+++ b/tests/simulation/cluster/mod.rs
@@ -18,7 +18,7 @@
 use super::rules::{Place, Rules, Told};
 use super::state::StateService;
 use dappleshore::cloud::wire::{
-    InstanceType, InstanceTypeList, ListedMachine, ListedState, MachineList, MachineNames,
+    InstanceType, InstanceTypeList, ListedMachine, ListedState, MachineIds, MachineList,
 };
 use dappleshore::cloud::{CloudRequest, CloudResponse};
 use dappleshore::config::{Config, StateLimits, TeamLimits};
