--- a/src/cloud/instance_catalog.rs
+++ b/src/cloud/instance_catalog.rs
@@ -47,7 +47,7 @@
     pub fn fits_job(&self, job: &Job) -> bool {
         self.all().any(|instance_type| {
             job.allows_type(&instance_type.name)
-                && instance_type.room().fits(&job.need)
+                && instance_type.resources().fits(&job.need)
                 && instance_type.zones.iter().any(|zone| job.allows_zone(zone))
         })
     }
--- a/src/cloud/wire.rs
+++ b/src/cloud/wire.rs
@@ -65,7 +65,7 @@
 
     /// The resources of an empty machine.
     #[must_use]
-    pub fn room(&self) -> Resources {
+    pub fn resources(&self) -> Resources {
         Resources {
             cpus: self.cpus.0,
             gpus: self.gpus.0,
--- a/src/placement/mod.rs
+++ b/src/placement/mod.rs
@@ -44,7 +44,7 @@
         taken: &Resources,
         images: Vec<Image>,
     ) -> Self {
-        let size = instance_type.room();
+        let size = instance_type.resources();
         let mut free = size;
         free.take(taken);
         Candidate {
--- a/src/provisioning/inventory_edits.rs
+++ b/src/provisioning/inventory_edits.rs
@@ -297,7 +297,7 @@
     }
     let expected = |instance_type: &InstanceType| {
         let most = demand.smallest.map_or(TASKS_UNKNOWN, |need| {
-            f64::from(instance_type.room().count_of(&need))
+            f64::from(instance_type.resources().count_of(&need))
         });
         let usual = seen
             .get(&instance_type.name)
--- a/src/scheduler/best_effort.rs
+++ b/src/scheduler/best_effort.rs
@@ -44,7 +44,7 @@
 
 /// What a task of the job costs on machines of a pool. None: it does not fit there or may not go there.
 fn price_of(job: &Job, instance_type: &InstanceType, capacity_type: CapacityType) -> Option<f64> {
-    let each = instance_type.room().count_of(&job.need);
+    let each = instance_type.resources().count_of(&job.need);
     let allowed =
         each > 0 && job.allows_type(&instance_type.name) && job.allows_capacity_type(capacity_type);
     let price = if capacity_type.is_spot() {
--- a/src/scheduler/best_effort/tests.rs
+++ b/src/scheduler/best_effort/tests.rs
@@ -26,7 +26,7 @@
 }
 
 fn candidate(name: &str, capacity_type: CapacityType, free: f64) -> Candidate {
-    let size = instance_type().room();
+    let size = instance_type().resources();
     Candidate {
         machine: name.into(),
         type_name: instance_type().name,
--- a/src/scheduler/capacity_view.rs
+++ b/src/scheduler/capacity_view.rs
@@ -91,7 +91,7 @@
             .all()
             .filter(|instance_type| job.allows_type(&instance_type.name))
         {
-            let each = instance_type.room().count_of(&job.need);
+            let each = instance_type.resources().count_of(&job.need);
             if each == 0 {
                 continue;
             }
--- a/src/scheduler/draining/fleet_view.rs
+++ b/src/scheduler/draining/fleet_view.rs
@@ -100,8 +100,8 @@
             && !capacity.provisioner.is_closed(&instance_type.name, zone)
     };
     let obtainable = capacity.leader.catalog.all().any(|instance_type| {
-        let fits =
-            job.allows_type(&instance_type.name) && instance_type.room().count_of(&job.need) > 0;
+        let fits = job.allows_type(&instance_type.name)
+            && instance_type.resources().count_of(&job.need) > 0;
         fits && instance_type
             .zones
             .iter()
