--- a/src/controller/leader_round.rs
+++ b/src/controller/leader_round.rs
@@ -262,7 +262,7 @@
         let tag = StoreTag::Scheduler(term);
         self.output
             .write(WritePriority::JobCompletion, tag, request);
-        let request = provisioner.write(now, &self.context, self.cache, demand);
+        let request = provisioner.next_transaction(now, &self.context, self.cache, demand);
         let tag = StoreTag::Provisioning(term);
         self.output.write(WritePriority::Placement, tag, request);
     }
--- a/src/controller/store_responses.rs
+++ b/src/controller/store_responses.rs
@@ -76,7 +76,7 @@
             StoreTag::Upgrade => self.upgrade.handle_store_response(now, &outcome),
             StoreTag::Provisioning(term) => {
                 if let Some(state) = self.leader_state_of(term) {
-                    state.provisioner.answered(now, &outcome);
+                    state.provisioner.handle_store_response(now, &outcome);
                 }
             }
             StoreTag::Scheduler(term) => {
@@ -141,7 +141,7 @@
                 _ => None,
             });
         } else if let Some(state) = &mut self.leader_state {
-            state.provisioner.cloud_responded(
+            state.provisioner.handle_cloud_response(
                 now,
                 &self.policy,
                 &self.config,
--- a/src/provisioning/cloud_requests.rs
+++ b/src/provisioning/cloud_requests.rs
@@ -191,7 +191,7 @@
     }
 
     /// Takes in the cloud's response to a request of [`Provisioner::cloud_requests`].
-    pub fn cloud_responded(
+    pub fn handle_cloud_response(
         &mut self,
         now: Now,
         policy: &Policy,
--- a/src/provisioning/mod.rs
+++ b/src/provisioning/mod.rs
@@ -3,7 +3,7 @@
 //!
 //! The controller owns one [`Provisioner`] for each term that it leads, and calls it in each round of the leader, in
 //! this order: [`Provisioner::observe`] with the machines' health, [`Provisioner::cloud_requests`], then
-//! [`Provisioner::write`]; responses come back through [`Provisioner::cloud_responded`] and [`Provisioner::answered`].
+//! [`Provisioner::next_transaction`]; responses come back through [`Provisioner::handle_cloud_response`] and [`Provisioner::handle_store_response`].
 //! The scheduler reads which machines failed and which capacity can be had.
 //!
 //! Pending rentals and machines are records in the state service. What is to be done follows from them alone, so a new
@@ -167,7 +167,7 @@
     }
 
     /// The next write, if the last one is done: machines that came or went, or what a round decides.
-    pub fn write(
+    pub fn next_transaction(
         &mut self,
         now: Now,
         leader: &LeaderContext<'_>,
@@ -197,7 +197,7 @@
     }
 
     /// Takes in the state service's response to the last write.
-    pub fn answered(&mut self, now: Now, response: &StoreResponse) {
+    pub fn handle_store_response(&mut self, now: Now, response: &StoreResponse) {
         self.writer.answered(now, response);
     }
 }
