--- a/src/controller/metrics_summary.rs
+++ b/src/controller/metrics_summary.rs
@@ -58,7 +58,9 @@
         state.last_summary = Some(self.now.monotonic);
         let gauges = &mut self.metrics.gauges;
         gauges.clear();
-        state.provisioner.summary(self.cache, &state.demand, gauges);
+        state
+            .provisioner
+            .report_pool_metrics(self.cache, &state.demand, gauges);
         if let Some(draining) = state.scheduler.draining() {
             draining.record_gauges(self.cache, gauges);
         }
--- a/src/provisioning/pool_metrics.rs
+++ b/src/provisioning/pool_metrics.rs
@@ -11,8 +11,13 @@
 
 impl Provisioner {
     /// Logs one line for each pool, and adds the numbers of its machines to the gauges.
-    pub fn summary(&self, cache: &WatchCache, demand: &Demand, gauges: &mut BTreeMap<String, f64>) {
-        for (pool, machines) in self.machines(cache) {
+    pub fn report_pool_metrics(
+        &self,
+        cache: &WatchCache,
+        demand: &Demand,
+        gauges: &mut BTreeMap<String, f64>,
+    ) {
+        for (pool, machines) in self.capacity_by_pool(cache) {
             let of_pool = |id: &MachineId| {
                 cache
                     .machines
@@ -53,7 +58,7 @@
 
     /// The machines of each pool, up or requested, without those that failed or are late.
     #[must_use]
-    pub fn machines(&self, cache: &WatchCache) -> BTreeMap<MachinePool, u32> {
+    pub fn capacity_by_pool(&self, cache: &WatchCache) -> BTreeMap<MachinePool, u32> {
         let mut counts = BTreeMap::new();
         for (id, machine) in &cache.machines {
             if machine.state.takes_tasks() && self.machines.counts_as_capacity(id) {
--- a/src/provisioning/scaling_round.rs
+++ b/src/provisioning/scaling_round.rs
@@ -95,7 +95,7 @@
             return None;
         }
         self.last_round = Some(now.monotonic);
-        let machines = self.machines(cache);
+        let machines = self.capacity_by_pool(cache);
         // One change for each type's rental, the rest for the blocks of machines that are returned.
         let limit = leader
             .max_changes
--- a/src/scheduler/mod.rs
+++ b/src/scheduler/mod.rs
@@ -460,7 +460,7 @@
             now,
             leader,
             provisioner,
-            machines: provisioner.machines(cache),
+            machines: provisioner.capacity_by_pool(cache),
         };
         let Present {
             usage,
