--- a/src/controller/leader_round.rs
+++ b/src/controller/leader_round.rs
@@ -217,7 +217,7 @@
             self.heard_zones,
             attempt_resolved,
         );
-        provisioner.observe_drains(cache);
+        provisioner.update_drained_scopes(cache);
     }
 
     /// Decides where tasks go, and what machines are lacking for them.
--- a/src/provisioning/mod.rs
+++ b/src/provisioning/mod.rs
@@ -106,7 +106,7 @@
 
     /// Whether a machine of this type, zone and capacity type can be had, as far as is known.
     #[must_use]
-    pub fn available(
+    pub fn is_available(
         &self,
         now: Now,
         type_name: &InstanceTypeName,
@@ -114,19 +114,19 @@
         capacity_type: CapacityType,
     ) -> bool {
         let capacity = ZonedPool::new(type_name.clone(), capacity_type, zone.clone());
-        self.unavailable.is_available(now, &capacity) && !self.is_closed(type_name, zone)
+        self.unavailable.is_available(now, &capacity) && !self.is_drained(type_name, zone)
     }
 
     /// Whether operators drain all machines of this type in this zone.
     #[must_use]
-    pub fn is_closed(&self, type_name: &InstanceTypeName, zone: &Zone) -> bool {
+    pub fn is_drained(&self, type_name: &InstanceTypeName, zone: &Zone) -> bool {
         self.drained_scopes
             .iter()
             .any(|scope| scope.closes(type_name, zone))
     }
 
     /// Takes in what operators drain.
-    pub fn observe_drains(&mut self, cache: &WatchCache) {
+    pub fn update_drained_scopes(&mut self, cache: &WatchCache) {
         let holding = cache.drains.values().filter(|record| record.value.holds());
         self.drained_scopes = holding.map(|record| record.value.scope.clone()).collect();
     }
--- a/src/provisioning/scaling_round.rs
+++ b/src/provisioning/scaling_round.rs
@@ -188,8 +188,9 @@
         if count <= 0 {
             return None;
         }
-        let in_stock =
-            |zone: &Zone| self.available(round.now, &instance_type.name, zone, pool.capacity_type);
+        let in_stock = |zone: &Zone| {
+            self.is_available(round.now, &instance_type.name, zone, pool.capacity_type)
+        };
         let zone = pinned.map(|pinned| pinned.zone);
         let obtainable = match &zone {
             Some(zone) => in_stock(zone),
@@ -224,10 +225,10 @@
         } = shortage;
         let zone =
             zone.or_else(|| self.zone_for(now, instance_type, capacity_type, tasks_wait, cache))?;
-        if self.is_closed(&instance_type.name, &zone) {
+        if self.is_drained(&instance_type.name, &zone) {
             return None;
         }
-        if !self.available(now, &instance_type.name, &zone, capacity_type)
+        if !self.is_available(now, &instance_type.name, &zone, capacity_type)
             && !self
                 .unavailable
                 .try_probe(now, &instance_type.name, leader.has_spare_writes)
@@ -263,7 +264,7 @@
                 .count() as i64
         };
         let available =
-            |zone: &Zone| self.available(now, &pool.type_name, zone, pool.capacity_type);
+            |zone: &Zone| self.is_available(now, &pool.type_name, zone, pool.capacity_type);
         demand
             .pinned
             .iter()
@@ -358,13 +359,13 @@
         instance_type
             .zones
             .iter()
-            .filter(|zone| self.available(now, &instance_type.name, zone, capacity_type))
+            .filter(|zone| self.is_available(now, &instance_type.name, zone, capacity_type))
             .min_by_key(|zone| count(zone))
             .or_else(|| {
                 instance_type
                     .zones
                     .iter()
-                    .filter(|zone| tasks_wait && !self.is_closed(&instance_type.name, zone))
+                    .filter(|zone| tasks_wait && !self.is_drained(&instance_type.name, zone))
                     .min_by_key(|zone| unavailable_until(zone))
             })
             .cloned()
--- a/src/scheduler/capacity_view.rs
+++ b/src/scheduler/capacity_view.rs
@@ -60,7 +60,7 @@
                         .filter(|t| job.allows_capacity_type(*t));
                     capacity_types.into_iter().any(|t| {
                         self.provisioner
-                            .available(self.now, &instance_type.name, zone, t)
+                            .is_available(self.now, &instance_type.name, zone, t)
                     })
                 })
         };
@@ -105,7 +105,7 @@
                     f64::from(self.machines.get(&pool).copied().unwrap_or(0)) - demand.of(&pool);
                 let available = |zone: &Zone| {
                     pinned.map_or(job.allows_zone(zone), |only| only == zone)
-                        && self.provisioner.available(
+                        && self.provisioner.is_available(
                             self.now,
                             &instance_type.name,
                             zone,
--- a/src/scheduler/draining/fleet_view.rs
+++ b/src/scheduler/draining/fleet_view.rs
@@ -97,7 +97,7 @@
     let open = |instance_type: &InstanceType, zone: &Zone| {
         job.allows_zone(zone)
             && allows_task_in_zone(job, zones, zone)
-            && !capacity.provisioner.is_closed(&instance_type.name, zone)
+            && !capacity.provisioner.is_drained(&instance_type.name, zone)
     };
     let obtainable = capacity.leader.catalog.all().any(|instance_type| {
         let fits = job.allows_type(&instance_type.name)
