--- a/src/provisioning/scaling_round.rs
+++ b/src/provisioning/scaling_round.rs
@@ -159,7 +159,7 @@
             .catalog
             .get(&pool.type_name)
             .map_or(1.0, |instance_type| {
-                self.eta(instance_type, demand.run_times.get(pool))
+                self.boot_to_run_ratio(instance_type, demand.run_times.get(pool))
             });
         let demand = demand.of(pool);
         let headroom = leader.policy.headroom;
@@ -280,7 +280,11 @@
     /// The eta of the scale-out rule: expected boot time over mean run time. Both are measured; the run time starts as if
     /// one task had run for one boot, which makes eta 1 until there is more to go by.
     #[must_use]
-    pub fn eta(&self, instance_type: &InstanceType, run_times: Option<&RunTimes>) -> f64 {
+    pub fn boot_to_run_ratio(
+        &self,
+        instance_type: &InstanceType,
+        run_times: Option<&RunTimes>,
+    ) -> f64 {
         let boot = self
             .machines
             .boots
--- a/src/scheduler/best_effort.rs
+++ b/src/scheduler/best_effort.rs
@@ -108,7 +108,7 @@
             let Some(instance_type) = leader.catalog.get(&pool.type_name) else {
                 continue;
             };
-            let eta = provisioner.eta(instance_type, runs.get(pool));
+            let eta = provisioner.boot_to_run_ratio(instance_type, runs.get(pool));
             let margin = square_root_rule::headroom(*demand, eta) * leader.policy.headroom;
             reserved.extend(emptiest(candidates, pool, (margin - 1e-9).ceil() as usize));
         }
