--- a/src/provisioning/demand.rs
+++ b/src/provisioning/demand.rs
@@ -77,7 +77,7 @@
     /// The run times measured in each pool.
     pub run_times: BTreeMap<MachinePool, RunTimes>,
     /// The smallest amounts that any open job's task asks for.
-    pub smallest: Option<Resources>,
+    pub smallest_task: Option<Resources>,
 }
 
 impl Demand {
@@ -98,7 +98,7 @@
 
     /// The demand for machines of a pool.
     #[must_use]
-    pub fn of(&self, pool: &MachinePool) -> f64 {
+    pub fn for_pool(&self, pool: &MachinePool) -> f64 {
         self.machines.get(pool).copied().unwrap_or(0.0)
     }
 }
@@ -120,5 +120,5 @@
     pub usable: bool,
     /// Its holder receives reports of hardly any of its machines, but other controllers receive this one's: it is the
     /// holder that is cut off.
-    pub heard_elsewhere: bool,
+    pub holder_isolated: bool,
 }
--- a/src/provisioning/inventory_edits.rs
+++ b/src/provisioning/inventory_edits.rs
@@ -296,7 +296,7 @@
         of_type.tasks += live.attempts().count();
     }
     let expected = |instance_type: &InstanceType| {
-        let most = demand.smallest.map_or(TASKS_UNKNOWN, |need| {
+        let most = demand.smallest_task.map_or(TASKS_UNKNOWN, |need| {
             f64::from(instance_type.resources().count_of(&need))
         });
         let usual = seen
--- a/src/provisioning/machine_observations.rs
+++ b/src/provisioning/machine_observations.rs
@@ -114,7 +114,7 @@
             self.boots
                 .never_comes_up(leader.catalog, &machine.type_name, age)
         };
-        health.silent && !health.heard_elsewhere && (known_up || never_up())
+        health.silent && !health.holder_isolated && (known_up || never_up())
     }
 
     /// Whether the tasks of a silent machine in a zone that may be isolated can still run; terminating it would end them.
--- a/src/provisioning/pool_metrics.rs
+++ b/src/provisioning/pool_metrics.rs
@@ -39,7 +39,7 @@
                 type_name,
                 capacity_type,
             } = &pool;
-            let demand = demand.of(&pool);
+            let demand = demand.for_pool(&pool);
             info!(%type_name, ?capacity_type, machines, up, idle, returning, demand, "pool");
             for (state, count) in [
                 ("all", f64::from(machines)),
--- a/src/provisioning/scaling_round.rs
+++ b/src/provisioning/scaling_round.rs
@@ -161,7 +161,7 @@
             .map_or(1.0, |instance_type| {
                 self.boot_to_run_ratio(instance_type, demand.run_times.get(pool))
             });
-        let demand = demand.of(pool);
+        let demand = demand.for_pool(pool);
         let headroom = leader.policy.headroom;
         Recommendation {
             demand,
--- a/src/scheduler/capacity_view.rs
+++ b/src/scheduler/capacity_view.rs
@@ -101,8 +101,8 @@
                 .filter(|capacity_type| job.allows_capacity_type(*capacity_type))
             {
                 let pool = MachinePool::new(instance_type.name.clone(), capacity_type);
-                let room =
-                    f64::from(self.machines.get(&pool).copied().unwrap_or(0)) - demand.of(&pool);
+                let room = f64::from(self.machines.get(&pool).copied().unwrap_or(0))
+                    - demand.for_pool(&pool);
                 let available = |zone: &Zone| {
                     pinned.map_or(job.allows_zone(zone), |only| only == zone)
                         && self.provisioner.is_available(
--- a/src/scheduler/mod.rs
+++ b/src/scheduler/mod.rs
@@ -213,7 +213,7 @@
                     silent: machine.unresponsive,
                     faulty: self.failures.is_faulty(machine, cache),
                     usable: machine.usable,
-                    heard_elsewhere: !isolated_holders.is_empty()
+                    holder_isolated: !isolated_holders.is_empty()
                         && holder(&machine.machine)
                             .is_some_and(|holder| isolated_holders.contains(holder)),
                 };
@@ -495,7 +495,7 @@
         }
         let mut queue = self.waiting_jobs(now, cache);
         self.count_waiting(&queue);
-        plan.demand.smallest = minimum_need(&queue);
+        plan.demand.smallest_task = minimum_need(&queue);
         if complete {
             let mut releases = ReleaseContext::new(now, leader, cache, best_effort);
             self.release_waiting_tasks(&mut releases, &mut queue, &mut plan);
--- a/src/scheduler/tests.rs
+++ b/src/scheduler/tests.rs
@@ -324,7 +324,7 @@
                 .machine_health(fixture.now, &fixture.cache, &isolated_holders);
         let spared = health
             .values()
-            .filter(|health| health.heard_elsewhere)
+            .filter(|health| health.holder_isolated)
             .count();
         (isolated_holders.contains(&holder), spared)
     };
