--- a/src/placement/mod.rs
+++ b/src/placement/mod.rs
@@ -71,7 +71,7 @@
 /// The best machine with enough free resources for one task of the job, or `None` if there is none.
 ///
 /// `zone_open` says whether one more task of the job may go to a zone.
-pub fn choose<'c>(
+pub fn best_candidate<'c>(
     candidates: impl Iterator<Item = &'c Candidate>,
     job: &Job,
     zone_open: impl Fn(&Zone) -> bool,
--- a/src/placement/tests.rs
+++ b/src/placement/tests.rs
@@ -59,7 +59,7 @@
         machine("m-4", CapacityType::Spot, 4.0, &["img"]),
     ];
     let chosen = |list: &[Candidate], job: &Job| {
-        choose(list.iter(), job, |_| true).map(|c| c.machine.clone())
+        best_candidate(list.iter(), job, |_| true).map(|c| c.machine.clone())
     };
     let mut work = job(1, 2.0);
     assert_eq!(chosen(&list, &work), Some("m-2".into()));
@@ -77,7 +77,7 @@
     );
     work.zone = Some("b".into());
     assert_eq!(chosen(&list, &work), None);
-    assert!(choose(list.iter(), &job(1, 2.0), |_| false).is_none());
+    assert!(best_candidate(list.iter(), &job(1, 2.0), |_| false).is_none());
 }
 
 #[test]
--- a/src/scheduler/draining/replacement.rs
+++ b/src/scheduler/draining/replacement.rs
@@ -28,7 +28,8 @@
             block.is_some_and(|block| self.block_slots.get(block).is_some_and(|space| *space > 0))
         };
         let open = self.candidates.iter().filter(|c| has_space(&c.machine));
-        let chosen = placement::choose(open, job, |zone| allows_task_in_zone(job, zones, zone))?;
+        let chosen =
+            placement::best_candidate(open, job, |zone| allows_task_in_zone(job, zones, zone))?;
         let machine = chosen.machine.clone();
         let index = self.index_of(&machine)?;
         self.take_room(cache, index, &job.need);
--- a/src/workers/block/placement_writes.rs
+++ b/src/workers/block/placement_writes.rs
@@ -271,7 +271,7 @@
             .filter(clear)
             .find(|candidate| candidate.machine == assignment.machine)
             .filter(|candidate| accepts(candidate, job))
-            .or_else(|| placement::choose(candidates.iter().filter(clear), job, |_| true))
+            .or_else(|| placement::best_candidate(candidates.iter().filter(clear), job, |_| true))
             .map(|candidate| candidate.machine.clone())
     }
 
