--- a/src/scheduler/capacity_view.rs
+++ b/src/scheduler/capacity_view.rs
@@ -39,17 +39,17 @@
             .all()
             .flat_map(|instance_type| &instance_type.zones)
             .collect();
-        let open = |zone: &&Zone| {
+        let is_allowed = |zone: &&Zone| {
             job.allows_zone(zone) && allows_task_in_zone(job, &waiting.tasks_per_zone, zone)
         };
-        let allowed: Vec<&Zone> = zones.iter().copied().filter(open).collect();
+        let allowed: Vec<&Zone> = zones.iter().copied().filter(is_allowed).collect();
         // The rule counts machines of all zones alike: a gang that must be in one could wait for ever beside enough room
         // in all of them together.
-        let settles_on_one = job.one_zone && may_reserve_capacity(waiting);
-        if allowed.len() == zones.len() && !settles_on_one {
+        let gang_needs_one_zone = job.one_zone && may_reserve_capacity(waiting);
+        if allowed.len() == zones.len() && !gang_needs_one_zone {
             return None;
         }
-        let obtainable = |zone: &&Zone| {
+        let is_available_in = |zone: &&Zone| {
             self.leader
                 .catalog
                 .all()
@@ -66,7 +66,7 @@
         };
         allowed
             .into_iter()
-            .max_by_key(|zone| obtainable(zone))
+            .max_by_key(|zone| is_available_in(zone))
             .cloned()
     }
 
@@ -81,7 +81,7 @@
         &self,
         job: &Job,
         demand: &Demand,
-        pinned: Option<&Zone>,
+        pinned_zone: Option<&Zone>,
         price_limit: f64,
     ) -> Option<(MachinePool, f64)> {
         let mut best: Option<(PlacementCost, (MachinePool, f64))> = None;
@@ -91,20 +91,20 @@
             .all()
             .filter(|instance_type| job.allows_type(&instance_type.name))
         {
-            let each = instance_type.resources().count_of(&job.need);
-            if each == 0 {
+            let tasks_per_machine = instance_type.resources().count_of(&job.need);
+            if tasks_per_machine == 0 {
                 continue;
             }
-            let share = 1.0 / f64::from(each);
+            let share = 1.0 / f64::from(tasks_per_machine);
             for capacity_type in [CapacityType::OnDemand, CapacityType::Spot]
                 .into_iter()
                 .filter(|capacity_type| job.allows_capacity_type(*capacity_type))
             {
                 let pool = MachinePool::new(instance_type.name.clone(), capacity_type);
-                let room = f64::from(self.machines.get(&pool).copied().unwrap_or(0))
+                let free_machines = f64::from(self.machines.get(&pool).copied().unwrap_or(0))
                     - demand.for_pool(&pool);
                 let available = |zone: &Zone| {
-                    pinned.map_or(job.allows_zone(zone), |only| only == zone)
+                    pinned_zone.map_or(job.allows_zone(zone), |pinned| pinned == zone)
                         && self.provisioner.is_available(
                             self.now,
                             &instance_type.name,
@@ -112,8 +112,8 @@
                             capacity_type,
                         )
                 };
-                let has_room = pinned.is_none() && room + 1e-9 >= share;
-                let can_be_had = has_room || instance_type.zones.iter().any(available);
+                let has_free_capacity = pinned_zone.is_none() && free_machines + 1e-9 >= share;
+                let obtainable = has_free_capacity || instance_type.zones.iter().any(available);
                 let price = if capacity_type.is_spot() {
                     instance_type.spot_price.0
                 } else {
@@ -124,15 +124,15 @@
                 }
                 // What has run out everywhere is still asked for, again each round.
                 let cost = PlacementCost {
-                    unavailable: !can_be_had,
+                    unavailable: !obtainable,
                     task_price: (price * share * 1e4).round(),
                     machine_price: price,
                 };
-                if best.as_ref().is_none_or(|(least, _)| cost < *least) {
+                if best.as_ref().is_none_or(|(lowest, _)| cost < *lowest) {
                     best = Some((cost, (pool, share)));
                 }
             }
         }
-        best.map(|(_, found)| found)
+        best.map(|(_, pool_and_share)| pool_and_share)
     }
 }
--- a/src/scheduler/completion_compaction.rs
+++ b/src/scheduler/completion_compaction.rs
@@ -12,37 +12,37 @@
 use crate::store::{Transaction, WatchCache};
 
 /// A block's finished tasks are compacted when its value is this full of all that it may come to hold ...
-const FULL: f64 = 0.8;
+const NEARLY_FULL_RATIO: f64 = 0.8;
 /// ... and they take this much of it. A block that is full of running tasks alone gains nothing: its every finished task
 /// would be recorded by itself.
-const WORTH_COMPACTING: f64 = 0.15;
-const WORTH_COMPACTING_DIVIDED: f64 = 0.5;
+const MIN_FINISHED_RATIO: f64 = 0.15;
+const MIN_FINISHED_RATIO_DIVIDED: f64 = 0.5;
 
 /// Adds to the transaction what should be compacted, up to `most` changes.
 pub(super) fn compact(
     config: &Config,
     cache: &WatchCache,
     mut txn: Transaction,
-    most: usize,
+    max_changes: usize,
 ) -> Transaction {
     let limit = config.state_limits.value_bytes as f64;
     // Where a block may have more values, room for finished tasks is had more cheaply than by compaction.
-    let worth = if cache.format() >= PARTS_FORMAT {
-        WORTH_COMPACTING_DIVIDED
+    let min_finished_ratio = if cache.format() >= PARTS_FORMAT {
+        MIN_FINISHED_RATIO_DIVIDED
     } else {
-        WORTH_COMPACTING
+        MIN_FINISHED_RATIO
     };
     for placements in cache
         .all_placements_parts()
-        .filter(|placements| placements.value.worst_case_size() as f64 > limit * FULL)
+        .filter(|placements| placements.value.worst_case_size() as f64 > limit * NEARLY_FULL_RATIO)
     {
-        let mut left = placements.value.clone();
-        cache.forget_recorded_ends(&mut left);
-        if (left.done_size() as f64) < limit * worth {
+        let mut remaining = placements.value.clone();
+        cache.forget_recorded_ends(&mut remaining);
+        if (remaining.done_size() as f64) < limit * min_finished_ratio {
             continue;
         }
-        for (job, chunk) in chunks(&left) {
-            if txn.changes.len() >= most {
+        for (job, chunk) in chunks_by_finished_size(&remaining) {
+            if txn.changes.len() >= max_changes {
                 return txn;
             }
             txn = compact_chunk(cache, txn, job, chunk);
@@ -52,7 +52,7 @@
 }
 
 /// The chunks of progress that finished tasks of a block belong to; of the largest sets first, for they free the most.
-fn chunks(placements: &BlockPlacements) -> Vec<(JobId, u32)> {
+fn chunks_by_finished_size(placements: &BlockPlacements) -> Vec<(JobId, u32)> {
     let mut sets: Vec<(&JobId, &Ranges)> = placements.done.iter().collect();
     sets.sort_by_key(|(_, done)| Reverse(done.size()));
     let mut chunks = Vec::new();
--- a/src/scheduler/demand.rs
+++ b/src/scheduler/demand.rs
@@ -14,41 +14,41 @@
 use crate::store::{Machine, WatchCache};
 
 /// Steps in which the waiting tasks of one job are counted.
-const COUNTING_STEPS: u64 = 64;
+const MAX_STEPS_PER_GROUP: u64 = 64;
 
 /// What is placed or released at present.
 #[derive(Default)]
-pub(super) struct Present {
+pub(super) struct CurrentLoad {
     pub(super) usage: Usage,
     /// The demand of all work that is not best effort, in machines.
-    pub(super) guaranteed: BTreeMap<MachinePool, f64>,
+    pub(super) guaranteed_demand: BTreeMap<MachinePool, f64>,
     pub(super) demand: Demand,
 }
 
 /// A task on an ordinary machine that could be on a spot machine, and its share of that machine.
-struct Misplaced<'v> {
+struct SpotEligibleTask<'v> {
     open: &'v OpenJob,
     pool: MachinePool,
     share: f64,
 }
 
-impl Present {
+impl CurrentLoad {
     /// Counts a task. What could run on spot machines is no reason to have ordinary ones: it is returned.
     fn count<'v>(
         &mut self,
         leader: &LeaderContext<'_>,
         machine: &Machine,
         open: &'v OpenJob,
-    ) -> Option<Misplaced<'v>> {
+    ) -> Option<SpotEligibleTask<'v>> {
         self.usage.add(&open.job);
         let instance_type = leader.catalog.get(&machine.type_name)?;
         let share = 1.0 / f64::from(instance_type.resources().count_of(&open.job.need).max(1));
         let pool = MachinePool::new(machine.type_name.clone(), machine.capacity_type);
         if !is_best_effort(leader.config, &open.job) {
-            *self.guaranteed.entry(pool.clone()).or_default() += share;
+            *self.guaranteed_demand.entry(pool.clone()).or_default() += share;
         }
         if open.job.spot && !machine.capacity_type.is_spot() {
-            return Some(Misplaced { open, pool, share });
+            return Some(SpotEligibleTask { open, pool, share });
         }
         self.demand.add(pool, share);
         None
@@ -57,17 +57,21 @@
 
 impl Scheduler {
     /// Counts all that is placed or released.
-    pub(super) fn present(&self, capacity: &CapacityView<'_>, cache: &WatchCache) -> Present {
-        let mut present = Present::default();
-        present.demand.run_times = self.run_times.clone();
-        let mut misplaced = Vec::new();
+    pub(super) fn current_load(
+        &self,
+        capacity: &CapacityView<'_>,
+        cache: &WatchCache,
+    ) -> CurrentLoad {
+        let mut load = CurrentLoad::default();
+        load.demand.run_times = self.run_times.clone();
+        let mut spot_eligible_tasks = Vec::new();
         for live in cache.live_placements() {
-            present.demand.occupied.insert(live.id.clone());
+            load.demand.occupied.insert(live.id.clone());
             for open in live
                 .attempts()
                 .filter_map(|attempt| cache.open.get(&attempt.task.job))
             {
-                misplaced.extend(present.count(capacity.leader, live.machine, open));
+                spot_eligible_tasks.extend(load.count(capacity.leader, live.machine, open));
             }
         }
         for release in self
@@ -75,27 +79,29 @@
             .values()
             .flat_map(|block_state| block_state.releases.values())
         {
-            present.demand.occupied.insert(release.machine.clone());
+            load.demand.occupied.insert(release.machine.clone());
             let Some(open) = cache.open.get(&release.attempt.task.job) else {
                 continue;
             };
             match cache.machines.get(&release.machine) {
-                Some(machine) => misplaced.extend(present.count(capacity.leader, machine, open)),
+                Some(machine) => {
+                    spot_eligible_tasks.extend(load.count(capacity.leader, machine, open))
+                }
                 // Its machine is gone, but its holder may still choose another.
-                None => present.usage.add(&open.job),
+                None => load.usage.add(&open.job),
             }
         }
-        for Misplaced { open, pool, share } in misplaced {
-            let cheapest = capacity.cheapest_pool(&open.job, &present.demand, None, f64::INFINITY);
+        for SpotEligibleTask { open, pool, share } in spot_eligible_tasks {
+            let cheapest = capacity.cheapest_pool(&open.job, &load.demand, None, f64::INFINITY);
             let (pool, share) = cheapest.unwrap_or((pool, share));
-            present.demand.add(pool, share);
+            load.demand.add(pool, share);
         }
-        present
+        load
     }
 }
 
 /// Adds the waiting tasks that their team's limit allows, each in the cheapest type that can be had.
-pub(super) fn count_waiting(
+pub(super) fn add_pending_demand(
     capacity: &CapacityView<'_>,
     queue: &[WaitingJob<'_>],
     usage: &mut Usage,
@@ -103,39 +109,42 @@
 ) {
     // Jobs that ask for the same are counted as one, where the first of them stands.
     let mut groups: Vec<(&Job, Option<Zone>, f64, u64)> = Vec::new();
-    let mut known: HashMap<(PlacementRequirements, &Team, Option<Zone>), usize> = HashMap::new();
+    let mut group_indexes: HashMap<(PlacementRequirements, &Team, Option<Zone>), usize> =
+        HashMap::new();
     for waiting in queue {
         let job = &waiting.open.job;
-        let pinned = capacity.pinned_zone(waiting);
-        let limit = waiting.price_limit(capacity.leader);
-        let reach = if limit.is_finite() {
+        let pinned_zone = capacity.pinned_zone(waiting);
+        let price_limit = waiting.price_limit(capacity.leader);
+        let eligible_machines = if price_limit.is_finite() {
             EligibleMachines::CheapAndUnreserved
         } else {
             EligibleMachines::All
         };
-        let shape = PlacementRequirements::of(job, &BTreeSet::new(), |_| true, reach);
-        let index = *known
-            .entry((shape, &job.team, pinned.clone()))
+        let requirements =
+            PlacementRequirements::of(job, &BTreeSet::new(), |_| true, eligible_machines);
+        let index = *group_indexes
+            .entry((requirements, &job.team, pinned_zone.clone()))
             .or_insert_with(|| {
-                groups.push((job, pinned, limit, 0));
+                groups.push((job, pinned_zone, price_limit, 0));
                 groups.len() - 1
             });
         groups[index].3 += waiting.pending_tasks;
     }
-    for (job, pinned, limit, left) in groups {
-        let mut left = left.min(usage.tasks_within_limit(capacity.leader.config, job));
+    for (job, pinned_zone, price_limit, tasks) in groups {
+        let mut tasks = tasks.min(usage.tasks_within_limit(capacity.leader.config, job));
         // A few tasks at a time, but no more than so many steps: jobs have up to 100,000 tasks.
-        let step = left.div_ceil(COUNTING_STEPS).max(1);
-        while left > 0 {
-            let count = step.min(left);
-            left -= count;
-            let Some((pool, share)) = capacity.cheapest_pool(job, demand, pinned.as_ref(), limit)
+        let step = tasks.div_ceil(MAX_STEPS_PER_GROUP).max(1);
+        while tasks > 0 {
+            let count = step.min(tasks);
+            tasks -= count;
+            let Some((pool, share)) =
+                capacity.cheapest_pool(job, demand, pinned_zone.as_ref(), price_limit)
             else {
                 break;
             };
             usage.add_tasks(job, count as f64);
             let machines = share * count as f64;
-            match &pinned {
+            match &pinned_zone {
                 Some(zone) => demand.add_pinned(pool, zone.clone(), machines),
                 None => demand.add(pool, machines),
             }
--- a/src/scheduler/failures.rs
+++ b/src/scheduler/failures.rs
@@ -14,12 +14,12 @@
 use crate::store::WatchCache;
 
 /// Failures of a job without a success that are taken for bad luck.
-const TOLERATED: u32 = 2;
-const SHORTEST_BACKOFF: Duration = Duration::from_secs(1);
-const LONGEST_BACKOFF: Duration = Duration::from_secs(20);
+const TOLERATED_FAILURES: u32 = 2;
+const MIN_BACKOFF: Duration = Duration::from_secs(1);
+const MAX_BACKOFF: Duration = Duration::from_secs(20);
 /// Failures in a row after which a machine may be faulty, and the jobs that they must be of at least.
-const FAULTY_AFTER: u32 = 3;
-const FAULTY_JOBS: usize = 2;
+const FAULTY_MIN_FAILURES: u32 = 3;
+const FAULTY_MIN_JOBS: usize = 2;
 
 #[derive(Debug, Default)]
 struct JobFailures {
@@ -44,44 +44,44 @@
         before: Option<&MachineStatus>,
     ) {
         for failures in &status.failures_by_job {
-            let known = before
+            let reported_before = before
                 .into_iter()
                 .flat_map(|before| &before.failures_by_job)
-                .find(|old| old.job == failures.job);
-            let more = failures
+                .find(|previous| previous.job == failures.job);
+            let new_failures = failures
                 .count
-                .saturating_sub(known.map_or(0, |known| known.count));
-            if more > 0 {
-                self.failed(now, failures.job, &status.machine, more);
+                .saturating_sub(reported_before.map_or(0, |previous| previous.count));
+            if new_failures > 0 {
+                self.record_failures(now, failures.job, &status.machine, new_failures);
             }
         }
     }
 
-    fn failed(&mut self, now: Now, job: JobId, machine: &MachineId, times: u32) {
+    fn record_failures(&mut self, now: Now, job: JobId, machine: &MachineId, new_failures: u32) {
         let failures = self.jobs.entry(job).or_default();
         let before = failures.count;
-        failures.count += times;
+        failures.count += new_failures;
         failures.machines.insert(machine.clone());
-        if failures.count <= TOLERATED {
+        if failures.count <= TOLERATED_FAILURES {
             return;
         }
         // Tasks that began together fail together: they are one reason to wait longer, not many.
         if failures.retry_at.is_none_or(|at| now.monotonic >= at) {
-            let doublings = (failures.count - TOLERATED - 1).min(8);
-            let backoff = SHORTEST_BACKOFF * 2u32.pow(doublings);
-            failures.retry_at = Some(now.monotonic + backoff.min(LONGEST_BACKOFF));
+            let doublings = (failures.count - TOLERATED_FAILURES - 1).min(8);
+            let backoff = MIN_BACKOFF * 2u32.pow(doublings);
+            failures.retry_at = Some(now.monotonic + backoff.min(MAX_BACKOFF));
         }
-        if before <= TOLERATED {
+        if before <= TOLERATED_FAILURES {
             info!(%job, %machine, "tasks of this job keep failing: one is tried at a time");
         }
     }
 
     /// A task of the job is done.
-    pub(super) fn succeeded(&mut self, job: JobId) {
+    pub(super) fn record_success(&mut self, job: JobId) {
         self.jobs.remove(&job);
     }
 
-    pub(super) fn retain_open(&mut self, cache: &WatchCache) {
+    pub(super) fn retain_open_jobs(&mut self, cache: &WatchCache) {
         self.jobs.retain(|job, _| cache.open.contains_key(job));
     }
 
@@ -89,7 +89,7 @@
     pub(super) fn keeps_failing(&self, job: JobId) -> bool {
         self.jobs
             .get(&job)
-            .is_some_and(|failures| failures.count > TOLERATED)
+            .is_some_and(|failures| failures.count > TOLERATED_FAILURES)
     }
 
     /// Whether the job should wait before it is tried again.
@@ -108,22 +108,22 @@
     }
 
     /// Whether so many tasks of so many jobs have failed on the machine that it must be faulty.
-    pub(super) fn is_faulty(&self, status: &MachineStatus, cache: &WatchCache) -> bool {
-        let blames_machine = |job: JobId| !self.fails_elsewhere(job, cache);
-        status.consecutive_failures >= FAULTY_AFTER
+    pub(super) fn is_machine_faulty(&self, status: &MachineStatus, cache: &WatchCache) -> bool {
+        let counts_against_machine = |job: JobId| !self.is_job_at_fault(job, cache);
+        status.consecutive_failures >= FAULTY_MIN_FAILURES
             && status
                 .failures_by_job
                 .iter()
-                .filter(|failures| blames_machine(failures.job))
+                .filter(|failures| counts_against_machine(failures.job))
                 .count()
-                >= FAULTY_JOBS
+                >= FAULTY_MIN_JOBS
     }
 
     /// Whether a job's failures say nothing against a machine: it has failed on others too without any success, or was
     /// cancelled without one.
-    fn fails_elsewhere(&self, job: JobId, cache: &WatchCache) -> bool {
+    fn is_job_at_fault(&self, job: JobId, cache: &WatchCache) -> bool {
         match cache.ended.get(&job) {
-            Some((end, _)) => *end == JobOutcome::Cancelled,
+            Some((outcome, _)) => *outcome == JobOutcome::Cancelled,
             None => self
                 .jobs
                 .get(&job)
--- a/src/scheduler/failures/tests.rs
+++ b/src/scheduler/failures/tests.rs
@@ -1,7 +1,7 @@
 //! Failing jobs and faulty machines told apart.
 
 use super::*;
-use crate::peer::JobFailures as Told;
+use crate::peer::JobFailures as ReportedFailures;
 use crate::placement::tests::job;
 use crate::store::Change;
 use crate::store::records::{JobRecord, encode, job_key};
@@ -16,7 +16,7 @@
         consecutive_failures: failures.iter().map(|(_, count)| count).sum(),
         failures_by_job: failures
             .iter()
-            .map(|(job, count)| Told {
+            .map(|(job, count)| ReportedFailures {
                 job: JobId(*job),
                 count: *count,
             })
@@ -25,7 +25,7 @@
     }
 }
 
-fn view_with_open(jobs: &[u64]) -> WatchCache {
+fn cache_with_open_jobs(jobs: &[u64]) -> WatchCache {
     let mut cache = WatchCache::following();
     for (version, id) in (1..).zip(jobs) {
         let value = Some(encode(&JobRecord::Open(job(10, 1.0))));
@@ -38,7 +38,7 @@
     cache
 }
 
-fn later(now: Now, seconds: u64) -> Now {
+fn seconds_after(now: Now, seconds: u64) -> Now {
     Now {
         monotonic: now.monotonic + Duration::from_secs(seconds),
         ..now
@@ -46,7 +46,7 @@
 }
 
 #[test]
-fn a_job_that_keeps_failing_waits_longer_each_time_and_a_success_ends_that() {
+fn backoff_of_a_failing_job_grows_and_ends_with_a_success() {
     let now = Now::read();
     let mut failures = Failures::default();
     failures.observe(now, &status("m-1", &[(1, 2)]), None);
@@ -61,19 +61,19 @@
         Some(&status("m-1", &[(1, 2)])),
     );
     assert!(!failures.keeps_failing(JobId(1)));
-    let mut waits = Vec::new();
+    let mut backoffs = Vec::new();
     let mut at = now;
     for count in 3..10 {
         let before = status("m-1", &[(1, count - 1)]);
         failures.observe(at, &status("m-1", &[(1, count)]), Some(&before));
-        let wait = (0..60)
-            .find(|seconds| !failures.is_backing_off(later(at, *seconds), JobId(1)))
+        let backoff = (0..60)
+            .find(|seconds| !failures.is_backing_off(seconds_after(at, *seconds), JobId(1)))
             .expect("ends");
-        waits.push(wait);
-        at = later(at, wait);
+        backoffs.push(backoff);
+        at = seconds_after(at, backoff);
     }
-    assert_eq!(waits, [1, 2, 4, 8, 16, 20, 20]);
-    failures.succeeded(JobId(1));
+    assert_eq!(backoffs, [1, 2, 4, 8, 16, 20, 20]);
+    failures.record_success(JobId(1));
     assert!(!failures.keeps_failing(JobId(1)) && !failures.is_backing_off(at, JobId(1)));
 }
 
@@ -85,48 +85,48 @@
     let mut failures = Failures::default();
     failures.observe(now, &status("m-1", &[(1, 3)]), None);
     failures.observe(now, &status("m-2", &[(1, 50)]), None);
-    assert!(!failures.is_backing_off(later(now, 1), JobId(1)));
+    assert!(!failures.is_backing_off(seconds_after(now, 1), JobId(1)));
 }
 
 /// Two jobs with a mistake each ran on the same machines, which would then have looked faulty one after the other.
 #[test]
-fn jobs_that_fail_everywhere_do_not_make_machines_look_faulty() {
+fn jobs_that_fail_on_several_machines_do_not_mark_machines_as_faulty() {
     let now = Now::read();
-    let cache = view_with_open(&[1, 2, 3, 4]);
+    let cache = cache_with_open_jobs(&[1, 2, 3, 4]);
     let mut failures = Failures::default();
-    let of_two = [
+    let statuses = [
         status("m-1", &[(1, 3), (2, 3)]),
         status("m-2", &[(1, 1), (2, 1)]),
     ];
-    of_two
+    statuses
         .iter()
         .for_each(|status| failures.observe(now, status, None));
     assert!(
-        !failures.is_faulty(&of_two[0], &cache),
+        !failures.is_machine_faulty(&statuses[0], &cache),
         "both fail elsewhere too"
     );
-    let faulty = status("m-3", &[(3, 2), (4, 1)]);
-    failures.observe(now, &faulty, None);
+    let faulty_machine = status("m-3", &[(3, 2), (4, 1)]);
+    failures.observe(now, &faulty_machine, None);
     assert!(
-        failures.is_faulty(&faulty, &cache),
+        failures.is_machine_faulty(&faulty_machine, &cache),
         "these fail nowhere else"
     );
     assert!(
-        !failures.is_faulty(&status("m-4", &[(3, 9)]), &cache),
+        !failures.is_machine_faulty(&status("m-4", &[(3, 9)]), &cache),
         "one job alone may have a mistake"
     );
 }
 
 #[test]
-fn jobs_that_were_cancelled_without_a_success_do_not_blame_machines_and_done_ones_do() {
-    let mut cache = view_with_open(&[1, 2, 3, 4]);
-    for (version, id, end) in [
+fn failures_of_completed_jobs_count_against_a_machine_and_those_of_cancelled_jobs_do_not() {
+    let mut cache = cache_with_open_jobs(&[1, 2, 3, 4]);
+    for (version, id, outcome) in [
         (11, 1, JobOutcome::Cancelled),
         (12, 2, JobOutcome::Cancelled),
         (13, 3, JobOutcome::Done),
         (14, 4, JobOutcome::Done),
     ] {
-        let value = Some(encode(&JobRecord::Ended(end, 10)));
+        let value = Some(encode(&JobRecord::Ended(outcome, 10)));
         cache.apply(Change {
             key: job_key(JobId(id)),
             version,
@@ -134,6 +134,6 @@
         });
     }
     let failures = Failures::default();
-    assert!(!failures.is_faulty(&status("m-1", &[(1, 2), (2, 2)]), &cache));
-    assert!(failures.is_faulty(&status("m-1", &[(3, 2), (4, 2)]), &cache));
+    assert!(!failures.is_machine_faulty(&status("m-1", &[(1, 2), (2, 2)]), &cache));
+    assert!(failures.is_machine_faulty(&status("m-1", &[(3, 2), (4, 2)]), &cache));
 }
--- a/src/scheduler/holder_health.rs
+++ b/src/scheduler/holder_health.rs
@@ -14,27 +14,29 @@
 /// A holder that does not hear most of its machines, and at least so many, is suspected; if others hear most of those
 /// that it does not, it is the holder that is cut off or too slow, not they that are dead. A few that others hear show
 /// nothing: machines that no answer reaches go from controller to controller too.
-const UNHEARD_LEAST: u32 = 4;
-const STRAYS_LEAST: u32 = 3;
+const MIN_OVERDUE_WORKERS: u32 = 4;
+const MIN_MISROUTED_MACHINES: u32 = 3;
 /// Of a large holder's machines not all are named as misrouted workers at a time: so many are enough.
-const STRAYS_ENOUGH: u32 = 24;
+const MAX_REQUIRED_MISROUTED_MACHINES: u32 = 24;
 
 /// The machines of a holder that it does not hear, and how many of them others hear.
 #[derive(Debug, Clone, Copy, Default)]
-struct Unheard {
-    expected: u32,
-    overdue: u32,
-    heard_elsewhere: u32,
+struct HolderReachability {
+    expected_workers: u32,
+    overdue_workers: u32,
+    misrouted_machines: u32,
 }
 
-impl Unheard {
-    fn is_suspicious(self) -> bool {
-        self.overdue >= UNHEARD_LEAST && self.overdue * 2 > self.expected
+impl HolderReachability {
+    fn is_suspect(self) -> bool {
+        self.overdue_workers >= MIN_OVERDUE_WORKERS
+            && self.overdue_workers * 2 > self.expected_workers
     }
 
-    fn shows_holder_cut_off(self) -> bool {
-        let most = (self.overdue / 2 + 1).clamp(STRAYS_LEAST, STRAYS_ENOUGH);
-        self.is_suspicious() && self.heard_elsewhere >= most
+    fn is_isolated(self) -> bool {
+        let required = (self.overdue_workers / 2 + 1)
+            .clamp(MIN_MISROUTED_MACHINES, MAX_REQUIRED_MISROUTED_MACHINES);
+        self.is_suspect() && self.misrouted_machines >= required
     }
 }
 
@@ -52,10 +54,13 @@
         config: &Config,
         cache: &WatchCache,
     ) -> BTreeSet<ControllerName> {
-        let lately = misrouted_window(config);
-        self.misrouted.retain(|_, at| since(now, *at) < lately);
-        let mut holders = self.unheard(now, cache);
-        if !holders.values().any(|unheard| unheard.is_suspicious()) {
+        let window = misrouted_window(config);
+        self.misrouted.retain(|_, at| since(now, *at) < window);
+        let mut holders = self.holder_reachability(now, cache);
+        if !holders
+            .values()
+            .any(|reachability| reachability.is_suspect())
+        {
             return BTreeSet::new();
         }
         for machine in self.misrouted.keys() {
@@ -70,20 +75,24 @@
                 .block_leases
                 .get(block)
                 .map(|lease| &lease.value.holder);
-            let unheard = holder.filter(|_| status.is_some_and(|status| !status.usable));
-            if let Some(counts) = unheard.and_then(|holder| holders.get_mut(holder)) {
-                counts.heard_elsewhere += 1;
+            let affected_holder = holder.filter(|_| status.is_some_and(|status| !status.usable));
+            if let Some(counts) = affected_holder.and_then(|holder| holders.get_mut(holder)) {
+                counts.misrouted_machines += 1;
             }
         }
-        let cut_off = holders
+        let isolated = holders
             .into_iter()
-            .filter(|(_, unheard)| unheard.shows_holder_cut_off());
-        cut_off.map(|(holder, _)| holder).collect()
+            .filter(|(_, reachability)| reachability.is_isolated());
+        isolated.map(|(holder, _)| holder).collect()
     }
 
     /// What the holders told lately of machines that they do not hear.
-    fn unheard(&self, now: Now, cache: &WatchCache) -> BTreeMap<ControllerName, Unheard> {
-        let mut holders: BTreeMap<ControllerName, Unheard> = BTreeMap::new();
+    fn holder_reachability(
+        &self,
+        now: Now,
+        cache: &WatchCache,
+    ) -> BTreeMap<ControllerName, HolderReachability> {
+        let mut holders: BTreeMap<ControllerName, HolderReachability> = BTreeMap::new();
         for (block, block_state) in &self.block_states {
             let recent = block_state
                 .status
@@ -91,8 +100,8 @@
                 .filter(|(_, at)| since(now, *at) < HOLDER_STATUS_TTL);
             if let (Some((status, _)), Some(lease)) = (recent, cache.block_leases.get(block)) {
                 let counts = holders.entry(lease.value.holder.clone()).or_default();
-                counts.expected += status.expected_workers;
-                counts.overdue += status.overdue_workers;
+                counts.expected_workers += status.expected_workers;
+                counts.overdue_workers += status.overdue_workers;
             }
         }
         holders
--- a/src/scheduler/mod.rs
+++ b/src/scheduler/mod.rs
@@ -38,7 +38,7 @@
 use best_effort::BestEffortPlacement;
 use block_state::BlockState;
 use capacity_view::CapacityView;
-use demand::Present;
+use demand::CurrentLoad;
 use draining::DrainCoordinator;
 use failures::Failures;
 use releases::ReleaseContext;
@@ -48,7 +48,7 @@
 /// A holder's word on its machines is believed this long.
 const HOLDER_STATUS_TTL: Duration = Duration::from_secs(5);
 /// What one attempt takes of its block's value, at the most.
-const ATTEMPT_BYTES: usize = 64;
+const MAX_ATTEMPT_BYTES: usize = 64;
 
 #[derive(Debug, Clone)]
 struct ObservedAttempt {
@@ -56,22 +56,22 @@
     machine: MachineId,
     first_seen: Instant,
     /// The last look in which it was there.
-    look: u64,
+    last_seen_round: u64,
 }
 
 #[derive(Debug)]
 pub struct Scheduler {
     term: Term,
     next_attempt: u64,
-    next_message: u64,
+    update_sequence_number: u64,
     block_states: BTreeMap<BlockId, BlockState>,
     writer: Writer,
     /// Where each attempt was when last looked, to notice those that vanish without being done.
     observed_attempts: HashMap<u64, ObservedAttempt>,
-    looks: u64,
+    rounds: u64,
     failures: Failures,
     run_times: BTreeMap<MachinePool, RunTimes>,
-    measured: Instant,
+    run_times_updated_at: Instant,
     /// Machines heard by another controller than their holder, and when.
     misrouted: HashMap<MachineId, Instant>,
     /// What operators want emptied. None: draining is switched off.
@@ -107,8 +107,8 @@
     fn allocate(&mut self, index: usize, block: &BlockId, job: &Job) {
         let chosen = &mut self.candidates[index];
         chosen.free.take(&job.need);
-        if let Some(space) = self.block_slots.get_mut(block) {
-            *space = space.saturating_sub(1);
+        if let Some(slots) = self.block_slots.get_mut(block) {
+            *slots = slots.saturating_sub(1);
         }
         self.count_release(index, job);
     }
@@ -122,9 +122,9 @@
         let chosen = &self.candidates[index];
         self.usage.add(job);
         self.usage_after_stops.add(job);
-        let each = f64::from(chosen.size.count_of(&job.need).max(1));
+        let tasks_per_machine = f64::from(chosen.size.count_of(&job.need).max(1));
         let pool = MachinePool::new(chosen.type_name.clone(), chosen.capacity_type);
-        self.demand.add(pool, 1.0 / each);
+        self.demand.add(pool, 1.0 / tasks_per_machine);
         self.demand.occupied.insert(chosen.machine.clone());
     }
 }
@@ -135,16 +135,16 @@
             term,
             // Attempts of different leaders never meet: each has a range of its own.
             next_attempt: term.0 << 20,
-            next_message: 0,
+            update_sequence_number: 0,
             block_states: BTreeMap::new(),
             writer: Writer::Unconfirmed {
                 since: now.monotonic,
             },
             observed_attempts: HashMap::new(),
-            looks: 0,
+            rounds: 0,
             failures: Failures::default(),
             run_times: BTreeMap::new(),
-            measured: now.monotonic,
+            run_times_updated_at: now.monotonic,
             misrouted: HashMap::new(),
             draining: None,
             pending_tasks: BTreeMap::new(),
@@ -158,12 +158,12 @@
         };
         // A message that comes late holds nothing that the later ones did not say too, or correct.
         if block_state.lease_version != status.lease_version
-            || status.sequence_number <= block_state.heard
+            || status.sequence_number <= block_state.last_status_sequence_number
         {
             return;
         }
-        block_state.heard = status.sequence_number;
-        block_state.ack_due |= !status.machines.is_empty();
+        block_state.last_status_sequence_number = status.sequence_number;
+        block_state.status_ack_pending |= !status.machines.is_empty();
         for machine in status.machines.drain(..) {
             self.failures
                 .observe(now, &machine, block_state.machines.get(&machine.machine));
@@ -211,7 +211,7 @@
                 let health = MachineHealth {
                     seen: machine.has_reported,
                     silent: machine.unresponsive,
-                    faulty: self.failures.is_faulty(machine, cache),
+                    faulty: self.failures.is_machine_faulty(machine, cache),
                     usable: machine.usable,
                     holder_isolated: !isolated_holders.is_empty()
                         && holder(&machine.machine)
@@ -246,80 +246,81 @@
                     watched_attempts: Vec::new(),
                     status: None,
                     machines: BTreeMap::new(),
-                    heard: 0,
-                    ack_due: false,
-                    sent: None,
-                    last_message: 0,
+                    last_status_sequence_number: 0,
+                    status_ack_pending: false,
+                    last_sent_at: None,
+                    last_sent_sequence_number: 0,
                     update_pending: false,
-                    addressed: HashSet::new(),
+                    addressed_machines: HashSet::new(),
                 };
                 self.block_states.insert(block.clone(), block_state);
             }
         }
-        self.looks += 1;
-        let look = self.looks;
-        let passed = since(now, self.measured);
-        self.measured = now.monotonic;
+        self.rounds += 1;
+        let round = self.rounds;
+        let elapsed = since(now, self.run_times_updated_at);
+        self.run_times_updated_at = now.monotonic;
         for live in cache.live_placements() {
             let mut count = 0;
             for attempt in live.attempts() {
                 count += 1;
-                let seen = self
+                let observed = self
                     .observed_attempts
                     .entry(attempt.number)
                     .or_insert_with(|| ObservedAttempt {
                         task: attempt.task,
                         machine: live.id.clone(),
                         first_seen: now.monotonic,
-                        look,
+                        last_seen_round: round,
                     });
-                seen.look = look;
+                observed.last_seen_round = round;
             }
             let pool = MachinePool::new(live.machine.type_name.clone(), live.machine.capacity_type);
-            self.run_times.entry(pool).or_default().total += passed * count;
+            self.run_times.entry(pool).or_default().total += elapsed * count;
         }
-        let mut gone = Vec::new();
-        self.observed_attempts.retain(|number, seen| {
-            if seen.look != look {
-                gone.push((*number, seen.clone()));
+        let mut ended_attempts = Vec::new();
+        self.observed_attempts.retain(|number, observed| {
+            if observed.last_seen_round != round {
+                ended_attempts.push((*number, observed.clone()));
             }
-            seen.look == look
+            observed.last_seen_round == round
         });
-        self.note_ends(now, cache, gone);
-        let live = &self.observed_attempts;
+        self.record_ended_attempts(now, cache, ended_attempts);
+        let live_attempts = &self.observed_attempts;
         for (block, block_state) in &mut self.block_states {
             block_state
                 .machines
                 .retain(|machine, _| cache.machines.contains_key(machine));
             block_state
-                .addressed
+                .addressed_machines
                 .retain(|machine| cache.machines.contains_key(machine));
-            let placements = cache.placements_known_to(block);
+            let placements_revision = cache.placements_known_to(block);
             let status = block_state.status.as_ref().map(|(status, _)| status);
             block_state.releases.retain(|number, release| {
-                if live.contains_key(number) {
+                if live_attempts.contains_key(number) {
                     return false;
                 }
                 // Its holder has heard of it, does not hold it any more, and our copy shows all it recorded.
-                let settled = status.is_some_and(|status| {
-                    status.last_assignment_update >= release.message
-                        && placements >= status.placements_revision
+                let resolved = status.is_some_and(|status| {
+                    status.last_assignment_update >= release.first_sequence_number
+                        && placements_revision >= status.placements_revision
                         && !status.pending.contains(number)
                 });
-                !settled
+                !resolved
             });
             block_state
                 .stop_requests
-                .retain(|attempt, _| live.contains_key(&attempt.number));
+                .retain(|attempt, _| live_attempts.contains_key(&attempt.number));
             for release in block_state.releases.values_mut() {
-                let alive = cache
+                let job_open = cache
                     .open
                     .get(&release.attempt.task.job)
                     .is_some_and(|open| !open.cancelled);
-                let refused = status
+                let unplaceable = status
                     .is_some_and(|status| status.unplaceable.contains(&release.attempt.number));
-                let stuck = release.is_stuck(now, &block_state.stop_requests, refused);
-                if !release.withdrawn && (!alive || stuck) {
+                let should_withdraw =
+                    release.should_withdraw(now, &block_state.stop_requests, unplaceable);
+                if !release.withdrawn && (!job_open || should_withdraw) {
                     release.withdraw();
                     block_state.update_pending = true;
                 }
@@ -328,12 +329,17 @@
     }
 
     /// Counts tasks that have ended.
-    fn note_ends(&mut self, now: Now, cache: &WatchCache, gone: Vec<(u64, ObservedAttempt)>) {
-        for (number, ObservedAttempt { task, machine, .. }) in gone {
+    fn record_ended_attempts(
+        &mut self,
+        now: Now,
+        cache: &WatchCache,
+        ended_attempts: Vec<(u64, ObservedAttempt)>,
+    ) {
+        for (number, ObservedAttempt { task, machine, .. }) in ended_attempts {
             let open = cache.open.get(&task.job).filter(|open| !open.cancelled);
             let done = open.is_some_and(|open| open.done.contains(task.index));
             if done {
-                self.failures.succeeded(task.job);
+                self.failures.record_success(task.job);
             } else if open.is_some() {
                 self.record_lost_attempt(now, Attempt { task, number }, &machine);
             }
@@ -349,7 +355,7 @@
                     .ended += 1;
             }
         }
-        self.failures.retain_open(cache);
+        self.failures.retain_open_jobs(cache);
     }
 
     fn candidates(
@@ -359,7 +365,7 @@
         catalog: &InstanceCatalog,
         provisioner: &Provisioner,
     ) -> Vec<Candidate> {
-        let mut taken: HashMap<&MachineId, Resources> = HashMap::new();
+        let mut allocated: HashMap<&MachineId, Resources> = HashMap::new();
         let statuses = self
             .block_states
             .values()
@@ -368,13 +374,13 @@
             .flat_map(|(status, _)| status.proven_ended.iter().copied())
             .collect();
         for live in cache.live_placements() {
-            let taken = taken.entry(live.id).or_default();
+            let allocated = allocated.entry(live.id).or_default();
             // Their holder removes them in the write that places what takes their room.
-            let there = live
+            let unfinished = live
                 .attempts()
                 .filter(|attempt| !ended.contains(&attempt.number));
-            for open in there.filter_map(|attempt| cache.open.get(&attempt.task.job)) {
-                taken.add(&open.job.need);
+            for open in unfinished.filter_map(|attempt| cache.open.get(&attempt.task.job)) {
+                allocated.add(&open.job.need);
             }
         }
         for release in self
@@ -383,7 +389,7 @@
             .flat_map(|block_state| block_state.releases.values())
         {
             if let Some(open) = cache.open.get(&release.attempt.task.job) {
-                taken
+                allocated
                     .entry(&release.machine)
                     .or_default()
                     .add(&open.job.need);
@@ -392,7 +398,7 @@
         let mut candidates = Vec::new();
         for status in self
             .recent_machine_statuses(now)
-            .filter(|status| status.usable && !self.failures.is_faulty(status, cache))
+            .filter(|status| status.usable && !self.failures.is_machine_faulty(status, cache))
         {
             let Some(machine) = cache.machines.get(&status.machine) else {
                 continue;
@@ -403,13 +409,13 @@
             if !machine.state.takes_tasks() || provisioner.is_failed(&status.machine) {
                 continue;
             }
-            let taken = taken.get(&status.machine).copied().unwrap_or_default();
+            let allocated = allocated.get(&status.machine).copied().unwrap_or_default();
             let images = status.images.clone();
             candidates.push(Candidate::new(
                 &status.machine,
                 machine,
                 instance_type,
-                &taken,
+                &allocated,
                 images,
             ));
         }
@@ -418,29 +424,29 @@
 
     /// How many more tasks each block's value holds: what does not fit it can't be placed there.
     fn block_slots(&self, config: &Config, cache: &WatchCache) -> BTreeMap<BlockId, usize> {
-        let space = |(block, block_state): (&BlockId, &BlockState)| {
+        let count_slots = |(block, block_state): (&BlockId, &BlockState)| {
             let placements = cache.placements.get(block);
             let size = placements.map_or(0, |placements| placements.value.worst_case_size());
-            let space = config.block_bytes.saturating_sub(size) / ATTEMPT_BYTES;
+            let slots = config.block_bytes.saturating_sub(size) / MAX_ATTEMPT_BYTES;
             (
                 block.clone(),
-                space.saturating_sub(block_state.releases.len()),
+                slots.saturating_sub(block_state.releases.len()),
             )
         };
-        self.block_states.iter().map(space).collect()
+        self.block_states.iter().map(count_slots).collect()
     }
 
     /// What each team will use once the tasks that are being stopped are gone.
     fn usage_after_stops(&self, usage: &Usage, cache: &WatchCache) -> Usage {
-        let mut kept = usage.clone();
+        let mut remaining = usage.clone();
         let stops = self
             .block_states
             .values()
             .flat_map(|block_state| block_state.stop_requests.keys());
         for open in stops.filter_map(|attempt| cache.open.get(&attempt.task.job)) {
-            kept.remove(&open.job);
+            remaining.remove(&open.job);
         }
-        kept
+        remaining
     }
 
     /// Releases what may run and has room. Returns the demand that provisioning has to meet.
@@ -462,17 +468,17 @@
             provisioner,
             machines: provisioner.capacity_by_pool(cache),
         };
-        let Present {
+        let CurrentLoad {
             usage,
-            guaranteed,
+            guaranteed_demand,
             demand,
-        } = self.present(&capacity, cache);
+        } = self.current_load(&capacity, cache);
         let candidates = self.candidates(now, cache, catalog, provisioner);
         let best_effort = BestEffortPlacement::new(
             leader,
             provisioner,
             &self.run_times,
-            &guaranteed,
+            &guaranteed_demand,
             &candidates,
         );
         let mut plan = Plan {
@@ -485,27 +491,27 @@
             gang_capacity_reserved: false,
         };
         // Releases only where all that is placed is known: every block under a block lease of this term.
-        let complete = !cache.block_leases.is_empty()
+        let all_leases_current = !cache.block_leases.is_empty()
             && cache
                 .block_leases
                 .values()
                 .all(|lease| lease.value.term == self.term);
-        if complete {
+        if all_leases_current {
             self.plan_drains(&capacity, cache, &mut plan);
         }
         let mut queue = self.waiting_jobs(now, cache);
-        self.count_waiting(&queue);
+        self.count_pending_tasks(&queue);
         plan.demand.smallest_task = minimum_need(&queue);
-        if complete {
+        if all_leases_current {
             let mut releases = ReleaseContext::new(now, leader, cache, best_effort);
             self.release_waiting_tasks(&mut releases, &mut queue, &mut plan);
         }
-        demand::count_waiting(&capacity, &queue, &mut plan.usage, &mut plan.demand);
+        demand::add_pending_demand(&capacity, &queue, &mut plan.usage, &mut plan.demand);
         plan.demand
     }
 
     /// Counts the tasks that wait, by team.
-    fn count_waiting(&mut self, queue: &[waiting::WaitingJob<'_>]) {
+    fn count_pending_tasks(&mut self, queue: &[waiting::WaitingJob<'_>]) {
         self.pending_tasks.clear();
         for waiting in queue {
             let team = waiting.open.job.team.clone();
@@ -520,37 +526,37 @@
         leader: &LeaderContext<'_>,
         cache: &mut WatchCache,
     ) -> Option<StoreRequest> {
-        let (config, leader_version, most) =
+        let (config, leader_version, max_changes) =
             (leader.config, leader.record_version, leader.max_changes);
         if !self.writer.ready(now, cache) {
             return None;
         }
         let mut txn = Transaction::default().when(LEADER, leader_version);
         for (id, open) in &cache.open {
-            if txn.changes.len() >= most {
+            if txn.changes.len() >= max_changes {
                 break;
             }
             let tasks = open.job.tasks;
-            let end = if open.cancelled {
-                let clear = cache.placed(*id).is_empty() && !self.released(*id);
-                clear.then_some(JobOutcome::Cancelled)
+            let outcome = if open.cancelled {
+                let all_stopped = cache.placed(*id).is_empty() && !self.has_releases(*id);
+                all_stopped.then_some(JobOutcome::Cancelled)
             } else {
                 // The tasks of a gang complete together: if one is done, all are.
-                let enough = if open.job.kind == JobKind::Gang {
+                let required = if open.job.kind == JobKind::Gang {
                     1
                 } else {
                     u64::from(tasks)
                 };
-                (open.done.len() >= enough).then_some(JobOutcome::Done)
+                (open.done.len() >= required).then_some(JobOutcome::Done)
             };
-            let Some(end) = end else { continue };
-            debug!(job = %id, ?end, tasks, "job over");
+            let Some(outcome) = outcome else { continue };
+            debug!(job = %id, ?outcome, tasks, "job over");
             txn = txn
                 .when(job_key(*id), open.version)
-                .put(job_key(*id), &JobRecord::Ended(end, tasks));
+                .put(job_key(*id), &JobRecord::Ended(outcome, tasks));
         }
         for ((job, chunk), progress) in &cache.progress {
-            if txn.changes.len() >= most {
+            if txn.changes.len() >= max_changes {
                 break;
             }
             if cache.ended.contains_key(job) {
@@ -560,7 +566,7 @@
             }
         }
         if txn.changes.is_empty() {
-            txn = completion_compaction::compact(config, cache, txn, most);
+            txn = completion_compaction::compact(config, cache, txn, max_changes);
         }
         if txn.changes.is_empty() {
             return None;
@@ -569,7 +575,7 @@
         Some(StoreRequest::Commit(txn))
     }
 
-    fn released(&self, job: JobId) -> bool {
+    fn has_releases(&self, job: JobId) -> bool {
         self.block_states
             .values()
             .flat_map(|block_state| block_state.releases.values())
--- a/src/scheduler/usage.rs
+++ b/src/scheduler/usage.rs
@@ -7,7 +7,7 @@
 use crate::domain::{Job, Resources, Team};
 
 /// Sums of decimals miss by a little: a task that fits exactly must still fit.
-const SLACK: f64 = 1e-6;
+const ROUNDING_TOLERANCE: f64 = 1e-6;
 
 /// Resources in use by team, and within each team by class.
 #[derive(Debug, Clone, Default)]
@@ -74,8 +74,8 @@
             return false;
         };
         let used = self.of_team(&job.team);
-        used.cpus + job.need.cpus <= limits.cpus_max + SLACK
-            && used.gpus + job.need.gpus <= limits.gpus_max + SLACK
+        used.cpus + job.need.cpus <= limits.cpus_max + ROUNDING_TOLERANCE
+            && used.gpus + job.need.gpus <= limits.gpus_max + ROUNDING_TOLERANCE
     }
 
     /// Whether one more task of the job stays within its team's guarantee.
@@ -84,8 +84,8 @@
             return false;
         };
         let used = self.of_team(&job.team);
-        used.cpus + job.need.cpus <= limits.cpus + SLACK
-            && used.gpus + job.need.gpus <= limits.gpus + SLACK
+        used.cpus + job.need.cpus <= limits.cpus + ROUNDING_TOLERANCE
+            && used.gpus + job.need.gpus <= limits.gpus + ROUNDING_TOLERANCE
     }
 
     /// Whether a task's team uses more than its guarantee, and would still use it all without the task.
@@ -94,8 +94,8 @@
             return true;
         };
         let used = self.of_team(&job.team);
-        used.cpus - job.need.cpus >= limits.cpus - SLACK
-            && used.gpus - job.need.gpus >= limits.gpus - SLACK
+        used.cpus - job.need.cpus >= limits.cpus - ROUNDING_TOLERANCE
+            && used.gpus - job.need.gpus >= limits.gpus - ROUNDING_TOLERANCE
     }
 
     /// What the team uses for each unit that it is guaranteed.
