--- a/src/scheduler/completion_compaction/tests.rs
+++ b/src/scheduler/completion_compaction/tests.rs
@@ -10,17 +10,17 @@
 const BLOCK: &str = "a.0";
 const JOB: JobId = JobId(1);
 
-struct Block {
+struct BlockFixture {
     config: Config,
     cache: WatchCache,
     version: u64,
 }
 
-impl Block {
+impl BlockFixture {
     /// A block with as many running tasks as fill this part of its value, and these finished ones.
-    fn new(running: f64, done: impl IntoIterator<Item = u32>) -> Self {
+    fn new(running_ratio: f64, finished: impl IntoIterator<Item = u32>) -> Self {
         let config = Config::parse("s.toml", SETTINGS).expect("valid");
-        let mut block = Block {
+        let mut block = BlockFixture {
             cache: WatchCache::following(),
             version: 0,
             config,
@@ -30,7 +30,7 @@
         let limit = block.config.state_limits.value_bytes as f64;
         let machine = MachineId::from("m-1");
         for index in 50_000.. {
-            if placements.worst_case_size() as f64 >= limit * running {
+            if placements.worst_case_size() as f64 >= limit * running_ratio {
                 break;
             }
             placements.add(
@@ -41,7 +41,7 @@
                 },
             );
         }
-        for index in done {
+        for index in finished {
             placements.done.entry(JOB).or_default().insert(index);
         }
         block.put(placements_key(&BLOCK.into()), encode(&placements));
@@ -57,27 +57,30 @@
         });
     }
 
-    fn folded(&self) -> Vec<String> {
+    fn compacted_keys(&self) -> Vec<String> {
         let txn = compact(&self.config, &self.cache, Transaction::default(), 16);
         txn.conditions.into_iter().map(|(key, _)| key).collect()
     }
 }
 
 /// Every other task of the first so many, so that they make no ranges.
-fn every_other(count: u32) -> impl Iterator<Item = u32> {
+fn even_indexes(count: u32) -> impl Iterator<Item = u32> {
     (0..count).map(|n| 2 * n)
 }
 
 #[test]
 fn finished_tasks_of_a_nearly_full_block_are_compacted_by_chunk() {
-    let block = Block::new(0.6, every_other(300));
-    assert_eq!(block.folded(), [progress_key(JOB, 0), progress_key(JOB, 1)]);
+    let block = BlockFixture::new(0.6, even_indexes(300));
+    assert_eq!(
+        block.compacted_keys(),
+        [progress_key(JOB, 0), progress_key(JOB, 1)]
+    );
 }
 
 #[test]
-fn a_block_with_room_is_left_alone() {
+fn a_block_that_is_not_nearly_full_is_not_compacted() {
     assert_eq!(
-        Block::new(0.2, every_other(300)).folded(),
+        BlockFixture::new(0.2, even_indexes(300)).compacted_keys(),
         [] as [String; 0]
     );
 }
@@ -87,28 +90,28 @@
 #[test]
 fn a_block_full_of_running_tasks_is_not_compacted_for_a_few_finished_ones() {
     assert_eq!(
-        Block::new(0.95, every_other(10)).folded(),
+        BlockFixture::new(0.95, even_indexes(10)).compacted_keys(),
         [] as [String; 0]
     );
 }
 
 /// Found in the same incident: what is compacted still stands in the block's value until its holder writes it anew.
 #[test]
-fn what_is_compacted_already_is_not_counted_again() {
-    let mut block = Block::new(0.6, every_other(300));
+fn finished_tasks_already_in_progress_records_are_not_compacted_again() {
+    let mut block = BlockFixture::new(0.6, even_indexes(300));
     for chunk in 0..2 {
         let mut progress = Progress::default();
-        every_other(300)
+        even_indexes(300)
             .filter(|index| index / CHUNK == chunk)
             .for_each(|index| progress.done.insert(index));
         block.put(progress_key(JOB, chunk), encode(&progress));
     }
-    assert_eq!(block.folded(), [] as [String; 0]);
+    assert_eq!(block.compacted_keys(), [] as [String; 0]);
     // A few more have ended since.
     let mut placements = block.cache.placements[&BLOCK.into()].value.clone();
     for index in [1001, 1003, 1005] {
         placements.done.entry(JOB).or_default().insert(index);
     }
     block.put(placements_key(&BLOCK.into()), encode(&placements));
-    assert_eq!(block.folded(), [] as [String; 0]);
+    assert_eq!(block.compacted_keys(), [] as [String; 0]);
 }
--- a/src/scheduler/tests.rs
+++ b/src/scheduler/tests.rs
@@ -57,7 +57,7 @@
             term: Term(TERM),
         };
         fixture.put(block_lease_key(&"a.0".into()), encode(&lease));
-        fixture.inventory(0..machines);
+        fixture.set_inventory(0..machines);
         fixture.plan();
         fixture.report_status(machines, 0, &[]);
         fixture
@@ -73,7 +73,7 @@
         self.version
     }
 
-    fn inventory(&mut self, machines: std::ops::Range<u32>) {
+    fn set_inventory(&mut self, machines: std::ops::Range<u32>) {
         let entry = || InventoryEntry {
             type_name: "large".into(),
             capacity_type: CapacityType::OnDemand,
@@ -150,7 +150,7 @@
             provisioner,
             ..
         } = self;
-        let leader = lead_of(config, policy, catalog);
+        let leader = leader_context(config, policy, catalog);
         let demand = scheduler.plan(*now, &leader, cache, provisioner);
         (
             demand,
@@ -168,7 +168,7 @@
             scheduler,
             ..
         } = self;
-        let leader = lead_of(config, policy, catalog);
+        let leader = leader_context(config, policy, catalog);
         scheduler.writer = Writer::Idle;
         let Some(StoreRequest::Commit(txn)) = scheduler.next_transaction(self.now, &leader, cache)
         else {
@@ -183,20 +183,20 @@
     }
 
     /// Everything that is wanted is placed where the leader meant it.
-    pub(super) fn record_assignments(&mut self, work: &AssignmentUpdate) {
+    pub(super) fn record_assignments(&mut self, update: &AssignmentUpdate) {
         let mut placements = self
             .cache
             .placements
-            .get(&work.block)
+            .get(&update.block)
             .map_or(BlockPlacements::default(), |p| p.value.clone());
-        for wanted in &work.assignments {
-            placements.add(&wanted.machine, wanted.attempt);
+        for assignment in &update.assignments {
+            placements.add(&assignment.machine, assignment.attempt);
         }
-        self.put(placements_key(&work.block), encode(&placements));
+        self.put(placements_key(&update.block), encode(&placements));
     }
 }
 
-fn lead_of<'a>(
+fn leader_context<'a>(
     config: &'a Config,
     policy: &'a Policy,
     catalog: &'a InstanceCatalog,
@@ -219,61 +219,62 @@
 /// Found by a seeded run: the machine that a release was meant for was deleted, the release no longer
 /// counted, and the task was released again while its holder could still place it elsewhere.
 #[test]
-fn a_release_counts_until_its_holder_has_let_go_of_it() {
+fn a_release_counts_until_its_holder_reports_it_neither_pending_nor_placed() {
     let mut fixture = Fixture::new(2);
     fixture.add_job(1, job(1, 4.0));
-    let (_, work) = fixture.plan();
-    let [wanted] = work[0].assignments.as_slice() else {
-        panic!("{work:?}")
+    let (_, updates) = fixture.plan();
+    let [assignment] = updates[0].assignments.as_slice() else {
+        panic!("{updates:?}")
     };
-    let number = wanted.attempt.number;
+    let number = assignment.attempt.number;
     // The machine it was meant for goes.
-    fixture.inventory(if wanted.machine == machine_id(0) {
+    fixture.set_inventory(if assignment.machine == machine_id(0) {
         1..2
     } else {
         0..1
     });
-    for (last_assignment_update, pending) in [(0, vec![]), (work[0].sequence_number, vec![number])]
+    for (last_assignment_update, pending) in
+        [(0, vec![]), (updates[0].sequence_number, vec![number])]
     {
         fixture.report_status(2, last_assignment_update, &pending);
-        assert!(
-            fixture
-                .plan()
-                .1
+        assert!(fixture.plan().1.iter().all(|update| {
+            update
+                .assignments
                 .iter()
-                .all(|work| work.assignments.iter().all(|w| w.attempt.number == number))
-        );
+                .all(|assignment| assignment.attempt.number == number)
+        }));
     }
     // Heard, and neither pending nor placed: now it is free.
-    fixture.report_status(2, work[0].sequence_number, &[]);
+    fixture.report_status(2, updates[0].sequence_number, &[]);
     fixture.plan();
-    let (_, work) = fixture.plan();
+    let (_, updates) = fixture.plan();
     assert!(
-        work.iter()
-            .flat_map(|work| &work.assignments)
-            .all(|wanted| wanted.attempt.number != number)
+        updates
+            .iter()
+            .flat_map(|update| &update.assignments)
+            .all(|assignment| assignment.attempt.number != number)
     );
 }
 
 /// Found on the bench: machines stood empty until the record of an end had been written, a second or more.
 #[test]
-fn the_room_of_a_task_that_has_ended_is_given_away_before_its_record_is_written() {
+fn resources_of_an_ended_task_are_reused_before_its_end_is_recorded() {
     let mut fixture = Fixture::new(1);
     fixture.add_job(1, job(1, 16.0));
-    let (_, work) = fixture.plan();
-    let number = work[0].assignments[0].attempt.number;
-    fixture.record_assignments(&work[0]);
+    let (_, updates) = fixture.plan();
+    let number = updates[0].assignments[0].attempt.number;
+    fixture.record_assignments(&updates[0]);
     fixture.add_job(2, job(1, 16.0));
-    fixture.report_status(1, work[0].sequence_number, &[]);
-    let wanted = |fixture: &mut Fixture| {
+    fixture.report_status(1, updates[0].sequence_number, &[]);
+    let released_tasks = |fixture: &mut Fixture| {
         fixture
             .plan()
             .1
             .iter()
-            .map(|work| work.assignments.len())
+            .map(|update| update.assignments.len())
             .sum::<usize>()
     };
-    assert_eq!(wanted(&mut fixture), 0);
+    assert_eq!(released_tasks(&mut fixture), 0);
     let block_state = fixture
         .scheduler
         .block_states
@@ -286,16 +287,16 @@
         .0
         .proven_ended
         .push(number);
-    assert_eq!(wanted(&mut fixture), 1);
+    assert_eq!(released_tasks(&mut fixture), 1);
 }
 
 /// Found on the bench: a controller was cut off from its workers, and all its machines were deleted, though they
 /// reported to the others all the time.
 #[test]
-fn a_holder_whose_machines_are_heard_elsewhere_is_cut_off_and_they_are_not_dead() {
+fn a_holder_is_isolated_when_most_of_its_overdue_machines_report_to_other_controllers() {
     let mut fixture = Fixture::new(6);
     let holder = fixture.config.name.clone();
-    let mut judged = |overdue: u32, misrouted: u32| {
+    let mut assess = |overdue: u32, misrouted: u32| {
         let block_state = fixture
             .scheduler
             .block_states
@@ -322,26 +323,26 @@
             fixture
                 .scheduler
                 .machine_health(fixture.now, &fixture.cache, &isolated_holders);
-        let spared = health
+        let marked = health
             .values()
             .filter(|health| health.holder_isolated)
             .count();
-        (isolated_holders.contains(&holder), spared)
+        (isolated_holders.contains(&holder), marked)
     };
-    assert_eq!(judged(6, 4), (true, 6));
+    assert_eq!(assess(6, 4), (true, 6));
     // Found on a day of a hunt: machines that no answer reached went from controller to controller; three of them were
     // enough to take holder after holder for cut off, and their blocks changed hands five times in two minutes.
-    assert_eq!(judged(6, 3), (false, 0), "half of them: they may be deaf");
-    assert_eq!(judged(6, 2), (false, 0), "they may be dead");
-    assert_eq!(judged(4, 3), (true, 6));
-    assert_eq!(judged(3, 6), (false, 0), "it hears the others");
+    assert_eq!(assess(6, 3), (false, 0), "half of them: they may be deaf");
+    assert_eq!(assess(6, 2), (false, 0), "they may be dead");
+    assert_eq!(assess(4, 3), (true, 6));
+    assert_eq!(assess(3, 6), (false, 0), "it hears the others");
 }
 
 /// Found on a day with half as many machines again and many troubles together: jobs waited for almost five minutes to
 /// begin behind the tasks of older ones.
 #[test]
-fn a_job_that_has_waited_long_begins_before_older_ones_get_more() {
-    let begins = |waited: Duration| {
+fn an_overdue_job_gets_its_first_task_before_older_jobs_get_more() {
+    let started_tasks = |waited: Duration| {
         let mut fixture = Fixture::new(1);
         let accepted_ms = fixture.now.unix_ms();
         let job = |tasks, accepted_ms| Job {
@@ -351,15 +352,15 @@
             ..job(1, 1.0)
         };
         fixture.add_job(1, job(100, accepted_ms - 1000));
-        let (_, work) = fixture.plan();
-        fixture.record_assignments(&work[0]);
-        fixture.report_status(1, work[0].sequence_number, &[]);
+        let (_, updates) = fixture.plan();
+        fixture.record_assignments(&updates[0]);
+        fixture.report_status(1, updates[0].sequence_number, &[]);
         fixture.add_job(2, job(100, accepted_ms));
         // Four tasks end: room for as many.
-        let placed = fixture.cache.placements[&BlockId::from("a.0")]
+        let placements = fixture.cache.placements[&BlockId::from("a.0")]
             .value
             .clone();
-        let ended: Vec<u64> = placed
+        let ended: Vec<u64> = placements
             .attempts()
             .map(|(_, attempt)| attempt.number)
             .take(4)
@@ -371,15 +372,20 @@
             .expect("granted");
         block_state.status.as_mut().expect("heard").0.proven_ended = ended;
         fixture.now.wall += waited;
-        let work = fixture.plan().1;
-        work.iter()
-            .flat_map(|work| &work.assignments)
-            .filter(|wanted| wanted.attempt.task.job == JobId(2))
+        let updates = fixture.plan().1;
+        updates
+            .iter()
+            .flat_map(|update| &update.assignments)
+            .filter(|assignment| assignment.attempt.task.job == JobId(2))
             .count()
     };
-    assert_eq!(begins(Duration::from_secs(10)), 0, "older jobs first");
     assert_eq!(
-        begins(FIRST_TASK_OVERDUE_AFTER + Duration::from_secs(1)),
+        started_tasks(Duration::from_secs(10)),
+        0,
+        "older jobs first"
+    );
+    assert_eq!(
+        started_tasks(FIRST_TASK_OVERDUE_AFTER + Duration::from_secs(1)),
         1,
         "one task, not all"
     );
@@ -398,29 +404,32 @@
     );
     let mut placed = 0;
     for _ in 0..5 {
-        let (demand, work) = fixture.plan();
-        placed += work
+        let (demand, updates) = fixture.plan();
+        placed += updates
             .iter()
-            .map(|work| work.assignments.len())
+            .map(|update| update.assignments.len())
             .sum::<usize>();
-        let room: f64 = demand.machines.values().sum();
-        assert!(room <= 3.0 + 1e-6, "{room} machines for 48 CPUs");
-        for work in &work {
-            fixture.record_assignments(work);
-            fixture.report_status(30, work.sequence_number, &[]);
+        let demanded_machines: f64 = demand.machines.values().sum();
+        assert!(
+            demanded_machines <= 3.0 + 1e-6,
+            "{demanded_machines} machines for 48 CPUs"
+        );
+        for update in &updates {
+            fixture.record_assignments(update);
+            fixture.report_status(30, update.sequence_number, &[]);
         }
     }
     assert_eq!(placed, 96);
 }
 
 #[test]
-fn a_block_is_given_no_more_than_its_value_holds() {
+fn a_block_gets_no_more_tasks_than_its_value_can_hold() {
     let mut fixture = Fixture::new(3);
     fixture.add_job(1, job(100_000, 0.0));
     for _ in 0..30 {
-        for work in fixture.plan().1 {
-            fixture.record_assignments(&work);
-            fixture.report_status(3, work.sequence_number, &[]);
+        for update in fixture.plan().1 {
+            fixture.record_assignments(&update);
+            fixture.report_status(3, update.sequence_number, &[]);
         }
     }
     let placements = &fixture.cache.placements[&BlockId::from("a.0")];
@@ -430,17 +439,18 @@
 
 /// Found on the bench: two teams stopped each other's tasks in turn, over a thousand in eight minutes.
 #[test]
-fn preemption_follows_priority_and_guarantee_without_going_in_circles() {
-    let stops = |waiting: Job, running: Job, tasks: u32| {
+fn preemption_follows_priority_and_guarantee_without_cycles() {
+    let preempted_tasks = |waiting: Job, running: Job, tasks: u32| {
         let mut fixture = Fixture::new(2);
         fixture.add_job(1, Job { tasks, ..running });
-        let (_, work) = fixture.plan();
-        fixture.record_assignments(&work[0]);
-        fixture.report_status(2, work[0].sequence_number, &[]);
+        let (_, updates) = fixture.plan();
+        fixture.record_assignments(&updates[0]);
+        fixture.report_status(2, updates[0].sequence_number, &[]);
         fixture.add_job(2, waiting);
-        let (_, work) = fixture.plan();
-        work.iter()
-            .map(|work| work.attempts_to_stop.len())
+        let (_, updates) = fixture.plan();
+        updates
+            .iter()
+            .map(|update| update.attempts_to_stop.len())
             .sum::<usize>()
     };
     let blue = |priority, cpus| Job {
@@ -460,32 +470,32 @@
     // Two machines of 16 CPUs, full. Red's guarantee is 16 CPUs, blue's 32.
     use Priority::{High, Production, Standard};
     assert_eq!(
-        stops(red(Standard, 4.0), blue(Standard, 4.0), 8),
+        preempted_tasks(red(Standard, 4.0), blue(Standard, 4.0), 8),
         0,
         "blue is within its guarantee"
     );
     assert_eq!(
-        stops(blue(Standard, 4.0), red(Standard, 4.0), 8),
+        preempted_tasks(blue(Standard, 4.0), red(Standard, 4.0), 8),
         1,
         "red is beyond, blue is owed"
     );
     assert_eq!(
-        stops(blue(Standard, 4.0), red(High, 4.0), 8),
+        preempted_tasks(blue(Standard, 4.0), red(High, 4.0), 8),
         0,
         "higher priorities are left alone"
     );
     assert_eq!(
-        stops(red(High, 4.0), blue(Standard, 4.0), 8),
+        preempted_tasks(red(High, 4.0), blue(Standard, 4.0), 8),
         1,
         "priority, within the guarantee"
     );
     assert_eq!(
-        stops(red(Production, 8.0), red(Standard, 4.0), 8),
+        preempted_tasks(red(Production, 8.0), red(Standard, 4.0), 8),
         2,
         "as many as it takes"
     );
     assert_eq!(
-        stops(blue(High, 4.0), service(red(Standard, 4.0)), 8),
+        preempted_tasks(blue(High, 4.0), service(red(Standard, 4.0)), 8),
         0,
         "replicas stay up"
     );
@@ -495,7 +505,7 @@
 /// stopped for, its release was withdrawn, and the preempted job's other tasks got the room: 6,000 were stopped in two
 /// minutes.
 #[test]
-fn a_release_keeps_the_room_of_preempted_tasks_while_they_save() {
+fn a_release_keeps_the_resources_of_preempted_tasks_until_they_exit() {
     let mut fixture = Fixture::new(1);
     let low = Job {
         priority: Priority::Low,
@@ -508,9 +518,9 @@
             ..low
         },
     );
-    let work = fixture.plan().1;
-    fixture.record_assignments(&work[0]);
-    fixture.report_status(1, work[0].sequence_number, &[]);
+    let updates = fixture.plan().1;
+    fixture.record_assignments(&updates[0]);
+    fixture.report_status(1, updates[0].sequence_number, &[]);
     fixture.add_job(
         2,
         Job {
@@ -518,12 +528,12 @@
             ..job(1, 16.0)
         },
     );
-    let (_, work) = fixture.plan();
-    let stop = work[0].attempts_to_stop.clone();
-    assert_eq!(stop.len(), 4);
-    let release = work[0].assignments[0].attempt;
-    let refuse = |fixture: &mut Fixture| {
-        fixture.report_status(1, work[0].sequence_number, &[release.number]);
+    let (_, updates) = fixture.plan();
+    let stopped_attempts = updates[0].attempts_to_stop.clone();
+    assert_eq!(stopped_attempts.len(), 4);
+    let release = updates[0].assignments[0].attempt;
+    let report_unplaceable = |fixture: &mut Fixture| {
+        fixture.report_status(1, updates[0].sequence_number, &[release.number]);
         let block_state = fixture
             .scheduler
             .block_states
@@ -537,13 +547,13 @@
             .unplaceable
             .push(release.number);
     };
-    let still_wanted = |fixture: &mut Fixture| {
-        refuse(fixture);
-        let work = fixture.plan().1;
-        let others = work
+    let is_still_released = |fixture: &mut Fixture| {
+        report_unplaceable(fixture);
+        let updates = fixture.plan().1;
+        let others = updates
             .iter()
-            .flat_map(|work| &work.assignments)
-            .filter(|wanted| wanted.attempt != release)
+            .flat_map(|update| &update.assignments)
+            .filter(|assignment| assignment.attempt != release)
             .count();
         assert_eq!(others, 0, "the room is not for others");
         fixture.scheduler.block_states[&BlockId::from("a.0")]
@@ -553,24 +563,24 @@
     };
     fixture.version += 1;
     fixture.now.monotonic += Duration::from_secs(4);
-    assert!(still_wanted(&mut fixture), "they still save");
+    assert!(is_still_released(&mut fixture), "they still save");
     // They are gone now, but the holder has no room all the same.
     fixture.put(
         placements_key(&"a.0".into()),
         encode(&BlockPlacements::default()),
     );
     assert!(
-        still_wanted(&mut fixture),
+        is_still_released(&mut fixture),
         "the holder may not have seen it yet"
     );
     fixture.version += 1;
     fixture.now.monotonic += Duration::from_secs(1);
-    assert!(!still_wanted(&mut fixture), "it has had a second");
+    assert!(!is_still_released(&mut fixture), "it has had a second");
 }
 
 /// A preempted task may hang: what waits for its room is placed elsewhere in the end.
 #[test]
-fn a_release_does_not_wait_for_preempted_tasks_for_ever() {
+fn a_release_is_withdrawn_when_preempted_tasks_do_not_exit_in_time() {
     let mut fixture = Fixture::new(1);
     fixture.add_job(
         1,
@@ -580,9 +590,9 @@
             ..job(100, 4.0)
         },
     );
-    let work = fixture.plan().1;
-    fixture.record_assignments(&work[0]);
-    fixture.report_status(1, work[0].sequence_number, &[]);
+    let updates = fixture.plan().1;
+    fixture.record_assignments(&updates[0]);
+    fixture.report_status(1, updates[0].sequence_number, &[]);
     fixture.add_job(
         2,
         Job {
@@ -590,24 +600,24 @@
             ..job(1, 16.0)
         },
     );
-    let (_, work) = fixture.plan();
-    let number = work[0].assignments[0].attempt.number;
-    let withdrawn = |fixture: &mut Fixture, after: u64| {
+    let (_, updates) = fixture.plan();
+    let number = updates[0].assignments[0].attempt.number;
+    let is_withdrawn = |fixture: &mut Fixture, after: u64| {
         fixture.now.monotonic += Duration::from_secs(after);
         fixture.version += 1;
-        fixture.report_status(1, work[0].sequence_number, &[number]);
+        fixture.report_status(1, updates[0].sequence_number, &[number]);
         fixture.plan();
         fixture.scheduler.block_states[&BlockId::from("a.0")].releases[&number].withdrawn
     };
-    assert!(!withdrawn(&mut fixture, 29));
-    assert!(withdrawn(&mut fixture, 2));
+    assert!(!is_withdrawn(&mut fixture, 29));
+    assert!(is_withdrawn(&mut fixture, 2));
 }
 
 /// Found in an incident: guests' jobs of which some tasks were done waited beside room that they might not have, with nothing
 /// of them running. One task at a time gets it.
 #[test]
-fn a_job_without_a_guarantee_of_which_nothing_runs_gets_one_task_wherever_there_is_room() {
-    let reach = |done: u32, placed: bool, waited: Duration| {
+fn a_best_effort_job_with_nothing_running_may_use_any_machine_after_the_restriction_time() {
+    let eligible_machines = |done: u32, placed: bool, waited: Duration| {
         let mut fixture = Fixture::new(1);
         let guests = Team::from("guests");
         let limits = crate::config::TeamLimits {
@@ -647,19 +657,25 @@
             scheduler,
             ..
         } = &fixture;
-        let leader = lead_of(config, policy, catalog);
+        let leader = leader_context(config, policy, catalog);
         scheduler.waiting_jobs(*now, cache)[0].eligible_machines(&leader)
     };
-    let late = best_effort::BEST_EFFORT_RESTRICTION_TIME + Duration::from_secs(1);
+    let after_restriction = best_effort::BEST_EFFORT_RESTRICTION_TIME + Duration::from_secs(1);
     assert_eq!(
-        reach(0, false, Duration::ZERO),
+        eligible_machines(0, false, Duration::ZERO),
         EligibleMachines::CheapAndUnreserved
     );
-    assert_eq!(reach(0, false, late), EligibleMachines::All);
     assert_eq!(
-        reach(6, false, late),
+        eligible_machines(0, false, after_restriction),
+        EligibleMachines::All
+    );
+    assert_eq!(
+        eligible_machines(6, false, after_restriction),
         EligibleMachines::All,
         "some done, nothing runs"
     );
-    assert_eq!(reach(6, true, late), EligibleMachines::CheapAndUnreserved);
+    assert_eq!(
+        eligible_machines(6, true, after_restriction),
+        EligibleMachines::CheapAndUnreserved
+    );
 }
