--- a/src/scheduler/block_state.rs
+++ b/src/scheduler/block_state.rs
@@ -1,4 +1,5 @@
-//! What the leader knows of one block: what it has released there, and its holder's word.
+//! The leader's state of one block: the tasks released to its holder, the holder's last status, and the assignment
+//! updates that are sent to it.
 
 use std::collections::{BTreeMap, HashMap, HashSet};
 use std::time::{Duration, Instant};
@@ -9,39 +10,44 @@
 use crate::store::WatchCache;
 use crate::store::records::MachineInventory;
 
-/// An unanswered work message is repeated after this long.
+/// An assignment update that the holder has not acknowledged is sent again after this long.
 const ASSIGNMENT_UPDATE_RETRY_INTERVAL: Duration = Duration::from_millis(400);
 
+/// A task that the leader has assigned to a machine of the block, and that the placement records do not show yet.
 #[derive(Debug, Clone)]
 pub(super) struct Release {
     pub(super) attempt: Attempt,
     pub(super) machine: MachineId,
     pub(super) released_at: Instant,
     pub(super) withdrawn: bool,
-    /// The first message that says so.
+    /// The sequence number of the first assignment update with this release, or without it once it is withdrawn.
+    /// `u64::MAX` until that update is sent.
     pub(super) first_sequence_number: u64,
-    /// The preempted tasks whose room it takes.
+    /// The tasks that were preempted to free resources for it.
     pub(super) preempted: Vec<Attempt>,
-    /// Since when its machine has had room for it: later than `since` if tasks had to be preempted.
+    /// When its machine had enough free resources: later than `released_at` if tasks had to be preempted.
     pub(super) capacity_since: Instant,
 }
 
-/// A release that its holder can't place is withdrawn after this long.
+/// A release that its holder has not placed is withdrawn after this long.
 const UNPLACED_RELEASE_TIMEOUT: Duration = Duration::from_secs(10);
-/// ... or after this long, once its holder has found no room for it.
+/// A release that its holder reports as unplaceable is withdrawn after this long.
 const UNPLACEABLE_RELEASE_TIMEOUT: Duration = Duration::from_millis(700);
-/// The longest time that preempted tasks may take to save and exit before their room is sought elsewhere.
+/// How long preempted tasks may take to write their checkpoints and exit before the release that waits for their
+/// resources is withdrawn and its task placed elsewhere.
 const PREEMPTION_TIMEOUT: Duration = Duration::from_secs(30);
 
 impl Release {
-    /// Takes it back: the next message says so.
+    /// Withdraws the release: the next assignment update no longer contains it.
     pub(super) fn withdraw(&mut self) {
         self.withdrawn = true;
         self.first_sequence_number = u64::MAX;
     }
 
-    /// Whether it should be withdrawn, so that its task can be placed elsewhere. While preempted tasks still save, the
-    /// holder finds no room and says so: that is expected, and withdrawing would leave their room to other work.
+    /// Whether the release should be withdrawn so that its task can be placed elsewhere.
+    ///
+    /// While preempted tasks are still exiting, the holder is expected to report the release as unplaceable:
+    /// withdrawing it then would leave their resources to other tasks. That time does not count as waiting.
     pub(super) fn should_withdraw(
         &mut self,
         now: Now,
@@ -61,29 +67,35 @@
     }
 }
 
+/// The leader's state of a block under one block lease.
 #[derive(Debug)]
 pub(super) struct BlockState {
     pub(super) lease_version: u64,
+    /// Releases by attempt number, withdrawn ones included until their holder can no longer place them.
     pub(super) releases: BTreeMap<u64, Release>,
+    /// Attempts that the holder is asked to stop, with the time of the request.
     pub(super) stop_requests: BTreeMap<Attempt, Instant>,
-    /// Attempts that the holder is asked to tell of once they run.
+    /// Numbers of the attempts that the holder is asked to report once they run.
     pub(super) watched_attempts: Vec<u64>,
-    /// The holder's last word, without its machines: those are kept by name, for it tells only what changed.
+    /// The holder's last status and when it was received. Its machines are moved to `machines`: a status lists only
+    /// those that have changed.
     pub(super) status: Option<(BlockStatus, Instant)>,
     pub(super) machines: BTreeMap<MachineId, MachineStatus>,
-    /// The last status taken in, and the last one that the holder was told was heard.
+    /// The sequence number of the last status processed; assignment updates acknowledge it.
     pub(super) last_status_sequence_number: u64,
-    /// The holder should be told that its word on machines was heard, else it repeats it.
+    /// A status with machines has not been acknowledged yet: until it is, the holder repeats them.
     pub(super) status_ack_pending: bool,
+    /// When the last assignment update was sent.
     pub(super) last_sent_at: Option<Instant>,
     pub(super) last_sent_sequence_number: u64,
+    /// Something has changed that the holder has to be sent.
     pub(super) update_pending: bool,
-    /// Machines whose address the holder was told, or needs no more.
+    /// Machines whose address the holder was sent or no longer needs, because they have reported to it.
     pub(super) addressed_machines: HashSet<MachineId>,
 }
 
 impl BlockState {
-    /// Notes a task that its holder is to place.
+    /// Adds a task for the holder to place.
     pub(super) fn release(
         &mut self,
         now: Now,
@@ -104,7 +116,8 @@
         self.update_pending = true;
     }
 
-    /// Notes machines that the holder could ask if it were told where they are.
+    /// Adds machines whose address is known. Requests an update if the holder needs one of these addresses to contact
+    /// a worker that has not reported to it.
     pub(super) fn update_addressed_machines(
         &mut self,
         addresses: &HashMap<MachineId, String>,
@@ -116,7 +129,7 @@
             return;
         };
         if self.status.is_none() {
-            // It may know them already: a new leader hears of that first.
+            // The holder may know the machines already: a new leader waits for its first status.
             return;
         }
         for id in inventory
@@ -137,7 +150,8 @@
         }
     }
 
-    /// Those that it has not heard from since. They are told again in each message, for one can be lost.
+    /// The addresses of machines that have not reported to the holder. Each update contains all of them, since an
+    /// update can be lost.
     pub(super) fn unreported_machine_addresses(
         &self,
         addresses: &HashMap<MachineId, String>,
@@ -155,7 +169,7 @@
 }
 
 impl Scheduler {
-    /// Messages that are due to holders.
+    /// The assignment updates to be sent to holders now: changes, retries and acknowledgements.
     pub fn assignment_updates(
         &mut self,
         now: Now,
--- a/src/scheduler/mod.rs
+++ b/src/scheduler/mod.rs
@@ -1,7 +1,8 @@
-//! The leader's queues: one for each team, served in turn by shares. Only the leader releases tasks to the
-//! holders of blocks, so only it has to keep the teams' limits.
+//! The leader's scheduler: it decides which waiting tasks are released to which machines, in the order of the teams'
+//! fair shares. Only the leader releases tasks to the holders of blocks, so it alone enforces the teams' limits.
 //!
-//! A released task counts as placed until its holder has said that it never will be: see `reconcile`.
+//! A released task counts as placed until its holder's status shows that it will not be placed: see
+//! `Scheduler::reconcile`.
 
 mod best_effort;
 mod block_state;
@@ -45,65 +46,75 @@
 use usage::Usage;
 use waiting::{PlacementRequirements, minimum_need};
 
-/// A holder's word on its machines is believed this long.
+/// A holder's status of its machines is valid for this long after it was received.
 const HOLDER_STATUS_TTL: Duration = Duration::from_secs(5);
-/// What one attempt takes of its block's value, at the most.
+/// The most bytes that one attempt takes in its block's value.
 const MAX_ATTEMPT_BYTES: usize = 64;
 
+/// An attempt that the placement records have shown.
 #[derive(Debug, Clone)]
 struct ObservedAttempt {
     task: TaskId,
     machine: MachineId,
     first_seen: Instant,
-    /// The last look in which it was there.
+    /// The last planning round in which the records showed it.
     last_seen_round: u64,
 }
 
+/// The leader's scheduler of one term.
 #[derive(Debug)]
 pub struct Scheduler {
     term: Term,
+    /// The number of the next attempt.
     next_attempt: u64,
+    /// The sequence number of the last assignment update of this term.
     update_sequence_number: u64,
+    /// The state of each block whose lease is of this term.
     block_states: BTreeMap<BlockId, BlockState>,
     writer: Writer,
-    /// Where each attempt was when last looked, to notice those that vanish without being done.
+    /// The attempts that the records showed in the last round, by number, to detect those that have ended since.
     observed_attempts: HashMap<u64, ObservedAttempt>,
+    /// The number of planning rounds.
     rounds: u64,
     failures: Failures,
     run_times: BTreeMap<MachinePool, RunTimes>,
+    /// Until when the run times of running tasks have been counted.
     run_times_updated_at: Instant,
-    /// Machines heard by another controller than their holder, and when.
+    /// Machines that reported to another controller than their holder, with the time of the last such report.
     misrouted: HashMap<MachineId, Instant>,
-    /// What operators want emptied. None: draining is switched off.
+    /// Coordinates drains. `None` if draining is disabled.
     draining: Option<DrainCoordinator>,
+    /// The number of waiting tasks of each team, as of the last plan.
     pub pending_tasks: BTreeMap<Team, u64>,
 }
 
-/// What was found not to go while planning, so that it is not tried for each of a thousand jobs alike.
+/// Placements that failed earlier in a plan, so that they are not tried again for each of a thousand similar jobs.
 #[derive(Debug, Default)]
 struct InfeasiblePlacements {
+    /// Requirements of tasks that no machine has the resources for.
     without_capacity: HashSet<PlacementRequirements>,
+    /// Requirements, team and priority of tasks that no preemption can free resources for.
     preemption_failed: HashSet<(PlacementRequirements, Team, Priority)>,
-    /// Gangs, by their tasks' shape and image and their number of tasks.
+    /// Gangs without capacity for all their tasks, by the tasks' requirements and image and the number of tasks.
     gangs_without_capacity: HashSet<(PlacementRequirements, Image, u32)>,
 }
 
-/// What is left to be given away, while a plan is made.
+/// The free resources, usage and demand while a plan is made.
 struct Plan {
     candidates: Vec<Candidate>,
-    /// How many more tasks each block holds.
+    /// How many more tasks each block's value can hold.
     block_slots: BTreeMap<BlockId, usize>,
     usage: Usage,
-    /// What each team will use once the tasks that are being stopped are gone.
+    /// The usage once all tasks with a stop request have ended.
     usage_after_stops: Usage,
     demand: Demand,
     infeasible: InfeasiblePlacements,
-    /// A gang has the room kept that there is for it.
+    /// A gang has reserved the capacity that there is for it; at most one does so in a plan.
     gang_capacity_reserved: bool,
 }
 
 impl Plan {
-    /// Takes what a released task needs of a machine.
+    /// Allocates a machine's resources and a slot of its block to a released task.
     fn allocate(&mut self, index: usize, block: &BlockId, job: &Job) {
         let chosen = &mut self.candidates[index];
         chosen.free.take(&job.need);
@@ -117,7 +128,7 @@
         self.candidates.iter().position(|c| c.machine == *machine)
     }
 
-    /// Counts a task that is released to a machine.
+    /// Adds a task that is released to a machine to the usage and the demand.
     fn count_release(&mut self, index: usize, job: &Job) {
         let chosen = &self.candidates[index];
         self.usage.add(job);
@@ -130,10 +141,11 @@
 }
 
 impl Scheduler {
+    /// The scheduler of a term that begins now.
     pub fn new(now: Now, term: Term) -> Self {
         Scheduler {
             term,
-            // Attempts of different leaders never meet: each has a range of its own.
+            // Each term has its own range of attempt numbers, so numbers of different leaders never collide.
             next_attempt: term.0 << 20,
             update_sequence_number: 0,
             block_states: BTreeMap::new(),
@@ -151,12 +163,12 @@
         }
     }
 
-    /// A holder's word on one of its blocks.
+    /// Processes a holder's status of one of its blocks.
     pub fn observe_block_status(&mut self, now: Now, mut status: BlockStatus) {
         let Some(block_state) = self.block_states.get_mut(&status.block) else {
             return;
         };
-        // A message that comes late holds nothing that the later ones did not say too, or correct.
+        // A delayed status is ignored: later ones repeat or supersede its contents.
         if block_state.lease_version != status.lease_version
             || status.sequence_number <= block_state.last_status_sequence_number
         {
@@ -174,12 +186,14 @@
         block_state.status = Some((status, now.monotonic));
     }
 
-    /// Whether a placed attempt's holder has proven it gone. None: it has not spoken under its present block lease.
+    /// Whether the holder of a placed attempt has proven that it ended. `None` if the holder has sent no status under
+    /// its present block lease.
     pub fn is_proven_ended(&self, block: &BlockId, attempt: &Attempt) -> Option<bool> {
         let (status, _) = self.block_states.get(block)?.status.as_ref()?;
         Some(status.proven_ended.contains(&attempt.number))
     }
 
+    /// The machines of all blocks whose last status is still valid.
     fn recent_machine_statuses(&self, now: Now) -> impl Iterator<Item = &MachineStatus> {
         self.block_states
             .values()
@@ -192,7 +206,10 @@
             .flat_map(|block_state| block_state.machines.values())
     }
 
-    /// `isolated_holders`: holders whose word on their machines' silence says more about themselves.
+    /// The health of machines, from the holders' statuses.
+    ///
+    /// `isolated_holders`: holders that are isolated, so that their reports of unresponsive machines are no evidence
+    /// against the machines.
     pub fn machine_health(
         &self,
         now: Now,
@@ -222,14 +239,15 @@
             .collect()
     }
 
-    /// Blocks under block leases of this term, and what became of the releases to them.
+    /// Updates the block states from the records: adds blocks under block leases of this term and drops the others,
+    /// records ended attempts, and removes or withdraws releases.
     fn reconcile(&mut self, now: Now, cache: &WatchCache) {
         let term = self.term;
         self.block_states
             .retain(|block, _| cache.block_leases.contains_key(block));
         for (block, lease) in &cache.block_leases {
             if lease.value.term != term {
-                // Its holder may still place what an earlier leader wanted.
+                // The holder may still place tasks that an earlier leader released.
                 self.block_states.remove(block);
                 continue;
             }
@@ -238,7 +256,7 @@
                 .get(block)
                 .is_some_and(|block_state| block_state.lease_version == lease.version);
             if !known {
-                // Under a new block lease nothing that was released under the old one can be placed any more.
+                // Tasks that were released under the old block lease can no longer be placed under a new one.
                 let block_state = BlockState {
                     lease_version: lease.version,
                     releases: BTreeMap::new(),
@@ -300,7 +318,8 @@
                 if live_attempts.contains_key(number) {
                     return false;
                 }
-                // Its holder has heard of it, does not hold it any more, and our copy shows all it recorded.
+                // A release is resolved when its holder has received it, no longer lists it as pending, and the cache
+                // covers all placements that the holder has recorded.
                 let resolved = status.is_some_and(|status| {
                     status.last_assignment_update >= release.first_sequence_number
                         && placements_revision >= status.placements_revision
@@ -328,7 +347,7 @@
         }
     }
 
-    /// Counts tasks that have ended.
+    /// Records attempts that the records no longer show: as a success or a loss, and in the run times of their pool.
     fn record_ended_attempts(
         &mut self,
         now: Now,
@@ -358,6 +377,7 @@
         self.failures.retain_open_jobs(cache);
     }
 
+    /// The machines that accept tasks, with their free resources.
     fn candidates(
         &self,
         now: Now,
@@ -375,7 +395,8 @@
             .collect();
         for live in cache.live_placements() {
             let allocated = allocated.entry(live.id).or_default();
-            // Their holder removes them in the write that places what takes their room.
+            // Attempts that are proven to have ended use no resources: their holder removes them in the same write that
+            // places their successors.
             let unfinished = live
                 .attempts()
                 .filter(|attempt| !ended.contains(&attempt.number));
@@ -422,7 +443,7 @@
         candidates
     }
 
-    /// How many more tasks each block's value holds: what does not fit it can't be placed there.
+    /// How many more tasks each block's value can hold: no task is placed in a block whose value is full.
     fn block_slots(&self, config: &Config, cache: &WatchCache) -> BTreeMap<BlockId, usize> {
         let count_slots = |(block, block_state): (&BlockId, &BlockState)| {
             let placements = cache.placements.get(block);
@@ -436,7 +457,7 @@
         self.block_states.iter().map(count_slots).collect()
     }
 
-    /// What each team will use once the tasks that are being stopped are gone.
+    /// The usage once all tasks with a stop request have ended.
     fn usage_after_stops(&self, usage: &Usage, cache: &WatchCache) -> Usage {
         let mut remaining = usage.clone();
         let stops = self
@@ -449,7 +470,7 @@
         remaining
     }
 
-    /// Releases what may run and has room. Returns the demand that provisioning has to meet.
+    /// Releases waiting tasks that may run and for which there is capacity. Returns the demand for machines.
     pub fn plan(
         &mut self,
         now: Now,
@@ -490,7 +511,7 @@
             infeasible: InfeasiblePlacements::default(),
             gang_capacity_reserved: false,
         };
-        // Releases only where all that is placed is known: every block under a block lease of this term.
+        // Tasks are released only when all placements are known: every block has a block lease of this term.
         let all_leases_current = !cache.block_leases.is_empty()
             && cache
                 .block_leases
@@ -510,7 +531,7 @@
         plan.demand
     }
 
-    /// Counts the tasks that wait, by team.
+    /// Counts the waiting tasks of each team.
     fn count_pending_tasks(&mut self, queue: &[waiting::WaitingJob<'_>]) {
         self.pending_tasks.clear();
         for waiting in queue {
@@ -519,7 +540,8 @@
         }
     }
 
-    /// The next write: jobs that are over, and progress to be compacted.
+    /// The next transaction: it records ended jobs and deletes their progress or, if there are none, compacts finished
+    /// tasks. `None` if there is nothing to write or the outcome of the last transaction is not known.
     pub fn next_transaction(
         &mut self,
         now: Now,
@@ -550,7 +572,7 @@
                 (open.done.len() >= required).then_some(JobOutcome::Done)
             };
             let Some(outcome) = outcome else { continue };
-            debug!(job = %id, ?outcome, tasks, "job over");
+            debug!(job = %id, ?outcome, tasks, "job ended");
             txn = txn
                 .when(job_key(*id), open.version)
                 .put(job_key(*id), &JobRecord::Ended(outcome, tasks));
@@ -575,6 +597,7 @@
         Some(StoreRequest::Commit(txn))
     }
 
+    /// Whether a task of the job is released and not placed yet.
     fn has_releases(&self, job: JobId) -> bool {
         self.block_states
             .values()
@@ -582,10 +605,12 @@
             .any(|release| release.attempt.task.job == job)
     }
 
+    /// Handles the state service's response to the last transaction.
     pub fn handle_store_response(&mut self, now: Now, outcome: &StoreResponse) {
         self.writer.answered(now, outcome);
     }
 
+    /// The term of this scheduler.
     pub fn term(&self) -> Term {
         self.term
     }
