--- a/src/scheduler/capacity_view.rs
+++ b/src/scheduler/capacity_view.rs
@@ -1,6 +1,6 @@
-//! The capacity there is and that can be had, and in which pool a waiting task's demand is counted by it.
+//! Existing and obtainable capacity, and the pool in which the demand of a waiting task is counted.
 //!
-//! Made anew for each plan, which asks it for each kind of task that waits; it changes nothing.
+//! A plan creates one view and queries it for each group of similar waiting tasks; queries change nothing.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -10,27 +10,29 @@
 use crate::leader_context::LeaderContext;
 use crate::provisioning::{Demand, MachinePool, Provisioner};
 
-/// What placing a task in a pool costs. Compared in the order of the fields; the least is best.
+/// The cost of placing a task in a pool. Compared field by field in this order; the lowest is best.
 #[derive(Debug, PartialEq, PartialOrd)]
 struct PlacementCost {
+    /// The pool has neither free capacity nor obtainable machines.
     unavailable: bool,
-    /// The price of the task's share, in hundredths of hundredths: equal prices for each task must compare as equal.
+    /// The price of the task's share of a machine, in units of 1/10,000 and rounded, so that prices that differ only by
+    /// rounding errors compare as equal.
     task_price: f64,
     machine_price: f64,
 }
 
-/// The machines that there are and that can be had, as known in one plan.
+/// The machines that exist and those that can be obtained, as known to one plan.
 pub(super) struct CapacityView<'a> {
     pub(super) now: Now,
     pub(super) leader: &'a LeaderContext<'a>,
     pub(super) provisioner: &'a Provisioner,
-    /// Machines of each pool, up or requested.
+    /// The number of machines of each pool, running or requested.
     pub(super) machines: BTreeMap<MachinePool, u32>,
 }
 
 impl CapacityView<'_> {
-    /// The zone that a job's next task has to go to, if not all zones will do: one that has machines to give, if
-    /// any of those that will do has.
+    /// The zone that the demand for a job's next task is counted in, or `None` if all zones are allowed. Of the allowed
+    /// zones, one with available capacity is preferred.
     pub(super) fn pinned_zone(&self, waiting: &WaitingJob<'_>) -> Option<Zone> {
         let job = &waiting.open.job;
         let zones: BTreeSet<&Zone> = self
@@ -43,8 +45,8 @@
             job.allows_zone(zone) && allows_task_in_zone(job, &waiting.tasks_per_zone, zone)
         };
         let allowed: Vec<&Zone> = zones.iter().copied().filter(is_allowed).collect();
-        // The rule counts machines of all zones alike: a gang that must be in one could wait for ever beside enough room
-        // in all of them together.
+        // The scaling rule counts machines of all zones together. A gang that must run in one zone could wait for ever
+        // while there is enough capacity in all zones together, but not in any one of them.
         let gang_needs_one_zone = job.one_zone && may_reserve_capacity(waiting);
         if allowed.len() == zones.len() && !gang_needs_one_zone {
             return None;
@@ -70,13 +72,14 @@
             .cloned()
     }
 
-    /// Where a task costs least among what can be had, and its share of a machine there. Of equals, the smaller
-    /// machines: they follow the demand more closely.
+    /// The pool in which a task costs least, and its share of a machine there. Obtainable pools are preferred; at equal
+    /// cost the pool with the cheaper machine wins, because smaller machines follow the demand more closely.
     ///
-    /// A type that has run out still serves what its machines, up or on order, have room for. Without that, a
-    /// refused order for spare machines moved the whole queue to the next dearer type.
+    /// A type without available capacity still counts as obtainable for the tasks that fit on its running and requested
+    /// machines. Otherwise a refused request for spare machines moved the whole queue to the next more expensive type.
     ///
-    /// A task that costs more than `price_limit` there waits for cheaper machines.
+    /// `pinned_zone`: the only zone that is allowed, if any. Pools where the task costs more than `price_limit` are
+    /// skipped: it waits for cheaper machines.
     pub(super) fn cheapest_pool(
         &self,
         job: &Job,
@@ -122,7 +125,8 @@
                 if price * share > price_limit {
                     continue;
                 }
-                // What has run out everywhere is still asked for, again each round.
+                // A pool that is unavailable everywhere is still a candidate: its machines are requested again in each
+                // round.
                 let cost = PlacementCost {
                     unavailable: !obtainable,
                     task_price: (price * share * 1e4).round(),
--- a/src/scheduler/demand.rs
+++ b/src/scheduler/demand.rs
@@ -1,4 +1,4 @@
-//! Demand in machines: what runs at present, and what waits.
+//! The demand for machines of each pool: that of placed and released tasks, and that of waiting tasks.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
@@ -13,19 +13,19 @@
 use crate::store::cache::OpenJob;
 use crate::store::{Machine, WatchCache};
 
-/// Steps in which the waiting tasks of one job are counted.
+/// The waiting tasks of one group are counted in at most this many steps: a job can have up to 100,000 tasks.
 const MAX_STEPS_PER_GROUP: u64 = 64;
 
-/// What is placed or released at present.
+/// The usage and demand of the tasks that are placed or released.
 #[derive(Default)]
 pub(super) struct CurrentLoad {
     pub(super) usage: Usage,
-    /// The demand of all work that is not best effort, in machines.
+    /// The demand of all tasks that are not best-effort, in machines.
     pub(super) guaranteed_demand: BTreeMap<MachinePool, f64>,
     pub(super) demand: Demand,
 }
 
-/// A task on an ordinary machine that could be on a spot machine, and its share of that machine.
+/// A task on an on-demand machine that may run on a spot machine, and its share of its present machine.
 struct SpotEligibleTask<'v> {
     open: &'v OpenJob,
     pool: MachinePool,
@@ -33,7 +33,8 @@
 }
 
 impl CurrentLoad {
-    /// Counts a task. What could run on spot machines is no reason to have ordinary ones: it is returned.
+    /// Counts a task. One that may run on spot machines must not cause demand for on-demand machines: it is returned
+    /// instead of being added to the demand.
     fn count<'v>(
         &mut self,
         leader: &LeaderContext<'_>,
@@ -56,7 +57,7 @@
 }
 
 impl Scheduler {
-    /// Counts all that is placed or released.
+    /// Counts all placed and released tasks.
     pub(super) fn current_load(
         &self,
         capacity: &CapacityView<'_>,
@@ -87,7 +88,7 @@
                 Some(machine) => {
                     spot_eligible_tasks.extend(load.count(capacity.leader, machine, open))
                 }
-                // Its machine is gone, but its holder may still choose another.
+                // The machine no longer exists, but the holder may still place the task on another one.
                 None => load.usage.add(&open.job),
             }
         }
@@ -100,14 +101,14 @@
     }
 }
 
-/// Adds the waiting tasks that their team's limit allows, each in the cheapest type that can be had.
+/// Adds the demand of the waiting tasks that fit within their team's limit, each in the cheapest obtainable pool.
 pub(super) fn add_pending_demand(
     capacity: &CapacityView<'_>,
     queue: &[WaitingJob<'_>],
     usage: &mut Usage,
     demand: &mut Demand,
 ) {
-    // Jobs that ask for the same are counted as one, where the first of them stands.
+    // Jobs with the same requirements, team and zone form one group, at the position of the first of them.
     let mut groups: Vec<(&Job, Option<Zone>, f64, u64)> = Vec::new();
     let mut group_indexes: HashMap<(PlacementRequirements, &Team, Option<Zone>), usize> =
         HashMap::new();
@@ -132,7 +133,6 @@
     }
     for (job, pinned_zone, price_limit, tasks) in groups {
         let mut tasks = tasks.min(usage.tasks_within_limit(capacity.leader.config, job));
-        // A few tasks at a time, but no more than so many steps: jobs have up to 100,000 tasks.
         let step = tasks.div_ceil(MAX_STEPS_PER_GROUP).max(1);
         while tasks > 0 {
             let count = step.min(tasks);
--- a/src/scheduler/usage.rs
+++ b/src/scheduler/usage.rs
@@ -1,4 +1,4 @@
-//! What teams and classes of jobs use, against the teams' guarantees and limits.
+//! Resource usage by team and by class of jobs, compared with the teams' guarantees and limits.
 
 use std::collections::{BTreeMap, HashMap};
 use std::sync::Arc;
@@ -6,7 +6,7 @@
 use crate::config::{Config, TeamLimits};
 use crate::domain::{Job, Resources, Team};
 
-/// Sums of decimals miss by a little: a task that fits exactly must still fit.
+/// Tolerance for rounding errors of floating-point sums: a task that fits exactly must still fit.
 const ROUNDING_TOLERANCE: f64 = 1e-6;
 
 /// Resources in use by team, and within each team by class.
@@ -17,11 +17,12 @@
 }
 
 impl Usage {
-    /// Counts one more task of the job.
+    /// Adds one task of the job.
     pub(super) fn add(&mut self, job: &Job) {
         self.add_tasks(job, 1.0);
     }
 
+    /// Adds `count` tasks of the job.
     pub(super) fn add_tasks(&mut self, job: &Job, count: f64) {
         let need = job.need.times(count);
         self.teams.entry(job.team.clone()).or_default().add(&need);
@@ -31,7 +32,7 @@
             .add(&need);
     }
 
-    /// Counts one task of the job less.
+    /// Removes one task of the job.
     pub(super) fn remove(&mut self, job: &Job) {
         self.teams
             .entry(job.team.clone())
@@ -43,10 +44,12 @@
             .take(&job.need);
     }
 
+    /// The resources that the team uses.
     pub(super) fn of_team(&self, team: &Team) -> Resources {
         self.teams.get(team).copied().unwrap_or_default()
     }
 
+    /// The resources that the class of the job uses within its team.
     pub(super) fn of_class(&self, job: &Job) -> Resources {
         self.classes
             .get(&(job.team.clone(), job.class.clone()))
@@ -88,7 +91,7 @@
             && used.gpus + job.need.gpus <= limits.gpus + ROUNDING_TOLERANCE
     }
 
-    /// Whether a task's team uses more than its guarantee, and would still use it all without the task.
+    /// Whether the job's team would still use at least its guarantee without one of the job's tasks.
     pub(super) fn beyond_guarantee(&self, config: &Config, job: &Job) -> bool {
         let Some(limits) = config.team(&job.team) else {
             return true;
@@ -98,7 +101,7 @@
             && used.gpus - job.need.gpus >= limits.gpus - ROUNDING_TOLERANCE
     }
 
-    /// What the team uses for each unit that it is guaranteed.
+    /// The sum of the team's CPU usage and its GPU usage, each relative to its guarantee.
     pub(super) fn ratio_to_guarantee(&self, limits: &TeamLimits) -> f64 {
         let used = self.of_team(&limits.name);
         used.cpus / limits.cpus.max(1.0) + used.gpus / limits.gpus.max(1.0)
