--- a/src/scheduler/completion_compaction.rs
+++ b/src/scheduler/completion_compaction.rs
@@ -1,7 +1,9 @@
-//! Compaction of completions: finished tasks are moved from the values of blocks that are nearly full into their jobs' progress.
+//! Compaction of completions: moves finished tasks from the values of nearly full blocks to the progress records of
+//! their jobs.
 //!
-//! Each chunk of progress costs a change, and jobs that are over soon need none, so this is done only where it frees
-//! much. Called for the scheduler's next write when no job is over.
+//! Each chunk of progress costs a change in a transaction, and a job that ends soon needs no progress record. Finished
+//! tasks are therefore compacted only where that frees much space. Called for the scheduler's next transaction when no
+//! job has ended.
 
 use std::cmp::Reverse;
 use std::collections::BTreeSet;
@@ -11,14 +13,17 @@
 use crate::store::records::{BlockPlacements, CHUNK, PARTS_FORMAT, Progress, Ranges, progress_key};
 use crate::store::{Transaction, WatchCache};
 
-/// A block's finished tasks are compacted when its value is this full of all that it may come to hold ...
+/// Finished tasks of a block are compacted when the worst-case size of its value exceeds this part of the size limit
+/// and they take at least the part below.
 const NEARLY_FULL_RATIO: f64 = 0.8;
-/// ... and they take this much of it. A block that is full of running tasks alone gains nothing: its every finished task
-/// would be recorded by itself.
+/// The least part of the size limit that finished tasks must take to be compacted. A block that is full of running
+/// tasks gains nothing from compaction: each finished task would be recorded in a change of its own.
 const MIN_FINISHED_RATIO: f64 = 0.15;
+/// The same where a block may have several values: adding a value then gains space for finished tasks more cheaply than
+/// compaction.
 const MIN_FINISHED_RATIO_DIVIDED: f64 = 0.5;
 
-/// Adds to the transaction what should be compacted, up to `most` changes.
+/// Adds the progress records of chunks to be compacted to the transaction, up to `max_changes` changes in all.
 pub(super) fn compact(
     config: &Config,
     cache: &WatchCache,
@@ -26,7 +31,6 @@
     max_changes: usize,
 ) -> Transaction {
     let limit = config.state_limits.value_bytes as f64;
-    // Where a block may have more values, room for finished tasks is had more cheaply than by compaction.
     let min_finished_ratio = if cache.format() >= PARTS_FORMAT {
         MIN_FINISHED_RATIO_DIVIDED
     } else {
@@ -51,7 +55,8 @@
     txn
 }
 
-/// The chunks of progress that finished tasks of a block belong to; of the largest sets first, for they free the most.
+/// The chunks of progress that a block's finished tasks belong to. Jobs whose finished tasks take the most space come
+/// first, since compacting them frees the most.
 fn chunks_by_finished_size(placements: &BlockPlacements) -> Vec<(JobId, u32)> {
     let mut sets: Vec<(&JobId, &Ranges)> = placements.done.iter().collect();
     sets.sort_by_key(|(_, done)| Reverse(done.size()));
@@ -67,7 +72,7 @@
     chunks
 }
 
-/// Records all finished tasks of a chunk, whichever blocks they finished in.
+/// Adds the progress record of a chunk with all its finished tasks, whichever blocks they finished in.
 fn compact_chunk(cache: &WatchCache, txn: Transaction, job: JobId, chunk: u32) -> Transaction {
     let Some(open) = cache.open.get(&job) else {
         return txn;
--- a/src/scheduler/failures.rs
+++ b/src/scheduler/failures.rs
@@ -1,8 +1,8 @@
-//! Whether the job or the machine is at fault when tasks fail.
+//! Tracks task failures and decides whether a job or a machine is at fault.
 //!
-//! A job with a mistake fails on every machine until its user cancels it. It waits longer after each failure and then
-//! tries a single task, on a machine where it has not failed yet, so that it costs others next to nothing. A machine is
-//! at fault when tasks of several jobs fail there that do not fail elsewhere.
+//! A faulty job fails on every machine until its user cancels it. It is retried with exponential backoff, one task at a
+//! time and on a machine where it has not failed yet, so that it uses few resources. A machine is faulty when tasks of
+//! several jobs fail on it that do not fail elsewhere.
 
 use std::collections::{HashMap, HashSet};
 use std::time::{Duration, Instant};
@@ -13,30 +13,33 @@
 use crate::peer::MachineStatus;
 use crate::store::WatchCache;
 
-/// Failures of a job without a success that are taken for bad luck.
+/// Failures of a job since its last success that are tolerated as accidental: more of them cause a backoff.
 const TOLERATED_FAILURES: u32 = 2;
 const MIN_BACKOFF: Duration = Duration::from_secs(1);
 const MAX_BACKOFF: Duration = Duration::from_secs(20);
-/// Failures in a row after which a machine may be faulty, and the jobs that they must be of at least.
+/// The least number of consecutive task failures on a faulty machine, and of jobs that they belong to. A single failing
+/// job does not show that a machine is faulty.
 const FAULTY_MIN_FAILURES: u32 = 3;
 const FAULTY_MIN_JOBS: usize = 2;
 
 #[derive(Debug, Default)]
 struct JobFailures {
-    /// Since one of its tasks was done.
+    /// Failures since one of its tasks was completed.
     count: u32,
+    /// Machines on which its tasks have failed.
     machines: HashSet<MachineId>,
+    /// The end of the backoff.
     retry_at: Option<Instant>,
 }
 
-/// What has failed lately, as the holders tell.
+/// Recent failures of each open job, as reported by the holders.
 #[derive(Debug, Default)]
 pub(super) struct Failures {
     jobs: HashMap<JobId, JobFailures>,
 }
 
 impl Failures {
-    /// Takes in what a holder tells of a machine; `before` is what it told last.
+    /// Records the new failures in a holder's status of a machine. `before`: its previous status of the machine.
     pub(super) fn observe(
         &mut self,
         now: Now,
@@ -65,34 +68,35 @@
         if failures.count <= TOLERATED_FAILURES {
             return;
         }
-        // Tasks that began together fail together: they are one reason to wait longer, not many.
+        // Tasks that started together fail together: failures during a backoff do not extend it.
         if failures.retry_at.is_none_or(|at| now.monotonic >= at) {
             let doublings = (failures.count - TOLERATED_FAILURES - 1).min(8);
             let backoff = MIN_BACKOFF * 2u32.pow(doublings);
             failures.retry_at = Some(now.monotonic + backoff.min(MAX_BACKOFF));
         }
         if before <= TOLERATED_FAILURES {
-            info!(%job, %machine, "tasks of this job keep failing: one is tried at a time");
+            info!(%job, %machine, "job fails repeatedly; retrying one task at a time");
         }
     }
 
-    /// A task of the job is done.
+    /// Forgets the failures of a job, one of whose tasks was completed.
     pub(super) fn record_success(&mut self, job: JobId) {
         self.jobs.remove(&job);
     }
 
+    /// Forgets the failures of jobs that are no longer open.
     pub(super) fn retain_open_jobs(&mut self, cache: &WatchCache) {
         self.jobs.retain(|job, _| cache.open.contains_key(job));
     }
 
-    /// Whether a job keeps failing: one task of it is enough to see whether that is over.
+    /// Whether a job fails repeatedly: only one of its tasks is tried at a time, until one succeeds.
     pub(super) fn keeps_failing(&self, job: JobId) -> bool {
         self.jobs
             .get(&job)
             .is_some_and(|failures| failures.count > TOLERATED_FAILURES)
     }
 
-    /// Whether the job should wait before it is tried again.
+    /// Whether the job has to wait before its next attempt.
     pub(super) fn is_backing_off(&self, now: Now, job: JobId) -> bool {
         self.jobs
             .get(&job)
@@ -100,14 +104,14 @@
             .is_some_and(|at| now.monotonic < at)
     }
 
-    /// Whether a task of the job has failed on this machine, and none has been done since anywhere.
+    /// Whether a task of the job has failed on this machine and none of its tasks has been completed since.
     pub(super) fn failed_on(&self, job: JobId, machine: &MachineId) -> bool {
         self.jobs
             .get(&job)
             .is_some_and(|failures| failures.machines.contains(machine))
     }
 
-    /// Whether so many tasks of so many jobs have failed on the machine that it must be faulty.
+    /// Whether enough tasks of enough jobs have failed on the machine in a row for it to be faulty.
     pub(super) fn is_machine_faulty(&self, status: &MachineStatus, cache: &WatchCache) -> bool {
         let counts_against_machine = |job: JobId| !self.is_job_at_fault(job, cache);
         status.consecutive_failures >= FAULTY_MIN_FAILURES
@@ -119,8 +123,8 @@
                 >= FAULTY_MIN_JOBS
     }
 
-    /// Whether a job's failures say nothing against a machine: it has failed on others too without any success, or was
-    /// cancelled without one.
+    /// Whether the job rather than a machine is at fault for its failures: its tasks have failed on several machines
+    /// without a success since, or it was cancelled before it was complete.
     fn is_job_at_fault(&self, job: JobId, cache: &WatchCache) -> bool {
         match cache.ended.get(&job) {
             Some((outcome, _)) => *outcome == JobOutcome::Cancelled,
--- a/src/scheduler/holder_health.rs
+++ b/src/scheduler/holder_health.rs
@@ -1,7 +1,7 @@
-//! Holder health: which holders of block leases can't do their work, since they receive heartbeats of few of their
-//! machines while other controllers receive them.
+//! Detects isolated holders of block leases: they receive heartbeats from few of their machines, while other
+//! controllers receive heartbeats from these machines.
 //!
-//! Asked by the leader in each round, which then gives these holders' blocks to others for a while.
+//! The leader queries it in each round and gives the blocks of isolated holders to other controllers for a while.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -11,15 +11,18 @@
 use crate::store::WatchCache;
 use crate::workers::misrouted_window;
 
-/// A holder that does not hear most of its machines, and at least so many, is suspected; if others hear most of those
-/// that it does not, it is the holder that is cut off or too slow, not they that are dead. A few that others hear show
-/// nothing: machines that no answer reaches go from controller to controller too.
+/// A holder is suspected to be isolated when more than half of its workers, and at least this many, are overdue.
 const MIN_OVERDUE_WORKERS: u32 = 4;
+/// A suspected holder is isolated or too slow, and its machines are not dead, when other controllers receive heartbeats
+/// from most of its overdue machines, and from at least this many. A few misrouted machines are no evidence: a worker
+/// that no response reaches also goes from controller to controller.
 const MIN_MISROUTED_MACHINES: u32 = 3;
-/// Of a large holder's machines not all are named as misrouted workers at a time: so many are enough.
+/// No holder needs more misrouted machines than this to count as isolated: a controller reports only some of many
+/// misrouted machines at a time.
 const MAX_REQUIRED_MISROUTED_MACHINES: u32 = 24;
 
-/// The machines of a holder that it does not hear, and how many of them others hear.
+/// The workers of a holder: how many it expects heartbeats from, how many of these are overdue, and how many of its
+/// machines report to other controllers.
 #[derive(Debug, Clone, Copy, Default)]
 struct HolderReachability {
     expected_workers: u32,
@@ -28,11 +31,13 @@
 }
 
 impl HolderReachability {
+    /// Whether more than half of the holder's workers, and enough of them, are overdue.
     fn is_suspect(self) -> bool {
         self.overdue_workers >= MIN_OVERDUE_WORKERS
             && self.overdue_workers * 2 > self.expected_workers
     }
 
+    /// Whether it is the holder that is isolated, since other controllers hear from most of its overdue machines.
     fn is_isolated(self) -> bool {
         let required = (self.overdue_workers / 2 + 1)
             .clamp(MIN_MISROUTED_MACHINES, MAX_REQUIRED_MISROUTED_MACHINES);
@@ -41,13 +46,13 @@
 }
 
 impl Scheduler {
-    /// Machines that reported to a controller that is not their holder.
+    /// Records machines that reported to a controller that is not their holder.
     pub fn record_misrouted(&mut self, now: Now, machines: Vec<MachineId>) {
         self.misrouted
             .extend(machines.into_iter().map(|machine| (machine, now.monotonic)));
     }
 
-    /// Holders that hear hardly any of their machines, although others hear them.
+    /// Holders that receive no heartbeats from most of their machines, although other controllers do.
     pub fn isolated_holders(
         &mut self,
         now: Now,
@@ -86,7 +91,7 @@
         isolated.map(|(holder, _)| holder).collect()
     }
 
-    /// What the holders told lately of machines that they do not hear.
+    /// Expected and overdue workers of each holder, from statuses within their time to live.
     fn holder_reachability(
         &self,
         now: Now,
