--- a/src/scheduler/completion_compaction/tests.rs
+++ b/src/scheduler/completion_compaction/tests.rs
@@ -1,4 +1,4 @@
-//! What is compacted, and what is not worth its writes.
+//! Which finished tasks are compacted and which are not.
 
 use super::*;
 use crate::config::tests::SETTINGS;
@@ -17,9 +17,9 @@
 }
 
 impl BlockFixture {
-    /// A block with as many running tasks as fill this part of its value, and these finished ones.
+    /// A block with as many running tasks as fill this part of its value's size limit, and with these finished tasks.
     fn new(running_ratio: f64, finished: impl IntoIterator<Item = u32>) -> Self {
-        let config = Config::parse("s.toml", SETTINGS).expect("valid");
+        let config = Config::parse("s.toml", SETTINGS).expect("the sample settings are valid");
         let mut block = BlockFixture {
             cache: WatchCache::following(),
             version: 0,
@@ -63,7 +63,7 @@
     }
 }
 
-/// Every other task of the first so many, so that they make no ranges.
+/// `count` even task indexes from 0 on: they form no ranges, so each takes space of its own.
 fn even_indexes(count: u32) -> impl Iterator<Item = u32> {
     (0..count).map(|n| 2 * n)
 }
@@ -85,8 +85,8 @@
     );
 }
 
-/// Found in an incident: blocks were full of running tasks, each task that ended was recorded by itself, and for six minutes
-/// the leader had no writes left for its own blocks.
+/// Seen in an incident: blocks were full of running tasks, each task that ended was recorded by a change of its own,
+/// and for six minutes the leader had no writes left for its own blocks.
 #[test]
 fn a_block_full_of_running_tasks_is_not_compacted_for_a_few_finished_ones() {
     assert_eq!(
@@ -95,7 +95,8 @@
     );
 }
 
-/// Found in the same incident: what is compacted still stands in the block's value until its holder writes it anew.
+/// Seen in the same incident: compacted tasks remain in the block's value until its holder writes the value again. They
+/// must not be counted as finished tasks that compaction would remove.
 #[test]
 fn finished_tasks_already_in_progress_records_are_not_compacted_again() {
     let mut block = BlockFixture::new(0.6, even_indexes(300));
@@ -107,7 +108,7 @@
         block.put(progress_key(JOB, chunk), encode(&progress));
     }
     assert_eq!(block.compacted_keys(), [] as [String; 0]);
-    // A few more have ended since.
+    // A few more tasks have ended since, too few to be compacted.
     let mut placements = block.cache.placements[&BLOCK.into()].value.clone();
     for index in [1001, 1003, 1005] {
         placements.done.entry(JOB).or_default().insert(index);
--- a/src/scheduler/failures/tests.rs
+++ b/src/scheduler/failures/tests.rs
@@ -1,4 +1,4 @@
-//! Failing jobs and faulty machines told apart.
+//! Backoff of failing jobs, and detection of faulty machines.
 
 use super::*;
 use crate::peer::JobFailures as ReportedFailures;
@@ -52,9 +52,9 @@
     failures.observe(now, &status("m-1", &[(1, 2)]), None);
     assert!(
         !failures.keeps_failing(JobId(1)) && !failures.is_backing_off(now, JobId(1)),
-        "may be bad luck"
+        "two failures are tolerated"
     );
-    // Told again, as it is until the leader is known to have heard: nothing new.
+    // The holder repeats its status until the leader acknowledges it: a repeated status adds no failures.
     failures.observe(
         now,
         &status("m-1", &[(1, 2)]),
@@ -68,7 +68,7 @@
         failures.observe(at, &status("m-1", &[(1, count)]), Some(&before));
         let backoff = (0..60)
             .find(|seconds| !failures.is_backing_off(seconds_after(at, *seconds), JobId(1)))
-            .expect("ends");
+            .expect("the backoff ends within a minute");
         backoffs.push(backoff);
         at = seconds_after(at, backoff);
     }
@@ -77,8 +77,8 @@
     assert!(!failures.keeps_failing(JobId(1)) && !failures.is_backing_off(at, JobId(1)));
 }
 
-/// A hundred tasks of a job that began together fail together: that is no reason to wait for as long as after a hundred
-/// tries.
+/// Tasks of a job that started together fail together: fifty such failures must not extend the backoff as fifty
+/// consecutive attempts would.
 #[test]
 fn failures_during_a_backoff_do_not_lengthen_it() {
     let now = Now::read();
@@ -88,7 +88,7 @@
     assert!(!failures.is_backing_off(seconds_after(now, 1), JobId(1)));
 }
 
-/// Two jobs with a mistake each ran on the same machines, which would then have looked faulty one after the other.
+/// Two faulty jobs run on the same machines, which would otherwise be marked as faulty one after the other.
 #[test]
 fn jobs_that_fail_on_several_machines_do_not_mark_machines_as_faulty() {
     let now = Now::read();
@@ -103,17 +103,17 @@
         .for_each(|status| failures.observe(now, status, None));
     assert!(
         !failures.is_machine_faulty(&statuses[0], &cache),
-        "both fail elsewhere too"
+        "both jobs fail on another machine too"
     );
     let faulty_machine = status("m-3", &[(3, 2), (4, 1)]);
     failures.observe(now, &faulty_machine, None);
     assert!(
         failures.is_machine_faulty(&faulty_machine, &cache),
-        "these fail nowhere else"
+        "these jobs fail on no other machine"
     );
     assert!(
         !failures.is_machine_faulty(&status("m-4", &[(3, 9)]), &cache),
-        "one job alone may have a mistake"
+        "a single job may be faulty itself"
     );
 }
 
--- a/src/scheduler/tests.rs
+++ b/src/scheduler/tests.rs
@@ -1,4 +1,4 @@
-//! The leader's queues, as holders and the records show them.
+//! Plans of the scheduler for given records and holders' statuses.
 
 use super::best_effort::EligibleMachines;
 use super::waiting::FIRST_TASK_OVERDUE_AFTER;
@@ -16,6 +16,7 @@
     encode, inventory_key, job_key, placements_key,
 };
 
+/// A scheduler with the records and statuses that its plans are made from.
 pub(super) struct Fixture {
     config: Config,
     policy: Policy,
@@ -32,7 +33,7 @@
 impl Fixture {
     /// One block, `a.0`, with machines of 16 CPUs.
     pub(super) fn new(machines: u32) -> Self {
-        let config = Config::parse("s.toml", SETTINGS).expect("valid");
+        let config = Config::parse("s.toml", SETTINGS).expect("the sample settings are valid");
         let now = Now::read();
         let mut catalog = InstanceCatalog::default();
         catalog.handle_response(Some(InstanceTypeList {
@@ -90,7 +91,7 @@
         );
     }
 
-    /// Accepted just now, unless it says when.
+    /// Adds an open job. It is accepted now unless it has an acceptance time.
     pub(super) fn add_job(&mut self, id: u64, mut job: Job) {
         if job.accepted_ms == 0 {
             job.accepted_ms = self.now.unix_ms();
@@ -98,6 +99,7 @@
         self.put(job_key(JobId(id)), encode(&JobRecord::Open(job)));
     }
 
+    /// Reports a status of the block with all its machines usable.
     pub(super) fn report_status(
         &mut self,
         machines: u32,
@@ -139,6 +141,7 @@
         self.scheduler.observe_block_status(self.now, status);
     }
 
+    /// Makes a plan. Returns the demand and the assignment updates to be sent.
     pub(super) fn plan(&mut self) -> (Demand, Vec<AssignmentUpdate>) {
         let Fixture {
             config,
@@ -158,7 +161,7 @@
         )
     }
 
-    /// The jobs that the next write ends.
+    /// The jobs that the next transaction records as ended.
     pub(super) fn ended_jobs(&mut self) -> Vec<JobId> {
         let Fixture {
             config,
@@ -182,7 +185,7 @@
         .collect()
     }
 
-    /// Everything that is wanted is placed where the leader meant it.
+    /// Records all assignments of an update as placed on the assigned machines.
     pub(super) fn record_assignments(&mut self, update: &AssignmentUpdate) {
         let mut placements = self
             .cache
@@ -216,8 +219,8 @@
     format!("m-{n:06}").as_str().into()
 }
 
-/// Found by a seeded run: the machine that a release was meant for was deleted, the release no longer
-/// counted, and the task was released again while its holder could still place it elsewhere.
+/// Seen in a simulation: the machine of a release was deleted, the release no longer counted, and the task was released
+/// again while its holder could still place it on another machine.
 #[test]
 fn a_release_counts_until_its_holder_reports_it_neither_pending_nor_placed() {
     let mut fixture = Fixture::new(2);
@@ -227,7 +230,7 @@
         panic!("{updates:?}")
     };
     let number = assignment.attempt.number;
-    // The machine it was meant for goes.
+    // The assigned machine is removed from the inventory.
     fixture.set_inventory(if assignment.machine == machine_id(0) {
         1..2
     } else {
@@ -244,7 +247,7 @@
                 .all(|assignment| assignment.attempt.number == number)
         }));
     }
-    // Heard, and neither pending nor placed: now it is free.
+    // The holder has received the release and lists it neither as pending nor as placed: it no longer counts.
     fixture.report_status(2, updates[0].sequence_number, &[]);
     fixture.plan();
     let (_, updates) = fixture.plan();
@@ -256,7 +259,7 @@
     );
 }
 
-/// Found on the bench: machines stood empty until the record of an end had been written, a second or more.
+/// Seen in a benchmark: machines stayed idle for a second or more, until the end of their task had been recorded.
 #[test]
 fn resources_of_an_ended_task_are_reused_before_its_end_is_recorded() {
     let mut fixture = Fixture::new(1);
@@ -279,19 +282,19 @@
         .scheduler
         .block_states
         .get_mut(&BlockId::from("a.0"))
-        .expect("granted");
+        .expect("the block has a lease of this term");
     block_state
         .status
         .as_mut()
-        .expect("heard")
+        .expect("the holder has sent a status")
         .0
         .proven_ended
         .push(number);
     assert_eq!(released_tasks(&mut fixture), 1);
 }
 
-/// Found on the bench: a controller was cut off from its workers, and all its machines were deleted, though they
-/// reported to the others all the time.
+/// Seen in a benchmark: a controller was cut off from its workers, and all its machines were deleted although they kept
+/// reporting to other controllers.
 #[test]
 fn a_holder_is_isolated_when_most_of_its_overdue_machines_report_to_other_controllers() {
     let mut fixture = Fixture::new(6);
@@ -301,11 +304,11 @@
             .scheduler
             .block_states
             .get_mut(&BlockId::from("a.0"))
-            .expect("granted");
+            .expect("the block has a lease of this term");
         block_state
             .status
             .as_mut()
-            .expect("heard")
+            .expect("the holder has sent a status")
             .0
             .overdue_workers = overdue;
         for status in block_state.machines.values_mut() {
@@ -330,16 +333,25 @@
         (isolated_holders.contains(&holder), marked)
     };
     assert_eq!(assess(6, 4), (true, 6));
-    // Found on a day of a hunt: machines that no answer reached went from controller to controller; three of them were
-    // enough to take holder after holder for cut off, and their blocks changed hands five times in two minutes.
-    assert_eq!(assess(6, 3), (false, 0), "half of them: they may be deaf");
-    assert_eq!(assess(6, 2), (false, 0), "they may be dead");
+    // Seen in a simulated day: machines that no response reached went from controller to controller. Three of them were
+    // enough for one holder after the other to count as isolated, and their blocks changed holders five times in two
+    // minutes.
+    assert_eq!(
+        assess(6, 3),
+        (false, 0),
+        "only half of them are misrouted: responses may not reach them"
+    );
+    assert_eq!(assess(6, 2), (false, 0), "the machines may be dead");
     assert_eq!(assess(4, 3), (true, 6));
-    assert_eq!(assess(3, 6), (false, 0), "it hears the others");
+    assert_eq!(
+        assess(3, 6),
+        (false, 0),
+        "the holder receives the other machines' heartbeats"
+    );
 }
 
-/// Found on a day with half as many machines again and many troubles together: jobs waited for almost five minutes to
-/// begin behind the tasks of older ones.
+/// Seen in a simulated day with half as many machines again and many faults at once: jobs waited almost five minutes
+/// for their first task behind the tasks of older jobs.
 #[test]
 fn an_overdue_job_gets_its_first_task_before_older_jobs_get_more() {
     let started_tasks = |waited: Duration| {
@@ -356,7 +368,7 @@
         fixture.record_assignments(&updates[0]);
         fixture.report_status(1, updates[0].sequence_number, &[]);
         fixture.add_job(2, job(100, accepted_ms));
-        // Four tasks end: room for as many.
+        // Four tasks end, which frees resources for four others.
         let placements = fixture.cache.placements[&BlockId::from("a.0")]
             .value
             .clone();
@@ -369,8 +381,13 @@
             .scheduler
             .block_states
             .get_mut(&BlockId::from("a.0"))
-            .expect("granted");
-        block_state.status.as_mut().expect("heard").0.proven_ended = ended;
+            .expect("the block has a lease of this term");
+        block_state
+            .status
+            .as_mut()
+            .expect("the holder has sent a status")
+            .0
+            .proven_ended = ended;
         fixture.now.wall += waited;
         let updates = fixture.plan().1;
         updates
@@ -382,19 +399,19 @@
     assert_eq!(
         started_tasks(Duration::from_secs(10)),
         0,
-        "older jobs first"
+        "older jobs come first"
     );
     assert_eq!(
         started_tasks(FIRST_TASK_OVERDUE_AFTER + Duration::from_secs(1)),
         1,
-        "one task, not all"
+        "the overdue job gets one task only"
     );
 }
 
 #[test]
 fn a_team_gets_no_more_than_its_limit_however_large_its_job() {
     let mut fixture = Fixture::new(30);
-    // 48 CPUs at most: see the sample settings.
+    // The sample settings limit the team to 48 CPUs.
     fixture.add_job(
         1,
         Job {
@@ -412,7 +429,7 @@
         let demanded_machines: f64 = demand.machines.values().sum();
         assert!(
             demanded_machines <= 3.0 + 1e-6,
-            "{demanded_machines} machines for 48 CPUs"
+            "demand is {demanded_machines} machines, but the limit of 48 CPUs allows 3"
         );
         for update in &updates {
             fixture.record_assignments(update);
@@ -437,7 +454,7 @@
     assert!(placements.value.size() <= fixture.config.state_limits.value_bytes);
 }
 
-/// Found on the bench: two teams stopped each other's tasks in turn, over a thousand in eight minutes.
+/// Seen in a benchmark: two teams preempted each other's tasks in turn, over a thousand in eight minutes.
 #[test]
 fn preemption_follows_priority_and_guarantee_without_cycles() {
     let preempted_tasks = |waiting: Job, running: Job, tasks: u32| {
@@ -467,7 +484,7 @@
         kind: JobKind::Service,
         ..job
     };
-    // Two machines of 16 CPUs, full. Red's guarantee is 16 CPUs, blue's 32.
+    // Two machines of 16 CPUs are full. Red's guarantee is 16 CPUs, blue's is 32.
     use Priority::{High, Production, Standard};
     assert_eq!(
         preempted_tasks(red(Standard, 4.0), blue(Standard, 4.0), 8),
@@ -477,33 +494,33 @@
     assert_eq!(
         preempted_tasks(blue(Standard, 4.0), red(Standard, 4.0), 8),
         1,
-        "red is beyond, blue is owed"
+        "red is beyond its guarantee, blue is within its own"
     );
     assert_eq!(
         preempted_tasks(blue(Standard, 4.0), red(High, 4.0), 8),
         0,
-        "higher priorities are left alone"
+        "tasks of higher priority are not preempted"
     );
     assert_eq!(
         preempted_tasks(red(High, 4.0), blue(Standard, 4.0), 8),
         1,
-        "priority, within the guarantee"
+        "red has higher priority and is within its guarantee"
     );
     assert_eq!(
         preempted_tasks(red(Production, 8.0), red(Standard, 4.0), 8),
         2,
-        "as many as it takes"
+        "as many tasks are preempted as needed"
     );
     assert_eq!(
         preempted_tasks(blue(High, 4.0), service(red(Standard, 4.0)), 8),
         0,
-        "replicas stay up"
+        "service replicas are not preempted"
     );
 }
 
-/// Found on the bench: preempted tasks took seconds to save; meanwhile their holder found no room for the task they were
-/// stopped for, its release was withdrawn, and the preempted job's other tasks got the room: 6,000 were stopped in two
-/// minutes.
+/// Seen in a benchmark: preempted tasks took seconds to write their checkpoints. Until then their holder reported the
+/// release that waited for their resources as unplaceable, it was withdrawn, and other tasks of the preempted job got
+/// the resources: 6,000 tasks were preempted in two minutes.
 #[test]
 fn a_release_keeps_the_resources_of_preempted_tasks_until_they_exit() {
     let mut fixture = Fixture::new(1);
@@ -538,11 +555,11 @@
             .scheduler
             .block_states
             .get_mut(&BlockId::from("a.0"))
-            .expect("granted");
+            .expect("the block has a lease of this term");
         block_state
             .status
             .as_mut()
-            .expect("heard")
+            .expect("the holder has sent a status")
             .0
             .unplaceable
             .push(release.number);
@@ -555,7 +572,10 @@
             .flat_map(|update| &update.assignments)
             .filter(|assignment| assignment.attempt != release)
             .count();
-        assert_eq!(others, 0, "the room is not for others");
+        assert_eq!(
+            others, 0,
+            "the freed resources are reserved for the release"
+        );
         fixture.scheduler.block_states[&BlockId::from("a.0")]
             .releases
             .get(&release.number)
@@ -563,22 +583,29 @@
     };
     fixture.version += 1;
     fixture.now.monotonic += Duration::from_secs(4);
-    assert!(is_still_released(&mut fixture), "they still save");
-    // They are gone now, but the holder has no room all the same.
+    assert!(
+        is_still_released(&mut fixture),
+        "the preempted tasks are still exiting"
+    );
+    // The preempted tasks have ended, but the holder still reports the release as unplaceable.
     fixture.put(
         placements_key(&"a.0".into()),
         encode(&BlockPlacements::default()),
     );
     assert!(
         is_still_released(&mut fixture),
-        "the holder may not have seen it yet"
+        "the holder may not have seen the change yet"
     );
     fixture.version += 1;
     fixture.now.monotonic += Duration::from_secs(1);
-    assert!(!is_still_released(&mut fixture), "it has had a second");
+    assert!(
+        !is_still_released(&mut fixture),
+        "the holder has had a second to place it"
+    );
 }
 
-/// A preempted task may hang: what waits for its room is placed elsewhere in the end.
+/// A preempted task may hang: the release that waits for its resources is withdrawn, so that its task can be placed
+/// elsewhere.
 #[test]
 fn a_release_is_withdrawn_when_preempted_tasks_do_not_exit_in_time() {
     let mut fixture = Fixture::new(1);
@@ -613,8 +640,9 @@
     assert!(is_withdrawn(&mut fixture, 2));
 }
 
-/// Found in an incident: guests' jobs of which some tasks were done waited beside room that they might not have, with nothing
-/// of them running. One task at a time gets it.
+/// Seen in an incident: jobs of a team without a guarantee, with some tasks done and none running, waited although
+/// there were free machines, which were reserved or too expensive for them. A job in this state may place one task at a
+/// time on any machine.
 #[test]
 fn a_best_effort_job_with_nothing_running_may_use_any_machine_after_the_restriction_time() {
     let eligible_machines = |done: u32, placed: bool, waited: Duration| {
@@ -672,7 +700,7 @@
     assert_eq!(
         eligible_machines(6, false, after_restriction),
         EligibleMachines::All,
-        "some done, nothing runs"
+        "some tasks are done, none is running"
     );
     assert_eq!(
         eligible_machines(6, true, after_restriction),
