--- a/src/scheduler/block_state.rs
+++ b/src/scheduler/block_state.rs
@@ -51,13 +51,13 @@
     pub(super) fn should_withdraw(
         &mut self,
         now: Now,
-        stops: &BTreeMap<Attempt, Instant>,
+        stop_requests: &BTreeMap<Attempt, Instant>,
         unplaceable: bool,
     ) -> bool {
         if self
             .preempted
             .iter()
-            .any(|attempt| stops.contains_key(attempt))
+            .any(|attempt| stop_requests.contains_key(attempt))
         {
             self.capacity_since = now.monotonic;
             return since(now, self.released_at) > PREEMPTION_TIMEOUT;
@@ -139,12 +139,12 @@
             .cloned()
             .collect::<Vec<_>>()
         {
-            let seen = self
+            let has_reported = self
                 .machines
                 .get(&id)
                 .is_some_and(|status| status.has_reported);
-            if seen || addresses.contains_key(&id) {
-                self.update_pending |= !seen;
+            if has_reported || addresses.contains_key(&id) {
+                self.update_pending |= !has_reported;
                 self.addressed_machines.insert(id);
             }
         }
--- a/src/scheduler/completion_compaction.rs
+++ b/src/scheduler/completion_compaction.rs
@@ -58,16 +58,16 @@
 /// The chunks of progress that a block's finished tasks belong to. Jobs whose finished tasks take the most space come
 /// first, since compacting them frees the most.
 fn chunks_by_finished_size(placements: &BlockPlacements) -> Vec<(JobId, u32)> {
-    let mut sets: Vec<(&JobId, &Ranges)> = placements.done.iter().collect();
-    sets.sort_by_key(|(_, done)| Reverse(done.size()));
+    let mut finished_by_job: Vec<(&JobId, &Ranges)> = placements.done.iter().collect();
+    finished_by_job.sort_by_key(|(_, done)| Reverse(done.size()));
     let mut chunks = Vec::new();
-    for (job, done) in sets {
-        let of_job: BTreeSet<u32> = done
+    for (job, done) in finished_by_job {
+        let job_chunks: BTreeSet<u32> = done
             .0
             .iter()
             .flat_map(|range| (range.start() / CHUNK)..=(range.end() / CHUNK))
             .collect();
-        chunks.extend(of_job.into_iter().map(|chunk| (*job, chunk)));
+        chunks.extend(job_chunks.into_iter().map(|chunk| (*job, chunk)));
     }
     chunks
 }
--- a/src/scheduler/demand.rs
+++ b/src/scheduler/demand.rs
@@ -33,8 +33,8 @@
 }
 
 impl CurrentLoad {
-    /// Counts a task. One that may run on spot machines must not cause demand for on-demand machines: it is returned
-    /// instead of being added to the demand.
+    /// Counts a task. If it runs on an on-demand machine but may run on a spot machine, it is not added to the demand but
+    /// returned: it is no reason to keep an on-demand machine.
     fn count<'v>(
         &mut self,
         leader: &LeaderContext<'_>,
--- a/src/scheduler/mod.rs
+++ b/src/scheduler/mod.rs
@@ -116,8 +116,8 @@
 impl Plan {
     /// Allocates a machine's resources and a slot of its block to a released task.
     fn allocate(&mut self, index: usize, block: &BlockId, job: &Job) {
-        let chosen = &mut self.candidates[index];
-        chosen.free.take(&job.need);
+        let candidate = &mut self.candidates[index];
+        candidate.free.take(&job.need);
         if let Some(slots) = self.block_slots.get_mut(block) {
             *slots = slots.saturating_sub(1);
         }
@@ -130,13 +130,13 @@
 
     /// Adds a task that is released to a machine to the usage and the demand.
     fn count_release(&mut self, index: usize, job: &Job) {
-        let chosen = &self.candidates[index];
+        let candidate = &self.candidates[index];
         self.usage.add(job);
         self.usage_after_stops.add(job);
-        let tasks_per_machine = f64::from(chosen.size.count_of(&job.need).max(1));
-        let pool = MachinePool::new(chosen.type_name.clone(), chosen.capacity_type);
+        let tasks_per_machine = f64::from(candidate.size.count_of(&job.need).max(1));
+        let pool = MachinePool::new(candidate.type_name.clone(), candidate.capacity_type);
         self.demand.add(pool, 1.0 / tasks_per_machine);
-        self.demand.occupied.insert(chosen.machine.clone());
+        self.demand.occupied.insert(candidate.machine.clone());
     }
 }
 
@@ -251,11 +251,11 @@
                 self.block_states.remove(block);
                 continue;
             }
-            let known = self
+            let is_current = self
                 .block_states
                 .get(block)
                 .is_some_and(|block_state| block_state.lease_version == lease.version);
-            if !known {
+            if !is_current {
                 // Tasks that were released under the old block lease can no longer be placed under a new one.
                 let block_state = BlockState {
                     lease_version: lease.version,
@@ -460,11 +460,11 @@
     /// The usage once all tasks with a stop request have ended.
     fn usage_after_stops(&self, usage: &Usage, cache: &WatchCache) -> Usage {
         let mut remaining = usage.clone();
-        let stops = self
+        let stop_requests = self
             .block_states
             .values()
             .flat_map(|block_state| block_state.stop_requests.keys());
-        for open in stops.filter_map(|attempt| cache.open.get(&attempt.task.job)) {
+        for open in stop_requests.filter_map(|attempt| cache.open.get(&attempt.task.job)) {
             remaining.remove(&open.job);
         }
         remaining
