--- a/src/provisioning/boot_times.rs
+++ b/src/provisioning/boot_times.rs
@@ -9,31 +9,31 @@
 use crate::domain::InstanceTypeName;
 
 /// The boots that an estimate rests on: the last ones.
-const SAMPLES: usize = 21;
-/// The stated boot time counts as so many boots, so that the first few measured ones don't decide alone.
-const PRIOR: usize = 3;
+const MAX_SAMPLES: usize = 21;
+/// The advertised boot time counts as so many boots, so that the first few measured ones don't decide alone.
+const ADVERTISED_TIME_WEIGHT: usize = 3;
 /// A machine that takes more than this many times as long as expected is late.
-const LATE: f64 = 2.0;
-/// A machine that takes more than this many times as long as expected, and [`NEVER_EXTRA`] more, never comes up.
-const NEVER: f64 = 3.0;
+const OVERDUE_FACTOR: f64 = 2.0;
+/// A machine that takes more than this many times as long as expected, and [`TIMEOUT_MARGIN`] more, never comes up.
+const TIMEOUT_FACTOR: f64 = 3.0;
 /// Added to that, for short boot times.
-const NEVER_EXTRA: Duration = Duration::from_secs(10);
+const TIMEOUT_MARGIN: Duration = Duration::from_secs(10);
 
 /// Boot times by machine type. An estimate is a median, so that a few machines that come up late, at once or never don't
 /// move it, while it follows as soon as most of them do.
 #[derive(Debug, Default)]
 pub(super) struct BootTimes {
-    measured: BTreeMap<InstanceTypeName, VecDeque<Duration>>,
+    samples: BTreeMap<InstanceTypeName, VecDeque<Duration>>,
     expected: BTreeMap<InstanceTypeName, Duration>,
 }
 
 impl BootTimes {
     /// Notes that a machine has come up.
-    pub(super) fn record(&mut self, type_name: &InstanceTypeName, took: Duration) {
-        let samples = self.measured.entry(type_name.clone()).or_default();
-        samples.push_back(took);
-        if samples.len() > SAMPLES {
-            samples.pop_front();
+    pub(super) fn record(&mut self, type_name: &InstanceTypeName, boot_time: Duration) {
+        let type_samples = self.samples.entry(type_name.clone()).or_default();
+        type_samples.push_back(boot_time);
+        if type_samples.len() > MAX_SAMPLES {
+            type_samples.pop_front();
         }
     }
 
@@ -43,45 +43,62 @@
     pub(super) fn update(
         &mut self,
         type_name: &InstanceTypeName,
-        stated: Duration,
-        booting: &[Duration],
+        advertised: Duration,
+        booting_ages: &[Duration],
     ) {
-        let measured = self.measured.get(type_name).into_iter().flatten().copied();
-        let mut known: Vec<Duration> = std::iter::repeat_n(stated, PRIOR).chain(measured).collect();
-        let usual = median(&mut known);
-        known.extend(booting.iter().copied().filter(|age| *age > usual));
-        self.expected.insert(type_name.clone(), median(&mut known));
+        let measured = self.samples.get(type_name).into_iter().flatten().copied();
+        let mut boot_times: Vec<Duration> = std::iter::repeat_n(advertised, ADVERTISED_TIME_WEIGHT)
+            .chain(measured)
+            .collect();
+        let measured_median = median(&mut boot_times);
+        boot_times.extend(
+            booting_ages
+                .iter()
+                .copied()
+                .filter(|age| *age > measured_median),
+        );
+        self.expected
+            .insert(type_name.clone(), median(&mut boot_times));
     }
 
-    /// The boot time to expect; the stated one as long as nothing is known.
-    pub(super) fn expected(&self, type_name: &InstanceTypeName, stated: Duration) -> Duration {
-        self.expected.get(type_name).copied().unwrap_or(stated)
+    /// The boot time to expect; the advertised one as long as nothing is known.
+    pub(super) fn expected(&self, type_name: &InstanceTypeName, advertised: Duration) -> Duration {
+        self.expected.get(type_name).copied().unwrap_or(advertised)
     }
 
     /// Whether a machine of this age that is not up should no longer be waited for when machines are short. It may come
     /// up all the same.
-    pub(super) fn is_late(
+    pub(super) fn is_overdue(
         &self,
         type_name: &InstanceTypeName,
-        stated: Duration,
+        advertised: Duration,
         age: Duration,
     ) -> bool {
-        age > self.patience(type_name, stated).mul_f64(LATE)
+        age > self
+            .conservative_estimate(type_name, advertised)
+            .mul_f64(OVERDUE_FACTOR)
     }
 
     /// Whether a machine of this age that is not up never will be.
-    pub(super) fn is_lost(
+    pub(super) fn has_timed_out(
         &self,
         type_name: &InstanceTypeName,
-        stated: Duration,
+        advertised: Duration,
         age: Duration,
     ) -> bool {
-        age > self.patience(type_name, stated).mul_f64(NEVER) + NEVER_EXTRA
+        age > self
+            .conservative_estimate(type_name, advertised)
+            .mul_f64(TIMEOUT_FACTOR)
+            + TIMEOUT_MARGIN
     }
 
     /// Boots that were quick for a while are no reason to give up one that takes its usual time.
-    fn patience(&self, type_name: &InstanceTypeName, stated: Duration) -> Duration {
-        self.expected(type_name, stated).max(stated)
+    fn conservative_estimate(
+        &self,
+        type_name: &InstanceTypeName,
+        advertised: Duration,
+    ) -> Duration {
+        self.expected(type_name, advertised).max(advertised)
     }
 }
 
--- a/src/provisioning/boot_times/tests.rs
+++ b/src/provisioning/boot_times/tests.rs
@@ -2,91 +2,94 @@
 
 use super::*;
 
-const STATED: Duration = Duration::from_secs(25);
+const ADVERTISED: Duration = Duration::from_secs(25);
 
-fn seconds(seconds: u64) -> Duration {
-    Duration::from_secs(seconds)
+fn seconds(count: u64) -> Duration {
+    Duration::from_secs(count)
 }
 
 /// Boot times after these boots, with machines of these ages still booting.
-fn after(boots: &[u64], booting: &[u64]) -> (BootTimes, InstanceTypeName) {
+fn times_after(boots: &[u64], booting_ages: &[u64]) -> (BootTimes, InstanceTypeName) {
     let name = InstanceTypeName::from("large");
     let mut times = BootTimes::default();
-    for took in boots {
-        times.record(&name, seconds(*took));
+    for boot_time in boots {
+        times.record(&name, seconds(*boot_time));
     }
-    let ages: Vec<Duration> = booting.iter().copied().map(seconds).collect();
-    times.update(&name, STATED, &ages);
+    let ages: Vec<Duration> = booting_ages.iter().copied().map(seconds).collect();
+    times.update(&name, ADVERTISED, &ages);
     (times, name)
 }
 
-fn expected(boots: &[u64], booting: &[u64]) -> u64 {
-    let (times, name) = after(boots, booting);
-    times.expected(&name, STATED).as_secs()
+fn expected_seconds(boots: &[u64], booting_ages: &[u64]) -> u64 {
+    let (times, name) = times_after(boots, booting_ages);
+    times.expected(&name, ADVERTISED).as_secs()
 }
 
 #[test]
-fn the_stated_boot_time_is_expected_until_boots_are_measured() {
-    assert_eq!(expected(&[], &[]), 25);
+fn the_advertised_boot_time_is_expected_until_boots_are_measured() {
+    assert_eq!(expected_seconds(&[], &[]), 25);
     assert_eq!(
-        BootTimes::default().expected(&"large".into(), STATED),
-        STATED
+        BootTimes::default().expected(&"large".into(), ADVERTISED),
+        ADVERTISED
     );
 }
 
 #[test]
-fn a_few_late_or_lost_machines_do_not_move_the_estimate() {
+fn a_few_overdue_or_lost_machines_do_not_change_the_estimate() {
     let boots = [20, 22, 24, 26, 28, 20, 22, 24, 26, 28];
-    assert_eq!(expected(&boots, &[]), 25);
-    assert_eq!(expected(&[boots.as_slice(), &[200, 300]].concat(), &[]), 25);
-    assert_eq!(expected(&boots, &[80, 80]), 25);
+    assert_eq!(expected_seconds(&boots, &[]), 25);
     assert_eq!(
-        expected(&boots, &[5; 40]),
+        expected_seconds(&[boots.as_slice(), &[200, 300]].concat(), &[]),
+        25
+    );
+    assert_eq!(expected_seconds(&boots, &[80, 80]), 25);
+    assert_eq!(
+        expected_seconds(&boots, &[5; 40]),
         25,
         "machines that are not overdue say nothing"
     );
 }
 
 #[test]
-fn the_estimate_follows_when_most_machines_are_late_before_any_of_them_is_up() {
+fn the_estimate_rises_when_most_booting_machines_are_overdue_and_none_is_up() {
     let boots = [20, 22, 24, 26, 28, 20, 22, 24, 26, 28];
-    assert_eq!(expected(&boots, &[60; 30]), 60);
-    let (times, name) = after(&boots, &[60; 30]);
+    assert_eq!(expected_seconds(&boots, &[60; 30]), 60);
+    let (times, name) = times_after(&boots, &[60; 30]);
     assert!(
-        !times.is_late(&name, STATED, seconds(60)),
+        !times.is_overdue(&name, ADVERTISED, seconds(60)),
         "they are still counted as on order"
     );
-    assert!(!times.is_lost(&name, STATED, seconds(150)));
+    assert!(!times.has_timed_out(&name, ADVERTISED, seconds(150)));
 }
 
 #[test]
-fn the_estimate_recovers_after_a_wave_of_late_machines() {
+fn the_estimate_recovers_after_many_slow_boots() {
     let mut boots = vec![100; 30];
-    assert_eq!(expected(&boots, &[]), 100);
+    assert_eq!(expected_seconds(&boots, &[]), 100);
     boots.extend([25; 14]);
-    assert_eq!(expected(&boots, &[]), 25);
+    assert_eq!(expected_seconds(&boots, &[]), 25);
 }
 
 #[test]
-fn a_late_machine_is_given_up_later_than_it_is_replaced() {
-    let (times, name) = after(&[25; 10], &[]);
-    let judged = |age| {
+fn an_overdue_machine_times_out_later() {
+    let (times, name) = times_after(&[25; 10], &[]);
+    let overdue_and_timed_out = |age| {
         (
-            times.is_late(&name, STATED, seconds(age)),
-            times.is_lost(&name, STATED, seconds(age)),
+            times.is_overdue(&name, ADVERTISED, seconds(age)),
+            times.has_timed_out(&name, ADVERTISED, seconds(age)),
         )
     };
-    assert_eq!(judged(50), (false, false));
-    assert_eq!(judged(51), (true, false));
-    assert_eq!(judged(85), (true, false));
-    assert_eq!(judged(86), (true, true));
+    assert_eq!(overdue_and_timed_out(50), (false, false));
+    assert_eq!(overdue_and_timed_out(51), (true, false));
+    assert_eq!(overdue_and_timed_out(85), (true, false));
+    assert_eq!(overdue_and_timed_out(86), (true, true));
 }
 
 /// Machines that were up within a second for a while made one that took its usual time look lost.
 #[test]
-fn quick_boots_are_no_reason_to_give_up_one_that_takes_its_usual_time() {
-    let (times, name) = after(&[1; 30], &[]);
-    assert_eq!(times.expected(&name, STATED), seconds(1));
-    assert!(!times.is_late(&name, STATED, seconds(37)));
-    assert!(!times.is_lost(&name, STATED, seconds(80)));
+fn a_machine_within_the_advertised_time_is_not_overdue_after_quick_boots() {
+    let (times, name) = times_after(&[1; 30], &[]);
+    assert_eq!(times.expected(&name, ADVERTISED), seconds(1));
+    assert!(!times.is_overdue(&name, ADVERTISED, seconds(37)));
+    assert!(!times.has_timed_out(&name, ADVERTISED, seconds(80)));
 }
--- a/src/provisioning/boot_tracker.rs
+++ b/src/provisioning/boot_tracker.rs
@@ -14,44 +14,44 @@
 use crate::store::WatchCache;
 
 /// Taken for the boot time of a type that the cloud no longer lists.
-const BOOT_UNKNOWN: Duration = Duration::from_secs(30);
+const DEFAULT_BOOT_TIME: Duration = Duration::from_secs(30);
 /// A granted machine is recorded within this time, or was terminated.
-const FORGET_BOOT_AFTER: Duration = Duration::from_secs(60);
+const UNRECORDED_BOOT_RETENTION: Duration = Duration::from_secs(60);
 
 /// The machines that boot, and the boot times measured.
 #[derive(Debug, Default)]
 pub(super) struct BootTracker {
-    times: BootTimes,
+    boot_times: BootTimes,
     /// When machines were granted that are not up yet. Of others, an earlier leader's or found up, that is not known well
     /// enough to measure their boot.
-    booting: HashMap<MachineId, Instant>,
+    granted_at: HashMap<MachineId, Instant>,
     /// Machines that take so long to come up that others are requested in their place. They are used if they come up all
     /// the same.
-    late: BTreeSet<MachineId>,
+    overdue: BTreeSet<MachineId>,
 }
 
 impl BootTracker {
     /// Notes machines that the cloud has granted just now.
-    pub(super) fn start(&mut self, now: Now, machines: &[MachineId]) {
-        let started = machines
+    pub(super) fn record_granted(&mut self, now: Now, machines: &[MachineId]) {
+        let granted = machines
             .iter()
             .map(|machine| (machine.clone(), now.monotonic));
-        self.booting.extend(started);
+        self.granted_at.extend(granted);
     }
 
     /// Forgets machines that are gone.
     pub(super) fn retain_recorded(&mut self, now: Now, cache: &WatchCache) {
-        self.booting.retain(|id, granted| {
-            cache.machines.contains_key(id) || since(now, *granted) < FORGET_BOOT_AFTER
+        self.granted_at.retain(|id, granted| {
+            cache.machines.contains_key(id) || since(now, *granted) < UNRECORDED_BOOT_RETENTION
         });
-        self.late.retain(|id| cache.machines.contains_key(id));
+        self.overdue.retain(|id| cache.machines.contains_key(id));
     }
 
     /// Notes that a machine is up.
-    pub(super) fn finish(&mut self, now: Now, id: &MachineId, type_name: &InstanceTypeName) {
-        self.late.remove(id);
-        if let Some(granted) = self.booting.remove(id) {
-            self.times.record(type_name, since(now, granted));
+    pub(super) fn record_up(&mut self, now: Now, id: &MachineId, type_name: &InstanceTypeName) {
+        self.overdue.remove(id);
+        if let Some(granted) = self.granted_at.remove(id) {
+            self.boot_times.record(type_name, since(now, granted));
         }
     }
 
@@ -63,22 +63,25 @@
         cache: &WatchCache,
         failed: &BTreeSet<MachineId>,
     ) {
-        let mut booting: BTreeMap<&InstanceTypeName, Vec<(&MachineId, Duration)>> = BTreeMap::new();
-        for (id, granted) in &self.booting {
+        let mut booting_by_type: BTreeMap<&InstanceTypeName, Vec<(&MachineId, Duration)>> =
+            BTreeMap::new();
+        for (id, granted) in &self.granted_at {
             if let Some(machine) = cache.machines.get(id).filter(|_| !failed.contains(id)) {
-                booting
+                booting_by_type
                     .entry(&machine.type_name)
                     .or_default()
                     .push((id, since(now, *granted)));
             }
         }
         for instance_type in catalog.all() {
-            let (name, stated) = (&instance_type.name, instance_type.boot_time());
-            let booting = booting.remove(name).unwrap_or_default();
+            let (name, advertised) = (&instance_type.name, instance_type.boot_time());
+            let booting = booting_by_type.remove(name).unwrap_or_default();
             let ages: Vec<Duration> = booting.iter().map(|(_, age)| *age).collect();
-            self.times.update(name, stated, &ages);
+            self.boot_times.update(name, advertised, &ages);
             for (id, age) in booting {
-                if self.times.is_late(name, stated, age) && self.late.insert(id.clone()) {
+                if self.boot_times.is_overdue(name, advertised, age)
+                    && self.overdue.insert(id.clone())
+                {
                     info!(machine = %id, ?age, "machine boot overdue: replacement allowed");
                 }
             }
@@ -86,26 +89,26 @@
     }
 
     /// Whether the machine takes so long to boot that another may be requested in its place.
-    pub(super) fn is_late(&self, id: &MachineId) -> bool {
-        self.late.contains(id)
+    pub(super) fn is_overdue(&self, id: &MachineId) -> bool {
+        self.overdue.contains(id)
     }
 
     /// Whether a machine of that age that is not up yet will never be.
-    pub(super) fn never_comes_up(
+    pub(super) fn has_timed_out(
         &self,
         catalog: &InstanceCatalog,
         type_name: &InstanceTypeName,
         age: Duration,
     ) -> bool {
-        let stated = catalog
+        let advertised = catalog
             .get(type_name)
-            .map_or(BOOT_UNKNOWN, InstanceType::boot_time);
-        self.times.is_lost(type_name, stated, age)
+            .map_or(DEFAULT_BOOT_TIME, InstanceType::boot_time);
+        self.boot_times.has_timed_out(type_name, advertised, age)
     }
 
     /// The boot time to expect of a type.
-    pub(super) fn expected(&self, instance_type: &InstanceType) -> Duration {
-        self.times
+    pub(super) fn expected_boot_time(&self, instance_type: &InstanceType) -> Duration {
+        self.boot_times
             .expected(&instance_type.name, instance_type.boot_time())
     }
 }
--- a/src/provisioning/cloud_requests.rs
+++ b/src/provisioning/cloud_requests.rs
@@ -252,7 +252,7 @@
                 if got < count as usize {
                     self.mark_unavailable(now, policy, type_name, &pending_rental);
                 }
-                self.machines.boots.start(now, &machines);
+                self.machines.boot_tracker.record_granted(now, &machines);
                 machines
             }
             CloudResponse::NoCapacity => {
--- a/src/provisioning/machine_observations.rs
+++ b/src/provisioning/machine_observations.rs
@@ -32,7 +32,7 @@
     up: BTreeSet<MachineId>,
     /// Workers' addresses, as the cloud lists them.
     addresses: HashMap<MachineId, String>,
-    pub(super) boots: BootTracker,
+    pub(super) boot_tracker: BootTracker,
 }
 
 impl MachineObservations {
@@ -55,7 +55,8 @@
             .collect();
         self.retain_recorded(now, cache, health);
         self.observe_up(now, cache, health);
-        self.boots.update(now, leader.catalog, cache, &self.failed);
+        self.boot_tracker
+            .update(now, leader.catalog, cache, &self.failed);
         for (id, machine) in &cache.machines {
             let Some(health) = health.get(id) else {
                 continue;
@@ -83,7 +84,7 @@
         self.failed.retain(recorded);
         self.addresses.retain(|id, _| recorded(id));
         self.up.retain(recorded);
-        self.boots.retain_recorded(now, cache);
+        self.boot_tracker.retain_recorded(now, cache);
     }
 
     fn observe_up(
@@ -95,7 +96,7 @@
         for (id, _) in health.iter().filter(|(_, health)| health.seen) {
             if let Some(machine) = cache.machines.get(id) {
                 self.up.insert(id.clone());
-                self.boots.finish(now, id, &machine.type_name);
+                self.boot_tracker.record_up(now, id, &machine.type_name);
             }
         }
     }
@@ -110,11 +111,11 @@
         known_up: bool,
     ) -> bool {
         let age = Duration::from_millis(now.unix_ms().saturating_sub(machine.rented_s * 1000));
-        let never_up = || {
-            self.boots
-                .never_comes_up(leader.catalog, &machine.type_name, age)
+        let boot_timed_out = || {
+            self.boot_tracker
+                .has_timed_out(leader.catalog, &machine.type_name, age)
         };
-        health.silent && !health.holder_isolated && (known_up || never_up())
+        health.silent && !health.holder_isolated && (known_up || boot_timed_out())
     }
 
     /// Whether the tasks of a silent machine in a zone that may be isolated can still run; terminating it would end them.
@@ -225,12 +226,12 @@
 
     /// Whether the machine boots, and is still expected to come up in time.
     pub(super) fn is_booting(&self, id: &MachineId) -> bool {
-        !self.is_up(id) && !self.is_failed(id) && !self.boots.is_late(id)
+        !self.is_up(id) && !self.is_failed(id) && !self.boot_tracker.is_overdue(id)
     }
 
     /// Whether the machine counts as capacity: neither failed nor late.
     pub(super) fn counts_as_capacity(&self, id: &MachineId) -> bool {
-        !self.is_failed(id) && !self.boots.is_late(id)
+        !self.is_failed(id) && !self.boot_tracker.is_overdue(id)
     }
 
     /// Workers' addresses, as the cloud lists them.
--- a/src/provisioning/scaling_round.rs
+++ b/src/provisioning/scaling_round.rs
@@ -22,7 +22,7 @@
 /// Shares of machines below this are rounding errors.
 const ROUNDING: f64 = 1e-9;
 /// Boot times are taken for at least this many seconds.
-const SHORTEST_BOOT_S: f64 = 0.1;
+const MIN_BOOT_S: f64 = 0.1;
 
 /// What a round goes by.
 #[derive(Clone, Copy)]
@@ -287,10 +287,10 @@
     ) -> f64 {
         let boot = self
             .machines
-            .boots
-            .expected(instance_type)
+            .boot_tracker
+            .expected_boot_time(instance_type)
             .as_secs_f64()
-            .max(SHORTEST_BOOT_S);
+            .max(MIN_BOOT_S);
         let RunTimes { total, ended } = run_times.copied().unwrap_or_default();
         let mean_run = (total.as_secs_f64() + boot) / (f64::from(ended) + 1.0);
         boot / mean_run
