--- a/src/provisioning/cloud_requests.rs
+++ b/src/provisioning/cloud_requests.rs
@@ -8,7 +8,7 @@
 
 use tracing::{debug, info};
 
-use super::{Demand, Provisioner, RETRY_AFTER, ZonedPool};
+use super::{CLOUD_RETRY_DELAY, Demand, Provisioner, ZonedPool};
 use crate::cloud::wire::{ListedMachine, ListedState, MachineIds, MachineList, ScaleOutRequest};
 use crate::cloud::{CloudRequest, CloudResponse};
 use crate::config::Config;
@@ -113,7 +113,7 @@
                 .get(type_name)
                 .is_some_and(|at| now.monotonic < *at);
             let busy = self.scale_outs.contains_key(type_name);
-            if busy || waits || !self.permits.try_acquire(now, config.cloud_rps) {
+            if busy || waits || !self.rate_limiter.try_acquire(now, config.cloud_rps) {
                 continue;
             }
             self.scale_outs
@@ -148,7 +148,7 @@
         }
         let is_due = |id: &MachineId, state: MachineState| {
             let returned = state == MachineState::Returning && !demand.occupied.contains(id);
-            !self.terminations.is_unrecorded(id) && (self.machines.is_failed(id) || returned)
+            !self.terminations.is_awaiting_removal(id) && (self.machines.is_failed(id) || returned)
         };
         let due: Vec<MachineId> = cache
             .machines
@@ -157,10 +157,10 @@
             .map(|(id, _)| id.clone())
             .take(MAX_TERMINATED)
             .collect();
-        if due.is_empty() || !self.permits.try_acquire(now, config.cloud_rps) {
+        if due.is_empty() || !self.rate_limiter.try_acquire(now, config.cloud_rps) {
             return None;
         }
-        self.terminations.requested();
+        self.terminations.record_request();
         let purpose = CloudRequestPurpose::Terminate(due.clone());
         Some((
             purpose,
@@ -178,7 +178,7 @@
             || listing
                 .last_request
                 .is_none_or(|at| since(now, at) >= LIST_INTERVAL);
-        if listing.in_flight || !due || !self.permits.try_acquire(now, config.cloud_rps) {
+        if listing.in_flight || !due || !self.rate_limiter.try_acquire(now, config.cloud_rps) {
             return None;
         }
         listing.in_flight = true;
@@ -212,9 +212,9 @@
                 self.scale_out_responded(now, policy, &type_name, pending_rental, version, response)
             }
             (CloudRequestPurpose::Terminate(machines), CloudResponse::Terminated) => {
-                self.terminations.succeeded(now, machines);
+                self.terminations.record_success(now, machines);
             }
-            (CloudRequestPurpose::Terminate(_), _) => self.terminations.failed(now),
+            (CloudRequestPurpose::Terminate(_), _) => self.terminations.record_failure(now),
             (CloudRequestPurpose::ListMachines, CloudResponse::Machines(list)) => {
                 self.listing.in_flight = false;
                 let last = list.machines.last().filter(|_| list.more);
@@ -266,7 +266,7 @@
                     self.scale_outs.remove(type_name);
                 }
                 self.scale_out_retries
-                    .insert(type_name.clone(), now.monotonic + RETRY_AFTER);
+                    .insert(type_name.clone(), now.monotonic + CLOUD_RETRY_DELAY);
                 return;
             }
         };
@@ -287,12 +287,13 @@
         type_name: &InstanceTypeName,
         pending_rental: &PendingRental,
     ) {
-        let capacity = ZonedPool::new(
+        let pool = ZonedPool::new(
             type_name.clone(),
             pending_rental.capacity_type,
             pending_rental.zone.clone(),
         );
-        self.unavailable.mark(now, capacity, policy.stockout_memory);
+        self.unavailable
+            .mark_unavailable(now, pool, policy.stockout_memory);
     }
 
     fn observe_list(&mut self, now: Now, config: &Config, cache: &WatchCache, list: MachineList) {
@@ -329,7 +330,7 @@
     }
 
     fn observe_unrecorded(&mut self, now: Now, listed: ListedMachine) {
-        if !self.terminations.is_recent(&listed.id) {
+        if !self.terminations.is_recently_terminated(&listed.id) {
             let since = now.monotonic;
             self.unrecorded
                 .entry(listed.id.clone())
--- a/src/provisioning/inventory_writes.rs
+++ b/src/provisioning/inventory_writes.rs
@@ -80,7 +80,7 @@
     ) -> Option<Transaction> {
         let machines = self
             .terminations
-            .to_record(round.now, |id| has_tasks(round.cache, id));
+            .machines_to_remove(round.now, |id| has_tasks(round.cache, id));
         if machines.is_empty() {
             return None;
         }
--- a/src/provisioning/mod.rs
+++ b/src/provisioning/mod.rs
@@ -15,7 +15,7 @@
 
 mod boot_times;
 mod boot_tracker;
-mod call_permits;
+mod cloud_rate_limiter;
 mod cloud_requests;
 mod demand;
 mod inventory_edits;
@@ -36,7 +36,7 @@
 use crate::leader_context::LeaderContext;
 use crate::store::records::{LEADER, MachineState};
 use crate::store::{StoreRequest, StoreResponse, Transaction, WatchCache, Writer};
-use call_permits::CallPermits;
+use cloud_rate_limiter::CloudRateLimiter;
 pub use cloud_requests::CloudRequestPurpose;
 use cloud_requests::{MachineListing, ScaleOutState, UnrecordedMachine};
 pub use demand::{Demand, MachineHealth, MachinePool, RunTimes, ZonedPool};
@@ -47,7 +47,7 @@
 use unavailable_capacity::UnavailableCapacity;
 
 /// A request that the cloud refused or did not answer is repeated after this long.
-const RETRY_AFTER: Duration = Duration::from_secs(1);
+const CLOUD_RETRY_DELAY: Duration = Duration::from_secs(1);
 
 /// The provisioner of one term of this leader.
 #[derive(Debug)]
@@ -64,7 +64,7 @@
     unavailable: UnavailableCapacity,
     terminations: Terminations,
     listing: MachineListing,
-    permits: CallPermits,
+    rate_limiter: CloudRateLimiter,
     machines: MachineObservations,
     unrecorded: BTreeMap<MachineId, UnrecordedMachine>,
     /// The states that operators want of machines that are in another one.
@@ -90,7 +90,7 @@
             unavailable: UnavailableCapacity::default(),
             terminations: Terminations::new(),
             listing: MachineListing::default(),
-            permits: CallPermits::new(now),
+            rate_limiter: CloudRateLimiter::new(now),
             machines: MachineObservations::default(),
             unrecorded: BTreeMap::new(),
             desired_states: BTreeMap::new(),
@@ -113,8 +113,8 @@
         zone: &Zone,
         capacity_type: CapacityType,
     ) -> bool {
-        let capacity = ZonedPool::new(type_name.clone(), capacity_type, zone.clone());
-        self.unavailable.is_available(now, &capacity) && !self.is_drained(type_name, zone)
+        let pool = ZonedPool::new(type_name.clone(), capacity_type, zone.clone());
+        self.unavailable.is_available(now, &pool) && !self.is_drained(type_name, zone)
     }
 
     /// Whether operators drain all machines of this type in this zone.
--- a/src/provisioning/scaling_round.rs
+++ b/src/provisioning/scaling_round.rs
@@ -357,7 +357,7 @@
         let unavailable_until = |zone: &Zone| {
             let name = instance_type.name.clone();
             self.unavailable
-                .until(&ZonedPool::new(name, capacity_type, zone.clone()))
+                .unavailable_until(&ZonedPool::new(name, capacity_type, zone.clone()))
         };
         let count = |zone: &Zone| cache.machines.values().filter(|m| m.zone == *zone).count();
         instance_type
