--- a/src/provisioning/cloud_requests.rs
+++ b/src/provisioning/cloud_requests.rs
@@ -300,10 +300,10 @@
         for listed in list.machines {
             if cache.machines.contains_key(&listed.id) {
                 if let (ListedState::Running, Some(address)) = (listed.state, &listed.addr) {
-                    self.machines.listed_address(&listed.id, address);
+                    self.machines.record_listed_address(&listed.id, address);
                 }
                 if listed.state == ListedState::Failed {
-                    self.machines.listed_as_failed(&listed.id);
+                    self.machines.mark_listed_as_failed(&listed.id);
                 }
             } else if since(now, self.term_since) > config.list_lag * 3
                 && listed.age_s.0 > config.list_lag.as_secs_f64()
--- a/src/provisioning/demand.rs
+++ b/src/provisioning/demand.rs
@@ -111,9 +111,9 @@
 )]
 pub struct MachineHealth {
     /// Its worker has reported at least once.
-    pub seen: bool,
+    pub has_reported: bool,
     /// Its worker has not reported for longer than `worker_timeout_after_failed_probe`.
-    pub silent: bool,
+    pub unresponsive: bool,
     /// Tasks of several jobs fail on it.
     pub faulty: bool,
     /// Its worker reported lately, and it is fit for new tasks.
--- a/src/provisioning/machine_observations.rs
+++ b/src/provisioning/machine_observations.rs
@@ -19,14 +19,14 @@
 /// Added to the time that tasks in an isolated zone may run on, for clocks and messages on their way.
 const ISOLATION_MARGIN: Duration = Duration::from_secs(2);
 /// Fewer silent machines in a zone than this are no sign that it is isolated.
-const ISOLATION_MIN_SILENT: usize = 4;
+const MIN_UNUSABLE_IN_ISOLATED_ZONE: usize = 4;
 
 /// What is known of the recorded machines.
 #[derive(Debug, Default)]
 pub(super) struct MachineObservations {
     failed: BTreeSet<MachineId>,
     /// Since when machines of a zone that may be isolated have been silent.
-    silent_since: BTreeMap<MachineId, Instant>,
+    unresponsive_since: BTreeMap<MachineId, Instant>,
     /// Since when machines have had no tasks.
     idle_since: BTreeMap<MachineId, Instant>,
     up: BTreeSet<MachineId>,
@@ -54,7 +54,7 @@
             .cloned()
             .collect();
         self.retain_recorded(now, cache, health);
-        self.observe_up(now, cache, health);
+        self.update_up(now, cache, health);
         self.boot_tracker
             .update(now, leader.catalog, cache, &self.failed);
         for (id, machine) in &cache.machines {
@@ -62,11 +62,12 @@
                 continue;
             };
             let known_up = self.up.contains(id) || has_tasks(cache, id);
-            let suspected = isolated.contains(&machine.zone) || self.silent_since.contains_key(id);
-            let silent = self.is_unresponsive(now, leader, machine, *health, known_up)
-                && !(known_up && suspected && self.may_still_run(now, leader, id));
-            if (silent || health.faulty) && self.failed.insert(id.clone()) {
-                warn!(machine = %id, silent, faulty = health.faulty, known_up, "machine terminated: unresponsive or faulty");
+            let may_be_isolated =
+                isolated.contains(&machine.zone) || self.unresponsive_since.contains_key(id);
+            let unresponsive = self.is_presumed_failed(now, leader, machine, *health, known_up)
+                && !(known_up && may_be_isolated && self.may_still_run(now, leader, id));
+            if (unresponsive || health.faulty) && self.failed.insert(id.clone()) {
+                warn!(machine = %id, unresponsive, faulty = health.faulty, known_up, "machine terminated: unresponsive or faulty");
             }
         }
         self.fail_overdue_cancellations(now, leader.config, cache, proven_stopped);
@@ -79,21 +80,21 @@
         health: &BTreeMap<MachineId, MachineHealth>,
     ) {
         let recorded = |id: &MachineId| cache.machines.contains_key(id);
-        self.silent_since
-            .retain(|id, _| health.get(id).is_some_and(|health| health.silent));
+        self.unresponsive_since
+            .retain(|id, _| health.get(id).is_some_and(|health| health.unresponsive));
         self.failed.retain(recorded);
         self.addresses.retain(|id, _| recorded(id));
         self.up.retain(recorded);
         self.boot_tracker.retain_recorded(now, cache);
     }
 
-    fn observe_up(
+    fn update_up(
         &mut self,
         now: Now,
         cache: &WatchCache,
         health: &BTreeMap<MachineId, MachineHealth>,
     ) {
-        for (id, _) in health.iter().filter(|(_, health)| health.seen) {
+        for (id, _) in health.iter().filter(|(_, health)| health.has_reported) {
             if let Some(machine) = cache.machines.get(id) {
                 self.up.insert(id.clone());
                 self.boot_tracker.record_up(now, id, &machine.type_name);
@@ -102,7 +103,7 @@
     }
 
     /// Whether nothing is heard of a machine that was up, or should long have been.
-    fn is_unresponsive(
+    fn is_presumed_failed(
         &self,
         now: Now,
         leader: &LeaderContext<'_>,
@@ -115,7 +116,7 @@
             self.boot_tracker
                 .has_timed_out(leader.catalog, &machine.type_name, age)
         };
-        health.silent && !health.holder_isolated && (known_up || boot_timed_out())
+        health.unresponsive && !health.holder_isolated && (known_up || boot_timed_out())
     }
 
     /// Whether the tasks of a silent machine in a zone that may be isolated can still run; terminating it would end them.
@@ -125,10 +126,14 @@
         let LeaderContext { config, policy, .. } = *leader;
         // A holder in an isolated zone renews its workers' leases for the life of its block lease, and they keep their
         // tasks for a lease longer. It takes at least `worker_timeout_after_failed_probe` until they are called silent.
-        let patience = (policy.block_lease_duration + config.worker_lease + ISOLATION_MARGIN)
-            .saturating_sub(policy.worker_timeout_after_failed_probe);
-        let since_when = *self.silent_since.entry(id.clone()).or_insert(now.monotonic);
-        since(now, since_when) < patience
+        let task_survival_time =
+            (policy.block_lease_duration + config.worker_lease + ISOLATION_MARGIN)
+                .saturating_sub(policy.worker_timeout_after_failed_probe);
+        let first_unresponsive = *self
+            .unresponsive_since
+            .entry(id.clone())
+            .or_insert(now.monotonic);
+        since(now, first_unresponsive) < task_survival_time
     }
 
     /// Declares machines failed that still have tasks of jobs cancelled long ago. Whatever keeps their holders from
@@ -156,9 +161,9 @@
                     },
                     number: *number,
                 };
-                let left = cache.machines.contains_key(&placement.machine)
+                let unproven = cache.machines.contains_key(&placement.machine)
                     && !proven_stopped(&placement.block, &attempt);
-                if left && self.failed.insert(placement.machine.clone()) {
+                if unproven && self.failed.insert(placement.machine.clone()) {
                     warn!(machine = %placement.machine, job = %id, "machine terminated: cancelled task not proven stopped");
                 }
             }
@@ -180,14 +185,14 @@
     }
 
     /// Notes that the cloud lists a recorded machine as failed.
-    pub(super) fn listed_as_failed(&mut self, id: &MachineId) {
+    pub(super) fn mark_listed_as_failed(&mut self, id: &MachineId) {
         if self.failed.insert(id.clone()) {
             info!(machine = %id, "machine terminated: listed as failed by the cloud");
         }
     }
 
     /// Notes the address of a machine's worker, unless one is known.
-    pub(super) fn listed_address(&mut self, id: &MachineId, address: &str) {
+    pub(super) fn record_listed_address(&mut self, id: &MachineId, address: &str) {
         self.addresses
             .entry(id.clone())
             .or_insert_with(|| address.to_owned());
@@ -221,7 +226,9 @@
 
     /// How long the machine has had no tasks. None: it has some, or is not recorded.
     pub(super) fn idle_for(&self, now: Now, id: &MachineId) -> Option<Duration> {
-        self.idle_since.get(id).map(|at| since(now, *at))
+        self.idle_since
+            .get(id)
+            .map(|idle_since| since(now, *idle_since))
     }
 
     /// Whether the machine boots, and is still expected to come up in time.
@@ -255,24 +262,24 @@
     health: &BTreeMap<MachineId, MachineHealth>,
 ) -> BTreeSet<Zone> {
     #[derive(Default)]
-    struct Counts {
-        all: usize,
-        unheard: usize,
+    struct MachineCounts {
+        total: usize,
+        unusable: usize,
     }
-    let mut zones: BTreeMap<&Zone, Counts> = BTreeMap::new();
+    let mut zones: BTreeMap<&Zone, MachineCounts> = BTreeMap::new();
     for (id, machine) in &cache.machines {
         if let Some(health) = health.get(id) {
             let counts = zones.entry(&machine.zone).or_default();
-            counts.all += 1;
-            counts.unheard += usize::from(!health.usable);
+            counts.total += 1;
+            counts.unusable += usize::from(!health.usable);
         }
     }
-    let mostly_unheard = |counts: &Counts| counts.unheard * 2 > counts.all;
-    if zones.values().all(mostly_unheard) {
+    let mostly_unusable = |counts: &MachineCounts| counts.unusable * 2 > counts.total;
+    if zones.values().all(mostly_unusable) {
         return BTreeSet::new();
     }
-    let isolated = zones
-        .into_iter()
-        .filter(|(_, counts)| mostly_unheard(counts) && counts.unheard >= ISOLATION_MIN_SILENT);
+    let isolated = zones.into_iter().filter(|(_, counts)| {
+        mostly_unusable(counts) && counts.unusable >= MIN_UNUSABLE_IN_ISOLATED_ZONE
+    });
     isolated.map(|(zone, _)| zone.clone()).collect()
 }
--- a/src/provisioning/tests.rs
+++ b/src/provisioning/tests.rs
@@ -89,7 +89,7 @@
 }
 
 /// Two machines with a task each: that of `m-1` is of a job cancelled at `cancelled_ms`.
-fn records_with_a_cancelled_job(cancelled_ms: u64) -> Records {
+fn records_with_cancelled_job(cancelled_ms: u64) -> Records {
     let mut records = Records::new();
     let block = block_leases::block_id(&"a".into(), 0);
     let inventory = MachineInventory {
@@ -118,12 +118,12 @@
 /// Found by a search of seeds: a machine hung with a cancelled task on it, and its block changed hands so often that
 /// no holder waited long enough to find it silent.
 #[test]
-fn a_machine_with_a_task_cancelled_long_ago_is_terminated_in_time() {
+fn a_machine_with_an_overdue_cancelled_task_is_terminated() {
     let config = config();
     let start = Now::read();
-    let records = records_with_a_cancelled_job(start.unix_ms());
+    let records = records_with_cancelled_job(start.unix_ms());
     let mut provisioner = Provisioner::new(start, Term(1));
-    let mut failed = |after: Duration| {
+    let mut failed_machines = |after: Duration| {
         let now = Now {
             wall: start.wall + after,
             ..start
@@ -139,24 +139,24 @@
             .collect::<Vec<_>>()
     };
     assert_eq!(
-        failed(config.worker_lease),
+        failed_machines(config.worker_lease),
         [] as [&str; 0],
         "its holder may still prove it gone"
     );
     assert_eq!(
-        failed(config.cancel_within - cancellation::DELETION_MARGIN),
+        failed_machines(config.cancel_within - cancellation::DELETION_MARGIN),
         ["m-1"]
     );
 }
 
 /// Six machines in each of the zones `a` and `b`, which fall silent.
-struct SilentZones {
+struct UnresponsiveZones {
     start: Now,
     leader: LeaderFixture,
     records: Records,
 }
 
-impl SilentZones {
+impl UnresponsiveZones {
     fn new() -> Self {
         let start = Now::read();
         let mut records = Records::new();
@@ -172,7 +172,7 @@
             let key = inventory_key(&block_leases::block_id(&zone.into(), 0));
             records.set(key, Some(encode(&inventory)));
         }
-        SilentZones {
+        UnresponsiveZones {
             start,
             leader: LeaderFixture::new(config()),
             records,
@@ -181,21 +181,23 @@
 
     /// How many machines are failed after these observations. Each is the time since the start, and the beginnings of the
     /// names of the machines that are silent then.
-    fn failed(&self, observations: &[(Duration, &[&str])], heard_zones: &[&str]) -> usize {
+    fn count_failed(&self, observations: &[(Duration, &[&str])], heard_zones: &[&str]) -> usize {
         let cache = &self.records.cache;
         let heard_zones = heard_zones.iter().copied().map(Zone::from).collect();
         let mut provisioner = Provisioner::new(self.start, Term(1));
-        for (passed, silent) in observations {
+        for (elapsed, unresponsive) in observations {
             let now = Now {
-                monotonic: self.start.monotonic + *passed,
+                monotonic: self.start.monotonic + *elapsed,
                 ..self.start
             };
             let health = cache.machines.keys().map(|id| {
-                let silent = silent.iter().any(|zone| id.0[2..].starts_with(zone));
+                let unresponsive = unresponsive
+                    .iter()
+                    .any(|prefix| id.0[2..].starts_with(prefix));
                 let health = MachineHealth {
-                    seen: true,
-                    silent,
-                    usable: !silent,
+                    has_reported: true,
+                    unresponsive,
+                    usable: !unresponsive,
                     ..MachineHealth::default()
                 };
                 (id.clone(), health)
@@ -213,43 +215,54 @@
     }
 
     /// How many machines are failed some time after all were heard, and then some were silent for that time.
-    fn failed_if_silent(&self, silent: &[&str], after: Duration, heard_zones: &[&str]) -> usize {
+    fn count_failed_after(
+        &self,
+        unresponsive: &[&str],
+        after: Duration,
+        heard_zones: &[&str],
+    ) -> usize {
         let observations = [
             (Duration::ZERO, &[] as &[&str]),
-            (Duration::from_secs(1), silent),
-            (after, silent),
+            (Duration::from_secs(1), unresponsive),
+            (after, unresponsive),
         ];
-        self.failed(&observations, heard_zones)
+        self.count_failed(&observations, heard_zones)
     }
 }
 
 /// Found on the bench: an isolated zone's machines were deleted with all the replicas that ran on there.
 #[test]
-fn machines_of_a_zone_that_may_be_isolated_fail_only_when_their_tasks_must_be_gone() {
-    let zones = SilentZones::new();
+fn machines_of_an_isolated_zone_fail_only_after_their_tasks_must_have_ended() {
+    let zones = UnresponsiveZones::new();
     let LeaderFixture { policy, config, .. } = &zones.leader;
     let both = ["a", "b"];
-    let failed = |silent: &[&str], after: Duration| zones.failed_if_silent(silent, after, &both);
-    let survive = policy.block_lease_duration + config.worker_lease
+    let count_failed = |unresponsive: &[&str], after: Duration| {
+        zones.count_failed_after(unresponsive, after, &both)
+    };
+    let task_survival_time = policy.block_lease_duration + config.worker_lease
         - policy.worker_timeout_after_failed_probe;
-    assert_eq!(failed(&["a"], survive), 0, "may be isolated");
     assert_eq!(
-        failed(&["a"], survive + Duration::from_secs(4)),
+        count_failed(&["a"], task_survival_time),
+        0,
+        "may be isolated"
+    );
+    assert_eq!(
+        count_failed(&["a"], task_survival_time + Duration::from_secs(4)),
         6,
         "their tasks are gone by then"
     );
     assert_eq!(
-        zones.failed_if_silent(&["a"], Duration::from_secs(2), &["b"]),
+        zones.count_failed_after(&["a"], Duration::from_secs(2), &["b"]),
         6,
         "nobody answers them"
     );
     assert_eq!(
-        failed(&["a0", "a1"], Duration::from_secs(2)),
+        count_failed(&["a0", "a1"], Duration::from_secs(2)),
         2,
         "some of a zone: they are dead"
     );
     assert_eq!(
-        failed(&["a", "b"], Duration::from_secs(2)),
+        count_failed(&["a", "b"], Duration::from_secs(2)),
         12,
         "all zones: nothing speaks for isolation"
     );
@@ -257,14 +270,14 @@
 
 /// Found in an incident: the isolation ended, most were heard again, and the others were given up at once.
 #[test]
-fn machines_still_silent_when_the_isolation_of_their_zone_ends_do_not_fail_at_once() {
+fn machines_still_unresponsive_when_the_isolation_ends_do_not_fail_at_once() {
     let observations: [(Duration, &[&str]); 3] = [
         (Duration::ZERO, &[]),
         (Duration::from_secs(1), &["a"]),
         (Duration::from_secs(2), &["a0", "a1"]),
     ];
     assert_eq!(
-        SilentZones::new().failed(&observations, &["a", "b"]),
+        UnresponsiveZones::new().count_failed(&observations, &["a", "b"]),
         0,
         "they may just not have reported yet"
     );
@@ -273,7 +286,7 @@
 /// Found in an incident: best-effort arrays were short of a thousand spot machines that the cloud did not have, and each
 /// round requested those; the few on-demand machines that replicas waited for were never requested.
 #[test]
-fn an_unavailable_capacity_type_does_not_keep_the_other_from_being_requested() {
+fn an_unavailable_capacity_type_does_not_block_requests_for_the_other() {
     let fixture = LeaderFixture::new(config());
     let now = Now::read();
     let cache = WatchCache::following();
@@ -288,9 +301,9 @@
         machines,
         ..Demand::default()
     };
-    let requested = |spot_is_out: bool| {
+    let requested = |spot_unavailable: bool| {
         let mut provisioner = Provisioner::new(now, Term(1));
-        if spot_is_out {
+        if spot_unavailable {
             let pending_rental = PendingRental {
                 request: "r".into(),
                 zone: "a".into(),
@@ -321,7 +334,7 @@
 
 /// An inventory that is larger than the state service will take can't be written again, so it could not even be drained.
 #[test]
-fn an_inventory_that_is_too_large_is_divided_step_by_step_and_loses_no_machine() {
+fn an_oversized_inventory_is_divided_in_steps_and_loses_no_machine() {
     let mut config = config();
     (config.state_limits.value_bytes, config.state_limits.txn_ops) = (2048, 5);
     let fixture = LeaderFixture::new(config);
--- a/src/scheduler/mod.rs
+++ b/src/scheduler/mod.rs
@@ -209,8 +209,8 @@
         self.recent_machine_statuses(now)
             .map(|machine| {
                 let health = MachineHealth {
-                    seen: machine.has_reported,
-                    silent: machine.unresponsive,
+                    has_reported: machine.has_reported,
+                    unresponsive: machine.unresponsive,
                     faulty: self.failures.is_faulty(machine, cache),
                     usable: machine.usable,
                     holder_isolated: !isolated_holders.is_empty()
