--- a/src/provisioning/cloud_requests.rs
+++ b/src/provisioning/cloud_requests.rs
@@ -19,7 +19,7 @@
 use crate::workers::wire::Heartbeat;
 
 /// The protocol's limit for one termination request.
-const MAX_TERMINATED: usize = 100;
+const MAX_MACHINES_PER_TERMINATION: usize = 100;
 /// How often the cloud's machines are listed.
 const LIST_INTERVAL: Duration = Duration::from_secs(10);
 
@@ -78,7 +78,7 @@
 #[derive(Debug)]
 pub(super) struct UnrecordedMachine {
     pub(super) listed: ListedMachine,
-    pub(super) since: Instant,
+    pub(super) first_seen: Instant,
 }
 
 impl Provisioner {
@@ -91,7 +91,7 @@
         demand: &Demand,
     ) -> Vec<(CloudRequestPurpose, CloudRequest)> {
         // An earlier leader's writes must be seen first.
-        if !cache.covers(self.term_since) {
+        if !cache.covers(self.term_started_at) {
             return Vec::new();
         }
         let mut requests = self.scale_out_requests(now, config, cache);
@@ -108,12 +108,12 @@
     ) -> Vec<(CloudRequestPurpose, CloudRequest)> {
         let mut requests = Vec::new();
         for (type_name, record) in &cache.pending_rentals {
-            let waits = self
-                .scale_out_retries
+            let is_delayed = self
+                .scale_out_retry_at
                 .get(type_name)
                 .is_some_and(|at| now.monotonic < *at);
-            let busy = self.scale_outs.contains_key(type_name);
-            if busy || waits || !self.rate_limiter.try_acquire(now, config.cloud_rps) {
+            let in_progress = self.scale_outs.contains_key(type_name);
+            if in_progress || is_delayed || !self.rate_limiter.try_acquire(now, config.cloud_rps) {
                 continue;
             }
             self.scale_outs
@@ -147,15 +147,16 @@
             return None;
         }
         let is_due = |id: &MachineId, state: MachineState| {
-            let returned = state == MachineState::Returning && !demand.occupied.contains(id);
-            !self.terminations.is_awaiting_removal(id) && (self.machines.is_failed(id) || returned)
+            let is_returned = state == MachineState::Returning && !demand.occupied.contains(id);
+            !self.terminations.is_awaiting_removal(id)
+                && (self.machines.is_failed(id) || is_returned)
         };
         let due: Vec<MachineId> = cache
             .machines
             .iter()
             .filter(|(id, machine)| is_due(id, machine.state))
             .map(|(id, _)| id.clone())
-            .take(MAX_TERMINATED)
+            .take(MAX_MACHINES_PER_TERMINATION)
             .collect();
         if due.is_empty() || !self.rate_limiter.try_acquire(now, config.cloud_rps) {
             return None;
@@ -208,18 +209,23 @@
                     version,
                 },
                 response,
-            ) => {
-                self.scale_out_responded(now, policy, &type_name, pending_rental, version, response)
-            }
+            ) => self.handle_scale_out_response(
+                now,
+                policy,
+                &type_name,
+                pending_rental,
+                version,
+                response,
+            ),
             (CloudRequestPurpose::Terminate(machines), CloudResponse::Terminated) => {
                 self.terminations.record_success(now, machines);
             }
             (CloudRequestPurpose::Terminate(_), _) => self.terminations.record_failure(now),
             (CloudRequestPurpose::ListMachines, CloudResponse::Machines(list)) => {
                 self.listing.in_flight = false;
-                let last = list.machines.last().filter(|_| list.more);
-                self.listing.next_page_after = last.map(|machine| machine.id.clone());
-                self.observe_list(now, config, cache, list);
+                let last_machine = list.machines.last().filter(|_| list.more);
+                self.listing.next_page_after = last_machine.map(|machine| machine.id.clone());
+                self.process_machine_list(now, config, cache, list);
             }
             (CloudRequestPurpose::ListMachines, _) => self.listing.in_flight = false,
             // Not the provisioner's own.
@@ -230,7 +236,7 @@
         }
     }
 
-    fn scale_out_responded(
+    fn handle_scale_out_response(
         &mut self,
         now: Now,
         policy: &Policy,
@@ -247,9 +253,9 @@
         } = pending_rental;
         let machines = match response {
             CloudResponse::ScaledOut(MachineIds { machines }) => {
-                let got = machines.len();
-                info!(%request, %type_name, %zone, ?capacity_type, wanted = count, got, "scale-out fulfilled");
-                if got < count as usize {
+                let granted = machines.len();
+                info!(%request, %type_name, %zone, ?capacity_type, requested = count, granted, "scale-out fulfilled");
+                if granted < count as usize {
                     self.mark_unavailable(now, policy, type_name, &pending_rental);
                 }
                 self.machines.boot_tracker.record_granted(now, &machines);
@@ -265,7 +271,7 @@
                 if let Some(ScaleOutState::InFlight) = self.scale_outs.get(type_name) {
                     self.scale_outs.remove(type_name);
                 }
-                self.scale_out_retries
+                self.scale_out_retry_at
                     .insert(type_name.clone(), now.monotonic + CLOUD_RETRY_DELAY);
                 return;
             }
@@ -296,7 +302,13 @@
             .mark_unavailable(now, pool, policy.stockout_memory);
     }
 
-    fn observe_list(&mut self, now: Now, config: &Config, cache: &WatchCache, list: MachineList) {
+    fn process_machine_list(
+        &mut self,
+        now: Now,
+        config: &Config,
+        cache: &WatchCache,
+        list: MachineList,
+    ) {
         for listed in list.machines {
             if cache.machines.contains_key(&listed.id) {
                 if let (ListedState::Running, Some(address)) = (listed.state, &listed.addr) {
@@ -305,11 +317,11 @@
                 if listed.state == ListedState::Failed {
                     self.machines.mark_listed_as_failed(&listed.id);
                 }
-            } else if since(now, self.term_since) > config.list_lag * 3
+            } else if since(now, self.term_started_at) > config.list_lag * 3
                 && listed.age_s.0 > config.list_lag.as_secs_f64()
             {
                 // What an earlier leader terminated is listed a while longer; only what stays is unrecorded.
-                self.observe_unrecorded(now, listed);
+                self.add_unrecorded_machine(now, listed);
             }
         }
     }
@@ -326,15 +338,15 @@
             state: ListedState::Running,
             age_s: Amount(0.0),
         };
-        self.observe_unrecorded(now, listed);
+        self.add_unrecorded_machine(now, listed);
     }
 
-    fn observe_unrecorded(&mut self, now: Now, listed: ListedMachine) {
+    fn add_unrecorded_machine(&mut self, now: Now, listed: ListedMachine) {
         if !self.terminations.is_recently_terminated(&listed.id) {
-            let since = now.monotonic;
-            self.unrecorded
+            let first_seen = now.monotonic;
+            self.unrecorded_machines
                 .entry(listed.id.clone())
-                .or_insert(UnrecordedMachine { listed, since });
+                .or_insert(UnrecordedMachine { listed, first_seen });
         }
     }
 }
--- a/src/provisioning/inventory_writes.rs
+++ b/src/provisioning/inventory_writes.rs
@@ -11,7 +11,7 @@
 use super::cloud_requests::{FulfilledScaleOut, ScaleOutState, UnrecordedMachine};
 use super::inventory_edits::{InventoryEdits, too_large};
 use super::machine_observations::has_tasks;
-use super::scaling_round::Round;
+use super::scaling_round::ProvisioningContext;
 use super::{Demand, Provisioner};
 use crate::domain::{CapacityType, MachineId, since};
 use crate::leader_context::LeaderContext;
@@ -22,18 +22,18 @@
 use crate::store::{Transaction, WatchCache};
 
 /// How long a pending rental of the same type may explain an unrecorded machine.
-const MAY_BE_GRANTED_FOR: Duration = Duration::from_secs(5);
+const PENDING_RENTAL_GRACE: Duration = Duration::from_secs(5);
 /// The cloud's ages beyond this, in seconds, are taken for mistakes.
-const OLDEST_S: f64 = 1e9;
+const MAX_LISTED_AGE_S: f64 = 1e9;
 
 impl Provisioner {
     /// Records the machines of one fulfilled scale-out in place of its pending rental.
-    pub(super) fn record_fulfilled(
+    pub(super) fn record_fulfilled_scale_out(
         &mut self,
-        round: Round<'_>,
+        context: ProvisioningContext<'_>,
         txn: &Transaction,
     ) -> Option<Transaction> {
-        let cache = round.cache;
+        let cache = context.cache;
         // Recorded already, if our copy no longer has the rental.
         self.scale_outs.retain(|name, state| match state {
             ScaleOutState::Fulfilled(fulfilled) => cache
@@ -54,7 +54,7 @@
             version,
             machines,
         } = fulfilled;
-        let mut edits = InventoryEdits::new(round.leader, cache, round.demand);
+        let mut edits = InventoryEdits::new(context.leader, cache, context.demand);
         for machine in machines
             .iter()
             .filter(|machine| !cache.machines.contains_key(*machine))
@@ -63,7 +63,7 @@
                 type_name: name.clone(),
                 capacity_type: pending_rental.capacity_type,
                 state: MachineState::InService,
-                rented_s: round.now.unix_ms() / 1000,
+                rented_s: context.now.unix_ms() / 1000,
             };
             // What does not fit this transaction reports, or is listed, and is recorded then.
             edits.add(&pending_rental.zone, machine, entry, 1);
@@ -73,18 +73,18 @@
     }
 
     /// Takes terminated machines out of their inventories.
-    pub(super) fn record_terminated(
+    pub(super) fn record_terminations(
         &self,
-        round: Round<'_>,
+        context: ProvisioningContext<'_>,
         txn: &Transaction,
     ) -> Option<Transaction> {
         let machines = self
             .terminations
-            .machines_to_remove(round.now, |id| has_tasks(round.cache, id));
+            .machines_to_remove(context.now, |id| has_tasks(context.cache, id));
         if machines.is_empty() {
             return None;
         }
-        let mut edits = round.batched_edits();
+        let mut edits = context.batched_edits();
         for machine in machines {
             edits.change(machine, |inventory| {
                 inventory.on.remove(machine);
@@ -94,22 +94,22 @@
     }
 
     /// Adds machines that nobody has recorded to inventories.
-    pub(super) fn record_unrecorded(
+    pub(super) fn record_unrecorded_machines(
         &mut self,
-        round: Round<'_>,
+        context: ProvisioningContext<'_>,
         txn: &Transaction,
     ) -> Option<Transaction> {
-        let Round { now, cache, .. } = round;
-        self.unrecorded
+        let ProvisioningContext { now, cache, .. } = context;
+        self.unrecorded_machines
             .retain(|id, _| !cache.machines.contains_key(id));
         let is_due = |machine: &UnrecordedMachine| {
             !cache
                 .pending_rentals
                 .contains_key(&machine.listed.type_name)
-                || since(now, machine.since) > MAY_BE_GRANTED_FOR
+                || since(now, machine.first_seen) > PENDING_RENTAL_GRACE
         };
         let due: Vec<MachineId> = self
-            .unrecorded
+            .unrecorded_machines
             .iter()
             .filter(|(_, machine)| is_due(machine))
             .map(|(id, _)| id.clone())
@@ -117,9 +117,9 @@
         if due.is_empty() {
             return None;
         }
-        let mut edits = round.batched_edits();
+        let mut edits = context.batched_edits();
         for id in due {
-            let Some(UnrecordedMachine { listed, .. }) = self.unrecorded.get(&id) else {
+            let Some(UnrecordedMachine { listed, .. }) = self.unrecorded_machines.get(&id) else {
                 continue;
             };
             let entry = InventoryEntry {
@@ -127,13 +127,13 @@
                 capacity_type: CapacityType::from_spot(listed.spot),
                 state: MachineState::InService,
                 rented_s: (now.unix_ms() / 1000)
-                    .saturating_sub(listed.age_s.0.clamp(0.0, OLDEST_S) as u64),
+                    .saturating_sub(listed.age_s.0.clamp(0.0, MAX_LISTED_AGE_S) as u64),
             };
             if !edits.add(&listed.zone, &id, entry, 0) {
                 break;
             }
             info!(machine = %id, type_name = %listed.type_name, "unrecorded machine added to inventory");
-            self.unrecorded.remove(&id);
+            self.unrecorded_machines.remove(&id);
         }
         edits.any().then(|| edits.apply(txn.clone()))
     }
@@ -141,10 +141,10 @@
     /// Records the states of machines that operators cordon, drain, return or put back into service.
     pub(super) fn record_desired_states(
         &mut self,
-        round: Round<'_>,
+        context: ProvisioningContext<'_>,
         txn: &Transaction,
     ) -> Option<Transaction> {
-        let Round { cache, demand, .. } = round;
+        let ProvisioningContext { cache, demand, .. } = context;
         let differs = |id: &MachineId, state: MachineState| {
             let machine = cache.machines.get(id);
             machine.is_some_and(|machine| machine.state != state)
@@ -153,10 +153,10 @@
         if self.desired_states.is_empty() || cache.format() < DRAIN_FORMAT {
             return None;
         }
-        let mut edits = round.batched_edits();
+        let mut edits = context.batched_edits();
         for (id, state) in &self.desired_states {
-            let occupied = demand.occupied.contains(id);
-            if *state == MachineState::Returning && occupied {
+            let is_occupied = demand.occupied.contains(id);
+            if *state == MachineState::Returning && is_occupied {
                 continue;
             }
             if edits.set_state(id, *state) {
--- a/src/provisioning/mod.rs
+++ b/src/provisioning/mod.rs
@@ -42,7 +42,7 @@
 pub use demand::{Demand, MachineHealth, MachinePool, RunTimes, ZonedPool};
 use inventory_writes::divide_inventory;
 use machine_observations::MachineObservations;
-use scaling_round::Round;
+use scaling_round::ProvisioningContext;
 use terminations::Terminations;
 use unavailable_capacity::UnavailableCapacity;
 
@@ -53,20 +53,20 @@
 #[derive(Debug)]
 pub struct Provisioner {
     term: Term,
-    term_since: Instant,
+    term_started_at: Instant,
     writer: Writer,
-    last_round: Option<Instant>,
+    last_scaling_round: Option<Instant>,
     /// The number of the last scale-out request of this term.
-    last_request: u64,
+    last_request_number: u64,
     scale_outs: BTreeMap<InstanceTypeName, ScaleOutState>,
     /// When types may be requested again whose request was refused or not answered.
-    scale_out_retries: BTreeMap<InstanceTypeName, Instant>,
+    scale_out_retry_at: BTreeMap<InstanceTypeName, Instant>,
     unavailable: UnavailableCapacity,
     terminations: Terminations,
     listing: MachineListing,
     rate_limiter: CloudRateLimiter,
     machines: MachineObservations,
-    unrecorded: BTreeMap<MachineId, UnrecordedMachine>,
+    unrecorded_machines: BTreeMap<MachineId, UnrecordedMachine>,
     /// The states that operators want of machines that are in another one.
     desired_states: BTreeMap<MachineId, MachineState>,
     /// What operators drain: nothing is rented there.
@@ -79,20 +79,20 @@
     pub fn new(now: Now, term: Term) -> Self {
         Provisioner {
             term,
-            term_since: now.monotonic,
+            term_started_at: now.monotonic,
             writer: Writer::Unconfirmed {
                 since: now.monotonic,
             },
-            last_round: None,
-            last_request: 0,
+            last_scaling_round: None,
+            last_request_number: 0,
             scale_outs: BTreeMap::new(),
-            scale_out_retries: BTreeMap::new(),
+            scale_out_retry_at: BTreeMap::new(),
             unavailable: UnavailableCapacity::default(),
             terminations: Terminations::new(),
             listing: MachineListing::default(),
             rate_limiter: CloudRateLimiter::new(now),
             machines: MachineObservations::default(),
-            unrecorded: BTreeMap::new(),
+            unrecorded_machines: BTreeMap::new(),
             desired_states: BTreeMap::new(),
             drained_scopes: Vec::new(),
         }
@@ -179,19 +179,19 @@
         if !self.writer.ready(now, cache) || !leader.catalog.is_loaded() {
             return None;
         }
-        let round = Round {
+        let context = ProvisioningContext {
             now,
             leader,
             cache,
             demand,
         };
         let txn = Transaction::default().when(LEADER, leader.record_version);
-        let txn = divide_inventory(leader, round.cache, demand, &txn)
-            .or_else(|| self.record_fulfilled(round, &txn))
-            .or_else(|| self.record_terminated(round, &txn))
-            .or_else(|| self.record_unrecorded(round, &txn))
-            .or_else(|| self.record_desired_states(round, &txn))
-            .or_else(|| self.round(round, txn))?;
+        let txn = divide_inventory(leader, context.cache, demand, &txn)
+            .or_else(|| self.record_fulfilled_scale_out(context, &txn))
+            .or_else(|| self.record_terminations(context, &txn))
+            .or_else(|| self.record_unrecorded_machines(context, &txn))
+            .or_else(|| self.record_desired_states(context, &txn))
+            .or_else(|| self.run_scaling_round(context, txn))?;
         self.writer.sent();
         Some(StoreRequest::Commit(txn))
     }
--- a/src/provisioning/scaling_round.rs
+++ b/src/provisioning/scaling_round.rs
@@ -18,22 +18,22 @@
 use crate::store::{Machine, Transaction, WatchCache};
 
 /// The protocol's limit for one scale-out request.
-const MAX_REQUESTED: i64 = 50;
+const MAX_MACHINES_PER_SCALE_OUT: i64 = 50;
 /// Shares of machines below this are rounding errors.
-const ROUNDING: f64 = 1e-9;
+const ROUNDING_TOLERANCE: f64 = 1e-9;
 /// Boot times are taken for at least this many seconds.
 const MIN_BOOT_S: f64 = 0.1;
 
 /// What a round goes by.
 #[derive(Clone, Copy)]
-pub(super) struct Round<'a> {
+pub(super) struct ProvisioningContext<'a> {
     pub(super) now: Now,
     pub(super) leader: &'a LeaderContext<'a>,
     pub(super) cache: &'a WatchCache,
     pub(super) demand: &'a Demand,
 }
 
-impl<'a> Round<'a> {
+impl<'a> ProvisioningContext<'a> {
     /// Edits of as many inventories as the rate of writes allows.
     pub(super) fn batched_edits(self) -> InventoryEdits<'a> {
         InventoryEdits::with_limit(
@@ -68,7 +68,7 @@
     zone: Option<Zone>,
     count: i64,
     /// Whether the demand itself is not covered, and not only its margin.
-    tasks_wait: bool,
+    demand_unmet: bool,
     /// Whether some can be had, as far as is known.
     obtainable: bool,
 }
@@ -76,7 +76,9 @@
 impl Shortage {
     /// The one to request for: one request for each type goes out in a round. What is unavailable must not keep the other
     /// capacity type from being requested, however much of it is short.
-    pub(super) fn worst(shortages: impl IntoIterator<Item = Option<Shortage>>) -> Option<Shortage> {
+    pub(super) fn most_urgent(
+        shortages: impl IntoIterator<Item = Option<Shortage>>,
+    ) -> Option<Shortage> {
         shortages
             .into_iter()
             .flatten()
@@ -86,22 +88,26 @@
 
 impl Provisioner {
     /// One round of the rule, if it is time for one. Adds what it decides to the transaction.
-    pub(super) fn round(&mut self, round: Round<'_>, mut txn: Transaction) -> Option<Transaction> {
-        let Round {
+    pub(super) fn run_scaling_round(
+        &mut self,
+        context: ProvisioningContext<'_>,
+        mut txn: Transaction,
+    ) -> Option<Transaction> {
+        let ProvisioningContext {
             now, leader, cache, ..
-        } = round;
-        let early = |at| since(now, at) < leader.policy.round;
-        if !cache.covers(self.term_since) || self.last_round.is_some_and(early) {
+        } = context;
+        let too_early = |at| since(now, at) < leader.policy.round;
+        if !cache.covers(self.term_started_at) || self.last_scaling_round.is_some_and(too_early) {
             return None;
         }
-        self.last_round = Some(now.monotonic);
-        let machines = self.capacity_by_pool(cache);
+        self.last_scaling_round = Some(now.monotonic);
+        let capacity = self.capacity_by_pool(cache);
         // One change for each type's rental, the rest for the blocks of machines that are returned.
         let limit = leader
             .max_changes
             .saturating_sub(leader.catalog.all().count())
             .max(1);
-        let mut edits = InventoryEdits::with_limit(leader, cache, round.demand, limit);
+        let mut edits = InventoryEdits::with_limit(leader, cache, context.demand, limit);
         let mut requested = false;
         for instance_type in leader
             .catalog
@@ -110,12 +116,12 @@
         {
             let shortages = [CapacityType::OnDemand, CapacityType::Spot].map(|capacity_type| {
                 let pool = MachinePool::new(instance_type.name.clone(), capacity_type);
-                let available = machines.get(&pool).copied().unwrap_or(0);
-                self.return_surplus(round, &pool, available, &mut edits);
-                self.shortage(round, instance_type, &pool, available)
+                let available = capacity.get(&pool).copied().unwrap_or(0);
+                self.mark_surplus_returning(context, &pool, available, &mut edits);
+                self.shortage(context, instance_type, &pool, available)
             });
-            if let Some(pending_rental) = Shortage::worst(shortages)
-                .and_then(|shortage| self.request_scale_out(round, instance_type, shortage))
+            if let Some(pending_rental) = Shortage::most_urgent(shortages)
+                .and_then(|shortage| self.request_scale_out(context, instance_type, shortage))
             {
                 let key = pending_rental_key(&instance_type.name);
                 txn = txn.when(key.clone(), 0).put(key, &pending_rental);
@@ -126,9 +132,9 @@
     }
 
     /// Marks machines of a pool that has too many as returning.
-    fn return_surplus(
+    fn mark_surplus_returning(
         &self,
-        round: Round<'_>,
+        context: ProvisioningContext<'_>,
         pool: &MachinePool,
         available: u32,
         edits: &mut InventoryEdits<'_>,
@@ -136,11 +142,11 @@
         let Recommendation {
             demand: needed,
             machines_to_add,
-        } = self.recommendation(round, pool, available);
+        } = self.apply_scale_out_rule(context, pool, available);
         let Ok(surplus) = usize::try_from(-machines_to_add) else {
             return;
         };
-        for id in self.returnable(round, pool, surplus) {
+        for id in self.returnable_machines(context, pool, surplus) {
             if edits.set_state(&id, MachineState::Returning) {
                 info!(machine = %id, type_name = %pool.type_name, capacity_type = ?pool.capacity_type, needed, available, "scale-in requested");
             }
@@ -148,13 +154,13 @@
     }
 
     /// Applies the scale-out rule to a pool.
-    fn recommendation(
+    fn apply_scale_out_rule(
         &self,
-        round: Round<'_>,
+        context: ProvisioningContext<'_>,
         pool: &MachinePool,
         available: u32,
     ) -> Recommendation {
-        let Round { leader, demand, .. } = round;
+        let ProvisioningContext { leader, demand, .. } = context;
         let eta = leader
             .catalog
             .get(&pool.type_name)
@@ -172,7 +178,7 @@
     /// What a pool is short of, if it is. `available`: its machines, up or requested.
     pub(super) fn shortage(
         &self,
-        round: Round<'_>,
+        context: ProvisioningContext<'_>,
         instance_type: &InstanceType,
         pool: &MachinePool,
         available: u32,
@@ -180,28 +186,29 @@
         let Recommendation {
             demand: needed,
             machines_to_add,
-        } = self.recommendation(round, pool, available);
+        } = self.apply_scale_out_rule(context, pool, available);
         // The rule counts machines of all zones. Tasks that wait for one zone are short there whatever stands idle
         // elsewhere.
-        let pinned = self.zone_shortage(round, pool);
-        let count = machines_to_add.max(pinned.as_ref().map_or(0, |pinned| pinned.count));
+        let zone_shortage = self.zone_shortage(context, pool);
+        let count =
+            machines_to_add.max(zone_shortage.as_ref().map_or(0, |shortage| shortage.count));
         if count <= 0 {
             return None;
         }
-        let in_stock = |zone: &Zone| {
-            self.is_available(round.now, &instance_type.name, zone, pool.capacity_type)
+        let has_capacity = |zone: &Zone| {
+            self.is_available(context.now, &instance_type.name, zone, pool.capacity_type)
         };
-        let zone = pinned.map(|pinned| pinned.zone);
+        let zone = zone_shortage.map(|shortage| shortage.zone);
         let obtainable = match &zone {
-            Some(zone) => in_stock(zone),
-            None => instance_type.zones.iter().any(in_stock),
+            Some(zone) => has_capacity(zone),
+            None => instance_type.zones.iter().any(has_capacity),
         };
         debug!(type_name = %pool.type_name, capacity_type = ?pool.capacity_type, needed, available, count, obtainable, "machine shortage");
         Some(Shortage {
             capacity_type: pool.capacity_type,
             zone,
             count,
-            tasks_wait: needed > f64::from(available),
+            demand_unmet: needed > f64::from(available),
             obtainable,
         })
     }
@@ -209,22 +216,22 @@
     /// The rental for a shortage, unless it was requested in vain just now.
     fn request_scale_out(
         &mut self,
-        round: Round<'_>,
+        context: ProvisioningContext<'_>,
         instance_type: &InstanceType,
         shortage: Shortage,
     ) -> Option<PendingRental> {
-        let Round {
+        let ProvisioningContext {
             now, leader, cache, ..
-        } = round;
+        } = context;
         let Shortage {
             capacity_type,
             zone,
             count,
-            tasks_wait,
+            demand_unmet,
             ..
         } = shortage;
-        let zone =
-            zone.or_else(|| self.zone_for(now, instance_type, capacity_type, tasks_wait, cache))?;
+        let zone = zone
+            .or_else(|| self.choose_zone(now, instance_type, capacity_type, demand_unmet, cache))?;
         if self.is_drained(&instance_type.name, &zone) {
             return None;
         }
@@ -235,24 +242,28 @@
         {
             return None;
         }
-        self.last_request += 1;
+        self.last_request_number += 1;
         let pending_rental = PendingRental {
-            request: format!("r-{}-{}", self.term, self.last_request),
+            request: format!("r-{}-{}", self.term, self.last_request_number),
             zone,
             capacity_type,
-            count: u32::try_from(count.min(MAX_REQUESTED)).unwrap_or(1),
+            count: u32::try_from(count.min(MAX_MACHINES_PER_SCALE_OUT)).unwrap_or(1),
         };
         info!(request = %pending_rental.request, type_name = %instance_type.name, zone = %pending_rental.zone, ?capacity_type, count, "scale-out requested");
         Some(pending_rental)
     }
 
     /// The zone that lacks the most machines for tasks that may not go elsewhere, among those with capacity.
-    fn zone_shortage(&self, round: Round<'_>, pool: &MachinePool) -> Option<ZoneShortage> {
-        let Round {
+    fn zone_shortage(
+        &self,
+        context: ProvisioningContext<'_>,
+        pool: &MachinePool,
+    ) -> Option<ZoneShortage> {
+        let ProvisioningContext {
             now, cache, demand, ..
-        } = round;
+        } = context;
         let booting_in = |zone: &Zone| {
-            let here = |machine: &Machine| {
+            let is_in_zoned_pool = |machine: &Machine| {
                 pool.contains(&machine.type_name, machine.capacity_type)
                     && machine.zone == *zone
                     && machine.state.takes_tasks()
@@ -260,18 +271,18 @@
             cache
                 .machines
                 .iter()
-                .filter(|(id, machine)| here(machine) && self.machines.is_booting(id))
+                .filter(|(id, machine)| is_in_zoned_pool(machine) && self.machines.is_booting(id))
                 .count() as i64
         };
-        let available =
+        let has_capacity =
             |zone: &Zone| self.is_available(now, &pool.type_name, zone, pool.capacity_type);
         demand
             .pinned
             .iter()
-            .filter(|(zoned, _)| zoned.pool == *pool && available(&zoned.zone))
+            .filter(|(zoned, _)| zoned.pool == *pool && has_capacity(&zoned.zone))
             .map(|(ZonedPool { zone, .. }, machines)| ZoneShortage {
                 zone: zone.clone(),
-                count: (machines - ROUNDING).ceil() as i64 - booting_in(zone),
+                count: (machines - ROUNDING_TOLERANCE).ceil() as i64 - booting_in(zone),
             })
             .filter(|shortage| shortage.count > 0)
             .max_by_key(|shortage| shortage.count)
@@ -285,73 +296,82 @@
         instance_type: &InstanceType,
         run_times: Option<&RunTimes>,
     ) -> f64 {
-        let boot = self
+        let boot_s = self
             .machines
             .boot_tracker
             .expected_boot_time(instance_type)
             .as_secs_f64()
             .max(MIN_BOOT_S);
         let RunTimes { total, ended } = run_times.copied().unwrap_or_default();
-        let mean_run = (total.as_secs_f64() + boot) / (f64::from(ended) + 1.0);
-        boot / mean_run
+        let mean_run_s = (total.as_secs_f64() + boot_s) / (f64::from(ended) + 1.0);
+        boot_s / mean_run_s
     }
 
     /// Machines of a pool that may be returned, up to so many.
-    fn returnable(&self, round: Round<'_>, pool: &MachinePool, count: usize) -> Vec<MachineId> {
-        let Round {
+    fn returnable_machines(
+        &self,
+        context: ProvisioningContext<'_>,
+        pool: &MachinePool,
+        count: usize,
+    ) -> Vec<MachineId> {
+        let ProvisioningContext {
             now,
             leader,
             cache,
             demand,
-        } = round;
-        let least_ms = u64::try_from(leader.policy.least_rental.as_millis()).unwrap_or(u64::MAX);
-        let boot = leader
+        } = context;
+        let min_rental_ms =
+            u64::try_from(leader.policy.least_rental.as_millis()).unwrap_or(u64::MAX);
+        let boot_s = leader
             .catalog
             .get(&pool.type_name)
             .map_or(0.0, |instance_type| instance_type.boot_s.0);
-        let patience = Duration::from_secs_f64(boot * leader.policy.idle_boots);
-        let rested = |id: &MachineId| {
+        let min_idle_time = Duration::from_secs_f64(boot_s * leader.policy.idle_boots);
+        let is_idle_long_enough = |id: &MachineId| {
             self.machines
                 .idle_for(now, id)
-                .is_some_and(|idle| idle >= patience)
+                .is_some_and(|idle| idle >= min_idle_time)
         };
-        let mut idle: Vec<_> = cache
+        let mut idle_machines: Vec<_> = cache
             .machines
             .iter()
             .filter(|(id, machine)| {
                 pool.contains(&machine.type_name, machine.capacity_type)
                     && machine.state.takes_tasks()
                     && !demand.occupied.contains(*id)
-                    && rested(id)
+                    && is_idle_long_enough(id)
                     && !self.machines.is_failed(id)
-                    && now.unix_ms().saturating_sub(machine.rented_s * 1000) >= least_ms
+                    && now.unix_ms().saturating_sub(machine.rented_s * 1000) >= min_rental_ms
             })
             .collect();
         // From the blocks with the most of them, since each block costs a change; there the newest, which have the
         // least in their caches.
-        let mut of_block: BTreeMap<&BlockId, usize> = BTreeMap::new();
-        for (_, machine) in &idle {
-            *of_block.entry(&machine.block).or_default() += 1;
+        let mut idle_per_block: BTreeMap<&BlockId, usize> = BTreeMap::new();
+        for (_, machine) in &idle_machines {
+            *idle_per_block.entry(&machine.block).or_default() += 1;
         }
-        idle.sort_by_key(|(_, machine)| {
+        idle_machines.sort_by_key(|(_, machine)| {
             (
-                Reverse(of_block[&machine.block]),
+                Reverse(idle_per_block[&machine.block]),
                 &machine.block,
                 Reverse(machine.rented_s),
             )
         });
-        idle.truncate(count);
-        idle.into_iter().map(|(id, _)| id.clone()).collect()
+        idle_machines.truncate(count);
+        idle_machines
+            .into_iter()
+            .map(|(id, _)| id.clone())
+            .collect()
     }
 
     /// The zone with the fewest machines among those that may have capacity. If none has, the one found so first is tried
     /// again, as long as tasks wait.
-    fn zone_for(
+    fn choose_zone(
         &self,
         now: Now,
         instance_type: &InstanceType,
         capacity_type: CapacityType,
-        tasks_wait: bool,
+        demand_unmet: bool,
         cache: &WatchCache,
     ) -> Option<Zone> {
         let unavailable_until = |zone: &Zone| {
@@ -359,17 +379,18 @@
             self.unavailable
                 .unavailable_until(&ZonedPool::new(name, capacity_type, zone.clone()))
         };
-        let count = |zone: &Zone| cache.machines.values().filter(|m| m.zone == *zone).count();
+        let machine_count =
+            |zone: &Zone| cache.machines.values().filter(|m| m.zone == *zone).count();
         instance_type
             .zones
             .iter()
             .filter(|zone| self.is_available(now, &instance_type.name, zone, capacity_type))
-            .min_by_key(|zone| count(zone))
+            .min_by_key(|zone| machine_count(zone))
             .or_else(|| {
                 instance_type
                     .zones
                     .iter()
-                    .filter(|zone| tasks_wait && !self.is_drained(&instance_type.name, zone))
+                    .filter(|zone| demand_unmet && !self.is_drained(&instance_type.name, zone))
                     .min_by_key(|zone| unavailable_until(zone))
             })
             .cloned()
--- a/src/provisioning/tests.rs
+++ b/src/provisioning/tests.rs
@@ -235,9 +235,9 @@
 fn machines_of_an_isolated_zone_fail_only_after_their_tasks_must_have_ended() {
     let zones = UnresponsiveZones::new();
     let LeaderFixture { policy, config, .. } = &zones.leader;
-    let both = ["a", "b"];
+    let all_zones = ["a", "b"];
     let count_failed = |unresponsive: &[&str], after: Duration| {
-        zones.count_failed_after(unresponsive, after, &both)
+        zones.count_failed_after(unresponsive, after, &all_zones)
     };
     let task_survival_time = policy.block_lease_duration + config.worker_lease
         - policy.worker_timeout_after_failed_probe;
@@ -301,7 +301,7 @@
         machines,
         ..Demand::default()
     };
-    let requested = |spot_unavailable: bool| {
+    let most_urgent_capacity_type = |spot_unavailable: bool| {
         let mut provisioner = Provisioner::new(now, Term(1));
         if spot_unavailable {
             let pending_rental = PendingRental {
@@ -312,10 +312,10 @@
             };
             provisioner.mark_unavailable(now, &fixture.policy, &name, &pending_rental);
         }
-        let worst = [CapacityType::OnDemand, CapacityType::Spot].map(|capacity_type| {
+        let shortages = [CapacityType::OnDemand, CapacityType::Spot].map(|capacity_type| {
             let pool = MachinePool::new(name.clone(), capacity_type);
             provisioner.shortage(
-                Round {
+                ProvisioningContext {
                     now,
                     leader: &leader,
                     cache: &cache,
@@ -326,10 +326,13 @@
                 0,
             )
         });
-        scaling_round::Shortage::worst(worst).map(|shortage| shortage.capacity_type)
+        scaling_round::Shortage::most_urgent(shortages).map(|shortage| shortage.capacity_type)
     };
-    assert_eq!(requested(false), Some(CapacityType::Spot));
-    assert_eq!(requested(true), Some(CapacityType::OnDemand));
+    assert_eq!(most_urgent_capacity_type(false), Some(CapacityType::Spot));
+    assert_eq!(
+        most_urgent_capacity_type(true),
+        Some(CapacityType::OnDemand)
+    );
 }
 
 /// An inventory that is larger than the state service will take can't be written again, so it could not even be drained.
