--- a/src/provisioning/inventory_edits.rs
+++ b/src/provisioning/inventory_edits.rs
@@ -20,36 +20,36 @@
 use crate::store::{Transaction, WatchCache};
 
 /// Room left in each part of an inventory, in bytes.
-const INVENTORY_RESERVE_BYTES: usize = 64;
+const PART_RESERVE_BYTES: usize = 64;
 /// What one placed task takes of its block's value, in bytes.
-const TASK_BYTES: f64 = 22.0;
+const PLACED_TASK_BYTES: f64 = 22.0;
 /// The most tasks that are reckoned with on one machine.
-const MOST_TASKS: f64 = 32.0;
+const MAX_EXPECTED_TASKS: f64 = 32.0;
 
 /// Changes to inventories that are not yet written.
 pub(super) struct InventoryEdits<'a> {
     cache: &'a WatchCache,
     inventories: BTreeMap<(BlockId, Part), MachineInventory>,
     /// Values that one transaction may change.
-    most: usize,
+    max_values: usize,
     /// What one of them may measure; None: blocks are not divided yet.
-    part_bytes: Option<usize>,
+    max_part_bytes: Option<usize>,
     /// The blocks of each zone, and how full each is for its value: by its machines, and by the tasks they may get.
-    blocks: BTreeMap<Zone, BTreeMap<BlockId, f64>>,
-    value_bytes: f64,
+    block_fill: BTreeMap<Zone, BTreeMap<BlockId, f64>>,
+    block_value_bytes: f64,
     /// The tasks to expect on a machine of each type.
-    tasks: HashMap<InstanceTypeName, f64>,
+    tasks_per_machine: HashMap<InstanceTypeName, f64>,
 }
 
 /// How full a block may be of what its machines may hold before a new one is opened: what a value can't hold can't
 /// be placed. The rest is for finished tasks of arrays that are spread over many blocks.
-const BLOCK_FULL: f64 = 0.7;
+const MAX_BLOCK_FILL: f64 = 0.7;
 /// Tasks expected on a machine before there are any to go by.
-const TASKS_UNKNOWN: f64 = 4.0;
+const DEFAULT_TASKS_PER_MACHINE: f64 = 4.0;
 /// From so many machines of a type on, their tasks tell how many to expect.
-const ENOUGH_SEEN: usize = 10;
+const MIN_OBSERVED_MACHINES: usize = 10;
 /// Tasks to expect are those observed times this.
-const TASKS_SPARE: f64 = 1.25;
+const OBSERVED_TASKS_FACTOR: f64 = 1.25;
 
 impl<'a> InventoryEdits<'a> {
     /// No edits yet. At most as many values may be changed as one transaction takes beside the leader's condition.
@@ -63,11 +63,12 @@
         let mut edits = InventoryEdits {
             cache,
             inventories: BTreeMap::new(),
-            part_bytes: (cache.format() >= PARTS_FORMAT).then_some(config.state_limits.value_bytes),
-            most: config.state_limits.txn_ops - 1,
-            blocks: BTreeMap::new(),
-            value_bytes: config.block_bytes as f64,
-            tasks: expected_tasks(catalog, cache, demand),
+            max_part_bytes: (cache.format() >= PARTS_FORMAT)
+                .then_some(config.state_limits.value_bytes),
+            max_values: config.state_limits.txn_ops - 1,
+            block_fill: BTreeMap::new(),
+            block_value_bytes: config.block_bytes as f64,
+            tasks_per_machine: expected_tasks_per_machine(catalog, cache, demand),
         };
         for (block, zone) in
             block_leases::required_blocks(&catalog.zones(config), config, policy, cache)
@@ -77,36 +78,40 @@
                     .value
                     .on
                     .iter()
-                    .map(|(id, entry)| edits.share(id, entry))
+                    .map(|(id, entry)| edits.fill_share(id, entry))
                     .sum()
             });
-            edits.blocks.entry(zone).or_default().insert(block, fill);
+            edits
+                .block_fill
+                .entry(zone)
+                .or_default()
+                .insert(block, fill);
         }
         edits
     }
 
-    /// Edits that change at most `most` values.
+    /// Edits that change at most `max_values` values.
     pub(super) fn with_limit(
         leader: &LeaderContext<'_>,
         cache: &'a WatchCache,
         demand: &Demand,
-        most: usize,
+        max_values: usize,
     ) -> Self {
         InventoryEdits {
-            most,
+            max_values,
             ..InventoryEdits::new(leader, cache, demand)
         }
     }
 
     /// The part of a block's values that a machine may come to need.
-    fn share(&self, id: &MachineId, entry: &InventoryEntry) -> f64 {
+    fn fill_share(&self, id: &MachineId, entry: &InventoryEntry) -> f64 {
         let tasks = self
-            .tasks
+            .tasks_per_machine
             .get(&entry.type_name)
             .copied()
-            .unwrap_or(TASKS_UNKNOWN);
-        let placements = (id.0.len() + 8) as f64 + tasks * TASK_BYTES;
-        (entry.size(id) as f64).max(placements) / self.value_bytes
+            .unwrap_or(DEFAULT_TASKS_PER_MACHINE);
+        let placements = (id.0.len() + 8) as f64 + tasks * PLACED_TASK_BYTES;
+        (entry.size(id) as f64).max(placements) / self.block_value_bytes
     }
 
     /// Puts a machine into the emptiest block of its zone, or a new one if all are full. False: the transaction
@@ -116,32 +121,33 @@
         zone: &Zone,
         id: &MachineId,
         entry: InventoryEntry,
-        reserved: usize,
+        reserved_values: usize,
     ) -> bool {
-        let share = self.share(id, &entry);
-        let full = self.inventories.len() + reserved >= self.most;
-        let of_zone = self.blocks.entry(zone.clone()).or_default();
-        let fills: Vec<(BlockId, f64)> = of_zone
+        let share = self.fill_share(id, &entry);
+        let is_transaction_full = self.inventories.len() + reserved_values >= self.max_values;
+        let zone_blocks = self.block_fill.entry(zone.clone()).or_default();
+        let blocks_with_capacity: Vec<(BlockId, f64)> = zone_blocks
             .iter()
-            .filter(|(_, fill)| **fill + share <= BLOCK_FULL)
+            .filter(|(_, fill)| **fill + share <= MAX_BLOCK_FILL)
             .map(|(block, fill)| (block.clone(), *fill))
             .collect();
-        let fresh = block_leases::block_id(zone, of_zone.len());
-        let emptiest = fills
+        let new_block = block_leases::block_id(zone, zone_blocks.len());
+        let emptiest = blocks_with_capacity
             .into_iter()
             .filter_map(|(block, fill)| {
                 let part = self.part_for(&block, id, &entry)?;
-                let open = !full || self.inventories.contains_key(&(block.clone(), part));
-                open.then_some((block, part, fill))
+                let can_edit =
+                    !is_transaction_full || self.inventories.contains_key(&(block.clone(), part));
+                can_edit.then_some((block, part, fill))
             })
             .min_by(|a, b| a.2.total_cmp(&b.2));
         let (block, part) = match emptiest {
             Some((block, part, _)) => (block, part),
-            None if full => return false,
-            None => (fresh, FIRST_PART),
+            None if is_transaction_full => return false,
+            None => (new_block, FIRST_PART),
         };
         *self
-            .blocks
+            .block_fill
             .entry(zone.clone())
             .or_default()
             .entry(block.clone())
@@ -155,21 +161,26 @@
     /// The part of a block that has room for a machine, or a new one: those that are changed anyway first. None: the
     /// block has a single value, and is full.
     fn part_for(&self, block: &BlockId, id: &MachineId, entry: &InventoryEntry) -> Option<Part> {
-        let Some(most) = self.part_bytes else {
+        let Some(max_bytes) = self.max_part_bytes else {
             return Some(FIRST_PART);
         };
-        let known = self.cache.inventory_parts(block);
-        let parts = known.into_iter().flat_map(|parts| parts.keys().copied());
-        let edited = self.inventories.keys().filter(|(of, _)| of == block);
+        let recorded_parts = self.cache.inventory_parts(block);
+        let parts = recorded_parts
+            .into_iter()
+            .flat_map(|parts| parts.keys().copied());
+        let edited = self
+            .inventories
+            .keys()
+            .filter(|(edited_block, _)| edited_block == block);
         let mut parts: Vec<Part> = edited.map(|(_, part)| *part).chain(parts).collect();
-        let next = parts.iter().max().map_or(FIRST_PART, |last| last + 1);
-        parts.push(next);
-        let needed = entry.size(id) + entry.type_name.0.len() + INVENTORY_RESERVE_BYTES;
+        let next_part = parts.iter().max().map_or(FIRST_PART, |last| last + 1);
+        parts.push(next_part);
+        let needed_bytes = entry.size(id) + entry.type_name.0.len() + PART_RESERVE_BYTES;
         let fits = |part: &Part| {
             let edited = self.inventories.get(&(block.clone(), *part));
-            let recorded = || Some(&known?.get(part)?.value);
+            let recorded = || Some(&recorded_parts?.get(part)?.value);
             let size = edited.or_else(recorded).map_or(0, MachineInventory::size);
-            size + needed <= most
+            size + needed_bytes <= max_bytes
         };
         parts.into_iter().find(fits)
     }
@@ -191,10 +202,10 @@
     }
 
     /// Changes the inventory that a machine is in. False: the transaction has no room, or there is no such machine.
-    pub(super) fn change(
+    pub(super) fn edit(
         &mut self,
         id: &MachineId,
-        change: impl FnOnce(&mut MachineInventory),
+        edit: impl FnOnce(&mut MachineInventory),
     ) -> bool {
         let Some(machine) = self.cache.machines.get(id) else {
             return false;
@@ -203,17 +214,17 @@
         let Some(part) = self.cache.inventory_part_of(&block, id) else {
             return false;
         };
-        let open = self.inventories.contains_key(&(block.clone(), part));
-        if !open && self.inventories.len() >= self.most {
+        let already_edited = self.inventories.contains_key(&(block.clone(), part));
+        if !already_edited && self.inventories.len() >= self.max_values {
             return false;
         }
-        change(self.inventory_mut(&block, part, &zone));
+        edit(self.inventory_mut(&block, part, &zone));
         true
     }
 
     /// Sets the state of a recorded machine. False: the transaction has no room, or there is no such machine.
     pub(super) fn set_state(&mut self, id: &MachineId, state: MachineState) -> bool {
-        self.change(id, |inventory| {
+        self.edit(id, |inventory| {
             if let Some(entry) = inventory.on.get_mut(id) {
                 entry.state = state;
             }
@@ -223,24 +234,27 @@
     /// Brings a value that is too large into parts that fit. Nothing else may be changed before that is done. None: there
     /// is no such value.
     pub(super) fn divide(&mut self) -> Option<Division> {
-        let (block, large) = too_large(self.cache, self.part_bytes?)?;
+        let (block, oversized_part) = find_oversized_part(self.cache, self.max_part_bytes?)?;
         let parts = self.cache.inventory_parts(&block)?;
-        let whole = &parts.get(&large)?.value;
-        let elsewhere = |id: &MachineId| {
-            let mut others = parts.iter().filter(|(part, _)| **part != large);
+        let oversized_inventory = &parts.get(&oversized_part)?.value;
+        let is_in_other_part = |id: &MachineId| {
+            let mut others = parts.iter().filter(|(part, _)| **part != oversized_part);
             others.any(|(_, part)| part.value.on.contains_key(id))
         };
-        let mut left: Vec<(&MachineId, &InventoryEntry)> =
-            whole.on.iter().filter(|(id, _)| !elsewhere(id)).collect();
-        left.reverse();
-        let zone = whole.zone.clone();
-        while let Some((id, entry)) = left.last() {
+        let mut remaining: Vec<(&MachineId, &InventoryEntry)> = oversized_inventory
+            .on
+            .iter()
+            .filter(|(id, _)| !is_in_other_part(id))
+            .collect();
+        remaining.reverse();
+        let zone = oversized_inventory.zone.clone();
+        while let Some((id, entry)) = remaining.last() {
             let Some(part) = self.part_for(&block, id, entry) else {
                 break;
             };
             // One change is left for the deletion.
-            let open = self.inventories.contains_key(&(block.clone(), part));
-            if !open && self.inventories.len() + 1 >= self.most {
+            let already_edited = self.inventories.contains_key(&(block.clone(), part));
+            if !already_edited && self.inventories.len() + 1 >= self.max_values {
                 return Some(Division {
                     block,
                     finished: None,
@@ -248,29 +262,32 @@
             }
             let (id, entry) = ((*id).clone(), (*entry).clone());
             self.inventory_mut(&block, part, &zone).on.insert(id, entry);
-            left.pop();
+            remaining.pop();
         }
         Some(Division {
             block,
-            finished: Some(large),
+            finished: Some(oversized_part),
         })
     }
 
     /// Whether anything is changed.
-    pub(super) fn any(&self) -> bool {
+    pub(super) fn has_edits(&self) -> bool {
         !self.inventories.is_empty()
     }
 
     /// Adds the changes to a transaction, each on condition that its value is still the one that was read.
     pub(super) fn apply(self, mut txn: Transaction) -> Transaction {
         for ((block, part), inventory) in &self.inventories {
-            let old = self
+            let recorded = self
                 .cache
                 .inventory_parts(block)
                 .and_then(|parts| parts.get(part));
             let key = inventory_part_key(block, *part);
             txn = txn
-                .when(key.clone(), old.map_or(0, |old| old.version))
+                .when(
+                    key.clone(),
+                    recorded.map_or(0, |inventory| inventory.version),
+                )
                 .put(key, inventory);
         }
         txn
@@ -279,45 +296,47 @@
 
 /// How many tasks to expect on a machine of each type: those observed, if there are enough machines to go by, else as
 /// many of the smallest tasks as fit.
-fn expected_tasks(
+fn expected_tasks_per_machine(
     catalog: &InstanceCatalog,
     cache: &WatchCache,
     demand: &Demand,
 ) -> HashMap<InstanceTypeName, f64> {
     #[derive(Default)]
-    struct Seen {
+    struct ObservedTasks {
         machines: usize,
         tasks: usize,
     }
-    let mut seen: HashMap<&InstanceTypeName, Seen> = HashMap::new();
+    let mut observed: HashMap<&InstanceTypeName, ObservedTasks> = HashMap::new();
     for live in cache.live_placements() {
-        let of_type = seen.entry(&live.machine.type_name).or_default();
+        let of_type = observed.entry(&live.machine.type_name).or_default();
         of_type.machines += 1;
         of_type.tasks += live.attempts().count();
     }
-    let expected = |instance_type: &InstanceType| {
-        let most = demand.smallest_task.map_or(TASKS_UNKNOWN, |need| {
-            f64::from(instance_type.resources().count_of(&need))
-        });
-        let usual = seen
+    let expected_tasks = |instance_type: &InstanceType| {
+        let max_tasks = demand
+            .smallest_task
+            .map_or(DEFAULT_TASKS_PER_MACHINE, |need| {
+                f64::from(instance_type.resources().count_of(&need))
+            });
+        let estimate = observed
             .get(&instance_type.name)
-            .filter(|seen| seen.machines >= ENOUGH_SEEN)
-            .map_or(most, |seen| {
-                seen.tasks as f64 / seen.machines as f64 * TASKS_SPARE
+            .filter(|counts| counts.machines >= MIN_OBSERVED_MACHINES)
+            .map_or(max_tasks, |counts| {
+                counts.tasks as f64 / counts.machines as f64 * OBSERVED_TASKS_FACTOR
             });
-        usual.min(most).clamp(1.0, MOST_TASKS)
+        estimate.min(max_tasks).clamp(1.0, MAX_EXPECTED_TASKS)
     };
     catalog
         .all()
-        .map(|instance_type| (instance_type.name.clone(), expected(instance_type)))
+        .map(|instance_type| (instance_type.name.clone(), expected_tasks(instance_type)))
         .collect()
 }
 
 /// The first part of an inventory whose value is larger than this.
-pub(super) fn too_large(cache: &WatchCache, bytes: usize) -> Option<(BlockId, Part)> {
+pub(super) fn find_oversized_part(cache: &WatchCache, max_bytes: usize) -> Option<(BlockId, Part)> {
     cache.inventories.keys().find_map(|block| {
         let mut parts = cache.inventory_parts(block)?.iter();
-        let (part, _) = parts.find(|(_, part)| part.value.size() > bytes)?;
+        let (part, _) = parts.find(|(_, part)| part.value.size() > max_bytes)?;
         Some((block.clone(), *part))
     })
 }
--- a/src/provisioning/inventory_writes.rs
+++ b/src/provisioning/inventory_writes.rs
@@ -9,7 +9,7 @@
 use tracing::info;
 
 use super::cloud_requests::{FulfilledScaleOut, ScaleOutState, UnrecordedMachine};
-use super::inventory_edits::{InventoryEdits, too_large};
+use super::inventory_edits::{InventoryEdits, find_oversized_part};
 use super::machine_observations::has_tasks;
 use super::scaling_round::ProvisioningContext;
 use super::{Demand, Provisioner};
@@ -86,11 +86,11 @@
         }
         let mut edits = context.batched_edits();
         for machine in machines {
-            edits.change(machine, |inventory| {
+            edits.edit(machine, |inventory| {
                 inventory.on.remove(machine);
             });
         }
-        edits.any().then(|| edits.apply(txn.clone()))
+        edits.has_edits().then(|| edits.apply(txn.clone()))
     }
 
     /// Adds machines that nobody has recorded to inventories.
@@ -135,7 +135,7 @@
             info!(machine = %id, type_name = %listed.type_name, "unrecorded machine added to inventory");
             self.unrecorded_machines.remove(&id);
         }
-        edits.any().then(|| edits.apply(txn.clone()))
+        edits.has_edits().then(|| edits.apply(txn.clone()))
     }
 
     /// Records the states of machines that operators cordon, drain, return or put back into service.
@@ -163,7 +163,7 @@
                 info!(machine = %id, ?state, "machine state changed");
             }
         }
-        edits.any().then(|| edits.apply(txn.clone()))
+        edits.has_edits().then(|| edits.apply(txn.clone()))
     }
 }
 
@@ -176,7 +176,7 @@
 ) -> Option<Transaction> {
     // Seldom is there one, and the edits look at all tasks there are.
     if cache.format() < PARTS_FORMAT
-        || too_large(cache, leader.config.state_limits.value_bytes).is_none()
+        || find_oversized_part(cache, leader.config.state_limits.value_bytes).is_none()
     {
         return None;
     }
@@ -186,10 +186,10 @@
     let mut txn = edits.apply(txn.clone());
     if let Some(part) = division.finished {
         let parts = cache.inventory_parts(&division.block);
-        let version = parts.and_then(|parts| parts.get(&part));
+        let recorded = parts.and_then(|parts| parts.get(&part));
         let key = inventory_part_key(&division.block, part);
         txn = txn
-            .when(key.clone(), version.map_or(0, |part| part.version))
+            .when(key.clone(), recorded.map_or(0, |part| part.version))
             .delete(key);
     }
     Some(txn)
--- a/src/provisioning/pool_metrics.rs
+++ b/src/provisioning/pool_metrics.rs
@@ -18,22 +18,22 @@
         gauges: &mut BTreeMap<String, f64>,
     ) {
         for (pool, machines) in self.capacity_by_pool(cache) {
-            let of_pool = |id: &MachineId| {
+            let is_in_pool = |id: &MachineId| {
                 cache
                     .machines
                     .get(id)
                     .is_some_and(|m| pool.contains(&m.type_name, m.capacity_type))
             };
-            let up = self.machines.up().filter(|id| of_pool(id)).count();
+            let up = self.machines.up().filter(|id| is_in_pool(id)).count();
             let idle = self
                 .machines
                 .idle()
-                .filter(|id| of_pool(id) && self.machines.is_up(id))
+                .filter(|id| is_in_pool(id) && self.machines.is_up(id))
                 .count();
             let returning = cache
                 .machines
                 .iter()
-                .filter(|(id, m)| m.state == MachineState::Returning && of_pool(id))
+                .filter(|(id, m)| m.state == MachineState::Returning && is_in_pool(id))
                 .count();
             let MachinePool {
                 type_name,
--- a/src/provisioning/scaling_round.rs
+++ b/src/provisioning/scaling_round.rs
@@ -128,7 +128,7 @@
                 requested = true;
             }
         }
-        (requested || edits.any()).then(|| edits.apply(txn))
+        (requested || edits.has_edits()).then(|| edits.apply(txn))
     }
 
     /// Marks machines of a pool that has too many as returning.
--- a/src/provisioning/square_root_rule.rs
+++ b/src/provisioning/square_root_rule.rs
@@ -9,22 +9,22 @@
 
 /// Differences smaller than this are rounding errors: the shares of many small tasks add up to a whole machine only
 /// nearly.
-const ROUNDING: f64 = 1e-9;
+const ROUNDING_TOLERANCE: f64 = 1e-9;
 
 /// How many machines to rent (positive) or to return (negative), in machines: `ceil(n + e * sqrt(n) - m)`, or the
 /// negative of `ceil(m - n - e * sqrt(n))`.
 ///
-/// `demand` is `n` in machines, `machines` is `m`: those there and those on order. `factor` multiplies the margin; less
+/// `demand` is `n` in machines, `machines` is `m`: those there and those on order. `headroom_factor` multiplies the margin; less
 /// than 1, the least that the rule's source allows, counts as 1.
 #[must_use]
-pub fn machines_to_add(demand: f64, machines: u32, eta: f64, factor: f64) -> i64 {
-    let margin = headroom(demand, eta) * factor.max(1.0);
-    let short = demand + margin - f64::from(machines);
-    let ceil = |value: f64| (value - ROUNDING).ceil() as i64;
-    if short > ROUNDING {
-        ceil(short)
+pub fn machines_to_add(demand: f64, machines: u32, eta: f64, headroom_factor: f64) -> i64 {
+    let margin = headroom(demand, eta) * headroom_factor.max(1.0);
+    let shortfall = demand + margin - f64::from(machines);
+    let ceil = |value: f64| (value - ROUNDING_TOLERANCE).ceil() as i64;
+    if shortfall > ROUNDING_TOLERANCE {
+        ceil(shortfall)
     } else {
-        -ceil(-short)
+        -ceil(-shortfall)
     }
 }
 
--- a/src/provisioning/tests.rs
+++ b/src/provisioning/tests.rs
@@ -353,14 +353,18 @@
         on: (0..600).map(machine).collect(),
     };
     records.set(inventory_key(&block), Some(encode(&inventory)));
-    let next = |cache: &WatchCache| {
+    let next_division = |cache: &WatchCache| {
         divide_inventory(&leader, cache, &Demand::default(), &Transaction::default())
     };
-    assert_eq!(next(&records.cache), None, "not before the format is on");
+    assert_eq!(
+        next_division(&records.cache),
+        None,
+        "not before the format is on"
+    );
     let switch = FormatSwitch { version: FORMAT };
     records.set(FORMAT_KEY.to_owned(), Some(encode(&switch)));
     let mut steps = 0;
-    while let Some(txn) = next(&records.cache) {
+    while let Some(txn) = next_division(&records.cache) {
         steps += 1;
         assert!(steps < 20 && txn.changes.len() <= 5, "step {steps}");
         for change in txn.changes {
