--- a/src/cloud/instance_catalog.rs
+++ b/src/cloud/instance_catalog.rs
@@ -15,14 +15,14 @@
 #[derive(Debug, Default)]
 pub struct InstanceCatalog {
     types: BTreeMap<InstanceTypeName, InstanceType>,
-    last_request: Option<Instant>,
+    last_request_at: Option<Instant>,
     in_flight: bool,
 }
 
 /// How long after a request the next one is due while no type is known.
-const CATALOG_RETRY: Duration = Duration::from_secs(1);
+const CATALOG_RETRY_INTERVAL: Duration = Duration::from_secs(1);
 /// How long after a request the next one is due once types are known.
-const CATALOG_REFRESH: Duration = Duration::from_secs(30);
+const CATALOG_REFRESH_INTERVAL: Duration = Duration::from_secs(30);
 
 impl InstanceCatalog {
     /// Whether any type is known.
@@ -65,15 +65,18 @@
 
     /// Whether the types are to be requested now; if so, notes that they are.
     pub fn try_begin_refresh(&mut self, now: Now) -> bool {
-        let pause = if self.is_loaded() {
-            CATALOG_REFRESH
+        let interval = if self.is_loaded() {
+            CATALOG_REFRESH_INTERVAL
         } else {
-            CATALOG_RETRY
+            CATALOG_RETRY_INTERVAL
         };
-        let due = !self.in_flight && self.last_request.is_none_or(|at| since(now, at) >= pause);
+        let due = !self.in_flight
+            && self
+                .last_request_at
+                .is_none_or(|at| since(now, at) >= interval);
         if due {
             self.in_flight = true;
-            self.last_request = Some(now.monotonic);
+            self.last_request_at = Some(now.monotonic);
         }
         due
     }
@@ -82,7 +85,7 @@
     pub fn handle_response(&mut self, list: Option<InstanceTypeList>) {
         self.in_flight = false;
         let Some(list) = list else { return };
-        let is_plausible = |instance_type: &InstanceType| {
+        let is_valid = |instance_type: &InstanceType| {
             [
                 instance_type.cpus,
                 instance_type.gpus,
@@ -95,7 +98,7 @@
             .iter()
             .all(|value| value.0.is_finite() && value.0 >= 0.0)
         };
-        for instance_type in list.types.into_iter().filter(is_plausible) {
+        for instance_type in list.types.into_iter().filter(is_valid) {
             self.types.insert(instance_type.name.clone(), instance_type);
         }
     }
--- a/src/cloud/wire.rs
+++ b/src/cloud/wire.rs
@@ -53,14 +53,14 @@
 }
 
 /// Boot times beyond this are taken for mistakes.
-const LONGEST_BOOT: Duration = Duration::from_secs(3600);
+const MAX_BOOT_TIME: Duration = Duration::from_secs(3600);
 
 impl InstanceType {
     /// The boot time that the cloud states, at most an hour.
     #[must_use]
     pub fn boot_time(&self) -> Duration {
         Duration::try_from_secs_f64(self.boot_s.0)
-            .map_or(LONGEST_BOOT, |boot| boot.min(LONGEST_BOOT))
+            .map_or(MAX_BOOT_TIME, |boot| boot.min(MAX_BOOT_TIME))
     }
 
     /// The resources of an empty machine.
@@ -162,36 +162,41 @@
 }
 
 /// How long a response is waited for.
-const TIMEOUT: Duration = Duration::from_secs(5);
+const RESPONSE_TIMEOUT: Duration = Duration::from_secs(5);
 /// The machines of one page of the list.
-const PAGE: u32 = 500;
+const MACHINES_PER_PAGE: u32 = 500;
 
 /// The HTTP request for a call.
 #[must_use]
-pub fn http_request(call: &CloudRequest) -> Request {
-    match call {
-        CloudRequest::ListInstanceTypes => Request::get("/flavors".to_owned(), TIMEOUT),
-        CloudRequest::ScaleOut(rent) => Request::post("/machines".to_owned(), write(rent), TIMEOUT),
-        CloudRequest::Terminate(names) => {
-            Request::post("/machines/delete".to_owned(), write(names), TIMEOUT)
+pub fn http_request(request: &CloudRequest) -> Request {
+    match request {
+        CloudRequest::ListInstanceTypes => Request::get("/flavors".to_owned(), RESPONSE_TIMEOUT),
+        CloudRequest::ScaleOut(scale_out) => {
+            Request::post("/machines".to_owned(), write(scale_out), RESPONSE_TIMEOUT)
+        }
+        CloudRequest::Terminate(ids) => {
+            Request::post("/machines/delete".to_owned(), write(ids), RESPONSE_TIMEOUT)
         }
         CloudRequest::ListMachines { after } => {
             let after = after
                 .as_ref()
                 .map(|id| format!("after={id}&"))
                 .unwrap_or_default();
-            Request::get(format!("/machines?{after}most={PAGE}"), TIMEOUT)
+            Request::get(
+                format!("/machines?{after}most={MACHINES_PER_PAGE}"),
+                RESPONSE_TIMEOUT,
+            )
         }
     }
 }
 
 /// What a reply to a call means. None: there was none, or it did not come in time.
 #[must_use]
-pub fn parse_response(call: &CloudRequest, reply: Option<&Reply>) -> CloudResponse {
+pub fn parse_response(request: &CloudRequest, reply: Option<&Reply>) -> CloudResponse {
     let Some(reply) = reply else {
         return CloudResponse::Unknown;
     };
-    match (reply.status, call) {
+    match (reply.status, request) {
         (200, CloudRequest::ListInstanceTypes) => {
             read(&reply.body).map_or(CloudResponse::Refused, CloudResponse::InstanceTypes)
         }
@@ -203,8 +208,8 @@
             read(&reply.body).map_or(CloudResponse::Refused, CloudResponse::Machines)
         }
         // An outage is a 503 too, but says so.
-        (503, CloudRequest::ScaleOut(_)) => match read::<Problem>(&reply.body) {
-            Ok(problem) if problem.error == "no capacity" => CloudResponse::NoCapacity,
+        (503, CloudRequest::ScaleOut(_)) => match read::<ErrorBody>(&reply.body) {
+            Ok(body) if body.error == "no capacity" => CloudResponse::NoCapacity,
             _ => CloudResponse::Refused,
         },
         // A request that the cloud calls malformed would be so for ever.
@@ -214,7 +219,7 @@
 }
 
 #[derive(Deserialize)]
-struct Problem {
+struct ErrorBody {
     error: String,
 }
 
--- a/src/cloud/wire/tests.rs
+++ b/src/cloud/wire/tests.rs
@@ -21,8 +21,8 @@
 }
 
 #[test]
-fn no_capacity_is_told_from_an_outage() {
-    let rent = CloudRequest::ScaleOut(ScaleOutRequest {
+fn a_response_without_capacity_differs_from_an_outage() {
+    let scale_out = CloudRequest::ScaleOut(ScaleOutRequest {
         request: "r-1-1".into(),
         type_name: "g8".into(),
         zone: "a".into(),
@@ -34,12 +34,12 @@
         body: write(&cbor!({"error" => error}).expect("valid")).into(),
     };
     assert_eq!(
-        parse_response(&rent, Some(&reply("no capacity"))),
+        parse_response(&scale_out, Some(&reply("no capacity"))),
         CloudResponse::NoCapacity
     );
     assert_eq!(
-        parse_response(&rent, Some(&reply("trouble"))),
+        parse_response(&scale_out, Some(&reply("trouble"))),
         CloudResponse::Refused
     );
-    assert_eq!(parse_response(&rent, None), CloudResponse::Unknown);
+    assert_eq!(parse_response(&scale_out, None), CloudResponse::Unknown);
 }
--- a/src/provisioning/cloud_requests.rs
+++ b/src/provisioning/cloud_requests.rs
@@ -69,7 +69,7 @@
 #[derive(Debug, Default)]
 pub(super) struct MachineListing {
     in_flight: bool,
-    last_request: Option<Instant>,
+    last_request_at: Option<Instant>,
     /// Where the next page begins, if the last one was not the end of the list.
     next_page_after: Option<MachineId>,
 }
@@ -177,13 +177,13 @@
         let listing = &mut self.listing;
         let due = listing.next_page_after.is_some()
             || listing
-                .last_request
+                .last_request_at
                 .is_none_or(|at| since(now, at) >= LIST_INTERVAL);
         if listing.in_flight || !due || !self.rate_limiter.try_acquire(now, config.cloud_rps) {
             return None;
         }
         listing.in_flight = true;
-        listing.last_request = Some(now.monotonic);
+        listing.last_request_at = Some(now.monotonic);
         let after = listing.next_page_after.clone();
         Some((
             CloudRequestPurpose::ListMachines,
