--- a/src/policy/expression.rs
+++ b/src/policy/expression.rs
@@ -5,9 +5,9 @@
 use cel::{Context, ExecutionError, Program, Value};
 
 /// Longer texts are refused: nobody needs them, and depth is bounded with them.
-const LONGEST: usize = 400;
-const NOT_ALLOWED: &str = "lists, maps, fields and loops are not allowed";
-const FUNCTIONS: [&str; 3] = ["min", "max", "double"];
+const MAX_EXPRESSION_BYTES: usize = 400;
+const UNSUPPORTED_SYNTAX: &str = "lists, maps, fields and loops are not allowed";
+const ALLOWED_FUNCTIONS: [&str; 3] = ["min", "max", "double"];
 
 #[derive(Debug, Default)]
 pub struct Expression {
@@ -17,48 +17,51 @@
 
 /// What is wrong with an expression, and at which column of it (from 1).
 #[derive(Debug)]
-pub struct Fault {
+pub struct ExpressionError {
     pub column: usize,
     pub problem: String,
 }
 
 #[derive(Debug, Clone, PartialEq)]
-pub enum Outcome {
+pub enum ExpressionValue {
     Number(f64),
-    Truth(bool),
+    Boolean(bool),
     Other,
 }
 
-impl Outcome {
-    pub fn kind(&self) -> &'static str {
+impl ExpressionValue {
+    pub fn type_description(&self) -> &'static str {
         match self {
-            Outcome::Number(_) => "a number",
-            Outcome::Truth(_) => "true or false",
-            Outcome::Other => "text",
+            ExpressionValue::Number(_) => "a number",
+            ExpressionValue::Boolean(_) => "true or false",
+            ExpressionValue::Other => "text",
         }
     }
 }
 
-fn fault(column: usize, problem: impl Into<String>) -> Fault {
-    Fault {
+fn error_at(column: usize, problem: impl Into<String>) -> ExpressionError {
+    ExpressionError {
         column,
         problem: problem.into(),
     }
 }
 
 impl Expression {
-    pub fn parse(source: &str) -> Result<Self, Fault> {
-        if source.len() > LONGEST {
-            return Err(fault(1, format!("longer than {LONGEST} characters")));
+    pub fn parse(source: &str) -> Result<Self, ExpressionError> {
+        if source.len() > MAX_EXPRESSION_BYTES {
+            return Err(error_at(
+                1,
+                format!("longer than {MAX_EXPRESSION_BYTES} characters"),
+            ));
         }
         let program = Program::compile(source).map_err(|errors| {
             let column = errors
                 .errors
                 .first()
                 .map_or(1, |error| usize::try_from(error.pos.1).unwrap_or(1).max(1));
-            fault(column, "the expression is cut short or malformed")
+            error_at(column, "the expression is cut short or malformed")
         })?;
-        allowed(source, program.expression())?;
+        check_allowed(source, program.expression())?;
         Ok(Expression {
             source: source.to_owned(),
             program: Some(program),
@@ -69,18 +72,18 @@
         &self,
         numbers: &[(&str, f64)],
         texts: &[(&str, &str)],
-    ) -> Result<Outcome, Fault> {
+    ) -> Result<ExpressionValue, ExpressionError> {
         let Some(program) = &self.program else {
-            return Err(fault(1, "empty"));
+            return Err(error_at(1, "empty"));
         };
-        let known = |name: &str| {
+        let is_known = |name: &str| {
             numbers.iter().any(|(n, _)| *n == name) || texts.iter().any(|(n, _)| *n == name)
         };
         if let Some(name) = program
             .references()
             .variables()
             .into_iter()
-            .find(|name| !known(name))
+            .find(|name| !is_known(name))
         {
             let mut names: Vec<&str> = numbers
                 .iter()
@@ -89,13 +92,13 @@
                 .collect();
             names.sort_unstable();
             let problem = format!("unknown variable `{name}`; known are {}", names.join(", "));
-            return Err(fault(column_of(&self.source, name), problem));
+            return Err(error_at(column_of(&self.source, name), problem));
         }
         let mut context = Context::default();
         for (name, function) in [("min", f64::min as fn(f64, f64) -> f64), ("max", f64::max)] {
             context
                 .add_function(name, function)
-                .map_err(|_| fault(1, "the functions can't be set up"))?;
+                .map_err(|_| error_at(1, "the functions can't be set up"))?;
         }
         for (name, value) in numbers {
             context.add_variable_from_value(*name, *value);
@@ -104,13 +107,13 @@
             context.add_variable_from_value(*name, *value);
         }
         match program.execute(&context) {
-            Ok(Value::Float(value)) => Ok(Outcome::Number(value)),
-            Ok(Value::Int(value)) => Ok(Outcome::Number(value as f64)),
-            Ok(Value::UInt(value)) => Ok(Outcome::Number(value as f64)),
-            Ok(Value::Bool(truth)) => Ok(Outcome::Truth(truth)),
-            Ok(_) => Ok(Outcome::Other),
-            Err(ExecutionError::DivisionByZero(_)) => Err(fault(1, "division by zero")),
-            Err(_) => Err(fault(
+            Ok(Value::Float(value)) => Ok(ExpressionValue::Number(value)),
+            Ok(Value::Int(value)) => Ok(ExpressionValue::Number(value as f64)),
+            Ok(Value::UInt(value)) => Ok(ExpressionValue::Number(value as f64)),
+            Ok(Value::Bool(truth)) => Ok(ExpressionValue::Boolean(truth)),
+            Ok(_) => Ok(ExpressionValue::Other),
+            Err(ExecutionError::DivisionByZero(_)) => Err(error_at(1, "division by zero")),
+            Err(_) => Err(error_at(
                 1,
                 "a number without a decimal point, or types that don't go together: write 2.0, not 2",
             )),
@@ -119,42 +122,42 @@
 }
 
 /// Only literals, variables, operators and a few functions: whatever else CEL has is refused by not being here.
-fn allowed(source: &str, expression: &IdedExpr) -> Result<(), Fault> {
+fn check_allowed(source: &str, expression: &IdedExpr) -> Result<(), ExpressionError> {
     match &expression.expr {
         Expr::Literal(_) | Expr::Ident(_) => Ok(()),
         Expr::Call(call) if call.target.is_none() => {
             let name = call.func_name.as_str();
             if name.contains('[') {
-                return Err(fault(1, NOT_ALLOWED));
+                return Err(error_at(1, UNSUPPORTED_SYNTAX));
             }
-            let operator = !name.starts_with(|c: char| c.is_alphabetic());
-            if !operator && !FUNCTIONS.contains(&name) {
+            let is_operator = !name.starts_with(|c: char| c.is_alphabetic());
+            if !is_operator && !ALLOWED_FUNCTIONS.contains(&name) {
                 let problem = format!(
                     "unknown function `{name}`; known are {}",
-                    FUNCTIONS.join(", ")
+                    ALLOWED_FUNCTIONS.join(", ")
                 );
-                return Err(fault(column_of(source, name), problem));
+                return Err(error_at(column_of(source, name), problem));
             }
             call.args
                 .iter()
-                .try_for_each(|argument| allowed(source, argument))
+                .try_for_each(|argument| check_allowed(source, argument))
         }
-        _ => Err(fault(1, NOT_ALLOWED)),
+        _ => Err(error_at(1, UNSUPPORTED_SYNTAX)),
     }
 }
 
 /// The column at which a name stands for the first time, as a whole word.
 fn column_of(source: &str, name: &str) -> usize {
-    let word = |c: char| c.is_alphanumeric() || c == '_';
-    let whole = |at: usize| {
+    let is_word_char = |c: char| c.is_alphanumeric() || c == '_';
+    let is_whole_word = |at: usize| {
         let before = source[..at].chars().next_back();
         let after = source[at + name.len()..].chars().next();
-        !before.is_some_and(word) && !after.is_some_and(word)
+        !before.is_some_and(is_word_char) && !after.is_some_and(is_word_char)
     };
     let at = source
         .match_indices(name)
         .map(|(at, _)| at)
-        .find(|at| whole(*at))
+        .find(|at| is_whole_word(*at))
         .unwrap_or(0);
     source[..at].chars().count() + 1
 }
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -13,7 +13,7 @@
 
 use crate::config::{Config, TeamLimits};
 use crate::domain::Team;
-use expression::{Expression, Outcome};
+use expression::{Expression, ExpressionValue};
 
 /// The built-in policy, as a file.
 pub const BUILT_IN: &str = include_str!("../../examples/policy.toml");
@@ -22,7 +22,7 @@
 #[derive(Debug, Clone, PartialEq)]
 pub struct Policy {
     /// How often the provisioning rule runs.
-    pub round: Duration,
+    pub scaling_interval: Duration,
     /// Multiplies the margin of the rule.
     pub headroom: f64,
     /// How long a controller may act on a block lease without having read the state service.
@@ -35,11 +35,11 @@
     /// The same for a worker that can't be asked.
     pub worker_timeout: Duration,
     /// A machine is returned only after it has been idle for this many times its boot time.
-    pub idle_boots: f64,
+    pub min_idle_boot_times: f64,
     /// A rented machine is kept at least this long, since a deleted machine costs a minute anyway.
-    pub least_rental: Duration,
+    pub min_rental: Duration,
     /// How long a stock-out is believed.
-    pub stockout_memory: Duration,
+    pub unavailable_capacity_ttl: Duration,
     /// Work of teams without a guarantee has no machines rented, and takes none, that cost it more than so many times
     /// as much as the cheapest.
     pub best_effort_max_price_ratio: f64,
@@ -58,7 +58,7 @@
         source: std::io::Error,
     },
     #[error("{path}:{line}:{column}: {problem}")]
-    Wrong {
+    Invalid {
         path: String,
         line: usize,
         column: usize,
@@ -67,7 +67,7 @@
 }
 
 /// What is kept free between the last renewal of a worker's lease and the time a cancelled task must be gone.
-const CANCEL_MARGIN: Duration = Duration::from_secs(4);
+const CANCELLATION_MARGIN: Duration = Duration::from_secs(4);
 
 /// An expression and where it stands.
 struct Entry {
@@ -78,8 +78,8 @@
 }
 
 impl Entry {
-    fn wrong(&self, column: usize, problem: String) -> PolicyError {
-        PolicyError::Wrong {
+    fn error_at(&self, column: usize, problem: String) -> PolicyError {
+        PolicyError::Invalid {
             path: self.path.clone(),
             line: self.line,
             column: self.column + column,
@@ -99,34 +99,36 @@
     }
 
     pub fn load(path: &Path, config: &Config) -> Result<Self, PolicyError> {
-        let shown = path.display().to_string();
+        let displayed_path = path.display().to_string();
         let text = std::fs::read_to_string(path).map_err(|source| PolicyError::Unreadable {
-            path: shown.clone(),
+            path: displayed_path.clone(),
             source,
         })?;
-        Self::parse(&shown, &text, config)
+        Self::parse(&displayed_path, &text, config)
     }
 
     /// A holder that is cut off renews leases for the life of its block lease, and a worker keeps its tasks for a
     /// lease longer. Both together must be over when a cancelled task has to be gone.
-    pub fn longest_block_lease(config: &Config) -> Duration {
-        let left = config.cancel_within.saturating_sub(config.worker_lease);
-        left.saturating_sub(CANCEL_MARGIN).max(left / 2)
+    pub fn max_block_lease_duration(config: &Config) -> Duration {
+        let remaining = config.cancel_within.saturating_sub(config.worker_lease);
+        remaining
+            .saturating_sub(CANCELLATION_MARGIN)
+            .max(remaining / 2)
     }
 
     pub fn parse(path: &str, text: &str, config: &Config) -> Result<Self, PolicyError> {
-        let mut entries = entries("built-in policy", BUILT_IN, None)?;
-        let known: Vec<String> = entries.keys().cloned().collect();
-        entries.extend(self::entries(path, text, Some(&known))?);
-        let values = Values {
+        let mut entries = parse_entries("built-in policy", BUILT_IN, None)?;
+        let known_settings: Vec<String> = entries.keys().cloned().collect();
+        entries.extend(parse_entries(path, text, Some(&known_settings))?);
+        let values = PolicyValues {
             entries,
             variables: variables(config),
         };
         let report_s = config.heartbeat_interval.as_secs_f64();
         let lease_s = config.worker_lease.as_secs_f64();
-        let longest_block_lease_s = Self::longest_block_lease(config).as_secs_f64();
-        let shortest_block_lease_s = report_s.min(longest_block_lease_s);
-        let silence = (1.5 * report_s, 10.0 * lease_s.max(report_s));
+        let max_block_lease_s = Self::max_block_lease_duration(config).as_secs_f64();
+        let min_block_lease_s = report_s.min(max_block_lease_s);
+        let worker_timeout_bounds = (1.5 * report_s, 10.0 * lease_s.max(report_s));
         let mut team_shares = BTreeMap::new();
         for team in &config.teams {
             team_shares.insert(
@@ -135,31 +137,30 @@
             );
         }
         Ok(Policy {
-            round: values.seconds("round_s", (0.5, 60.0))?,
+            scaling_interval: values.seconds("round_s", (0.5, 60.0))?,
             headroom: values.number("headroom", (1.0, 4.0))?,
-            block_lease_duration: values.seconds(
-                "grant_life_s",
-                (shortest_block_lease_s, longest_block_lease_s),
-            )?,
+            block_lease_duration: values
+                .seconds("grant_life_s", (min_block_lease_s, max_block_lease_s))?,
             blocks_per_controller: values.number("blocks_per_controller", (1.0, 4.0))? as usize,
             controller_timeout: values.seconds("suspect_after_s", (1.0, 30.0))?,
-            worker_timeout_after_failed_probe: values.seconds("silent_after_s", silence)?,
-            worker_timeout: values.seconds("unheard_after_s", silence)?,
-            idle_boots: values.number("idle_boots", (0.0, 100.0))?,
-            least_rental: values.seconds("least_rental_s", (0.0, 3600.0))?,
-            stockout_memory: values.seconds("stockout_memory_s", (1.0, 600.0))?,
+            worker_timeout_after_failed_probe: values
+                .seconds("silent_after_s", worker_timeout_bounds)?,
+            worker_timeout: values.seconds("unheard_after_s", worker_timeout_bounds)?,
+            min_idle_boot_times: values.number("idle_boots", (0.0, 100.0))?,
+            min_rental: values.seconds("least_rental_s", (0.0, 3600.0))?,
+            unavailable_capacity_ttl: values.seconds("stockout_memory_s", (1.0, 600.0))?,
             best_effort_max_price_ratio: values.number("opportunistic_price", (1.0, 1000.0))?,
             best_effort_price_limit_duration: values
                 .seconds("opportunistic_patience_s", (0.0, 86400.0))?,
             team_shares,
-            preempt_for_priority: values.truth("preempt_for_priority")?,
-            preempt_for_guarantee: values.truth("preempt_for_guarantee")?,
+            preempt_for_priority: values.boolean("preempt_for_priority")?,
+            preempt_for_guarantee: values.boolean("preempt_for_guarantee")?,
         })
     }
 }
 
 fn variables(config: &Config) -> Vec<(&'static str, f64)> {
-    let count = |number: usize| number as f64;
+    let as_number = |number: usize| number as f64;
     vec![
         ("report_s", config.heartbeat_interval.as_secs_f64()),
         ("lease_s", config.worker_lease.as_secs_f64()),
@@ -168,11 +169,11 @@
         ("state_rps", config.state_limits.rps),
         ("state_write_rps", config.state_limits.write_rps),
         ("cloud_rps", config.cloud_rps),
-        ("controllers", count(config.controllers())),
-        ("zones", count(config.zones.len())),
+        ("controllers", as_number(config.controllers())),
+        ("zones", as_number(config.zones.len())),
         (
             "longest_grant_s",
-            Policy::longest_block_lease(config).as_secs_f64(),
+            Policy::max_block_lease_duration(config).as_secs_f64(),
         ),
     ]
 }
@@ -187,7 +188,7 @@
 }
 
 /// The line and column, from 1, of a place in a text.
-fn place(text: &str, offset: usize) -> (usize, usize) {
+fn line_and_column(text: &str, offset: usize) -> (usize, usize) {
     let before = text.get(..offset).unwrap_or(text);
     let line_start = before.rfind('\n').map_or(0, |at| at + 1);
     (
@@ -197,14 +198,14 @@
 }
 
 /// Reads a policy file: names and expressions, not yet evaluated.
-fn entries(
+fn parse_entries(
     path: &str,
     text: &str,
-    known: Option<&[String]>,
+    known_settings: Option<&[String]>,
 ) -> Result<BTreeMap<String, Entry>, PolicyError> {
-    let wrong = |offset: usize, problem: String| {
-        let (line, column) = place(text, offset);
-        PolicyError::Wrong {
+    let error_at = |offset: usize, problem: String| {
+        let (line, column) = line_and_column(text, offset);
+        PolicyError::Invalid {
             path: path.to_owned(),
             line,
             column,
@@ -212,7 +213,7 @@
         }
     };
     let table = DeTable::parse(text).map_err(|error| {
-        wrong(
+        error_at(
             error.span().map_or(0, |span| span.start),
             error.message().to_owned(),
         )
@@ -220,23 +221,26 @@
     let mut entries = BTreeMap::new();
     for (name, value) in table.into_inner() {
         let key = name.get_ref().to_string();
-        if let Some(known) = known.filter(|known| !known.contains(&key)) {
-            let problem = format!("unknown setting `{key}`; known are {}", known.join(", "));
-            return Err(wrong(name.span().start, problem));
+        if let Some(known_settings) = known_settings.filter(|settings| !settings.contains(&key)) {
+            let problem = format!(
+                "unknown setting `{key}`; known are {}",
+                known_settings.join(", ")
+            );
+            return Err(error_at(name.span().start, problem));
         }
-        let (source, quote) = match value.get_ref() {
+        let (source, quote_width) = match value.get_ref() {
             DeValue::String(text) => (text.to_string(), 1),
-            DeValue::Boolean(truth) => (truth.to_string(), 0),
+            DeValue::Boolean(boolean) => (boolean.to_string(), 0),
             DeValue::Integer(number) => (format!("double({})", number.as_str()), 0),
             DeValue::Float(number) => (number.as_str().to_owned(), 0),
             _ => {
-                return Err(wrong(
+                return Err(error_at(
                     value.span().start,
                     format!("`{key}` must be an expression"),
                 ));
             }
         };
-        let (line, column) = place(text, value.span().start + quote);
+        let (line, column) = line_and_column(text, value.span().start + quote_width);
         let mut entry = Entry {
             expression: Expression::default(),
             path: path.to_owned(),
@@ -244,24 +248,24 @@
             column: column.saturating_sub(1),
         };
         entry.expression = Expression::parse(&source)
-            .map_err(|fault| entry.wrong(fault.column, format!("`{key}`: {}", fault.problem)))?;
+            .map_err(|error| entry.error_at(error.column, format!("`{key}`: {}", error.problem)))?;
         entries.insert(key, entry);
     }
     Ok(entries)
 }
 
 /// All expressions with what they may refer to.
-struct Values {
+struct PolicyValues {
     entries: BTreeMap<String, Entry>,
     variables: Vec<(&'static str, f64)>,
 }
 
-impl Values {
+impl PolicyValues {
     fn evaluate(
         &self,
         name: &str,
         team: Option<&TeamLimits>,
-    ) -> Result<(&Entry, Outcome), PolicyError> {
+    ) -> Result<(&Entry, ExpressionValue), PolicyError> {
         // Every name is in the built-in policy, which is the base of every other.
         let entry = &self.entries[name];
         let mut numbers = self.variables.clone();
@@ -270,11 +274,13 @@
             numbers.extend(team_variables(team));
             texts.push(("team", &*team.name.0));
         }
-        let outcome = entry
+        let value = entry
             .expression
             .evaluate(&numbers, &texts)
-            .map_err(|fault| entry.wrong(fault.column, format!("`{name}`: {}", fault.problem)))?;
-        Ok((entry, outcome))
+            .map_err(|error| {
+                entry.error_at(error.column, format!("`{name}`: {}", error.problem))
+            })?;
+        Ok((entry, value))
     }
 
     fn number(&self, name: &str, bounds: (f64, f64)) -> Result<f64, PolicyError> {
@@ -284,22 +290,26 @@
     fn number_for(
         &self,
         name: &str,
-        (low, high): (f64, f64),
+        (min, max): (f64, f64),
         team: Option<&TeamLimits>,
     ) -> Result<f64, PolicyError> {
-        let (entry, outcome) = self.evaluate(name, team)?;
-        let of_team = team
+        let (entry, value) = self.evaluate(name, team)?;
+        let team_suffix = team
             .map(|team| format!(" for team {}", team.name))
             .unwrap_or_default();
-        match outcome {
-            Outcome::Number(value) if value >= low && value <= high => Ok(value),
-            Outcome::Number(value) => {
-                let problem = format!("`{name}` is {value}{of_team}; allowed is {low} to {high}");
-                Err(entry.wrong(1, problem))
+        match value {
+            ExpressionValue::Number(number) if number >= min && number <= max => Ok(number),
+            ExpressionValue::Number(number) => {
+                let problem =
+                    format!("`{name}` is {number}{team_suffix}; allowed is {min} to {max}");
+                Err(entry.error_at(1, problem))
             }
-            other => Err(entry.wrong(
+            other => Err(entry.error_at(
                 1,
-                format!("`{name}` must be a number, not {}{of_team}", other.kind()),
+                format!(
+                    "`{name}` must be a number, not {}{team_suffix}",
+                    other.type_description()
+                ),
             )),
         }
     }
@@ -308,12 +318,15 @@
         self.number(name, bounds).map(Duration::from_secs_f64)
     }
 
-    fn truth(&self, name: &str) -> Result<bool, PolicyError> {
+    fn boolean(&self, name: &str) -> Result<bool, PolicyError> {
         match self.evaluate(name, None)? {
-            (_, Outcome::Truth(truth)) => Ok(truth),
-            (entry, other) => Err(entry.wrong(
+            (_, ExpressionValue::Boolean(value)) => Ok(value),
+            (entry, other) => Err(entry.error_at(
                 1,
-                format!("`{name}` must be true or false, not {}", other.kind()),
+                format!(
+                    "`{name}` must be true or false, not {}",
+                    other.type_description()
+                ),
             )),
         }
     }
--- a/src/policy/tests.rs
+++ b/src/policy/tests.rs
@@ -6,7 +6,7 @@
 }
 
 #[test]
-fn a_cut_off_holder_is_over_before_a_cancelled_task_must_be_gone() {
+fn an_isolated_holders_leases_expire_before_a_cancelled_task_must_have_ended() {
     let policy = Policy::built_in(&config());
     assert!(policy.block_lease_duration + config().worker_lease < config().cancel_within);
     assert!(policy.block_lease_duration > Duration::from_secs(20));
@@ -20,7 +20,7 @@
 }
 
 #[test]
-fn the_built_in_policy_holds_for_all_kinds_of_settings() {
+fn the_built_in_policy_is_valid_for_extreme_settings() {
     for (report, worker_lease, cancel) in [
         ("0.1", "0.2", "0.3"),
         ("60.0", "61.0", "62.0"),
@@ -37,12 +37,12 @@
 }
 
 #[test]
-fn a_file_changes_only_what_it_names() {
+fn a_file_changes_only_the_settings_that_it_names() {
     let text = "round_s = \"zones > 2.0 ? 4.0 : 2.0\"\nteam_share = \"team == 'red' ? 2.0 : cpus / 32.0\"\n\
                 headroom = 2\npreempt_for_guarantee = false\n";
     let policy = Policy::parse("p.toml", text, &config()).expect("valid");
     let built_in = Policy::built_in(&config());
-    assert_eq!(policy.round, Duration::from_secs(4));
+    assert_eq!(policy.scaling_interval, Duration::from_secs(4));
     assert_eq!(policy.team_shares[&Team::from("red")], 2.0);
     assert_eq!(policy.team_shares[&Team::from("blue")], 1.0);
     assert!(!policy.preempt_for_guarantee && policy.preempt_for_priority);
@@ -51,8 +51,8 @@
             headroom: 1.0,
             ..policy
         }
-        .least_rental,
-        built_in.least_rental
+        .min_rental,
+        built_in.min_rental
     );
 }
 
@@ -63,7 +63,7 @@
 }
 
 #[test]
-fn what_is_wrong_is_told_with_its_place() {
+fn errors_name_the_path_line_and_column() {
     let cases = [
         (
             "\nround = \"1.0\"",
--- a/src/provisioning/cloud_requests.rs
+++ b/src/provisioning/cloud_requests.rs
@@ -299,7 +299,7 @@
             pending_rental.zone.clone(),
         );
         self.unavailable
-            .mark_unavailable(now, pool, policy.stockout_memory);
+            .mark_unavailable(now, pool, policy.unavailable_capacity_ttl);
     }
 
     fn process_machine_list(
--- a/src/provisioning/scaling_round.rs
+++ b/src/provisioning/scaling_round.rs
@@ -96,7 +96,7 @@
         let ProvisioningContext {
             now, leader, cache, ..
         } = context;
-        let too_early = |at| since(now, at) < leader.policy.round;
+        let too_early = |at| since(now, at) < leader.policy.scaling_interval;
         if !cache.covers(self.term_started_at) || self.last_scaling_round.is_some_and(too_early) {
             return None;
         }
@@ -320,13 +320,12 @@
             cache,
             demand,
         } = context;
-        let min_rental_ms =
-            u64::try_from(leader.policy.least_rental.as_millis()).unwrap_or(u64::MAX);
+        let min_rental_ms = u64::try_from(leader.policy.min_rental.as_millis()).unwrap_or(u64::MAX);
         let boot_s = leader
             .catalog
             .get(&pool.type_name)
             .map_or(0.0, |instance_type| instance_type.boot_s.0);
-        let min_idle_time = Duration::from_secs_f64(boot_s * leader.policy.idle_boots);
+        let min_idle_time = Duration::from_secs_f64(boot_s * leader.policy.min_idle_boot_times);
         let is_idle_long_enough = |id: &MachineId| {
             self.machines
                 .idle_for(now, id)
