--- a/src/placement/mod.rs
+++ b/src/placement/mod.rs
@@ -36,17 +36,17 @@
 }
 
 impl Candidate {
-    /// A machine of which the resources `taken` are in use.
+    /// A machine of which the resources `used` are in use.
     pub fn new(
         id: &MachineId,
         machine: &Machine,
         instance_type: &InstanceType,
-        taken: &Resources,
+        used: &Resources,
         images: Vec<Image>,
     ) -> Self {
         let size = instance_type.resources();
         let mut free = size;
-        free.take(taken);
+        free.take(used);
         Candidate {
             machine: id.clone(),
             type_name: machine.type_name.clone(),
@@ -70,15 +70,17 @@
 
 /// The best machine with enough free resources for one task of the job, or `None` if there is none.
 ///
-/// `zone_open` says whether one more task of the job may go to a zone.
+/// `allows_task_in_zone` says whether one more task of the job may go to a zone.
 pub fn best_candidate<'c>(
     candidates: impl Iterator<Item = &'c Candidate>,
     job: &Job,
-    zone_open: impl Fn(&Zone) -> bool,
+    allows_task_in_zone: impl Fn(&Zone) -> bool,
 ) -> Option<&'c Candidate> {
     candidates
         .filter(|candidate| {
-            candidate.free.fits(&job.need) && candidate.allows(job) && zone_open(&candidate.zone)
+            candidate.free.fits(&job.need)
+                && candidate.allows(job)
+                && allows_task_in_zone(&candidate.zone)
         })
         .min_by(|a, b| {
             rank(a, job)
--- a/src/placement/tests.rs
+++ b/src/placement/tests.rs
@@ -29,7 +29,7 @@
     }
 }
 
-fn machine(name: &str, capacity_type: CapacityType, free: f64, images: &[&str]) -> Candidate {
+fn candidate(name: &str, capacity_type: CapacityType, free: f64, images: &[&str]) -> Candidate {
     Candidate {
         machine: name.into(),
         type_name: "small".into(),
@@ -51,49 +51,60 @@
 }
 
 #[test]
-fn images_first_then_the_tightest_fit_and_never_a_forbidden_machine() {
-    let mut list = vec![
-        machine("m-1", CapacityType::OnDemand, 8.0, &[]),
-        machine("m-2", CapacityType::OnDemand, 4.0, &[]),
-        machine("m-3", CapacityType::OnDemand, 1.0, &["img"]),
-        machine("m-4", CapacityType::Spot, 4.0, &["img"]),
+fn cached_images_rank_before_best_fit_and_disallowed_machines_are_excluded() {
+    let mut candidates = vec![
+        candidate("m-1", CapacityType::OnDemand, 8.0, &[]),
+        candidate("m-2", CapacityType::OnDemand, 4.0, &[]),
+        candidate("m-3", CapacityType::OnDemand, 1.0, &["img"]),
+        candidate("m-4", CapacityType::Spot, 4.0, &["img"]),
     ];
-    let chosen = |list: &[Candidate], job: &Job| {
-        best_candidate(list.iter(), job, |_| true).map(|c| c.machine.clone())
+    let chosen = |candidates: &[Candidate], job: &Job| {
+        best_candidate(candidates.iter(), job, |_| true).map(|candidate| candidate.machine.clone())
     };
-    let mut work = job(1, 2.0);
-    assert_eq!(chosen(&list, &work), Some("m-2".into()));
-    list.push(machine("m-5", CapacityType::OnDemand, 8.0, &["img"]));
-    assert_eq!(chosen(&list, &work), Some("m-5".into()));
-    work.spot = true;
-    assert_eq!(chosen(&list, &work), Some("m-4".into()));
-    let mut ranking = Ranking::new(&list, &work, |_| true, |_| false);
-    let first = ranking.best(&list, &work).map(|c| c.machine.clone());
+    let mut wanted_job = job(1, 2.0);
+    assert_eq!(chosen(&candidates, &wanted_job), Some("m-2".into()));
+    candidates.push(candidate("m-5", CapacityType::OnDemand, 8.0, &["img"]));
+    assert_eq!(chosen(&candidates, &wanted_job), Some("m-5".into()));
+    wanted_job.spot = true;
+    assert_eq!(chosen(&candidates, &wanted_job), Some("m-4".into()));
+    let mut ranking = Ranking::new(&candidates, &wanted_job, |_| true, |_| false);
+    let first = ranking
+        .best(&candidates, &wanted_job)
+        .map(|candidate| candidate.machine.clone());
     assert_eq!(first, Some("m-4".into()));
-    list[3].free.cpus = 1.0;
+    candidates[3].free.cpus = 1.0;
     assert_eq!(
-        ranking.best(&list, &work).map(|c| c.machine.clone()),
+        ranking
+            .best(&candidates, &wanted_job)
+            .map(|candidate| candidate.machine.clone()),
         Some("m-5".into())
     );
-    work.zone = Some("b".into());
-    assert_eq!(chosen(&list, &work), None);
-    assert!(best_candidate(list.iter(), &job(1, 2.0), |_| false).is_none());
+    wanted_job.zone = Some("b".into());
+    assert_eq!(chosen(&candidates, &wanted_job), None);
+    assert!(best_candidate(candidates.iter(), &job(1, 2.0), |_| false).is_none());
 }
 
 #[test]
-fn a_machine_that_is_avoided_is_taken_only_when_there_is_room_nowhere_else() {
-    let mut list = vec![
-        machine("m-1", CapacityType::OnDemand, 8.0, &["img"]),
-        machine("m-2", CapacityType::OnDemand, 8.0, &[]),
+fn an_avoided_machine_is_chosen_only_if_no_other_has_capacity() {
+    let mut candidates = vec![
+        candidate("m-1", CapacityType::OnDemand, 8.0, &["img"]),
+        candidate("m-2", CapacityType::OnDemand, 8.0, &[]),
     ];
-    let work = job(1, 2.0);
-    let best = |list: &[Candidate]| {
-        let mut ranking = Ranking::new(list, &work, |_| true, |c| c.machine == "m-1".into());
-        ranking.best(list, &work).map(|c| c.machine.clone())
+    let wanted_job = job(1, 2.0);
+    let best_machine = |candidates: &[Candidate]| {
+        let mut ranking = Ranking::new(
+            candidates,
+            &wanted_job,
+            |_| true,
+            |candidate| candidate.machine == "m-1".into(),
+        );
+        ranking
+            .best(candidates, &wanted_job)
+            .map(|candidate| candidate.machine.clone())
     };
-    assert_eq!(best(&list), Some("m-2".into()));
-    list[1].free.cpus = 0.0;
-    assert_eq!(best(&list), Some("m-1".into()));
-    let mut ranking = Ranking::new(&list, &work, |_| false, |_| false);
-    assert!(ranking.best(&list, &work).is_none());
+    assert_eq!(best_machine(&candidates), Some("m-2".into()));
+    candidates[1].free.cpus = 0.0;
+    assert_eq!(best_machine(&candidates), Some("m-1".into()));
+    let mut ranking = Ranking::new(&candidates, &wanted_job, |_| false, |_| false);
+    assert!(ranking.best(&candidates, &wanted_job).is_none());
 }
