--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -119,7 +119,7 @@
     pub fn parse(path: &str, text: &str, config: &Config) -> Result<Self, PolicyError> {
         let mut entries = parse_entries("built-in policy", BUILT_IN, None)?;
         let known_settings: Vec<String> = entries.keys().cloned().collect();
-        entries.extend(parse_entries(path, text, Some(&known_settings))?);
+        entries.extend(self::parse_entries(path, text, Some(&known_settings))?);
         let values = PolicyValues {
             entries,
             variables: variables(config),
