--- a/src/provisioning/boot_times.rs
+++ b/src/provisioning/boot_times.rs
@@ -1,26 +1,26 @@
-//! How long machines of a type take to boot, as measured.
+//! Estimates of how long machines of a type take to boot.
 //!
-//! Owned by the boot tracker, which reports each machine that came up and the ages of those that have not. All times are
-//! from the cloud's grant to the worker's first report.
+//! Owned by the boot tracker, which reports each machine that came up and the ages of those still booting. All times
+//! are measured from the cloud's grant to the worker's first report.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
 
 use crate::domain::InstanceTypeName;
 
-/// The boots that an estimate rests on: the last ones.
+/// Number of latest boots that an estimate is based on.
 const MAX_SAMPLES: usize = 21;
-/// The advertised boot time counts as so many boots, so that the first few measured ones don't decide alone.
+/// The advertised boot time counts as this many boots, so that the first few measured ones don't decide alone.
 const ADVERTISED_TIME_WEIGHT: usize = 3;
-/// A machine that takes more than this many times as long as expected is late.
+/// A machine is overdue after this many times the expected boot time.
 const OVERDUE_FACTOR: f64 = 2.0;
-/// A machine that takes more than this many times as long as expected, and [`TIMEOUT_MARGIN`] more, never comes up.
+/// A machine is assumed never to come up after this many times the expected boot time plus [`TIMEOUT_MARGIN`].
 const TIMEOUT_FACTOR: f64 = 3.0;
-/// Added to that, for short boot times.
+/// Added to the timeout for the sake of short boot times.
 const TIMEOUT_MARGIN: Duration = Duration::from_secs(10);
 
-/// Boot times by machine type. An estimate is a median, so that a few machines that come up late, at once or never don't
-/// move it, while it follows as soon as most of them do.
+/// Boot times by instance type. An estimate is a median, so that a few machines that come up late, immediately or
+/// never don't change it, while it follows as soon as most of them do.
 #[derive(Debug, Default)]
 pub(super) struct BootTimes {
     samples: BTreeMap<InstanceTypeName, VecDeque<Duration>>,
@@ -28,7 +28,7 @@
 }
 
 impl BootTimes {
-    /// Notes that a machine has come up.
+    /// Records the boot time of a machine that came up.
     pub(super) fn record(&mut self, type_name: &InstanceTypeName, boot_time: Duration) {
         let type_samples = self.samples.entry(type_name.clone()).or_default();
         type_samples.push_back(boot_time);
@@ -37,9 +37,9 @@
         }
     }
 
-    /// Updates the estimate for a type. `booting`: the ages of its machines that are not up yet. They are known to take
-    /// at least that long, which counts as soon as it is longer than usual: when all machines are late, none has to come
-    /// up before that is noticed.
+    /// Updates the estimate for a type. `booting_ages`: the ages of its machines that are not up yet. A machine takes
+    /// at least its age to boot, so ages above the measured median are added to the samples. The estimate therefore
+    /// rises when all machines are slow, before any of them comes up.
     pub(super) fn update(
         &mut self,
         type_name: &InstanceTypeName,
@@ -61,13 +61,13 @@
             .insert(type_name.clone(), median(&mut boot_times));
     }
 
-    /// The boot time to expect; the advertised one as long as nothing is known.
+    /// The expected boot time, or the advertised one if there is no estimate yet.
     pub(super) fn expected(&self, type_name: &InstanceTypeName, advertised: Duration) -> Duration {
         self.expected.get(type_name).copied().unwrap_or(advertised)
     }
 
-    /// Whether a machine of this age that is not up should no longer be waited for when machines are short. It may come
-    /// up all the same.
+    /// Whether a machine of this age that is not up is overdue: when machines are short, a replacement is requested.
+    /// The machine may still come up.
     pub(super) fn is_overdue(
         &self,
         type_name: &InstanceTypeName,
@@ -79,7 +79,7 @@
             .mul_f64(OVERDUE_FACTOR)
     }
 
-    /// Whether a machine of this age that is not up never will be.
+    /// Whether a machine of this age that is not up is assumed never to come up.
     pub(super) fn has_timed_out(
         &self,
         type_name: &InstanceTypeName,
@@ -92,7 +92,8 @@
             + TIMEOUT_MARGIN
     }
 
-    /// Boots that were quick for a while are no reason to give up one that takes its usual time.
+    /// The expected boot time, but at least the advertised one: after a series of quick boots, a machine that takes
+    /// the advertised time must not be given up.
     fn conservative_estimate(
         &self,
         type_name: &InstanceTypeName,
--- a/src/provisioning/boot_times/tests.rs
+++ b/src/provisioning/boot_times/tests.rs
@@ -1,4 +1,4 @@
-//! The estimate of boot times under late and lost machines.
+//! Tests of the boot time estimate with overdue and lost machines.
 
 use super::*;
 
@@ -8,7 +8,7 @@
     Duration::from_secs(count)
 }
 
-/// Boot times after these boots, with machines of these ages still booting.
+/// Returns the boot times after these boots, with machines of these ages still booting.
 fn times_after(boots: &[u64], booting_ages: &[u64]) -> (BootTimes, InstanceTypeName) {
     let name = InstanceTypeName::from("large");
     let mut times = BootTimes::default();
@@ -46,7 +46,7 @@
     assert_eq!(
         expected_seconds(&boots, &[5; 40]),
         25,
-        "machines that are not overdue say nothing"
+        "ages below the measured median do not change the estimate"
     );
 }
 
@@ -57,7 +57,7 @@
     let (times, name) = times_after(&boots, &[60; 30]);
     assert!(
         !times.is_overdue(&name, ADVERTISED, seconds(60)),
-        "they are still counted as on order"
+        "machines within the raised estimate are not overdue"
     );
     assert!(!times.has_timed_out(&name, ADVERTISED, seconds(150)));
 }
@@ -85,7 +85,8 @@
     assert_eq!(overdue_and_timed_out(86), (true, true));
 }
 
-/// Machines that were up within a second for a while made one that took its usual time look lost.
+/// A machine that booted in the advertised time was taken for lost because the machines before it had booted within a
+/// second.
 #[test]
 fn a_machine_within_the_advertised_time_is_not_overdue_after_quick_boots() {
     let (times, name) = times_after(&[1; 30], &[]);
--- a/src/provisioning/boot_tracker.rs
+++ b/src/provisioning/boot_tracker.rs
@@ -1,6 +1,6 @@
-//! Machines that boot: how long they take, and which of them take too long.
+//! Tracks booting machines: measures their boot times and finds machines that take too long.
 //!
-//! Called by the observation of machines in each plan, and by the cloud's response that granted them.
+//! Called when the machines are observed in each plan, and when the cloud grants machines.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::time::{Duration, Instant};
@@ -13,25 +13,25 @@
 use crate::domain::{InstanceTypeName, MachineId, Now, since};
 use crate::store::WatchCache;
 
-/// Taken for the boot time of a type that the cloud no longer lists.
+/// The boot time assumed for a type that the cloud no longer lists.
 const DEFAULT_BOOT_TIME: Duration = Duration::from_secs(30);
-/// A granted machine is recorded within this time, or was terminated.
+/// How long the grant of an unrecorded machine is kept: a granted machine is recorded within this time, or was
+/// terminated.
 const UNRECORDED_BOOT_RETENTION: Duration = Duration::from_secs(60);
 
-/// The machines that boot, and the boot times measured.
+/// The booting machines and the measured boot times.
 #[derive(Debug, Default)]
 pub(super) struct BootTracker {
     boot_times: BootTimes,
-    /// When machines were granted that are not up yet. Of others, an earlier leader's or found up, that is not known well
-    /// enough to measure their boot.
+    /// When machines that are not up yet were granted. Machines that an earlier leader rented or that were found up
+    /// are not included: their grant time is not known well enough to measure the boot.
     granted_at: HashMap<MachineId, Instant>,
-    /// Machines that take so long to come up that others are requested in their place. They are used if they come up all
-    /// the same.
+    /// Machines whose boot is overdue, so that replacements may be requested. They are used if they come up after all.
     overdue: BTreeSet<MachineId>,
 }
 
 impl BootTracker {
-    /// Notes machines that the cloud has granted just now.
+    /// Records machines that the cloud has just granted.
     pub(super) fn record_granted(&mut self, now: Now, machines: &[MachineId]) {
         let granted = machines
             .iter()
@@ -39,7 +39,7 @@
         self.granted_at.extend(granted);
     }
 
-    /// Forgets machines that are gone.
+    /// Drops machines that are not recorded, newly granted ones only after [`UNRECORDED_BOOT_RETENTION`].
     pub(super) fn retain_recorded(&mut self, now: Now, cache: &WatchCache) {
         self.granted_at.retain(|id, granted| {
             cache.machines.contains_key(id) || since(now, *granted) < UNRECORDED_BOOT_RETENTION
@@ -47,7 +47,7 @@
         self.overdue.retain(|id| cache.machines.contains_key(id));
     }
 
-    /// Notes that a machine is up.
+    /// Records that a machine is up.
     pub(super) fn record_up(&mut self, now: Now, id: &MachineId, type_name: &InstanceTypeName) {
         self.overdue.remove(id);
         if let Some(granted) = self.granted_at.remove(id) {
@@ -55,7 +55,7 @@
         }
     }
 
-    /// Updates the expected boot times, and finds the machines that are late. Failed machines count no longer.
+    /// Updates the expected boot times and finds the overdue machines. Failed machines are ignored.
     pub(super) fn update(
         &mut self,
         now: Now,
@@ -88,12 +88,12 @@
         }
     }
 
-    /// Whether the machine takes so long to boot that another may be requested in its place.
+    /// Whether the machine's boot is overdue, so that a replacement may be requested.
     pub(super) fn is_overdue(&self, id: &MachineId) -> bool {
         self.overdue.contains(id)
     }
 
-    /// Whether a machine of that age that is not up yet will never be.
+    /// Whether a machine of this age that is not up yet is assumed never to come up.
     pub(super) fn has_timed_out(
         &self,
         catalog: &InstanceCatalog,
@@ -106,7 +106,7 @@
         self.boot_times.has_timed_out(type_name, advertised, age)
     }
 
-    /// The boot time to expect of a type.
+    /// The expected boot time of an instance type.
     pub(super) fn expected_boot_time(&self, instance_type: &InstanceType) -> Duration {
         self.boot_times
             .expected(&instance_type.name, instance_type.boot_time())
--- a/src/provisioning/cloud_rate_limiter.rs
+++ b/src/provisioning/cloud_rate_limiter.rs
@@ -1,16 +1,15 @@
 //! The rate limit for the provisioner's requests to the cloud, as a token bucket.
 //!
-//! Each request needs a permit first. The bucket belongs to the provisioner of one term: a new leader starts with one
-//! permit.
+//! Each request takes a token. The bucket belongs to the provisioner of one term: a new leader starts with one token.
 
 use std::time::Instant;
 
 use crate::domain::{Now, since};
 
-/// The part of the cloud's request rate that the leader uses; the rest is left for other controllers' requests.
+/// Fraction of the cloud's request rate that the leader uses; the rest is left for requests of other controllers.
 const PROVISIONER_RATE_SHARE: f64 = 0.8;
 
-/// Permits for requests, refilled over time up to those of one second.
+/// A bucket that is refilled over time up to the tokens of one second.
 #[derive(Debug)]
 pub(super) struct CloudRateLimiter {
     tokens: f64,
@@ -18,7 +17,7 @@
 }
 
 impl CloudRateLimiter {
-    /// A bucket with one permit.
+    /// Creates a bucket with one token.
     pub(super) fn new(now: Now) -> Self {
         CloudRateLimiter {
             tokens: 1.0,
@@ -26,7 +25,7 @@
         }
     }
 
-    /// Takes a permit if there is one. `requests_per_second`: the requests in a second that the cloud allows.
+    /// Takes a token if there is one. `requests_per_second`: the rate that the cloud allows.
     pub(super) fn try_acquire(&mut self, now: Now, requests_per_second: f64) -> bool {
         let refill = since(now, self.refilled_at).as_secs_f64()
             * requests_per_second
--- a/src/provisioning/cloud_requests.rs
+++ b/src/provisioning/cloud_requests.rs
@@ -1,8 +1,8 @@
-//! The provisioner's requests to the cloud and what their responses change.
+//! The provisioner's requests to the cloud, and the handling of their responses.
 //!
-//! Requests follow from the records: each recorded rental is (again) requested under its name until its result is
-//! recorded, and each machine that is failed or being returned is (again) terminated. So a request that is lost, repeated
-//! or sent by an earlier leader does no harm. Each request takes a call permit.
+//! Requests follow from the records: a recorded rental is requested under its name until its result is recorded, and a
+//! machine that is failed or returning is terminated until its removal is recorded. A request that is lost, repeated
+//! or sent by an earlier leader therefore does no harm. All requests are subject to the rate limit.
 
 use std::time::{Duration, Instant};
 
@@ -18,17 +18,17 @@
 use crate::store::records::{MachineState, PendingRental};
 use crate::workers::wire::Heartbeat;
 
-/// The protocol's limit for one termination request.
+/// Limit of the cloud's protocol for the machines of one termination request.
 const MAX_MACHINES_PER_TERMINATION: usize = 100;
-/// How often the cloud's machines are listed.
+/// Interval at which the cloud's machines are listed.
 const LIST_INTERVAL: Duration = Duration::from_secs(10);
 
-/// What a request to the cloud was sent for. It comes back with the response.
+/// The purpose of a request to the cloud. It is returned with the response.
 #[derive(Debug, Clone, PartialEq)]
 pub enum CloudRequestPurpose {
-    /// To read the instance types.
+    /// Reads the instance types.
     RefreshCatalog,
-    /// To carry out a recorded rental.
+    /// Carries out a recorded rental.
     ScaleOut {
         /// The instance type, which is the key of the rental's record.
         type_name: InstanceTypeName,
@@ -37,44 +37,44 @@
         /// The version of its record.
         version: u64,
     },
-    /// To terminate these machines.
+    /// Terminates these machines.
     Terminate(Vec<MachineId>),
-    /// To terminate machines whose cancelled tasks must stop, by whichever controller.
+    /// Terminates machines whose cancelled tasks must stop. Any controller may send it.
     TerminateForCancellation,
-    /// To find machines that nobody has recorded, and workers' addresses.
+    /// Finds unrecorded machines and the addresses of workers.
     ListMachines,
 }
 
-/// How far the scale-out of an instance type is. One that has no state is to be requested as soon as it is recorded, but
-/// not before its time for a retry.
+/// The progress of the scale-out of an instance type. A recorded rental without a state is requested as soon as its
+/// retry delay, if any, has passed.
 #[derive(Debug)]
 pub(super) enum ScaleOutState {
-    /// The request is sent.
+    /// The request was sent.
     InFlight,
-    /// The cloud has granted or denied it.
+    /// The cloud has granted or denied the request.
     Fulfilled(FulfilledScaleOut),
 }
 
-/// A scale-out that the cloud has answered, until its machines are recorded.
+/// The result of a scale-out request, kept until its machines are recorded.
 #[derive(Debug)]
 pub(super) struct FulfilledScaleOut {
     pub(super) pending_rental: PendingRental,
-    /// The version of the record of the rental.
+    /// The version of the rental's record.
     pub(super) version: u64,
-    /// The machines granted: fewer than requested, or none, if there was no more capacity.
+    /// The granted machines: fewer than requested, or none, if the cloud had no more capacity.
     pub(super) machines: Vec<MachineId>,
 }
 
-/// How far the listing of the cloud's machines is.
+/// The progress of the listing of the cloud's machines.
 #[derive(Debug, Default)]
 pub(super) struct MachineListing {
     in_flight: bool,
     last_request_at: Option<Instant>,
-    /// Where the next page begins, if the last one was not the end of the list.
+    /// The last machine of the previous page, if it was not the end of the list.
     next_page_after: Option<MachineId>,
 }
 
-/// A machine that the cloud lists or that reports, but that nobody has recorded.
+/// A machine that is listed by the cloud or reports, but is not recorded.
 #[derive(Debug)]
 pub(super) struct UnrecordedMachine {
     pub(super) listed: ListedMachine,
@@ -82,7 +82,7 @@
 }
 
 impl Provisioner {
-    /// The requests that the records call for and that the cloud's rate limit allows now.
+    /// Returns the requests that the records call for and that the cloud's rate limit allows now.
     pub fn cloud_requests(
         &mut self,
         now: Now,
@@ -90,7 +90,7 @@
         cache: &WatchCache,
         demand: &Demand,
     ) -> Vec<(CloudRequestPurpose, CloudRequest)> {
-        // An earlier leader's writes must be seen first.
+        // The local copy must contain the writes of earlier leaders.
         if !cache.covers(self.term_started_at) {
             return Vec::new();
         }
@@ -191,7 +191,7 @@
         ))
     }
 
-    /// Takes in the cloud's response to a request of [`Provisioner::cloud_requests`].
+    /// Handles the cloud's response to a request of [`Provisioner::cloud_requests`].
     pub fn handle_cloud_response(
         &mut self,
         now: Now,
@@ -228,7 +228,7 @@
                 self.process_machine_list(now, config, cache, list);
             }
             (CloudRequestPurpose::ListMachines, _) => self.listing.in_flight = false,
-            // Not the provisioner's own.
+            // Sent by other modules.
             (
                 CloudRequestPurpose::RefreshCatalog | CloudRequestPurpose::TerminateForCancellation,
                 _,
@@ -267,7 +267,7 @@
                 Vec::new()
             }
             _ => {
-                // A late response to a request of an earlier term must not hide what was granted since.
+                // A late response to a request of an earlier term must not discard machines that were granted since.
                 if let Some(ScaleOutState::InFlight) = self.scale_outs.get(type_name) {
                     self.scale_outs.remove(type_name);
                 }
@@ -285,7 +285,7 @@
             .insert(type_name.clone(), ScaleOutState::Fulfilled(fulfilled));
     }
 
-    /// Notes that the cloud has no more machines of a type where they were requested.
+    /// Marks the type, zone and capacity type of a rental as unavailable.
     pub(super) fn mark_unavailable(
         &mut self,
         now: Now,
@@ -320,14 +320,15 @@
             } else if since(now, self.term_started_at) > config.list_lag * 3
                 && listed.age_s.0 > config.list_lag.as_secs_f64()
             {
-                // What an earlier leader terminated is listed a while longer; only what stays is unrecorded.
+                // Machines terminated by an earlier leader stay listed for a while; only machines that are listed for
+                // longer are unrecorded.
                 self.add_unrecorded_machine(now, listed);
             }
         }
     }
 
-    /// Takes in the heartbeat of a worker whose machine nobody has recorded: a scale-out that was carried out late, or a
-    /// machine that was there before this cluster.
+    /// Handles the heartbeat of a worker whose machine is not recorded: the machine was granted by a delayed
+    /// scale-out, or existed before this cluster.
     pub fn observe_unrecorded_machine(&mut self, now: Now, heartbeat: &Heartbeat) {
         let listed = ListedMachine {
             id: heartbeat.machine.clone(),
--- a/src/provisioning/demand.rs
+++ b/src/provisioning/demand.rs
@@ -1,20 +1,20 @@
-//! What the scheduler tells the provisioner: the demand for machines of each pool, the run times measured in it,
-//! and what the controllers report about each machine.
+//! The scheduler's input to the provisioner: the demand for machines and the measured run times of each pool, and the
+//! health of each machine as reported by the controllers.
 //!
-//! The scheduler fills these in once in each plan; the provisioner only reads them.
+//! The scheduler fills it in once in each plan; the provisioner only reads it.
 
 use std::collections::{BTreeMap, HashSet};
 use std::time::Duration;
 
 use crate::domain::{CapacityType, InstanceTypeName, MachineId, Resources, Zone};
 
-/// Machines that are rented, priced and run out alike: those of one instance type and capacity type. The scale-out
-/// rule is applied to each pool by itself.
+/// The machines of one instance type and capacity type, which share their price and availability. The scale-out rule
+/// is applied to each pool separately.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct MachinePool {
     /// The instance type of all its machines.
     pub type_name: InstanceTypeName,
-    /// Whether they are spot or on-demand machines.
+    /// Whether its machines are spot or on-demand.
     pub capacity_type: CapacityType,
 }
 
@@ -35,12 +35,12 @@
     }
 }
 
-/// The machines of a pool in one zone: capacity runs out and is returned by zone.
+/// The machines of a pool in one zone. Capacity runs out and is returned by zone.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ZonedPool {
-    /// The pool of which only one zone is meant.
+    /// The pool.
     pub pool: MachinePool,
-    /// That zone.
+    /// The zone.
     pub zone: Zone,
 }
 
@@ -55,38 +55,38 @@
     }
 }
 
-/// How long tasks have run in a pool, and how many of them have ended. The mean run time is the total over the tasks
-/// that ended, so that tasks that still run count too.
+/// The run times of a pool's tasks. The mean run time is the total divided by the number of ended tasks, so running
+/// tasks count as well.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct RunTimes {
-    /// The run times of all tasks of the pool, of those still running as well, summed.
+    /// Sum of the run times of all tasks of the pool, including running ones.
     pub total: Duration,
-    /// Tasks that have ended.
+    /// Number of tasks that have ended.
     pub ended: u32,
 }
 
-/// The demand for machines, as the scheduler counts it in each plan.
+/// The demand for machines, computed by the scheduler in each plan.
 #[derive(Debug, Default)]
 pub struct Demand {
-    /// Resources used and asked for in each pool, in machines.
+    /// Resources used and requested in each pool, in machines.
     pub machines: BTreeMap<MachinePool, f64>,
-    /// The part of it that waits and can only run in that zone, in machines.
+    /// The part of `machines` that is requested by waiting tasks which can only run in this zone, in machines.
     pub pinned: BTreeMap<ZonedPool, f64>,
-    /// Machines with tasks that are placed on them or released to them.
+    /// Machines that have tasks placed on or released to them.
     pub occupied: HashSet<MachineId>,
-    /// The run times measured in each pool.
+    /// The measured run times of each pool.
     pub run_times: BTreeMap<MachinePool, RunTimes>,
-    /// The smallest amounts that any open job's task asks for.
+    /// The smallest amount of each resource that any waiting task requests.
     pub smallest_task: Option<Resources>,
 }
 
 impl Demand {
-    /// Adds a demand of that many machines to a pool.
+    /// Adds a demand for machines to a pool.
     pub fn add(&mut self, pool: MachinePool, machines: f64) {
         *self.machines.entry(pool).or_default() += machines;
     }
 
-    /// Adds a demand of that many machines to a pool, all of it in one zone.
+    /// Adds a demand for machines to a pool that only one zone can meet.
     pub fn add_pinned(&mut self, pool: MachinePool, zone: Zone, machines: f64) {
         let zoned = ZonedPool {
             pool: pool.clone(),
@@ -103,7 +103,7 @@
     }
 }
 
-/// What the holders of block leases report about a machine.
+/// The health of a machine as reported by the holders of block leases.
 #[derive(Debug, Clone, Copy, Default)]
 #[expect(
     clippy::struct_excessive_bools,
@@ -112,13 +112,13 @@
 pub struct MachineHealth {
     /// Its worker has reported at least once.
     pub has_reported: bool,
-    /// Its worker has not reported for longer than `worker_timeout_after_failed_probe`.
+    /// Its worker has not reported for longer than `worker_timeout_after_failed_probe` of the policy.
     pub unresponsive: bool,
     /// Tasks of several jobs fail on it.
     pub faulty: bool,
-    /// Its worker reported lately, and it is fit for new tasks.
+    /// Its worker reported recently, and the machine can take new tasks.
     pub usable: bool,
-    /// Its holder receives reports of hardly any of its machines, but other controllers receive this one's: it is the
-    /// holder that is cut off.
+    /// Its holder receives heartbeats from hardly any of its machines, but other controllers receive them from this
+    /// one: the holder is isolated, not the machine.
     pub holder_isolated: bool,
 }
--- a/src/provisioning/inventory_edits.rs
+++ b/src/provisioning/inventory_edits.rs
@@ -1,9 +1,9 @@
-//! Changes to inventories, gathered so that each value is written once, and the choice of the block that a machine
-//! goes to.
+//! Collects changes to inventories, so that each value is written once, and chooses the block to which a machine is
+//! added.
 //!
-//! Made anew for each transaction of the provisioner, from the local copy of the records; [`InventoryEdits::apply`] turns
-//! it into changes of that transaction, each conditioned on the version that was read. Invariant: it never touches more
-//! values than its limit.
+//! Created for each transaction of the provisioner from the local copy of the records; [`InventoryEdits::apply`] turns
+//! the edits into changes of that transaction, each conditioned on the version that was read. Invariant: the edits
+//! never change more values than their limit.
 
 use std::collections::{BTreeMap, HashMap};
 
@@ -19,40 +19,42 @@
 };
 use crate::store::{Transaction, WatchCache};
 
-/// Room left in each part of an inventory, in bytes.
+/// Space that is left free in each part of an inventory, in bytes.
 const PART_RESERVE_BYTES: usize = 64;
-/// What one placed task takes of its block's value, in bytes.
+/// Size of a placed task in its block's value, in bytes.
 const PLACED_TASK_BYTES: f64 = 22.0;
-/// The most tasks that are reckoned with on one machine.
+/// Upper limit for the number of tasks expected on a machine.
 const MAX_EXPECTED_TASKS: f64 = 32.0;
 
 /// Changes to inventories that are not yet written.
 pub(super) struct InventoryEdits<'a> {
     cache: &'a WatchCache,
     inventories: BTreeMap<(BlockId, Part), MachineInventory>,
-    /// Values that one transaction may change.
+    /// Maximum number of values that the transaction may change.
     max_values: usize,
-    /// What one of them may measure; None: blocks are not divided yet.
+    /// Maximum size of a value; None: blocks are not divided into parts yet.
     max_part_bytes: Option<usize>,
-    /// The blocks of each zone, and how full each is for its value: by its machines, and by the tasks they may get.
+    /// The blocks of each zone with their fill: the fraction of the block's values that its machines and the tasks
+    /// expected on them use.
     block_fill: BTreeMap<Zone, BTreeMap<BlockId, f64>>,
     block_value_bytes: f64,
-    /// The tasks to expect on a machine of each type.
+    /// The number of tasks expected on a machine of each type.
     tasks_per_machine: HashMap<InstanceTypeName, f64>,
 }
 
-/// How full a block may be of what its machines may hold before a new one is opened: what a value can't hold can't
-/// be placed. The rest is for finished tasks of arrays that are spread over many blocks.
+/// Maximum fill of a block before a new one is opened: tasks that don't fit into its value can't be placed. The rest
+/// is left for finished tasks of arrays that are spread over many blocks.
 const MAX_BLOCK_FILL: f64 = 0.7;
-/// Tasks expected on a machine before there are any to go by.
+/// Number of tasks expected on a machine while no tasks are known.
 const DEFAULT_TASKS_PER_MACHINE: f64 = 4.0;
-/// From so many machines of a type on, their tasks tell how many to expect.
+/// Number of machines of a type from which on their observed tasks are used for the estimate.
 const MIN_OBSERVED_MACHINES: usize = 10;
-/// Tasks to expect are those observed times this.
+/// The estimate is the observed number of tasks multiplied by this factor.
 const OBSERVED_TASKS_FACTOR: f64 = 1.25;
 
 impl<'a> InventoryEdits<'a> {
-    /// No edits yet. At most as many values may be changed as one transaction takes beside the leader's condition.
+    /// Creates an empty set of edits. They may change as many values as one transaction takes in addition to the
+    /// leader's condition.
     pub(super) fn new(leader: &LeaderContext<'_>, cache: &'a WatchCache, demand: &Demand) -> Self {
         let LeaderContext {
             config,
@@ -90,7 +92,7 @@
         edits
     }
 
-    /// Edits that change at most `max_values` values.
+    /// Creates an empty set of edits that change at most `max_values` values.
     pub(super) fn with_limit(
         leader: &LeaderContext<'_>,
         cache: &'a WatchCache,
@@ -103,7 +105,7 @@
         }
     }
 
-    /// The part of a block's values that a machine may come to need.
+    /// Returns the fraction of a block's values that a machine and its tasks may use.
     fn fill_share(&self, id: &MachineId, entry: &InventoryEntry) -> f64 {
         let tasks = self
             .tasks_per_machine
@@ -114,8 +116,9 @@
         (entry.size(id) as f64).max(placements) / self.block_value_bytes
     }
 
-    /// Puts a machine into the emptiest block of its zone, or a new one if all are full. False: the transaction
-    /// has no room.
+    /// Adds a machine to the block of its zone with the lowest fill, or to a new block if all are full.
+    /// `reserved_values`: values of the transaction that are kept for other changes. Returns false if the transaction
+    /// can't change another value.
     pub(super) fn add(
         &mut self,
         zone: &Zone,
@@ -158,8 +161,9 @@
         true
     }
 
-    /// The part of a block that has room for a machine, or a new one: those that are changed anyway first. None: the
-    /// block has a single value, and is full.
+    /// Returns the part of a block that can hold another machine, preferably one that is edited already, or else a new
+    /// part. A block that is not divided yet only has the first part. Returns None if the machine does not fit into an
+    /// empty part either.
     fn part_for(&self, block: &BlockId, id: &MachineId, entry: &InventoryEntry) -> Option<Part> {
         let Some(max_bytes) = self.max_part_bytes else {
             return Some(FIRST_PART);
@@ -201,7 +205,8 @@
             .or_insert_with(recorded)
     }
 
-    /// Changes the inventory that a machine is in. False: the transaction has no room, or there is no such machine.
+    /// Edits the inventory that contains a machine. Returns false if the transaction can't change another value or the
+    /// machine is not recorded.
     pub(super) fn edit(
         &mut self,
         id: &MachineId,
@@ -222,7 +227,8 @@
         true
     }
 
-    /// Sets the state of a recorded machine. False: the transaction has no room, or there is no such machine.
+    /// Sets the state of a recorded machine. Returns false if the transaction can't change another value or the
+    /// machine is not recorded.
     pub(super) fn set_state(&mut self, id: &MachineId, state: MachineState) -> bool {
         self.edit(id, |inventory| {
             if let Some(entry) = inventory.on.get_mut(id) {
@@ -231,8 +237,8 @@
         })
     }
 
-    /// Brings a value that is too large into parts that fit. Nothing else may be changed before that is done. None: there
-    /// is no such value.
+    /// Divides a value that is too large into parts that fit. Nothing else may be changed until the division is
+    /// finished. Returns None if no value is too large.
     pub(super) fn divide(&mut self) -> Option<Division> {
         let (block, oversized_part) = find_oversized_part(self.cache, self.max_part_bytes?)?;
         let parts = self.cache.inventory_parts(&block)?;
@@ -252,7 +258,7 @@
             let Some(part) = self.part_for(&block, id, entry) else {
                 break;
             };
-            // One change is left for the deletion.
+            // One change is reserved for the deletion of the oversized part.
             let already_edited = self.inventories.contains_key(&(block.clone(), part));
             if !already_edited && self.inventories.len() + 1 >= self.max_values {
                 return Some(Division {
@@ -270,12 +276,12 @@
         })
     }
 
-    /// Whether anything is changed.
+    /// Whether there are any edits.
     pub(super) fn has_edits(&self) -> bool {
         !self.inventories.is_empty()
     }
 
-    /// Adds the changes to a transaction, each on condition that its value is still the one that was read.
+    /// Adds the edits to a transaction, each on the condition that its value has not changed since it was read.
     pub(super) fn apply(self, mut txn: Transaction) -> Transaction {
         for ((block, part), inventory) in &self.inventories {
             let recorded = self
@@ -294,8 +300,8 @@
     }
 }
 
-/// How many tasks to expect on a machine of each type: those observed, if there are enough machines to go by, else as
-/// many of the smallest tasks as fit.
+/// Estimates how many tasks to expect on a machine of each type: based on the observed tasks if there are enough
+/// machines, otherwise as many of the smallest tasks as fit.
 fn expected_tasks_per_machine(
     catalog: &InstanceCatalog,
     cache: &WatchCache,
@@ -332,7 +338,7 @@
         .collect()
 }
 
-/// The first part of an inventory whose value is larger than this.
+/// Returns the first part of an inventory whose value is larger than `max_bytes`.
 pub(super) fn find_oversized_part(cache: &WatchCache, max_bytes: usize) -> Option<(BlockId, Part)> {
     cache.inventories.keys().find_map(|block| {
         let mut parts = cache.inventory_parts(block)?.iter();
@@ -341,9 +347,10 @@
     })
 }
 
-/// A value that is being brought into parts.
+/// The state of the division of an oversized part.
 pub(super) struct Division {
     pub(super) block: BlockId,
-    /// All that it holds is in other parts with this transaction, so that it can be deleted in it.
+    /// The oversized part, if this transaction completes the copies of its machines in other parts, so that it can be
+    /// deleted in the same transaction.
     pub(super) finished: Option<Part>,
 }
--- a/src/provisioning/inventory_writes.rs
+++ b/src/provisioning/inventory_writes.rs
@@ -1,8 +1,8 @@
-//! The provisioner's writes to inventories: machines that were granted, terminated, found unrecorded, or whose state
-//! operators want changed, and values that are too large.
+//! The provisioner's writes to inventories: machines that were granted, terminated or found unrecorded, machine states
+//! requested by operators, and the division of values that are too large.
 //!
-//! Each function returns one transaction, conditioned on the leader's record by its caller, or None if there is nothing
-//! of its kind to write. The caller sends one at a time, in the order of their urgency.
+//! Each function returns one transaction, for which its caller provides the condition on the leader's record, or None
+//! if there is nothing to write. The caller sends one transaction at a time, the most urgent first.
 
 use std::time::Duration;
 
@@ -21,20 +21,20 @@
 };
 use crate::store::{Transaction, WatchCache};
 
-/// How long a pending rental of the same type may explain an unrecorded machine.
+/// How long an unrecorded machine is assumed to belong to a pending rental of the same type.
 const PENDING_RENTAL_GRACE: Duration = Duration::from_secs(5);
-/// The cloud's ages beyond this, in seconds, are taken for mistakes.
+/// Ages listed by the cloud are capped at this many seconds: higher ones are taken for errors.
 const MAX_LISTED_AGE_S: f64 = 1e9;
 
 impl Provisioner {
-    /// Records the machines of one fulfilled scale-out in place of its pending rental.
+    /// Records the machines of one fulfilled scale-out and deletes its pending rental.
     pub(super) fn record_fulfilled_scale_out(
         &mut self,
         context: ProvisioningContext<'_>,
         txn: &Transaction,
     ) -> Option<Transaction> {
         let cache = context.cache;
-        // Recorded already, if our copy no longer has the rental.
+        // The result is already recorded if the local copy no longer contains the rental.
         self.scale_outs.retain(|name, state| match state {
             ScaleOutState::Fulfilled(fulfilled) => cache
                 .pending_rentals
@@ -65,14 +65,14 @@
                 state: MachineState::InService,
                 rented_s: context.now.unix_ms() / 1000,
             };
-            // What does not fit this transaction reports, or is listed, and is recorded then.
+            // Machines that don't fit into this transaction are recorded later, when they report or are listed.
             edits.add(&pending_rental.zone, machine, entry, 1);
         }
         let key = pending_rental_key(name);
         Some(edits.apply(txn.clone().when(key.clone(), *version).delete(key)))
     }
 
-    /// Takes terminated machines out of their inventories.
+    /// Removes terminated machines from their inventories.
     pub(super) fn record_terminations(
         &self,
         context: ProvisioningContext<'_>,
@@ -93,7 +93,7 @@
         edits.has_edits().then(|| edits.apply(txn.clone()))
     }
 
-    /// Adds machines that nobody has recorded to inventories.
+    /// Adds unrecorded machines to inventories.
     pub(super) fn record_unrecorded_machines(
         &mut self,
         context: ProvisioningContext<'_>,
@@ -167,14 +167,14 @@
     }
 }
 
-/// Divides the value of an inventory that is too large for the limits in force into parts.
+/// Divides the value of an inventory into parts if it is larger than the limit in force.
 pub(super) fn divide_inventory(
     leader: &LeaderContext<'_>,
     cache: &WatchCache,
     demand: &Demand,
     txn: &Transaction,
 ) -> Option<Transaction> {
-    // Seldom is there one, and the edits look at all tasks there are.
+    // Checked first because oversized values are rare and creating the edits iterates over all tasks.
     if cache.format() < PARTS_FORMAT
         || find_oversized_part(cache, leader.config.state_limits.value_bytes).is_none()
     {
@@ -182,7 +182,7 @@
     }
     let mut edits = InventoryEdits::new(leader, cache, demand);
     let division = edits.divide()?;
-    info!(block = %division.block, "a value is too large: divided");
+    info!(block = %division.block, "oversized inventory divided");
     let mut txn = edits.apply(txn.clone());
     if let Some(part) = division.finished {
         let parts = cache.inventory_parts(&division.block);
--- a/src/provisioning/machine_observations.rs
+++ b/src/provisioning/machine_observations.rs
@@ -1,7 +1,9 @@
-//! What is known of the recorded machines: which are up, idle or silent, and which have failed and are to be terminated.
+//! The observed states of the recorded machines: which are up, idle or unresponsive, and which have failed and have to
+//! be terminated.
 //!
-//! Updated once in each plan from the controllers' reports and the records, and by the cloud's list. A machine that was
-//! declared failed stays so until it is out of its inventory: its termination may already be under way.
+//! Updated once in each plan from the controllers' reports and the records, and from the cloud's list of machines. A
+//! machine that was declared failed stays failed until it is removed from its inventory, because its termination may
+//! already be in progress.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::time::{Duration, Instant};
@@ -16,28 +18,30 @@
 use crate::leader_context::LeaderContext;
 use crate::store::{Machine, WatchCache};
 
-/// Added to the time that tasks in an isolated zone may run on, for clocks and messages on their way.
+/// Added to the time for which tasks in an isolated zone may keep running, for clock differences and messages in
+/// transit.
 const ISOLATION_MARGIN: Duration = Duration::from_secs(2);
-/// Fewer silent machines in a zone than this are no sign that it is isolated.
+/// A zone counts as isolated only if at least this many of its machines are unusable.
 const MIN_UNUSABLE_IN_ISOLATED_ZONE: usize = 4;
 
-/// What is known of the recorded machines.
+/// The observed states of the recorded machines.
 #[derive(Debug, Default)]
 pub(super) struct MachineObservations {
     failed: BTreeSet<MachineId>,
-    /// Since when machines of a zone that may be isolated have been silent.
+    /// Since when machines in a zone that may be isolated have been unresponsive.
     unresponsive_since: BTreeMap<MachineId, Instant>,
     /// Since when machines have had no tasks.
     idle_since: BTreeMap<MachineId, Instant>,
     up: BTreeSet<MachineId>,
-    /// Workers' addresses, as the cloud lists them.
+    /// Addresses of workers as listed by the cloud.
     addresses: HashMap<MachineId, String>,
     pub(super) boot_tracker: BootTracker,
 }
 
 impl MachineObservations {
-    /// Takes in what the controllers report. `heard_zones`: zones from which any controller was heard in the life of this
-    /// process. `proven_stopped`: whether an attempt is proven stopped, or its holder is still able to prove it.
+    /// Updates the observations from the controllers' reports. `heard_zones`: zones from which a message of any
+    /// controller was received since this process started. `proven_ended`: whether an attempt is proven to have ended,
+    /// or its holder is still able to prove it.
     pub(super) fn observe(
         &mut self,
         now: Now,
@@ -45,10 +49,11 @@
         cache: &WatchCache,
         health: &BTreeMap<MachineId, MachineHealth>,
         heard_zones: &BTreeSet<Zone>,
-        proven_stopped: impl Fn(&BlockId, &Attempt) -> bool,
+        proven_ended: impl Fn(&BlockId, &Attempt) -> bool,
     ) {
-        // Where no controller was heard since this process began, all may have ended together, and nobody answers the
-        // workers there: their leases are over by the time that they are called silent.
+        // In a zone without any message from a controller since this process started, all controllers may have stopped
+        // together, so that nobody answers the workers there: their leases have expired by the time that they count as
+        // unresponsive.
         let isolated: BTreeSet<Zone> = isolated_zones(cache, health)
             .intersection(heard_zones)
             .cloned()
@@ -70,7 +75,7 @@
                 warn!(machine = %id, unresponsive, faulty = health.faulty, known_up, "machine terminated: unresponsive or faulty");
             }
         }
-        self.fail_overdue_cancellations(now, leader.config, cache, proven_stopped);
+        self.fail_overdue_cancellations(now, leader.config, cache, proven_ended);
     }
 
     fn retain_recorded(
@@ -102,7 +107,7 @@
         }
     }
 
-    /// Whether nothing is heard of a machine that was up, or should long have been.
+    /// Whether an unresponsive machine is presumed failed: it was up before, or should have come up long ago.
     fn is_presumed_failed(
         &self,
         now: Now,
@@ -119,13 +124,15 @@
         health.unresponsive && !health.holder_isolated && (known_up || boot_timed_out())
     }
 
-    /// Whether the tasks of a silent machine in a zone that may be isolated can still run; terminating it would end them.
-    /// Called for such machines only: their silence counts from the first call. When the isolation ends, the first half of
-    /// the zone's machines that are heard again must not condemn the rest, so those known as silent stay suspected.
+    /// Whether tasks of an unresponsive machine in a zone that may be isolated can still run; terminating the machine
+    /// would end them. Called only for these machines: the time is counted from the first call. When the isolation
+    /// ends, the zone stops counting as isolated as soon as half of its machines report again. The others must not
+    /// fail at that moment, so machines known as unresponsive still count as possibly isolated.
     fn may_still_run(&mut self, now: Now, leader: &LeaderContext<'_>, id: &MachineId) -> bool {
         let LeaderContext { config, policy, .. } = *leader;
-        // A holder in an isolated zone renews its workers' leases for the life of its block lease, and they keep their
-        // tasks for a lease longer. It takes at least `worker_timeout_after_failed_probe` until they are called silent.
+        // A holder in an isolated zone renews its workers' leases until its block lease expires, and the workers keep
+        // their tasks for one more worker lease. At least `worker_timeout_after_failed_probe` of this time has passed
+        // when they are found unresponsive.
         let task_survival_time =
             (policy.block_lease_duration + config.worker_lease + ISOLATION_MARGIN)
                 .saturating_sub(policy.worker_timeout_after_failed_probe);
@@ -136,18 +143,18 @@
         since(now, first_unresponsive) < task_survival_time
     }
 
-    /// Declares machines failed that still have tasks of jobs cancelled long ago. Whatever keeps their holders from
-    /// proving them stopped (the machine hangs, or changes hands so often that nobody finds it silent), the cloud's
-    /// termination does.
+    /// Declares machines failed that still have tasks of jobs cancelled long ago. Their holders may be unable to prove
+    /// these tasks ended, because the machine hangs, or because its block changes holders so often that none of them
+    /// finds it unresponsive. The cloud's termination proves it.
     ///
-    /// After an outage nearly all cancelled tasks are this late, while their holders have long proven most of them stopped
-    /// and could not record it.
+    /// After an outage nearly all cancelled tasks are this late, but their holders have long proven most of them ended
+    /// and could not record it. Such tasks are not a reason to terminate a machine.
     pub(super) fn fail_overdue_cancellations(
         &mut self,
         now: Now,
         config: &Config,
         cache: &WatchCache,
-        proven_stopped: impl Fn(&BlockId, &Attempt) -> bool,
+        proven_ended: impl Fn(&BlockId, &Attempt) -> bool,
     ) {
         for (id, open) in cache.open.iter().filter(|(_, open)| open.cancelled) {
             if !cancellation::is_machine_deletion_due(now, config, open.cancelled_ms) {
@@ -162,15 +169,15 @@
                     number: *number,
                 };
                 let unproven = cache.machines.contains_key(&placement.machine)
-                    && !proven_stopped(&placement.block, &attempt);
+                    && !proven_ended(&placement.block, &attempt);
                 if unproven && self.failed.insert(placement.machine.clone()) {
-                    warn!(machine = %placement.machine, job = %id, "machine terminated: cancelled task not proven stopped");
+                    warn!(machine = %placement.machine, job = %id, "machine terminated: cancelled task not proven ended");
                 }
             }
         }
     }
 
-    /// Updates which machines have had no tasks, and since when.
+    /// Updates which machines have no tasks, and since when.
     pub(super) fn observe_idle(
         &mut self,
         now: Now,
@@ -184,14 +191,14 @@
         }
     }
 
-    /// Notes that the cloud lists a recorded machine as failed.
+    /// Declares a recorded machine failed because the cloud lists it as failed.
     pub(super) fn mark_listed_as_failed(&mut self, id: &MachineId) {
         if self.failed.insert(id.clone()) {
             info!(machine = %id, "machine terminated: listed as failed by the cloud");
         }
     }
 
-    /// Notes the address of a machine's worker, unless one is known.
+    /// Records the address of a machine's worker, unless one is known.
     pub(super) fn record_listed_address(&mut self, id: &MachineId, address: &str) {
         self.addresses
             .entry(id.clone())
@@ -224,24 +231,24 @@
         self.idle_since.keys()
     }
 
-    /// How long the machine has had no tasks. None: it has some, or is not recorded.
+    /// How long the machine has had no tasks. None: it has some, or it is not recorded.
     pub(super) fn idle_for(&self, now: Now, id: &MachineId) -> Option<Duration> {
         self.idle_since
             .get(id)
             .map(|idle_since| since(now, *idle_since))
     }
 
-    /// Whether the machine boots, and is still expected to come up in time.
+    /// Whether the machine is booting, and neither failed nor overdue.
     pub(super) fn is_booting(&self, id: &MachineId) -> bool {
         !self.is_up(id) && !self.is_failed(id) && !self.boot_tracker.is_overdue(id)
     }
 
-    /// Whether the machine counts as capacity: neither failed nor late.
+    /// Whether the machine counts as capacity: it is neither failed nor overdue.
     pub(super) fn counts_as_capacity(&self, id: &MachineId) -> bool {
         !self.is_failed(id) && !self.boot_tracker.is_overdue(id)
     }
 
-    /// Workers' addresses, as the cloud lists them.
+    /// Addresses of workers as listed by the cloud.
     pub(super) fn addresses(&self) -> &HashMap<MachineId, String> {
         &self.addresses
     }
@@ -255,8 +262,8 @@
         .is_some_and(|placements| placements.value.on.contains_key(id))
 }
 
-/// Zones that are more likely isolated than dead: most of their machines have fallen silent, while those of another
-/// zone have not. Their tasks run on, and terminating the machines would end them.
+/// Returns the zones that are more likely isolated than failed: most of their machines are unusable, but this does not
+/// hold for every zone. Tasks in an isolated zone keep running, and terminating its machines would end them.
 fn isolated_zones(
     cache: &WatchCache,
     health: &BTreeMap<MachineId, MachineHealth>,
--- a/src/provisioning/mod.rs
+++ b/src/provisioning/mod.rs
@@ -1,17 +1,19 @@
-//! Provisioning: the leader's duty to rent machines from the cloud, to record them in inventories, and to return or
-//! terminate them.
+//! Provisioning: the leader rents machines from the cloud, records them in inventories, and returns or terminates
+//! them.
 //!
-//! The controller owns one [`Provisioner`] for each term that it leads, and calls it in each round of the leader, in
+//! The controller creates a [`Provisioner`] for each term that it leads, and calls it in each round of the leader in
 //! this order: [`Provisioner::observe`] with the machines' health, [`Provisioner::cloud_requests`], then
-//! [`Provisioner::next_transaction`]; responses come back through [`Provisioner::handle_cloud_response`] and [`Provisioner::handle_store_response`].
-//! The scheduler reads which machines failed and which capacity can be had.
+//! [`Provisioner::next_transaction`]. Responses are passed to [`Provisioner::handle_cloud_response`] and
+//! [`Provisioner::handle_store_response`]. The scheduler reads which machines have failed and which capacity is
+//! available.
 //!
-//! Pending rentals and machines are records in the state service. What is to be done follows from them alone, so a new
-//! leader continues where the old one stopped: a recorded rental is (again) requested under its name, and a machine that
-//! is being returned and has no tasks is (again) terminated. All else here is knowledge that a new leader gains anew.
+//! Pending rentals and machines are records in the state service, and all pending work follows from these records. A
+//! new leader therefore continues where the previous one stopped: it requests a recorded rental again under the same
+//! name, and terminates a returning machine without tasks again. All other state here is rebuilt by a new leader.
 //!
-//! Invariants: nothing is requested or decided before the local copy of the records covers the start of the term; one
-//! write and one termination request are in flight at a time, and one scale-out of each instance type.
+//! Invariants: no request is sent and no decision is made before the local copy of the records covers the start of the
+//! term. At most one write and one termination request are in flight, and at most one scale-out for each instance
+//! type.
 
 mod boot_times;
 mod boot_tracker;
@@ -46,7 +48,7 @@
 use terminations::Terminations;
 use unavailable_capacity::UnavailableCapacity;
 
-/// A request that the cloud refused or did not answer is repeated after this long.
+/// Delay before a request that the cloud refused or did not answer is repeated.
 const CLOUD_RETRY_DELAY: Duration = Duration::from_secs(1);
 
 /// The provisioner of one term of this leader.
@@ -59,7 +61,7 @@
     /// The number of the last scale-out request of this term.
     last_request_number: u64,
     scale_outs: BTreeMap<InstanceTypeName, ScaleOutState>,
-    /// When types may be requested again whose request was refused or not answered.
+    /// When an instance type may be requested again after its request was refused or not answered.
     scale_out_retry_at: BTreeMap<InstanceTypeName, Instant>,
     unavailable: UnavailableCapacity,
     terminations: Terminations,
@@ -67,14 +69,14 @@
     rate_limiter: CloudRateLimiter,
     machines: MachineObservations,
     unrecorded_machines: BTreeMap<MachineId, UnrecordedMachine>,
-    /// The states that operators want of machines that are in another one.
+    /// States requested by operators for machines whose recorded state differs.
     desired_states: BTreeMap<MachineId, MachineState>,
-    /// What operators drain: nothing is rented there.
+    /// Scopes that operators drain; no machines are rented there.
     drained_scopes: Vec<Scope>,
 }
 
 impl Provisioner {
-    /// The provisioner of a term that begins now.
+    /// Creates the provisioner of a term that begins now.
     #[must_use]
     pub fn new(now: Now, term: Term) -> Self {
         Provisioner {
@@ -98,13 +100,14 @@
         }
     }
 
-    /// The term that it provisions in.
+    /// The term in which the provisioner acts.
     #[must_use]
     pub fn term(&self) -> Term {
         self.term
     }
 
-    /// Whether a machine of this type, zone and capacity type can be had, as far as is known.
+    /// Whether machines of this type, zone and capacity type are believed to be available: the cloud did not report a
+    /// lack of them recently, and operators do not drain them.
     #[must_use]
     pub fn is_available(
         &self,
@@ -125,33 +128,35 @@
             .any(|scope| scope.closes(type_name, zone))
     }
 
-    /// Takes in what operators drain.
+    /// Updates the drained scopes from the drain records.
     pub fn update_drained_scopes(&mut self, cache: &WatchCache) {
-        let holding = cache.drains.values().filter(|record| record.value.holds());
-        self.drained_scopes = holding.map(|record| record.value.scope.clone()).collect();
+        let active_drains = cache.drains.values().filter(|record| record.value.holds());
+        self.drained_scopes = active_drains
+            .map(|record| record.value.scope.clone())
+            .collect();
     }
 
-    /// Sets the states that operators want of machines. They are recorded by later writes.
+    /// Sets the machine states that operators request. Later transactions record them.
     pub fn set_desired_states(&mut self, states: BTreeMap<MachineId, MachineState>) {
         self.desired_states = states;
     }
 
-    /// Whether the machine was declared failed: it is terminated, and gets no tasks.
+    /// Whether the machine was declared failed. A failed machine is terminated and gets no tasks.
     #[must_use]
     pub fn is_failed(&self, machine: &MachineId) -> bool {
         self.machines.is_failed(machine)
     }
 
-    /// Workers' addresses, as the cloud lists them, for holders that have not heard from them yet.
+    /// Addresses of workers as listed by the cloud, for holders that have not received a heartbeat from them yet.
     #[must_use]
     pub fn addresses(&self) -> &HashMap<MachineId, String> {
         self.machines.addresses()
     }
 
-    /// Takes in how the machines are, and declares failed those that have to be terminated.
+    /// Updates what is known of the machines, and declares those failed that have to be terminated.
     ///
-    /// `heard_zones`: zones from which any controller was heard since this process began. `proven_stopped`: whether an
-    /// attempt is proven stopped, or its holder is still able to prove it.
+    /// `heard_zones`: zones from which a message of any controller was received since this process started.
+    /// `proven_ended`: whether an attempt is proven to have ended, or its holder is still able to prove it.
     pub fn observe(
         &mut self,
         now: Now,
@@ -159,14 +164,15 @@
         cache: &WatchCache,
         health: &BTreeMap<MachineId, MachineHealth>,
         heard_zones: &BTreeSet<Zone>,
-        proven_stopped: impl Fn(&BlockId, &Attempt) -> bool,
+        proven_ended: impl Fn(&BlockId, &Attempt) -> bool,
     ) {
         self.terminations.retain_current(now, cache);
         self.machines
-            .observe(now, leader, cache, health, heard_zones, proven_stopped);
+            .observe(now, leader, cache, health, heard_zones, proven_ended);
     }
 
-    /// The next write, if the last one is done: machines that came or went, or what a round decides.
+    /// Returns the next write once the previous one is completed: machines that were granted or terminated, requested
+    /// states, divided inventories, or the result of a scaling round.
     pub fn next_transaction(
         &mut self,
         now: Now,
@@ -196,7 +202,7 @@
         Some(StoreRequest::Commit(txn))
     }
 
-    /// Takes in the state service's response to the last write.
+    /// Handles the state service's response to the last write.
     pub fn handle_store_response(&mut self, now: Now, response: &StoreResponse) {
         self.writer.answered(now, response);
     }
--- a/src/provisioning/pool_metrics.rs
+++ b/src/provisioning/pool_metrics.rs
@@ -1,4 +1,4 @@
-//! What the provisioner reports of its pools: log lines and metrics.
+//! Metrics and log lines about the provisioner's pools.
 
 use std::collections::BTreeMap;
 
@@ -10,7 +10,7 @@
 use crate::store::records::MachineState;
 
 impl Provisioner {
-    /// Logs one line for each pool, and adds the numbers of its machines to the gauges.
+    /// Logs one line for each pool and sets the gauges for the numbers of its machines.
     pub fn report_pool_metrics(
         &self,
         cache: &WatchCache,
@@ -40,7 +40,7 @@
                 capacity_type,
             } = &pool;
             let demand = demand.for_pool(&pool);
-            info!(%type_name, ?capacity_type, machines, up, idle, returning, demand, "pool");
+            info!(%type_name, ?capacity_type, machines, up, idle, returning, demand, "pool capacity");
             for (state, count) in [
                 ("all", f64::from(machines)),
                 ("up", up as f64),
@@ -56,7 +56,7 @@
         }
     }
 
-    /// The machines of each pool, up or requested, without those that failed or are late.
+    /// Counts the machines of each pool, up or requested, without failed and overdue ones.
     #[must_use]
     pub fn capacity_by_pool(&self, cache: &WatchCache) -> BTreeMap<MachinePool, u32> {
         let mut counts = BTreeMap::new();
--- a/src/provisioning/scaling_round.rs
+++ b/src/provisioning/scaling_round.rs
@@ -1,7 +1,8 @@
-//! One round of the scale-out rule: which machines are requested and which are returned.
+//! A round of the scale-out rule, which decides which machines are requested and which are returned.
 //!
-//! Called for the next write when nothing more urgent is to be recorded, at most once in each `round` of the policy. Its
-//! effect is one transaction: at most one pending rental for each instance type, and machines marked as returning.
+//! Runs when no other write of the provisioner is due, at most once in each `scaling_interval` of the policy. Its
+//! result is one transaction with at most one pending rental for each instance type, and with machines marked as
+//! returning.
 
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
@@ -17,14 +18,14 @@
 use crate::store::records::{MachineState, PendingRental, pending_rental_key};
 use crate::store::{Machine, Transaction, WatchCache};
 
-/// The protocol's limit for one scale-out request.
+/// Limit of the cloud's protocol for the machines of one scale-out request.
 const MAX_MACHINES_PER_SCALE_OUT: i64 = 50;
-/// Shares of machines below this are rounding errors.
+/// Fractions of a machine below this are rounding errors.
 const ROUNDING_TOLERANCE: f64 = 1e-9;
-/// Boot times are taken for at least this many seconds.
+/// Minimum boot time used in the scale-out rule, in seconds.
 const MIN_BOOT_S: f64 = 0.1;
 
-/// What a round goes by.
+/// The inputs of the provisioner's decisions in a round.
 #[derive(Clone, Copy)]
 pub(super) struct ProvisioningContext<'a> {
     pub(super) now: Now,
@@ -34,7 +35,7 @@
 }
 
 impl<'a> ProvisioningContext<'a> {
-    /// Edits of as many inventories as the rate of writes allows.
+    /// Edits of at most as many inventories as the rate limit of writes allows.
     pub(super) fn batched_edits(self) -> InventoryEdits<'a> {
         InventoryEdits::with_limit(
             self.leader,
@@ -45,37 +46,38 @@
     }
 }
 
-/// What the scale-out rule says of a pool.
+/// The result of the scale-out rule for a pool.
 struct Recommendation {
     /// The demand that the rule was applied to, in machines.
     demand: f64,
-    /// Machines to rent; to return, if negative.
+    /// Machines to rent; if negative, machines to return.
     machines_to_add: i64,
 }
 
-/// A zone in which tasks wait that may not go elsewhere.
+/// A zone with waiting tasks that can't run in another one.
 struct ZoneShortage {
     zone: Zone,
-    /// The machines that are not yet requested for them.
+    /// The machines that still have to be requested for them.
     count: i64,
 }
 
-/// Machines that a pool is short of.
+/// The machines that a pool lacks.
 #[derive(Debug, Clone, PartialEq)]
 pub(super) struct Shortage {
     pub(super) capacity_type: CapacityType,
-    /// The only zone that will do for some of the tasks that wait.
+    /// The only zone in which some of the waiting tasks can run.
     zone: Option<Zone>,
     count: i64,
-    /// Whether the demand itself is not covered, and not only its margin.
+    /// Whether the demand itself exceeds the capacity, not only the demand plus its margin.
     demand_unmet: bool,
-    /// Whether some can be had, as far as is known.
+    /// Whether some of the machines are believed to be available.
     obtainable: bool,
 }
 
 impl Shortage {
-    /// The one to request for: one request for each type goes out in a round. What is unavailable must not keep the other
-    /// capacity type from being requested, however much of it is short.
+    /// Returns the shortage to request machines for, since each instance type gets one request in a round. Obtainable
+    /// shortages come first: unavailable capacity must not block requests for the other capacity type, however many
+    /// machines it lacks.
     pub(super) fn most_urgent(
         shortages: impl IntoIterator<Item = Option<Shortage>>,
     ) -> Option<Shortage> {
@@ -87,7 +89,7 @@
 }
 
 impl Provisioner {
-    /// One round of the rule, if it is time for one. Adds what it decides to the transaction.
+    /// Runs a round of the rule if the interval has passed, and adds its decisions to the transaction.
     pub(super) fn run_scaling_round(
         &mut self,
         context: ProvisioningContext<'_>,
@@ -102,7 +104,7 @@
         }
         self.last_scaling_round = Some(now.monotonic);
         let capacity = self.capacity_by_pool(cache);
-        // One change for each type's rental, the rest for the blocks of machines that are returned.
+        // One change is kept for the rental of each type; the others are for blocks with returned machines.
         let limit = leader
             .max_changes
             .saturating_sub(leader.catalog.all().count())
@@ -131,7 +133,7 @@
         (requested || edits.has_edits()).then(|| edits.apply(txn))
     }
 
-    /// Marks machines of a pool that has too many as returning.
+    /// Marks the surplus machines of a pool as returning.
     fn mark_surplus_returning(
         &self,
         context: ProvisioningContext<'_>,
@@ -175,7 +177,7 @@
         }
     }
 
-    /// What a pool is short of, if it is. `available`: its machines, up or requested.
+    /// Returns the shortage of a pool, if there is one. `available`: its machines that are up or requested.
     pub(super) fn shortage(
         &self,
         context: ProvisioningContext<'_>,
@@ -187,8 +189,8 @@
             demand: needed,
             machines_to_add,
         } = self.apply_scale_out_rule(context, pool, available);
-        // The rule counts machines of all zones. Tasks that wait for one zone are short there whatever stands idle
-        // elsewhere.
+        // The rule counts the machines of all zones. Tasks that can only run in one zone may lack machines there while
+        // machines in other zones are idle.
         let zone_shortage = self.zone_shortage(context, pool);
         let count =
             machines_to_add.max(zone_shortage.as_ref().map_or(0, |shortage| shortage.count));
@@ -213,7 +215,7 @@
         })
     }
 
-    /// The rental for a shortage, unless it was requested in vain just now.
+    /// Returns the rental for a shortage, unless the same capacity was requested without success shortly before.
     fn request_scale_out(
         &mut self,
         context: ProvisioningContext<'_>,
@@ -253,7 +255,8 @@
         Some(pending_rental)
     }
 
-    /// The zone that lacks the most machines for tasks that may not go elsewhere, among those with capacity.
+    /// Returns the zone that lacks the most machines for tasks which can only run there, among the zones with
+    /// available capacity.
     fn zone_shortage(
         &self,
         context: ProvisioningContext<'_>,
@@ -288,8 +291,9 @@
             .max_by_key(|shortage| shortage.count)
     }
 
-    /// The eta of the scale-out rule: expected boot time over mean run time. Both are measured; the run time starts as if
-    /// one task had run for one boot, which makes eta 1 until there is more to go by.
+    /// Returns `eta` of the scale-out rule: the expected boot time divided by the mean run time. Both are measured.
+    /// The mean run time includes one task that ran for one boot time, so that the ratio is 1 until tasks have been
+    /// measured.
     #[must_use]
     pub fn boot_to_run_ratio(
         &self,
@@ -307,7 +311,7 @@
         boot_s / mean_run_s
     }
 
-    /// Machines of a pool that may be returned, up to so many.
+    /// Returns up to `count` machines of a pool that may be returned.
     fn returnable_machines(
         &self,
         context: ProvisioningContext<'_>,
@@ -343,8 +347,8 @@
                     && now.unix_ms().saturating_sub(machine.rented_s * 1000) >= min_rental_ms
             })
             .collect();
-        // From the blocks with the most of them, since each block costs a change; there the newest, which have the
-        // least in their caches.
+        // The blocks with the most candidates come first, since each block costs a change. Within a block the newest
+        // machines come first, because they have the fewest cached images.
         let mut idle_per_block: BTreeMap<&BlockId, usize> = BTreeMap::new();
         for (_, machine) in &idle_machines {
             *idle_per_block.entry(&machine.block).or_default() += 1;
@@ -363,8 +367,8 @@
             .collect()
     }
 
-    /// The zone with the fewest machines among those that may have capacity. If none has, the one found so first is tried
-    /// again, as long as tasks wait.
+    /// Returns the zone with the fewest machines among those with available capacity. If there is none, returns the
+    /// zone that was found unavailable first, as long as the demand is unmet.
     fn choose_zone(
         &self,
         now: Now,
--- a/src/provisioning/square_root_rule/tests.rs
+++ b/src/provisioning/square_root_rule/tests.rs
@@ -10,6 +10,6 @@
     assert_eq!(machines_to_add(16.0, 30, 1.0, 1.0), -9);
     assert_eq!(machines_to_add(0.0, 3, 1.0, 1.0), -3);
     assert_eq!(machines_to_add(16.0, 16, 1.0, 2.0), 12);
-    // Instant machines need no margin.
+    // Machines that boot at once need no margin.
     assert_eq!(machines_to_add(16.0, 16, 0.0, 1.0), 0);
 }
--- a/src/provisioning/terminations.rs
+++ b/src/provisioning/terminations.rs
@@ -1,5 +1,5 @@
-//! Machines that the cloud was told to terminate: the request in flight, what of it is not yet recorded, and what the
-//! cloud's list may still show.
+//! Machines that the cloud was told to terminate: the request in flight, terminated machines that are still in their
+//! inventories, and those that the cloud may still list.
 //!
 //! Invariant: at most one request is in flight. A machine is in `awaiting_removal` from the cloud's response until its
 //! inventory no longer has it.
@@ -11,12 +11,12 @@
 use crate::domain::{MachineId, Now, since};
 use crate::store::WatchCache;
 
-/// How long the record of a terminated machine that was empty may wait for others.
+/// How long the removal of a terminated machine without tasks may be delayed to batch it with others.
 const MAX_REMOVAL_DELAY: Duration = Duration::from_secs(4);
-/// How long the cloud may still list a machine that it has terminated.
+/// How long the cloud may list a machine after its termination.
 const TERMINATED_LISTING_TIMEOUT: Duration = Duration::from_secs(120);
 
-/// The terminations requested and carried out in this term.
+/// The terminations requested and completed in this term.
 #[derive(Debug)]
 pub(super) struct Terminations {
     in_flight: bool,
@@ -27,7 +27,7 @@
 }
 
 impl Terminations {
-    /// None requested yet.
+    /// Creates the state of a term in which no termination was requested.
     pub(super) fn new() -> Self {
         Terminations {
             in_flight: false,
@@ -42,12 +42,12 @@
         !self.in_flight && self.retry_at.is_none_or(|at| now.monotonic >= at)
     }
 
-    /// Notes that a request was sent.
+    /// Records that a request was sent.
     pub(super) fn record_request(&mut self) {
         self.in_flight = true;
     }
 
-    /// Notes that the cloud has terminated these machines.
+    /// Records that the cloud has terminated these machines.
     pub(super) fn record_success(&mut self, now: Now, machines: Vec<MachineId>) {
         self.in_flight = false;
         for machine in machines {
@@ -56,13 +56,13 @@
         }
     }
 
-    /// Notes that the cloud refused the request or did not respond.
+    /// Records that the cloud refused the request or did not respond.
     pub(super) fn record_failure(&mut self, now: Now) {
         self.in_flight = false;
         self.retry_at = Some(now.monotonic + CLOUD_RETRY_DELAY);
     }
 
-    /// Forgets what is recorded and what the cloud no longer lists.
+    /// Drops machines that are no longer in their inventories, and those that the cloud no longer lists.
     pub(super) fn retain_current(&mut self, now: Now, cache: &WatchCache) {
         self.awaiting_removal
             .retain(|machine| cache.machines.contains_key(machine));
@@ -70,7 +70,7 @@
             .retain(|_, terminated_at| since(now, *terminated_at) < TERMINATED_LISTING_TIMEOUT);
     }
 
-    /// Whether the machine is terminated, but still in its inventory.
+    /// Whether the machine is terminated but still in its inventory.
     pub(super) fn is_awaiting_removal(&self, machine: &MachineId) -> bool {
         self.awaiting_removal.contains(machine)
     }
@@ -80,9 +80,9 @@
         self.terminated_at.contains_key(machine)
     }
 
-    /// The terminated machines to be taken out of their inventories now, those that `has_tasks` first. Tasks wait for the
-    /// proof that their machine is gone. Nothing waits for an empty one: those are gathered, since each block costs a
-    /// change, and none is returned while all of them can wait.
+    /// Returns the terminated machines to be removed from their inventories now, those that `has_tasks` first: their
+    /// tasks wait for the proof that the machine is gone. Nothing waits for the removal of a machine without tasks.
+    /// These are batched, since each block costs a change, and none is returned while all of them can wait.
     pub(super) fn machines_to_remove(
         &self,
         now: Now,
--- a/src/provisioning/tests.rs
+++ b/src/provisioning/tests.rs
@@ -1,4 +1,4 @@
-//! The provisioner as a whole: which machines fail, which are requested, and how inventories are divided.
+//! Tests of the provisioner as a whole: which machines fail, which are requested, and how inventories are divided.
 
 use super::*;
 use crate::block_leases;
@@ -17,7 +17,7 @@
 };
 use crate::store::{Change, TransactionChange};
 
-/// What a leader goes by, with the settings of the tests.
+/// The parts of a leader's context, with the settings of the tests.
 struct LeaderFixture {
     config: Config,
     policy: Policy,
@@ -52,10 +52,10 @@
 }
 
 fn config() -> Config {
-    Config::parse("s.toml", SETTINGS).expect("valid")
+    Config::parse("s.toml", SETTINGS).expect("valid settings")
 }
 
-/// A local copy of records that are written one by one.
+/// A local copy of records that are written one after another.
 struct Records {
     cache: WatchCache,
     version: u64,
@@ -88,7 +88,7 @@
     }
 }
 
-/// Two machines with a task each: that of `m-1` is of a job cancelled at `cancelled_ms`.
+/// Returns records of two machines with one task each. The task on `m-1` belongs to a job cancelled at `cancelled_ms`.
 fn records_with_cancelled_job(cancelled_ms: u64) -> Records {
     let mut records = Records::new();
     let block = block_leases::block_id(&"a".into(), 0);
@@ -115,8 +115,8 @@
     records
 }
 
-/// Found by a search of seeds: a machine hung with a cancelled task on it, and its block changed hands so often that
-/// no holder waited long enough to find it silent.
+/// Guards against a cancelled task that keeps running on a machine that hangs: its block changed holders so often that
+/// none of them waited long enough to find the machine unresponsive. Found by a search over seeds.
 #[test]
 fn a_machine_with_an_overdue_cancelled_task_is_terminated() {
     let config = config();
@@ -141,7 +141,7 @@
     assert_eq!(
         failed_machines(config.worker_lease),
         [] as [&str; 0],
-        "its holder may still prove it gone"
+        "its holder may still prove the task ended"
     );
     assert_eq!(
         failed_machines(config.cancel_within - cancellation::DELETION_MARGIN),
@@ -149,7 +149,7 @@
     );
 }
 
-/// Six machines in each of the zones `a` and `b`, which fall silent.
+/// Six machines in each of the zones `a` and `b`, some of which become unresponsive.
 struct UnresponsiveZones {
     start: Now,
     leader: LeaderFixture,
@@ -179,8 +179,8 @@
         }
     }
 
-    /// How many machines are failed after these observations. Each is the time since the start, and the beginnings of the
-    /// names of the machines that are silent then.
+    /// Returns the number of failed machines after these observations. Each observation is the time since the start
+    /// and the prefixes of the names of the machines that are unresponsive then.
     fn count_failed(&self, observations: &[(Duration, &[&str])], heard_zones: &[&str]) -> usize {
         let cache = &self.records.cache;
         let heard_zones = heard_zones.iter().copied().map(Zone::from).collect();
@@ -214,7 +214,8 @@
         provisioner.machines.failed().len()
     }
 
-    /// How many machines are failed some time after all were heard, and then some were silent for that time.
+    /// Returns the number of failed machines at the time `after`, if all machines reported at the start and some were
+    /// unresponsive from the first second on.
     fn count_failed_after(
         &self,
         unresponsive: &[&str],
@@ -230,7 +231,8 @@
     }
 }
 
-/// Found on the bench: an isolated zone's machines were deleted with all the replicas that ran on there.
+/// Guards against terminating the machines of an isolated zone with all the replicas that keep running there. Found on
+/// the bench.
 #[test]
 fn machines_of_an_isolated_zone_fail_only_after_their_tasks_must_have_ended() {
     let zones = UnresponsiveZones::new();
@@ -244,31 +246,32 @@
     assert_eq!(
         count_failed(&["a"], task_survival_time),
         0,
-        "may be isolated"
+        "the zone may be isolated"
     );
     assert_eq!(
         count_failed(&["a"], task_survival_time + Duration::from_secs(4)),
         6,
-        "their tasks are gone by then"
+        "their tasks must have ended by then"
     );
     assert_eq!(
         zones.count_failed_after(&["a"], Duration::from_secs(2), &["b"]),
         6,
-        "nobody answers them"
+        "no controller in the zone answers the workers"
     );
     assert_eq!(
         count_failed(&["a0", "a1"], Duration::from_secs(2)),
         2,
-        "some of a zone: they are dead"
+        "only some machines of a zone: they have failed"
     );
     assert_eq!(
         count_failed(&["a", "b"], Duration::from_secs(2)),
         12,
-        "all zones: nothing speaks for isolation"
+        "all zones: no sign of isolation"
     );
 }
 
-/// Found in an incident: the isolation ended, most were heard again, and the others were given up at once.
+/// Guards against giving up the remaining machines at once when the isolation of a zone ends and most machines report
+/// again. Found in an incident.
 #[test]
 fn machines_still_unresponsive_when_the_isolation_ends_do_not_fail_at_once() {
     let observations: [(Duration, &[&str]); 3] = [
@@ -279,12 +282,12 @@
     assert_eq!(
         UnresponsiveZones::new().count_failed(&observations, &["a", "b"]),
         0,
-        "they may just not have reported yet"
+        "they may still report"
     );
 }
 
-/// Found in an incident: best-effort arrays were short of a thousand spot machines that the cloud did not have, and each
-/// round requested those; the few on-demand machines that replicas waited for were never requested.
+/// Best-effort arrays lacked a thousand spot machines that the cloud did not have, and each round requested those; the
+/// few on-demand machines that replicas waited for were never requested. Found in an incident.
 #[test]
 fn an_unavailable_capacity_type_does_not_block_requests_for_the_other() {
     let fixture = LeaderFixture::new(config());
@@ -335,7 +338,8 @@
     );
 }
 
-/// An inventory that is larger than the state service will take can't be written again, so it could not even be drained.
+/// An inventory larger than the size limit of the state service can't be written again, so its machines could not even
+/// be drained.
 #[test]
 fn an_oversized_inventory_is_divided_in_steps_and_loses_no_machine() {
     let mut config = config();
@@ -359,7 +363,7 @@
     assert_eq!(
         next_division(&records.cache),
         None,
-        "not before the format is on"
+        "no division before the format is enabled"
     );
     let switch = FormatSwitch { version: FORMAT };
     records.set(FORMAT_KEY.to_owned(), Some(encode(&switch)));
@@ -381,7 +385,13 @@
             assert_eq!(cache.machines.len(), 600);
         }
     }
-    assert!(steps > 1, "more than one transaction holds");
-    let parts = records.cache.inventory_parts(&block).expect("known");
-    assert!(!parts.contains_key(&0), "deleted, for it can't be written");
+    assert!(steps > 1, "the division takes more than one transaction");
+    let parts = records
+        .cache
+        .inventory_parts(&block)
+        .expect("the block has parts");
+    assert!(
+        !parts.contains_key(&0),
+        "the oversized part, which can't be written, is deleted"
+    );
 }
--- a/src/provisioning/unavailable_capacity.rs
+++ b/src/provisioning/unavailable_capacity.rs
@@ -1,7 +1,7 @@
-//! Which capacity the cloud does not have at present, as its responses to scale-out requests showed.
+//! Capacity that the cloud does not have at present, according to its responses to scale-out requests.
 //!
-//! An entry is believed for a while (`stockout_memory` of the policy) and then tried again. It is not recorded: a new
-//! leader finds out anew.
+//! An entry is valid for a time (`unavailable_capacity_ttl` of the policy), then the capacity is requested again.
+//! Entries are not recorded: a new leader builds them up again from its own requests.
 
 use std::collections::{BTreeMap, HashMap};
 use std::time::{Duration, Instant};
@@ -9,8 +9,8 @@
 use super::ZonedPool;
 use crate::domain::{InstanceTypeName, Now, since};
 
-/// When writes are scarce, a type that is unavailable everywhere is requested again this often, not in each round: each
-/// request costs two changes.
+/// While writes are scarce, a type that is unavailable everywhere is requested again at this interval instead of in
+/// each round, because each request costs two changes.
 const PROBE_INTERVAL: Duration = Duration::from_secs(5);
 
 /// Capacity that is believed to be unavailable.
@@ -22,25 +22,25 @@
 }
 
 impl UnavailableCapacity {
-    /// Whether machines can be had, as far as is known.
+    /// Whether machines of the pool are believed to be available.
     pub(super) fn is_available(&self, now: Now, pool: &ZonedPool) -> bool {
         self.unavailable_until(pool)
             .is_none_or(|at| now.monotonic >= at)
     }
 
-    /// Until when machines are or were believed unavailable. None: they never were found so.
+    /// Until when the pool is or was believed unavailable. None: it was never found unavailable.
     pub(super) fn unavailable_until(&self, pool: &ZonedPool) -> Option<Instant> {
         self.unavailable_until.get(pool).copied()
     }
 
-    /// Notes that the cloud could not grant all that was requested.
+    /// Marks a pool as unavailable for `duration` after the cloud could not grant all machines requested.
     pub(super) fn mark_unavailable(&mut self, now: Now, pool: ZonedPool, duration: Duration) {
         self.unavailable_until
             .insert(pool, now.monotonic + duration);
     }
 
-    /// Whether a type that is believed unavailable may be requested again; if so, notes that it is. `has_spare_writes`: whether
-    /// there are writes to spare.
+    /// Whether a type that is believed unavailable may be requested again now; if so, records the time.
+    /// `has_spare_writes`: whether the rate limit of the state service leaves writes to spare.
     pub(super) fn try_probe(
         &mut self,
         now: Now,
