--- a/src/cloud/instance_catalog.rs
+++ b/src/cloud/instance_catalog.rs
@@ -1,8 +1,8 @@
-//! The catalogue of instance types, as the cloud lists them.
+//! The catalogue of instance types, as listed by the cloud.
 //!
-//! Owned by each controller, which reads it anew every half minute. Invariants: one request is in flight at a time; types
-//! with a number that is not finite or is negative are left out; a type that is no longer listed stays known, since
-//! machines of it may run on.
+//! Each controller owns one and refreshes it every 30 seconds. Invariants: at most one request is in flight; types
+//! with a negative or non-finite number are ignored; a type that is no longer listed stays in the catalogue, since
+//! machines of it may still run.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::{Duration, Instant};
@@ -11,7 +11,7 @@
 use crate::config::Config;
 use crate::domain::{InstanceTypeName, Job, Now, Zone, since};
 
-/// The instance types, once the cloud has listed them.
+/// The instance types; empty until the cloud has listed them.
 #[derive(Debug, Default)]
 pub struct InstanceCatalog {
     types: BTreeMap<InstanceTypeName, InstanceType>,
@@ -31,7 +31,7 @@
         !self.types.is_empty()
     }
 
-    /// The type of that name.
+    /// The type with this name.
     #[must_use]
     pub fn get(&self, name: &InstanceTypeName) -> Option<&InstanceType> {
         self.types.get(name)
@@ -52,7 +52,7 @@
         })
     }
 
-    /// The zones of the settings and of all types, by name.
+    /// The zones of the settings and of all types, sorted by name.
     #[must_use]
     pub fn zones(&self, config: &Config) -> Vec<Zone> {
         let mut zones: BTreeSet<Zone> = config.zones.iter().cloned().collect();
@@ -63,7 +63,7 @@
         zones.into_iter().collect()
     }
 
-    /// Whether the types are to be requested now; if so, notes that they are.
+    /// Whether the types are to be requested now; if so, records that a request is in flight.
     pub fn try_begin_refresh(&mut self, now: Now) -> bool {
         let interval = if self.is_loaded() {
             CATALOG_REFRESH_INTERVAL
@@ -81,7 +81,7 @@
         due
     }
 
-    /// Takes in the response to the request. None: it was refused or not answered.
+    /// Handles the response to the request. None: the request was refused or not answered.
     pub fn handle_response(&mut self, list: Option<InstanceTypeList>) {
         self.in_flight = false;
         let Some(list) = list else { return };
--- a/src/cloud/mod.rs
+++ b/src/cloud/mod.rs
@@ -1,7 +1,7 @@
-//! The cloud that machines are rented from: requests to it, its responses and its catalogue of instance types.
+//! The cloud from which machines are rented: requests to it, its responses and the catalogue of instance types.
 //!
-//! The provisioner and the cancellation of jobs make the requests, the event loop sends them (see [`wire`]), and the
-//! controller hands the responses back. Nothing here waits or decides.
+//! The provisioner and the cancellation of jobs create the requests, the event loop sends them (see [`wire`]), and the
+//! controller passes the responses back. This module neither waits nor makes decisions.
 
 mod instance_catalog;
 pub mod wire;
@@ -15,13 +15,13 @@
 pub enum CloudRequest {
     /// Lists the instance types.
     ListInstanceTypes,
-    /// Rents machines. It may be repeated: the cloud carries out each name once.
+    /// Rents machines. The request may be repeated: the cloud carries out each request name once.
     ScaleOut(ScaleOutRequest),
-    /// Terminates machines. It may be repeated: what is gone is ignored.
+    /// Terminates machines. The request may be repeated: machines that no longer exist are ignored.
     Terminate(MachineIds),
-    /// Lists rented machines, a page at a time.
+    /// Lists rented machines, one page at a time.
     ListMachines {
-        /// The last machine of the page before.
+        /// The last machine of the previous page.
         after: Option<MachineId>,
     },
 }
@@ -33,14 +33,14 @@
     InstanceTypes(InstanceTypeList),
     /// The machines granted, which may be fewer than requested.
     ScaledOut(MachineIds),
-    /// No machines of this kind can be had now, or ever.
+    /// The requested machines are unavailable, at present or permanently.
     NoCapacity,
     /// The machines are terminated.
     Terminated,
     /// A page of the list of machines.
     Machines(MachineList),
-    /// The rate limit, an outage, or a response that can't be read: nothing was done.
+    /// The request was refused by the rate limit or an outage, or its response can't be read: nothing was done.
     Refused,
-    /// No response, or an unreadable one to a request that may have been carried out.
+    /// There was no response, or an unreadable one to a request that may have been carried out.
     Unknown,
 }
--- a/src/cloud/wire.rs
+++ b/src/cloud/wire.rs
@@ -1,7 +1,7 @@
-//! The cloud's protocol: its messages as PROTOCOL spells them, and the translation of requests and responses.
+//! The cloud's protocol: its messages as defined by PROTOCOL, and the conversion of requests and responses.
 //!
-//! The names on the wire stand in serde attributes only. Called by the event loop, which sends what [`http_request`] returns and
-//! hands the reply to [`parse_response`].
+//! Serde attributes give the names on the wire. The event loop sends the result of [`http_request`] and passes the
+//! reply to [`parse_response`].
 
 use std::time::Duration;
 
@@ -19,7 +19,7 @@
     pub types: Vec<InstanceType>,
 }
 
-/// An instance type: what a machine of it has, costs and takes to boot.
+/// An instance type: the resources, prices and boot time of its machines.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct InstanceType {
     /// Its unique name.
@@ -38,13 +38,13 @@
     /// How fast a machine fetches images, in gigabytes a second.
     #[serde(rename = "pullGbPerS")]
     pub fetch_gb_per_s: Amount,
-    /// Price of an on-demand machine, as the cloud states it.
+    /// Price of an on-demand machine, in the cloud's unit.
     #[serde(rename = "rate")]
     pub price: Amount,
     /// Price of a spot machine, in the same unit.
     #[serde(rename = "spotPrice")]
     pub spot_price: Amount,
-    /// The stated boot time, in seconds. See [`InstanceType::boot_time`].
+    /// The advertised boot time, in seconds. See [`InstanceType::boot_time`].
     #[serde(rename = "readyS")]
     pub boot_s: Amount,
     /// The zones that have machines of this type.
@@ -52,11 +52,11 @@
     pub zones: Vec<Zone>,
 }
 
-/// Boot times beyond this are taken for mistakes.
+/// Maximum boot time: longer advertised times are taken for errors.
 const MAX_BOOT_TIME: Duration = Duration::from_secs(3600);
 
 impl InstanceType {
-    /// The boot time that the cloud states, at most an hour.
+    /// The boot time that the cloud advertises, at most an hour.
     #[must_use]
     pub fn boot_time(&self) -> Duration {
         Duration::try_from_secs_f64(self.boot_s.0)
@@ -80,7 +80,7 @@
     }
 }
 
-/// A request for machines. It may be repeated: the cloud carries out each name once.
+/// A request for machines. It may be repeated: the cloud carries out each request name once.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct ScaleOutRequest {
     /// The unique name of the request.
@@ -92,7 +92,7 @@
     /// The zone.
     #[serde(rename = "wing")]
     pub zone: Zone,
-    /// Spot machines, not on-demand ones.
+    /// Whether spot machines are requested, not on-demand ones.
     #[serde(rename = "loaner")]
     pub spot: bool,
     /// The number of machines requested.
@@ -133,7 +133,7 @@
     /// The zone.
     #[serde(rename = "wing")]
     pub zone: Zone,
-    /// Spot machines, not on-demand ones.
+    /// Whether it is a spot machine, not an on-demand one.
     #[serde(rename = "loaner")]
     pub spot: bool,
     /// Its state.
@@ -153,7 +153,7 @@
     /// Its worker has started.
     #[serde(rename = "running")]
     Running,
-    /// It will never come up, or has broken down.
+    /// It failed to boot, or broke down later.
     #[serde(rename = "failed")]
     Failed,
     /// A state that this version does not know.
@@ -161,12 +161,12 @@
     Other,
 }
 
-/// How long a response is waited for.
+/// How long to wait for a response.
 const RESPONSE_TIMEOUT: Duration = Duration::from_secs(5);
-/// The machines of one page of the list.
+/// Number of machines on one page of the list.
 const MACHINES_PER_PAGE: u32 = 500;
 
-/// The HTTP request for a call.
+/// Converts a request to the cloud into an HTTP request.
 #[must_use]
 pub fn http_request(request: &CloudRequest) -> Request {
     match request {
@@ -190,7 +190,7 @@
     }
 }
 
-/// What a reply to a call means. None: there was none, or it did not come in time.
+/// Converts an HTTP reply to a response of the cloud. None: there was no reply before the timeout.
 #[must_use]
 pub fn parse_response(request: &CloudRequest, reply: Option<&Reply>) -> CloudResponse {
     let Some(reply) = reply else {
@@ -207,12 +207,12 @@
         (200, CloudRequest::ListMachines { .. }) => {
             read(&reply.body).map_or(CloudResponse::Refused, CloudResponse::Machines)
         }
-        // An outage is a 503 too, but says so.
+        // An outage has status 503 as well, but another error text.
         (503, CloudRequest::ScaleOut(_)) => match read::<ErrorBody>(&reply.body) {
             Ok(body) if body.error == "no capacity" => CloudResponse::NoCapacity,
             _ => CloudResponse::Refused,
         },
-        // A request that the cloud calls malformed would be so for ever.
+        // A request that the cloud calls malformed would fail again each time, so it is not retried.
         (400, CloudRequest::ScaleOut(_)) => CloudResponse::NoCapacity,
         _ => CloudResponse::Refused,
     }
--- a/src/cloud/wire/tests.rs
+++ b/src/cloud/wire/tests.rs
@@ -1,10 +1,10 @@
-//! The cloud's protocol, and an instance type for the tests of other modules.
+//! Tests of the cloud's protocol, and an instance type for the tests of other modules.
 
 use ciborium::cbor;
 
 use super::*;
 
-/// A machine type of 16 CPUs in zone `a`.
+/// Returns an instance type with 16 CPUs in zone `a`.
 pub fn instance_type() -> InstanceType {
     InstanceType {
         name: "large".into(),
@@ -31,7 +31,7 @@
     });
     let reply = |error: &str| Reply {
         status: 503,
-        body: write(&cbor!({"error" => error}).expect("valid")).into(),
+        body: write(&cbor!({"error" => error}).expect("valid CBOR")).into(),
     };
     assert_eq!(
         parse_response(&scale_out, Some(&reply("no capacity"))),
