--- a/src/policy/expression.rs
+++ b/src/policy/expression.rs
@@ -1,27 +1,29 @@
-//! The expression language: CEL, cut down to what has a value by itself. Without lists, maps and the macros over
-//! them there are no loops, so evaluation always ends, in time proportional to the text's length.
+//! The expression language: a subset of CEL without lists, maps and the macros over them. It therefore has no loops,
+//! so that evaluation always ends, in time proportional to the length of the text.
 
 use cel::common::ast::{Expr, IdedExpr};
 use cel::{Context, ExecutionError, Program, Value};
 
-/// Longer texts are refused: nobody needs them, and depth is bounded with them.
+/// Longer expressions are rejected: nobody needs them, and the limit bounds their depth as well.
 const MAX_EXPRESSION_BYTES: usize = 400;
 const UNSUPPORTED_SYNTAX: &str = "lists, maps, fields and loops are not allowed";
 const ALLOWED_FUNCTIONS: [&str; 3] = ["min", "max", "double"];
 
+/// A checked expression.
 #[derive(Debug, Default)]
 pub struct Expression {
     source: String,
     program: Option<Program>,
 }
 
-/// What is wrong with an expression, and at which column of it (from 1).
+/// An error in an expression, and its column (from 1).
 #[derive(Debug)]
 pub struct ExpressionError {
     pub column: usize,
     pub problem: String,
 }
 
+/// The value of an expression.
 #[derive(Debug, Clone, PartialEq)]
 pub enum ExpressionValue {
     Number(f64),
@@ -30,6 +32,7 @@
 }
 
 impl ExpressionValue {
+    /// The type of the value, for errors.
     pub fn type_description(&self) -> &'static str {
         match self {
             ExpressionValue::Number(_) => "a number",
@@ -47,11 +50,12 @@
 }
 
 impl Expression {
+    /// Compiles an expression and checks that it only uses the supported syntax.
     pub fn parse(source: &str) -> Result<Self, ExpressionError> {
         if source.len() > MAX_EXPRESSION_BYTES {
             return Err(error_at(
                 1,
-                format!("longer than {MAX_EXPRESSION_BYTES} characters"),
+                format!("longer than {MAX_EXPRESSION_BYTES} bytes"),
             ));
         }
         let program = Program::compile(source).map_err(|errors| {
@@ -59,7 +63,7 @@
                 .errors
                 .first()
                 .map_or(1, |error| usize::try_from(error.pos.1).unwrap_or(1).max(1));
-            error_at(column, "the expression is cut short or malformed")
+            error_at(column, "the expression is incomplete or malformed")
         })?;
         check_allowed(source, program.expression())?;
         Ok(Expression {
@@ -68,13 +72,14 @@
         })
     }
 
+    /// Evaluates the expression with these variables.
     pub fn evaluate(
         &self,
         numbers: &[(&str, f64)],
         texts: &[(&str, &str)],
     ) -> Result<ExpressionValue, ExpressionError> {
         let Some(program) = &self.program else {
-            return Err(error_at(1, "empty"));
+            return Err(error_at(1, "the expression is empty"));
         };
         let is_known = |name: &str| {
             numbers.iter().any(|(n, _)| *n == name) || texts.iter().any(|(n, _)| *n == name)
@@ -98,7 +103,7 @@
         for (name, function) in [("min", f64::min as fn(f64, f64) -> f64), ("max", f64::max)] {
             context
                 .add_function(name, function)
-                .map_err(|_| error_at(1, "the functions can't be set up"))?;
+                .map_err(|_| error_at(1, "the functions can't be registered"))?;
         }
         for (name, value) in numbers {
             context.add_variable_from_value(*name, *value);
@@ -115,13 +120,14 @@
             Err(ExecutionError::DivisionByZero(_)) => Err(error_at(1, "division by zero")),
             Err(_) => Err(error_at(
                 1,
-                "a number without a decimal point, or types that don't go together: write 2.0, not 2",
+                "types don't match, or a number has no decimal point: write 2.0, not 2",
             )),
         }
     }
 }
 
-/// Only literals, variables, operators and a few functions: whatever else CEL has is refused by not being here.
+/// Checks that an expression only contains literals, variables, operators and a few functions. All other syntax of CEL
+/// is rejected because it is not listed here.
 fn check_allowed(source: &str, expression: &IdedExpr) -> Result<(), ExpressionError> {
     match &expression.expr {
         Expr::Literal(_) | Expr::Ident(_) => Ok(()),
@@ -146,7 +152,7 @@
     }
 }
 
-/// The column at which a name stands for the first time, as a whole word.
+/// Returns the column of the first occurrence of a name as a whole word.
 fn column_of(source: &str, name: &str) -> usize {
     let is_word_char = |c: char| c.is_alphanumeric() || c == '_';
     let is_whole_word = |at: usize| {
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -1,7 +1,7 @@
-//! What an operator may tune: a file of small expressions, checked before anything starts.
+//! The policy: values that operators may tune, in a file of small expressions that is checked at startup.
 //!
-//! The built-in policy is such a file too, so that there is one way to a policy. No policy can break a rule: every
-//! value has bounds, and those that the rules depend on have bounds that follow from the settings.
+//! The built-in policy has the same format, so that all policies are read in one way. No policy can violate a safety
+//! rule: every value has bounds, and those that the rules depend on have bounds that follow from the settings.
 
 mod expression;
 
@@ -15,48 +15,56 @@
 use crate::domain::Team;
 use expression::{Expression, ExpressionValue};
 
-/// The built-in policy, as a file.
+/// The text of the built-in policy.
 pub const BUILT_IN: &str = include_str!("../../examples/policy.toml");
 
-/// Tunable values, always within the bounds that the rules need.
+/// The tunable values, always within the bounds that the safety rules need.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Policy {
-    /// How often the provisioning rule runs.
+    /// Interval between the rounds of the scale-out rule.
     pub scaling_interval: Duration,
-    /// Multiplies the margin of the rule.
+    /// Factor for the margin of the scale-out rule.
     pub headroom: f64,
-    /// How long a controller may act on a block lease without having read the state service.
+    /// How long a controller may act on a block lease without a successful read from the state service.
     pub block_lease_duration: Duration,
+    /// Number of blocks for each controller to begin with; more are opened as these fill up.
     pub blocks_per_controller: usize,
-    /// How long a controller may be silent before its blocks are leased to others.
+    /// Time without messages from a controller after which its blocks are leased to others.
     pub controller_timeout: Duration,
-    /// How long a worker may be silent before its machine is given up, if a question went unanswered too.
+    /// Time without heartbeats after which a machine is given up if its worker did not answer a probe either.
     pub worker_timeout_after_failed_probe: Duration,
-    /// The same for a worker that can't be asked.
+    /// Time without heartbeats after which a machine is given up without a failed probe, for example if its worker
+    /// can't be probed.
     pub worker_timeout: Duration,
     /// A machine is returned only after it has been idle for this many times its boot time.
     pub min_idle_boot_times: f64,
-    /// A rented machine is kept at least this long, since a deleted machine costs a minute anyway.
+    /// Minimum time for which a rented machine is kept, since a terminated machine costs a minute anyway.
     pub min_rental: Duration,
-    /// How long a stock-out is believed.
+    /// How long capacity that was found unavailable is believed to be unavailable.
     pub unavailable_capacity_ttl: Duration,
-    /// Work of teams without a guarantee has no machines rented, and takes none, that cost it more than so many times
-    /// as much as the cheapest.
+    /// Price limit for work of teams without a guarantee: it gets no machines, and none are rented for it, on which it
+    /// costs more than this many times as much as on the cheapest.
     pub best_effort_max_price_ratio: f64,
-    /// ... until it has waited this long and less than half of it is done or running.
+    /// The price limit ends for a job that has waited this long while less than half of it is done or running.
     pub best_effort_price_limit_duration: Duration,
+    /// Share of each team when teams are served in turn, as a multiple of its guarantee.
     pub team_shares: BTreeMap<Team, f64>,
+    /// Whether tasks are preempted to make room for tasks of higher priority.
     pub preempt_for_priority: bool,
+    /// Whether tasks are preempted to give a team its guarantee.
     pub preempt_for_guarantee: bool,
 }
 
+/// Why a policy can't be used.
 #[derive(Debug, thiserror::Error)]
 pub enum PolicyError {
+    /// The file can't be read.
     #[error("{path}: {source}")]
     Unreadable {
         path: String,
         source: std::io::Error,
     },
+    /// The file has an error at this line and column.
     #[error("{path}:{line}:{column}: {problem}")]
     Invalid {
         path: String,
@@ -66,10 +74,10 @@
     },
 }
 
-/// What is kept free between the last renewal of a worker's lease and the time a cancelled task must be gone.
+/// Margin between the end of a worker's last lease and the time by which a cancelled task must have ended.
 const CANCELLATION_MARGIN: Duration = Duration::from_secs(4);
 
-/// An expression and where it stands.
+/// An expression and its position in the file.
 struct Entry {
     expression: Expression,
     path: String,
@@ -89,15 +97,16 @@
 }
 
 impl Policy {
-    /// The built-in policy.
+    /// Returns the built-in policy.
     pub fn built_in(config: &Config) -> Self {
         match Self::parse("built-in policy", "", config) {
             Ok(policy) => policy,
-            // The tests evaluate it for all kinds of settings; each bound is wider than its value.
+            // The tests evaluate the built-in policy for extreme settings; each bound is wider than its value.
             Err(problem) => unreachable!("{problem}"),
         }
     }
 
+    /// Reads and checks a policy file.
     pub fn load(path: &Path, config: &Config) -> Result<Self, PolicyError> {
         let displayed_path = path.display().to_string();
         let text = std::fs::read_to_string(path).map_err(|source| PolicyError::Unreadable {
@@ -107,8 +116,9 @@
         Self::parse(&displayed_path, &text, config)
     }
 
-    /// A holder that is cut off renews leases for the life of its block lease, and a worker keeps its tasks for a
-    /// lease longer. Both together must be over when a cancelled task has to be gone.
+    /// Returns the longest safe duration of a block lease. An isolated holder renews the leases of its workers until
+    /// its block lease expires, and a worker keeps its tasks for one more lease. Both must be over when a cancelled
+    /// task has to have ended.
     pub fn max_block_lease_duration(config: &Config) -> Duration {
         let remaining = config.cancel_within.saturating_sub(config.worker_lease);
         remaining
@@ -116,6 +126,7 @@
             .max(remaining / 2)
     }
 
+    /// Parses and evaluates the text of a policy file. `path` is only used in errors.
     pub fn parse(path: &str, text: &str, config: &Config) -> Result<Self, PolicyError> {
         let mut entries = parse_entries("built-in policy", BUILT_IN, None)?;
         let known_settings: Vec<String> = entries.keys().cloned().collect();
@@ -187,7 +198,7 @@
     ]
 }
 
-/// The line and column, from 1, of a place in a text.
+/// Returns the line and the column, both from 1, of a byte offset in a text.
 fn line_and_column(text: &str, offset: usize) -> (usize, usize) {
     let before = text.get(..offset).unwrap_or(text);
     let line_start = before.rfind('\n').map_or(0, |at| at + 1);
@@ -197,7 +208,8 @@
     )
 }
 
-/// Reads a policy file: names and expressions, not yet evaluated.
+/// Parses the names and expressions of a policy file without evaluating them. `known_settings`: the names that are
+/// allowed; None: all.
 fn parse_entries(
     path: &str,
     text: &str,
@@ -254,7 +266,7 @@
     Ok(entries)
 }
 
-/// All expressions with what they may refer to.
+/// All expressions, and the variables that they may use.
 struct PolicyValues {
     entries: BTreeMap<String, Entry>,
     variables: Vec<(&'static str, f64)>,
@@ -266,7 +278,7 @@
         name: &str,
         team: Option<&TeamLimits>,
     ) -> Result<(&Entry, ExpressionValue), PolicyError> {
-        // Every name is in the built-in policy, which is the base of every other.
+        // Every name is in the built-in policy, on which all others are based.
         let entry = &self.entries[name];
         let mut numbers = self.variables.clone();
         let mut texts = Vec::new();
--- a/src/policy/tests.rs
+++ b/src/policy/tests.rs
@@ -2,7 +2,7 @@
 use crate::config::tests::SETTINGS;
 
 fn config() -> Config {
-    Config::parse("s.toml", SETTINGS).expect("valid")
+    Config::parse("s.toml", SETTINGS).expect("valid settings")
 }
 
 #[test]
@@ -10,9 +10,9 @@
     let policy = Policy::built_in(&config());
     assert!(policy.block_lease_duration + config().worker_lease < config().cancel_within);
     assert!(policy.block_lease_duration > Duration::from_secs(20));
-    // Nor can a policy change that.
-    let error =
-        Policy::parse("p.toml", "grant_life_s = \"cancel_s\"", &config()).expect_err("unsafe");
+    // A policy file can't exceed the limit either.
+    let error = Policy::parse("p.toml", "grant_life_s = \"cancel_s\"", &config())
+        .expect_err("longer than the longest safe block lease");
     assert_eq!(
         error.to_string(),
         "p.toml:1:17: `grant_life_s` is 50; allowed is 3 to 26"
@@ -30,7 +30,7 @@
             .replace("report_s = 3.0", &format!("report_s = {report}"))
             .replace("lease_s = 20.0", &format!("lease_s = {worker_lease}"))
             .replace("cancel_s = 50.0", &format!("cancel_s = {cancel}"));
-        let config = Config::parse("s.toml", &text).expect("valid");
+        let config = Config::parse("s.toml", &text).expect("valid settings");
         let policy = Policy::built_in(&config);
         assert!(policy.block_lease_duration + config.worker_lease < config.cancel_within);
     }
@@ -40,7 +40,7 @@
 fn a_file_changes_only_the_settings_that_it_names() {
     let text = "round_s = \"zones > 2.0 ? 4.0 : 2.0\"\nteam_share = \"team == 'red' ? 2.0 : cpus / 32.0\"\n\
                 headroom = 2\npreempt_for_guarantee = false\n";
-    let policy = Policy::parse("p.toml", text, &config()).expect("valid");
+    let policy = Policy::parse("p.toml", text, &config()).expect("valid policy");
     let built_in = Policy::built_in(&config());
     assert_eq!(policy.scaling_interval, Duration::from_secs(4));
     assert_eq!(policy.team_shares[&Team::from("red")], 2.0);
@@ -58,7 +58,7 @@
 
 #[test]
 fn the_example_file_is_the_built_in_policy() {
-    let example = Policy::parse("policy.toml", BUILT_IN, &config()).expect("valid");
+    let example = Policy::parse("policy.toml", BUILT_IN, &config()).expect("valid policy");
     assert_eq!(example, Policy::built_in(&config()));
 }
 
@@ -94,7 +94,7 @@
         ),
         (
             "headroom = \"1.0 +\"",
-            "p.toml:1:18: `headroom`: the expression is cut short or malformed",
+            "p.toml:1:18: `headroom`: the expression is incomplete or malformed",
         ),
         (
             "headroom = \"[1.0].map(x, x)[0]\"",
@@ -106,8 +106,8 @@
         ),
         (
             "headroom = \"1 + 1.0\"",
-            "p.toml:1:13: `headroom`: a number without a decimal point, or types that don't go \
-          together: write 2.0, not 2",
+            "p.toml:1:13: `headroom`: types don't match, or a number has no decimal point: \
+          write 2.0, not 2",
         ),
         (
             "headroom = [1.0]",
