--- a/src/placement/mod.rs
+++ b/src/placement/mod.rs
@@ -1,12 +1,12 @@
-//! Which machine a task goes to.
+//! Chooses the machine that a task is placed on.
 //!
-//! Owns the ranking of machines for a task. The scheduler calls it with the machines of all blocks, the holder of a block
-//! with its own; both get the same order for the same input. The functions are pure: they read candidates and a job, and
-//! change neither.
+//! Owns the ranking of machines for a task. The scheduler calls it with the machines of all blocks, the holder of a
+//! block with its own; both get the same order for the same input. The functions are pure: they only read candidates
+//! and a job.
 //!
-//! Invariants: only machines that satisfy the job's constraints and have enough free resources are ranked. Among these the
-//! shortest image fetch wins, then a machine of the capacity type meant for the job, then the one with the least
-//! resources left over (best fit); machines of equal rank keep the order in which they were given.
+//! Invariants: only machines that satisfy the job's constraints and have enough free resources are ranked. The machine
+//! with the shortest image fetch is preferred, then one of the capacity type intended for the job, then the one with
+//! the fewest resources left over (best fit). Machines of equal rank keep the order in which they were given.
 
 use std::cmp::Ordering;
 
@@ -14,7 +14,7 @@
 use crate::domain::{CapacityType, Image, InstanceTypeName, Job, MachineId, Resources, Zone};
 use crate::store::Machine;
 
-/// A machine that accepts tasks, with its free resources as its caller knows them.
+/// A machine that accepts tasks, with the free resources that its caller knows.
 #[derive(Debug, Clone)]
 pub struct Candidate {
     /// The machine.
@@ -27,7 +27,7 @@
     pub capacity_type: CapacityType,
     /// The resources of its instance type.
     pub size: Resources,
-    /// The part of `size` that no task uses. The caller reduces it as it places tasks.
+    /// The part of `size` that no task uses. The caller reduces it when it places tasks.
     pub free: Resources,
     /// The images that it has fetched.
     pub images: Vec<Image>,
@@ -36,7 +36,7 @@
 }
 
 impl Candidate {
-    /// A machine of which the resources `used` are in use.
+    /// Creates the candidate for a machine on which `used` is in use.
     pub fn new(
         id: &MachineId,
         machine: &Machine,
@@ -59,8 +59,8 @@
         }
     }
 
-    /// Whether the job's constraints (instance types, zone, capacity type) allow its tasks on this machine, whatever is
-    /// free there.
+    /// Whether the job's constraints (instance types, zone, capacity type) allow its tasks on this machine, regardless
+    /// of its free resources.
     pub fn allows(&self, job: &Job) -> bool {
         job.allows_type(&self.type_name)
             && job.allows_zone(&self.zone)
@@ -68,9 +68,9 @@
     }
 }
 
-/// The best machine with enough free resources for one task of the job, or `None` if there is none.
+/// Returns the best machine with enough free resources for one task of the job, or `None` if there is none.
 ///
-/// `allows_task_in_zone` says whether one more task of the job may go to a zone.
+/// `allows_task_in_zone`: whether one more task of the job may run in a zone.
 pub fn best_candidate<'c>(
     candidates: impl Iterator<Item = &'c Candidate>,
     job: &Job,
@@ -89,10 +89,9 @@
         })
 }
 
-/// Machines in the order in which tasks with the same constraints, resources and image go to them, computed once for many
-/// tasks.
+/// The order of machines for tasks with the same constraints, resources and image, computed once for many tasks.
 ///
-/// While it is used, the free resources of its candidates may only shrink: a machine that has become too full is never
+/// While it is used, the free resources of its candidates may only shrink: a machine that has become too full is not
 /// considered again.
 #[derive(Debug)]
 pub struct Ranking {
@@ -105,8 +104,8 @@
 impl Ranking {
     /// Ranks the candidates that have enough free resources for one task of the job.
     ///
-    /// `allowed`: the machines that the task may go to at all. `avoided`: those that it goes to only if no other machine has
-    /// enough free resources.
+    /// `allowed`: the machines that the task may be placed on. `avoided`: those that it is placed on only if no other
+    /// machine has enough free resources.
     pub fn new(
         candidates: &[Candidate],
         job: &Job,
@@ -128,9 +127,9 @@
         }
     }
 
-    /// The best machine that still has enough free resources for one task, or `None` if there is none left.
+    /// Returns the best machine that still has enough free resources for one task, or `None` if there is none left.
     ///
-    /// `candidates` must be the slice that the ranking was made from, in the same order.
+    /// `candidates` must be the slice that the ranking was created from, in the same order.
     pub fn best<'c>(&mut self, candidates: &'c [Candidate], job: &Job) -> Option<&'c Candidate> {
         while let Some(index) = self.order.get(self.next) {
             match candidates.get(*index) {
@@ -142,7 +141,7 @@
     }
 }
 
-/// The indexes of the machines with enough free resources for at least one task of the job, best first.
+/// Returns the indexes of the machines with enough free resources for at least one task of the job, best first.
 pub fn ranked_indexes(candidates: &[Candidate], job: &Job) -> Vec<usize> {
     Ranking::new(candidates, job, |_| true, |_| false).order
 }
@@ -159,7 +158,7 @@
     fetch_s: f64,
     /// Whether the machine is an on-demand one and the job may run on spot machines.
     wastes_on_demand: bool,
-    /// What is left of the machine's resources, relative to its size.
+    /// The resources of the machine that are left over, relative to its size.
     left_over: f64,
 }
 
