--- a/src/provisioning/inventory_edits.rs
+++ b/src/provisioning/inventory_edits.rs
@@ -47,7 +47,7 @@
 const MAX_BLOCK_FILL: f64 = 0.7;
 /// Number of tasks expected on a machine while no tasks are known.
 const DEFAULT_TASKS_PER_MACHINE: f64 = 4.0;
-/// Number of machines of a type from which on their observed tasks are used for the estimate.
+/// Minimum number of machines of a type for their observed tasks to be used as the estimate.
 const MIN_OBSERVED_MACHINES: usize = 10;
 /// The estimate is the observed number of tasks multiplied by this factor.
 const OBSERVED_TASKS_FACTOR: f64 = 1.25;
@@ -135,7 +135,7 @@
             .map(|(block, fill)| (block.clone(), *fill))
             .collect();
         let new_block = block_leases::block_id(zone, zone_blocks.len());
-        let emptiest = blocks_with_capacity
+        let least_filled = blocks_with_capacity
             .into_iter()
             .filter_map(|(block, fill)| {
                 let part = self.part_for(&block, id, &entry)?;
@@ -144,7 +144,7 @@
                 can_edit.then_some((block, part, fill))
             })
             .min_by(|a, b| a.2.total_cmp(&b.2));
-        let (block, part) = match emptiest {
+        let (block, part) = match least_filled {
             Some((block, part, _)) => (block, part),
             None if is_transaction_full => return false,
             None => (new_block, FIRST_PART),
--- a/src/provisioning/scaling_round.rs
+++ b/src/provisioning/scaling_round.rs
@@ -105,12 +105,12 @@
         self.last_scaling_round = Some(now.monotonic);
         let capacity = self.capacity_by_pool(cache);
         // One change is kept for the rental of each type; the others are for blocks with returned machines.
-        let limit = leader
+        let max_edits = leader
             .max_changes
             .saturating_sub(leader.catalog.all().count())
             .max(1);
-        let mut edits = InventoryEdits::with_limit(leader, cache, context.demand, limit);
-        let mut requested = false;
+        let mut edits = InventoryEdits::with_limit(leader, cache, context.demand, max_edits);
+        let mut scale_out_requested = false;
         for instance_type in leader
             .catalog
             .all()
@@ -127,10 +127,10 @@
             {
                 let key = pending_rental_key(&instance_type.name);
                 txn = txn.when(key.clone(), 0).put(key, &pending_rental);
-                requested = true;
+                scale_out_requested = true;
             }
         }
-        (requested || edits.has_edits()).then(|| edits.apply(txn))
+        (scale_out_requested || edits.has_edits()).then(|| edits.apply(txn))
     }
 
     /// Marks the surplus machines of a pool as returning.
--- a/src/provisioning/tests.rs
+++ b/src/provisioning/tests.rs
@@ -38,14 +38,14 @@
         }
     }
 
-    fn leader(&self, batch: usize) -> LeaderContext<'_> {
+    fn leader(&self, max_changes: usize) -> LeaderContext<'_> {
         LeaderContext {
             config: &self.config,
             policy: &self.policy,
             catalog: &self.catalog,
             term: Term(1),
             record_version: 1,
-            max_changes: batch,
+            max_changes,
             has_spare_writes: true,
         }
     }
