--- a/src/provisioning/tests.rs
+++ b/src/provisioning/tests.rs
@@ -38,14 +38,14 @@
         }
     }
 
-    fn leader(&self, max_changes: usize) -> LeaderContext<'_> {
+    fn leader(&self, change_limit: usize) -> LeaderContext<'_> {
         LeaderContext {
             config: &self.config,
             policy: &self.policy,
             catalog: &self.catalog,
             term: Term(1),
             record_version: 1,
-            max_changes,
+            max_changes: change_limit,
             has_spare_writes: true,
         }
     }
