--- a/src/cloud/wire/tests.rs
+++ b/src/cloud/wire/tests.rs
@@ -1,10 +1,10 @@
-//! The cloud's protocol, and an instance type for the tests of other modules.
+//! Tests of the cloud's protocol, and an instance type for the tests of other modules.
 
 use ciborium::cbor;
 
 use super::*;
 
-/// A machine type of 16 CPUs in zone `a`.
+/// Returns an instance type with 16 CPUs in zone `a`.
 pub fn instance_type() -> InstanceType {
     InstanceType {
         name: "large".into(),
@@ -21,8 +21,8 @@
 }
 
 #[test]
-fn no_capacity_is_told_from_an_outage() {
-    let rent = CloudRequest::ScaleOut(ScaleOutRequest {
+fn a_response_without_capacity_differs_from_an_outage() {
+    let scale_out = CloudRequest::ScaleOut(ScaleOutRequest {
         request: "r-1-1".into(),
         type_name: "g8".into(),
         zone: "a".into(),
@@ -31,15 +31,15 @@
     });
     let reply = |error: &str| Reply {
         status: 503,
-        body: write(&cbor!({"error" => error}).expect("valid")).into(),
+        body: write(&cbor!({"error" => error}).expect("valid CBOR")).into(),
     };
     assert_eq!(
-        parse_response(&rent, Some(&reply("no capacity"))),
+        parse_response(&scale_out, Some(&reply("no capacity"))),
         CloudResponse::NoCapacity
     );
     assert_eq!(
-        parse_response(&rent, Some(&reply("trouble"))),
+        parse_response(&scale_out, Some(&reply("trouble"))),
         CloudResponse::Refused
     );
-    assert_eq!(parse_response(&rent, None), CloudResponse::Unknown);
+    assert_eq!(parse_response(&scale_out, None), CloudResponse::Unknown);
 }
--- a/src/provisioning/cloud_requests.rs
+++ b/src/provisioning/cloud_requests.rs
@@ -1,14 +1,14 @@
-//! The provisioner's requests to the cloud and what their responses change.
+//! The provisioner's requests to the cloud, and the handling of their responses.
 //!
-//! Requests follow from the records: each recorded rental is (again) requested under its name until its result is
-//! recorded, and each machine that is failed or being returned is (again) terminated. So a request that is lost, repeated
-//! or sent by an earlier leader does no harm. Each request takes a call permit.
+//! Requests follow from the records: a recorded rental is requested under its name until its result is recorded, and a
+//! machine that is failed or returning is terminated until its removal is recorded. A request that is lost, repeated
+//! or sent by an earlier leader therefore does no harm. All requests are subject to the rate limit.
 
 use std::time::{Duration, Instant};
 
 use tracing::{debug, info};
 
-use super::{Demand, Provisioner, RETRY_AFTER, ZonedPool};
+use super::{CLOUD_RETRY_DELAY, Demand, Provisioner, ZonedPool};
 use crate::cloud::wire::{ListedMachine, ListedState, MachineIds, MachineList, ScaleOutRequest};
 use crate::cloud::{CloudRequest, CloudResponse};
 use crate::config::Config;
@@ -18,17 +18,17 @@
 use crate::store::records::{MachineState, PendingRental};
 use crate::workers::wire::Heartbeat;
 
-/// The protocol's limit for one termination request.
-const MAX_TERMINATED: usize = 100;
-/// How often the cloud's machines are listed.
+/// Limit of the cloud's protocol for the machines of one termination request.
+const MAX_MACHINES_PER_TERMINATION: usize = 100;
+/// Interval at which the cloud's machines are listed.
 const LIST_INTERVAL: Duration = Duration::from_secs(10);
 
-/// What a request to the cloud was sent for. It comes back with the response.
+/// The purpose of a request to the cloud. It is returned with the response.
 #[derive(Debug, Clone, PartialEq)]
 pub enum CloudRequestPurpose {
-    /// To read the instance types.
+    /// Reads the instance types.
     RefreshCatalog,
-    /// To carry out a recorded rental.
+    /// Carries out a recorded rental.
     ScaleOut {
         /// The instance type, which is the key of the rental's record.
         type_name: InstanceTypeName,
@@ -37,52 +37,52 @@
         /// The version of its record.
         version: u64,
     },
-    /// To terminate these machines.
+    /// Terminates these machines.
     Terminate(Vec<MachineId>),
-    /// To terminate machines whose cancelled tasks must stop, by whichever controller.
+    /// Terminates machines whose cancelled tasks must stop. Any controller may send it.
     TerminateForCancellation,
-    /// To find machines that nobody has recorded, and workers' addresses.
+    /// Finds unrecorded machines and the addresses of workers.
     ListMachines,
 }
 
-/// How far the scale-out of an instance type is. One that has no state is to be requested as soon as it is recorded, but
-/// not before its time for a retry.
+/// The progress of the scale-out of an instance type. A recorded rental without a state is requested as soon as its
+/// retry delay, if any, has passed.
 #[derive(Debug)]
 pub(super) enum ScaleOutState {
-    /// The request is sent.
+    /// The request was sent.
     InFlight,
-    /// The cloud has granted or denied it.
+    /// The cloud has granted or denied the request.
     Fulfilled(FulfilledScaleOut),
 }
 
-/// A scale-out that the cloud has answered, until its machines are recorded.
+/// The result of a scale-out request, kept until its machines are recorded.
 #[derive(Debug)]
 pub(super) struct FulfilledScaleOut {
     pub(super) pending_rental: PendingRental,
-    /// The version of the record of the rental.
+    /// The version of the rental's record.
     pub(super) version: u64,
-    /// The machines granted: fewer than requested, or none, if there was no more capacity.
+    /// The granted machines: fewer than requested, or none, if the cloud had no more capacity.
     pub(super) machines: Vec<MachineId>,
 }
 
-/// How far the listing of the cloud's machines is.
+/// The progress of the listing of the cloud's machines.
 #[derive(Debug, Default)]
 pub(super) struct MachineListing {
     in_flight: bool,
-    last_request: Option<Instant>,
-    /// Where the next page begins, if the last one was not the end of the list.
+    last_request_at: Option<Instant>,
+    /// The last machine of the previous page, if it was not the end of the list.
     next_page_after: Option<MachineId>,
 }
 
-/// A machine that the cloud lists or that reports, but that nobody has recorded.
+/// A machine that is listed by the cloud or reports, but is not recorded.
 #[derive(Debug)]
 pub(super) struct UnrecordedMachine {
     pub(super) listed: ListedMachine,
-    pub(super) since: Instant,
+    pub(super) first_seen: Instant,
 }
 
 impl Provisioner {
-    /// The requests that the records call for and that the cloud's rate limit allows now.
+    /// Returns the requests that the records call for and that the cloud's rate limit allows now.
     pub fn cloud_requests(
         &mut self,
         now: Now,
@@ -90,8 +90,8 @@
         cache: &WatchCache,
         demand: &Demand,
     ) -> Vec<(CloudRequestPurpose, CloudRequest)> {
-        // An earlier leader's writes must be seen first.
-        if !cache.covers(self.term_since) {
+        // The local copy must contain the writes of earlier leaders.
+        if !cache.covers(self.term_started_at) {
             return Vec::new();
         }
         let mut requests = self.scale_out_requests(now, config, cache);
@@ -108,12 +108,12 @@
     ) -> Vec<(CloudRequestPurpose, CloudRequest)> {
         let mut requests = Vec::new();
         for (type_name, record) in &cache.pending_rentals {
-            let waits = self
-                .scale_out_retries
+            let is_delayed = self
+                .scale_out_retry_at
                 .get(type_name)
                 .is_some_and(|at| now.monotonic < *at);
-            let busy = self.scale_outs.contains_key(type_name);
-            if busy || waits || !self.permits.try_acquire(now, config.cloud_rps) {
+            let in_progress = self.scale_outs.contains_key(type_name);
+            if in_progress || is_delayed || !self.rate_limiter.try_acquire(now, config.cloud_rps) {
                 continue;
             }
             self.scale_outs
@@ -147,20 +147,21 @@
             return None;
         }
         let is_due = |id: &MachineId, state: MachineState| {
-            let returned = state == MachineState::Returning && !demand.occupied.contains(id);
-            !self.terminations.is_unrecorded(id) && (self.machines.is_failed(id) || returned)
+            let is_returned = state == MachineState::Returning && !demand.occupied.contains(id);
+            !self.terminations.is_awaiting_removal(id)
+                && (self.machines.is_failed(id) || is_returned)
         };
         let due: Vec<MachineId> = cache
             .machines
             .iter()
             .filter(|(id, machine)| is_due(id, machine.state))
             .map(|(id, _)| id.clone())
-            .take(MAX_TERMINATED)
+            .take(MAX_MACHINES_PER_TERMINATION)
             .collect();
-        if due.is_empty() || !self.permits.try_acquire(now, config.cloud_rps) {
+        if due.is_empty() || !self.rate_limiter.try_acquire(now, config.cloud_rps) {
             return None;
         }
-        self.terminations.requested();
+        self.terminations.record_request();
         let purpose = CloudRequestPurpose::Terminate(due.clone());
         Some((
             purpose,
@@ -176,13 +177,13 @@
         let listing = &mut self.listing;
         let due = listing.next_page_after.is_some()
             || listing
-                .last_request
+                .last_request_at
                 .is_none_or(|at| since(now, at) >= LIST_INTERVAL);
-        if listing.in_flight || !due || !self.permits.try_acquire(now, config.cloud_rps) {
+        if listing.in_flight || !due || !self.rate_limiter.try_acquire(now, config.cloud_rps) {
             return None;
         }
         listing.in_flight = true;
-        listing.last_request = Some(now.monotonic);
+        listing.last_request_at = Some(now.monotonic);
         let after = listing.next_page_after.clone();
         Some((
             CloudRequestPurpose::ListMachines,
@@ -190,7 +191,7 @@
         ))
     }
 
-    /// Takes in the cloud's response to a request of [`Provisioner::cloud_requests`].
+    /// Handles the cloud's response to a request of [`Provisioner::cloud_requests`].
     pub fn handle_cloud_response(
         &mut self,
         now: Now,
@@ -208,21 +209,26 @@
                     version,
                 },
                 response,
-            ) => {
-                self.scale_out_responded(now, policy, &type_name, pending_rental, version, response)
-            }
+            ) => self.handle_scale_out_response(
+                now,
+                policy,
+                &type_name,
+                pending_rental,
+                version,
+                response,
+            ),
             (CloudRequestPurpose::Terminate(machines), CloudResponse::Terminated) => {
-                self.terminations.succeeded(now, machines);
+                self.terminations.record_success(now, machines);
             }
-            (CloudRequestPurpose::Terminate(_), _) => self.terminations.failed(now),
+            (CloudRequestPurpose::Terminate(_), _) => self.terminations.record_failure(now),
             (CloudRequestPurpose::ListMachines, CloudResponse::Machines(list)) => {
                 self.listing.in_flight = false;
-                let last = list.machines.last().filter(|_| list.more);
-                self.listing.next_page_after = last.map(|machine| machine.id.clone());
-                self.observe_list(now, config, cache, list);
+                let last_machine = list.machines.last().filter(|_| list.more);
+                self.listing.next_page_after = last_machine.map(|machine| machine.id.clone());
+                self.process_machine_list(now, config, cache, list);
             }
             (CloudRequestPurpose::ListMachines, _) => self.listing.in_flight = false,
-            // Not the provisioner's own.
+            // Sent by other modules.
             (
                 CloudRequestPurpose::RefreshCatalog | CloudRequestPurpose::TerminateForCancellation,
                 _,
@@ -230,7 +236,7 @@
         }
     }
 
-    fn scale_out_responded(
+    fn handle_scale_out_response(
         &mut self,
         now: Now,
         policy: &Policy,
@@ -247,12 +253,12 @@
         } = pending_rental;
         let machines = match response {
             CloudResponse::ScaledOut(MachineIds { machines }) => {
-                let got = machines.len();
-                info!(%request, %type_name, %zone, ?capacity_type, wanted = count, got, "scale-out fulfilled");
-                if got < count as usize {
+                let granted = machines.len();
+                info!(%request, %type_name, %zone, ?capacity_type, requested = count, granted, "scale-out fulfilled");
+                if granted < count as usize {
                     self.mark_unavailable(now, policy, type_name, &pending_rental);
                 }
-                self.machines.boots.start(now, &machines);
+                self.machines.boot_tracker.record_granted(now, &machines);
                 machines
             }
             CloudResponse::NoCapacity => {
@@ -261,12 +267,12 @@
                 Vec::new()
             }
             _ => {
-                // A late response to a request of an earlier term must not hide what was granted since.
+                // A late response to a request of an earlier term must not discard machines that were granted since.
                 if let Some(ScaleOutState::InFlight) = self.scale_outs.get(type_name) {
                     self.scale_outs.remove(type_name);
                 }
-                self.scale_out_retries
-                    .insert(type_name.clone(), now.monotonic + RETRY_AFTER);
+                self.scale_out_retry_at
+                    .insert(type_name.clone(), now.monotonic + CLOUD_RETRY_DELAY);
                 return;
             }
         };
@@ -279,7 +285,7 @@
             .insert(type_name.clone(), ScaleOutState::Fulfilled(fulfilled));
     }
 
-    /// Notes that the cloud has no more machines of a type where they were requested.
+    /// Marks the type, zone and capacity type of a rental as unavailable.
     pub(super) fn mark_unavailable(
         &mut self,
         now: Now,
@@ -287,34 +293,42 @@
         type_name: &InstanceTypeName,
         pending_rental: &PendingRental,
     ) {
-        let capacity = ZonedPool::new(
+        let pool = ZonedPool::new(
             type_name.clone(),
             pending_rental.capacity_type,
             pending_rental.zone.clone(),
         );
-        self.unavailable.mark(now, capacity, policy.stockout_memory);
+        self.unavailable
+            .mark_unavailable(now, pool, policy.unavailable_capacity_ttl);
     }
 
-    fn observe_list(&mut self, now: Now, config: &Config, cache: &WatchCache, list: MachineList) {
+    fn process_machine_list(
+        &mut self,
+        now: Now,
+        config: &Config,
+        cache: &WatchCache,
+        list: MachineList,
+    ) {
         for listed in list.machines {
             if cache.machines.contains_key(&listed.id) {
                 if let (ListedState::Running, Some(address)) = (listed.state, &listed.addr) {
-                    self.machines.listed_address(&listed.id, address);
+                    self.machines.record_listed_address(&listed.id, address);
                 }
                 if listed.state == ListedState::Failed {
-                    self.machines.listed_as_failed(&listed.id);
+                    self.machines.mark_listed_as_failed(&listed.id);
                 }
-            } else if since(now, self.term_since) > config.list_lag * 3
+            } else if since(now, self.term_started_at) > config.list_lag * 3
                 && listed.age_s.0 > config.list_lag.as_secs_f64()
             {
-                // What an earlier leader terminated is listed a while longer; only what stays is unrecorded.
-                self.observe_unrecorded(now, listed);
+                // Machines terminated by an earlier leader stay listed for a while; only machines that are listed for
+                // longer are unrecorded.
+                self.add_unrecorded_machine(now, listed);
             }
         }
     }
 
-    /// Takes in the heartbeat of a worker whose machine nobody has recorded: a scale-out that was carried out late, or a
-    /// machine that was there before this cluster.
+    /// Handles the heartbeat of a worker whose machine is not recorded: the machine was granted by a delayed
+    /// scale-out, or existed before this cluster.
     pub fn observe_unrecorded_machine(&mut self, now: Now, heartbeat: &Heartbeat) {
         let listed = ListedMachine {
             id: heartbeat.machine.clone(),
@@ -325,15 +339,15 @@
             state: ListedState::Running,
             age_s: Amount(0.0),
         };
-        self.observe_unrecorded(now, listed);
+        self.add_unrecorded_machine(now, listed);
     }
 
-    fn observe_unrecorded(&mut self, now: Now, listed: ListedMachine) {
-        if !self.terminations.is_recent(&listed.id) {
-            let since = now.monotonic;
-            self.unrecorded
+    fn add_unrecorded_machine(&mut self, now: Now, listed: ListedMachine) {
+        if !self.terminations.is_recently_terminated(&listed.id) {
+            let first_seen = now.monotonic;
+            self.unrecorded_machines
                 .entry(listed.id.clone())
-                .or_insert(UnrecordedMachine { listed, since });
+                .or_insert(UnrecordedMachine { listed, first_seen });
         }
     }
 }
--- a/src/provisioning/tests.rs
+++ b/src/provisioning/tests.rs
@@ -1,4 +1,4 @@
-//! The provisioner as a whole: which machines fail, which are requested, and how inventories are divided.
+//! Tests of the provisioner as a whole: which machines fail, which are requested, and how inventories are divided.
 
 use super::*;
 use crate::block_leases;
@@ -17,7 +17,7 @@
 };
 use crate::store::{Change, TransactionChange};
 
-/// What a leader goes by, with the settings of the tests.
+/// The parts of a leader's context, with the settings of the tests.
 struct LeaderFixture {
     config: Config,
     policy: Policy,
@@ -38,24 +38,24 @@
         }
     }
 
-    fn leader(&self, batch: usize) -> LeaderContext<'_> {
+    fn leader(&self, change_limit: usize) -> LeaderContext<'_> {
         LeaderContext {
             config: &self.config,
             policy: &self.policy,
             catalog: &self.catalog,
             term: Term(1),
             record_version: 1,
-            max_changes: batch,
+            max_changes: change_limit,
             has_spare_writes: true,
         }
     }
 }
 
 fn config() -> Config {
-    Config::parse("s.toml", SETTINGS).expect("valid")
+    Config::parse("s.toml", SETTINGS).expect("valid settings")
 }
 
-/// A local copy of records that are written one by one.
+/// A local copy of records that are written one after another.
 struct Records {
     cache: WatchCache,
     version: u64,
@@ -88,8 +88,8 @@
     }
 }
 
-/// Two machines with a task each: that of `m-1` is of a job cancelled at `cancelled_ms`.
-fn records_with_a_cancelled_job(cancelled_ms: u64) -> Records {
+/// Returns records of two machines with one task each. The task on `m-1` belongs to a job cancelled at `cancelled_ms`.
+fn records_with_cancelled_job(cancelled_ms: u64) -> Records {
     let mut records = Records::new();
     let block = block_leases::block_id(&"a".into(), 0);
     let inventory = MachineInventory {
@@ -115,15 +115,15 @@
     records
 }
 
-/// Found by a search of seeds: a machine hung with a cancelled task on it, and its block changed hands so often that
-/// no holder waited long enough to find it silent.
+/// Guards against a cancelled task that keeps running on a machine that hangs: its block changed holders so often that
+/// none of them waited long enough to find the machine unresponsive. Found by a search over seeds.
 #[test]
-fn a_machine_with_a_task_cancelled_long_ago_is_terminated_in_time() {
+fn a_machine_with_an_overdue_cancelled_task_is_terminated() {
     let config = config();
     let start = Now::read();
-    let records = records_with_a_cancelled_job(start.unix_ms());
+    let records = records_with_cancelled_job(start.unix_ms());
     let mut provisioner = Provisioner::new(start, Term(1));
-    let mut failed = |after: Duration| {
+    let mut failed_machines = |after: Duration| {
         let now = Now {
             wall: start.wall + after,
             ..start
@@ -139,24 +139,24 @@
             .collect::<Vec<_>>()
     };
     assert_eq!(
-        failed(config.worker_lease),
+        failed_machines(config.worker_lease),
         [] as [&str; 0],
-        "its holder may still prove it gone"
+        "its holder may still prove the task ended"
     );
     assert_eq!(
-        failed(config.cancel_within - cancellation::DELETION_MARGIN),
+        failed_machines(config.cancel_within - cancellation::DELETION_MARGIN),
         ["m-1"]
     );
 }
 
-/// Six machines in each of the zones `a` and `b`, which fall silent.
-struct SilentZones {
+/// Six machines in each of the zones `a` and `b`, some of which become unresponsive.
+struct UnresponsiveZones {
     start: Now,
     leader: LeaderFixture,
     records: Records,
 }
 
-impl SilentZones {
+impl UnresponsiveZones {
     fn new() -> Self {
         let start = Now::read();
         let mut records = Records::new();
@@ -172,30 +172,32 @@
             let key = inventory_key(&block_leases::block_id(&zone.into(), 0));
             records.set(key, Some(encode(&inventory)));
         }
-        SilentZones {
+        UnresponsiveZones {
             start,
             leader: LeaderFixture::new(config()),
             records,
         }
     }
 
-    /// How many machines are failed after these observations. Each is the time since the start, and the beginnings of the
-    /// names of the machines that are silent then.
-    fn failed(&self, observations: &[(Duration, &[&str])], heard_zones: &[&str]) -> usize {
+    /// Returns the number of failed machines after these observations. Each observation is the time since the start
+    /// and the prefixes of the names of the machines that are unresponsive then.
+    fn count_failed(&self, observations: &[(Duration, &[&str])], heard_zones: &[&str]) -> usize {
         let cache = &self.records.cache;
         let heard_zones = heard_zones.iter().copied().map(Zone::from).collect();
         let mut provisioner = Provisioner::new(self.start, Term(1));
-        for (passed, silent) in observations {
+        for (elapsed, unresponsive) in observations {
             let now = Now {
-                monotonic: self.start.monotonic + *passed,
+                monotonic: self.start.monotonic + *elapsed,
                 ..self.start
             };
             let health = cache.machines.keys().map(|id| {
-                let silent = silent.iter().any(|zone| id.0[2..].starts_with(zone));
+                let unresponsive = unresponsive
+                    .iter()
+                    .any(|prefix| id.0[2..].starts_with(prefix));
                 let health = MachineHealth {
-                    seen: true,
-                    silent,
-                    usable: !silent,
+                    has_reported: true,
+                    unresponsive,
+                    usable: !unresponsive,
                     ..MachineHealth::default()
                 };
                 (id.clone(), health)
@@ -212,68 +214,82 @@
         provisioner.machines.failed().len()
     }
 
-    /// How many machines are failed some time after all were heard, and then some were silent for that time.
-    fn failed_if_silent(&self, silent: &[&str], after: Duration, heard_zones: &[&str]) -> usize {
+    /// Returns the number of failed machines at the time `after`, if all machines reported at the start and some were
+    /// unresponsive from the first second on.
+    fn count_failed_after(
+        &self,
+        unresponsive: &[&str],
+        after: Duration,
+        heard_zones: &[&str],
+    ) -> usize {
         let observations = [
             (Duration::ZERO, &[] as &[&str]),
-            (Duration::from_secs(1), silent),
-            (after, silent),
+            (Duration::from_secs(1), unresponsive),
+            (after, unresponsive),
         ];
-        self.failed(&observations, heard_zones)
+        self.count_failed(&observations, heard_zones)
     }
 }
 
-/// Found on the bench: an isolated zone's machines were deleted with all the replicas that ran on there.
+/// Guards against terminating the machines of an isolated zone with all the replicas that keep running there. Found on
+/// the bench.
 #[test]
-fn machines_of_a_zone_that_may_be_isolated_fail_only_when_their_tasks_must_be_gone() {
-    let zones = SilentZones::new();
+fn machines_of_an_isolated_zone_fail_only_after_their_tasks_must_have_ended() {
+    let zones = UnresponsiveZones::new();
     let LeaderFixture { policy, config, .. } = &zones.leader;
-    let both = ["a", "b"];
-    let failed = |silent: &[&str], after: Duration| zones.failed_if_silent(silent, after, &both);
-    let survive = policy.block_lease_duration + config.worker_lease
+    let all_zones = ["a", "b"];
+    let count_failed = |unresponsive: &[&str], after: Duration| {
+        zones.count_failed_after(unresponsive, after, &all_zones)
+    };
+    let task_survival_time = policy.block_lease_duration + config.worker_lease
         - policy.worker_timeout_after_failed_probe;
-    assert_eq!(failed(&["a"], survive), 0, "may be isolated");
     assert_eq!(
-        failed(&["a"], survive + Duration::from_secs(4)),
+        count_failed(&["a"], task_survival_time),
+        0,
+        "the zone may be isolated"
+    );
+    assert_eq!(
+        count_failed(&["a"], task_survival_time + Duration::from_secs(4)),
         6,
-        "their tasks are gone by then"
+        "their tasks must have ended by then"
     );
     assert_eq!(
-        zones.failed_if_silent(&["a"], Duration::from_secs(2), &["b"]),
+        zones.count_failed_after(&["a"], Duration::from_secs(2), &["b"]),
         6,
-        "nobody answers them"
+        "no controller in the zone answers the workers"
     );
     assert_eq!(
-        failed(&["a0", "a1"], Duration::from_secs(2)),
+        count_failed(&["a0", "a1"], Duration::from_secs(2)),
         2,
-        "some of a zone: they are dead"
+        "only some machines of a zone: they have failed"
     );
     assert_eq!(
-        failed(&["a", "b"], Duration::from_secs(2)),
+        count_failed(&["a", "b"], Duration::from_secs(2)),
         12,
-        "all zones: nothing speaks for isolation"
+        "all zones: no sign of isolation"
     );
 }
 
-/// Found in an incident: the isolation ended, most were heard again, and the others were given up at once.
+/// Guards against giving up the remaining machines at once when the isolation of a zone ends and most machines report
+/// again. Found in an incident.
 #[test]
-fn machines_still_silent_when_the_isolation_of_their_zone_ends_do_not_fail_at_once() {
+fn machines_still_unresponsive_when_the_isolation_ends_do_not_fail_at_once() {
     let observations: [(Duration, &[&str]); 3] = [
         (Duration::ZERO, &[]),
         (Duration::from_secs(1), &["a"]),
         (Duration::from_secs(2), &["a0", "a1"]),
     ];
     assert_eq!(
-        SilentZones::new().failed(&observations, &["a", "b"]),
+        UnresponsiveZones::new().count_failed(&observations, &["a", "b"]),
         0,
-        "they may just not have reported yet"
+        "they may still report"
     );
 }
 
-/// Found in an incident: best-effort arrays were short of a thousand spot machines that the cloud did not have, and each
-/// round requested those; the few on-demand machines that replicas waited for were never requested.
+/// Best-effort arrays lacked a thousand spot machines that the cloud did not have, and each round requested those; the
+/// few on-demand machines that replicas waited for were never requested. Found in an incident.
 #[test]
-fn an_unavailable_capacity_type_does_not_keep_the_other_from_being_requested() {
+fn an_unavailable_capacity_type_does_not_block_requests_for_the_other() {
     let fixture = LeaderFixture::new(config());
     let now = Now::read();
     let cache = WatchCache::following();
@@ -288,9 +304,9 @@
         machines,
         ..Demand::default()
     };
-    let requested = |spot_is_out: bool| {
+    let most_urgent_capacity_type = |spot_unavailable: bool| {
         let mut provisioner = Provisioner::new(now, Term(1));
-        if spot_is_out {
+        if spot_unavailable {
             let pending_rental = PendingRental {
                 request: "r".into(),
                 zone: "a".into(),
@@ -299,10 +315,10 @@
             };
             provisioner.mark_unavailable(now, &fixture.policy, &name, &pending_rental);
         }
-        let worst = [CapacityType::OnDemand, CapacityType::Spot].map(|capacity_type| {
+        let shortages = [CapacityType::OnDemand, CapacityType::Spot].map(|capacity_type| {
             let pool = MachinePool::new(name.clone(), capacity_type);
             provisioner.shortage(
-                Round {
+                ProvisioningContext {
                     now,
                     leader: &leader,
                     cache: &cache,
@@ -313,15 +329,19 @@
                 0,
             )
         });
-        scaling_round::Shortage::worst(worst).map(|shortage| shortage.capacity_type)
+        scaling_round::Shortage::most_urgent(shortages).map(|shortage| shortage.capacity_type)
     };
-    assert_eq!(requested(false), Some(CapacityType::Spot));
-    assert_eq!(requested(true), Some(CapacityType::OnDemand));
+    assert_eq!(most_urgent_capacity_type(false), Some(CapacityType::Spot));
+    assert_eq!(
+        most_urgent_capacity_type(true),
+        Some(CapacityType::OnDemand)
+    );
 }
 
-/// An inventory that is larger than the state service will take can't be written again, so it could not even be drained.
+/// An inventory larger than the size limit of the state service can't be written again, so its machines could not even
+/// be drained.
 #[test]
-fn an_inventory_that_is_too_large_is_divided_step_by_step_and_loses_no_machine() {
+fn an_oversized_inventory_is_divided_in_steps_and_loses_no_machine() {
     let mut config = config();
     (config.state_limits.value_bytes, config.state_limits.txn_ops) = (2048, 5);
     let fixture = LeaderFixture::new(config);
@@ -337,14 +357,18 @@
         on: (0..600).map(machine).collect(),
     };
     records.set(inventory_key(&block), Some(encode(&inventory)));
-    let next = |cache: &WatchCache| {
+    let next_division = |cache: &WatchCache| {
         divide_inventory(&leader, cache, &Demand::default(), &Transaction::default())
     };
-    assert_eq!(next(&records.cache), None, "not before the format is on");
+    assert_eq!(
+        next_division(&records.cache),
+        None,
+        "no division before the format is enabled"
+    );
     let switch = FormatSwitch { version: FORMAT };
     records.set(FORMAT_KEY.to_owned(), Some(encode(&switch)));
     let mut steps = 0;
-    while let Some(txn) = next(&records.cache) {
+    while let Some(txn) = next_division(&records.cache) {
         steps += 1;
         assert!(steps < 20 && txn.changes.len() <= 5, "step {steps}");
         for change in txn.changes {
@@ -361,7 +385,13 @@
             assert_eq!(cache.machines.len(), 600);
         }
     }
-    assert!(steps > 1, "more than one transaction holds");
-    let parts = records.cache.inventory_parts(&block).expect("known");
-    assert!(!parts.contains_key(&0), "deleted, for it can't be written");
+    assert!(steps > 1, "the division takes more than one transaction");
+    let parts = records
+        .cache
+        .inventory_parts(&block)
+        .expect("the block has parts");
+    assert!(
+        !parts.contains_key(&0),
+        "the oversized part, which can't be written, is deleted"
+    );
 }
