--- a/tests/simulation/cluster/network.rs
+++ b/tests/simulation/cluster/network.rs
@@ -106,17 +106,17 @@
     /// Carries out an effect of a process.
     pub(super) fn perform(&mut self, process: Process, effect: Effect) {
         match effect {
-            Effect::Store { tag, request: op } => self.send_store_request(process, tag, op),
+            Effect::Store { tag, request } => self.send_store_request(process, tag, request),
             Effect::Command {
                 command,
-                authority_until: until,
-            } => self.send_command(process, command, until),
+                authority_until,
+            } => self.send_command(process, command, authority_until),
             Effect::Cloud {
                 tag,
-                request: call,
-                authority_until: until,
+                request,
+                authority_until,
             } => {
-                self.send_cloud_request(process, tag, call, until);
+                self.send_cloud_request(process, tag, request, authority_until);
             }
             Effect::Peer { to, message } => {
                 self.send_peer_message(process.controller, &to, message)
@@ -127,10 +127,10 @@
             }
             Effect::RespondToWorker {
                 id,
-                response: answer,
-                authority_until: until,
+                response,
+                authority_until,
             } => {
-                self.respond_to_worker(process.controller, id, answer, until);
+                self.respond_to_worker(process.controller, id, response, authority_until);
             }
             Effect::RespondToHealthCheck { .. } => {}
             Effect::RespondToOperator { id, reply } => {
--- a/tests/simulation/digest.rs
+++ b/tests/simulation/digest.rs
@@ -49,6 +49,13 @@
         self.bytes(&number.to_le_bytes());
     }
 
+    /// Takes in several numbers, each as by itself.
+    fn numbers(&mut self, numbers: &[u64]) {
+        for number in numbers {
+            self.number(*number);
+        }
+    }
+
     /// Takes in a duration, to the nanosecond.
     fn duration(&mut self, duration: Duration) {
         self.number(u64::try_from(duration.as_nanos()).expect("centuries"));
@@ -119,32 +126,29 @@
         self.number(controller as u64);
         self.duration(now);
         match effect {
-            Effect::Store {
-                tag: _,
-                request: op,
-            } => {
+            Effect::Store { tag: _, request } => {
                 self.number(1);
-                self.request(&store::wire::request(op));
+                self.request(&store::wire::request(request));
             }
             Effect::Command {
                 command,
-                authority_until: until,
+                authority_until,
             } => {
                 self.number(2);
                 self.field(command.block.0.as_bytes());
                 self.field(command.machine.0.as_bytes());
                 self.field(command.addr.as_bytes());
                 self.field(&write(&command.body));
-                self.until(base, *until);
+                self.until(base, *authority_until);
             }
             Effect::Cloud {
                 tag: _,
-                request: call,
-                authority_until: until,
+                request,
+                authority_until,
             } => {
                 self.number(3);
-                self.request(&cloud::wire::http_request(call));
-                self.until(base, *until);
+                self.request(&cloud::wire::http_request(request));
+                self.until(base, *authority_until);
             }
             Effect::Peer { to, message } => {
                 self.number(4);
@@ -152,33 +156,27 @@
                 self.field(&write(message));
             }
             Effect::RespondToUser { id, response } => {
-                self.number(5);
-                self.number(*id);
+                self.numbers(&[5, *id]);
                 self.response(response);
             }
             Effect::RespondToWorker {
                 id,
-                response: answer,
-                authority_until: until,
+                response,
+                authority_until,
             } => {
-                self.number(6);
-                self.number(*id);
-                self.heartbeat_response(answer);
-                self.until(base, Some(*until));
+                self.numbers(&[6, *id]);
+                self.heartbeat_response(response);
+                self.until(base, Some(*authority_until));
             }
             Effect::RespondToHealthCheck { id, healthy } => {
-                self.number(7);
-                self.number(*id);
-                self.number(u64::from(*healthy));
+                self.numbers(&[7, *id, u64::from(*healthy)]);
             }
             Effect::RespondToOperator { id, reply } => {
-                self.number(8);
-                self.number(*id);
+                self.numbers(&[8, *id]);
                 self.field(&write(reply));
             }
             Effect::UnsupportedFormat { format } => {
-                self.number(9);
-                self.number(u64::from(*format));
+                self.numbers(&[9, u64::from(*format)]);
             }
         }
         // Two versions of the program can be compared by their logs: where they part is the first difference.
