--- a/src/scheduler/draining/fleet_view.rs
+++ b/src/scheduler/draining/fleet_view.rs
@@ -29,24 +29,27 @@
 }
 
 impl FleetView<'_, '_> {
-    fn open(&self, job: JobId) -> Option<&OpenJob> {
+    fn open_job(&self, job: JobId) -> Option<&OpenJob> {
         self.cache.open.get(&job).filter(|open| !open.cancelled)
     }
 
     /// Where the other tasks of a job are, in all: placed, released, or with room kept for them.
-    fn zones_of_others(&self, task: TaskId) -> BTreeMap<Zone, u32> {
-        self.scheduler.zones_of_others(self.cache, task)
+    fn other_tasks_per_zone(&self, task: TaskId) -> BTreeMap<Zone, u32> {
+        self.scheduler.other_tasks_per_zone(self.cache, task)
     }
 
     fn reserve_task(&mut self, task: TaskId) -> Result<Vec<Reservation>, NoRoom> {
         let Some(open) = self.cache.open.get(&task.job) else {
             return Err(NoRoom::Anywhere);
         };
-        let zones = self.zones_of_others(task);
-        match self.plan.keep_room(self.cache, &open.job, &zones) {
+        let tasks_per_zone = self.other_tasks_per_zone(task);
+        match self
+            .plan
+            .reserve_capacity(self.cache, &open.job, &tasks_per_zone)
+        {
             Some(machine) => Ok(vec![Reservation { task, machine }]),
             None => {
-                let reason = no_room(self.capacity, &open.job, &zones);
+                let reason = shortage_reason(self.capacity, &open.job, &tasks_per_zone);
                 if reason == NoRoom::Yet {
                     self.unplaced.push(task);
                 }
@@ -59,28 +62,29 @@
         let Some(open) = self.cache.open.get(&id) else {
             return Err(NoRoom::Anywhere);
         };
-        let waiting = gang_waiting(id, open);
+        let waiting_job = unplaced_waiting_job(id, open);
         let block_of = |machine: &MachineId| Some(self.cache.machines.get(machine)?.block.clone());
-        let room = find_room(
+        let gang_capacity = find_room(
             &self.plan.candidates,
-            &waiting,
+            &waiting_job,
             |_| true,
             &self.plan.block_slots,
             block_of,
         );
-        if !room.whole {
-            if no_room(self.capacity, &open.job, &BTreeMap::new()) == NoRoom::Anywhere {
+        if !gang_capacity.whole {
+            if shortage_reason(self.capacity, &open.job, &BTreeMap::new()) == NoRoom::Anywhere {
                 return Err(NoRoom::Anywhere);
             }
-            let missing = room.tasks.len() as u32..open.job.tasks;
+            let unplaced = gang_capacity.tasks.len() as u32..open.job.tasks;
             self.unplaced
-                .extend(missing.map(|index| TaskId { job: id, index }));
+                .extend(unplaced.map(|index| TaskId { job: id, index }));
             return Err(NoRoom::Yet);
         }
         let mut reservations = Vec::new();
-        for (index, candidate) in (0..).zip(room.tasks) {
+        for (index, candidate) in (0..).zip(gang_capacity.tasks) {
             let machine = self.plan.candidates[candidate].machine.clone();
-            self.plan.take_room(self.cache, candidate, &open.job.need);
+            self.plan
+                .reserve_on_candidate(self.cache, candidate, &open.job.need);
             let task = TaskId { job: id, index };
             reservations.push(Reservation { task, machine });
         }
@@ -89,14 +93,14 @@
 }
 
 /// Why there is no room for a task whose job's others are in these zones: whether machines can be had where it may go.
-pub(super) fn no_room(
+pub(super) fn shortage_reason(
     capacity: &CapacityView<'_>,
     job: &Job,
-    zones: &BTreeMap<Zone, u32>,
+    tasks_per_zone: &BTreeMap<Zone, u32>,
 ) -> NoRoom {
-    let open = |instance_type: &InstanceType, zone: &Zone| {
+    let can_rent = |instance_type: &InstanceType, zone: &Zone| {
         job.allows_zone(zone)
-            && allows_task_in_zone(job, zones, zone)
+            && allows_task_in_zone(job, tasks_per_zone, zone)
             && !capacity.provisioner.is_drained(&instance_type.name, zone)
     };
     let obtainable = capacity.leader.catalog.all().any(|instance_type| {
@@ -105,7 +109,7 @@
         fits && instance_type
             .zones
             .iter()
-            .any(|zone| open(instance_type, zone))
+            .any(|zone| can_rent(instance_type, zone))
     });
     if obtainable {
         NoRoom::Yet
@@ -114,7 +118,7 @@
     }
 }
 
-pub(super) fn gang_waiting<'v>(id: JobId, open: &'v OpenJob) -> WaitingJob<'v> {
+pub(super) fn unplaced_waiting_job<'v>(id: JobId, open: &'v OpenJob) -> WaitingJob<'v> {
     WaitingJob {
         id,
         open,
@@ -133,22 +137,22 @@
     }
 
     fn job(&self, job: JobId) -> Option<JobFacts> {
-        let open = self.open(job)?;
-        let gang = open.job.kind == JobKind::Gang;
+        let open = self.open_job(job)?;
+        let is_gang = open.job.kind == JobKind::Gang;
         Some(JobFacts {
             team: open.job.team.clone(),
             class: open.job.class.clone(),
-            gang_tasks: gang.then_some(open.job.tasks),
+            gang_tasks: is_gang.then_some(open.job.tasks),
         })
     }
 
     fn is_done(&self, task: TaskId) -> bool {
-        self.open(task.job)
+        self.open_job(task.job)
             .is_none_or(|open| open.done.contains(task.index))
     }
 
     fn attempts(&self, task: TaskId) -> Vec<Attempt> {
-        attempts_of(self.cache, task)
+        placed_attempts(self.cache, task)
             .map(|(attempt, _)| attempt)
             .collect()
     }
@@ -158,7 +162,7 @@
     }
 
     fn is_stopping(&self, attempt: &Attempt) -> bool {
-        self.scheduler.is_told_to_stop(attempt)
+        self.scheduler.is_stop_requested(attempt)
     }
 
     fn keeps_failing(&self, job: JobId) -> bool {
@@ -167,7 +171,7 @@
 
     fn lacks_room(&self, task: TaskId) -> Option<NoRoom> {
         let draining = self.scheduler.draining.as_ref()?;
-        draining.without_room.get(&task).copied()
+        draining.without_capacity.get(&task).copied()
     }
 
     fn reserve(&mut self, subject: &Subject) -> Result<Vec<Reservation>, NoRoom> {
@@ -179,7 +183,7 @@
 }
 
 /// The attempts of a task that are on machines, with their machines.
-pub(super) fn attempts_of(
+pub(super) fn placed_attempts(
     cache: &WatchCache,
     task: TaskId,
 ) -> impl Iterator<Item = (Attempt, &MachineId)> {
--- a/src/scheduler/draining/mod.rs
+++ b/src/scheduler/draining/mod.rs
@@ -20,8 +20,8 @@
 };
 use tracing::info;
 
-use fleet_view::{FleetView, attempts_of};
-use replacement::count_unplaced;
+use fleet_view::{FleetView, placed_attempts};
+use replacement::add_unplaced_demand;
 
 use super::capacity_view::CapacityView;
 use super::{HOLDER_STATUS_TTL, Plan, Scheduler};
@@ -33,9 +33,9 @@
 use crate::store::{StoreRequest, StoreResponse, Transaction, Versioned, WatchCache, Writer};
 
 /// What an entry takes of a ledger's value, at the most.
-const LEDGER_ENTRY_BYTES: usize = 192;
+const MAX_LEDGER_ENTRY_BYTES: usize = 192;
 /// Ledgers in which nothing but losses or ends has changed are written this often.
-const UPKEEP_EVERY: Duration = Duration::from_secs(1);
+const LEDGER_UPKEEP_INTERVAL: Duration = Duration::from_secs(1);
 
 /// The leader's part in draining.
 #[derive(Debug)]
@@ -44,16 +44,16 @@
     planner: Planner,
     writer: Writer,
     /// Room that is kept for evicted tasks.
-    reserved: BTreeMap<TaskId, MachineId>,
+    reservations: BTreeMap<TaskId, MachineId>,
     /// Tasks whose eviction is being recorded.
-    proposed: BTreeSet<TaskId>,
+    unconfirmed_evictions: BTreeSet<TaskId>,
     /// Evicted tasks for which there is no room, and why.
-    without_room: BTreeMap<TaskId, NoRoom>,
+    without_capacity: BTreeMap<TaskId, NoRoom>,
     /// What the last look came to, to be recorded.
-    decided: Vec<Effect>,
-    upkeep: Option<Instant>,
+    planned_effects: Vec<Effect>,
+    last_upkeep: Option<Instant>,
     /// Evictions recorded in this term.
-    evictions: u64,
+    evictions_this_term: u64,
 }
 
 impl DrainCoordinator {
@@ -65,18 +65,18 @@
             writer: Writer::Unconfirmed {
                 since: now.monotonic,
             },
-            reserved: BTreeMap::new(),
-            proposed: BTreeSet::new(),
-            without_room: BTreeMap::new(),
-            decided: Vec::new(),
-            upkeep: None,
-            evictions: 0,
+            reservations: BTreeMap::new(),
+            unconfirmed_evictions: BTreeSet::new(),
+            without_capacity: BTreeMap::new(),
+            planned_effects: Vec::new(),
+            last_upkeep: None,
+            evictions_this_term: 0,
         }
     }
 
     /// The budgets in force.
     pub fn budgets(&self, cache: &WatchCache) -> Budgets {
-        budgets(&self.settings, cache)
+        effective_budgets(&self.settings, cache)
     }
 
     /// How far each drain is.
@@ -91,13 +91,16 @@
 
     /// What becomes of machines, as the last look says.
     pub fn desired_machine_states(&self) -> BTreeMap<MachineId, MachineState> {
-        let state = |effect: &Effect| match effect {
+        let machine_state = |effect: &Effect| match effect {
             Effect::Cordon(machine) => Some((machine.clone(), MachineState::Cordoned)),
             Effect::Uncordon(machine) => Some((machine.clone(), MachineState::InService)),
             Effect::Return(machine) => Some((machine.clone(), MachineState::Returning)),
             Effect::WriteLedger { .. } | Effect::WriteRecord { .. } | Effect::Reserve(_) => None,
         };
-        self.decided.iter().filter_map(state).collect()
+        self.planned_effects
+            .iter()
+            .filter_map(machine_state)
+            .collect()
     }
 
     /// Values for the metrics.
@@ -116,7 +119,10 @@
             gauges.insert(format!("drain_disrupted{{team=\"{team}\"}}"), disrupted);
             gauges.insert(format!("drain_budget{{team=\"{team}\"}}"), allowed as f64);
         }
-        gauges.insert("drain_evictions".to_owned(), self.evictions as f64);
+        gauges.insert(
+            "drain_evictions".to_owned(),
+            self.evictions_this_term as f64,
+        );
     }
 
     /// Whether there is nothing to do and nothing to look after.
@@ -126,30 +132,32 @@
     }
 
     /// The transaction that records what was decided.
-    fn transaction(
+    fn build_transaction(
         &self,
         now: Now,
         leader: &LeaderContext<'_>,
         cache: &WatchCache,
     ) -> Option<Transaction> {
         let mut txn = Transaction::default().when(LEADER, leader.record_version);
-        let mut drains: BTreeSet<&DrainId> = BTreeSet::new();
-        let most = leader.max_changes.max(1);
-        let upkeep_due = self.upkeep.is_none_or(|at| since(now, at) >= UPKEEP_EVERY);
-        for effect in &self.decided {
-            if txn.changes.len() >= most {
+        let mut evicting_drains: BTreeSet<&DrainId> = BTreeSet::new();
+        let max_changes = leader.max_changes.max(1);
+        let upkeep_due = self
+            .last_upkeep
+            .is_none_or(|at| since(now, at) >= LEDGER_UPKEEP_INTERVAL);
+        for effect in &self.planned_effects {
+            if txn.changes.len() >= max_changes {
                 break;
             }
             match effect {
                 Effect::WriteLedger { team, ledger } => {
-                    let old = cache.drain_ledgers.get(team);
-                    let new = new_evictions(old, ledger);
-                    if new.is_empty() && !upkeep_due {
+                    let stored = cache.drain_ledgers.get(team);
+                    let added = new_evictions(stored, ledger);
+                    if added.is_empty() && !upkeep_due {
                         continue;
                     }
-                    drains.extend(new.iter().map(|eviction| &eviction.drain));
+                    evicting_drains.extend(added.iter().map(|eviction| &eviction.drain));
                     let key = drain_ledger_key(team);
-                    txn = txn.when(key.clone(), version_of(old)).when(
+                    txn = txn.when(key.clone(), version_of(stored)).when(
                         drain_budget_key(team),
                         version_of(cache.drain_budgets.get(team)),
                     );
@@ -159,7 +167,7 @@
                 }
                 Effect::WriteRecord { id, record } => {
                     let key = drain_key(id);
-                    drains.remove(id);
+                    evicting_drains.remove(id);
                     txn = txn
                         .when(key.clone(), version_of(cache.drains.get(id)))
                         .put(key, record);
@@ -171,7 +179,7 @@
             }
         }
         // A drain that was called off or halted meanwhile evicts nothing more.
-        for id in drains {
+        for id in evicting_drains {
             let key = drain_key(id);
             if !txn.conditions.iter().any(|(known, _)| *known == key) {
                 txn = txn.when(key, version_of(cache.drains.get(id)));
@@ -180,15 +188,22 @@
         (!txn.changes.is_empty()).then_some(txn)
     }
 
-    fn log_decided(&self, cache: &WatchCache) {
-        for effect in &self.decided {
+    fn log_planned_effects(&self, cache: &WatchCache) {
+        for effect in &self.planned_effects {
             match effect {
                 Effect::WriteLedger { team, ledger } => {
                     for eviction in new_evictions(cache.drain_ledgers.get(team), ledger) {
                         let job = eviction.subject.job();
-                        let saves = cache.open.get(&job).is_some_and(|open| saves(&open.job));
-                        let saves = if saves { "saves first" } else { "can't save" };
-                        info!(drain = %eviction.drain, %team, %job, subject = ?eviction.subject, machine = %eviction.machine, saves, "evicting");
+                        let checkpoint_possible = cache
+                            .open
+                            .get(&job)
+                            .is_some_and(|open| can_checkpoint(&open.job));
+                        let checkpoint = if checkpoint_possible {
+                            "saves first"
+                        } else {
+                            "can't save"
+                        };
+                        info!(drain = %eviction.drain, %team, %job, subject = ?eviction.subject, machine = %eviction.machine, checkpoint, "evicting");
                     }
                 }
                 Effect::WriteRecord { id, record } => {
@@ -201,31 +216,31 @@
 }
 
 fn new_evictions<'l>(
-    old: Option<&Versioned<Ledger>>,
+    stored: Option<&Versioned<Ledger>>,
     ledger: &'l Ledger,
 ) -> Vec<&'l dappleshore_drain::Eviction> {
-    let known = |eviction: &&dappleshore_drain::Eviction| {
-        old.is_none_or(|old| !old.value.evictions.contains(eviction))
+    let is_new = |eviction: &&dappleshore_drain::Eviction| {
+        stored.is_none_or(|stored| !stored.value.evictions.contains(eviction))
     };
-    ledger.evictions.iter().filter(known).collect()
+    ledger.evictions.iter().filter(is_new).collect()
 }
 
 /// Whether a task of the job can save its progress when it is stopped. What is left of a gang cannot.
-fn saves(job: &Job) -> bool {
+fn can_checkpoint(job: &Job) -> bool {
     job.kind != JobKind::Gang && job.checkpoint_every_s > 0.0
 }
 
-fn budgets(settings: &DrainSettings, cache: &WatchCache) -> Budgets {
-    let of_team = |(team, stated): (&String, &TeamSettings)| {
+fn effective_budgets(settings: &DrainSettings, cache: &WatchCache) -> Budgets {
+    let team_budget = |(team, team_settings): (&String, &TeamSettings)| {
         let budget = TeamBudget {
-            limit: stated.budget,
-            classes: stated.classes.clone(),
+            limit: team_settings.budget,
+            classes: team_settings.classes.clone(),
         };
         (Team::from(team.as_str()), budget)
     };
     Budgets {
         default: settings.budget,
-        settings: settings.teams.iter().map(of_team).collect(),
+        settings: settings.teams.iter().map(team_budget).collect(),
         requested: values(&cache.drain_budgets),
     }
 }
@@ -244,7 +259,7 @@
             MachineState::Cordoned => ServiceState::Cordoned,
             MachineState::Returning => ServiceState::Returning,
         };
-        let seen = MachineView {
+        let view = MachineView {
             id: id.clone(),
             block: machine.block.clone(),
             type_name: machine.type_name.clone(),
@@ -255,7 +270,7 @@
             tasks: Vec::new(),
             expects_tasks: expects_tasks(id),
         };
-        machines.insert(id, seen);
+        machines.insert(id, view);
     }
     for live in cache.live_placements() {
         if let Some(machine) = machines.get_mut(live.id) {
@@ -283,7 +298,7 @@
             return;
         }
         let failed = self.failures.failed_on(attempt.task.job, machine);
-        if failed || self.is_told_to_stop(&attempt) {
+        if failed || self.is_stop_requested(&attempt) {
             return;
         }
         if let Some(draining) = &mut self.draining {
@@ -292,38 +307,42 @@
         }
     }
 
-    fn is_told_to_stop(&self, attempt: &Attempt) -> bool {
+    fn is_stop_requested(&self, attempt: &Attempt) -> bool {
         let mut blocks = self.block_states.values();
         blocks.any(|block_state| block_state.stop_requests.contains_key(attempt))
     }
 
     /// Where the other tasks of a job are, and where room is kept for them.
-    fn zones_of_others(&self, cache: &WatchCache, task: TaskId) -> BTreeMap<Zone, u32> {
-        let mut zones: BTreeMap<Zone, u32> = BTreeMap::new();
-        let placed = cache.placed(task.job).iter();
-        let others = placed.filter(|((index, _), _)| *index != task.index);
+    fn other_tasks_per_zone(&self, cache: &WatchCache, task: TaskId) -> BTreeMap<Zone, u32> {
+        let mut tasks_per_zone: BTreeMap<Zone, u32> = BTreeMap::new();
+        let placements = cache.placed(task.job).iter();
+        let others = placements.filter(|((index, _), _)| *index != task.index);
         for machine in others.filter_map(|(_, placement)| cache.machines.get(&placement.machine)) {
-            *zones.entry(machine.zone.clone()).or_default() += 1;
+            *tasks_per_zone.entry(machine.zone.clone()).or_default() += 1;
         }
         for (block, block_state) in &self.block_states {
-            let of_job = |release: &&super::block_state::Release| {
+            let is_other_task = |release: &&super::block_state::Release| {
                 let released = release.attempt.task;
                 released.job == task.job && released.index != task.index
             };
-            let count = block_state.releases.values().filter(of_job).count() as u32;
+            let count = block_state.releases.values().filter(is_other_task).count() as u32;
             if let Some(lease) = cache.block_leases.get(block).filter(|_| count > 0) {
-                *zones.entry(lease.value.zone.clone()).or_default() += count;
+                *tasks_per_zone.entry(lease.value.zone.clone()).or_default() += count;
             }
         }
-        let reserved = self.draining.iter().flat_map(|draining| &draining.reserved);
-        for (other, machine) in reserved {
-            let somewhere = attempts_of(cache, *other).next().is_some() || self.is_released(*other);
-            let counts = other.job == task.job && other.index != task.index && !somewhere;
-            if let Some(machine) = cache.machines.get(machine).filter(|_| counts) {
-                *zones.entry(machine.zone.clone()).or_default() += 1;
+        let reservations = self
+            .draining
+            .iter()
+            .flat_map(|draining| &draining.reservations);
+        for (other, machine) in reservations {
+            let is_assigned =
+                placed_attempts(cache, *other).next().is_some() || self.is_released(*other);
+            let is_counted = other.job == task.job && other.index != task.index && !is_assigned;
+            if let Some(machine) = cache.machines.get(machine).filter(|_| is_counted) {
+                *tasks_per_zone.entry(machine.zone.clone()).or_default() += 1;
             }
         }
-        zones
+        tasks_per_zone
     }
 
     fn is_released(&self, task: TaskId) -> bool {
@@ -348,19 +367,19 @@
             .is_none_or(|draining| draining.is_idle(cache))
         {
             if let Some(draining) = &mut self.draining {
-                draining.rest(capacity.now, cache);
+                draining.run_idle_upkeep(capacity.now, cache);
             }
             return;
         }
         let drains: BTreeMap<DrainId, DrainRecord> = values(&cache.drains);
         let ledgers: BTreeMap<Team, Ledger> = values(&cache.drain_ledgers);
-        self.stop_evicted(capacity.now, cache, &ledgers);
-        self.replace_evicted(capacity, cache, plan, &ledgers);
-        self.decide_drains(capacity, cache, plan, &drains, &ledgers);
-        self.watch(cache, &ledgers);
+        self.stop_evicted_attempts(capacity.now, cache, &ledgers);
+        self.replace_evicted_tasks(capacity, cache, plan, &ledgers);
+        self.run_planner(capacity, cache, plan, &drains, &ledgers);
+        self.update_watched_attempts(cache, &ledgers);
     }
 
-    fn decide_drains(
+    fn run_planner(
         &mut self,
         capacity: &CapacityView<'_>,
         cache: &WatchCache,
@@ -373,10 +392,10 @@
         };
         let mut planner = std::mem::take(&mut draining.planner);
         let draining = &*draining;
-        let budgets = budgets(&draining.settings, cache);
+        let budgets = effective_budgets(&draining.settings, cache);
         let settings = draining.settings.clone();
         let usable = self.usable_machines(capacity.now, capacity.provisioner);
-        let expecting: HashSet<&MachineId> = self
+        let expecting_tasks: HashSet<&MachineId> = self
             .block_states
             .values()
             .flat_map(|block_state| block_state.releases.values())
@@ -386,7 +405,7 @@
             cache,
             |id| usable.contains(id),
             |id| capacity.provisioner.is_failed(id),
-            |id| expecting.contains(id),
+            |id| expecting_tasks.contains(id),
         );
         let running = self.running_attempts(capacity.now, cache, &usable);
         let leader = capacity.leader;
@@ -395,7 +414,7 @@
             step: settings.step,
             room_timeout: settings.room_timeout_s.duration(),
             replacement_timeout: settings.replacement_timeout_s.duration(),
-            ledger_entries: (limits.value_bytes / LEDGER_ENTRY_BYTES).max(1),
+            ledger_entries: (limits.value_bytes / MAX_LEDGER_ENTRY_BYTES).max(1),
             ledgers_at_once: (leader.max_changes / 2).max(1),
         };
         // Room for replacements is only kept while the plan is made: what is decided is taken up below.
@@ -417,19 +436,19 @@
             bounds,
             fleet: &mut fleet,
         };
-        let decided = planner.handle(capacity.now, event);
+        let planned_effects = planner.handle(capacity.now, event);
         let unplaced = std::mem::take(&mut fleet.unplaced);
         if let Some(draining) = &mut self.draining {
             draining.planner = planner;
-            draining.decided = decided;
+            draining.planned_effects = planned_effects;
         }
         for task in unplaced {
-            count_unplaced(
+            add_unplaced_demand(
                 capacity,
                 cache,
                 plan,
                 task,
-                &self.zones_of_others(cache, task),
+                &self.other_tasks_per_zone(cache, task),
             );
         }
     }
@@ -451,44 +470,45 @@
     ) -> HashSet<u64> {
         let mut running = HashSet::new();
         for (block, block_state) in &self.block_states {
-            let Some((status, at)) = &block_state.status else {
+            let Some((status, received_at)) = &block_state.status else {
                 continue;
             };
-            if since(now, *at) >= HOLDER_STATUS_TTL || status.running.is_empty() {
+            if since(now, *received_at) >= HOLDER_STATUS_TTL || status.running.is_empty() {
                 continue;
             }
-            let told: HashSet<u64> = status.running.iter().copied().collect();
+            let reported_running: HashSet<u64> = status.running.iter().copied().collect();
             let Some(placements) = cache.placements.get(block) else {
                 continue;
             };
-            let here = placements.value.attempts();
-            let well = here.filter(|(machine, _)| usable.contains(*machine));
+            let attempts = placements.value.attempts();
+            let on_usable_machines = attempts.filter(|(machine, _)| usable.contains(*machine));
             running.extend(
-                well.map(|(_, attempt)| attempt.number)
-                    .filter(|number| told.contains(number)),
+                on_usable_machines
+                    .map(|(_, attempt)| attempt.number)
+                    .filter(|number| reported_running.contains(number)),
             );
         }
         running
     }
 
     /// Asks holders to tell of the attempts of which it matters whether they run.
-    fn watch(&mut self, cache: &WatchCache, ledgers: &BTreeMap<Team, Ledger>) {
+    fn update_watched_attempts(&mut self, cache: &WatchCache, ledgers: &BTreeMap<Team, Ledger>) {
         let Some(draining) = &self.draining else {
             return;
         };
-        let mut watched: HashMap<&BlockId, Vec<u64>> = HashMap::new();
+        let mut watched_by_block: HashMap<&BlockId, Vec<u64>> = HashMap::new();
         for task in draining.planner.watched(ledgers) {
-            for (attempt, machine) in attempts_of(cache, task) {
+            for (attempt, machine) in placed_attempts(cache, task) {
                 if let Some(machine) = cache.machines.get(machine) {
-                    let of_block = watched.entry(&machine.block).or_default();
+                    let of_block = watched_by_block.entry(&machine.block).or_default();
                     of_block.push(attempt.number);
                 }
             }
         }
         for (block, block_state) in &mut self.block_states {
-            let watch = watched.remove(block).unwrap_or_default();
-            if block_state.watched_attempts != watch {
-                block_state.watched_attempts = watch;
+            let watched_attempts = watched_by_block.remove(block).unwrap_or_default();
+            if block_state.watched_attempts != watched_attempts {
+                block_state.watched_attempts = watched_attempts;
                 block_state.update_pending = true;
             }
         }
@@ -505,19 +525,19 @@
         if !draining.writer.ready(now, cache) {
             return None;
         }
-        draining.proposed.clear();
-        let txn = draining.transaction(now, leader, cache)?;
-        draining.log_decided(cache);
-        draining.upkeep = Some(now.monotonic);
-        for effect in &draining.decided {
+        draining.unconfirmed_evictions.clear();
+        let txn = draining.build_transaction(now, leader, cache)?;
+        draining.log_planned_effects(cache);
+        draining.last_upkeep = Some(now.monotonic);
+        for effect in &draining.planned_effects {
             match effect {
                 Effect::Reserve(Reservation { task, machine }) => {
-                    draining.proposed.insert(*task);
-                    draining.reserved.insert(*task, machine.clone());
+                    draining.unconfirmed_evictions.insert(*task);
+                    draining.reservations.insert(*task, machine.clone());
                 }
                 Effect::WriteLedger { team, ledger } => {
-                    let new = new_evictions(cache.drain_ledgers.get(team), ledger).len();
-                    draining.evictions += new as u64;
+                    let added = new_evictions(cache.drain_ledgers.get(team), ledger).len();
+                    draining.evictions_this_term += added as u64;
                 }
                 _ => {}
             }
@@ -536,13 +556,16 @@
 
 impl DrainCoordinator {
     /// No drain is left, and no disruption is recorded.
-    fn rest(&mut self, now: Now, cache: &WatchCache) {
-        self.decided.clear();
-        self.reserved.clear();
-        if self.upkeep.is_some_and(|at| since(now, at) < UPKEEP_EVERY) {
+    fn run_idle_upkeep(&mut self, now: Now, cache: &WatchCache) {
+        self.planned_effects.clear();
+        self.reservations.clear();
+        if self
+            .last_upkeep
+            .is_some_and(|at| since(now, at) < LEDGER_UPKEEP_INTERVAL)
+        {
             return;
         }
-        self.upkeep = Some(now.monotonic);
+        self.last_upkeep = Some(now.monotonic);
         let is_wanted = |task: TaskId| {
             let open = cache.open.get(&task.job);
             open.is_some_and(|open| !open.cancelled && !open.done.contains(task.index))
--- a/src/scheduler/draining/replacement.rs
+++ b/src/scheduler/draining/replacement.rs
@@ -9,7 +9,7 @@
 use super::super::capacity_view::CapacityView;
 use super::super::waiting::{WaitingJob, allows_task_in_zone};
 use super::super::{Plan, Scheduler};
-use super::fleet_view::{attempts_of, gang_waiting, no_room};
+use super::fleet_view::{placed_attempts, shortage_reason, unplaced_waiting_job};
 use crate::domain::{Attempt, Job, JobId, MachineId, Now, Resources, TaskId, Team, Zone};
 use crate::placement;
 use crate::store::WatchCache;
@@ -17,37 +17,46 @@
 
 impl Plan {
     /// Keeps room for a task where it would be placed best. Returns the machine.
-    pub(super) fn keep_room(
+    pub(super) fn reserve_capacity(
         &mut self,
         cache: &WatchCache,
         job: &Job,
-        zones: &BTreeMap<Zone, u32>,
+        tasks_per_zone: &BTreeMap<Zone, u32>,
     ) -> Option<MachineId> {
-        let has_space = |machine: &MachineId| {
+        let has_block_slot = |machine: &MachineId| {
             let block = cache.machines.get(machine).map(|machine| &machine.block);
-            block.is_some_and(|block| self.block_slots.get(block).is_some_and(|space| *space > 0))
+            block.is_some_and(|block| self.block_slots.get(block).is_some_and(|slots| *slots > 0))
         };
-        let open = self.candidates.iter().filter(|c| has_space(&c.machine));
-        let chosen =
-            placement::best_candidate(open, job, |zone| allows_task_in_zone(job, zones, zone))?;
+        let candidates = self
+            .candidates
+            .iter()
+            .filter(|c| has_block_slot(&c.machine));
+        let chosen = placement::best_candidate(candidates, job, |zone| {
+            allows_task_in_zone(job, tasks_per_zone, zone)
+        })?;
         let machine = chosen.machine.clone();
         let index = self.index_of(&machine)?;
-        self.take_room(cache, index, &job.need);
+        self.reserve_on_candidate(cache, index, &job.need);
         Some(machine)
     }
 
     /// Takes room of a machine, and of its block's value.
-    pub(super) fn take_room(&mut self, cache: &WatchCache, candidate: usize, need: &Resources) {
+    pub(super) fn reserve_on_candidate(
+        &mut self,
+        cache: &WatchCache,
+        candidate: usize,
+        need: &Resources,
+    ) {
         let chosen = &mut self.candidates[candidate];
         chosen.free.take(need);
         let block = cache.machines.get(&chosen.machine).map(|m| &m.block);
-        if let Some(space) = block.and_then(|block| self.block_slots.get_mut(block)) {
-            *space = space.saturating_sub(1);
+        if let Some(slots) = block.and_then(|block| self.block_slots.get_mut(block)) {
+            *slots = slots.saturating_sub(1);
         }
     }
 
     /// The machine's index, if it has room for a task.
-    fn room_on(&self, machine: &MachineId, job: &Job) -> Option<usize> {
+    fn find_candidate_with_capacity(&self, machine: &MachineId, job: &Job) -> Option<usize> {
         let fits = |c: &placement::Candidate| {
             c.machine == *machine && c.free.fits(&job.need) && c.allows(job)
         };
@@ -56,7 +65,7 @@
 }
 
 impl Scheduler {
-    pub(super) fn stop_evicted(
+    pub(super) fn stop_evicted_attempts(
         &mut self,
         now: Now,
         cache: &WatchCache,
@@ -85,7 +94,7 @@
 
     /// Releases evicted tasks that are proven gone to the machines that have room kept for them. For the others the
     /// room is kept on.
-    pub(super) fn replace_evicted(
+    pub(super) fn replace_evicted_tasks(
         &mut self,
         capacity: &CapacityView<'_>,
         cache: &WatchCache,
@@ -101,12 +110,12 @@
             .into_iter()
             .map(|eviction| eviction.subject)
             .collect();
-        let evicted: BTreeSet<TaskId> = outstanding.iter().flat_map(Subject::tasks).collect();
-        let proposed = &draining.proposed;
+        let evicted_tasks: BTreeSet<TaskId> = outstanding.iter().flat_map(Subject::tasks).collect();
+        let unconfirmed_evictions = &draining.unconfirmed_evictions;
         draining
-            .reserved
-            .retain(|task, _| evicted.contains(task) || proposed.contains(task));
-        draining.without_room.clear();
+            .reservations
+            .retain(|task, _| evicted_tasks.contains(task) || unconfirmed_evictions.contains(task));
+        draining.without_capacity.clear();
         for subject in outstanding {
             let Some(open) = cache
                 .open
@@ -116,37 +125,37 @@
                 continue;
             };
             match subject {
-                Subject::Task(old) => {
-                    self.replace_task(capacity, cache, plan, open, old);
+                Subject::Task(attempt) => {
+                    self.replace_task(capacity, cache, plan, open, attempt);
                 }
                 Subject::Gang { job, .. } => self.replace_gang(capacity, cache, plan, open, job),
             }
         }
-        self.keep_proposed_room(cache, plan);
-        let without_room = self.draining.iter().flat_map(|d| &d.without_room);
-        let unplaced = without_room.filter(|(_, reason)| **reason == NoRoom::Yet);
+        self.reserve_for_unconfirmed_evictions(cache, plan);
+        let without_capacity = self.draining.iter().flat_map(|d| &d.without_capacity);
+        let unplaced = without_capacity.filter(|(_, reason)| **reason == NoRoom::Yet);
         for (task, _) in unplaced {
-            count_unplaced(
+            add_unplaced_demand(
                 capacity,
                 cache,
                 plan,
                 *task,
-                &self.zones_of_others(cache, *task),
+                &self.other_tasks_per_zone(cache, *task),
             );
         }
     }
 
-    fn keep_proposed_room(&self, cache: &WatchCache, plan: &mut Plan) {
+    fn reserve_for_unconfirmed_evictions(&self, cache: &WatchCache, plan: &mut Plan) {
         let Some(draining) = &self.draining else {
             return;
         };
-        for task in &draining.proposed {
+        for task in &draining.unconfirmed_evictions {
             let open = cache.open.get(&task.job);
-            let machine = draining.reserved.get(task);
+            let machine = draining.reservations.get(task);
             if let (Some(open), Some(machine)) = (open, machine)
-                && let Some(candidate) = plan.room_on(machine, &open.job)
+                && let Some(candidate) = plan.find_candidate_with_capacity(machine, &open.job)
             {
-                plan.take_room(cache, candidate, &open.job.need);
+                plan.reserve_on_candidate(cache, candidate, &open.job.need);
             }
         }
     }
@@ -157,44 +166,45 @@
         cache: &WatchCache,
         plan: &mut Plan,
         open: &OpenJob,
-        old: Attempt,
+        evicted: Attempt,
     ) {
-        let task = old.task;
-        let others = attempts_of(cache, task).filter(|(attempt, _)| *attempt != old);
-        if others.count() > 0 || self.is_released(task) || open.done.contains(task.index) {
+        let task = evicted.task;
+        let other_attempts =
+            placed_attempts(cache, task).filter(|(attempt, _)| *attempt != evicted);
+        if other_attempts.count() > 0 || self.is_released(task) || open.done.contains(task.index) {
             return;
         }
-        let zones = self.zones_of_others(cache, task);
+        let tasks_per_zone = self.other_tasks_per_zone(cache, task);
         let Some(draining) = &mut self.draining else {
             return;
         };
-        if draining.proposed.contains(&task) {
+        if draining.unconfirmed_evictions.contains(&task) {
             return;
         }
-        let kept = draining.reserved.get(&task).and_then(|machine| {
-            let candidate = plan.room_on(machine, &open.job)?;
+        let reserved_machine = draining.reservations.get(&task).and_then(|machine| {
+            let candidate = plan.find_candidate_with_capacity(machine, &open.job)?;
             let zone = plan.candidates[candidate].zone.clone();
-            allows_task_in_zone(&open.job, &zones, &zone).then(|| machine.clone())
+            allows_task_in_zone(&open.job, &tasks_per_zone, &zone).then(|| machine.clone())
         });
-        let machine = match kept {
+        let machine = match reserved_machine {
             Some(machine) => {
-                if let Some(candidate) = plan.room_on(&machine, &open.job) {
-                    plan.take_room(cache, candidate, &open.job.need);
+                if let Some(candidate) = plan.find_candidate_with_capacity(&machine, &open.job) {
+                    plan.reserve_on_candidate(cache, candidate, &open.job.need);
                 }
                 Some(machine)
             }
-            None => plan.keep_room(cache, &open.job, &zones),
+            None => plan.reserve_capacity(cache, &open.job, &tasks_per_zone),
         };
         let Some(machine) = machine else {
-            draining.reserved.remove(&task);
-            let reason = no_room(capacity, &open.job, &zones);
-            draining.without_room.insert(task, reason);
+            draining.reservations.remove(&task);
+            let reason = shortage_reason(capacity, &open.job, &tasks_per_zone);
+            draining.without_capacity.insert(task, reason);
             return;
         };
-        draining.reserved.insert(task, machine.clone());
-        let gone = attempts_of(cache, task).next().is_none();
+        draining.reservations.insert(task, machine.clone());
+        let has_ended = placed_attempts(cache, task).next().is_none();
         let within_limit = plan.usage.within_limit(capacity.leader.config, &open.job);
-        if gone && within_limit && !self.failures.is_backing_off(capacity.now, task.job) {
+        if has_ended && within_limit && !self.failures.is_backing_off(capacity.now, task.job) {
             self.release_replacement(capacity.now, cache, plan, open, task, &machine);
         }
     }
@@ -224,7 +234,7 @@
             plan.count_release(index, &open.job);
         }
         if let Some(draining) = &mut self.draining {
-            draining.reserved.remove(&task);
+            draining.reservations.remove(&task);
         }
     }
 
@@ -238,43 +248,43 @@
     ) {
         let tasks = || (0..open.job.tasks).map(|index| TaskId { job, index });
         let placed: Vec<Attempt> = tasks()
-            .flat_map(|task| attempts_of(cache, task).map(|(attempt, _)| attempt))
+            .flat_map(|task| placed_attempts(cache, task).map(|(attempt, _)| attempt))
             .collect();
-        let released = tasks().any(|task| self.is_released(task));
+        let any_released = tasks().any(|task| self.is_released(task));
         let Some(draining) = &mut self.draining else {
             return;
         };
         let machines: Option<Vec<MachineId>> = tasks()
-            .map(|task| draining.reserved.get(&task).cloned())
+            .map(|task| draining.reservations.get(&task).cloned())
             .collect();
-        let starts: BTreeSet<Option<u64>> = placed.iter().map(Attempt::gang_start).collect();
-        if released || starts.len() > 1 {
+        let start_numbers: BTreeSet<Option<u64>> = placed.iter().map(Attempt::gang_start).collect();
+        if any_released || start_numbers.len() > 1 {
             return;
         }
         // Without room for all of it, it waits as any gang.
         let Some(machines) = machines else { return };
-        let mut taken = Vec::new();
+        let mut reserved_candidates = Vec::new();
         for machine in &machines {
-            let Some(candidate) = plan.room_on(machine, &open.job) else {
+            let Some(candidate) = plan.find_candidate_with_capacity(machine, &open.job) else {
                 break;
             };
-            plan.take_room(cache, candidate, &open.job.need);
-            taken.push(candidate);
+            plan.reserve_on_candidate(cache, candidate, &open.job.need);
+            reserved_candidates.push(candidate);
         }
-        let whole = taken.len() == machines.len();
-        if !whole {
+        let all_reserved = reserved_candidates.len() == machines.len();
+        if !all_reserved {
             for task in tasks() {
-                draining.reserved.remove(&task);
+                draining.reservations.remove(&task);
             }
-            for candidate in taken {
+            for candidate in reserved_candidates {
                 plan.candidates[candidate].free.add(&open.job.need);
             }
             return;
         }
-        let within = plan
+        let tasks_within_limit = plan
             .usage
             .tasks_within_limit(capacity.leader.config, &open.job);
-        if placed.is_empty() && within >= u64::from(open.job.tasks) {
+        if placed.is_empty() && tasks_within_limit >= u64::from(open.job.tasks) {
             self.release_gang_replacement(capacity.now, cache, plan, open, job, &machines);
         }
     }
@@ -303,7 +313,7 @@
                 plan.count_release(index, &open.job);
             }
             if let Some(draining) = &mut self.draining {
-                draining.reserved.remove(&task);
+                draining.reservations.remove(&task);
             }
         }
     }
@@ -311,26 +321,27 @@
 
 /// Counts a task for which no machine has room as waiting, so that the rule orders one. Where it may go only to some
 /// zones, one of those.
-pub(super) fn count_unplaced(
+pub(super) fn add_unplaced_demand(
     capacity: &CapacityView<'_>,
     cache: &WatchCache,
     plan: &mut Plan,
     task: TaskId,
-    zones: &BTreeMap<Zone, u32>,
+    tasks_per_zone: &BTreeMap<Zone, u32>,
 ) {
     let Some(open) = cache.open.get(&task.job) else {
         return;
     };
-    let waiting = WaitingJob {
-        tasks_per_zone: zones.clone(),
-        ..gang_waiting(task.job, open)
+    let waiting_job = WaitingJob {
+        tasks_per_zone: tasks_per_zone.clone(),
+        ..unplaced_waiting_job(task.job, open)
     };
-    let pinned = capacity.pinned_zone(&waiting);
-    let cheapest = capacity.cheapest_pool(&open.job, &plan.demand, pinned.as_ref(), f64::INFINITY);
-    let Some((pool, share)) = cheapest else {
+    let pinned_zone = capacity.pinned_zone(&waiting_job);
+    let cheapest_pool =
+        capacity.cheapest_pool(&open.job, &plan.demand, pinned_zone.as_ref(), f64::INFINITY);
+    let Some((pool, share)) = cheapest_pool else {
         return;
     };
-    match pinned {
+    match pinned_zone {
         Some(zone) => plan.demand.add_pinned(pool, zone, share),
         None => plan.demand.add(pool, share),
     }
