--- a/src/scheduler/draining/fleet_view.rs
+++ b/src/scheduler/draining/fleet_view.rs
@@ -7,7 +7,7 @@
 use dappleshore_drain::{Fleet, JobFacts, MachineView, Subject};
 
 use super::super::capacity_view::CapacityView;
-use super::super::gangs::find_room;
+use super::super::gangs::find_gang_capacity;
 use super::super::waiting::{WaitingJob, allows_task_in_zone};
 use super::super::{Plan, Scheduler};
 use crate::cloud::wire::InstanceType;
@@ -64,24 +64,24 @@
         };
         let waiting_job = unplaced_waiting_job(id, open);
         let block_of = |machine: &MachineId| Some(self.cache.machines.get(machine)?.block.clone());
-        let gang_capacity = find_room(
+        let gang_capacity = find_gang_capacity(
             &self.plan.candidates,
             &waiting_job,
             |_| true,
             &self.plan.block_slots,
             block_of,
         );
-        if !gang_capacity.whole {
+        if !gang_capacity.is_complete {
             if shortage_reason(self.capacity, &open.job, &BTreeMap::new()) == NoRoom::Anywhere {
                 return Err(NoRoom::Anywhere);
             }
-            let unplaced = gang_capacity.tasks.len() as u32..open.job.tasks;
+            let unplaced = gang_capacity.candidate_indexes.len() as u32..open.job.tasks;
             self.unplaced
                 .extend(unplaced.map(|index| TaskId { job: id, index }));
             return Err(NoRoom::Yet);
         }
         let mut reservations = Vec::new();
-        for (index, candidate) in (0..).zip(gang_capacity.tasks) {
+        for (index, candidate) in (0..).zip(gang_capacity.candidate_indexes) {
             let machine = self.plan.candidates[candidate].machine.clone();
             self.plan
                 .reserve_on_candidate(self.cache, candidate, &open.job.need);
--- a/src/scheduler/gangs.rs
+++ b/src/scheduler/gangs.rs
@@ -18,7 +18,7 @@
 
 /// A gang that has waited for this long has the room kept that there is for it, so that smaller work does not take it
 /// again and again. One gang at a time: no two of them may hold parts of what both need.
-const KEEP_ROOM_AFTER: Duration = Duration::from_secs(8);
+const RESERVE_CAPACITY_AFTER: Duration = Duration::from_secs(8);
 
 /// Where a gang is, by what is recorded and released of its present attempt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -26,42 +26,44 @@
     /// Nothing of it is anywhere.
     Queued,
     /// All its tasks are released or placed.
-    Whole,
+    FullyAssigned,
     /// Some are missing, being stopped or of another attempt: the rest has to go.
-    Broken,
+    Incomplete,
     /// A task is done, and so all are.
-    Ended,
+    Done,
 }
 
 /// The tasks of a gang that are released or placed.
 #[derive(Debug, Clone, Copy, Default)]
-pub(super) struct GangCount {
-    pub(super) tasks: u32,
+pub(super) struct GangTaskSummary {
+    pub(super) assigned: u32,
     /// Of different attempts, or on their way out.
-    pub(super) mixed: bool,
+    pub(super) inconsistent: bool,
     pub(super) any_done: bool,
 }
 
 impl GangState {
     /// `size`: the gang's tasks.
-    pub(super) fn of(size: u32, count: GangCount) -> GangState {
-        match count {
-            GangCount { any_done: true, .. } => GangState::Ended,
-            GangCount { tasks: 0, .. } => GangState::Queued,
-            GangCount { mixed: true, .. } => GangState::Broken,
-            GangCount { tasks, .. } if tasks < size => GangState::Broken,
-            _ => GangState::Whole,
+    pub(super) fn of(size: u32, summary: GangTaskSummary) -> GangState {
+        match summary {
+            GangTaskSummary { any_done: true, .. } => GangState::Done,
+            GangTaskSummary { assigned: 0, .. } => GangState::Queued,
+            GangTaskSummary {
+                inconsistent: true, ..
+            } => GangState::Incomplete,
+            GangTaskSummary { assigned, .. } if assigned < size => GangState::Incomplete,
+            _ => GangState::FullyAssigned,
         }
     }
 }
 
 /// What is under way of a gang.
 #[derive(Default)]
-struct UnderWay {
+struct AssignedGang {
     placed: Vec<(BlockId, Attempt)>,
     released: Vec<(BlockId, Attempt)>,
-    starts: BTreeSet<u64>,
-    leaving: bool,
+    start_numbers: BTreeSet<u64>,
+    any_stopping: bool,
 }
 
 impl Scheduler {
@@ -76,7 +78,7 @@
         leader: &LeaderContext<'_>,
         cache: &WatchCache,
         waiting: &mut WaitingJob<'_>,
-        shape: PlacementRequirements,
+        requirements: PlacementRequirements,
         allowed: impl Fn(&Candidate) -> bool,
         plan: &mut Plan,
     ) -> usize {
@@ -85,23 +87,23 @@
             return 0;
         }
         let reserves_capacity = may_reserve_capacity(waiting) && !plan.gang_capacity_reserved;
-        let like = (shape, job.image.clone(), job.tasks);
-        if plan.infeasible.gangs_without_capacity.contains(&like) && !reserves_capacity {
+        let gang_key = (requirements, job.image.clone(), job.tasks);
+        if plan.infeasible.gangs_without_capacity.contains(&gang_key) && !reserves_capacity {
             return 0;
         }
         let block_of = |machine: &MachineId| Some(cache.machines.get(machine)?.block.clone());
-        let room = find_room(
+        let gang_capacity = find_gang_capacity(
             &plan.candidates,
             waiting,
             allowed,
             &plan.block_slots,
             block_of,
         );
-        if !room.whole {
-            plan.infeasible.gangs_without_capacity.insert(like);
+        if !gang_capacity.is_complete {
+            plan.infeasible.gangs_without_capacity.insert(gang_key);
             if reserves_capacity {
                 plan.gang_capacity_reserved = true;
-                for index in room.tasks {
+                for index in gang_capacity.candidate_indexes {
                     plan.candidates[index].free.take(&job.need);
                 }
             }
@@ -109,8 +111,8 @@
         }
         let start = self.next_attempt;
         self.next_attempt += 1;
-        debug!(job = %waiting.id, start, tasks = room.tasks.len(), "gang released");
-        for (index, candidate) in (0..).zip(&room.tasks) {
+        debug!(job = %waiting.id, start, tasks = gang_capacity.candidate_indexes.len(), "gang released");
+        for (index, candidate) in (0..).zip(&gang_capacity.candidate_indexes) {
             let task = TaskId {
                 job: waiting.id,
                 index,
@@ -127,37 +129,37 @@
                 waiting.pending_tasks -= 1;
             }
         }
-        room.tasks.len()
+        gang_capacity.candidate_indexes.len()
     }
 
     /// Takes back what is left of gangs that have lost a task.
     pub(super) fn stop_incomplete_gangs(&mut self, now: Now, cache: &WatchCache) {
-        for (id, under_way) in self.gangs_under_way(cache) {
+        for (id, gang) in self.assigned_gangs(cache) {
             let Some(open) = cache.open.get(&id).filter(|open| !open.cancelled) else {
                 continue;
             };
-            let count = GangCount {
-                tasks: (under_way.placed.len() + under_way.released.len()) as u32,
-                mixed: under_way.starts.len() > 1 || under_way.leaving,
+            let summary = GangTaskSummary {
+                assigned: (gang.placed.len() + gang.released.len()) as u32,
+                inconsistent: gang.start_numbers.len() > 1 || gang.any_stopping,
                 any_done: !open.done.is_empty(),
             };
-            if GangState::of(open.job.tasks, count) != GangState::Broken {
+            if GangState::of(open.job.tasks, summary) != GangState::Incomplete {
                 continue;
             }
-            self.take_back(now, id, &under_way);
+            self.stop_gang(now, id, &gang);
         }
     }
 
-    fn gangs_under_way(&self, cache: &WatchCache) -> BTreeMap<JobId, UnderWay> {
-        let mut gangs: BTreeMap<JobId, UnderWay> = BTreeMap::new();
+    fn assigned_gangs(&self, cache: &WatchCache) -> BTreeMap<JobId, AssignedGang> {
+        let mut gangs: BTreeMap<JobId, AssignedGang> = BTreeMap::new();
         for live in cache.live_placements() {
             for attempt in live.attempts() {
                 let Some(start) = attempt.gang_start() else {
                     continue;
                 };
                 let gang = gangs.entry(attempt.task.job).or_default();
-                gang.starts.insert(start);
-                gang.leaving |= self.is_stopping(live.block, &attempt);
+                gang.start_numbers.insert(start);
+                gang.any_stopping |= self.is_stop_requested_in(live.block, &attempt);
                 gang.placed.push((live.block.clone(), attempt));
             }
         }
@@ -167,23 +169,23 @@
                     continue;
                 };
                 let gang = gangs.entry(release.attempt.task.job).or_default();
-                gang.starts.insert(start);
-                gang.leaving |= release.withdrawn;
+                gang.start_numbers.insert(start);
+                gang.any_stopping |= release.withdrawn;
                 gang.released.push((block.clone(), release.attempt));
             }
         }
         gangs
     }
 
-    fn is_stopping(&self, block: &BlockId, attempt: &Attempt) -> bool {
+    fn is_stop_requested_in(&self, block: &BlockId, attempt: &Attempt) -> bool {
         self.block_states
             .get(block)
             .is_some_and(|block_state| block_state.stop_requests.contains_key(attempt))
     }
 
-    fn take_back(&mut self, now: Now, id: JobId, under_way: &UnderWay) {
+    fn stop_gang(&mut self, now: Now, id: JobId, gang: &AssignedGang) {
         let mut stopped = 0;
-        for (block, attempt) in &under_way.placed {
+        for (block, attempt) in &gang.placed {
             let Some(block_state) = self.block_states.get_mut(block) else {
                 continue;
             };
@@ -194,7 +196,7 @@
             }
         }
         let mut withdrawn = 0;
-        for (block, attempt) in &under_way.released {
+        for (block, attempt) in &gang.released {
             let block_state = self.block_states.get_mut(block);
             let release = block_state.and_then(|block_state| {
                 block_state.update_pending = true;
@@ -213,66 +215,69 @@
 
 /// Whether a waiting gang has the room kept that there is.
 pub(super) fn may_reserve_capacity(waiting: &WaitingJob<'_>) -> bool {
-    waiting.open.job.kind == JobKind::Gang && waiting.waited >= KEEP_ROOM_AFTER
+    waiting.open.job.kind == JobKind::Gang && waiting.waited >= RESERVE_CAPACITY_AFTER
 }
 
 /// What room there is for a gang.
-pub(super) struct GangRoom {
+pub(super) struct GangCapacity {
     /// For each task the index of its candidate.
-    pub(super) tasks: Vec<usize>,
-    pub(super) whole: bool,
+    pub(super) candidate_indexes: Vec<usize>,
+    pub(super) is_complete: bool,
 }
 
 /// Room for all tasks of a gang at once: where its tasks may go, as many as there is room for, and in one zone if it asks
 /// for that. Of several zones the one that has room for most; of those, the one whose slowest image fetch is shortest,
 /// since no task starts before the last has its image.
-pub(super) fn find_room(
+pub(super) fn find_gang_capacity(
     candidates: &[Candidate],
     waiting: &WaitingJob<'_>,
     allowed: impl Fn(&Candidate) -> bool,
     block_slots: &BTreeMap<BlockId, usize>,
     block_of: impl Fn(&MachineId) -> Option<BlockId>,
-) -> GangRoom {
+) -> GangCapacity {
     let job = &waiting.open.job;
-    let order: Vec<usize> = placement::ranked_indexes(candidates, job)
+    let ranked: Vec<usize> = placement::ranked_indexes(candidates, job)
         .into_iter()
         .filter(|index| allowed(&candidates[*index]))
         .collect();
-    let zones: BTreeSet<&Zone> = order.iter().map(|index| &candidates[*index].zone).collect();
-    let choices: Vec<Option<&Zone>> = if job.one_zone {
+    let zones: BTreeSet<&Zone> = ranked
+        .iter()
+        .map(|index| &candidates[*index].zone)
+        .collect();
+    let zone_choices: Vec<Option<&Zone>> = if job.one_zone {
         zones.into_iter().map(Some).collect()
     } else {
         vec![None]
     };
     let mut best: Option<(usize, f64, Vec<usize>)> = None;
-    for zone in choices {
-        let within = |index: &&usize| zone.is_none_or(|zone| candidates[**index].zone == *zone);
-        let tasks = fill(
+    for zone in zone_choices {
+        let is_in_zone = |index: &&usize| zone.is_none_or(|zone| candidates[**index].zone == *zone);
+        let candidate_indexes = assign_in_order(
             candidates,
             waiting,
-            order.iter().filter(within),
+            ranked.iter().filter(is_in_zone),
             block_slots,
             &block_of,
         );
-        let fetch_s = tasks
+        let fetch_s = candidate_indexes
             .iter()
             .map(|index| placement::image_fetch_s(&candidates[*index], job))
             .fold(0.0, f64::max);
-        let better = best
-            .as_ref()
-            .is_none_or(|(most, least_s, _)| (tasks.len(), -fetch_s) > (*most, -least_s));
-        if better {
-            best = Some((tasks.len(), fetch_s, tasks));
+        let is_better = best.as_ref().is_none_or(|(most_tasks, least_fetch_s, _)| {
+            (candidate_indexes.len(), -fetch_s) > (*most_tasks, -least_fetch_s)
+        });
+        if is_better {
+            best = Some((candidate_indexes.len(), fetch_s, candidate_indexes));
         }
     }
-    let tasks = best.map(|(_, _, tasks)| tasks).unwrap_or_default();
-    GangRoom {
-        whole: tasks.len() >= job.tasks as usize,
-        tasks,
+    let candidate_indexes = best.map(|(_, _, indexes)| indexes).unwrap_or_default();
+    GangCapacity {
+        is_complete: candidate_indexes.len() >= job.tasks as usize,
+        candidate_indexes,
     }
 }
 
-fn fill<'i>(
+fn assign_in_order<'i>(
     candidates: &[Candidate],
     waiting: &WaitingJob<'_>,
     order: impl Iterator<Item = &'i usize>,
@@ -281,31 +286,31 @@
 ) -> Vec<usize> {
     let job = &waiting.open.job;
     let mut block_slots = block_slots.clone();
-    let mut in_zone: BTreeMap<&Zone, u32> = BTreeMap::new();
-    let mut tasks = Vec::new();
+    let mut tasks_per_zone: BTreeMap<&Zone, u32> = BTreeMap::new();
+    let mut candidate_indexes = Vec::new();
     for index in order {
         let candidate = &candidates[*index];
-        let Some(space) =
+        let Some(free_slots) =
             block_of(&candidate.machine).and_then(|block| block_slots.get_mut(&block))
         else {
             continue;
         };
-        let here = in_zone.entry(&candidate.zone).or_default();
-        let left = job.tasks - tasks.len() as u32;
+        let zone_tasks = tasks_per_zone.entry(&candidate.zone).or_default();
+        let remaining = job.tasks - candidate_indexes.len() as u32;
         let count = candidate
             .free
             .count_of(&job.need)
-            .min(left)
-            .min(job.zone_limit() - *here)
-            .min(u32::try_from(*space).unwrap_or(u32::MAX));
-        *space -= count as usize;
-        *here += count;
-        tasks.extend(std::iter::repeat_n(*index, count as usize));
-        if tasks.len() >= job.tasks as usize {
+            .min(remaining)
+            .min(job.zone_limit() - *zone_tasks)
+            .min(u32::try_from(*free_slots).unwrap_or(u32::MAX));
+        *free_slots -= count as usize;
+        *zone_tasks += count;
+        candidate_indexes.extend(std::iter::repeat_n(*index, count as usize));
+        if candidate_indexes.len() >= job.tasks as usize {
             break;
         }
     }
-    tasks
+    candidate_indexes
 }
 
 #[cfg(test)]
--- a/src/scheduler/gangs/tests.rs
+++ b/src/scheduler/gangs/tests.rs
@@ -15,52 +15,54 @@
     }
 }
 
-fn count(tasks: u32) -> GangCount {
-    GangCount {
-        tasks,
-        ..GangCount::default()
+fn assigned(count: u32) -> GangTaskSummary {
+    GangTaskSummary {
+        assigned: count,
+        ..GangTaskSummary::default()
     }
 }
 
 #[test]
-fn a_gang_is_whole_or_has_to_go() {
-    assert_eq!(GangState::of(3, count(0)), GangState::Queued);
-    assert_eq!(GangState::of(3, count(3)), GangState::Whole);
-    assert_eq!(GangState::of(3, count(2)), GangState::Broken);
-    let mixed = GangCount {
-        mixed: true,
-        ..count(3)
+fn gang_state_follows_the_assigned_tasks() {
+    assert_eq!(GangState::of(3, assigned(0)), GangState::Queued);
+    assert_eq!(GangState::of(3, assigned(3)), GangState::FullyAssigned);
+    assert_eq!(GangState::of(3, assigned(2)), GangState::Incomplete);
+    let inconsistent = GangTaskSummary {
+        inconsistent: true,
+        ..assigned(3)
     };
-    assert_eq!(GangState::of(3, mixed), GangState::Broken);
+    assert_eq!(GangState::of(3, inconsistent), GangState::Incomplete);
     for tasks in 0..=3 {
-        let done = GangCount {
+        let done = GangTaskSummary {
             any_done: true,
-            ..count(tasks)
+            ..assigned(tasks)
         };
         assert_eq!(
             GangState::of(3, done),
-            GangState::Ended,
+            GangState::Done,
             "one done, all done"
         );
     }
 }
 
 #[test]
-fn all_tasks_are_released_at_once_under_one_number_or_none_is() {
+fn all_gang_tasks_are_released_under_one_number_or_none() {
     let mut fixture = Fixture::new(2);
     // Machines have 16 CPUs.
     fixture.add_job(1, gang(5, 8.0));
-    let released = fixture.plan().1;
+    let first_updates = fixture.plan().1;
     assert!(
-        released.iter().all(|work| work.assignments.is_empty()),
+        first_updates
+            .iter()
+            .all(|update| update.assignments.is_empty()),
         "room for four only"
     );
     fixture.add_job(2, gang(4, 8.0));
-    let (_, work) = fixture.plan();
-    let attempts: Vec<Attempt> = work[0]
+    let (_, updates) = fixture.plan();
+    let attempts: Vec<Attempt> = updates[0]
         .assignments
         .iter()
-        .map(|wanted| wanted.attempt)
+        .map(|assignment| assignment.attempt)
         .collect();
     let indexes: BTreeSet<u32> = attempts.iter().map(|attempt| attempt.task.index).collect();
     assert_eq!(indexes, (0..4).collect());
@@ -69,75 +71,80 @@
 }
 
 #[test]
-fn a_gang_needs_its_team_to_have_room_for_all_of_it() {
+fn a_gang_is_released_only_if_its_team_limit_allows_all_tasks() {
     let mut fixture = Fixture::new(6);
     // The team `red` may use 64 CPUs.
     fixture.add_job(1, job(1, 16.0));
-    let (_, work) = fixture.plan();
-    fixture.record_assignments(&work[0]);
+    let (_, updates) = fixture.plan();
+    fixture.record_assignments(&updates[0]);
     fixture.add_job(2, gang(4, 16.0));
-    fixture.report_status(6, work[0].sequence_number, &[]);
+    fixture.report_status(6, updates[0].sequence_number, &[]);
     assert!(
         fixture
             .plan()
             .1
             .iter()
-            .all(|work| work.assignments.is_empty())
+            .all(|update| update.assignments.is_empty())
     );
     fixture.add_job(3, gang(3, 16.0));
     let released: usize = fixture
         .plan()
         .1
         .iter()
-        .map(|work| work.assignments.len())
+        .map(|update| update.assignments.len())
         .sum();
     assert_eq!(released, 3);
 }
 
 /// The rest would wait for a task that never comes, in room that others need.
 #[test]
-fn what_is_left_of_a_gang_that_lost_a_task_is_stopped_before_it_starts_anew() {
+fn the_rest_of_a_gang_that_lost_a_task_is_stopped_before_a_restart() {
     let mut fixture = Fixture::new(3);
     fixture.add_job(1, gang(3, 16.0));
-    let (_, work) = fixture.plan();
-    let first = work[0].assignments[0].attempt.gang_start();
-    fixture.record_assignments(&work[0]);
-    fixture.report_status(3, work[0].sequence_number, &[]);
+    let (_, updates) = fixture.plan();
+    let first = updates[0].assignments[0].attempt.gang_start();
+    fixture.record_assignments(&updates[0]);
+    fixture.report_status(3, updates[0].sequence_number, &[]);
     assert_eq!(
         fixture
             .plan()
             .1
             .iter()
-            .map(|work| work.attempts_to_stop.len())
+            .map(|update| update.attempts_to_stop.len())
             .sum::<usize>(),
         0
     );
     // One of them is gone.
     let block: BlockId = "a.0".into();
     let mut placements = fixture.cache.placements[&block].value.clone();
-    let lost = work[0].assignments[1].clone();
+    let lost = updates[0].assignments[1].clone();
     assert!(placements.remove(&lost.machine, lost.attempt));
     fixture.put(placements_key(&block), encode(&placements));
-    fixture.report_status(3, work[0].sequence_number, &[]);
-    let (_, stopping) = fixture.plan();
-    let stopped: Vec<Attempt> = stopping
+    fixture.report_status(3, updates[0].sequence_number, &[]);
+    let (_, stop_updates) = fixture.plan();
+    let stopped: Vec<Attempt> = stop_updates
         .iter()
-        .flat_map(|work| work.attempts_to_stop.clone())
+        .flat_map(|update| update.attempts_to_stop.clone())
         .collect();
     assert_eq!(stopped.len(), 2);
     assert!(
-        stopping.iter().all(|work| work.assignments.is_empty()),
+        stop_updates
+            .iter()
+            .all(|update| update.assignments.is_empty()),
         "not before they are gone"
     );
     fixture.put(placements_key(&block), encode(&BlockPlacements::default()));
-    fixture.report_status(3, stopping[0].sequence_number, &[]);
-    let (_, anew) = fixture.plan();
-    let assignments: Vec<_> = anew.iter().flat_map(|work| &work.assignments).collect();
+    fixture.report_status(3, stop_updates[0].sequence_number, &[]);
+    let (_, restart_updates) = fixture.plan();
+    let assignments: Vec<_> = restart_updates
+        .iter()
+        .flat_map(|update| &update.assignments)
+        .collect();
     assert_eq!(assignments.len(), 3);
     assert!(
         assignments
             .iter()
-            .all(|wanted| wanted.attempt.gang_start() > first)
+            .all(|assignment| assignment.attempt.gang_start() > first)
     );
 }
 
@@ -145,11 +152,11 @@
 fn one_task_done_ends_the_whole_gang() {
     let mut fixture = Fixture::new(3);
     fixture.add_job(1, gang(3, 16.0));
-    let (_, work) = fixture.plan();
-    fixture.record_assignments(&work[0]);
+    let (_, updates) = fixture.plan();
+    fixture.record_assignments(&updates[0]);
     let block: BlockId = "a.0".into();
     let mut placements = fixture.cache.placements[&block].value.clone();
-    let done = work[0].assignments[1].clone();
+    let done = updates[0].assignments[1].clone();
     placements.remove(&done.machine, done.attempt);
     placements
         .done
@@ -157,12 +164,12 @@
         .or_default()
         .insert(done.attempt.task.index);
     fixture.put(placements_key(&block), encode(&placements));
-    fixture.report_status(3, work[0].sequence_number, &[]);
-    let (_, messages) = fixture.plan();
+    fixture.report_status(3, updates[0].sequence_number, &[]);
+    let (_, final_updates) = fixture.plan();
     assert!(
-        messages
+        final_updates
             .iter()
-            .all(|work| work.attempts_to_stop.is_empty() && work.assignments.is_empty())
+            .all(|update| update.attempts_to_stop.is_empty() && update.assignments.is_empty())
     );
     let ended = fixture.ended_jobs();
     assert_eq!(ended, [JobId(1)]);
@@ -170,12 +177,12 @@
 
 /// Without it smaller jobs take each bit of room that gets free, and a gang never finds enough of it.
 #[test]
-fn a_gang_that_has_waited_keeps_the_room_that_there_is() {
+fn a_gang_that_has_waited_long_reserves_free_capacity() {
     let mut fixture = Fixture::new(2);
     fixture.add_job(1, job(1, 16.0));
-    let (_, work) = fixture.plan();
-    fixture.record_assignments(&work[0]);
-    let waited = u64::try_from(KEEP_ROOM_AFTER.as_millis()).expect("short") + 1;
+    let (_, updates) = fixture.plan();
+    fixture.record_assignments(&updates[0]);
+    let waited = u64::try_from(RESERVE_CAPACITY_AFTER.as_millis()).expect("short") + 1;
     let accepted_ms = fixture.now.unix_ms() - waited;
     fixture.add_job(
         2,
@@ -185,16 +192,16 @@
         },
     );
     fixture.add_job(3, job(1, 4.0));
-    fixture.report_status(2, work[0].sequence_number, &[]);
+    fixture.report_status(2, updates[0].sequence_number, &[]);
     assert!(
         fixture
             .plan()
             .1
             .iter()
-            .all(|work| work.assignments.is_empty())
+            .all(|update| update.assignments.is_empty())
     );
-    let gone = JobRecord::Cancelled(gang(2, 16.0), 0);
-    fixture.put(job_key(JobId(2)), encode(&gone));
+    let cancelled = JobRecord::Cancelled(gang(2, 16.0), 0);
+    fixture.put(job_key(JobId(2)), encode(&cancelled));
     assert_eq!(
         fixture.plan().1[0].assignments.len(),
         1,
