--- a/src/scheduler/draining/fleet_view.rs
+++ b/src/scheduler/draining/fleet_view.rs
@@ -123,9 +123,9 @@
         id,
         open,
         pending_tasks: u64::from(open.job.tasks),
-        taken: Ranges::default(),
+        assigned_tasks: Ranges::default(),
         tasks_per_zone: BTreeMap::new(),
-        overdue: false,
+        first_task_overdue: false,
         waited: Duration::ZERO,
         blocked: false,
     }
--- a/src/scheduler/fair_share_order.rs
+++ b/src/scheduler/fair_share_order.rs
@@ -13,7 +13,7 @@
 /// then the team that has the least for its share, then the class of that team that has the least. Jobs of one team,
 /// priority, kind and class are served in their order, so only the first of each such line has to be compared.
 pub(super) struct FairShareOrder {
-    lines: Vec<VecDeque<usize>>,
+    groups: Vec<VecDeque<usize>>,
 }
 
 /// What the lines are compared by; the least is served first.
@@ -23,45 +23,44 @@
     beyond_guarantee: bool,
     priority: Priority,
     team_share: f64,
-    class_share: f64,
+    class_usage: f64,
 }
 
 impl FairShareOrder {
-    pub(super) fn new(queue: &[WaitingJob<'_>]) -> Self {
-        let mut lines: BTreeMap<(&Team, Priority, bool, &str), VecDeque<usize>> = BTreeMap::new();
-        for (index, waiting) in queue.iter().enumerate() {
+    pub(super) fn new(waiting_jobs: &[WaitingJob<'_>]) -> Self {
+        let mut groups: BTreeMap<(&Team, Priority, bool, &str), VecDeque<usize>> = BTreeMap::new();
+        for (index, waiting) in waiting_jobs.iter().enumerate() {
             let job = &waiting.open.job;
-            lines
+            groups
                 .entry((&job.team, job.priority, is_replica(job), &job.class))
                 .or_default()
                 .push_back(index);
         }
         FairShareOrder {
-            lines: lines.into_values().collect(),
+            groups: groups.into_values().collect(),
         }
     }
 
-    pub(super) fn next(
+    pub(super) fn next_index(
         &mut self,
-        queue: &[WaitingJob<'_>],
+        waiting_jobs: &[WaitingJob<'_>],
         usage: &Usage,
         leader: &LeaderContext<'_>,
     ) -> Option<usize> {
         let mut best: Option<(usize, Rank)> = None;
-        for line in &mut self.lines {
-            while line
-                .front()
-                .is_some_and(|index| queue[*index].blocked || queue[*index].pending_tasks == 0)
-            {
-                line.pop_front();
+        for group in &mut self.groups {
+            while group.front().is_some_and(|index| {
+                waiting_jobs[*index].blocked || waiting_jobs[*index].pending_tasks == 0
+            }) {
+                group.pop_front();
             }
-            let Some(index) = line.front().copied() else {
+            let Some(index) = group.front().copied() else {
                 continue;
             };
-            let Some(rank) = rank(&queue[index].open.job, usage, leader) else {
+            let Some(rank) = rank(&waiting_jobs[index].open.job, usage, leader) else {
                 continue;
             };
-            if best.as_ref().is_none_or(|(_, least)| rank < *least) {
+            if best.as_ref().is_none_or(|(_, best_rank)| rank < *best_rank) {
                 best = Some((index, rank));
             }
         }
@@ -78,13 +77,13 @@
         .get(&job.team)
         .copied()
         .unwrap_or(1.0);
-    let of_class = usage.of_class(job);
+    let class_usage = usage.of_class(job);
     Some(Rank {
         not_replica: !is_replica(job),
         beyond_guarantee: !usage.within_guarantee(leader.config, job),
         priority: job.priority,
         team_share: usage.ratio_to_guarantee(limits) / weight,
-        class_share: of_class.cpus + of_class.gpus,
+        class_usage: class_usage.cpus + class_usage.gpus,
     })
 }
 
--- a/src/scheduler/gangs.rs
+++ b/src/scheduler/gangs.rs
@@ -125,7 +125,7 @@
             if let Some(block_state) = self.block_states.get_mut(&block) {
                 block_state.release(now, attempt, machine, Vec::new());
                 plan.allocate(*candidate, &block, job);
-                waiting.taken.insert(index);
+                waiting.assigned_tasks.insert(index);
                 waiting.pending_tasks -= 1;
             }
         }
--- a/src/scheduler/preemption.rs
+++ b/src/scheduler/preemption.rs
@@ -13,13 +13,13 @@
 use crate::store::WatchCache;
 
 /// Tasks that may be stopping at a time to make room: one for so many machines, and at least so many.
-const STOPS_PART: usize = 4;
-const STOPS_LEAST: usize = 40;
+const MACHINES_PER_CONCURRENT_STOP: usize = 4;
+const MIN_CONCURRENT_STOPS: usize = 40;
 
 /// A way to make room on a machine.
 struct PreemptionOption<'c, 'v> {
     /// The work that it loses, in CPU seconds.
-    cost: f64,
+    cost_cpu_s: f64,
     candidate: &'c Candidate,
     /// The tasks to be preempted there.
     victims: Vec<Victim<'v>>,
@@ -27,17 +27,17 @@
 
 #[derive(Debug, Clone)]
 pub(super) struct Victim<'v> {
-    pub(super) lost: f64,
+    pub(super) lost_cpu_s: f64,
     pub(super) attempt: Attempt,
     pub(super) block: &'v BlockId,
     pub(super) job: &'v Job,
 }
 
-pub(super) type Victims<'v> = HashMap<&'v MachineId, Vec<Victim<'v>>>;
+pub(super) type VictimsByMachine<'v> = HashMap<&'v MachineId, Vec<Victim<'v>>>;
 
 /// A machine on which tasks are being stopped to make room, and those tasks.
-pub(super) struct MadeRoom {
-    pub(super) machine: Candidate,
+pub(super) struct Preemption {
+    pub(super) candidate: Candidate,
     pub(super) preempted: Vec<Attempt>,
 }
 
@@ -46,102 +46,120 @@
     /// another team runs beyond its guarantee if this team is within its own; of the latter, those of higher
     /// priority are left alone. The cheapest way is taken: the least work lost.
     #[allow(clippy::too_many_arguments)]
-    pub(super) fn make_room<'c>(
+    pub(super) fn preempt_for_job<'c>(
         &mut self,
         now: Now,
         leader: &LeaderContext<'_>,
         candidates: &'c [Candidate],
-        kept: &mut Usage,
-        victims: &mut Victims<'_>,
+        usage_after_stops: &mut Usage,
+        victims: &mut VictimsByMachine<'_>,
         job: &Job,
-        allows_task_in_zone: &impl Fn(&Zone) -> bool,
-    ) -> Option<MadeRoom> {
-        let most = (candidates.len() / STOPS_PART).max(STOPS_LEAST);
+        allows_zone: &impl Fn(&Zone) -> bool,
+    ) -> Option<Preemption> {
+        let max_stops = (candidates.len() / MACHINES_PER_CONCURRENT_STOP).max(MIN_CONCURRENT_STOPS);
         if self
             .block_states
             .values()
             .map(|block_state| block_state.stop_requests.len())
             .sum::<usize>()
-            >= most
+            >= max_stops
         {
             return None;
         }
         let LeaderContext { config, policy, .. } = *leader;
-        let owed = kept.within_guarantee(config, job);
-        let may_stop = |other: &Job| {
-            let beyond = kept.beyond_guarantee(config, other);
+        let within_guarantee = usage_after_stops.within_guarantee(config, job);
+        let may_preempt = |victim_job: &Job| {
+            let beyond_guarantee = usage_after_stops.beyond_guarantee(config, victim_job);
             // A team beyond its guarantee takes nothing from one that is within: what it took would be owed
             // back at once, and the two would stop each other's tasks in turn.
-            let lower = other.priority > job.priority;
-            let equal = other.priority == job.priority && other.team != job.team;
-            let for_priority = policy.preempt_for_priority && lower && (owed || beyond);
-            let for_guarantee = policy.preempt_for_guarantee && owed && beyond && equal;
+            let lower_priority = victim_job.priority > job.priority;
+            let other_team_same_priority =
+                victim_job.priority == job.priority && victim_job.team != job.team;
+            let for_priority = policy.preempt_for_priority
+                && lower_priority
+                && (within_guarantee || beyond_guarantee);
+            let for_guarantee = policy.preempt_for_guarantee
+                && within_guarantee
+                && beyond_guarantee
+                && other_team_same_priority;
             for_priority || for_guarantee
         };
         let mut best: Option<PreemptionOption<'c, '_>> = None;
         for candidate in candidates
             .iter()
-            .filter(|c| c.allows(job) && allows_task_in_zone(&c.zone))
+            .filter(|c| c.allows(job) && allows_zone(&c.zone))
         {
-            let Some(there) = victims.get(&candidate.machine) else {
+            let Some(machine_victims) = victims.get(&candidate.machine) else {
                 continue;
             };
             let mut free = candidate.free;
-            let mut cost = if candidate.images.contains(&job.image) {
+            let mut cost_cpu_s = if candidate.images.contains(&job.image) {
                 0.0
             } else {
                 job.image_gb * candidate.fetch_s_per_gb * job.need.cpus
             };
             let mut chosen = Vec::new();
-            for victim in there.iter().filter(|victim| may_stop(victim.job)) {
+            for victim in machine_victims
+                .iter()
+                .filter(|victim| may_preempt(victim.job))
+            {
                 if free.fits(&job.need) {
                     break;
                 }
                 free.add(&victim.job.need);
-                cost += victim.lost;
+                cost_cpu_s += victim.lost_cpu_s;
                 chosen.push(victim.clone());
             }
-            if free.fits(&job.need) && best.as_ref().is_none_or(|best| cost < best.cost) {
+            if free.fits(&job.need)
+                && best
+                    .as_ref()
+                    .is_none_or(|best| cost_cpu_s < best.cost_cpu_s)
+            {
                 best = Some(PreemptionOption {
-                    cost,
+                    cost_cpu_s,
                     candidate,
                     victims: chosen,
                 });
             }
         }
         let PreemptionOption {
-            cost: lost,
+            cost_cpu_s,
             candidate,
             victims: chosen,
         } = best?;
-        if let Some(there) = victims.get_mut(&candidate.machine) {
-            there.retain(|victim| chosen.iter().all(|chosen| chosen.attempt != victim.attempt));
+        if let Some(machine_victims) = victims.get_mut(&candidate.machine) {
+            machine_victims
+                .retain(|victim| chosen.iter().all(|chosen| chosen.attempt != victim.attempt));
         }
         let preempted = chosen.iter().map(|victim| victim.attempt).collect();
         for Victim {
             attempt,
             block,
-            job: other,
+            job: victim_job,
             ..
         } in chosen
         {
-            info!(%attempt, machine = %candidate.machine, class = %job.class, lost, "preempted");
-            kept.remove(other);
+            info!(%attempt, machine = %candidate.machine, class = %job.class, cost_cpu_s, "preempted");
+            usage_after_stops.remove(victim_job);
             if let Some(block_state) = self.block_states.get_mut(block) {
                 block_state.stop_requests.insert(attempt, now.monotonic);
                 block_state.update_pending = true;
             }
         }
-        Some(MadeRoom {
-            machine: candidate.clone(),
+        Some(Preemption {
+            candidate: candidate.clone(),
             preempted,
         })
     }
 
     /// Tasks that could be stopped, by machine, the least work first. Replicas are not among them: one that is
     /// stopped is down, which no start is worth. Nor are tasks of gangs: stopping one would stop them all.
-    pub(super) fn victims<'v>(&self, now: Now, cache: &'v WatchCache) -> Victims<'v> {
-        let mut victims: Victims<'v> = HashMap::new();
+    pub(super) fn preemption_victims<'v>(
+        &self,
+        now: Now,
+        cache: &'v WatchCache,
+    ) -> VictimsByMachine<'v> {
+        let mut victims: VictimsByMachine<'v> = HashMap::new();
         for (live, attempt) in cache
             .live_placements()
             .flat_map(|live| live.attempts().map(move |attempt| (live, attempt)))
@@ -153,27 +171,27 @@
             else {
                 continue;
             };
-            let stopping = self
+            let is_stopping = self
                 .block_states
                 .get(live.block)
                 .is_none_or(|block_state| block_state.stop_requests.contains_key(&attempt));
-            if stopping || open.job.kind != JobKind::Array {
+            if is_stopping || open.job.kind != JobKind::Array {
                 continue;
             }
-            let ran = self
+            let run_time = self
                 .observed_attempts
                 .get(&attempt.number)
-                .map_or(Duration::ZERO, |seen| since(now, seen.first_seen));
-            let lost = ran.as_secs_f64() * open.job.need.cpus.max(0.1);
+                .map_or(Duration::ZERO, |observed| since(now, observed.first_seen));
+            let lost_cpu_s = run_time.as_secs_f64() * open.job.need.cpus.max(0.1);
             victims.entry(live.id).or_default().push(Victim {
-                lost,
+                lost_cpu_s,
                 attempt,
                 block: live.block,
                 job: &open.job,
             });
         }
-        for there in victims.values_mut() {
-            there.sort_by(|a, b| a.lost.total_cmp(&b.lost));
+        for machine_victims in victims.values_mut() {
+            machine_victims.sort_by(|a, b| a.lost_cpu_s.total_cmp(&b.lost_cpu_s));
         }
         victims
     }
--- a/src/scheduler/releases.rs
+++ b/src/scheduler/releases.rs
@@ -6,7 +6,7 @@
 
 use super::best_effort::{BestEffortPlacement, EligibleMachines};
 use super::fair_share_order::FairShareOrder;
-use super::preemption::{MadeRoom, Victims};
+use super::preemption::{Preemption, VictimsByMachine};
 use super::waiting::{PlacementRequirements, WaitingJob, allows_task_in_zone};
 use super::{Plan, Scheduler};
 use crate::domain::{Attempt, BlockId, Image, JobId, JobKind, Now, Resources, TaskId, Zone};
@@ -15,9 +15,9 @@
 use crate::store::WatchCache;
 
 /// Releases decided in one go, so that a large job can't hold up everything else.
-const RELEASES: usize = 150;
+const MAX_RELEASES_PER_ROUND: usize = 150;
 /// The room of a machine whose block can't hold another task.
-const BLOCK_IS_FULL: Resources = Resources {
+const FULL_BLOCK_RESOURCES: Resources = Resources {
     cpus: -1.0,
     gpus: -1.0,
     memory_gb: -1.0,
@@ -32,7 +32,7 @@
     best_effort: BestEffortPlacement<'a>,
     /// Machines in order for each kind of task; jobs that keep failing have an order of their own.
     rankings: HashMap<(PlacementRequirements, Image, Option<JobId>), Ranking>,
-    victims: Option<Victims<'v>>,
+    victims: Option<VictimsByMachine<'v>>,
 }
 
 impl<'a, 'v> ReleaseContext<'a, 'v> {
@@ -60,16 +60,16 @@
 }
 
 /// Where a task goes, and the tasks that are stopped for it.
-struct Choice {
-    machine: Candidate,
+struct PlacementChoice {
+    candidate: Candidate,
     preempted: Vec<Attempt>,
 }
 
-impl From<MadeRoom> for Choice {
-    fn from(room: MadeRoom) -> Self {
-        Choice {
-            machine: room.machine,
-            preempted: room.preempted,
+impl From<Preemption> for PlacementChoice {
+    fn from(preemption: Preemption) -> Self {
+        PlacementChoice {
+            candidate: preemption.candidate,
+            preempted: preemption.preempted,
         }
     }
 }
@@ -78,94 +78,95 @@
     /// Releases what may run and has room, one job after the other in turn.
     pub(super) fn release_waiting_tasks(
         &mut self,
-        releases: &mut ReleaseContext<'_, '_>,
-        queue: &mut [WaitingJob<'_>],
+        context: &mut ReleaseContext<'_, '_>,
+        waiting_jobs: &mut [WaitingJob<'_>],
         plan: &mut Plan,
     ) {
         let mut released = 0;
-        let mut turns = FairShareOrder::new(queue);
-        while released < RELEASES {
-            let Some(next) = turns.next(queue, &plan.usage, releases.leader) else {
+        let mut order = FairShareOrder::new(waiting_jobs);
+        while released < MAX_RELEASES_PER_ROUND {
+            let Some(next) = order.next_index(waiting_jobs, &plan.usage, context.leader) else {
                 break;
             };
-            let Some(waiting) = queue.get_mut(next) else {
+            let Some(waiting) = waiting_jobs.get_mut(next) else {
                 break;
             };
             released += if waiting.open.job.kind == JobKind::Gang {
-                self.release_next_gang(releases, waiting, plan)
+                self.release_next_gang(context, waiting, plan)
             } else {
-                self.release_next_task(releases, waiting, plan)
+                self.release_next_task(context, waiting, plan)
             };
         }
     }
 
     fn release_next_gang(
         &mut self,
-        releases: &ReleaseContext<'_, '_>,
+        context: &ReleaseContext<'_, '_>,
         waiting: &mut WaitingJob<'_>,
         plan: &mut Plan,
     ) -> usize {
         let ReleaseContext {
             now, leader, cache, ..
-        } = *releases;
+        } = *context;
         waiting.blocked = true;
-        let reach = waiting.eligible_machines(leader);
-        let limit = waiting.price_limit(leader);
+        let eligible_machines = waiting.eligible_machines(leader);
+        let price_limit = waiting.price_limit(leader);
         let job = &waiting.open.job;
-        let best_effort = &releases.best_effort;
-        let allowed =
-            |c: &Candidate| reach == EligibleMachines::All || best_effort.allow(job, limit, c);
-        let shape =
-            PlacementRequirements::of(job, &releases.zones, |zone| job.allows_zone(zone), reach);
-        self.release_gang(now, leader, cache, waiting, shape, allowed, plan)
+        let best_effort = &context.best_effort;
+        let is_allowed = |c: &Candidate| {
+            eligible_machines == EligibleMachines::All || best_effort.allow(job, price_limit, c)
+        };
+        let requirements = PlacementRequirements::of(
+            job,
+            &context.zones,
+            |zone| job.allows_zone(zone),
+            eligible_machines,
+        );
+        self.release_gang(now, leader, cache, waiting, requirements, is_allowed, plan)
     }
 
     /// Releases a task of the job, if there is a place for it. Returns how many.
     fn release_next_task(
         &mut self,
-        releases: &mut ReleaseContext<'_, '_>,
+        context: &mut ReleaseContext<'_, '_>,
         waiting: &mut WaitingJob<'_>,
         plan: &mut Plan,
     ) -> usize {
-        let index = waiting.taken.first_gap(waiting.open.job.tasks);
-        let choice = self.choose_place(releases, waiting, plan);
+        let index = waiting.assigned_tasks.first_gap(waiting.open.job.tasks);
+        let choice = self.choose_placement(context, waiting, plan);
         let (Some(choice), Some(index)) = (choice, index) else {
             waiting.blocked = true;
             return 0;
         };
-        let machine = &choice.machine.machine;
-        let block = releases
-            .cache
-            .machines
-            .get(machine)
-            .map(|m| m.block.clone());
-        let (Some(block), Some(candidate)) = (block, plan.index_of(machine)) else {
+        let machine = &choice.candidate.machine;
+        let block = context.cache.machines.get(machine).map(|m| m.block.clone());
+        let (Some(block), Some(candidate_index)) = (block, plan.index_of(machine)) else {
             waiting.blocked = true;
             return 0;
         };
-        self.release_to(
-            releases.now,
+        self.release_to_block(
+            context.now,
             waiting,
             plan,
-            (block, candidate),
+            (block, candidate_index),
             choice,
             index,
         )
     }
 
-    fn release_to(
+    fn release_to_block(
         &mut self,
         now: Now,
         waiting: &mut WaitingJob<'_>,
         plan: &mut Plan,
-        (block, candidate): (BlockId, usize),
-        choice: Choice,
+        (block, candidate_index): (BlockId, usize),
+        choice: PlacementChoice,
         index: u32,
     ) -> usize {
-        let space = plan.block_slots.get(&block).copied().unwrap_or(0);
-        let block_state = self.block_states.get_mut(&block).filter(|_| space > 0);
+        let free_slots = plan.block_slots.get(&block).copied().unwrap_or(0);
+        let block_state = self.block_states.get_mut(&block).filter(|_| free_slots > 0);
         let Some(block_state) = block_state else {
-            plan.candidates[candidate].free = BLOCK_IS_FULL;
+            plan.candidates[candidate_index].free = FULL_BLOCK_RESOURCES;
             return 0;
         };
         let attempt = Attempt {
@@ -176,85 +177,108 @@
             number: self.next_attempt,
         };
         self.next_attempt += 1;
-        let Choice { machine, preempted } = choice;
-        debug!(%attempt, machine = %machine.machine, "released");
-        block_state.release(now, attempt, machine.machine, preempted);
-        plan.allocate(candidate, &block, &waiting.open.job);
-        *waiting.tasks_per_zone.entry(machine.zone).or_default() += 1;
-        waiting.taken.insert(index);
+        let PlacementChoice {
+            candidate,
+            preempted,
+        } = choice;
+        debug!(%attempt, machine = %candidate.machine, "released");
+        block_state.release(now, attempt, candidate.machine, preempted);
+        plan.allocate(candidate_index, &block, &waiting.open.job);
+        *waiting.tasks_per_zone.entry(candidate.zone).or_default() += 1;
+        waiting.assigned_tasks.insert(index);
         waiting.pending_tasks -= 1;
         // It has begun: the rest of it waits for its turn.
-        waiting.blocked = waiting.overdue;
+        waiting.blocked = waiting.first_task_overdue;
         1
     }
 
     /// A machine with room, or one where room is made.
-    fn choose_place(
+    fn choose_placement(
         &mut self,
-        releases: &mut ReleaseContext<'_, '_>,
+        context: &mut ReleaseContext<'_, '_>,
         waiting: &WaitingJob<'_>,
         plan: &mut Plan,
-    ) -> Option<Choice> {
+    ) -> Option<PlacementChoice> {
         let job = &waiting.open.job;
-        if !plan.usage.within_limit(releases.leader.config, job) {
+        if !plan.usage.within_limit(context.leader.config, job) {
             return None;
         }
-        let open_zone = |zone: &Zone| allows_task_in_zone(job, &waiting.tasks_per_zone, zone);
-        let reach = waiting.eligible_machines(releases.leader);
-        let shape = PlacementRequirements::of(job, &releases.zones, open_zone, reach);
+        let allows_zone = |zone: &Zone| allows_task_in_zone(job, &waiting.tasks_per_zone, zone);
+        let eligible_machines = waiting.eligible_machines(context.leader);
+        let requirements =
+            PlacementRequirements::of(job, &context.zones, allows_zone, eligible_machines);
         // Jobs alike find no room where one of them found none: room only shrinks while tasks are released.
-        if !plan.infeasible.without_capacity.contains(&shape) {
-            if let Some(machine) = self.best_machine(releases, waiting, plan, &shape, reach) {
-                return Some(Choice {
-                    machine,
+        if !plan.infeasible.without_capacity.contains(&requirements) {
+            if let Some(candidate) = self.best_machine_candidate(
+                context,
+                waiting,
+                plan,
+                &requirements,
+                eligible_machines,
+            ) {
+                return Some(PlacementChoice {
+                    candidate,
                     preempted: Vec::new(),
                 });
             }
-            plan.infeasible.without_capacity.insert(shape.clone());
+            plan.infeasible
+                .without_capacity
+                .insert(requirements.clone());
         }
-        let urgency = (shape, job.team.clone(), job.priority);
-        if reach != EligibleMachines::All || plan.infeasible.preemption_failed.contains(&urgency) {
+        let preemption_key = (requirements, job.team.clone(), job.priority);
+        if eligible_machines != EligibleMachines::All
+            || plan.infeasible.preemption_failed.contains(&preemption_key)
+        {
             return None;
         }
         let ReleaseContext {
             now, leader, cache, ..
-        } = *releases;
-        let victims = releases
+        } = *context;
+        let victims = context
             .victims
-            .get_or_insert_with(|| self.victims(now, cache));
+            .get_or_insert_with(|| self.preemption_victims(now, cache));
         let candidates = &plan.candidates;
-        let kept = &mut plan.usage_after_stops;
-        let room = self.make_room(now, leader, candidates, kept, victims, job, &open_zone);
-        if room.is_none() {
-            plan.infeasible.preemption_failed.insert(urgency);
+        let usage_after_stops = &mut plan.usage_after_stops;
+        let preemption = self.preempt_for_job(
+            now,
+            leader,
+            candidates,
+            usage_after_stops,
+            victims,
+            job,
+            &allows_zone,
+        );
+        if preemption.is_none() {
+            plan.infeasible.preemption_failed.insert(preemption_key);
         }
-        room.map(Choice::from)
+        preemption.map(PlacementChoice::from)
     }
 
-    fn best_machine(
+    fn best_machine_candidate(
         &self,
-        releases: &mut ReleaseContext<'_, '_>,
+        context: &mut ReleaseContext<'_, '_>,
         waiting: &WaitingJob<'_>,
         plan: &Plan,
-        shape: &PlacementRequirements,
-        reach: EligibleMachines,
+        requirements: &PlacementRequirements,
+        eligible_machines: EligibleMachines,
     ) -> Option<Candidate> {
         let job = &waiting.open.job;
         // A job that keeps failing goes to machines on which it has not failed yet: its own ranking.
         let id = waiting.id;
-        let failing = self.failures.keeps_failing(id).then_some(id);
-        let key = (shape.clone(), job.image.clone(), failing);
-        let (leader, best_effort) = (releases.leader, &releases.best_effort);
-        let ranking = releases.rankings.entry(key).or_insert_with(|| {
-            let limit = waiting.price_limit(leader);
-            let open =
-                |c: &Candidate| reach == EligibleMachines::All || best_effort.allow(job, limit, c);
-            let allowed = |c: &Candidate| {
-                allows_task_in_zone(job, &waiting.tasks_per_zone, &c.zone) && open(c)
+        let failing_job = self.failures.keeps_failing(id).then_some(id);
+        let key = (requirements.clone(), job.image.clone(), failing_job);
+        let (leader, best_effort) = (context.leader, &context.best_effort);
+        let ranking = context.rankings.entry(key).or_insert_with(|| {
+            let price_limit = waiting.price_limit(leader);
+            let is_eligible = |c: &Candidate| {
+                eligible_machines == EligibleMachines::All || best_effort.allow(job, price_limit, c)
+            };
+            let is_allowed = |c: &Candidate| {
+                allows_task_in_zone(job, &waiting.tasks_per_zone, &c.zone) && is_eligible(c)
             };
-            let avoided =
-                |c: &Candidate| failing.is_some() && self.failures.failed_on(id, &c.machine);
-            Ranking::new(&plan.candidates, job, allowed, avoided)
+            let is_avoided =
+                |c: &Candidate| failing_job.is_some() && self.failures.failed_on(id, &c.machine);
+            Ranking::new(&plan.candidates, job, is_allowed, is_avoided)
         });
         ranking.best(&plan.candidates, job).cloned()
     }
--- a/src/scheduler/waiting.rs
+++ b/src/scheduler/waiting.rs
@@ -25,24 +25,28 @@
     zone: Option<Zone>,
     spot: bool,
     /// The zones that the job's other tasks leave open.
-    zones: Vec<Zone>,
-    reach: EligibleMachines,
+    eligible_zones: Vec<Zone>,
+    eligible_machines: EligibleMachines,
 }
 
 impl PlacementRequirements {
     pub(super) fn of(
         job: &Job,
         zones: &BTreeSet<Zone>,
-        open: impl Fn(&Zone) -> bool,
-        reach: EligibleMachines,
+        is_eligible: impl Fn(&Zone) -> bool,
+        eligible_machines: EligibleMachines,
     ) -> Self {
         PlacementRequirements {
             need: [job.need.cpus, job.need.gpus, job.need.memory_gb].map(f64::to_bits),
             types: job.types.clone(),
             zone: job.zone.clone(),
             spot: job.spot,
-            zones: zones.iter().filter(|zone| open(zone)).cloned().collect(),
-            reach,
+            eligible_zones: zones
+                .iter()
+                .filter(|zone| is_eligible(zone))
+                .cloned()
+                .collect(),
+            eligible_machines,
         }
     }
 }
@@ -53,10 +57,10 @@
     pub(super) open: &'v OpenJob,
     /// Tasks that are neither done, placed nor released.
     pub(super) pending_tasks: u64,
-    pub(super) taken: Ranges,
+    pub(super) assigned_tasks: Ranges,
     pub(super) tasks_per_zone: BTreeMap<Zone, u32>,
     /// None of its tasks has got anywhere for so long that one goes before its team's other work.
-    pub(super) overdue: bool,
+    pub(super) first_task_overdue: bool,
     /// How long ago it was accepted.
     pub(super) waited: Duration,
     pub(super) blocked: bool,
@@ -66,9 +70,9 @@
     /// Where its next task may go. A job that has waited for long, and of which nothing is under way, gets one task
     /// wherever there is room.
     pub(super) fn eligible_machines(&self, leader: &LeaderContext<'_>) -> EligibleMachines {
-        let under_way = self.taken.len() > self.open.done.len();
-        let begins_late = !under_way && self.waited > BEST_EFFORT_RESTRICTION_TIME;
-        if !is_best_effort(leader.config, &self.open.job) || begins_late {
+        let any_active = self.assigned_tasks.len() > self.open.done.len();
+        let first_task_late = !any_active && self.waited > BEST_EFFORT_RESTRICTION_TIME;
+        if !is_best_effort(leader.config, &self.open.job) || first_task_late {
             EligibleMachines::All
         } else if self.price_limit(leader).is_finite() {
             EligibleMachines::CheapAndUnreserved
@@ -79,7 +83,12 @@
 
     /// The most that its tasks may cost.
     pub(super) fn price_limit(&self, leader: &LeaderContext<'_>) -> f64 {
-        price_limit(leader, &self.open.job, self.waited, self.taken.len())
+        price_limit(
+            leader,
+            &self.open.job,
+            self.waited,
+            self.assigned_tasks.len(),
+        )
     }
 }
 
@@ -101,83 +110,88 @@
                     .push((task.index, zone.clone()));
             }
         }
-        let mut live: HashMap<JobId, u64> = HashMap::new();
+        let mut placed_counts: HashMap<JobId, u64> = HashMap::new();
         for attempt in cache.live_placements().flat_map(|live| live.attempts()) {
-            *live.entry(attempt.task.job).or_default() += 1;
+            *placed_counts.entry(attempt.task.job).or_default() += 1;
         }
-        let mut queue = Vec::new();
+        let mut waiting_jobs = Vec::new();
         for (id, open) in &cache.open {
             if open.cancelled || self.failures.is_backing_off(now, *id) {
                 continue;
             }
             // Most jobs have all their tasks somewhere: they need no closer look.
-            let somewhere = open.done.len() + live.get(id).copied().unwrap_or(0);
-            if !released.contains_key(id) && somewhere >= u64::from(open.job.tasks) {
+            let assigned_count = open.done.len() + placed_counts.get(id).copied().unwrap_or(0);
+            if !released.contains_key(id) && assigned_count >= u64::from(open.job.tasks) {
                 continue;
             }
-            let mut taken = open.done.clone();
-            let mut zones: BTreeMap<Zone, u32> = BTreeMap::new();
+            let mut assigned_tasks = open.done.clone();
+            let mut tasks_per_zone: BTreeMap<Zone, u32> = BTreeMap::new();
             for ((index, _), placement) in cache.placed(*id) {
                 // Places on a machine whose record is gone are void.
                 if let Some(machine) = cache.machines.get(&placement.machine) {
-                    taken.insert(*index);
-                    *zones.entry(machine.zone.clone()).or_default() += 1;
+                    assigned_tasks.insert(*index);
+                    *tasks_per_zone.entry(machine.zone.clone()).or_default() += 1;
                 }
             }
             for (index, zone) in released.remove(id).unwrap_or_default() {
-                taken.insert(index);
-                *zones.entry(zone).or_default() += 1;
+                assigned_tasks.insert(index);
+                *tasks_per_zone.entry(zone).or_default() += 1;
             }
-            let mut left = u64::from(open.job.tasks).saturating_sub(taken.len());
+            let mut pending_tasks = u64::from(open.job.tasks).saturating_sub(assigned_tasks.len());
             let is_gang = open.job.kind == JobKind::Gang;
-            if is_gang && !taken.is_empty() {
+            if is_gang && !assigned_tasks.is_empty() {
                 // It is under way, or over, or has to go first.
                 continue;
             }
             if self.failures.keeps_failing(*id) && !is_gang {
-                let under_way = taken.len().saturating_sub(open.done.len());
-                left = left.min(1u64.saturating_sub(under_way));
+                let active_tasks = assigned_tasks.len().saturating_sub(open.done.len());
+                pending_tasks = pending_tasks.min(1u64.saturating_sub(active_tasks));
             }
-            if left > 0 {
+            if pending_tasks > 0 {
                 let waited =
                     Duration::from_millis(now.unix_ms().saturating_sub(open.job.accepted_ms));
-                let overdue = taken.is_empty() && waited > FIRST_TASK_OVERDUE_AFTER;
-                queue.push(WaitingJob {
+                let first_task_overdue =
+                    assigned_tasks.is_empty() && waited > FIRST_TASK_OVERDUE_AFTER;
+                waiting_jobs.push(WaitingJob {
                     id: *id,
                     open,
-                    pending_tasks: left,
-                    taken,
-                    tasks_per_zone: zones,
-                    overdue,
+                    pending_tasks,
+                    assigned_tasks,
+                    tasks_per_zone,
+                    first_task_overdue,
                     waited,
                     blocked: false,
                 });
             }
         }
-        queue.sort_by_key(|waiting| {
+        waiting_jobs.sort_by_key(|waiting| {
             (
                 waiting.open.job.priority,
-                !waiting.overdue,
+                !waiting.first_task_overdue,
                 waiting.open.job.accepted_ms,
                 waiting.id,
             )
         });
-        queue
+        waiting_jobs
     }
 }
 
 /// Whether one more task of the job may go to a zone, given where its others are.
-pub(super) fn allows_task_in_zone(job: &Job, zones: &BTreeMap<Zone, u32>, zone: &Zone) -> bool {
-    let others_elsewhere = zones
+pub(super) fn allows_task_in_zone(
+    job: &Job,
+    tasks_per_zone: &BTreeMap<Zone, u32>,
+    zone: &Zone,
+) -> bool {
+    let others_elsewhere = tasks_per_zone
         .iter()
         .any(|(other, count)| other != zone && *count > 0);
-    let here = zones.get(zone).copied().unwrap_or(0);
-    !(job.one_zone && others_elsewhere) && here < job.zone_limit()
+    let tasks_in_zone = tasks_per_zone.get(zone).copied().unwrap_or(0);
+    !(job.one_zone && others_elsewhere) && tasks_in_zone < job.zone_limit()
 }
 
 /// The least that any waiting task takes, each resource for itself.
-pub(super) fn minimum_need(queue: &[WaitingJob<'_>]) -> Option<Resources> {
-    let needs = queue.iter().map(|waiting| waiting.open.job.need);
+pub(super) fn minimum_need(waiting_jobs: &[WaitingJob<'_>]) -> Option<Resources> {
+    let needs = waiting_jobs.iter().map(|waiting| waiting.open.job.need);
     needs.reduce(|a, b| Resources {
         cpus: a.cpus.min(b.cpus),
         gpus: a.gpus.min(b.gpus),
