--- a/src/scheduler/best_effort.rs
+++ b/src/scheduler/best_effort.rs
@@ -20,16 +20,16 @@
 
 /// Whether the job's team has no guarantee, while others have one, and the job is not urgent.
 pub(super) fn is_best_effort(config: &Config, job: &Job) -> bool {
-    let urgent = matches!(job.priority, Priority::Production | Priority::High);
+    let is_urgent = matches!(job.priority, Priority::Production | Priority::High);
     let has_guarantee = |cpus: f64, gpus: f64| cpus > 0.0 || gpus > 0.0;
-    let of_job = config
+    let team_has_guarantee = config
         .team(&job.team)
         .is_some_and(|team| has_guarantee(team.cpus, team.gpus));
-    let of_others = config
+    let any_has_guarantee = config
         .teams
         .iter()
         .any(|team| has_guarantee(team.cpus, team.gpus));
-    !urgent && !of_job && of_others
+    !is_urgent && !team_has_guarantee && any_has_guarantee
 }
 
 /// Which machines a job's next task may go to, of those that fit.
@@ -43,16 +43,17 @@
 }
 
 /// What a task of the job costs on machines of a pool. None: it does not fit there or may not go there.
-fn price_of(job: &Job, instance_type: &InstanceType, capacity_type: CapacityType) -> Option<f64> {
-    let each = instance_type.resources().count_of(&job.need);
-    let allowed =
-        each > 0 && job.allows_type(&instance_type.name) && job.allows_capacity_type(capacity_type);
+fn task_price(job: &Job, instance_type: &InstanceType, capacity_type: CapacityType) -> Option<f64> {
+    let tasks_per_machine = instance_type.resources().count_of(&job.need);
+    let allowed = tasks_per_machine > 0
+        && job.allows_type(&instance_type.name)
+        && job.allows_capacity_type(capacity_type);
     let price = if capacity_type.is_spot() {
         instance_type.spot_price.0
     } else {
         instance_type.price.0
     };
-    allowed.then(|| price / f64::from(each))
+    allowed.then(|| price / f64::from(tasks_per_machine))
 }
 
 /// The most that a task of the job may cost. Of a best-effort job a multiple of what it costs on the cheapest
@@ -63,7 +64,7 @@
     leader: &LeaderContext<'_>,
     job: &Job,
     waited: Duration,
-    begun: u64,
+    assigned_tasks: u64,
 ) -> f64 {
     let LeaderContext {
         config,
@@ -71,17 +72,17 @@
         catalog,
         ..
     } = *leader;
-    let starved =
-        waited >= policy.best_effort_price_limit_duration && begun * 2 < u64::from(job.tasks);
-    if !is_best_effort(config, job) || starved {
+    let is_starved = waited >= policy.best_effort_price_limit_duration
+        && assigned_tasks * 2 < u64::from(job.tasks);
+    if !is_best_effort(config, job) || is_starved {
         return f64::INFINITY;
     }
-    let pools = catalog.all().flat_map(|instance_type| {
+    let machine_pools = catalog.all().flat_map(|instance_type| {
         [CapacityType::OnDemand, CapacityType::Spot]
             .map(|capacity_type| (instance_type, capacity_type))
     });
-    let prices = pools
-        .filter_map(|(instance_type, capacity_type)| price_of(job, instance_type, capacity_type));
+    let prices = machine_pools
+        .filter_map(|(instance_type, capacity_type)| task_price(job, instance_type, capacity_type));
     // A little more, since equal prices may be computed in different ways.
     prices.fold(f64::INFINITY, f64::min) * policy.best_effort_max_price_ratio * (1.0 + 1e-9)
 }
@@ -90,7 +91,7 @@
 pub(super) struct BestEffortPlacement<'a> {
     catalog: &'a InstanceCatalog,
     /// Machines whose room is left for the next starts of guaranteed work.
-    reserved: HashSet<MachineId>,
+    reserved_machines: HashSet<MachineId>,
 }
 
 impl<'a> BestEffortPlacement<'a> {
@@ -99,54 +100,61 @@
     pub(super) fn new(
         leader: &LeaderContext<'a>,
         provisioner: &Provisioner,
-        runs: &BTreeMap<MachinePool, RunTimes>,
-        guaranteed: &BTreeMap<MachinePool, f64>,
+        run_times: &BTreeMap<MachinePool, RunTimes>,
+        guaranteed_demand: &BTreeMap<MachinePool, f64>,
         candidates: &[Candidate],
     ) -> Self {
-        let mut reserved = HashSet::new();
-        for (pool, demand) in guaranteed {
+        let mut reserved_machines = HashSet::new();
+        for (pool, demand) in guaranteed_demand {
             let Some(instance_type) = leader.catalog.get(&pool.type_name) else {
                 continue;
             };
-            let eta = provisioner.boot_to_run_ratio(instance_type, runs.get(pool));
-            let margin = square_root_rule::headroom(*demand, eta) * leader.policy.headroom;
-            reserved.extend(emptiest(candidates, pool, (margin - 1e-9).ceil() as usize));
+            let boot_to_run_ratio =
+                provisioner.boot_to_run_ratio(instance_type, run_times.get(pool));
+            let headroom_machines =
+                square_root_rule::headroom(*demand, boot_to_run_ratio) * leader.policy.headroom;
+            reserved_machines.extend(machines_with_most_capacity(
+                candidates,
+                pool,
+                (headroom_machines - 1e-9).ceil() as usize,
+            ));
         }
         BestEffortPlacement {
             catalog: leader.catalog,
-            reserved,
+            reserved_machines,
         }
     }
 
     /// Whether a task of a best-effort job may go to this machine.
-    pub(super) fn allow(&self, job: &Job, price_limit: f64, candidate: &Candidate) -> bool {
+    pub(super) fn allows(&self, job: &Job, price_limit: f64, candidate: &Candidate) -> bool {
         let instance_type = self.catalog.get(&candidate.type_name);
         let price = instance_type
-            .and_then(|instance_type| price_of(job, instance_type, candidate.capacity_type));
-        let cheap = price.is_some_and(|price| price <= price_limit);
-        cheap && !self.reserved.contains(&candidate.machine)
+            .and_then(|instance_type| task_price(job, instance_type, candidate.capacity_type));
+        let is_cheap = price.is_some_and(|price| price <= price_limit);
+        is_cheap && !self.reserved_machines.contains(&candidate.machine)
     }
 }
 
 /// The machines of a pool with the most room left, up to so many. Their order is stable, so that room gathers on the
 /// same ones from plan to plan.
-fn emptiest(
+fn machines_with_most_capacity(
     candidates: &[Candidate],
     pool: &MachinePool,
     count: usize,
 ) -> impl Iterator<Item = MachineId> {
-    let of_pool = candidates
+    let pool_candidates = candidates
         .iter()
         .filter(|candidate| pool.contains(&candidate.type_name, candidate.capacity_type));
-    let mut by_room: Vec<(Reverse<u64>, &MachineId)> = of_pool
+    let mut by_free_capacity: Vec<(Reverse<u64>, &MachineId)> = pool_candidates
         .map(|candidate| {
             // In thousandths, to compare as equal what is.
-            let left = (candidate.size.left_over(&candidate.free).max(0.0) * 1000.0).round() as u64;
-            (Reverse(left), &candidate.machine)
+            let free_thousandths =
+                (candidate.size.left_over(&candidate.free).max(0.0) * 1000.0).round() as u64;
+            (Reverse(free_thousandths), &candidate.machine)
         })
         .collect();
-    by_room.sort();
-    by_room
+    by_free_capacity.sort();
+    by_free_capacity
         .into_iter()
         .take(count)
         .map(|(_, machine)| machine.clone())
--- a/src/scheduler/best_effort/tests.rs
+++ b/src/scheduler/best_effort/tests.rs
@@ -16,7 +16,7 @@
     Config::parse("s.toml", &text).expect("valid")
 }
 
-fn guests(priority: Priority) -> Job {
+fn guest_job(priority: Priority) -> Job {
     Job {
         team: "guests".into(),
         priority,
@@ -48,12 +48,12 @@
 }
 
 #[test]
-fn work_is_best_effort_if_its_team_alone_has_no_guarantee_and_it_is_not_urgent() {
+fn a_job_is_best_effort_if_only_other_teams_have_guarantees_and_it_is_not_urgent() {
     let config = config();
-    assert!(is_best_effort(&config, &guests(Priority::Low)));
-    assert!(is_best_effort(&config, &guests(Priority::Standard)));
-    assert!(!is_best_effort(&config, &guests(Priority::High)));
-    assert!(!is_best_effort(&config, &guests(Priority::Production)));
+    assert!(is_best_effort(&config, &guest_job(Priority::Low)));
+    assert!(is_best_effort(&config, &guest_job(Priority::Standard)));
+    assert!(!is_best_effort(&config, &guest_job(Priority::High)));
+    assert!(!is_best_effort(&config, &guest_job(Priority::Production)));
     assert!(
         !is_best_effort(
             &config,
@@ -64,24 +64,24 @@
         ),
         "red has a guarantee"
     );
-    let mut none = config;
-    none.teams.retain(|team| &*team.name.0 == "guests");
+    let mut no_guarantees = config;
+    no_guarantees.teams.retain(|team| &*team.name.0 == "guests");
     assert!(
-        !is_best_effort(&none, &guests(Priority::Low)),
+        !is_best_effort(&no_guarantees, &guest_job(Priority::Low)),
         "nobody has a guarantee"
     );
 }
 
 /// Found on the bench: the guests' arrays had every ordinary machine of the cloud rented, at four times the price.
 #[test]
-fn work_without_a_guarantee_goes_only_where_it_is_cheap() {
+fn best_effort_tasks_go_only_to_cheap_machines() {
     let (config, catalog) = (config(), catalog());
     let mut policy = Policy::built_in(&config);
     policy.best_effort_max_price_ratio =
         instance_type().price.0 / instance_type().spot_price.0 - 0.1;
     let now = Now::read();
-    let patience = policy.best_effort_price_limit_duration;
-    let allowed = |policy: &Policy, job: &Job, capacity_type, waited, begun| {
+    let price_limit_duration = policy.best_effort_price_limit_duration;
+    let is_allowed = |policy: &Policy, job: &Job, capacity_type, waited, assigned_tasks| {
         let leader = LeaderContext {
             config: &config,
             policy,
@@ -99,43 +99,79 @@
             &BTreeMap::new(),
             &[],
         );
-        let limit = price_limit(&leader, job, waited, begun);
-        best_effort.allow(job, limit, &candidate("m-1", capacity_type, 16.0))
+        let limit_per_task = price_limit(&leader, job, waited, assigned_tasks);
+        best_effort.allows(job, limit_per_task, &candidate("m-1", capacity_type, 16.0))
     };
-    let fresh = Duration::ZERO;
+    let just_accepted = Duration::ZERO;
     let job = Job {
         tasks: 10,
-        ..guests(Priority::Low)
+        ..guest_job(Priority::Low)
     };
-    assert!(allowed(&policy, &job, CapacityType::Spot, fresh, 0));
-    assert!(!allowed(&policy, &job, CapacityType::OnDemand, fresh, 0));
-    let ordinary_only = Job {
+    assert!(is_allowed(
+        &policy,
+        &job,
+        CapacityType::Spot,
+        just_accepted,
+        0
+    ));
+    assert!(!is_allowed(
+        &policy,
+        &job,
+        CapacityType::OnDemand,
+        just_accepted,
+        0
+    ));
+    let on_demand_only = Job {
         spot: false,
         ..job.clone()
     };
     assert!(
-        allowed(&policy, &ordinary_only, CapacityType::OnDemand, fresh, 0),
+        is_allowed(
+            &policy,
+            &on_demand_only,
+            CapacityType::OnDemand,
+            just_accepted,
+            0
+        ),
         "the cheapest that it may go to"
     );
     // Found in an incident: the others' work took all cheap machines for good, and three quarters of the guests' never ran.
-    assert!(!allowed(
+    assert!(!is_allowed(
         &policy,
         &job,
         CapacityType::OnDemand,
-        patience - Duration::from_millis(1),
+        price_limit_duration - Duration::from_millis(1),
         0
     ));
-    assert!(allowed(&policy, &job, CapacityType::OnDemand, patience, 4));
+    assert!(is_allowed(
+        &policy,
+        &job,
+        CapacityType::OnDemand,
+        price_limit_duration,
+        4
+    ));
     assert!(
-        !allowed(&policy, &job, CapacityType::OnDemand, patience, 5),
+        !is_allowed(
+            &policy,
+            &job,
+            CapacityType::OnDemand,
+            price_limit_duration,
+            5
+        ),
         "half of it got somewhere"
     );
     policy.best_effort_max_price_ratio += 0.2;
-    assert!(allowed(&policy, &job, CapacityType::OnDemand, fresh, 0));
+    assert!(is_allowed(
+        &policy,
+        &job,
+        CapacityType::OnDemand,
+        just_accepted,
+        0
+    ));
 }
 
 #[test]
-fn the_margin_of_guaranteed_work_is_kept_free_on_the_emptiest_machines() {
+fn headroom_for_guaranteed_work_is_reserved_on_the_machines_with_most_free_capacity() {
     let (config, catalog) = (config(), catalog());
     let policy = Policy::built_in(&config);
     let leader = LeaderContext {
@@ -154,21 +190,21 @@
         let pool = MachinePool::new(instance_type().name, CapacityType::Spot);
         let now = Now::read();
         let provisioner = Provisioner::new(now, Term(1));
-        let guaranteed = BTreeMap::from([(pool, demand)]);
+        let guaranteed_demand = BTreeMap::from([(pool, demand)]);
         let best_effort = BestEffortPlacement::new(
             &leader,
             &provisioner,
             &BTreeMap::new(),
-            &guaranteed,
+            &guaranteed_demand,
             &candidates,
         );
-        let job = guests(Priority::Low);
-        let left: Vec<&str> = candidates
+        let job = guest_job(Priority::Low);
+        let reserved_ids: Vec<&str> = candidates
             .iter()
-            .filter(|c| !best_effort.allow(&job, f64::INFINITY, c))
+            .filter(|c| !best_effort.allows(&job, f64::INFINITY, c))
             .map(|c| &*c.machine.0)
             .collect();
-        left.join(" ")
+        reserved_ids.join(" ")
     };
     assert_eq!(reserved(0.0), "");
     // eta is 1 before anything is measured: 2 * sqrt(1/2) * sqrt(n).
--- a/src/scheduler/releases.rs
+++ b/src/scheduler/releases.rs
@@ -114,7 +114,7 @@
         let job = &waiting.open.job;
         let best_effort = &context.best_effort;
         let is_allowed = |c: &Candidate| {
-            eligible_machines == EligibleMachines::All || best_effort.allow(job, price_limit, c)
+            eligible_machines == EligibleMachines::All || best_effort.allows(job, price_limit, c)
         };
         let requirements = PlacementRequirements::of(
             job,
@@ -271,7 +271,8 @@
         let ranking = context.rankings.entry(key).or_insert_with(|| {
             let price_limit = waiting.price_limit(leader);
             let is_eligible = |c: &Candidate| {
-                eligible_machines == EligibleMachines::All || best_effort.allow(job, price_limit, c)
+                eligible_machines == EligibleMachines::All
+                    || best_effort.allows(job, price_limit, c)
             };
             let is_allowed = |c: &Candidate| {
                 allows_task_in_zone(job, &waiting.tasks_per_zone, &c.zone) && is_eligible(c)
