--- a/src/scheduler/draining/fleet_view.rs
+++ b/src/scheduler/draining/fleet_view.rs
@@ -1,4 +1,4 @@
-//! What the planner of drains sees of the fleet, and the room that it may give away.
+//! The fleet as the drain planner sees it, and the reservation of capacity for replacements.
 
 use std::collections::{BTreeMap, HashSet};
 use std::time::Duration;
@@ -16,28 +16,31 @@
 use crate::store::cache::OpenJob;
 use crate::store::records::Ranges;
 
-/// What the planner sees, and the room that it may give away.
+/// The fleet and the free capacity of the current plan, as the drain planner accesses them.
 pub(super) struct FleetView<'a, 'v> {
     pub(super) scheduler: &'a Scheduler,
     pub(super) capacity: &'a CapacityView<'a>,
     pub(super) cache: &'v WatchCache,
     pub(super) plan: &'a mut Plan,
     pub(super) machines: Vec<MachineView>,
+    /// Numbers of the watched attempts that are running.
     pub(super) running: HashSet<u64>,
-    /// Tasks for which no machine had room.
+    /// Tasks for which no machine had enough free capacity, but for which machines can be rented.
     pub(super) unplaced: Vec<TaskId>,
 }
 
 impl FleetView<'_, '_> {
+    /// Returns the job if it is open and not cancelled.
     fn open_job(&self, job: JobId) -> Option<&OpenJob> {
         self.cache.open.get(&job).filter(|open| !open.cancelled)
     }
 
-    /// Where the other tasks of a job are, in all: placed, released, or with room kept for them.
+    /// Counts the job's other tasks by zone: placed, released, or with reserved capacity.
     fn other_tasks_per_zone(&self, task: TaskId) -> BTreeMap<Zone, u32> {
         self.scheduler.other_tasks_per_zone(self.cache, task)
     }
 
+    /// Reserves capacity for one task.
     fn reserve_task(&mut self, task: TaskId) -> Result<Vec<Reservation>, NoRoom> {
         let Some(open) = self.cache.open.get(&task.job) else {
             return Err(NoRoom::Anywhere);
@@ -58,6 +61,7 @@
         }
     }
 
+    /// Reserves capacity for all tasks of a gang, or for none.
     fn reserve_gang(&mut self, id: JobId) -> Result<Vec<Reservation>, NoRoom> {
         let Some(open) = self.cache.open.get(&id) else {
             return Err(NoRoom::Anywhere);
@@ -92,7 +96,8 @@
     }
 }
 
-/// Why there is no room for a task whose job's others are in these zones: whether machines can be had where it may go.
+/// Returns why no capacity was found for a task of the job, given its other tasks by zone: no fitting machine has been
+/// rented yet, or none can be rented in any allowed zone.
 pub(super) fn shortage_reason(
     capacity: &CapacityView<'_>,
     job: &Job,
@@ -118,6 +123,7 @@
     }
 }
 
+/// Returns the job as waiting, without any assigned task.
 pub(super) fn unplaced_waiting_job<'v>(id: JobId, open: &'v OpenJob) -> WaitingJob<'v> {
     WaitingJob {
         id,
@@ -182,7 +188,7 @@
     }
 }
 
-/// The attempts of a task that are on machines, with their machines.
+/// Returns the placed attempts of a task with their machines, without machines that have no record.
 pub(super) fn placed_attempts(
     cache: &WatchCache,
     task: TaskId,
--- a/src/scheduler/draining/mod.rs
+++ b/src/scheduler/draining/mod.rs
@@ -1,8 +1,9 @@
-//! Draining, on the leader: what the planner of `dappleshore-drain` sees of the fleet, and how its decisions are
-//! recorded and carried out.
+//! The leader's part of draining: presents the fleet to the planner of `dappleshore-drain`, records its decisions and
+//! carries them out.
 //!
-//! An eviction is recorded before the task is told to stop. From then on the record says what is to be done: whoever
-//! leads stops the old attempt, keeps room for the next one, and releases it once the old one is proven gone.
+//! An eviction is recorded before its task is told to stop. From then on, any leader acts on the record: it stops the
+//! old attempt, reserves capacity for the replacement, and releases the replacement once the old attempt is proven
+//! ended.
 
 mod fleet_view;
 mod replacement;
@@ -32,32 +33,33 @@
 use crate::store::records::{LEADER, MachineState, drain_budget_key, drain_key, drain_ledger_key};
 use crate::store::{StoreRequest, StoreResponse, Transaction, Versioned, WatchCache, Writer};
 
-/// What an entry takes of a ledger's value, at the most.
+/// The maximum encoded size of one ledger entry.
 const MAX_LEDGER_ENTRY_BYTES: usize = 192;
-/// Ledgers in which nothing but losses or ends has changed are written this often.
+/// The interval for writing ledgers without new evictions, in which only losses or ended tasks have changed.
 const LEDGER_UPKEEP_INTERVAL: Duration = Duration::from_secs(1);
 
-/// The leader's part in draining.
+/// Runs the drain planner on the leader, and records its decisions.
 #[derive(Debug)]
 pub struct DrainCoordinator {
     settings: DrainSettings,
     planner: Planner,
     writer: Writer,
-    /// Room that is kept for evicted tasks.
+    /// The machines with capacity reserved for the replacements of evicted tasks.
     reservations: BTreeMap<TaskId, MachineId>,
-    /// Tasks whose eviction is being recorded.
+    /// Tasks whose eviction is in a transaction that is not confirmed yet.
     unconfirmed_evictions: BTreeSet<TaskId>,
-    /// Evicted tasks for which there is no room, and why.
+    /// Evicted tasks without capacity for a replacement, and the reason.
     without_capacity: BTreeMap<TaskId, NoRoom>,
-    /// What the last look came to, to be recorded.
+    /// The effects that the latest planner run returned, to be recorded.
     planned_effects: Vec<Effect>,
+    /// When ledgers were last written, or losses last cleaned up without any drain.
     last_upkeep: Option<Instant>,
-    /// Evictions recorded in this term.
+    /// Evictions sent to be recorded in this term.
     evictions_this_term: u64,
 }
 
 impl DrainCoordinator {
-    /// A leader that has decided nothing yet.
+    /// Creates a coordinator without decisions, for a new leader.
     pub fn new(now: Now, settings: DrainSettings) -> Self {
         DrainCoordinator {
             settings,
@@ -74,22 +76,22 @@
         }
     }
 
-    /// The budgets in force.
+    /// Returns the budgets in force.
     pub fn budgets(&self, cache: &WatchCache) -> Budgets {
         effective_budgets(&self.settings, cache)
     }
 
-    /// How far each drain is.
+    /// Returns the progress of each drain.
     pub fn progress(&self) -> &BTreeMap<DrainId, Progress> {
         self.planner.progress()
     }
 
-    /// The disruptions when it was last looked.
+    /// Returns the disruptions at the latest planner run.
     pub fn disruptions(&self) -> &Disruptions {
         self.planner.disruptions()
     }
 
-    /// What becomes of machines, as the last look says.
+    /// Returns the machine states that the latest planner run calls for.
     pub fn desired_machine_states(&self) -> BTreeMap<MachineId, MachineState> {
         let machine_state = |effect: &Effect| match effect {
             Effect::Cordon(machine) => Some((machine.clone(), MachineState::Cordoned)),
@@ -103,7 +105,7 @@
             .collect()
     }
 
-    /// Values for the metrics.
+    /// Adds the gauges of draining to the metrics.
     pub fn record_gauges(&self, cache: &WatchCache, gauges: &mut BTreeMap<String, f64>) {
         let mut states: BTreeMap<&str, f64> = BTreeMap::new();
         for progress in self.progress().values() {
@@ -125,13 +127,13 @@
         );
     }
 
-    /// Whether there is nothing to do and nothing to look after.
+    /// Whether there are no drain records and all ledgers are empty.
     fn is_idle(&self, cache: &WatchCache) -> bool {
         let mut ledgers = cache.drain_ledgers.values();
         cache.drains.is_empty() && ledgers.all(|ledger| ledger.value.is_empty())
     }
 
-    /// The transaction that records what was decided.
+    /// Builds the transaction that records the planned effects.
     fn build_transaction(
         &self,
         now: Now,
@@ -161,8 +163,8 @@
                         drain_budget_key(team),
                         version_of(cache.drain_budgets.get(team)),
                     );
-                    // Empty ones are kept: were the key removed, a transaction from before it existed could still be
-                    // carried out, and spend what has been spent since.
+                    // Empty ledgers are not deleted: after a deletion, a transaction prepared before the ledger was
+                    // created could still commit, and spend budget that has been spent since.
                     txn = txn.put(key, ledger);
                 }
                 Effect::WriteRecord { id, record } => {
@@ -178,7 +180,7 @@
                 | Effect::Reserve(_) => {}
             }
         }
-        // A drain that was called off or halted meanwhile evicts nothing more.
+        // A drain that was cancelled or halted since the plan was made must not evict more tasks.
         for id in evicting_drains {
             let key = drain_key(id);
             if !txn.conditions.iter().any(|(known, _)| *known == key) {
@@ -188,6 +190,7 @@
         (!txn.changes.is_empty()).then_some(txn)
     }
 
+    /// Logs new evictions and changes of drain records.
     fn log_planned_effects(&self, cache: &WatchCache) {
         for effect in &self.planned_effects {
             match effect {
@@ -199,15 +202,15 @@
                             .get(&job)
                             .is_some_and(|open| can_checkpoint(&open.job));
                         let checkpoint = if checkpoint_possible {
-                            "saves first"
+                            "saved before the stop"
                         } else {
-                            "can't save"
+                            "not available"
                         };
-                        info!(drain = %eviction.drain, %team, %job, subject = ?eviction.subject, machine = %eviction.machine, checkpoint, "evicting");
+                        info!(drain = %eviction.drain, %team, %job, subject = ?eviction.subject, machine = %eviction.machine, checkpoint, "recording eviction");
                     }
                 }
                 Effect::WriteRecord { id, record } => {
-                    info!(drain = %id, phase = ?record.phase, "drain changes");
+                    info!(drain = %id, phase = ?record.phase, "recording drain phase");
                 }
                 _ => {}
             }
@@ -215,6 +218,7 @@
     }
 }
 
+/// Returns the evictions in the ledger that are not stored yet.
 fn new_evictions<'l>(
     stored: Option<&Versioned<Ledger>>,
     ledger: &'l Ledger,
@@ -225,11 +229,12 @@
     ledger.evictions.iter().filter(is_new).collect()
 }
 
-/// Whether a task of the job can save its progress when it is stopped. What is left of a gang cannot.
+/// Whether a task of the job can save its progress when it is stopped. False for gangs: an incomplete gang cannot save.
 fn can_checkpoint(job: &Job) -> bool {
     job.kind != JobKind::Gang && job.checkpoint_every_s > 0.0
 }
 
+/// Returns the budgets from the settings, and those that operators have set.
 fn effective_budgets(settings: &DrainSettings, cache: &WatchCache) -> Budgets {
     let team_budget = |(team, team_settings): (&String, &TeamSettings)| {
         let budget = TeamBudget {
@@ -245,7 +250,7 @@
     }
 }
 
-/// The machines, as the planner and operators' requests look at them.
+/// Returns the recorded machines with their tasks, for the planner and operator requests.
 pub fn machine_views(
     cache: &WatchCache,
     usable: impl Fn(&MachineId) -> bool,
@@ -281,18 +286,18 @@
 }
 
 impl Scheduler {
-    /// Carries out drains from now on.
+    /// Returns the scheduler with draining enabled.
     pub fn with_draining(mut self, draining: DrainCoordinator) -> Self {
         self.draining = Some(draining);
         self
     }
 
-    /// What the leader knows of drains. None: they are switched off.
+    /// Returns the drain coordinator, or `None` if draining is disabled.
     pub fn draining(&self) -> Option<&DrainCoordinator> {
         self.draining.as_ref()
     }
 
-    /// A task's attempt is gone and was not done: lost, unless it was told to stop or failed by itself.
+    /// Records an attempt as lost if it has ended without completing its task, unless it was told to stop or failed.
     pub(super) fn record_lost_attempt(&mut self, now: Now, attempt: Attempt, machine: &MachineId) {
         if self.draining.is_none() {
             return;
@@ -307,12 +312,13 @@
         }
     }
 
+    /// Whether the attempt is told to stop in any block.
     fn is_stop_requested(&self, attempt: &Attempt) -> bool {
         let mut blocks = self.block_states.values();
         blocks.any(|block_state| block_state.stop_requests.contains_key(attempt))
     }
 
-    /// Where the other tasks of a job are, and where room is kept for them.
+    /// Counts the job's other tasks by zone: placed, released, or with reserved capacity.
     fn other_tasks_per_zone(&self, cache: &WatchCache, task: TaskId) -> BTreeMap<Zone, u32> {
         let mut tasks_per_zone: BTreeMap<Zone, u32> = BTreeMap::new();
         let placements = cache.placed(task.job).iter();
@@ -345,6 +351,7 @@
         tasks_per_zone
     }
 
+    /// Whether an attempt of the task is released and not placed yet.
     fn is_released(&self, task: TaskId) -> bool {
         let mut releases = self
             .block_states
@@ -353,8 +360,8 @@
         releases.any(|release| release.attempt.task == task)
     }
 
-    /// Stops what is recorded as evicted, releases replacements, keeps room for those to come, and decides what is
-    /// evicted next.
+    /// Stops attempts that are recorded as evicted, releases replacements, reserves capacity for later ones, and plans
+    /// the next evictions.
     pub(super) fn plan_drains(
         &mut self,
         capacity: &CapacityView<'_>,
@@ -379,6 +386,7 @@
         self.update_watched_attempts(cache, &ledgers);
     }
 
+    /// Runs the planner on the current fleet and records, and keeps the effects that it returns.
     fn run_planner(
         &mut self,
         capacity: &CapacityView<'_>,
@@ -417,7 +425,7 @@
             ledger_entries: (limits.value_bytes / MAX_LEDGER_ENTRY_BYTES).max(1),
             ledgers_at_once: (leader.max_changes / 2).max(1),
         };
-        // Room for replacements is only kept while the plan is made: what is decided is taken up below.
+        // Capacity that the planner reserves lasts for this plan only; the returned effects hold the reservations.
         let mut fleet = FleetView {
             scheduler: self,
             capacity,
@@ -453,7 +461,7 @@
         }
     }
 
-    /// Machines whose holder has told lately that they are well.
+    /// Returns the machines that their holder has recently reported as usable.
     fn usable_machines(&self, now: Now, provisioner: &Provisioner) -> HashSet<MachineId> {
         self.recent_machine_statuses(now)
             .filter(|status| status.usable && !provisioner.is_failed(&status.machine))
@@ -461,7 +469,7 @@
             .collect()
     }
 
-    /// The watched attempts that run, on machines that are well.
+    /// Returns the numbers of the watched attempts that their holder reports as running, on usable machines.
     fn running_attempts(
         &self,
         now: Now,
@@ -491,7 +499,7 @@
         running
     }
 
-    /// Asks holders to tell of the attempts of which it matters whether they run.
+    /// Asks holders to report whether the attempts that the planner watches are running.
     fn update_watched_attempts(&mut self, cache: &WatchCache, ledgers: &BTreeMap<Team, Ledger>) {
         let Some(draining) = &self.draining else {
             return;
@@ -514,7 +522,7 @@
         }
     }
 
-    /// The transaction that records evictions and what became of drains.
+    /// Returns the next transaction that records evictions and drain phases, if one is due.
     pub fn next_drain_transaction(
         &mut self,
         now: Now,
@@ -546,7 +554,7 @@
         Some(StoreRequest::Commit(txn))
     }
 
-    /// What became of it.
+    /// Handles the response to the drain transaction.
     pub fn handle_drain_store_response(&mut self, now: Now, outcome: &StoreResponse) {
         if let Some(draining) = &mut self.draining {
             draining.writer.answered(now, outcome);
@@ -555,7 +563,8 @@
 }
 
 impl DrainCoordinator {
-    /// No drain is left, and no disruption is recorded.
+    /// Clears the plan while there are no drains and no recorded disruptions, and has the planner drop losses of tasks
+    /// that no longer need to run.
     fn run_idle_upkeep(&mut self, now: Now, cache: &WatchCache) {
         self.planned_effects.clear();
         self.reservations.clear();
--- a/src/scheduler/draining/replacement.rs
+++ b/src/scheduler/draining/replacement.rs
@@ -1,4 +1,5 @@
-//! What is recorded as evicted: it is stopped, room is kept for it, and it is released once the old attempt is proven gone.
+//! The replacement of evicted tasks: stops their attempts, reserves capacity, and releases replacements once the old
+//! attempts are proven ended.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -16,7 +17,7 @@
 use crate::store::cache::OpenJob;
 
 impl Plan {
-    /// Keeps room for a task where it would be placed best. Returns the machine.
+    /// Reserves capacity for a task on the best candidate with a free slot in its block. Returns the machine.
     pub(super) fn reserve_capacity(
         &mut self,
         cache: &WatchCache,
@@ -40,7 +41,7 @@
         Some(machine)
     }
 
-    /// Takes room of a machine, and of its block's value.
+    /// Takes resources of a candidate, and a slot of its block.
     pub(super) fn reserve_on_candidate(
         &mut self,
         cache: &WatchCache,
@@ -55,7 +56,7 @@
         }
     }
 
-    /// The machine's index, if it has room for a task.
+    /// Returns the machine's candidate index if a task of the job fits it and may run there.
     fn find_candidate_with_capacity(&self, machine: &MachineId, job: &Job) -> Option<usize> {
         let fits = |c: &placement::Candidate| {
             c.machine == *machine && c.free.fits(&job.need) && c.allows(job)
@@ -65,6 +66,7 @@
 }
 
 impl Scheduler {
+    /// Requests a stop for each placed attempt that is recorded as evicted.
     pub(super) fn stop_evicted_attempts(
         &mut self,
         now: Now,
@@ -92,8 +94,8 @@
         }
     }
 
-    /// Releases evicted tasks that are proven gone to the machines that have room kept for them. For the others the
-    /// room is kept on.
+    /// Releases replacements of evicted tasks to the machines reserved for them once the old attempts are proven ended.
+    /// Keeps the reservations of the other evicted tasks.
     pub(super) fn replace_evicted_tasks(
         &mut self,
         capacity: &CapacityView<'_>,
@@ -145,6 +147,7 @@
         }
     }
 
+    /// Reserves capacity in this plan for the replacements of evictions that are not confirmed yet.
     fn reserve_for_unconfirmed_evictions(&self, cache: &WatchCache, plan: &mut Plan) {
         let Some(draining) = &self.draining else {
             return;
@@ -160,6 +163,7 @@
         }
     }
 
+    /// Reserves capacity for an evicted task, and releases its replacement once the evicted attempt has ended.
     fn replace_task(
         &mut self,
         capacity: &CapacityView<'_>,
@@ -209,7 +213,7 @@
         }
     }
 
-    /// Releases a task to a machine whose room has been taken for it.
+    /// Releases a task to the machine on which capacity is reserved for it.
     fn release_replacement(
         &mut self,
         now: Now,
@@ -238,6 +242,7 @@
         }
     }
 
+    /// Renews the reservations of an evicted gang, and releases all its tasks once no old attempt is placed.
     fn replace_gang(
         &mut self,
         capacity: &CapacityView<'_>,
@@ -261,7 +266,7 @@
         if any_released || start_numbers.len() > 1 {
             return;
         }
-        // Without room for all of it, it waits as any gang.
+        // Without a reservation for each task, the gang waits in the queue like any other.
         let Some(machines) = machines else { return };
         let mut reserved_candidates = Vec::new();
         for machine in &machines {
@@ -289,6 +294,7 @@
         }
     }
 
+    /// Releases all tasks of a gang to their reserved machines, under one new attempt number.
     fn release_gang_replacement(
         &mut self,
         now: Now,
@@ -300,7 +306,7 @@
     ) {
         let start = self.next_attempt;
         self.next_attempt += 1;
-        info!(%job, start, "gang released to the room kept for it");
+        info!(%job, start, "gang replacement released");
         for (index, machine) in (0..).zip(machines) {
             let task = TaskId { job, index };
             let block = cache.machines.get(machine).map(|machine| &machine.block);
@@ -319,8 +325,8 @@
     }
 }
 
-/// Counts a task for which no machine has room as waiting, so that the rule orders one. Where it may go only to some
-/// zones, one of those.
+/// Adds a task for which no machine has enough free capacity to the demand, so that the scale-out rule rents a machine.
+/// If the task may only run in some zones, the demand is pinned to one of them.
 pub(super) fn add_unplaced_demand(
     capacity: &CapacityView<'_>,
     cache: &WatchCache,
