--- a/src/scheduler/gangs.rs
+++ b/src/scheduler/gangs.rs
@@ -1,8 +1,8 @@
-//! Gangs: jobs of which all tasks run at the same time or none does.
+//! Gang scheduling: all tasks of a gang run at the same time, or none does.
 //!
-//! All tasks of a gang are released in one plan, under one attempt number, or none is. A gang of which a task is missing
-//! is taken back: what was released is withdrawn and what was placed is stopped. It starts anew, under another number,
-//! only when nothing of the old attempt can be on any machine.
+//! Either all tasks of a gang are released in one plan, under one attempt number, or none is. If a task is lost, the
+//! rest of the gang is stopped: its releases are withdrawn, and its placed tasks are told to stop. The gang is released
+//! again, under a new number, only when no task of the old attempt can be on any machine.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -16,34 +16,35 @@
 use crate::placement::{self, Candidate};
 use crate::store::WatchCache;
 
-/// A gang that has waited for this long has the room kept that there is for it, so that smaller work does not take it
-/// again and again. One gang at a time: no two of them may hold parts of what both need.
+/// A gang that has waited this long reserves the free capacity that it can use, else smaller jobs would take it again
+/// and again. Only one gang reserves at a time, so that no two gangs hold parts of the capacity that both need.
 const RESERVE_CAPACITY_AFTER: Duration = Duration::from_secs(8);
 
-/// Where a gang is, by what is recorded and released of its present attempt.
+/// The state of a gang, by the placed and released tasks of its current attempt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum GangState {
-    /// Nothing of it is anywhere.
+    /// No task is released or placed.
     Queued,
-    /// All its tasks are released or placed.
+    /// All tasks are released or placed.
     FullyAssigned,
-    /// Some are missing, being stopped or of another attempt: the rest has to go.
+    /// Tasks are missing, stopping or of different attempts: the rest must be stopped.
     Incomplete,
-    /// A task is done, and so all are.
+    /// One task is done, which means that all are.
     Done,
 }
 
-/// The tasks of a gang that are released or placed.
+/// Summary of a gang's assigned tasks, from which its state follows.
 #[derive(Debug, Clone, Copy, Default)]
 pub(super) struct GangTaskSummary {
+    /// The number of tasks that are released or placed.
     pub(super) assigned: u32,
-    /// Of different attempts, or on their way out.
+    /// Tasks belong to different attempts, are stopping, or are withdrawn.
     pub(super) inconsistent: bool,
     pub(super) any_done: bool,
 }
 
 impl GangState {
-    /// `size`: the gang's tasks.
+    /// Returns the state of a gang of `size` tasks.
     pub(super) fn of(size: u32, summary: GangTaskSummary) -> GangState {
         match summary {
             GangTaskSummary { any_done: true, .. } => GangState::Done,
@@ -57,7 +58,7 @@
     }
 }
 
-/// What is under way of a gang.
+/// The placed and released tasks of a gang.
 #[derive(Default)]
 struct AssignedGang {
     placed: Vec<(BlockId, Attempt)>,
@@ -67,10 +68,10 @@
 }
 
 impl Scheduler {
-    /// Releases all tasks of a gang, or none. Returns how many.
+    /// Releases all tasks of a gang, or none. Returns the number of released tasks.
     #[allow(
         clippy::too_many_arguments,
-        reason = "what a plan goes by, and what it may give away"
+        reason = "the inputs of a release decision and the plan that it changes"
     )]
     pub(super) fn release_gang(
         &mut self,
@@ -132,7 +133,7 @@
         gang_capacity.candidate_indexes.len()
     }
 
-    /// Takes back what is left of gangs that have lost a task.
+    /// Stops the remaining tasks of gangs that have lost a task.
     pub(super) fn stop_incomplete_gangs(&mut self, now: Now, cache: &WatchCache) {
         for (id, gang) in self.assigned_gangs(cache) {
             let Some(open) = cache.open.get(&id).filter(|open| !open.cancelled) else {
@@ -150,6 +151,7 @@
         }
     }
 
+    /// Collects the placed and released tasks of all gangs.
     fn assigned_gangs(&self, cache: &WatchCache) -> BTreeMap<JobId, AssignedGang> {
         let mut gangs: BTreeMap<JobId, AssignedGang> = BTreeMap::new();
         for live in cache.live_placements() {
@@ -183,6 +185,7 @@
             .is_some_and(|block_state| block_state.stop_requests.contains_key(attempt))
     }
 
+    /// Stops the placed tasks of a gang and withdraws its releases.
     fn stop_gang(&mut self, now: Now, id: JobId, gang: &AssignedGang) {
         let mut stopped = 0;
         for (block, attempt) in &gang.placed {
@@ -208,26 +211,27 @@
             }
         }
         if stopped + withdrawn > 0 {
-            info!(job = %id, stopped, withdrawn, "gang is not whole: taken back");
+            info!(job = %id, stopped, withdrawn, "stopping incomplete gang");
         }
     }
 }
 
-/// Whether a waiting gang has the room kept that there is.
+/// Whether a waiting job is a gang that has waited long enough to reserve free capacity.
 pub(super) fn may_reserve_capacity(waiting: &WaitingJob<'_>) -> bool {
     waiting.open.job.kind == JobKind::Gang && waiting.waited >= RESERVE_CAPACITY_AFTER
 }
 
-/// What room there is for a gang.
+/// The capacity found for a gang.
 pub(super) struct GangCapacity {
-    /// For each task the index of its candidate.
+    /// The candidate index for each task that fits.
     pub(super) candidate_indexes: Vec<usize>,
+    /// Whether all tasks of the gang fit.
     pub(super) is_complete: bool,
 }
 
-/// Room for all tasks of a gang at once: where its tasks may go, as many as there is room for, and in one zone if it asks
-/// for that. Of several zones the one that has room for most; of those, the one whose slowest image fetch is shortest,
-/// since no task starts before the last has its image.
+/// Finds capacity for as many tasks of a gang as fit at once, in a single zone if the job requires one. Among zones,
+/// prefers the one that fits the most tasks, then the one whose slowest image fetch takes the least time, since no task
+/// starts before the last one has its image.
 pub(super) fn find_gang_capacity(
     candidates: &[Candidate],
     waiting: &WaitingJob<'_>,
@@ -277,6 +281,7 @@
     }
 }
 
+/// Assigns tasks to the candidates in the given order, within their free resources, the zone limit and the block slots.
 fn assign_in_order<'i>(
     candidates: &[Candidate],
     waiting: &WaitingJob<'_>,
--- a/src/scheduler/gangs/tests.rs
+++ b/src/scheduler/gangs/tests.rs
@@ -1,4 +1,4 @@
-//! When gangs are released, taken back and over.
+//! Tests of releasing, stopping and completing gangs.
 
 use super::super::tests::{Fixture, machine_id};
 use super::*;
@@ -40,7 +40,7 @@
         assert_eq!(
             GangState::of(3, done),
             GangState::Done,
-            "one done, all done"
+            "one done task must mean that the gang is done"
         );
     }
 }
@@ -55,7 +55,7 @@
         first_updates
             .iter()
             .all(|update| update.assignments.is_empty()),
-        "room for four only"
+        "a gang of five must not be released into capacity for four"
     );
     fixture.add_job(2, gang(4, 8.0));
     let (_, updates) = fixture.plan();
@@ -73,7 +73,7 @@
 #[test]
 fn a_gang_is_released_only_if_its_team_limit_allows_all_tasks() {
     let mut fixture = Fixture::new(6);
-    // The team `red` may use 64 CPUs.
+    // The limit of the team `red` is 64 CPUs.
     fixture.add_job(1, job(1, 16.0));
     let (_, updates) = fixture.plan();
     fixture.record_assignments(&updates[0]);
@@ -96,7 +96,7 @@
     assert_eq!(released, 3);
 }
 
-/// The rest would wait for a task that never comes, in room that others need.
+/// Guards against the remaining tasks of a gang waiting for the lost one, on resources that other jobs need.
 #[test]
 fn the_rest_of_a_gang_that_lost_a_task_is_stopped_before_a_restart() {
     let mut fixture = Fixture::new(3);
@@ -114,7 +114,7 @@
             .sum::<usize>(),
         0
     );
-    // One of them is gone.
+    // One attempt disappears from the placements.
     let block: BlockId = "a.0".into();
     let mut placements = fixture.cache.placements[&block].value.clone();
     let lost = updates[0].assignments[1].clone();
@@ -131,7 +131,7 @@
         stop_updates
             .iter()
             .all(|update| update.assignments.is_empty()),
-        "not before they are gone"
+        "the gang must not be released while old attempts are placed"
     );
     fixture.put(placements_key(&block), encode(&BlockPlacements::default()));
     fixture.report_status(3, stop_updates[0].sequence_number, &[]);
@@ -175,14 +175,17 @@
     assert_eq!(ended, [JobId(1)]);
 }
 
-/// Without it smaller jobs take each bit of room that gets free, and a gang never finds enough of it.
+/// Guards against starvation: without the reservation, smaller jobs take all capacity that becomes free, and the gang
+/// never finds enough at once.
 #[test]
 fn a_gang_that_has_waited_long_reserves_free_capacity() {
     let mut fixture = Fixture::new(2);
     fixture.add_job(1, job(1, 16.0));
     let (_, updates) = fixture.plan();
     fixture.record_assignments(&updates[0]);
-    let waited = u64::try_from(RESERVE_CAPACITY_AFTER.as_millis()).expect("short") + 1;
+    let waited = u64::try_from(RESERVE_CAPACITY_AFTER.as_millis())
+        .expect("the reservation delay must fit in u64 milliseconds")
+        + 1;
     let accepted_ms = fixture.now.unix_ms() - waited;
     fixture.add_job(
         2,
@@ -205,7 +208,7 @@
     assert_eq!(
         fixture.plan().1[0].assignments.len(),
         1,
-        "{}",
+        "the small job must be released to {} once the gang is cancelled",
         machine_id(0)
     );
 }
