--- a/src/scheduler/preemption.rs
+++ b/src/scheduler/preemption.rs
@@ -1,4 +1,4 @@
-//! Making room: which tasks are stopped for one that waits.
+//! Preemption: selects running tasks to stop so that a waiting task fits.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -12,39 +12,43 @@
 use crate::placement::Candidate;
 use crate::store::WatchCache;
 
-/// Tasks that may be stopping at a time to make room: one for so many machines, and at least so many.
+/// At most one task may be stopping at a time for this many machines.
 const MACHINES_PER_CONCURRENT_STOP: usize = 4;
+/// The number of tasks that may be stopping at a time, however few machines there are.
 const MIN_CONCURRENT_STOPS: usize = 40;
 
-/// A way to make room on a machine.
+/// A set of tasks on one machine whose preemption would make the waiting task fit.
 struct PreemptionOption<'c, 'v> {
-    /// The work that it loses, in CPU seconds.
+    /// The lost work and the time to fetch the image, in CPU seconds.
     cost_cpu_s: f64,
     candidate: &'c Candidate,
-    /// The tasks to be preempted there.
+    /// The tasks to preempt.
     victims: Vec<Victim<'v>>,
 }
 
+/// A running task that may be preempted.
 #[derive(Debug, Clone)]
 pub(super) struct Victim<'v> {
+    /// The work that is lost if it is stopped, in CPU seconds.
     pub(super) lost_cpu_s: f64,
     pub(super) attempt: Attempt,
     pub(super) block: &'v BlockId,
     pub(super) job: &'v Job,
 }
 
+/// Tasks that may be preempted, by machine, those with the least lost work first.
 pub(super) type VictimsByMachine<'v> = HashMap<&'v MachineId, Vec<Victim<'v>>>;
 
-/// A machine on which tasks are being stopped to make room, and those tasks.
+/// A machine chosen for preemption, and the tasks that are stopped there.
 pub(super) struct Preemption {
     pub(super) candidate: Candidate,
     pub(super) preempted: Vec<Attempt>,
 }
 
 impl Scheduler {
-    /// Stops tasks so that one of `job` fits. PROTOCOL allows it for those of lower priority, and for those that
-    /// another team runs beyond its guarantee if this team is within its own; of the latter, those of higher
-    /// priority are left alone. The cheapest way is taken: the least work lost.
+    /// Stops tasks so that a task of `job` fits. PROTOCOL allows preempting tasks of lower priority, and tasks that
+    /// another team runs beyond its guarantee while this team is within its own guarantee; of the latter, tasks of
+    /// higher priority are not preempted. Chooses the machine where the least work is lost.
     #[allow(clippy::too_many_arguments)]
     pub(super) fn preempt_for_job<'c>(
         &mut self,
@@ -70,8 +74,8 @@
         let within_guarantee = usage_after_stops.within_guarantee(config, job);
         let may_preempt = |victim_job: &Job| {
             let beyond_guarantee = usage_after_stops.beyond_guarantee(config, victim_job);
-            // A team beyond its guarantee takes nothing from one that is within: what it took would be owed
-            // back at once, and the two would stop each other's tasks in turn.
+            // A team beyond its guarantee does not preempt tasks of a team within its guarantee: that team could
+            // preempt back at once, and the two would keep stopping each other's tasks.
             let lower_priority = victim_job.priority > job.priority;
             let other_team_same_priority =
                 victim_job.priority == job.priority && victim_job.team != job.team;
@@ -139,7 +143,7 @@
             ..
         } in chosen
         {
-            info!(%attempt, machine = %candidate.machine, class = %job.class, cost_cpu_s, "preempted");
+            info!(%attempt, machine = %candidate.machine, class = %job.class, cost_cpu_s, "preempting task");
             usage_after_stops.remove(victim_job);
             if let Some(block_state) = self.block_states.get_mut(block) {
                 block_state.stop_requests.insert(attempt, now.monotonic);
@@ -152,8 +156,9 @@
         })
     }
 
-    /// Tasks that could be stopped, by machine, the least work first. Replicas are not among them: one that is
-    /// stopped is down, which no start is worth. Nor are tasks of gangs: stopping one would stop them all.
+    /// Returns the tasks that could be preempted, by machine, those with the least lost work first. Replicas are
+    /// excluded, since a service that is down costs more than any earlier start gains. Tasks of gangs are excluded, since
+    /// stopping one would stop the whole gang.
     pub(super) fn preemption_victims<'v>(
         &self,
         now: Now,
--- a/src/scheduler/releases.rs
+++ b/src/scheduler/releases.rs
@@ -1,4 +1,5 @@
-//! Releases in turn: the next job that may run gets a task placed where it fits best, or room is made for it.
+//! Release decisions: in fair-share order, each waiting job gets a task released to the best machine with free capacity,
+//! or to one where other tasks are preempted.
 
 use std::collections::{BTreeSet, HashMap};
 
@@ -14,29 +15,31 @@
 use crate::placement::{Candidate, Ranking};
 use crate::store::WatchCache;
 
-/// Releases decided in one go, so that a large job can't hold up everything else.
+/// The maximum number of tasks released in one plan, so that a large job cannot delay everything else.
 const MAX_RELEASES_PER_ROUND: usize = 150;
-/// The room of a machine whose block can't hold another task.
+/// The free resources set for a machine whose block cannot store another task, so that nothing fits there.
 const FULL_BLOCK_RESOURCES: Resources = Resources {
     cpus: -1.0,
     gpus: -1.0,
     memory_gb: -1.0,
 };
 
-/// What the releases of one plan go by, and what was worked out for several of them.
+/// The inputs of the release decisions of one plan, and results that several decisions share.
 pub(super) struct ReleaseContext<'a, 'v> {
     now: Now,
     leader: &'a LeaderContext<'a>,
     cache: &'v WatchCache,
+    /// The zones of all blocks.
     zones: BTreeSet<Zone>,
     best_effort: BestEffortPlacement<'a>,
-    /// Machines in order for each kind of task; jobs that keep failing have an order of their own.
+    /// Rankings of the candidates by requirements and image. Jobs that keep failing have rankings of their own.
     rankings: HashMap<(PlacementRequirements, Image, Option<JobId>), Ranking>,
+    /// Tasks that may be preempted, collected when first needed.
     victims: Option<VictimsByMachine<'v>>,
 }
 
 impl<'a, 'v> ReleaseContext<'a, 'v> {
-    /// Of a plan that begins.
+    /// Creates the context for a new plan.
     pub(super) fn new(
         now: Now,
         leader: &'a LeaderContext<'a>,
@@ -59,7 +62,7 @@
     }
 }
 
-/// Where a task goes, and the tasks that are stopped for it.
+/// The machine chosen for a task, and the tasks that are preempted for it.
 struct PlacementChoice {
     candidate: Candidate,
     preempted: Vec<Attempt>,
@@ -75,7 +78,7 @@
 }
 
 impl Scheduler {
-    /// Releases what may run and has room, one job after the other in turn.
+    /// Releases tasks in fair-share order until none can be placed or the limit of one plan is reached.
     pub(super) fn release_waiting_tasks(
         &mut self,
         context: &mut ReleaseContext<'_, '_>,
@@ -99,6 +102,7 @@
         }
     }
 
+    /// Releases the whole gang if there is capacity for it. Returns the number of released tasks.
     fn release_next_gang(
         &mut self,
         context: &ReleaseContext<'_, '_>,
@@ -125,7 +129,7 @@
         self.release_gang(now, leader, cache, waiting, requirements, is_allowed, plan)
     }
 
-    /// Releases a task of the job, if there is a place for it. Returns how many.
+    /// Releases one task of the job if a machine is found for it. Returns the number of released tasks.
     fn release_next_task(
         &mut self,
         context: &mut ReleaseContext<'_, '_>,
@@ -154,6 +158,7 @@
         )
     }
 
+    /// Releases a task to the chosen machine if its block has a free slot. Returns the number of released tasks.
     fn release_to_block(
         &mut self,
         now: Now,
@@ -181,18 +186,18 @@
             candidate,
             preempted,
         } = choice;
-        debug!(%attempt, machine = %candidate.machine, "released");
+        debug!(%attempt, machine = %candidate.machine, "task released");
         block_state.release(now, attempt, candidate.machine, preempted);
         plan.allocate(candidate_index, &block, &waiting.open.job);
         *waiting.tasks_per_zone.entry(candidate.zone).or_default() += 1;
         waiting.assigned_tasks.insert(index);
         waiting.pending_tasks -= 1;
-        // It has begun: the rest of it waits for its turn.
+        // An overdue job gets only its first task early; its other tasks are released in a later plan.
         waiting.blocked = waiting.first_task_overdue;
         1
     }
 
-    /// A machine with room, or one where room is made.
+    /// Returns the best machine with free capacity, or one where tasks are preempted.
     fn choose_placement(
         &mut self,
         context: &mut ReleaseContext<'_, '_>,
@@ -207,7 +212,8 @@
         let eligible_machines = waiting.eligible_machines(context.leader);
         let requirements =
             PlacementRequirements::of(job, &context.zones, allows_zone, eligible_machines);
-        // Jobs alike find no room where one of them found none: room only shrinks while tasks are released.
+        // If one job found no capacity, jobs with the same requirements find none either: capacity only shrinks while
+        // tasks are released.
         if !plan.infeasible.without_capacity.contains(&requirements) {
             if let Some(candidate) = self.best_machine_candidate(
                 context,
@@ -254,6 +260,7 @@
         preemption.map(PlacementChoice::from)
     }
 
+    /// Returns the best candidate for the next task of the job, from the ranking shared by jobs alike.
     fn best_machine_candidate(
         &self,
         context: &mut ReleaseContext<'_, '_>,
@@ -263,7 +270,7 @@
         eligible_machines: EligibleMachines,
     ) -> Option<Candidate> {
         let job = &waiting.open.job;
-        // A job that keeps failing goes to machines on which it has not failed yet: its own ranking.
+        // A job that keeps failing is ranked on its own, since it prefers machines on which it has not failed yet.
         let id = waiting.id;
         let failing_job = self.failures.keeps_failing(id).then_some(id);
         let key = (requirements.clone(), job.image.clone(), failing_job);
