--- a/src/scheduler/best_effort.rs
+++ b/src/scheduler/best_effort.rs
@@ -1,7 +1,8 @@
-//! Best-effort work: that of teams without a guarantee. It runs where machines are cheap and leaves free what guaranteed
-//! work needs for its next starts: else it fills every gap, and each start of the others has to wait for a preemption.
+//! Placement rules for best-effort work, which is that of teams without a guarantee.
 //!
-//! Asked by the plan for each task and machine; it changes nothing. The settings call such work `opportunistic`.
+//! Best-effort tasks run on cheap machines, and leave free the capacity that guaranteed work needs for its next starts.
+//! Otherwise they would fill all free capacity, and each start of guaranteed work would wait for a preemption. The rules
+//! are evaluated for each task and machine, and change no state. The settings call this work `opportunistic`.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, HashSet};
@@ -15,10 +16,11 @@
 use crate::placement::Candidate;
 use crate::provisioning::{MachinePool, Provisioner, RunTimes, square_root_rule};
 
-/// A job of which nothing has run for this long gets its first task wherever there is room.
+/// A best-effort job without placed or released tasks that has waited this long may start one task on any machine.
 pub(super) const BEST_EFFORT_RESTRICTION_TIME: Duration = Duration::from_secs(45);
 
-/// Whether the job's team has no guarantee, while others have one, and the job is not urgent.
+/// Whether the job's team has no guarantee while other teams have one, and the job has neither production nor high
+/// priority.
 pub(super) fn is_best_effort(config: &Config, job: &Job) -> bool {
     let is_urgent = matches!(job.priority, Priority::Production | Priority::High);
     let has_guarantee = |cpus: f64, gpus: f64| cpus > 0.0 || gpus > 0.0;
@@ -32,17 +34,19 @@
     !is_urgent && !team_has_guarantee && any_has_guarantee
 }
 
-/// Which machines a job's next task may go to, of those that fit.
+/// The machines that a job's next task may use, among those that fit.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub(super) enum EligibleMachines {
+    /// All machines.
     All,
-    /// Best-effort work that may cost what it will.
+    /// Machines not reserved for guaranteed work: for best-effort jobs without a price limit.
     Unreserved,
-    /// Best-effort work.
+    /// Machines within the price limit and not reserved: for other best-effort jobs.
     CheapAndUnreserved,
 }
 
-/// What a task of the job costs on machines of a pool. None: it does not fit there or may not go there.
+/// Returns the price of the share of a machine that a task of the job takes, or `None` if the task does not fit or is not
+/// allowed there.
 fn task_price(job: &Job, instance_type: &InstanceType, capacity_type: CapacityType) -> Option<f64> {
     let tasks_per_machine = instance_type.resources().count_of(&job.need);
     let allowed = tasks_per_machine > 0
@@ -56,10 +60,10 @@
     allowed.then(|| price / f64::from(tasks_per_machine))
 }
 
-/// The most that a task of the job may cost. Of a best-effort job a multiple of what it costs on the cheapest
-/// machines, whether these can be had or not. Those may all be taken for good: if less than half of it got anywhere in
-/// a while, the rest may cost what it will. `waited`: since it was accepted; `begun`: its tasks that are done, placed or
-/// released.
+/// Returns the maximum price of a task of the job. For a best-effort job this is a multiple of the price on the cheapest
+/// machines, whether these are available or not. Since other work may occupy the cheapest machines for good, the limit
+/// no longer applies if less than half of the tasks are assigned after the configured duration. `waited` is the time
+/// since the job was accepted, `assigned_tasks` the number of its tasks that are done, placed or released.
 pub(super) fn price_limit(
     leader: &LeaderContext<'_>,
     job: &Job,
@@ -83,20 +87,20 @@
     });
     let prices = machine_pools
         .filter_map(|(instance_type, capacity_type)| task_price(job, instance_type, capacity_type));
-    // A little more, since equal prices may be computed in different ways.
+    // The tolerance covers rounding, since equal prices may be computed in different ways.
     prices.fold(f64::INFINITY, f64::min) * policy.best_effort_max_price_ratio * (1.0 + 1e-9)
 }
 
-/// Where best-effort work may go.
+/// Decides which machines best-effort tasks may use.
 pub(super) struct BestEffortPlacement<'a> {
     catalog: &'a InstanceCatalog,
-    /// Machines whose room is left for the next starts of guaranteed work.
+    /// Machines kept free of best-effort tasks for the next starts of guaranteed work.
     reserved_machines: HashSet<MachineId>,
 }
 
 impl<'a> BestEffortPlacement<'a> {
-    /// `guaranteed`: the demand of all other work, in machines. What the rule adds to it as its margin is reserved, on
-    /// the machines with the most room.
+    /// Reserves machines for guaranteed work: as many as the headroom that the scale-out rule adds to
+    /// `guaranteed_demand` (the demand of all other work, in machines), chosen by the most free capacity.
     pub(super) fn new(
         leader: &LeaderContext<'a>,
         provisioner: &Provisioner,
@@ -125,7 +129,7 @@
         }
     }
 
-    /// Whether a task of a best-effort job may go to this machine.
+    /// Whether a task of a best-effort job may use this machine.
     pub(super) fn allows(&self, job: &Job, price_limit: f64, candidate: &Candidate) -> bool {
         let instance_type = self.catalog.get(&candidate.type_name);
         let price = instance_type
@@ -135,8 +139,8 @@
     }
 }
 
-/// The machines of a pool with the most room left, up to so many. Their order is stable, so that room gathers on the
-/// same ones from plan to plan.
+/// Returns up to `count` machines of a pool with the most free capacity. Their order is stable, so that free capacity
+/// accumulates on the same machines from plan to plan.
 fn machines_with_most_capacity(
     candidates: &[Candidate],
     pool: &MachinePool,
@@ -147,7 +151,7 @@
         .filter(|candidate| pool.contains(&candidate.type_name, candidate.capacity_type));
     let mut by_free_capacity: Vec<(Reverse<u64>, &MachineId)> = pool_candidates
         .map(|candidate| {
-            // In thousandths, to compare as equal what is.
+            // Rounded to thousandths, so that equal amounts compare as equal in spite of rounding errors.
             let free_thousandths =
                 (candidate.size.left_over(&candidate.free).max(0.0) * 1000.0).round() as u64;
             (Reverse(free_thousandths), &candidate.machine)
--- a/src/scheduler/best_effort/tests.rs
+++ b/src/scheduler/best_effort/tests.rs
@@ -1,4 +1,4 @@
-//! Work without a guarantee keeps to cheap machines and out of the margin.
+//! Tests of the restriction of best-effort work to cheap machines that are not reserved.
 
 use super::*;
 use crate::cloud::InstanceCatalog;
@@ -9,11 +9,11 @@
 use crate::placement::tests::job;
 use crate::policy::Policy;
 
-/// The sample's teams and one without a guarantee.
+/// Returns the sample settings with an additional team, `guests`, that has no guarantee.
 fn config() -> Config {
     let text =
         format!("{SETTINGS}\n[[params.teams]]\nname = \"guests\"\ncpus = 0.0\ncpus_max = 0.0\n");
-    Config::parse("s.toml", &text).expect("valid")
+    Config::parse("s.toml", &text).expect("the sample settings must be valid")
 }
 
 fn guest_job(priority: Priority) -> Job {
@@ -62,17 +62,18 @@
                 ..job(1, 4.0)
             }
         ),
-        "red has a guarantee"
+        "a job of the team `red`, which has a guarantee, must not be best effort"
     );
     let mut no_guarantees = config;
     no_guarantees.teams.retain(|team| &*team.name.0 == "guests");
     assert!(
         !is_best_effort(&no_guarantees, &guest_job(Priority::Low)),
-        "nobody has a guarantee"
+        "no job must be best effort if no team has a guarantee"
     );
 }
 
-/// Found on the bench: the guests' arrays had every ordinary machine of the cloud rented, at four times the price.
+/// Guards against best-effort jobs renting expensive machines: on the bench, array jobs of guests had every on-demand
+/// machine of the cloud rented, at four times the price.
 #[test]
 fn best_effort_tasks_go_only_to_cheap_machines() {
     let (config, catalog) = (config(), catalog());
@@ -133,9 +134,10 @@
             just_accepted,
             0
         ),
-        "the cheapest that it may go to"
+        "on-demand machines must be allowed if they are the cheapest that the job may use"
     );
-    // Found in an incident: the others' work took all cheap machines for good, and three quarters of the guests' never ran.
+    // Guards against starvation: in an incident, other work occupied all cheap machines for good, and three quarters of
+    // the guests' tasks never ran.
     assert!(!is_allowed(
         &policy,
         &job,
@@ -158,7 +160,7 @@
             price_limit_duration,
             5
         ),
-        "half of it got somewhere"
+        "the price limit must apply while half of the tasks are assigned"
     );
     policy.best_effort_max_price_ratio += 0.2;
     assert!(is_allowed(
@@ -207,7 +209,7 @@
         reserved_ids.join(" ")
     };
     assert_eq!(reserved(0.0), "");
-    // eta is 1 before anything is measured: 2 * sqrt(1/2) * sqrt(n).
+    // The ratio of boot time to run time is 1 before anything is measured: 2 * sqrt(1/2) * sqrt(n).
     assert_eq!(reserved(2.0), "m-14 m-15");
     assert_eq!(reserved(4.5), "m-13 m-14 m-15");
 }
