--- a/src/scheduler/fair_share_order.rs
+++ b/src/scheduler/fair_share_order.rs
@@ -1,6 +1,6 @@
-//! Fair share: the order in which waiting tasks are served, by the teams' guarantees, the priorities and the shares.
+//! Fair-share order: the order in which waiting jobs get releases, by guarantee, priority and usage.
 //!
-//! Made anew for each plan, which asks for the next task after each release: the usage of the teams changes with it.
+//! It is created for each plan. The next job is computed after each release, since a release changes the usage of teams.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -9,14 +9,15 @@
 use crate::domain::{Job, JobKind, Priority, Team};
 use crate::leader_context::LeaderContext;
 
-/// The order in which waiting tasks are served: replicas first, then teams within their guarantee, then by priority,
-/// then the team that has the least for its share, then the class of that team that has the least. Jobs of one team,
-/// priority, kind and class are served in their order, so only the first of each such line has to be compared.
+/// Selects the job that gets the next release: replicas first, then teams within their guarantee, then by priority,
+/// then the team with the least usage relative to its guarantee and share, then the class with the least usage.
 pub(super) struct FairShareOrder {
+    /// Indexes of waiting jobs, grouped by team, priority, kind and class. Jobs of a group keep their order, so only the
+    /// first of each group is compared.
     groups: Vec<VecDeque<usize>>,
 }
 
-/// What the lines are compared by; the least is served first.
+/// The sort key of a job, compared in the order of the fields. The least is served first.
 #[derive(Debug, PartialEq, PartialOrd)]
 struct Rank {
     not_replica: bool,
@@ -27,6 +28,7 @@
 }
 
 impl FairShareOrder {
+    /// Groups the waiting jobs, which are sorted by the order within a group.
     pub(super) fn new(waiting_jobs: &[WaitingJob<'_>]) -> Self {
         let mut groups: BTreeMap<(&Team, Priority, bool, &str), VecDeque<usize>> = BTreeMap::new();
         for (index, waiting) in waiting_jobs.iter().enumerate() {
@@ -41,6 +43,7 @@
         }
     }
 
+    /// Returns the index of the job that gets the next release, or `None` if no job is left.
     pub(super) fn next_index(
         &mut self,
         waiting_jobs: &[WaitingJob<'_>],
@@ -68,7 +71,7 @@
     }
 }
 
-/// None: its team is unknown.
+/// Returns the sort key of a job, or `None` if its team is unknown.
 fn rank(job: &Job, usage: &Usage, leader: &LeaderContext<'_>) -> Option<Rank> {
     let limits = leader.config.team(&job.team)?;
     let weight = leader
@@ -87,6 +90,7 @@
     })
 }
 
+/// Whether the job's tasks are replicas of a production service.
 pub(super) fn is_replica(job: &Job) -> bool {
     job.kind == JobKind::Service && job.priority == Priority::Production
 }
--- a/src/scheduler/waiting.rs
+++ b/src/scheduler/waiting.rs
@@ -1,4 +1,4 @@
-//! Jobs with tasks that wait.
+//! Waiting jobs: collects the open jobs with pending tasks, sorts them, and states where their tasks may run.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::time::Duration;
@@ -13,23 +13,25 @@
 use crate::store::cache::OpenJob;
 use crate::store::records::Ranges;
 
-/// A job that has waited this long gets a first task before older jobs of its team and priority get more: when there is
-/// far too much work, large jobs would else not begin for many minutes.
+/// A job without any assigned task that has waited this long gets its first task before older jobs of its team and
+/// priority get more tasks. Otherwise, under heavy overload, large jobs would not begin for many minutes.
 pub(super) const FIRST_TASK_OVERDUE_AFTER: Duration = Duration::from_secs(90);
 
-/// What decides where a task may go: tasks of one shape can go to the same machines.
+/// The requirements that decide where a task may run. Tasks with equal requirements can use the same machines.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub(super) struct PlacementRequirements {
+    /// CPUs, GPUs and memory, as the bits of their floating-point values.
     need: [u64; 3],
     types: Option<Vec<InstanceTypeName>>,
     zone: Option<Zone>,
     spot: bool,
-    /// The zones that the job's other tasks leave open.
+    /// The zones in which the job's other tasks allow one more task.
     eligible_zones: Vec<Zone>,
     eligible_machines: EligibleMachines,
 }
 
 impl PlacementRequirements {
+    /// Returns the requirements of the next task of a job.
     pub(super) fn of(
         job: &Job,
         zones: &BTreeSet<Zone>,
@@ -51,24 +53,27 @@
     }
 }
 
-/// What a task may have and what it takes, in the order in which it is served.
+/// A job with pending tasks, and the state of its release decisions in the current plan.
 pub(super) struct WaitingJob<'v> {
     pub(super) id: JobId,
     pub(super) open: &'v OpenJob,
-    /// Tasks that are neither done, placed nor released.
+    /// The number of tasks that are neither done, placed nor released.
     pub(super) pending_tasks: u64,
+    /// The indexes of tasks that are done, placed or released.
     pub(super) assigned_tasks: Ranges,
+    /// The number of placed and released tasks by zone.
     pub(super) tasks_per_zone: BTreeMap<Zone, u32>,
-    /// None of its tasks has got anywhere for so long that one goes before its team's other work.
+    /// No task was assigned within [`FIRST_TASK_OVERDUE_AFTER`], so one is released before other work of the team.
     pub(super) first_task_overdue: bool,
-    /// How long ago it was accepted.
+    /// The time since the job was accepted.
     pub(super) waited: Duration,
+    /// No more tasks of the job are released in this plan.
     pub(super) blocked: bool,
 }
 
 impl WaitingJob<'_> {
-    /// Where its next task may go. A job that has waited for long, and of which nothing is under way, gets one task
-    /// wherever there is room.
+    /// Returns the machines that the next task may use. A job that has waited for [`BEST_EFFORT_RESTRICTION_TIME`] and
+    /// has no placed or released task may use any machine for one task.
     pub(super) fn eligible_machines(&self, leader: &LeaderContext<'_>) -> EligibleMachines {
         let any_active = self.assigned_tasks.len() > self.open.done.len();
         let first_task_late = !any_active && self.waited > BEST_EFFORT_RESTRICTION_TIME;
@@ -81,7 +86,7 @@
         }
     }
 
-    /// The most that its tasks may cost.
+    /// Returns the maximum price of a task.
     pub(super) fn price_limit(&self, leader: &LeaderContext<'_>) -> f64 {
         price_limit(
             leader,
@@ -93,12 +98,13 @@
 }
 
 impl Scheduler {
-    /// The jobs with tasks that wait, in the order in which they are served within a line.
+    /// Returns the jobs with pending tasks, in the order in which jobs of the same team, priority, kind and class get
+    /// releases.
     pub(super) fn waiting_jobs<'v>(&self, now: Now, cache: &'v WatchCache) -> Vec<WaitingJob<'v>> {
         let mut released: HashMap<JobId, Vec<(u32, Zone)>> = HashMap::new();
         for (block, block_state) in &self.block_states {
-            // A block is of one zone, so this holds even when the machine meant is gone: its holder may choose
-            // another one.
+            // All machines of a block are in one zone, so the zone is right even if the machine of the release no longer
+            // exists and the holder chooses another one.
             let Some(zone) = cache.block_leases.get(block).map(|lease| &lease.value.zone) else {
                 continue;
             };
@@ -119,7 +125,7 @@
             if open.cancelled || self.failures.is_backing_off(now, *id) {
                 continue;
             }
-            // Most jobs have all their tasks somewhere: they need no closer look.
+            // Skips most jobs early, since all their tasks are done or placed.
             let assigned_count = open.done.len() + placed_counts.get(id).copied().unwrap_or(0);
             if !released.contains_key(id) && assigned_count >= u64::from(open.job.tasks) {
                 continue;
@@ -127,7 +133,7 @@
             let mut assigned_tasks = open.done.clone();
             let mut tasks_per_zone: BTreeMap<Zone, u32> = BTreeMap::new();
             for ((index, _), placement) in cache.placed(*id) {
-                // Places on a machine whose record is gone are void.
+                // Placements on a machine without a record are void.
                 if let Some(machine) = cache.machines.get(&placement.machine) {
                     assigned_tasks.insert(*index);
                     *tasks_per_zone.entry(machine.zone.clone()).or_default() += 1;
@@ -140,7 +146,7 @@
             let mut pending_tasks = u64::from(open.job.tasks).saturating_sub(assigned_tasks.len());
             let is_gang = open.job.kind == JobKind::Gang;
             if is_gang && !assigned_tasks.is_empty() {
-                // It is under way, or over, or has to go first.
+                // A gang with assigned tasks is running, done, or must be stopped before a new attempt.
                 continue;
             }
             if self.failures.keeps_failing(*id) && !is_gang {
@@ -176,7 +182,7 @@
     }
 }
 
-/// Whether one more task of the job may go to a zone, given where its others are.
+/// Whether one more task of the job may run in a zone, given the number of its other tasks by zone.
 pub(super) fn allows_task_in_zone(
     job: &Job,
     tasks_per_zone: &BTreeMap<Zone, u32>,
@@ -189,7 +195,7 @@
     !(job.one_zone && others_elsewhere) && tasks_in_zone < job.zone_limit()
 }
 
-/// The least that any waiting task takes, each resource for itself.
+/// Returns the minimum need of the waiting jobs, separately for each resource.
 pub(super) fn minimum_need(waiting_jobs: &[WaitingJob<'_>]) -> Option<Resources> {
     let needs = waiting_jobs.iter().map(|waiting| waiting.open.job.need);
     needs.reduce(|a, b| Resources {
