--- a/src/scheduler/best_effort.rs
+++ b/src/scheduler/best_effort.rs
@@ -49,7 +49,7 @@
 /// allowed there.
 fn task_price(job: &Job, instance_type: &InstanceType, capacity_type: CapacityType) -> Option<f64> {
     let tasks_per_machine = instance_type.resources().count_of(&job.need);
-    let allowed = tasks_per_machine > 0
+    let is_allowed = tasks_per_machine > 0
         && job.allows_type(&instance_type.name)
         && job.allows_capacity_type(capacity_type);
     let price = if capacity_type.is_spot() {
@@ -57,7 +57,7 @@
     } else {
         instance_type.price.0
     };
-    allowed.then(|| price / f64::from(tasks_per_machine))
+    is_allowed.then(|| price / f64::from(tasks_per_machine))
 }
 
 /// Returns the maximum price of a task of the job. For a best-effort job this is a multiple of the price on the cheapest
--- a/src/scheduler/draining/fleet_view.rs
+++ b/src/scheduler/draining/fleet_view.rs
@@ -85,10 +85,10 @@
             return Err(NoRoom::Yet);
         }
         let mut reservations = Vec::new();
-        for (index, candidate) in (0..).zip(gang_capacity.candidate_indexes) {
-            let machine = self.plan.candidates[candidate].machine.clone();
+        for (index, candidate_index) in (0..).zip(gang_capacity.candidate_indexes) {
+            let machine = self.plan.candidates[candidate_index].machine.clone();
             self.plan
-                .reserve_on_candidate(self.cache, candidate, &open.job.need);
+                .reserve_on_candidate(self.cache, candidate_index, &open.job.need);
             let task = TaskId { job: id, index };
             reservations.push(Reservation { task, machine });
         }
--- a/src/scheduler/draining/replacement.rs
+++ b/src/scheduler/draining/replacement.rs
@@ -45,10 +45,10 @@
     pub(super) fn reserve_on_candidate(
         &mut self,
         cache: &WatchCache,
-        candidate: usize,
+        candidate_index: usize,
         need: &Resources,
     ) {
-        let chosen = &mut self.candidates[candidate];
+        let chosen = &mut self.candidates[candidate_index];
         chosen.free.take(need);
         let block = cache.machines.get(&chosen.machine).map(|m| &m.block);
         if let Some(slots) = block.and_then(|block| self.block_slots.get_mut(block)) {
@@ -156,9 +156,9 @@
             let open = cache.open.get(&task.job);
             let machine = draining.reservations.get(task);
             if let (Some(open), Some(machine)) = (open, machine)
-                && let Some(candidate) = plan.find_candidate_with_capacity(machine, &open.job)
+                && let Some(candidate_index) = plan.find_candidate_with_capacity(machine, &open.job)
             {
-                plan.reserve_on_candidate(cache, candidate, &open.job.need);
+                plan.reserve_on_candidate(cache, candidate_index, &open.job.need);
             }
         }
     }
@@ -186,14 +186,16 @@
             return;
         }
         let reserved_machine = draining.reservations.get(&task).and_then(|machine| {
-            let candidate = plan.find_candidate_with_capacity(machine, &open.job)?;
-            let zone = plan.candidates[candidate].zone.clone();
+            let candidate_index = plan.find_candidate_with_capacity(machine, &open.job)?;
+            let zone = plan.candidates[candidate_index].zone.clone();
             allows_task_in_zone(&open.job, &tasks_per_zone, &zone).then(|| machine.clone())
         });
         let machine = match reserved_machine {
             Some(machine) => {
-                if let Some(candidate) = plan.find_candidate_with_capacity(&machine, &open.job) {
-                    plan.reserve_on_candidate(cache, candidate, &open.job.need);
+                if let Some(candidate_index) =
+                    plan.find_candidate_with_capacity(&machine, &open.job)
+                {
+                    plan.reserve_on_candidate(cache, candidate_index, &open.job.need);
                 }
                 Some(machine)
             }
@@ -270,19 +272,20 @@
         let Some(machines) = machines else { return };
         let mut reserved_candidates = Vec::new();
         for machine in &machines {
-            let Some(candidate) = plan.find_candidate_with_capacity(machine, &open.job) else {
+            let Some(candidate_index) = plan.find_candidate_with_capacity(machine, &open.job)
+            else {
                 break;
             };
-            plan.reserve_on_candidate(cache, candidate, &open.job.need);
-            reserved_candidates.push(candidate);
+            plan.reserve_on_candidate(cache, candidate_index, &open.job.need);
+            reserved_candidates.push(candidate_index);
         }
         let all_reserved = reserved_candidates.len() == machines.len();
         if !all_reserved {
             for task in tasks() {
                 draining.reservations.remove(&task);
             }
-            for candidate in reserved_candidates {
-                plan.candidates[candidate].free.add(&open.job.need);
+            for candidate_index in reserved_candidates {
+                plan.candidates[candidate_index].free.add(&open.job.need);
             }
             return;
         }
--- a/src/scheduler/gangs.rs
+++ b/src/scheduler/gangs.rs
@@ -80,7 +80,7 @@
         cache: &WatchCache,
         waiting: &mut WaitingJob<'_>,
         requirements: PlacementRequirements,
-        allowed: impl Fn(&Candidate) -> bool,
+        is_allowed: impl Fn(&Candidate) -> bool,
         plan: &mut Plan,
     ) -> usize {
         let job = &waiting.open.job;
@@ -96,7 +96,7 @@
         let gang_capacity = find_gang_capacity(
             &plan.candidates,
             waiting,
-            allowed,
+            is_allowed,
             &plan.block_slots,
             block_of,
         );
@@ -113,19 +113,19 @@
         let start = self.next_attempt;
         self.next_attempt += 1;
         debug!(job = %waiting.id, start, tasks = gang_capacity.candidate_indexes.len(), "gang released");
-        for (index, candidate) in (0..).zip(&gang_capacity.candidate_indexes) {
+        for (index, candidate_index) in (0..).zip(&gang_capacity.candidate_indexes) {
             let task = TaskId {
                 job: waiting.id,
                 index,
             };
-            let machine = plan.candidates[*candidate].machine.clone();
+            let machine = plan.candidates[*candidate_index].machine.clone();
             let (Some(attempt), Some(block)) = (Attempt::of_gang(task, start), block_of(&machine))
             else {
                 continue;
             };
             if let Some(block_state) = self.block_states.get_mut(&block) {
                 block_state.release(now, attempt, machine, Vec::new());
-                plan.allocate(*candidate, &block, job);
+                plan.allocate(*candidate_index, &block, job);
                 waiting.assigned_tasks.insert(index);
                 waiting.pending_tasks -= 1;
             }
@@ -235,14 +235,14 @@
 pub(super) fn find_gang_capacity(
     candidates: &[Candidate],
     waiting: &WaitingJob<'_>,
-    allowed: impl Fn(&Candidate) -> bool,
+    is_allowed: impl Fn(&Candidate) -> bool,
     block_slots: &BTreeMap<BlockId, usize>,
     block_of: impl Fn(&MachineId) -> Option<BlockId>,
 ) -> GangCapacity {
     let job = &waiting.open.job;
     let ranked: Vec<usize> = placement::ranked_indexes(candidates, job)
         .into_iter()
-        .filter(|index| allowed(&candidates[*index]))
+        .filter(|index| is_allowed(&candidates[*index]))
         .collect();
     let zones: BTreeSet<&Zone> = ranked
         .iter()
