--- a/src/scheduler/gangs.rs
+++ b/src/scheduler/gangs.rs
@@ -63,7 +63,9 @@
 struct AssignedGang {
     placed: Vec<(BlockId, Attempt)>,
     released: Vec<(BlockId, Attempt)>,
+    /// The numbers of the attempts that the tasks belong to.
     start_numbers: BTreeSet<u64>,
+    /// Whether a task is told to stop or a release is withdrawn.
     any_stopping: bool,
 }
 
@@ -179,6 +181,7 @@
         gangs
     }
 
+    /// Whether the attempt is told to stop in the given block.
     fn is_stop_requested_in(&self, block: &BlockId, attempt: &Attempt) -> bool {
         self.block_states
             .get(block)
--- a/src/scheduler/preemption.rs
+++ b/src/scheduler/preemption.rs
@@ -48,7 +48,7 @@
 impl Scheduler {
     /// Stops tasks so that a task of `job` fits. PROTOCOL allows preempting tasks of lower priority, and tasks that
     /// another team runs beyond its guarantee while this team is within its own guarantee; of the latter, tasks of
-    /// higher priority are not preempted. Chooses the machine where the least work is lost.
+    /// higher priority are not preempted. Chooses the machine where preemption costs the least, mostly in lost work.
     #[allow(clippy::too_many_arguments)]
     pub(super) fn preempt_for_job<'c>(
         &mut self,
--- a/src/scheduler/releases.rs
+++ b/src/scheduler/releases.rs
@@ -260,7 +260,8 @@
         preemption.map(PlacementChoice::from)
     }
 
-    /// Returns the best candidate for the next task of the job, from the ranking shared by jobs alike.
+    /// Returns the best candidate for the next task of the job, from the ranking that jobs with the same requirements and
+    /// image share.
     fn best_machine_candidate(
         &self,
         context: &mut ReleaseContext<'_, '_>,
