--- a/src/scheduler/gangs/tests.rs
+++ b/src/scheduler/gangs/tests.rs
@@ -102,7 +102,7 @@
     let mut fixture = Fixture::new(3);
     fixture.add_job(1, gang(3, 16.0));
     let (_, updates) = fixture.plan();
-    let first = updates[0].assignments[0].attempt.gang_start();
+    let first_start = updates[0].assignments[0].attempt.gang_start();
     fixture.record_assignments(&updates[0]);
     fixture.report_status(3, updates[0].sequence_number, &[]);
     assert_eq!(
@@ -144,7 +144,7 @@
     assert!(
         assignments
             .iter()
-            .all(|assignment| assignment.attempt.gang_start() > first)
+            .all(|assignment| assignment.attempt.gang_start() > first_start)
     );
 }
 
