--- a/src/scheduler/draining/replacement.rs
+++ b/src/scheduler/draining/replacement.rs
@@ -48,9 +48,9 @@
         candidate_index: usize,
         need: &Resources,
     ) {
-        let chosen = &mut self.candidates[candidate_index];
-        chosen.free.take(need);
-        let block = cache.machines.get(&chosen.machine).map(|m| &m.block);
+        let candidate = &mut self.candidates[candidate_index];
+        candidate.free.take(need);
+        let block = cache.machines.get(&candidate.machine).map(|m| &m.block);
         if let Some(slots) = block.and_then(|block| self.block_slots.get_mut(block)) {
             *slots = slots.saturating_sub(1);
         }
--- a/src/scheduler/fair_share_order.rs
+++ b/src/scheduler/fair_share_order.rs
@@ -23,7 +23,7 @@
     not_replica: bool,
     beyond_guarantee: bool,
     priority: Priority,
-    team_share: f64,
+    weighted_team_usage: f64,
     class_usage: f64,
 }
 
@@ -85,7 +85,7 @@
         not_replica: !is_replica(job),
         beyond_guarantee: !usage.within_guarantee(leader.config, job),
         priority: job.priority,
-        team_share: usage.ratio_to_guarantee(limits) / weight,
+        weighted_team_usage: usage.ratio_to_guarantee(limits) / weight,
         class_usage: class_usage.cpus + class_usage.gpus,
     })
 }
