--- a/src/controller/store_responses.rs
+++ b/src/controller/store_responses.rs
@@ -57,9 +57,9 @@
                 }
             }
             StoreTag::Leadership(tag) => {
-                let request = self
-                    .leadership
-                    .handle(now, sent, tag, &outcome, &self.cache);
+                let request =
+                    self.leadership
+                        .handle_response(now, sent, tag, &outcome, &self.cache);
                 if let Some((tag, request)) = request {
                     let tag = StoreTag::Leadership(tag);
                     self.push_store_request(WritePriority::Lease, tag, request);
--- a/src/leadership/key_lease.rs
+++ b/src/leadership/key_lease.rs
@@ -17,11 +17,11 @@
 pub(super) struct HeldLease {
     pub(super) id: u64,
     /// When the request was sent that last extended it; the next one is due a quarter of its life later.
-    pub(super) renewed: Instant,
+    pub(super) renewed_at: Instant,
     /// When the last request was sent that is known to have opened or extended it.
     pub(super) last_confirmed: Instant,
     /// Whether a request to extend it is under way.
-    pub(super) renewing: bool,
+    pub(super) keep_alive_pending: bool,
 }
 
 #[derive(Debug, Clone, Copy, PartialEq)]
@@ -56,7 +56,7 @@
         }
     }
 
-    pub(super) fn is_released(&self) -> bool {
+    pub(super) fn is_not_held(&self) -> bool {
         self.state == LeaseState::NotHeld
     }
 
@@ -74,14 +74,14 @@
     }
 
     /// Asks for a lease.
-    pub(super) fn request(&mut self) -> (Tag, StoreRequest) {
+    pub(super) fn request_grant(&mut self) -> (Tag, StoreRequest) {
         self.state = LeaseState::Requested;
         let request = StoreRequest::GrantLease { life: self.ttl };
         (Tag::GrantLease(self.role), request)
     }
 
     /// Attaches the record that the transaction writes.
-    pub(super) fn attach(
+    pub(super) fn attach_key(
         &mut self,
         id: u64,
         last_confirmed: Instant,
@@ -97,27 +97,27 @@
         let LeaseState::Held(held) = &mut self.state else {
             return None;
         };
-        if held.renewing || since(now, held.renewed) < self.ttl / 4 {
+        if held.keep_alive_pending || since(now, held.renewed_at) < self.ttl / 4 {
             return None;
         }
-        held.renewing = true;
+        held.keep_alive_pending = true;
         let request = StoreRequest::KeepAliveLease { id: held.id };
         Some((Tag::KeepAlive(self.role, held.id), request))
     }
 
     /// Leaves the lease to run out.
-    pub(super) fn release(&mut self) {
+    pub(super) fn abandon(&mut self) {
         self.state = LeaseState::NotHeld;
     }
 
     /// Leaves the lease, and asks for none for a while.
-    pub(super) fn fail(&mut self, now: Now) {
+    pub(super) fn record_failure(&mut self, now: Now) {
         self.state = LeaseState::NotHeld;
         self.retry_at = Some(now.monotonic + RETRY_INTERVAL);
     }
 
     /// The transaction that attaches the record was answered.
-    pub(super) fn handle_attach(
+    pub(super) fn handle_attach_response(
         &mut self,
         now: Now,
         sent: Instant,
@@ -133,17 +133,17 @@
             StoreResponse::Committed { .. } | StoreResponse::Unknown => {
                 self.state = LeaseState::Held(HeldLease {
                     id,
-                    renewed: now.monotonic,
+                    renewed_at: now.monotonic,
                     last_confirmed,
-                    renewing: false,
+                    keep_alive_pending: false,
                 });
             }
-            _ => self.fail(now),
+            _ => self.record_failure(now),
         }
     }
 
     /// The request to extend the lease was answered.
-    pub(super) fn handle_keep_alive(
+    pub(super) fn handle_keep_alive_response(
         &mut self,
         now: Now,
         sent: Instant,
@@ -156,17 +156,17 @@
         if held.id != id {
             return;
         }
-        held.renewing = false;
+        held.keep_alive_pending = false;
         match outcome {
-            StoreResponse::LeaseExpired | StoreResponse::Invalid => self.release(),
+            StoreResponse::LeaseExpired | StoreResponse::Invalid => self.abandon(),
             StoreResponse::LeaseGranted { .. } => {
-                held.renewed = sent;
+                held.renewed_at = sent;
                 held.last_confirmed = sent;
             }
             // Asked again soon, not at once.
             _ => {
-                let soon = now.monotonic - LEADER_LEASE_TTL / 4 + RETRY_INTERVAL / 2;
-                held.renewed = held.renewed.max(soon);
+                let retry_base = now.monotonic - LEADER_LEASE_TTL / 4 + RETRY_INTERVAL / 2;
+                held.renewed_at = held.renewed_at.max(retry_base);
             }
         }
     }
--- a/src/leadership/membership.rs
+++ b/src/leadership/membership.rs
@@ -8,25 +8,25 @@
 impl Leadership {
     /// Asks for the member lease, keeps it alive, and registers again if the record was lost without it: removed with the
     /// lease of an older process, say.
-    pub(super) fn poll_member(
+    pub(super) fn poll_member_lease(
         &mut self,
         now: Now,
         cache: &WatchCache,
     ) -> Option<(Tag, StoreRequest)> {
-        if self.member.is_released() {
+        if self.member.is_not_held() {
             let due = cache.ready() && self.member.may_retry(now);
-            return due.then(|| self.member.request());
+            return due.then(|| self.member.request_grant());
         }
         let held = self.member.held()?;
         let registered = cache
             .members
             .get(&self.controller)
             .is_some_and(|member| member.value.incarnation == self.incarnation);
-        if cache.covers(held.renewed) && !registered && !held.renewing {
-            let registration = self.registration(held.id, cache);
+        if cache.covers(held.renewed_at) && !registered && !held.keep_alive_pending {
+            let registration = self.registration_transaction(held.id, cache);
             return Some(
                 self.member
-                    .attach(held.id, held.last_confirmed, registration),
+                    .attach_key(held.id, held.last_confirmed, registration),
             );
         }
         self.member.keep_alive(now)
@@ -34,7 +34,7 @@
 
     /// Conditioned on the record that it replaces: an earlier process's lease may still last when a late copy of its
     /// request comes, and would put its record over ours.
-    pub(super) fn registration(&self, lease: u64, cache: &WatchCache) -> Transaction {
+    pub(super) fn registration_transaction(&self, lease: u64, cache: &WatchCache) -> Transaction {
         let record = Member {
             incarnation: self.incarnation,
             format: self.format,
--- a/src/leadership/mod.rs
+++ b/src/leadership/mod.rs
@@ -17,7 +17,7 @@
 mod key_lease;
 mod membership;
 
-use election::Vacancy;
+use election::ElectionDelay;
 use key_lease::KeyLease;
 
 /// Long enough that a slow process is not taken for dead, short enough that a dead one is noticed.
@@ -25,7 +25,7 @@
 /// How long the service can be without a leader after one has died.
 const LEADER_LEASE_TTL: Duration = Duration::from_millis(3500);
 /// By how much the monotonic clocks of two machines may drift apart, as a part of the time.
-const CLOCK_DRIFT: f64 = 0.0005;
+const MAX_CLOCK_DRIFT_RATIO: f64 = 0.0005;
 
 /// What a lease is for.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -65,7 +65,7 @@
     member: KeyLease,
     leader: KeyLease,
     /// While the leader's place is vacant and this process does not run yet.
-    vacancy: Option<Vacancy>,
+    election_delay: Option<ElectionDelay>,
     /// The term that was last logged.
     logged_term: Option<Term>,
 }
@@ -79,7 +79,7 @@
             format,
             member: KeyLease::new(LeaseRole::Member, MEMBER_LEASE_TTL),
             leader: KeyLease::new(LeaseRole::Leader, LEADER_LEASE_TTL),
-            vacancy: None,
+            election_delay: None,
             logged_term: None,
         }
     }
@@ -103,7 +103,7 @@
     /// can't reach the state service, must send nothing there: another may have taken its place.
     pub fn authority_until(&self) -> Option<Instant> {
         let held = self.leader.held()?;
-        Some(held.last_confirmed + LEADER_LEASE_TTL.mul_f64(1.0 - CLOCK_DRIFT))
+        Some(held.last_confirmed + LEADER_LEASE_TTL.mul_f64(1.0 - MAX_CLOCK_DRIFT_RATIO))
     }
 
     /// The requests that are due now.
@@ -121,13 +121,13 @@
             }
             self.logged_term = term;
         }
-        let mut requests = Vec::from_iter(self.poll_member(now, cache));
-        self.poll_leader(now, cache, rng, &mut requests);
+        let mut requests = Vec::from_iter(self.poll_member_lease(now, cache));
+        self.poll_leader_lease(now, cache, rng, &mut requests);
         requests
     }
 
     /// Handles the response to the request with this tag, sent at `sent`, and returns what is to be sent next.
-    pub fn handle(
+    pub fn handle_response(
         &mut self,
         now: Now,
         sent: Instant,
@@ -138,20 +138,24 @@
         match tag {
             Tag::GrantLease(role) => {
                 let StoreResponse::LeaseGranted { id } = *outcome else {
-                    self.lease(role).fail(now);
+                    self.lease_mut(role).record_failure(now);
                     return None;
                 };
-                return self.handle_granted(sent, role, id, cache);
+                return self.attach_granted_lease(sent, role, id, cache);
             }
-            Tag::AttachKey(role, id) => self.lease(role).handle_attach(now, sent, id, outcome),
-            Tag::KeepAlive(role, id) => self.lease(role).handle_keep_alive(now, sent, id, outcome),
+            Tag::AttachKey(role, id) => self
+                .lease_mut(role)
+                .handle_attach_response(now, sent, id, outcome),
+            Tag::KeepAlive(role, id) => self
+                .lease_mut(role)
+                .handle_keep_alive_response(now, sent, id, outcome),
         }
         None
     }
 
     /// Attaches the record to a lease that was granted. If there is a leader by now, its lease is left to run out, for
     /// nothing is attached to it.
-    fn handle_granted(
+    fn attach_granted_lease(
         &mut self,
         sent: Instant,
         role: LeaseRole,
@@ -160,20 +164,20 @@
     ) -> Option<(Tag, StoreRequest)> {
         match role {
             LeaseRole::Member => {
-                let registration = self.registration(id, cache);
-                Some(self.member.attach(id, sent, registration))
+                let registration = self.registration_transaction(id, cache);
+                Some(self.member.attach_key(id, sent, registration))
             }
-            LeaseRole::Leader if self.is_vacant(cache) && cache.ready() => {
-                Some(self.run_for_leader(id, sent, cache))
+            LeaseRole::Leader if self.may_claim_leadership(cache) && cache.ready() => {
+                Some(self.claim_leadership(id, sent, cache))
             }
             LeaseRole::Leader => {
-                self.leader.release();
+                self.leader.abandon();
                 None
             }
         }
     }
 
-    fn lease(&mut self, role: LeaseRole) -> &mut KeyLease {
+    fn lease_mut(&mut self, role: LeaseRole) -> &mut KeyLease {
         match role {
             LeaseRole::Member => &mut self.member,
             LeaseRole::Leader => &mut self.leader,
--- a/src/leadership/tests.rs
+++ b/src/leadership/tests.rs
@@ -14,7 +14,7 @@
     let mut leadership = Leadership::new("node-0".into(), Incarnation(1), 0);
     let respond =
         |leadership: &mut Leadership, now: Now, sent: Now, tag: Tag, outcome: StoreResponse| {
-            leadership.handle(now, sent.monotonic, tag, &outcome, &cache);
+            leadership.handle_response(now, sent.monotonic, tag, &outcome, &cache);
         };
     let has_authority = |leadership: &Leadership, now: Now| {
         leadership
