--- a/src/leader_context.rs
+++ b/src/leader_context.rs
@@ -1,25 +1,25 @@
-//! What every component of the leader needs to act: settings, the catalogue and the authority of its term.
+//! The context that every leader component acts in: settings, the instance catalogue, the term and write limits.
 
 use crate::cloud::InstanceCatalog;
 use crate::config::Config;
 use crate::domain::Term;
 use crate::policy::Policy;
 
-/// What the leader's modules need to know to act in its term. The controller makes one for each round.
+/// The settings, term and write limits that the leader's modules act with. The controller builds one per round.
 #[derive(Clone, Copy)]
 pub struct LeaderContext<'a> {
-    /// The settings.
+    /// The settings of this controller.
     pub config: &'a Config,
-    /// What operators may tune.
+    /// The parameters that operators may tune.
     pub policy: &'a Policy,
     /// The instance types that the cloud offers.
     pub catalog: &'a InstanceCatalog,
     /// The term in which the leader acts.
     pub term: Term,
-    /// The leader record's version: the authority of every write.
+    /// The version of the leader record: every write of the leader is conditioned on it.
     pub record_version: u64,
-    /// The changes that one transaction should not exceed, by the state service's rate.
+    /// The maximum number of changes in one transaction, given the state service's rate limit.
     pub max_changes: usize,
-    /// Whether there are writes to spare just now.
+    /// Whether the write rate limit currently leaves writes unused.
     pub has_spare_writes: bool,
 }
--- a/src/leadership/election.rs
+++ b/src/leadership/election.rs
@@ -1,4 +1,4 @@
-//! Leader election: the leader record goes to whoever writes it first while there is none.
+//! Leader election: while there is no leader record, the first candidate that writes one becomes the leader.
 
 use std::time::{Duration, Instant};
 
@@ -11,19 +11,19 @@
 use crate::store::records::{LEADER, Leader, TOKEN, Token};
 use crate::store::{StoreRequest, Transaction, WatchCache};
 
-/// A candidate waits for a random time below this, in milliseconds, so that one of them is first.
+/// Upper bound of a candidate's random delay in milliseconds, so that candidates do not all start at once.
 const MAX_ELECTION_DELAY_MS: u64 = 200;
 
-/// A election_delay of the leader's place as this process has seen it.
+/// The random delay of this candidate since it saw that there is no leader.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct ElectionDelay {
     started: Instant,
-    /// How long this process waits before it runs.
+    /// How long this process waits before it requests the leader lease.
     delay: Duration,
 }
 
 impl Leadership {
-    /// Keeps the leader's lease alive, and runs for leader while the place is vacant.
+    /// Keeps the leader lease alive, and requests one after the election delay while there is no leader.
     pub(super) fn poll_leader_lease(
         &mut self,
         now: Now,
@@ -34,7 +34,7 @@
         if let Some(held) = self.leader.held() {
             requests.extend(self.leader.keep_alive(now));
             if self.current_term(cache).is_none() && cache.covers(held.renewed_at) {
-                // The lease is ours but the record is not: the election was lost, or its outcome unknown.
+                // This process holds the lease but not the record: it lost the election, or the outcome is unknown.
                 if self.may_claim_leadership(cache) {
                     requests.push(self.claim_leadership(held.id, held.last_confirmed, cache));
                 } else {
@@ -57,8 +57,8 @@
         }
     }
 
-    /// Whether the leader's place is free. That of an earlier process of this controller is: only after a process
-    /// has ended is the next one started.
+    /// Whether there is no leader record, or only one of an earlier process of this controller: a process is started
+    /// only after the previous one has ended.
     pub(super) fn may_claim_leadership(&self, cache: &WatchCache) -> bool {
         cache.leader.as_ref().is_none_or(|leader| {
             leader.value.controller == self.controller
@@ -66,7 +66,7 @@
         })
     }
 
-    /// WriteAllowance the leader record with a new term, attached to the lease.
+    /// Writes the leader record with a new term, attached to the lease.
     pub(super) fn claim_leadership(
         &mut self,
         lease: u64,
--- a/src/leadership/key_lease.rs
+++ b/src/leadership/key_lease.rs
@@ -1,7 +1,7 @@
-//! A lease of the state service and the record that is attached to it: asked for, attached, kept alive, lost.
+//! The state machine of one lease in the state service and the record attached to it.
 //!
-//! The service's outcomes change it here only. What the record says, and when a lease should be asked for, is for the
-//! member registration and the leader election to decide.
+//! Only this module changes the state on responses of the state service. Member registration and leader election decide
+//! when to request a lease and what the record contains.
 
 use std::time::{Duration, Instant};
 
@@ -9,35 +9,35 @@
 use crate::domain::{Now, since};
 use crate::store::{StoreRequest, StoreResponse, Transaction};
 
-/// After a failure it is asked again no sooner than this.
+/// The minimum time between a failure and the next lease request.
 const RETRY_INTERVAL: Duration = Duration::from_millis(500);
 
-/// A lease whose record is attached, as far as is known.
+/// A lease whose record is attached, or may be: the outcome of the transaction can be unknown.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(super) struct HeldLease {
     pub(super) id: u64,
-    /// When the request was sent that last extended it; the next one is due a quarter of its life later.
+    /// The start of the renewal interval: the next keep-alive is due a quarter of the TTL later.
     pub(super) renewed_at: Instant,
-    /// When the last request was sent that is known to have opened or extended it.
+    /// When the last request was sent that is known to have granted or extended the lease.
     pub(super) last_confirmed: Instant,
-    /// Whether a request to extend it is under way.
+    /// Whether a keep-alive request is in flight.
     pub(super) keep_alive_pending: bool,
 }
 
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(super) enum LeaseState {
     NotHeld,
-    /// Asked for, not granted yet.
+    /// Requested, not granted yet.
     Requested,
-    /// Granted, and the record's transaction is under way.
+    /// Granted; the transaction that writes the record is in flight.
     AttachingKey {
-        /// When it was asked for: it does not end before its life from then is over.
+        /// When the lease was requested: it does not expire before its TTL from then has passed.
         last_confirmed: Instant,
     },
     Held(HeldLease),
 }
 
-/// The lease of one role.
+/// The lease of one role, with its state and retry time.
 #[derive(Debug)]
 pub(super) struct KeyLease {
     role: LeaseRole,
@@ -60,7 +60,7 @@
         self.state == LeaseState::NotHeld
     }
 
-    /// The lease if its record is attached, as far as is known.
+    /// Returns the lease if its record is attached, or may be.
     pub(super) fn held(&self) -> Option<HeldLease> {
         match self.state {
             LeaseState::Held(held) => Some(held),
@@ -68,19 +68,19 @@
         }
     }
 
-    /// Whether the pause after the last failure is over.
+    /// Whether the retry delay after the last failure has passed.
     pub(super) fn may_retry(&self, now: Now) -> bool {
         self.retry_at.is_none_or(|at| now.monotonic >= at)
     }
 
-    /// Asks for a lease.
+    /// Requests a new lease.
     pub(super) fn request_grant(&mut self) -> (Tag, StoreRequest) {
         self.state = LeaseState::Requested;
         let request = StoreRequest::GrantLease { life: self.ttl };
         (Tag::GrantLease(self.role), request)
     }
 
-    /// Attaches the record that the transaction writes.
+    /// Attaches the record to the granted lease by the transaction that writes it.
     pub(super) fn attach_key(
         &mut self,
         id: u64,
@@ -92,7 +92,7 @@
         (Tag::AttachKey(self.role, id), request)
     }
 
-    /// Extends the lease when that is due.
+    /// Returns a keep-alive request when one is due.
     pub(super) fn keep_alive(&mut self, now: Now) -> Option<(Tag, StoreRequest)> {
         let LeaseState::Held(held) = &mut self.state else {
             return None;
@@ -105,18 +105,18 @@
         Some((Tag::KeepAlive(self.role, held.id), request))
     }
 
-    /// Leaves the lease to run out.
+    /// Stops renewing the lease, so that it expires.
     pub(super) fn abandon(&mut self) {
         self.state = LeaseState::NotHeld;
     }
 
-    /// Leaves the lease, and asks for none for a while.
+    /// Abandons the lease and delays the next request by [`RETRY_INTERVAL`].
     pub(super) fn record_failure(&mut self, now: Now) {
         self.state = LeaseState::NotHeld;
         self.retry_at = Some(now.monotonic + RETRY_INTERVAL);
     }
 
-    /// The transaction that attaches the record was answered.
+    /// Handles the response to the transaction that attaches the record.
     pub(super) fn handle_attach_response(
         &mut self,
         now: Now,
@@ -129,7 +129,7 @@
             _ => sent,
         };
         match outcome {
-            // Unknown may mean committed: the lease is kept until the local copy shows what became of it.
+            // An unknown outcome may be a commit: the lease is kept until the cache shows whether the record was written.
             StoreResponse::Committed { .. } | StoreResponse::Unknown => {
                 self.state = LeaseState::Held(HeldLease {
                     id,
@@ -142,7 +142,7 @@
         }
     }
 
-    /// The request to extend the lease was answered.
+    /// Handles the response to a keep-alive request.
     pub(super) fn handle_keep_alive_response(
         &mut self,
         now: Now,
@@ -163,7 +163,7 @@
                 held.renewed_at = sent;
                 held.last_confirmed = sent;
             }
-            // Asked again soon, not at once.
+            // Schedules a retry after a short delay instead of immediately.
             _ => {
                 let retry_base = now.monotonic - LEADER_LEASE_TTL / 4 + RETRY_INTERVAL / 2;
                 held.renewed_at = held.renewed_at.max(retry_base);
--- a/src/leadership/membership.rs
+++ b/src/leadership/membership.rs
@@ -1,4 +1,4 @@
-//! Member registration: the record that tells the others that this process is up.
+//! Member registration: the record that shows the other controllers that this process is up.
 
 use super::{Leadership, Tag};
 use crate::domain::Now;
@@ -6,8 +6,8 @@
 use crate::store::{StoreRequest, Transaction, WatchCache};
 
 impl Leadership {
-    /// Asks for the member lease, keeps it alive, and registers again if the record was lost without it: removed with the
-    /// lease of an older process, say.
+    /// Requests the member lease, keeps it alive, and registers again if the record disappears while the lease is held,
+    /// for example because it was removed with the lease of an earlier process.
     pub(super) fn poll_member_lease(
         &mut self,
         now: Now,
@@ -32,8 +32,10 @@
         self.member.keep_alive(now)
     }
 
-    /// Conditioned on the record that it replaces: an earlier process's lease may still last when a late copy of its
-    /// request comes, and would put its record over ours.
+    /// The transaction that writes this process's member record.
+    ///
+    /// It is conditioned on the version of the record that it replaces. Otherwise a delayed copy of an earlier process's
+    /// request, whose lease has not expired yet, would overwrite this process's record.
     pub(super) fn registration_transaction(&self, lease: u64, cache: &WatchCache) -> Transaction {
         let record = Member {
             incarnation: self.incarnation,
--- a/src/leadership/mod.rs
+++ b/src/leadership/mod.rs
@@ -1,9 +1,9 @@
-//! Membership and leadership: two leases in the state service, each with a record attached.
+//! Membership and leader election: two leases in the state service, each with a record attached.
 //!
-//! The member record tells the others that this process is up. The leader record is the leader's authority: every write
-//! that a leader makes is conditioned on its version, so that a leader that was replaced without knowing it can change
-//! nothing. The controller polls this with every event and sends the requests that it returns; their responses come back to
-//! [`Leadership::handle`].
+//! The member record shows the other controllers that this process is up. The leader record is the leader's authority:
+//! every write of a leader is conditioned on its version, so that a leader that was replaced without noticing can't change
+//! anything. The controller polls [`Leadership`] with every event and sends the requests that it returns; their responses
+//! go to [`Leadership::handle_response`].
 
 use std::time::{Duration, Instant};
 
@@ -20,14 +20,14 @@
 use election::ElectionDelay;
 use key_lease::KeyLease;
 
-/// Long enough that a slow process is not taken for dead, short enough that a dead one is noticed.
+/// Long enough that a slow process does not lose its membership, short enough that a dead process is detected soon.
 const MEMBER_LEASE_TTL: Duration = Duration::from_secs(10);
-/// How long the service can be without a leader after one has died.
+/// The longest time that the cluster has no leader after one has died.
 const LEADER_LEASE_TTL: Duration = Duration::from_millis(3500);
-/// By how much the monotonic clocks of two machines may drift apart, as a part of the time.
+/// The maximum drift between the monotonic clocks of two machines, as a fraction of the elapsed time.
 const MAX_CLOCK_DRIFT_RATIO: f64 = 0.0005;
 
-/// What a lease is for.
+/// The record that a lease is attached to.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum LeaseRole {
     /// The member record.
@@ -36,21 +36,21 @@
     Leader,
 }
 
-/// Which request a response belongs to. Leases are named by their id.
+/// The request that a response belongs to. The numbers are lease ids.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Tag {
-    /// A lease was asked for.
+    /// Requests a new lease.
     GrantLease(LeaseRole),
-    /// The record was attached to the lease.
+    /// Attaches the record to the lease.
     AttachKey(LeaseRole, u64),
-    /// The lease was extended.
+    /// Extends the lease.
     KeepAlive(LeaseRole, u64),
 }
 
 /// A term of this process as leader.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct LeaderTerm {
-    /// Its number.
+    /// The number of the term.
     pub term: Term,
     /// The version of the leader record: every write of the leader is conditioned on it.
     pub record_version: u64,
@@ -64,14 +64,14 @@
     format: u32,
     member: KeyLease,
     leader: KeyLease,
-    /// While the leader's place is vacant and this process does not run yet.
+    /// Set while there is no leader and this process waits before it claims leadership.
     election_delay: Option<ElectionDelay>,
-    /// The term that was last logged.
+    /// The term that was logged last.
     logged_term: Option<Term>,
 }
 
 impl Leadership {
-    /// `format`: the newest record format that this process knows.
+    /// Creates the state of a process that holds no lease. `format`: the newest record format that it supports.
     pub fn new(controller: ControllerName, incarnation: Incarnation, format: u32) -> Self {
         Leadership {
             controller,
@@ -84,9 +84,9 @@
         }
     }
 
-    /// The term of this process if it leads, by the local copy of the records.
+    /// The term of this process if it is the leader according to the cached leader record.
     ///
-    /// The copy may be old. That is harmless: a write conditioned on the version of the record then fails.
+    /// The cache may be stale. That is safe: a write conditioned on an old version of the record fails.
     pub fn current_term(&self, cache: &WatchCache) -> Option<LeaderTerm> {
         let leader = cache.leader.as_ref()?;
         let ours = cache.ready()
@@ -98,15 +98,15 @@
         })
     }
 
-    /// Until when nobody else can be leading: the life of the lease, counted from before the last request was sent that
-    /// opened or extended it. What goes to the cloud is conditioned on nothing, so a leader that was paused, or that
-    /// can't reach the state service, must send nothing there: another may have taken its place.
+    /// The time until which no other process can be leader: the lease's TTL, counted from the time at which the last
+    /// confirmed grant or renewal was sent. Requests to the cloud carry no condition, so a leader that was paused or can't
+    /// reach the state service must not send any after this time: another leader may have been elected.
     pub fn authority_until(&self) -> Option<Instant> {
         let held = self.leader.held()?;
         Some(held.last_confirmed + LEADER_LEASE_TTL.mul_f64(1.0 - MAX_CLOCK_DRIFT_RATIO))
     }
 
-    /// The requests that are due now.
+    /// Returns the requests that are due now.
     pub fn poll(
         &mut self,
         now: Now,
@@ -126,7 +126,7 @@
         requests
     }
 
-    /// Handles the response to the request with this tag, sent at `sent`, and returns what is to be sent next.
+    /// Handles the response to the request with this tag, sent at `sent`, and returns the request to send next.
     pub fn handle_response(
         &mut self,
         now: Now,
@@ -153,8 +153,8 @@
         None
     }
 
-    /// Attaches the record to a lease that was granted. If there is a leader by now, its lease is left to run out, for
-    /// nothing is attached to it.
+    /// Attaches the record to a newly granted lease. If there is a leader by now, the granted leader lease is left to
+    /// expire; no record is attached to it.
     fn attach_granted_lease(
         &mut self,
         sent: Instant,
--- a/src/leadership/tests.rs
+++ b/src/leadership/tests.rs
@@ -1,8 +1,8 @@
 use super::*;
 use crate::domain::Incarnation;
 
-/// Found on the bench: a leader that was paused for half a minute deleted machines when it went on, before it knew
-/// that another one leads.
+/// Guards against a leader that acts after its lease has expired. Found on the bench: a leader that was paused for half a
+/// minute deleted machines after it resumed, before it learned that another leader had been elected.
 #[test]
 fn authority_lasts_for_the_life_of_the_lease_counted_from_before_it_was_requested() {
     let start = Now::read();
@@ -28,7 +28,10 @@
         Tag::GrantLease(LeaseRole::Leader),
         StoreResponse::LeaseGranted { id: 7 },
     );
-    assert!(!has_authority(&leadership, at(900)), "not elected yet");
+    assert!(
+        !has_authority(&leadership, at(900)),
+        "the leader record is not written yet"
+    );
     respond(
         &mut leadership,
         at(1000),
@@ -39,7 +42,7 @@
     assert!(has_authority(&leadership, at(3400)));
     assert!(
         !has_authority(&leadership, at(3500)),
-        "the lease may have begun as soon as it was asked for"
+        "the TTL counts from the time the lease was requested"
     );
     respond(
         &mut leadership,
@@ -51,7 +54,7 @@
     assert!(has_authority(&leadership, at(5400)));
     assert!(
         !has_authority(&leadership, at(5600)),
-        "extended when it was sent, not when the answer came"
+        "the TTL counts from the time the keep-alive was sent, not from the response"
     );
     respond(
         &mut leadership,
