--- a/src/block_leases/assignment.rs
+++ b/src/block_leases/assignment.rs
@@ -62,35 +62,40 @@
     }
 
     /// Leases a block anew if its holder is gone, if the leader has changed, or if its holder wants a new token in place of
-    /// `renewal`.
-    pub(super) fn assign(&mut self, block: &BlockId, zone: &Zone, renewal: Option<&FencingToken>) {
+    /// `token_to_replace`.
+    pub(super) fn assign(
+        &mut self,
+        block: &BlockId,
+        zone: &Zone,
+        token_to_replace: Option<&FencingToken>,
+    ) {
         let old = self.cache.block_leases.get(block);
-        let kept = old.filter(|old| self.holder_lasts(&old.value));
-        if let Some(old) = kept
-            && renewal != Some(&old.value.token)
+        let retained = old.filter(|old| self.is_valid_holder(&old.value));
+        if let Some(old) = retained
+            && token_to_replace != Some(&old.value.token)
         {
-            self.confirm(block, old);
+            self.renew_for_term(block, old);
             return;
         }
-        let holder = match kept {
+        let holder = match retained {
             Some(old) => Some(old.value.holder.clone()),
             None => self.choose_holder(zone),
         };
         let Some(holder) = holder else {
             return;
         };
-        let Some(incarnation) = self.incarnation_of(&holder) else {
+        let Some(incarnation) = self.member_incarnation(&holder) else {
             return;
         };
         if let Some(count) = self.lease_counts.get_mut(&holder) {
             *count += 1;
         }
         let version = old.map_or(0, |old| old.version);
-        self.lease(block.clone(), version, zone.clone(), holder, incarnation);
+        self.add_lease(block.clone(), version, zone.clone(), holder, incarnation);
     }
 
     /// WriteAllowance a lease that stays as it is for the present term.
-    fn confirm(&mut self, block: &BlockId, old: &Versioned<BlockLease>) {
+    fn renew_for_term(&mut self, block: &BlockId, old: &Versioned<BlockLease>) {
         let term = self.leader.term;
         if old.value.term != term {
             self.changes.push(LeaseChange {
@@ -106,37 +111,37 @@
 
     /// Moves one block from the controller with the most to the one with the fewest, if they differ by two or more: so a
     /// controller that came back gets blocks again.
-    pub(super) fn rebalance(&mut self, required: &BTreeMap<BlockId, Zone>) -> Option<()> {
-        let (idle, fewest) = self.lease_counts.iter().min_by_key(|(_, count)| **count)?;
-        let (busy, most) = self.lease_counts.iter().max_by_key(|(_, count)| **count)?;
+    pub(super) fn rebalance(&mut self, required_blocks: &BTreeMap<BlockId, Zone>) -> Option<()> {
+        let (least_loaded, fewest) = self.lease_counts.iter().min_by_key(|(_, count)| **count)?;
+        let (most_loaded, most) = self.lease_counts.iter().max_by_key(|(_, count)| **count)?;
         if *most < fewest + 2 {
             return None;
         }
         let config = self.leader.config;
-        let (block, _) = required
+        let (block, _) = required_blocks
             .iter()
             .filter(|(block, _)| {
                 self.cache
                     .block_leases
                     .get(*block)
-                    .is_some_and(|lease| lease.value.holder == *busy)
+                    .is_some_and(|lease| lease.value.holder == *most_loaded)
             })
             .max_by_key(|(_, zone)| {
                 config
                     .peers
                     .iter()
-                    .any(|peer| peer.name == *idle && peer.zone == **zone)
+                    .any(|peer| peer.name == *least_loaded && peer.zone == **zone)
             })?;
         let lease = self.cache.block_leases.get(block)?;
-        let (holder, version) = (idle.clone(), lease.version);
-        let incarnation = self.incarnation_of(&holder)?;
+        let (holder, version) = (least_loaded.clone(), lease.version);
+        let incarnation = self.member_incarnation(&holder)?;
         let zone = lease.value.zone.clone();
-        self.lease(block.clone(), version, zone, holder, incarnation);
+        self.add_lease(block.clone(), version, zone, holder, incarnation);
         Some(())
     }
 
     /// Adds a lease with a new token.
-    fn lease(
+    fn add_lease(
         &mut self,
         block: BlockId,
         version: u64,
@@ -160,9 +165,9 @@
     }
 
     /// Whether the process that holds the lease is up and may hold blocks.
-    fn holder_lasts(&self, lease: &BlockLease) -> bool {
+    fn is_valid_holder(&self, lease: &BlockLease) -> bool {
         self.holders.contains(&lease.holder)
-            && self.incarnation_of(&lease.holder) == Some(lease.incarnation)
+            && self.member_incarnation(&lease.holder) == Some(lease.incarnation)
     }
 
     /// A controller in the block's zone, since a cut between zones then leaves them together; among equals the one that
@@ -177,7 +182,7 @@
         self.holders.iter().min_by_key(cost).cloned()
     }
 
-    fn incarnation_of(&self, controller: &ControllerName) -> Option<Incarnation> {
+    fn member_incarnation(&self, controller: &ControllerName) -> Option<Incarnation> {
         let member = self.cache.members.get(controller)?;
         Some(member.value.incarnation)
     }
--- a/src/block_leases/mod.rs
+++ b/src/block_leases/mod.rs
@@ -21,11 +21,11 @@
 use assignment::LeaseAssignment;
 
 /// How long a suspended holder gets no blocks: doubled each time that it fails again.
-const SUSPENSION: Duration = Duration::from_secs(30);
+const INITIAL_SUSPENSION: Duration = Duration::from_secs(30);
 /// How often that is doubled at most.
 const MAX_SUSPENSION_DOUBLINGS: u32 = 4;
 /// A holder that did not fail for so long after a suspension starts from the shortest one.
-const SUSPENSION_MEMORY: Duration = Duration::from_secs(120);
+const SUSPENSION_RESET_AFTER: Duration = Duration::from_secs(120);
 /// A new leader moves no blocks for balance before it has heard of everyone.
 const REBALANCE_DELAY: Duration = Duration::from_secs(5);
 
@@ -42,11 +42,13 @@
     policy: &Policy,
     cache: &WatchCache,
 ) -> BTreeMap<BlockId, Zone> {
-    let blocks = config.controllers() * policy.blocks_per_controller;
-    let each = blocks.div_ceil(zones.len().max(1)).max(1);
+    let total_blocks = config.controllers() * policy.blocks_per_controller;
+    let blocks_per_zone = total_blocks.div_ceil(zones.len().max(1)).max(1);
     let mut required: BTreeMap<BlockId, Zone> = zones
         .iter()
-        .flat_map(|zone| (0..each).map(move |number| (block_id(zone, number), zone.clone())))
+        .flat_map(|zone| {
+            (0..blocks_per_zone).map(move |number| (block_id(zone, number), zone.clone()))
+        })
         .collect();
     required.extend(
         cache
@@ -61,7 +63,7 @@
 #[derive(Debug)]
 struct LastHeartbeat {
     incarnation: Incarnation,
-    at: Instant,
+    received_at: Instant,
 }
 
 /// A holder that could not do its work gets no blocks.
@@ -76,7 +78,7 @@
 #[derive(Debug)]
 struct CurrentTerm {
     term: Term,
-    since: Instant,
+    known_since: Instant,
 }
 
 /// Decides on the leader who holds which block. Its state lasts for a term.
@@ -87,7 +89,7 @@
     last_heartbeats: BTreeMap<ControllerName, LastHeartbeat>,
     /// Blocks whose holder asked for a new token in place of this one.
     token_renewals: BTreeMap<BlockId, FencingToken>,
-    suspended: BTreeMap<ControllerName, Suspension>,
+    suspensions: BTreeMap<ControllerName, Suspension>,
 }
 
 impl BlockLeaseManager {
@@ -98,7 +100,7 @@
             current_term: None,
             last_heartbeats: BTreeMap::new(),
             token_renewals: BTreeMap::new(),
-            suspended: BTreeMap::new(),
+            suspensions: BTreeMap::new(),
         }
     }
 
@@ -111,7 +113,7 @@
     ) {
         let heartbeat = LastHeartbeat {
             incarnation,
-            at: now.monotonic,
+            received_at: now.monotonic,
         };
         self.last_heartbeats.insert(controller.clone(), heartbeat);
     }
@@ -122,38 +124,38 @@
     }
 
     /// This process was paused for so long: what it did not hear meanwhile is no silence of the others.
-    pub fn process_paused(&mut self, gap: Duration) {
+    pub fn process_paused(&mut self, pause: Duration) {
         for heartbeat in self.last_heartbeats.values_mut() {
-            heartbeat.at += gap;
+            heartbeat.received_at += pause;
         }
         if let Some(current) = &mut self.current_term {
-            current.since += gap;
+            current.known_since += pause;
         }
     }
 
     /// A holder hears hardly any of its machines, while others hear them. Its blocks go to others, and it does not win them
     /// back at once, or they would go to and fro.
     pub fn suspend_holder(&mut self, now: Now, controller: &ControllerName) {
-        let last = self.suspended.get(controller);
-        let last = last.copied().unwrap_or(Suspension {
+        let previous = self.suspensions.get(controller);
+        let previous = previous.copied().unwrap_or(Suspension {
             until: now.monotonic,
             count: 0,
         });
-        if now.monotonic < last.until {
+        if now.monotonic < previous.until {
             return;
         }
-        let count = if since(now, last.until) < SUSPENSION_MEMORY {
-            last.count
+        let count = if since(now, previous.until) < SUSPENSION_RESET_AFTER {
+            previous.count
         } else {
             0
         };
-        let pause = SUSPENSION * 2u32.pow(count.min(MAX_SUSPENSION_DOUBLINGS));
-        info!(holder = %controller, ?pause, "holder suspended: it can't reach its machines");
+        let duration = INITIAL_SUSPENSION * 2u32.pow(count.min(MAX_SUSPENSION_DOUBLINGS));
+        info!(holder = %controller, ?duration, "holder suspended: it can't reach its machines");
         let suspension = Suspension {
-            until: now.monotonic + pause,
+            until: now.monotonic + duration,
             count: count + 1,
         };
-        self.suspended.insert(controller.clone(), suspension);
+        self.suspensions.insert(controller.clone(), suspension);
     }
 
     /// Leases what is not held, or held by a controller that is gone. One transaction at a time.
@@ -177,7 +179,7 @@
         let term_age = self
             .current_term
             .as_ref()
-            .map(|current| since(now, current.since));
+            .map(|current| since(now, current.known_since));
         if assignment.is_empty() && term_age.is_some_and(|age| age > REBALANCE_DELAY) {
             assignment.rebalance(&required);
         }
@@ -196,11 +198,11 @@
         }
         self.current_term = Some(CurrentTerm {
             term,
-            since: now.monotonic,
+            known_since: now.monotonic,
         });
         self.last_heartbeats.clear();
         self.token_renewals.clear();
-        self.suspended.clear();
+        self.suspensions.clear();
         self.writer = Writer::Unconfirmed {
             since: now.monotonic,
         };
@@ -219,13 +221,13 @@
             .filter(|controller| self.is_responsive(now, controller, leader, cache))
             .cloned()
             .collect();
-        let active = |controller: &ControllerName| {
-            self.suspended
+        let not_suspended = |controller: &ControllerName| {
+            self.suspensions
                 .get(controller)
                 .is_none_or(|suspension| now.monotonic >= suspension.until)
         };
-        if holders.iter().any(active) {
-            holders.retain(active);
+        if holders.iter().any(not_suspended) {
+            holders.retain(not_suspended);
         }
         holders
     }
@@ -246,12 +248,12 @@
         };
         let silence = match self.last_heartbeats.get(controller) {
             Some(heartbeat) if heartbeat.incarnation == member.value.incarnation => {
-                since(now, heartbeat.at)
+                since(now, heartbeat.received_at)
             }
             _ => self
                 .current_term
                 .as_ref()
-                .map_or(Duration::ZERO, |current| since(now, current.since)),
+                .map_or(Duration::ZERO, |current| since(now, current.known_since)),
         };
         silence < leader.policy.controller_timeout
     }
