--- a/src/block_leases/assignment.rs
+++ b/src/block_leases/assignment.rs
@@ -1,4 +1,4 @@
-//! Which controller gets which block, and the transaction that says so.
+//! The assignment of blocks to holders, and the transaction that writes the leases.
 
 use std::collections::BTreeMap;
 
@@ -10,28 +10,28 @@
 use crate::store::records::{BlockLease, LEADER, TOKEN, Token, block_lease_key};
 use crate::store::{Transaction, WatchCache};
 
-/// A lease to be written in place of its record of this version, 0 for none.
+/// A lease to write, conditioned on the version of its current record, 0 if there is none.
 struct LeaseChange {
     block: BlockId,
     version: u64,
     lease: BlockLease,
 }
 
-/// The leases to be written at one time.
+/// The lease changes of one transaction.
 pub(super) struct LeaseAssignment<'a> {
     leader: &'a LeaderContext<'a>,
     cache: &'a WatchCache,
-    /// Controllers that may hold blocks, by name.
+    /// Controllers that may hold blocks, ordered by name.
     holders: Vec<ControllerName>,
-    /// How many blocks each of them holds.
+    /// The number of blocks that each of them holds.
     lease_counts: BTreeMap<ControllerName, usize>,
-    /// The highest token that was given out.
+    /// The highest token issued so far.
     last_token: u64,
     changes: Vec<LeaseChange>,
 }
 
 impl<'a> LeaseAssignment<'a> {
-    /// No changes yet.
+    /// Creates an assignment without changes.
     pub(super) fn new(
         leader: &'a LeaderContext<'a>,
         cache: &'a WatchCache,
@@ -56,13 +56,13 @@
         }
     }
 
-    /// Whether nothing is to be written.
+    /// Whether there are no changes to write.
     pub(super) fn is_empty(&self) -> bool {
         self.changes.is_empty()
     }
 
-    /// Leases a block anew if its holder is gone, if the leader has changed, or if its holder wants a new token in place of
-    /// `token_to_replace`.
+    /// Writes a new lease of the block if its holder is not valid any more, if the leader has changed, or if its holder
+    /// requires a new token in place of `token_to_replace`.
     pub(super) fn assign(
         &mut self,
         block: &BlockId,
@@ -94,7 +94,7 @@
         self.add_lease(block.clone(), version, zone.clone(), holder, incarnation);
     }
 
-    /// WriteAllowance a lease that stays as it is for the present term.
+    /// Rewrites a lease with the current term if it is from an earlier one. Its holder and token stay.
     fn renew_for_term(&mut self, block: &BlockId, old: &Versioned<BlockLease>) {
         let term = self.leader.term;
         if old.value.term != term {
@@ -109,8 +109,8 @@
         }
     }
 
-    /// Moves one block from the controller with the most to the one with the fewest, if they differ by two or more: so a
-    /// controller that came back gets blocks again.
+    /// Moves one block from the controller with the most blocks to the controller with the fewest if they differ by
+    /// two or more, so that a controller that has come back gets blocks again.
     pub(super) fn rebalance(&mut self, required_blocks: &BTreeMap<BlockId, Zone>) -> Option<()> {
         let (least_loaded, fewest) = self.lease_counts.iter().min_by_key(|(_, count)| **count)?;
         let (most_loaded, most) = self.lease_counts.iter().max_by_key(|(_, count)| **count)?;
@@ -164,14 +164,14 @@
         });
     }
 
-    /// Whether the process that holds the lease is up and may hold blocks.
+    /// Whether the process that holds the lease is a member and may hold blocks.
     fn is_valid_holder(&self, lease: &BlockLease) -> bool {
         self.holders.contains(&lease.holder)
             && self.member_incarnation(&lease.holder) == Some(lease.incarnation)
     }
 
-    /// A controller in the block's zone, since a cut between zones then leaves them together; among equals the one that
-    /// holds the fewest blocks.
+    /// Chooses a controller in the block's zone if possible, since it still reaches the machines during a partition
+    /// between zones; among equals, the controller with the fewest blocks.
     fn choose_holder(&self, zone: &Zone) -> Option<ControllerName> {
         let cost = |controller: &&ControllerName| {
             (
@@ -198,7 +198,7 @@
             .map(|peer| &peer.zone)
     }
 
-    /// The transaction with as many of the changes as it may have, conditioned on this leader's record.
+    /// Returns a transaction with as many changes as the state service allows, conditioned on this leader's record.
     pub(super) fn into_transaction(mut self) -> Transaction {
         let LeaderContext {
             config,
--- a/src/block_leases/mod.rs
+++ b/src/block_leases/mod.rs
@@ -1,9 +1,10 @@
-//! Blocks: machines of one zone, leased together to a controller, their holder. Only the leader leases them.
+//! Leases of blocks to controllers. A block is a group of machines in one zone; the controller that leases it is its
+//! holder.
 //!
-//! The leader's round polls [`BlockLeaseManager`], which returns at most one transaction at a time; statuses of holders come
-//! in as heartbeats. The fencing token of a lease is the one that workers check. A lease is written anew by every new
-//! leader: with the same token when the same process keeps the block, with a higher one when it changes hands or when its
-//! holder needs one.
+//! Only the leader writes block leases. Its round polls [`BlockLeaseManager`], which has at most one transaction in
+//! flight; the statuses of holders count as heartbeats. Workers check the fencing token of a lease. Every new leader
+//! rewrites each lease: with the same token if the same process keeps the block, with a higher one if the block
+//! changes hands or its holder requires a new token.
 
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
@@ -20,22 +21,22 @@
 
 use assignment::LeaseAssignment;
 
-/// How long a suspended holder gets no blocks: doubled each time that it fails again.
+/// How long a suspended holder gets no blocks the first time. Each repeated suspension doubles it.
 const INITIAL_SUSPENSION: Duration = Duration::from_secs(30);
-/// How often that is doubled at most.
+/// The maximum number of doublings of [`INITIAL_SUSPENSION`].
 const MAX_SUSPENSION_DOUBLINGS: u32 = 4;
-/// A holder that did not fail for so long after a suspension starts from the shortest one.
+/// After this time without a new suspension a holder starts again from [`INITIAL_SUSPENSION`].
 const SUSPENSION_RESET_AFTER: Duration = Duration::from_secs(120);
-/// A new leader moves no blocks for balance before it has heard of everyone.
+/// A new leader does not rebalance blocks before it has had time to receive every controller's heartbeat.
 const REBALANCE_DELAY: Duration = Duration::from_secs(5);
 
-/// The id of a zone's block by its number.
+/// Returns the id of the zone's block with this number.
 pub fn block_id(zone: &Zone, number: usize) -> BlockId {
     BlockId::from(format!("{zone}.{number}").as_str())
 }
 
-/// The blocks that should exist: as many in each zone as give every controller as many as the policy says, and
-/// those that were opened since because the others were full.
+/// Returns the blocks that should exist: enough in each zone to give every controller the number of blocks set in the
+/// policy, and all blocks that have an inventory, including those added when the others were full.
 pub fn required_blocks(
     zones: &[Zone],
     config: &Config,
@@ -59,41 +60,41 @@
     required
 }
 
-/// The last heartbeat of a controller.
+/// The last heartbeat received from a controller.
 #[derive(Debug)]
 struct LastHeartbeat {
     incarnation: Incarnation,
     received_at: Instant,
 }
 
-/// A holder that could not do its work gets no blocks.
+/// A period in which a holder that could not reach its machines gets no blocks.
 #[derive(Debug, Clone, Copy)]
 struct Suspension {
     until: Instant,
-    /// How often in a row it was suspended.
+    /// The number of consecutive suspensions.
     count: u32,
 }
 
-/// The term in which this process leads, and since when it has known.
+/// The term in which this process leads, and when the manager first saw it.
 #[derive(Debug)]
 struct CurrentTerm {
     term: Term,
     known_since: Instant,
 }
 
-/// Decides on the leader who holds which block. Its state lasts for a term.
+/// Assigns blocks to holders on the leader. Its state lasts for one term.
 #[derive(Debug)]
 pub struct BlockLeaseManager {
     writer: Writer,
     current_term: Option<CurrentTerm>,
     last_heartbeats: BTreeMap<ControllerName, LastHeartbeat>,
-    /// Blocks whose holder asked for a new token in place of this one.
+    /// Blocks whose holder requires a new token, with the token to replace.
     token_renewals: BTreeMap<BlockId, FencingToken>,
     suspensions: BTreeMap<ControllerName, Suspension>,
 }
 
 impl BlockLeaseManager {
-    /// Nothing is known, and nothing under way.
+    /// Creates a manager with no recorded heartbeats and no transaction in flight.
     pub fn new() -> Self {
         BlockLeaseManager {
             writer: Writer::Idle,
@@ -104,7 +105,7 @@
         }
     }
 
-    /// This process of the controller has just sent something.
+    /// Records that a message of this process of the controller was just received.
     pub fn record_heartbeat(
         &mut self,
         now: Now,
@@ -118,12 +119,14 @@
         self.last_heartbeats.insert(controller.clone(), heartbeat);
     }
 
-    /// A holder has lost track of a command: only a higher token makes sure that it can't be executed late.
+    /// Requires a higher token for the block. Its holder does not know the outcome of a command, and only a higher
+    /// token ensures that the command can't be executed later.
     pub fn require_token_renewal(&mut self, block: &BlockId, token: FencingToken) {
         self.token_renewals.insert(block.clone(), token);
     }
 
-    /// This process was paused for so long: what it did not hear meanwhile is no silence of the others.
+    /// Shifts the recorded times by a pause of this process, so that the pause does not count as missed heartbeats of
+    /// others.
     pub fn process_paused(&mut self, pause: Duration) {
         for heartbeat in self.last_heartbeats.values_mut() {
             heartbeat.received_at += pause;
@@ -133,8 +136,8 @@
         }
     }
 
-    /// A holder hears hardly any of its machines, while others hear them. Its blocks go to others, and it does not win them
-    /// back at once, or they would go to and fro.
+    /// Suspends a holder that receives heartbeats from hardly any of its machines while other controllers receive them.
+    /// Its blocks go to others, and it does not get them back at once, since they would otherwise move back and forth.
     pub fn suspend_holder(&mut self, now: Now, controller: &ControllerName) {
         let previous = self.suspensions.get(controller);
         let previous = previous.copied().unwrap_or(Suspension {
@@ -150,7 +153,7 @@
             0
         };
         let duration = INITIAL_SUSPENSION * 2u32.pow(count.min(MAX_SUSPENSION_DOUBLINGS));
-        info!(holder = %controller, ?duration, "holder suspended: it can't reach its machines");
+        info!(holder = %controller, ?duration, "block lease holder suspended: it can't reach its machines");
         let suspension = Suspension {
             until: now.monotonic + duration,
             count: count + 1,
@@ -158,7 +161,8 @@
         self.suspensions.insert(controller.clone(), suspension);
     }
 
-    /// Leases what is not held, or held by a controller that is gone. One transaction at a time.
+    /// Returns the next transaction: leases for blocks without a valid holder, else at most one move for balance. One
+    /// transaction is in flight at a time.
     pub fn poll(
         &mut self,
         now: Now,
@@ -190,7 +194,7 @@
         Some(StoreRequest::Commit(assignment.into_transaction()))
     }
 
-    /// What was known in another term counts no more.
+    /// Discards the state of an earlier term if the term is new.
     fn begin_term(&mut self, now: Now, term: Term) {
         let current = self.current_term.as_ref();
         if current.is_some_and(|current| current.term == term) {
@@ -208,7 +212,8 @@
         };
     }
 
-    /// The controllers that may hold blocks, by name. Suspended ones only if there are no others.
+    /// The controllers that may hold blocks, ordered by name. Suspended controllers are included only if there are no
+    /// others.
     fn eligible_holders(
         &self,
         now: Now,
@@ -232,7 +237,8 @@
         holders
     }
 
-    /// Whether the controller is a member and was heard lately. A new leader gives everyone time to be heard.
+    /// Whether the controller is a member whose last heartbeat is recent. For a controller without a heartbeat in
+    /// this term the timeout counts from the start of the term.
     fn is_responsive(
         &self,
         now: Now,
@@ -258,7 +264,7 @@
         silence < leader.policy.controller_timeout
     }
 
-    /// The state service has answered the last transaction.
+    /// Handles the response to the last transaction.
     pub fn handle_store_response(&mut self, now: Now, outcome: &StoreResponse) {
         self.writer.answered(now, outcome);
     }
--- a/src/block_leases/tests.rs
+++ b/src/block_leases/tests.rs
@@ -1,4 +1,4 @@
-//! Which holders get blocks.
+//! Tests of the choice of holders.
 
 use super::*;
 use crate::cloud::InstanceCatalog;
@@ -9,7 +9,7 @@
 use crate::store::records::{Member, encode, member_key};
 use crate::store::{Change, TransactionChange};
 
-/// A leader, and another controller that is a member too.
+/// A leader and one other controller, both of them members.
 struct Fixture {
     config: Config,
     policy: Policy,
@@ -64,7 +64,7 @@
         self.manager.suspend_holder(self.at(seconds), controller);
     }
 
-    /// Commits the leases that are due then. Returns how many blocks the other controller holds.
+    /// Commits the leases that are due at this time. Returns the number of blocks that the other controller holds.
     fn commit_leases(&mut self, seconds: u64) -> usize {
         let now = self.at(seconds);
         let leader = LeaderContext {
@@ -104,7 +104,8 @@
     }
 }
 
-/// A controller that can't do a holder's work must not win blocks back at once: they would go to and fro.
+/// Guards against blocks that move back and forth: a holder that can't reach its machines must not get them back at
+/// once.
 #[test]
 fn blocks_leave_a_suspended_holder_and_stay_away_longer_each_time() {
     let mut fixture = Fixture::new();
@@ -117,9 +118,13 @@
     assert_eq!(fixture.commit_leases(39), 0);
     assert!(fixture.commit_leases(41) > 0);
     fixture.suspend(50, &other);
-    assert_eq!(fixture.commit_leases(100), 0, "twice as long");
+    assert_eq!(
+        fixture.commit_leases(100),
+        0,
+        "the second suspension lasts twice as long"
+    );
     assert!(fixture.commit_leases(111) > 0);
-    // If nobody can do it, things stay as they are.
+    // If all controllers are suspended, blocks stay with their holders.
     let leader = fixture.config.name.clone();
     fixture.suspend(120, &other);
     fixture.suspend(120, &leader);
--- a/src/leadership/key_lease.rs
+++ b/src/leadership/key_lease.rs
@@ -129,7 +129,8 @@
             _ => sent,
         };
         match outcome {
-            // An unknown outcome may be a commit: the lease is kept until the cache shows whether the record was written.
+            // An unknown outcome may be a commit: the lease is kept until the cache shows whether the record was
+            // written.
             StoreResponse::Committed { .. } | StoreResponse::Unknown => {
                 self.state = LeaseState::Held(HeldLease {
                     id,
--- a/src/leadership/membership.rs
+++ b/src/leadership/membership.rs
@@ -34,8 +34,8 @@
 
     /// The transaction that writes this process's member record.
     ///
-    /// It is conditioned on the version of the record that it replaces. Otherwise a delayed copy of an earlier process's
-    /// request, whose lease has not expired yet, would overwrite this process's record.
+    /// It is conditioned on the version of the record that it replaces. Otherwise a delayed copy of an earlier
+    /// process's request, whose lease has not expired yet, would overwrite this process's record.
     pub(super) fn registration_transaction(&self, lease: u64, cache: &WatchCache) -> Transaction {
         let record = Member {
             incarnation: self.incarnation,
--- a/src/leadership/mod.rs
+++ b/src/leadership/mod.rs
@@ -1,9 +1,9 @@
 //! Membership and leader election: two leases in the state service, each with a record attached.
 //!
-//! The member record shows the other controllers that this process is up. The leader record is the leader's authority:
-//! every write of a leader is conditioned on its version, so that a leader that was replaced without noticing can't change
-//! anything. The controller polls [`Leadership`] with every event and sends the requests that it returns; their responses
-//! go to [`Leadership::handle_response`].
+//! The member record shows the other controllers that this process is up. The leader record is the leader's
+//! authority: every write of a leader is conditioned on its version, so that a leader that was replaced without
+//! noticing can't change anything. The controller polls [`Leadership`] with every event and sends the requests that
+//! it returns; their responses go to [`Leadership::handle_response`].
 
 use std::time::{Duration, Instant};
 
@@ -99,8 +99,8 @@
     }
 
     /// The time until which no other process can be leader: the lease's TTL, counted from the time at which the last
-    /// confirmed grant or renewal was sent. Requests to the cloud carry no condition, so a leader that was paused or can't
-    /// reach the state service must not send any after this time: another leader may have been elected.
+    /// confirmed grant or renewal was sent. Requests to the cloud carry no condition, so a leader that was paused or
+    /// can't reach the state service must not send any after this time: another leader may have been elected.
     pub fn authority_until(&self) -> Option<Instant> {
         let held = self.leader.held()?;
         Some(held.last_confirmed + LEADER_LEASE_TTL.mul_f64(1.0 - MAX_CLOCK_DRIFT_RATIO))
--- a/src/leadership/tests.rs
+++ b/src/leadership/tests.rs
@@ -1,8 +1,8 @@
 use super::*;
 use crate::domain::Incarnation;
 
-/// Guards against a leader that acts after its lease has expired. Found on the bench: a leader that was paused for half a
-/// minute deleted machines after it resumed, before it learned that another leader had been elected.
+/// Guards against a leader that acts after its lease has expired. Found on the bench: a leader that was paused for
+/// half a minute deleted machines after it resumed, before it learned that another leader had been elected.
 #[test]
 fn authority_lasts_for_the_life_of_the_lease_counted_from_before_it_was_requested() {
     let start = Now::read();
