--- a/src/cancellation/deletion.rs
+++ b/src/cancellation/deletion.rs
@@ -32,7 +32,7 @@
         cache: &WatchCache,
         is_proven_ended: impl Fn(&BlockId, &MachineId, &Attempt) -> bool,
     ) -> Option<(CloudRequestPurpose, CloudRequest)> {
-        if self.open.is_empty()
+        if self.unfinished.is_empty()
             || self
                 .last_poll
                 .is_some_and(|at| since(now, at) < POLL_INTERVAL)
@@ -40,12 +40,12 @@
             return None;
         }
         self.last_poll = Some(now.monotonic);
-        if !self.deleting.is_empty() || self.retry_at.is_some_and(|at| now.monotonic < at) {
+        if !self.pending_deletion.is_empty() || self.retry_at.is_some_and(|at| now.monotonic < at) {
             return None;
         }
         let mut due = BTreeSet::new();
         let overdue = self
-            .open
+            .unfinished
             .iter()
             .filter(|(_, record)| is_machine_deletion_due(now, config, record.cancelled_ms));
         for (job, _) in overdue {
@@ -57,7 +57,7 @@
                 let resolved = if lease.holder == config.name && lease.incarnation == incarnation {
                     is_proven_ended(block, machine, &attempt)
                 } else {
-                    self.holder_is_alive(now, lease)
+                    self.is_holder_alive(now, lease)
                 };
                 if !resolved && due.insert(machine.clone()) {
                     warn!(%machine, %attempt, "machine deleted: its cancelled task must be gone");
@@ -68,7 +68,7 @@
         if machines.is_empty() {
             return None;
         }
-        self.deleting.clone_from(&machines);
+        self.pending_deletion.clone_from(&machines);
         let request = CloudRequest::Terminate(MachineIds { machines });
         Some((CloudRequestPurpose::TerminateForCancellation, request))
     }
@@ -82,7 +82,7 @@
         let placed = cache.placed(job).iter();
         let remaining = placed.filter(|(_, placement)| {
             cache.machines.contains_key(&placement.machine)
-                && !self.deleted.contains(&placement.machine)
+                && !self.deleted_machines.contains(&placement.machine)
         });
         remaining.map(move |((index, number), placement)| {
             let task = TaskId { job, index: *index };
@@ -96,9 +96,9 @@
 
     /// The cloud has answered a deletion. The inventory is changed by the leader, which finds the machine overdue as well.
     pub fn handle_cloud_response(&mut self, now: Now, outcome: &CloudResponse) {
-        let machines = std::mem::take(&mut self.deleting);
+        let machines = std::mem::take(&mut self.pending_deletion);
         match outcome {
-            CloudResponse::Terminated => self.deleted.extend(machines),
+            CloudResponse::Terminated => self.deleted_machines.extend(machines),
             _ => self.retry_at = Some(now.monotonic + DELETION_RETRY_INTERVAL),
         }
     }
--- a/src/cancellation/mod.rs
+++ b/src/cancellation/mod.rs
@@ -31,11 +31,11 @@
 
 /// Whether a job cancelled at `cancelled_ms` is so late that machines which still have tasks of it are given up.
 pub fn is_machine_deletion_due(now: Now, config: &Config, cancelled_ms: u64) -> bool {
-    let patience = config
+    let delay = config
         .cancel_within
         .saturating_sub(DELETION_MARGIN)
         .max(config.cancel_within / 2);
-    Duration::from_millis(now.unix_ms().saturating_sub(cancelled_ms)) >= patience
+    Duration::from_millis(now.unix_ms().saturating_sub(cancelled_ms)) >= delay
 }
 
 /// The record of a cancelled job.
@@ -50,14 +50,14 @@
 #[derive(Debug, Default)]
 pub struct Cancellations {
     /// Cancelled jobs whose tasks are not all proven gone, by the local copy of the records.
-    open: BTreeMap<JobId, CancellationRecord>,
+    unfinished: BTreeMap<JobId, CancellationRecord>,
     heartbeats: PeerHeartbeats,
     last_poll: Option<Instant>,
     /// The machines of the deletion that is under way.
-    deleting: Vec<MachineId>,
+    pending_deletion: Vec<MachineId>,
     retry_at: Option<Instant>,
     /// Deleted from here; the inventory still has them.
-    deleted: BTreeSet<MachineId>,
+    deleted_machines: BTreeSet<MachineId>,
 }
 
 impl Cancellations {
@@ -77,15 +77,15 @@
             Some((*job, record))
         };
         if changed.all {
-            self.open = cache.open.keys().filter_map(cancelled).collect();
+            self.unfinished = cache.open.keys().filter_map(cancelled).collect();
         }
         for job in &changed.ended {
             match cancelled(job) {
-                Some((job, record)) => self.open.insert(job, record),
-                None => self.open.remove(job),
+                Some((job, record)) => self.unfinished.insert(job, record),
+                None => self.unfinished.remove(job),
             };
         }
-        self.deleted
+        self.deleted_machines
             .retain(|machine| cache.machines.contains_key(machine));
     }
 
@@ -97,23 +97,24 @@
         controller: &ControllerName,
         incarnation: Incarnation,
         cache: &WatchCache,
-        reaches_state: bool,
+        reaches_state_service: bool,
     ) -> ControllerHeartbeat {
         ControllerHeartbeat {
             controller: controller.clone(),
             incarnation,
-            number: self.heartbeats.next_number(now),
-            reaches_state,
+            sequence_number: self.heartbeats.next_sequence_number(now),
+            reaches_state_service,
             // Without a copy an earlier process of this controller may have confirmed what was not read yet.
-            complete: cache.ready() && self.open.len() <= MAX_CANCELLED_JOBS_PER_HEARTBEAT,
-            cancelled: self.newest_cancelled_jobs(),
-            heard: self.heartbeats.last_received(),
+            lists_all_cancellations: cache.ready()
+                && self.unfinished.len() <= MAX_CANCELLED_JOBS_PER_HEARTBEAT,
+            cancelled_jobs: self.newest_cancelled_jobs(),
+            last_received: self.heartbeats.last_received(),
         }
     }
 
     fn newest_cancelled_jobs(&self) -> Vec<CancelledJob> {
         let mut newest: Vec<CancelledJob> = self
-            .open
+            .unfinished
             .iter()
             .map(|(job, record)| CancelledJob::new(*job, record.version, record.cancelled_ms))
             .collect();
@@ -142,18 +143,18 @@
     ///
     /// Only in an outage for all: where others reach the state service, who does not is replaced, and goes on answering the
     /// workers that nobody else can find only for the life of its block lease.
-    pub fn all_known_until(&self, now: Now, config: &Config) -> Option<Instant> {
-        self.heartbeats.all_known_until(now, config)
+    pub fn all_cancellations_known_until(&self, now: Now, config: &Config) -> Option<Instant> {
+        self.heartbeats.all_cancellations_known_until(now, config)
     }
 
     /// This process was paused for so long: what it did not hear meanwhile is no silence of the others.
-    pub fn process_paused(&mut self, gap: Duration) {
-        self.heartbeats.process_paused(gap);
+    pub fn process_paused(&mut self, pause: Duration) {
+        self.heartbeats.process_paused(pause);
     }
 
     /// Whether the process that holds this block lease was heard lately.
-    pub fn holder_is_alive(&self, now: Now, lease: &BlockLease) -> bool {
-        self.heartbeats.holder_is_alive(now, lease)
+    pub fn is_holder_alive(&self, now: Now, lease: &BlockLease) -> bool {
+        self.heartbeats.is_holder_alive(now, lease)
     }
 }
 
--- a/src/cancellation/peer_heartbeats.rs
+++ b/src/cancellation/peer_heartbeats.rs
@@ -22,10 +22,10 @@
 /// What is known of another controller by its heartbeats.
 #[derive(Debug)]
 struct PeerState {
-    last: HeartbeatId,
-    at: Instant,
+    last_received: HeartbeatId,
+    received_at: Instant,
     /// When it last said that it doesn't reach the state service.
-    unreachable_at: Option<Instant>,
+    state_unreachable_at: Option<Instant>,
     /// It has named all cancellations that it knew of at this time or later: the time at which this process sent the last
     /// heartbeat that it had received by then.
     cancellations_known_until: Option<Instant>,
@@ -34,8 +34,8 @@
 /// A heartbeat that this process has sent.
 #[derive(Debug)]
 struct SentHeartbeat {
-    number: u64,
-    at: Instant,
+    sequence_number: u64,
+    sent_at: Instant,
 }
 
 /// The heartbeats between this process and the other controllers.
@@ -48,23 +48,23 @@
 
 impl PeerHeartbeats {
     /// The number of the heartbeat that is sent now.
-    pub(super) fn next_number(&mut self, now: Now) -> u64 {
-        let number = self.sent.back().map_or(1, |sent| sent.number + 1);
+    pub(super) fn next_sequence_number(&mut self, now: Now) -> u64 {
+        let sequence_number = self.sent.back().map_or(1, |sent| sent.sequence_number + 1);
         self.sent.push_back(SentHeartbeat {
-            number,
-            at: now.monotonic,
+            sequence_number,
+            sent_at: now.monotonic,
         });
         if self.sent.len() > MAX_SENT_HEARTBEATS {
             self.sent.pop_front();
         }
-        number
+        sequence_number
     }
 
     /// The last heartbeat received of each of the others.
     pub(super) fn last_received(&self) -> BTreeMap<ControllerName, HeartbeatId> {
         self.peers
             .iter()
-            .map(|(controller, peer)| (controller.clone(), peer.last))
+            .map(|(controller, peer)| (controller.clone(), peer.last_received))
             .collect()
     }
 
@@ -78,42 +78,48 @@
     ) {
         let last = HeartbeatId {
             incarnation: heartbeat.incarnation,
-            number: heartbeat.number,
+            sequence_number: heartbeat.sequence_number,
         };
-        let known = self.peers.get(&heartbeat.controller);
-        let same_process = known.filter(|peer| peer.last.incarnation == last.incarnation);
-        if same_process.is_some_and(|peer| last.number <= peer.last.number) {
+        let previous = self.peers.get(&heartbeat.controller);
+        let same_process =
+            previous.filter(|peer| peer.last_received.incarnation == last.incarnation);
+        if same_process
+            .is_some_and(|peer| last.sequence_number <= peer.last_received.sequence_number)
+        {
             return;
         }
-        let received = heartbeat
-            .heard
-            .get(controller)
-            .filter(|received| heartbeat.complete && received.incarnation == incarnation);
+        let received = heartbeat.last_received.get(controller).filter(|received| {
+            heartbeat.lists_all_cancellations && received.incarnation == incarnation
+        });
         let received_sent_at = received.and_then(|received| {
             let mut sent = self.sent.iter();
-            sent.find(|sent| sent.number == received.number)
-                .map(|sent| sent.at)
+            sent.find(|sent| sent.sequence_number == received.sequence_number)
+                .map(|sent| sent.sent_at)
         });
-        let before = same_process.and_then(|peer| peer.cancellations_known_until);
+        let previously_known = same_process.and_then(|peer| peer.cancellations_known_until);
         let state = PeerState {
-            last,
-            at: now.monotonic,
-            unreachable_at: if heartbeat.reaches_state {
-                known.and_then(|peer| peer.unreachable_at)
+            last_received: last,
+            received_at: now.monotonic,
+            state_unreachable_at: if heartbeat.reaches_state_service {
+                previous.and_then(|peer| peer.state_unreachable_at)
             } else {
                 Some(now.monotonic)
             },
-            cancellations_known_until: before.max(received_sent_at),
+            cancellations_known_until: previously_known.max(received_sent_at),
         };
         self.peers.insert(heartbeat.controller.clone(), state);
     }
 
-    /// See `Cancellations::all_known_until`.
-    pub(super) fn all_known_until(&self, now: Now, config: &Config) -> Option<Instant> {
+    /// See `Cancellations::all_cancellations_known_until`.
+    pub(super) fn all_cancellations_known_until(
+        &self,
+        now: Now,
+        config: &Config,
+    ) -> Option<Instant> {
         let known_until = config.peers.iter().map(|peer| {
             let peer = self.peers.get(&peer.name)?;
             peer.cancellations_known_until.filter(|_| {
-                peer.unreachable_at
+                peer.state_unreachable_at
                     .is_some_and(|at| since(now, at) < SHARED_OUTAGE_TIMEOUT)
             })
         });
@@ -124,18 +130,18 @@
     }
 
     /// This process was paused for so long.
-    pub(super) fn process_paused(&mut self, gap: Duration) {
+    pub(super) fn process_paused(&mut self, pause: Duration) {
         for peer in self.peers.values_mut() {
-            peer.at += gap;
+            peer.received_at += pause;
         }
     }
 
     /// Whether the process that holds this block lease was heard lately.
-    pub(super) fn holder_is_alive(&self, now: Now, lease: &BlockLease) -> bool {
+    pub(super) fn is_holder_alive(&self, now: Now, lease: &BlockLease) -> bool {
         let peer = self.peers.get(&lease.holder);
         peer.is_some_and(|peer| {
-            peer.last.incarnation == lease.incarnation
-                && since(now, peer.at) < HOLDER_HEARTBEAT_TIMEOUT
+            peer.last_received.incarnation == lease.incarnation
+                && since(now, peer.received_at) < HOLDER_HEARTBEAT_TIMEOUT
         })
     }
 }
--- a/src/cancellation/tests.rs
+++ b/src/cancellation/tests.rs
@@ -18,8 +18,8 @@
 const INCARNATION: Incarnation = Incarnation(7);
 
 /// The `number`th of our heartbeats, as the others name it.
-fn ours(number: u64) -> Option<(Incarnation, u64)> {
-    Some((INCARNATION, number))
+fn own_heartbeat(sequence_number: u64) -> Option<(Incarnation, u64)> {
+    Some((INCARNATION, sequence_number))
 }
 
 /// The local copy of the records: block `a.0` is ours with `m-1`, block `b.0` another's (process 3) with `m-2`. On both is a
@@ -30,7 +30,7 @@
     start: Now,
     cancellations: Cancellations,
     /// Whether the others reach the state service.
-    reaches_state: bool,
+    peers_reach_state_service: bool,
 }
 
 /// Enters records into a local copy, each with a version of its own.
@@ -117,7 +117,7 @@
             cache,
             start,
             cancellations,
-            reaches_state: false,
+            peers_reach_state_service: false,
         }
     }
 
@@ -128,50 +128,58 @@
         }
     }
 
-    fn hear_holder(&mut self, after: Duration, incarnation: Incarnation, number: u64) {
-        self.hear(0, after, incarnation, number, true, None);
+    fn receive_holder_heartbeat(
+        &mut self,
+        after: Duration,
+        incarnation: Incarnation,
+        sequence_number: u64,
+    ) {
+        self.receive_heartbeat(0, after, incarnation, sequence_number, true, None);
     }
 
-    /// `heard`: the last of our signs of life that it has heard.
-    fn hear(
+    /// `last_received`: the last of our signs of life that it has heard.
+    fn receive_heartbeat(
         &mut self,
         peer: usize,
         after: Duration,
         incarnation: Incarnation,
-        number: u64,
-        complete: bool,
-        heard: Option<(Incarnation, u64)>,
+        sequence_number: u64,
+        lists_all_cancellations: bool,
+        last_received: Option<(Incarnation, u64)>,
     ) {
-        let us = self.config.name.clone();
-        let heard = heard.map(HeartbeatId::from);
+        let own_name = self.config.name.clone();
+        let last_received = last_received.map(HeartbeatId::from);
         let heartbeat = ControllerHeartbeat {
             controller: self.config.peers[peer].name.clone(),
             incarnation,
-            number,
-            reaches_state: self.reaches_state,
-            cancelled: Vec::new(),
-            complete,
-            heard: heard.into_iter().map(|heard| (us.clone(), heard)).collect(),
+            sequence_number,
+            reaches_state_service: self.peers_reach_state_service,
+            cancelled_jobs: Vec::new(),
+            lists_all_cancellations,
+            last_received: last_received
+                .into_iter()
+                .map(|id| (own_name.clone(), id))
+                .collect(),
         };
         self.cancellations
-            .record_heartbeat(self.at(after), &us, INCARNATION, &heartbeat);
+            .record_heartbeat(self.at(after), &own_name, INCARNATION, &heartbeat);
     }
 
     fn next_heartbeat(&mut self, after: Duration) -> ControllerHeartbeat {
-        let (now, us) = (self.at(after), self.config.name.clone());
+        let (now, own_name) = (self.at(after), self.config.name.clone());
         self.cancellations
-            .next_heartbeat(now, &us, INCARNATION, &self.cache, false)
+            .next_heartbeat(now, &own_name, INCARNATION, &self.cache, false)
     }
 
     /// The machines that are deleted then.
-    fn deleted(&mut self, after: Duration, proven: bool) -> Vec<String> {
+    fn poll_deletion(&mut self, after: Duration, proven_ended: bool) -> Vec<String> {
         let now = self.at(after);
-        let call =
+        let request =
             self.cancellations
                 .poll(now, &self.config, INCARNATION, &self.cache, |_, _, _| {
-                    proven
+                    proven_ended
                 });
-        match call {
+        match request {
             Some((
                 CloudRequestPurpose::TerminateForCancellation,
                 CloudRequest::Terminate(names),
@@ -189,44 +197,44 @@
 #[test]
 fn overdue_machines_are_deleted_by_their_holder_or_if_it_is_not_heard_by_anyone() {
     let mut fixture = Fixture::new();
-    let late = fixture.config.cancel_within - DELETION_MARGIN;
+    let due = fixture.config.cancel_within - DELETION_MARGIN;
     assert_eq!(
-        fixture.deleted(late - Duration::from_secs(1), false),
+        fixture.poll_deletion(due - Duration::from_secs(1), false),
         [] as [&str; 0],
         "there is time yet"
     );
-    fixture.hear_holder(late, Incarnation(3), 1);
+    fixture.receive_holder_heartbeat(due, Incarnation(3), 1);
     assert_eq!(
-        fixture.deleted(late, true),
+        fixture.poll_deletion(due, true),
         [] as [&str; 0],
         "ours is proven gone, the other holder sees to its own"
     );
-    let later = late + POLL_INTERVAL;
-    assert_eq!(fixture.deleted(later, false), ["m-1"]);
+    let after_poll_interval = due + POLL_INTERVAL;
+    assert_eq!(fixture.poll_deletion(after_poll_interval, false), ["m-1"]);
     fixture
         .cancellations
-        .handle_cloud_response(fixture.at(later), &CloudResponse::Unknown);
+        .handle_cloud_response(fixture.at(after_poll_interval), &CloudResponse::Unknown);
     assert_eq!(
-        fixture.deleted(later + POLL_INTERVAL, false),
+        fixture.poll_deletion(after_poll_interval + POLL_INTERVAL, false),
         [] as [&str; 0],
         "not at once"
     );
     assert_eq!(
-        fixture.deleted(later + DELETION_RETRY_INTERVAL, false),
+        fixture.poll_deletion(after_poll_interval + DELETION_RETRY_INTERVAL, false),
         ["m-1"],
         "the call may be lost"
     );
     fixture.cancellations.handle_cloud_response(
-        fixture.at(later + DELETION_RETRY_INTERVAL),
+        fixture.at(after_poll_interval + DELETION_RETRY_INTERVAL),
         &CloudResponse::Terminated,
     );
     assert_eq!(
-        fixture.deleted(later + DELETION_RETRY_INTERVAL * 2, false),
+        fixture.poll_deletion(after_poll_interval + DELETION_RETRY_INTERVAL * 2, false),
         [] as [&str; 0],
         "once is enough"
     );
     assert_eq!(
-        fixture.deleted(late + HOLDER_HEARTBEAT_TIMEOUT, false),
+        fixture.poll_deletion(due + HOLDER_HEARTBEAT_TIMEOUT, false),
         ["m-2"],
         "its holder is not heard any more"
     );
@@ -235,49 +243,52 @@
 #[test]
 fn a_holder_is_alive_by_new_heartbeats_of_the_process_that_holds_the_lease_only() {
     let mut fixture = Fixture::new();
-    let late = fixture.config.cancel_within - DELETION_MARGIN;
+    let due = fixture.config.cancel_within - DELETION_MARGIN;
     let lease = fixture.cache.block_leases[&BlockId::from("b.0")]
         .value
         .clone();
-    let heard = |fixture: &Fixture, after: Duration| {
+    let is_alive = |fixture: &Fixture, after: Duration| {
         fixture
             .cancellations
-            .holder_is_alive(fixture.at(after), &lease)
+            .is_holder_alive(fixture.at(after), &lease)
     };
-    fixture.hear_holder(Duration::from_secs(1), Incarnation(3), 5);
-    assert!(heard(&fixture, Duration::from_secs(1)));
-    fixture.hear_holder(late, Incarnation(3), 4);
-    fixture.hear_holder(late, Incarnation(3), 5);
+    fixture.receive_holder_heartbeat(Duration::from_secs(1), Incarnation(3), 5);
+    assert!(is_alive(&fixture, Duration::from_secs(1)));
+    fixture.receive_holder_heartbeat(due, Incarnation(3), 4);
+    fixture.receive_holder_heartbeat(due, Incarnation(3), 5);
     assert!(
-        !heard(&fixture, late),
+        !is_alive(&fixture, due),
         "an earlier message, and a copy of the last one"
     );
-    fixture.hear_holder(late, Incarnation(3), 6);
-    assert!(heard(&fixture, late));
+    fixture.receive_holder_heartbeat(due, Incarnation(3), 6);
+    assert!(is_alive(&fixture, due));
     fixture
         .cancellations
         .process_paused(Duration::from_secs(30));
     assert!(
-        heard(&fixture, late + Duration::from_secs(30)),
+        is_alive(&fixture, due + Duration::from_secs(30)),
         "we were away, not it"
     );
-    fixture.hear_holder(late, Incarnation(4), 1);
+    fixture.receive_holder_heartbeat(due, Incarnation(4), 1);
     assert!(
-        !heard(&fixture, late),
+        !is_alive(&fixture, due),
         "a process that was started since knows nothing of its tasks"
     );
-    assert_eq!(fixture.deleted(late, true), ["m-2"]);
+    assert_eq!(fixture.poll_deletion(due, true), ["m-2"]);
 }
 
 #[test]
 fn heartbeats_name_cancelled_jobs_until_they_are_over() {
     let mut fixture = Fixture::new();
-    let told = fixture.cancellations.newest_cancelled_jobs();
+    let listed = fixture.cancellations.newest_cancelled_jobs();
     assert_eq!(
-        told.iter().map(|told| told.job).collect::<Vec<_>>(),
+        listed
+            .iter()
+            .map(|cancelled| cancelled.job)
+            .collect::<Vec<_>>(),
         [JobId(1)]
     );
-    assert_eq!(told[0].version, fixture.cache.open[&JobId(1)].version);
+    assert_eq!(listed[0].version, fixture.cache.open[&JobId(1)].version);
     let end = encode(&JobRecord::Ended(crate::domain::JobOutcome::Cancelled, 2));
     fixture.cache.apply(Change {
         key: job_key(JobId(1)),
@@ -294,25 +305,28 @@
 fn cancellations_are_known_until_we_sent_the_last_heartbeat_that_all_others_received() {
     let mut fixture = Fixture::new();
     let seconds = Duration::from_secs;
-    let known = |fixture: &Fixture| {
-        let known = fixture
+    let known_until = |fixture: &Fixture| {
+        let until = fixture
             .cancellations
-            .all_known_until(fixture.at(seconds(13)), &fixture.config);
-        known.map(|at| at.saturating_duration_since(fixture.start.monotonic))
+            .all_cancellations_known_until(fixture.at(seconds(13)), &fixture.config);
+        until.map(|at| at.saturating_duration_since(fixture.start.monotonic))
     };
     for second in 1..=9 {
-        assert_eq!(fixture.next_heartbeat(seconds(second)).number, second);
+        assert_eq!(
+            fixture.next_heartbeat(seconds(second)).sequence_number,
+            second
+        );
     }
-    fixture.hear(0, seconds(10), Incarnation(3), 1, true, ours(5));
-    assert_eq!(known(&fixture), None, "only one of two");
-    fixture.hear(1, seconds(10), Incarnation(4), 1, true, ours(7));
+    fixture.receive_heartbeat(0, seconds(10), Incarnation(3), 1, true, own_heartbeat(5));
+    assert_eq!(known_until(&fixture), None, "only one of two");
+    fixture.receive_heartbeat(1, seconds(10), Incarnation(4), 1, true, own_heartbeat(7));
     assert_eq!(
-        known(&fixture),
+        known_until(&fixture),
         Some(seconds(5)),
         "when we sent that, not when the answer came"
     );
-    fixture.hear(0, seconds(11), Incarnation(3), 2, false, ours(9));
-    fixture.hear(
+    fixture.receive_heartbeat(0, seconds(11), Incarnation(3), 2, false, own_heartbeat(9));
+    fixture.receive_heartbeat(
         0,
         seconds(11),
         Incarnation(3),
@@ -320,23 +334,23 @@
         true,
         Some((Incarnation(INCARNATION.0 + 1), 9)),
     );
-    fixture.hear(0, seconds(11), Incarnation(3), 4, true, None);
+    fixture.receive_heartbeat(0, seconds(11), Incarnation(3), 4, true, None);
     assert_eq!(
-        known(&fixture),
+        known_until(&fixture),
         Some(seconds(5)),
         "not all it knows; another process of ours; it has not heard us"
     );
-    fixture.hear(0, seconds(12), Incarnation(3), 6, true, ours(9));
-    assert_eq!(known(&fixture), Some(seconds(7)));
-    fixture.hear(1, seconds(12), Incarnation(4), 1, true, ours(9));
+    fixture.receive_heartbeat(0, seconds(12), Incarnation(3), 6, true, own_heartbeat(9));
+    assert_eq!(known_until(&fixture), Some(seconds(7)));
+    fixture.receive_heartbeat(1, seconds(12), Incarnation(4), 1, true, own_heartbeat(9));
     assert_eq!(
-        known(&fixture),
+        known_until(&fixture),
         Some(seconds(7)),
         "a copy of an earlier message"
     );
-    fixture.hear(1, seconds(13), Incarnation(5), 1, false, ours(9));
+    fixture.receive_heartbeat(1, seconds(13), Incarnation(5), 1, false, own_heartbeat(9));
     assert_eq!(
-        known(&fixture),
+        known_until(&fixture),
         None,
         "started since: what its last process confirmed it does not know"
     );
@@ -347,33 +361,39 @@
 fn cancellations_count_as_known_only_in_an_outage_for_all() {
     let mut fixture = Fixture::new();
     let seconds = Duration::from_secs;
-    let known = |fixture: &Fixture, second| {
+    let all_known = |fixture: &Fixture, second| {
         fixture
             .cancellations
-            .all_known_until(fixture.at(seconds(second)), &fixture.config)
+            .all_cancellations_known_until(fixture.at(seconds(second)), &fixture.config)
             .is_some()
     };
     fixture.next_heartbeat(seconds(1));
-    fixture.hear(0, seconds(2), Incarnation(3), 1, true, ours(1));
-    fixture.hear(1, seconds(2), Incarnation(4), 1, true, ours(1));
-    assert!(known(&fixture, 3));
-    fixture.reaches_state = true;
-    fixture.hear(0, seconds(4), Incarnation(3), 2, true, ours(1));
-    assert!(known(&fixture, 7), "it is out of it first, we follow");
-    fixture.hear(0, seconds(8), Incarnation(3), 3, true, ours(1));
-    assert!(!known(&fixture, 8));
+    fixture.receive_heartbeat(0, seconds(2), Incarnation(3), 1, true, own_heartbeat(1));
+    fixture.receive_heartbeat(1, seconds(2), Incarnation(4), 1, true, own_heartbeat(1));
+    assert!(all_known(&fixture, 3));
+    fixture.peers_reach_state_service = true;
+    fixture.receive_heartbeat(0, seconds(4), Incarnation(3), 2, true, own_heartbeat(1));
+    assert!(all_known(&fixture, 7), "it is out of it first, we follow");
+    fixture.receive_heartbeat(0, seconds(8), Incarnation(3), 3, true, own_heartbeat(1));
+    assert!(!all_known(&fixture, 8));
 }
 
 #[test]
 fn a_heartbeat_without_a_copy_or_with_too_many_cancellations_is_not_complete() {
     let mut fixture = Fixture::new();
-    assert!(fixture.next_heartbeat(Duration::ZERO).complete);
+    assert!(
+        fixture
+            .next_heartbeat(Duration::ZERO)
+            .lists_all_cancellations
+    );
     let ready = std::mem::replace(
         &mut fixture.cache,
         WatchCache::new(&fixture.config.state_limits, 3),
     );
     assert!(
-        !fixture.next_heartbeat(Duration::ZERO).complete,
+        !fixture
+            .next_heartbeat(Duration::ZERO)
+            .lists_all_cancellations,
         "started in an outage"
     );
     fixture.cache = ready;
@@ -381,9 +401,12 @@
         version,
         cancelled_ms: 0,
     };
-    fixture.cancellations.open.extend(
+    fixture.cancellations.unfinished.extend(
         (10..10 + MAX_CANCELLED_JOBS_PER_HEARTBEAT as u64).map(|id| (JobId(id), record(id))),
     );
     let heartbeat = fixture.next_heartbeat(Duration::ZERO);
-    assert!(!heartbeat.complete && heartbeat.cancelled.len() == MAX_CANCELLED_JOBS_PER_HEARTBEAT);
+    assert!(
+        !heartbeat.lists_all_cancellations
+            && heartbeat.cancelled_jobs.len() == MAX_CANCELLED_JOBS_PER_HEARTBEAT
+    );
 }
--- a/src/controller/health.rs
+++ b/src/controller/health.rs
@@ -64,7 +64,7 @@
     pub(super) fn authority_until(&self, now: Now) -> Instant {
         let fresh = self.cache.current_as_of().map(|fresh| {
             self.cancellations
-                .all_known_until(now, &self.config)
+                .all_cancellations_known_until(now, &self.config)
                 .max(Some(fresh))
         });
         fresh.flatten().map_or(now.monotonic, |known| {
--- a/src/controller/leader_round.rs
+++ b/src/controller/leader_round.rs
@@ -201,13 +201,13 @@
         let health = scheduler.machine_health(now, self.cache, &unreaching);
         let (cache, cancellations) = (&*self.cache, self.cancellations);
         let attempt_resolved = |block: &BlockId, attempt: &Attempt| {
-            let holder_is_alive = || {
+            let is_holder_alive = || {
                 let lease = cache.block_leases.get(block);
-                lease.is_some_and(|lease| cancellations.holder_is_alive(now, &lease.value))
+                lease.is_some_and(|lease| cancellations.is_holder_alive(now, &lease.value))
             };
             scheduler
                 .is_proven_ended(block, attempt)
-                .unwrap_or_else(holder_is_alive)
+                .unwrap_or_else(is_holder_alive)
         };
         provisioner.observe(
             now,
--- a/src/controller/peer_messages.rs
+++ b/src/controller/peer_messages.rs
@@ -108,12 +108,13 @@
     }
 
     fn handle_heartbeat(&mut self, now: Now, mut heartbeat: ControllerHeartbeat) {
-        heartbeat.complete &= self.apply_cancellations(heartbeat.cancelled.iter().copied());
+        heartbeat.lists_all_cancellations &=
+            self.apply_cancellations(heartbeat.cancelled_jobs.iter().copied());
         self.cancellations
             .record_heartbeat(now, &self.config.name, self.incarnation, &heartbeat);
         let ControllerHeartbeat {
             controller,
-            reaches_state,
+            reaches_state_service,
             ..
         } = heartbeat;
         let zone = self
@@ -124,7 +125,7 @@
             .map(|peer| peer.zone.clone());
         self.heard_zones.extend(zone);
         self.reachability
-            .record_peer(now, controller, reaches_state);
+            .record_peer(now, controller, reaches_state_service);
     }
 
     /// Enters cancellations into the local copy. Returns whether there was room for all of them.
@@ -132,22 +133,22 @@
         &mut self,
         jobs: impl IntoIterator<Item = CancelledJob>,
     ) -> bool {
-        let mut all_kept = true;
+        let mut all_stored = true;
         for CancelledJob {
             job,
             version,
-            at_ms,
+            cancelled_ms,
         } in jobs
         {
-            all_kept &= self.cache.note_cancellation(job, version, at_ms);
+            all_stored &= self.cache.note_cancellation(job, version, cancelled_ms);
         }
-        all_kept
+        all_stored
     }
 
     /// Sends this controller's heartbeat to all others when it is due.
     pub(super) fn broadcast_heartbeat(&mut self, now: Now, effects: &mut Vec<Effect>) {
-        let reaches_state = self.rate_limiter.available(now);
-        self.reachability.record_own(now, reaches_state);
+        let reaches_state_service = self.rate_limiter.available(now);
+        self.reachability.record_own(now, reaches_state_service);
         if !self.reports.heartbeat_due(now) {
             return;
         }
@@ -157,7 +158,7 @@
             &self.config.name,
             self.incarnation,
             &self.cache,
-            reaches_state,
+            reaches_state_service,
         );
         self.broadcast(&Message::Heartbeat(heartbeat), effects);
     }
--- a/src/controller/tests.rs
+++ b/src/controller/tests.rs
@@ -58,19 +58,19 @@
     controller
         .rate_limiter
         .record_response(at(2000), &StoreResponse::Refused);
-    let mut healthy = |now: Now, reaches_state: bool| {
-        let number =
+    let mut healthy = |now: Now, reaches_state_service: bool| {
+        let sequence_number =
             now.unix_ms() + u64::try_from(since(now, start.monotonic).as_millis()).expect("short");
         let (cancelled, heard) = (Vec::new(), BTreeMap::new());
         let node_1 = ControllerName::from("node-1");
         let heartbeat = ControllerHeartbeat {
             controller: node_1,
             incarnation: Incarnation(1),
-            number,
-            reaches_state,
-            cancelled,
-            complete: true,
-            heard,
+            sequence_number,
+            reaches_state_service,
+            cancelled_jobs: cancelled,
+            lists_all_cancellations: true,
+            last_received: heard,
         };
         controller.handle(now, Event::Peer(Message::Heartbeat(heartbeat)));
         let effects = controller.handle(now, Event::Health { id: 2 });
--- a/src/peer/mod.rs
+++ b/src/peer/mod.rs
@@ -39,15 +39,20 @@
     #[serde(rename = "boot")]
     pub incarnation: Incarnation,
     /// Rises with every heartbeat of a process: one that comes late tells nothing of the present.
-    pub number: u64,
+    #[serde(rename = "number")]
+    pub sequence_number: u64,
     /// Whether the sender reaches the state service.
-    pub reaches_state: bool,
+    #[serde(rename = "reaches_state")]
+    pub reaches_state_service: bool,
     /// Cancelled jobs of which tasks may be left, for those whose copy of the records does not show it.
-    pub cancelled: Vec<CancelledJob>,
+    #[serde(rename = "cancelled")]
+    pub cancelled_jobs: Vec<CancelledJob>,
     /// Whether these are all that this controller or an earlier process of it can have told a user of.
-    pub complete: bool,
+    #[serde(rename = "complete")]
+    pub lists_all_cancellations: bool,
     /// The last heartbeat of each of the others that the sender had received.
-    pub heard: BTreeMap<ControllerName, HeartbeatId>,
+    #[serde(rename = "heard")]
+    pub last_received: BTreeMap<ControllerName, HeartbeatId>,
 }
 
 /// Names a heartbeat of a controller. On the wire: an array of both.
@@ -57,21 +62,21 @@
     /// The process that sent it.
     pub incarnation: Incarnation,
     /// Its number among those of the process.
-    pub number: u64,
+    pub sequence_number: u64,
 }
 
 impl From<(Incarnation, u64)> for HeartbeatId {
-    fn from((incarnation, number): (Incarnation, u64)) -> Self {
+    fn from((incarnation, sequence_number): (Incarnation, u64)) -> Self {
         HeartbeatId {
             incarnation,
-            number,
+            sequence_number,
         }
     }
 }
 
 impl From<HeartbeatId> for (Incarnation, u64) {
     fn from(id: HeartbeatId) -> Self {
-        (id.incarnation, id.number)
+        (id.incarnation, id.sequence_number)
     }
 }
 
@@ -83,16 +88,17 @@
     /// The version of the record that says so. A copy that has got there knows better than a message.
     pub version: u64,
     /// When that was, in milliseconds of Unix time by the clock of the controller that accepted it.
-    pub at_ms: u64,
+    #[serde(rename = "at_ms")]
+    pub cancelled_ms: u64,
 }
 
 impl CancelledJob {
-    /// `version`: of the job's record. `at_ms`: milliseconds of Unix time.
-    pub fn new(job: JobId, version: u64, at_ms: u64) -> Self {
+    /// `version`: of the job's record. `cancelled_ms`: milliseconds of Unix time.
+    pub fn new(job: JobId, version: u64, cancelled_ms: u64) -> Self {
         CancelledJob {
             job,
             version,
-            at_ms,
+            cancelled_ms,
         }
     }
 }
--- a/src/peer/tests.rs
+++ b/src/peer/tests.rs
@@ -126,7 +126,9 @@
                 "status"
             }
             Message::Heartbeat(heartbeat) => {
-                assert!(!heartbeat.cancelled.is_empty() && !heartbeat.heard.is_empty());
+                assert!(
+                    !heartbeat.cancelled_jobs.is_empty() && !heartbeat.last_received.is_empty()
+                );
                 "heartbeat"
             }
             Message::Cancelled(jobs) => {
