--- a/src/cancellation/deletion.rs
+++ b/src/cancellation/deletion.rs
@@ -1,4 +1,4 @@
-//! Machines that must be rid of a cancelled task are deleted, by whichever controller.
+//! Deletion of machines that may still run a cancelled task near its deadline. Any controller may delete them.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -13,17 +13,18 @@
 use crate::provisioning::CloudRequestPurpose;
 use crate::store::WatchCache;
 
-/// Between two searches for such machines.
+/// The time between two searches for machines to delete.
 pub(super) const POLL_INTERVAL: Duration = Duration::from_millis(400);
-/// A deletion that was refused or not answered is repeated after this long: what is deleted already is ignored.
+/// The delay before a refused or unanswered deletion is retried. Machines that are deleted already are ignored.
 pub(super) const DELETION_RETRY_INTERVAL: Duration = Duration::from_secs(1);
-/// The protocol's limit for one deletion.
+/// The maximum number of machines in one deletion request, a limit of the cloud's protocol.
 const MAX_MACHINES_PER_DELETION: usize = 100;
 
 impl Cancellations {
-    /// Deletes machines that must be rid of a cancelled task: those of this holder's blocks of which that is not proven,
-    /// and those of holders that are not heard. `incarnation`: this process. `is_proven_ended`: whether a task of this holder
-    /// is.
+    /// Returns a request that deletes machines on which a cancelled task may still run near its deadline: machines of
+    /// this holder's blocks whose task is not proven ended, and machines of holders without recent heartbeats.
+    ///
+    /// `incarnation` is that of this process. `is_proven_ended` says whether an attempt on a machine of this holder is.
     pub fn poll(
         &mut self,
         now: Now,
@@ -60,7 +61,7 @@
                     self.is_holder_alive(now, lease)
                 };
                 if !resolved && due.insert(machine.clone()) {
-                    warn!(%machine, %attempt, "machine deleted: its cancelled task must be gone");
+                    warn!(%machine, %attempt, "deleting machine: a cancelled task on it is not proven ended");
                 }
             }
         }
@@ -73,7 +74,7 @@
         Some((CloudRequestPurpose::TerminateForCancellation, request))
     }
 
-    /// The attempts of a job that are recorded as placed, on machines that are still there.
+    /// The recorded attempts of a job, with block and machine, on machines that are in the inventory and not deleted.
     fn remaining_attempts<'a>(
         &'a self,
         job: JobId,
@@ -94,7 +95,8 @@
         })
     }
 
-    /// The cloud has answered a deletion. The inventory is changed by the leader, which finds the machine overdue as well.
+    /// Handles the response to a deletion. The leader updates the inventory: it finds the same machines due for
+    /// deletion.
     pub fn handle_cloud_response(&mut self, now: Now, outcome: &CloudResponse) {
         let machines = std::mem::take(&mut self.pending_deletion);
         match outcome {
--- a/src/cancellation/mod.rs
+++ b/src/cancellation/mod.rs
@@ -1,12 +1,13 @@
-//! Cancelled jobs: every controller learns of them, and what is left of them is ended in time.
+//! Cancelled jobs: shares cancellations between controllers and deletes machines that may run cancelled tasks for too
+//! long.
 //!
-//! A committed cancellation is final. Acting on it needs no leadership and no fresh copy of the records, only
-//! certainty that it was committed and where the job's tasks are: a task stopped or a machine deleted for it stays
-//! stopped or deleted, whoever leads. So this works on while the state service is out for everybody, which is when
-//! nobody is certain to lead, and hung machines would keep their cancelled tasks for as long as they hang.
+//! A committed cancellation is final. Acting on it requires neither leadership nor a fresh cache, only certainty that
+//! it was committed and where the job's tasks run: stopping a task or deleting a machine for it is right under every
+//! leader. Deletion therefore continues during an outage of the state service for all controllers, when no controller
+//! is certain to be leader. Without it, machines that hang would keep their cancelled tasks for as long as they hang.
 //!
-//! The controller brings [`Cancellations`] up to date with the local copy of the records, exchanges its heartbeats, and
-//! polls it for the machines to be deleted.
+//! The controller updates [`Cancellations`] from the cache, exchanges its heartbeats, and polls it for machines to
+//! delete.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::{Duration, Instant};
@@ -23,13 +24,13 @@
 
 use peer_heartbeats::PeerHeartbeats;
 
-/// How long before a cancelled task has to be gone its machine is given up: time for the deletion, and for clocks that
-/// differ.
+/// How long before the deadline of a cancelled task its machine is deleted: allows for the duration of the deletion and
+/// for clock differences.
 pub const DELETION_MARGIN: Duration = Duration::from_secs(8);
-/// Named in one heartbeat, the newest first.
+/// The maximum number of cancelled jobs listed in one heartbeat, newest first.
 const MAX_CANCELLED_JOBS_PER_HEARTBEAT: usize = 256;
 
-/// Whether a job cancelled at `cancelled_ms` is so late that machines which still have tasks of it are given up.
+/// Whether machines that may still run tasks of a job cancelled at `cancelled_ms` are due for deletion.
 pub fn is_machine_deletion_due(now: Now, config: &Config, cancelled_ms: u64) -> bool {
     let delay = config
         .cancel_within
@@ -46,27 +47,27 @@
     cancelled_ms: u64,
 }
 
-/// The cancelled jobs that are not over, and what is done about them.
+/// The cancelled jobs with tasks that may still run, the heartbeats of peers, and the deletions of machines.
 #[derive(Debug, Default)]
 pub struct Cancellations {
-    /// Cancelled jobs whose tasks are not all proven gone, by the local copy of the records.
+    /// Cancelled jobs whose tasks are not all proven ended, according to the cache.
     unfinished: BTreeMap<JobId, CancellationRecord>,
     heartbeats: PeerHeartbeats,
     last_poll: Option<Instant>,
-    /// The machines of the deletion that is under way.
+    /// The machines of the deletion request in flight.
     pending_deletion: Vec<MachineId>,
     retry_at: Option<Instant>,
-    /// Deleted from here; the inventory still has them.
+    /// Machines deleted by this controller that are still in the inventory.
     deleted_machines: BTreeSet<MachineId>,
 }
 
 impl Cancellations {
-    /// None are known.
+    /// Creates the state without known cancellations.
     pub fn new() -> Self {
         Cancellations::default()
     }
 
-    /// Brings the list up to date with the local copy of the records.
+    /// Updates the cancelled jobs and the deleted machines from the cache.
     pub fn sync(&mut self, cache: &WatchCache, changed: &ChangedRecords) {
         let cancelled = |job: &JobId| {
             let open = cache.open.get(job).filter(|open| open.cancelled)?;
@@ -89,8 +90,8 @@
             .retain(|machine| cache.machines.contains_key(machine));
     }
 
-    /// The heartbeat that is sent to the others now. It names cancellations again and again: a message may be lost, and who
-    /// is cut off from the state service learns of them in no other way.
+    /// Returns the next heartbeat to the other controllers. Each heartbeat lists the cancellations again: messages
+    /// may be lost, and a controller without access to the state service has no other way to learn of them.
     pub fn next_heartbeat(
         &mut self,
         now: Now,
@@ -104,7 +105,8 @@
             incarnation,
             sequence_number: self.heartbeats.next_sequence_number(now),
             reaches_state_service,
-            // Without a copy an earlier process of this controller may have confirmed what was not read yet.
+            // Until the cache is loaded, an earlier process of this controller may have confirmed cancellations that
+            // were not read yet.
             lists_all_cancellations: cache.ready()
                 && self.unfinished.len() <= MAX_CANCELLED_JOBS_PER_HEARTBEAT,
             cancelled_jobs: self.newest_cancelled_jobs(),
@@ -123,8 +125,8 @@
         newest
     }
 
-    /// Records another controller's heartbeat. The cancellations that it names are in the local copy already.
-    /// `controller` and `incarnation`: this process.
+    /// Records another controller's heartbeat. The cancellations that it lists must be in the cache already.
+    /// `controller` and `incarnation` identify this process.
     pub fn record_heartbeat(
         &mut self,
         now: Now,
@@ -136,23 +138,25 @@
             .record(now, controller, incarnation, heartbeat);
     }
 
-    /// Every cancellation that a user was told of before this time is known here, whatever the local copy shows: each of the
-    /// others has named all it knew of after this process had sent something at this time. So an outage of the state
-    /// service need not end the tasks of holders that hear all other controllers, for nobody can confirm what they don't
-    /// hear of.
+    /// The time up to which this process knows every cancellation confirmed to a user, however stale its cache is:
+    /// each other controller has listed all cancellations that it knew of after receiving a heartbeat that this
+    /// process sent at this time or later. A holder that receives the heartbeats of all other controllers can thus
+    /// keep its tasks running during an outage of the state service, since no cancellation can be confirmed without
+    /// it learning of it.
     ///
-    /// Only in an outage for all: where others reach the state service, who does not is replaced, and goes on answering the
-    /// workers that nobody else can find only for the life of its block lease.
+    /// None unless the outage affects all controllers. If others reach the state service, a holder that does not is
+    /// replaced, and keeps responding to workers that no other controller can reach only until its block lease ends.
     pub fn all_cancellations_known_until(&self, now: Now, config: &Config) -> Option<Instant> {
         self.heartbeats.all_cancellations_known_until(now, config)
     }
 
-    /// This process was paused for so long: what it did not hear meanwhile is no silence of the others.
+    /// Shifts the recorded times by a pause of this process, so that the pause does not count as missed heartbeats of
+    /// others.
     pub fn process_paused(&mut self, pause: Duration) {
         self.heartbeats.process_paused(pause);
     }
 
-    /// Whether the process that holds this block lease was heard lately.
+    /// Whether the last heartbeat of the process that holds this block lease is recent.
     pub fn is_holder_alive(&self, now: Now, lease: &BlockLease) -> bool {
         self.heartbeats.is_holder_alive(now, lease)
     }
--- a/src/cancellation/peer_heartbeats.rs
+++ b/src/cancellation/peer_heartbeats.rs
@@ -1,7 +1,7 @@
-//! Heartbeats sent and received: who is alive, and up to which time all cancellations are known.
+//! Heartbeats between controllers: which holders are alive, and up to which time all cancellations are known.
 //!
-//! Heartbeats of a process are numbered, for a late one tells nothing of the present. Each names the last one that its
-//! sender has received of every other controller.
+//! The heartbeats of a process carry sequence numbers, so that late ones can be ignored. Each lists the last heartbeat
+//! that its sender has received from every other controller.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::time::{Duration, Instant};
@@ -11,23 +11,24 @@
 use crate::peer::{ControllerHeartbeat, HeartbeatId};
 use crate::store::records::BlockLease;
 
-/// A holder that was heard this lately sees to its machines itself. Controllers send heartbeats every second.
+/// A holder whose last heartbeat is more recent than this handles its machines itself. Controllers send a heartbeat
+/// every second.
 pub(super) const HOLDER_HEARTBEAT_TIMEOUT: Duration = Duration::from_secs(3);
-/// An outage counts as lasting for all until this long after the others have last said that they are in it: they are out of
-/// it one by one.
+/// An outage of the state service counts as shared by a peer until this long after the peer last reported it, since
+/// controllers recover from an outage one by one.
 const SHARED_OUTAGE_TIMEOUT: Duration = Duration::from_secs(6);
-/// Heartbeats of this process whose times are kept: answers to older ones are of no use.
+/// The maximum number of sent heartbeats whose send times are kept. Acknowledgements of older ones are ignored.
 const MAX_SENT_HEARTBEATS: usize = 64;
 
-/// What is known of another controller by its heartbeats.
+/// The state of another controller according to its heartbeats.
 #[derive(Debug)]
 struct PeerState {
     last_received: HeartbeatId,
     received_at: Instant,
-    /// When it last said that it doesn't reach the state service.
+    /// When it last reported that it can't reach the state service.
     state_unreachable_at: Option<Instant>,
-    /// It has named all cancellations that it knew of at this time or later: the time at which this process sent the last
-    /// heartbeat that it had received by then.
+    /// It has listed all cancellations that it knew of at this time or later. This is the send time of the last
+    /// heartbeat of this process that it had received when it listed them.
     cancellations_known_until: Option<Instant>,
 }
 
@@ -42,12 +43,12 @@
 #[derive(Debug, Default)]
 pub(super) struct PeerHeartbeats {
     peers: BTreeMap<ControllerName, PeerState>,
-    /// The oldest first.
+    /// Heartbeats sent by this process, oldest first.
     sent: VecDeque<SentHeartbeat>,
 }
 
 impl PeerHeartbeats {
-    /// The number of the heartbeat that is sent now.
+    /// Returns the sequence number of the heartbeat that is sent now, and records its send time.
     pub(super) fn next_sequence_number(&mut self, now: Now) -> u64 {
         let sequence_number = self.sent.back().map_or(1, |sent| sent.sequence_number + 1);
         self.sent.push_back(SentHeartbeat {
@@ -60,7 +61,7 @@
         sequence_number
     }
 
-    /// The last heartbeat received of each of the others.
+    /// The last heartbeat received from each of the other controllers.
     pub(super) fn last_received(&self) -> BTreeMap<ControllerName, HeartbeatId> {
         self.peers
             .iter()
@@ -68,7 +69,8 @@
             .collect()
     }
 
-    /// Records a heartbeat unless it is late. `controller` and `incarnation`: this process.
+    /// Records a heartbeat unless a newer one of the same process was received. `controller` and `incarnation` identify
+    /// this process.
     pub(super) fn record(
         &mut self,
         now: Now,
@@ -110,7 +112,7 @@
         self.peers.insert(heartbeat.controller.clone(), state);
     }
 
-    /// See `Cancellations::all_cancellations_known_until`.
+    /// See [`super::Cancellations::all_cancellations_known_until`].
     pub(super) fn all_cancellations_known_until(
         &self,
         now: Now,
@@ -129,14 +131,14 @@
             .min()
     }
 
-    /// This process was paused for so long.
+    /// Shifts the receive times by a pause of this process.
     pub(super) fn process_paused(&mut self, pause: Duration) {
         for peer in self.peers.values_mut() {
             peer.received_at += pause;
         }
     }
 
-    /// Whether the process that holds this block lease was heard lately.
+    /// Whether the last heartbeat of the process that holds this block lease is recent.
     pub(super) fn is_holder_alive(&self, now: Now, lease: &BlockLease) -> bool {
         let peer = self.peers.get(&lease.holder);
         peer.is_some_and(|peer| {
--- a/src/cancellation/tests.rs
+++ b/src/cancellation/tests.rs
@@ -1,4 +1,4 @@
-//! Who ends what is left of a cancelled job, and when.
+//! Tests of the deletion of machines with cancelled tasks and of the heartbeats between controllers.
 
 use super::deletion::{DELETION_RETRY_INTERVAL, POLL_INTERVAL};
 use super::peer_heartbeats::HOLDER_HEARTBEAT_TIMEOUT;
@@ -17,23 +17,24 @@
 
 const INCARNATION: Incarnation = Incarnation(7);
 
-/// The `number`th of our heartbeats, as the others name it.
+/// The id of this process's heartbeat with this sequence number, as acknowledged by other controllers.
 fn own_heartbeat(sequence_number: u64) -> Option<(Incarnation, u64)> {
     Some((INCARNATION, sequence_number))
 }
 
-/// The local copy of the records: block `a.0` is ours with `m-1`, block `b.0` another's (process 3) with `m-2`. On both is a
-/// task of job 1, which is cancelled, and on `m-3` of ours one of job 2, which is not.
+/// A cache with two blocks: this process holds `a.0` with `m-1` and `m-3`, incarnation 3 of another controller holds
+/// `b.0` with `m-2`. Tasks of job 1, which is cancelled, are placed on `m-1` and `m-2`, a task of job 2, which is
+/// open, on `m-3`.
 struct Fixture {
     config: Config,
     cache: WatchCache,
     start: Now,
     cancellations: Cancellations,
-    /// Whether the others reach the state service.
+    /// Whether the other controllers report that they reach the state service.
     peers_reach_state_service: bool,
 }
 
-/// Enters records into a local copy, each with a version of its own.
+/// Applies records to a cache, each with a new version.
 struct RecordWriter<'a> {
     cache: &'a mut WatchCache,
     version: u64,
@@ -60,7 +61,7 @@
     }
 }
 
-/// Enters a block with machines, each with the task of this index of a job.
+/// Writes a block with machines, each with the task of its job that has this index.
 fn put_block(
     records: &mut RecordWriter<'_>,
     block: &str,
@@ -137,7 +138,7 @@
         self.receive_heartbeat(0, after, incarnation, sequence_number, true, None);
     }
 
-    /// `last_received`: the last of our signs of life that it has heard.
+    /// `last_received`: the last heartbeat of this process that the peer has received.
     fn receive_heartbeat(
         &mut self,
         peer: usize,
@@ -171,7 +172,7 @@
             .next_heartbeat(now, &own_name, INCARNATION, &self.cache, false)
     }
 
-    /// The machines that are deleted then.
+    /// Returns the machines that are deleted at this time.
     fn poll_deletion(&mut self, after: Duration, proven_ended: bool) -> Vec<String> {
         let now = self.at(after);
         let request =
@@ -195,19 +196,20 @@
 }
 
 #[test]
-fn overdue_machines_are_deleted_by_their_holder_or_if_it_is_not_heard_by_anyone() {
+fn machines_due_for_deletion_are_deleted_by_their_holder_or_by_any_controller_if_it_is_unresponsive()
+ {
     let mut fixture = Fixture::new();
     let due = fixture.config.cancel_within - DELETION_MARGIN;
     assert_eq!(
         fixture.poll_deletion(due - Duration::from_secs(1), false),
         [] as [&str; 0],
-        "there is time yet"
+        "the deletion is not due yet"
     );
     fixture.receive_holder_heartbeat(due, Incarnation(3), 1);
     assert_eq!(
         fixture.poll_deletion(due, true),
         [] as [&str; 0],
-        "ours is proven gone, the other holder sees to its own"
+        "the task on m-1 is proven ended, and the holder of m-2 handles it"
     );
     let after_poll_interval = due + POLL_INTERVAL;
     assert_eq!(fixture.poll_deletion(after_poll_interval, false), ["m-1"]);
@@ -217,12 +219,12 @@
     assert_eq!(
         fixture.poll_deletion(after_poll_interval + POLL_INTERVAL, false),
         [] as [&str; 0],
-        "not at once"
+        "the retry delay has not passed"
     );
     assert_eq!(
         fixture.poll_deletion(after_poll_interval + DELETION_RETRY_INTERVAL, false),
         ["m-1"],
-        "the call may be lost"
+        "the request may be lost and is retried"
     );
     fixture.cancellations.handle_cloud_response(
         fixture.at(after_poll_interval + DELETION_RETRY_INTERVAL),
@@ -231,17 +233,17 @@
     assert_eq!(
         fixture.poll_deletion(after_poll_interval + DELETION_RETRY_INTERVAL * 2, false),
         [] as [&str; 0],
-        "once is enough"
+        "a deleted machine is not deleted again"
     );
     assert_eq!(
         fixture.poll_deletion(due + HOLDER_HEARTBEAT_TIMEOUT, false),
         ["m-2"],
-        "its holder is not heard any more"
+        "the heartbeats of its holder have stopped"
     );
 }
 
 #[test]
-fn a_holder_is_alive_by_new_heartbeats_of_the_process_that_holds_the_lease_only() {
+fn only_new_heartbeats_of_the_process_that_holds_the_lease_show_that_the_holder_is_alive() {
     let mut fixture = Fixture::new();
     let due = fixture.config.cancel_within - DELETION_MARGIN;
     let lease = fixture.cache.block_leases[&BlockId::from("b.0")]
@@ -258,7 +260,7 @@
     fixture.receive_holder_heartbeat(due, Incarnation(3), 5);
     assert!(
         !is_alive(&fixture, due),
-        "an earlier message, and a copy of the last one"
+        "an earlier heartbeat and a copy of the last one are ignored"
     );
     fixture.receive_holder_heartbeat(due, Incarnation(3), 6);
     assert!(is_alive(&fixture, due));
@@ -267,18 +269,18 @@
         .process_paused(Duration::from_secs(30));
     assert!(
         is_alive(&fixture, due + Duration::from_secs(30)),
-        "we were away, not it"
+        "a pause of this process does not count as missed heartbeats"
     );
     fixture.receive_holder_heartbeat(due, Incarnation(4), 1);
     assert!(
         !is_alive(&fixture, due),
-        "a process that was started since knows nothing of its tasks"
+        "a new process of the holder does not know the tasks of the old one"
     );
     assert_eq!(fixture.poll_deletion(due, true), ["m-2"]);
 }
 
 #[test]
-fn heartbeats_name_cancelled_jobs_until_they_are_over() {
+fn heartbeats_list_cancelled_jobs_until_they_have_ended() {
     let mut fixture = Fixture::new();
     let listed = fixture.cancellations.newest_cancelled_jobs();
     assert_eq!(
@@ -300,9 +302,10 @@
     assert_eq!(fixture.cancellations.newest_cancelled_jobs(), []);
 }
 
-/// In an outage all holders may go on only while they know of all that can have been confirmed.
+/// During an outage of the state service holders may continue only while they know every cancellation that can have
+/// been confirmed.
 #[test]
-fn cancellations_are_known_until_we_sent_the_last_heartbeat_that_all_others_received() {
+fn cancellations_are_known_until_the_send_time_of_the_last_heartbeat_that_all_others_received() {
     let mut fixture = Fixture::new();
     let seconds = Duration::from_secs;
     let known_until = |fixture: &Fixture| {
@@ -318,12 +321,16 @@
         );
     }
     fixture.receive_heartbeat(0, seconds(10), Incarnation(3), 1, true, own_heartbeat(5));
-    assert_eq!(known_until(&fixture), None, "only one of two");
+    assert_eq!(
+        known_until(&fixture),
+        None,
+        "only one of two peers has acknowledged a heartbeat"
+    );
     fixture.receive_heartbeat(1, seconds(10), Incarnation(4), 1, true, own_heartbeat(7));
     assert_eq!(
         known_until(&fixture),
         Some(seconds(5)),
-        "when we sent that, not when the answer came"
+        "the send time of the heartbeat counts, not the time of its acknowledgement"
     );
     fixture.receive_heartbeat(0, seconds(11), Incarnation(3), 2, false, own_heartbeat(9));
     fixture.receive_heartbeat(
@@ -338,7 +345,7 @@
     assert_eq!(
         known_until(&fixture),
         Some(seconds(5)),
-        "not all it knows; another process of ours; it has not heard us"
+        "an incomplete list, an acknowledgement of another process, and no acknowledgement change nothing"
     );
     fixture.receive_heartbeat(0, seconds(12), Incarnation(3), 6, true, own_heartbeat(9));
     assert_eq!(known_until(&fixture), Some(seconds(7)));
@@ -346,19 +353,19 @@
     assert_eq!(
         known_until(&fixture),
         Some(seconds(7)),
-        "a copy of an earlier message"
+        "a copy of an earlier heartbeat changes nothing"
     );
     fixture.receive_heartbeat(1, seconds(13), Incarnation(5), 1, false, own_heartbeat(9));
     assert_eq!(
         known_until(&fixture),
         None,
-        "started since: what its last process confirmed it does not know"
+        "a new process does not know which cancellations its predecessor confirmed"
     );
 }
 
-/// Who is cut off from the state service alone is replaced, and must leave its workers to its successor.
+/// A holder that alone can't reach the state service is replaced, and must leave its workers to its successor.
 #[test]
-fn cancellations_count_as_known_only_in_an_outage_for_all() {
+fn cancellations_count_as_known_only_in_an_outage_of_all_controllers() {
     let mut fixture = Fixture::new();
     let seconds = Duration::from_secs;
     let all_known = |fixture: &Fixture, second| {
@@ -373,13 +380,16 @@
     assert!(all_known(&fixture, 3));
     fixture.peers_reach_state_service = true;
     fixture.receive_heartbeat(0, seconds(4), Incarnation(3), 2, true, own_heartbeat(1));
-    assert!(all_known(&fixture, 7), "it is out of it first, we follow");
+    assert!(
+        all_known(&fixture, 7),
+        "a peer may recover from the outage first"
+    );
     fixture.receive_heartbeat(0, seconds(8), Incarnation(3), 3, true, own_heartbeat(1));
     assert!(!all_known(&fixture, 8));
 }
 
 #[test]
-fn a_heartbeat_without_a_copy_or_with_too_many_cancellations_is_not_complete() {
+fn a_heartbeat_without_a_loaded_cache_or_with_too_many_cancellations_is_not_complete() {
     let mut fixture = Fixture::new();
     assert!(
         fixture
@@ -394,7 +404,7 @@
         !fixture
             .next_heartbeat(Duration::ZERO)
             .lists_all_cancellations,
-        "started in an outage"
+        "the cache is not loaded"
     );
     fixture.cache = ready;
     let record = |version| CancellationRecord {
