--- a/src/peer/mod.rs
+++ b/src/peer/mod.rs
@@ -122,7 +122,7 @@
 
 /// Machines and attempts in one message. A body between controllers is limited, and one controller may have to hold all
 /// machines there are.
-const STATUS_ITEMS_PER_MESSAGE: usize = 1000;
+const MAX_STATUS_ITEMS_PER_MESSAGE: usize = 1000;
 
 impl ControllerStatus {
     /// The same in as many messages as it takes, each about some of the blocks.
@@ -141,8 +141,8 @@
         }];
         let mut items = 0;
         for block in blocks {
-            let more = block.machines.len() + block.pending.len() + block.proven_ended.len();
-            if items > 0 && items + more > STATUS_ITEMS_PER_MESSAGE {
+            let block_items = block.machines.len() + block.pending.len() + block.proven_ended.len();
+            if items > 0 && items + block_items > MAX_STATUS_ITEMS_PER_MESSAGE {
                 items = 0;
                 messages.push(ControllerStatus {
                     controller: controller.clone(),
@@ -151,7 +151,7 @@
                     misrouted: Vec::new(),
                 });
             }
-            items += more;
+            items += block_items;
             if let Some(message) = messages.last_mut() {
                 message.blocks.push(block);
             }
--- a/src/peer/tests.rs
+++ b/src/peer/tests.rs
@@ -5,11 +5,11 @@
 use crate::http;
 
 /// The most that a controller takes of another: see `http::server`.
-const LARGEST_BODY: usize = 1 << 20;
+const MAX_BODY_BYTES: usize = 1 << 20;
 
-fn machine(n: usize) -> MachineStatus {
+fn machine_status(index: usize) -> MachineStatus {
     MachineStatus {
-        machine: format!("m-{n:06}").as_str().into(),
+        machine: format!("m-{index:06}").as_str().into(),
         usable: true,
         has_reported: true,
         unresponsive: false,
@@ -25,7 +25,7 @@
     }
 }
 
-fn block(number: usize, machines: usize) -> BlockStatus {
+fn block_status(number: usize, machines: usize) -> BlockStatus {
     let first = number * machines;
     BlockStatus {
         block: format!("zone.{number}").as_str().into(),
@@ -40,7 +40,7 @@
         expected_workers: machines as u32,
         overdue_workers: 0,
         sequence_number: 77,
-        machines: (first..first + machines).map(machine).collect(),
+        machines: (first..first + machines).map(machine_status).collect(),
         running: Vec::new(),
     }
 }
@@ -52,13 +52,13 @@
     let status = ControllerStatus {
         controller: "node-1".into(),
         incarnation: Incarnation(7),
-        blocks: (0..20).map(|number| block(number, 200)).collect(),
+        blocks: (0..20).map(|number| block_status(number, 200)).collect(),
         misrouted: vec!["m-1".into()],
     };
-    let whole = http::write(&Message::Status(status.clone())).len();
+    let unsplit_bytes = http::write(&Message::Status(status.clone())).len();
     assert!(
-        whole > LARGEST_BODY,
-        "{whole} bytes in one message show nothing"
+        unsplit_bytes > MAX_BODY_BYTES,
+        "{unsplit_bytes} bytes in one message show nothing"
     );
     let messages = status.clone().into_messages();
     let mut blocks = Vec::new();
@@ -68,7 +68,7 @@
             (&status.controller, status.incarnation)
         );
         let bytes = http::write(&Message::Status(message.clone())).len();
-        assert!(bytes < LARGEST_BODY / 2, "{bytes} bytes");
+        assert!(bytes < MAX_BODY_BYTES / 2, "{bytes} bytes");
         blocks.extend(message.blocks);
     }
     assert_eq!(blocks, status.blocks);
@@ -107,13 +107,13 @@
 fn every_message_comes_back_to_the_same_bytes() {
     let messages: BTreeMap<String, String> = serde_json::from_str(MESSAGES).expect("a map");
     let mut kinds = std::collections::BTreeSet::new();
-    for (name, hex) in messages {
-        let message: Message = ciborium::from_reader(&*from_hex(&hex)).expect(&name);
-        assert_eq!(to_hex(&http::write(&message)), hex, "{name}");
+    for (name, encoded) in messages {
+        let message: Message = ciborium::from_reader(&*from_hex(&encoded)).expect(&name);
+        assert_eq!(to_hex(&http::write(&message)), encoded, "{name}");
         // Each list holds something, so that what is in it is shown too.
         kinds.insert(match &message {
             Message::Status(status) => {
-                let full = status.blocks.iter().any(|block| {
+                let lists_filled = status.blocks.iter().any(|block| {
                     !block.pending.is_empty()
                         && !block.unplaceable.is_empty()
                         && !block.proven_ended.is_empty()
@@ -122,7 +122,7 @@
                             !machine.failures_by_job.is_empty() && !machine.images.is_empty()
                         })
                 });
-                assert!(full && !status.misrouted.is_empty(), "{name}");
+                assert!(lists_filled && !status.misrouted.is_empty(), "{name}");
                 "status"
             }
             Message::Heartbeat(heartbeat) => {
@@ -136,16 +136,19 @@
                 "cancelled"
             }
             Message::AssignmentUpdates(updates) => {
-                let full = updates.iter().any(|update| {
+                let lists_filled = updates.iter().any(|update| {
                     !update.assignments.is_empty()
                         && !update.attempts_to_stop.is_empty()
                         && !update.addresses.is_empty()
                         && !update.watched_attempts.is_empty()
                 });
-                assert!(full, "{name}");
-                "work"
+                assert!(lists_filled, "{name}");
+                "assignment updates"
             }
         });
     }
-    assert_eq!(kinds, ["heartbeat", "cancelled", "status", "work"].into());
+    assert_eq!(
+        kinds,
+        ["heartbeat", "cancelled", "status", "assignment updates"].into()
+    );
 }
--- a/src/upgrade/mod.rs
+++ b/src/upgrade/mod.rs
@@ -39,20 +39,20 @@
         if cache.format() >= FORMAT || !self.writer.ready(now, cache) {
             return None;
         }
-        let Members { format, records } = members(leader.config, cache)?;
+        let MemberRecords { format, records } = member_records(leader.config, cache)?;
         if format <= cache.format() {
             return None;
         }
-        let mut txn = Transaction::default()
+        let mut transaction = Transaction::default()
             .when(LEADER, leader.record_version)
             .when(FORMAT_KEY, cache.format_version());
         for record in records {
-            txn = txn.when(member_key(&record.controller), record.version);
+            transaction = transaction.when(member_key(&record.controller), record.version);
         }
         info!(format, "record format switch started");
         self.writer.sent();
         Some(StoreRequest::Commit(
-            txn.put(FORMAT_KEY, &FormatSwitch { version: format }),
+            transaction.put(FORMAT_KEY, &FormatSwitch { version: format }),
         ))
     }
 
@@ -69,7 +69,7 @@
 }
 
 /// What the records of all configured controllers say.
-struct Members {
+struct MemberRecords {
     /// The newest format that all of them, this process included, can read and write.
     format: u32,
     records: Vec<MemberRecord>,
@@ -82,21 +82,21 @@
 }
 
 /// What the member records say, or None if one of the configured controllers is not up.
-fn members(config: &Config, cache: &WatchCache) -> Option<Members> {
+fn member_records(config: &Config, cache: &WatchCache) -> Option<MemberRecords> {
     let peers = config.peers.iter().map(|peer| &peer.name);
-    let mut all = Members {
+    let mut members = MemberRecords {
         format: FORMAT,
         records: Vec::new(),
     };
     for controller in peers.chain([&config.name]) {
         let member = cache.members.get(controller)?;
-        all.format = all.format.min(member.value.format);
-        all.records.push(MemberRecord {
+        members.format = members.format.min(member.value.format);
+        members.records.push(MemberRecord {
             controller: controller.clone(),
             version: member.version,
         });
     }
-    Some(all)
+    Some(members)
 }
 
 #[cfg(test)]
--- a/src/upgrade/tests.rs
+++ b/src/upgrade/tests.rs
@@ -23,7 +23,7 @@
         }
     }
 
-    fn member(&mut self, controller: &str, format: u32) {
+    fn put_member(&mut self, controller: &str, format: u32) {
         self.version += 1;
         self.cache.apply(Change {
             key: member_key(&controller.into()),
@@ -47,8 +47,8 @@
             has_spare_writes: true,
         };
         match upgrade.poll(Now::read(), &leader, &mut self.cache)? {
-            StoreRequest::Commit(txn) => Some(txn),
-            op => panic!("{op:?}"),
+            StoreRequest::Commit(transaction) => Some(transaction),
+            other => panic!("{other:?}"),
         }
     }
 }
@@ -57,14 +57,14 @@
 fn the_format_is_switched_on_once_every_controller_knows_it() {
     let mut fixture = Fixture::new();
     let mut upgrade = Upgrade::new();
-    fixture.member("node-0", FORMAT);
-    fixture.member("node-1", FORMAT);
+    fixture.put_member("node-0", FORMAT);
+    fixture.put_member("node-1", FORMAT);
     assert_eq!(fixture.poll(&mut upgrade), None, "one is not up");
-    fixture.member("node-2", 0);
+    fixture.put_member("node-2", 0);
     assert_eq!(fixture.poll(&mut upgrade), None, "one is still production");
-    fixture.member("node-2", FORMAT);
-    let txn = fixture.poll(&mut upgrade).expect("all know it");
-    let conditions: Vec<(&str, u64)> = txn
+    fixture.put_member("node-2", FORMAT);
+    let transaction = fixture.poll(&mut upgrade).expect("all know it");
+    let conditions: Vec<(&str, u64)> = transaction
         .conditions
         .iter()
         .map(|(key, version)| (key.as_str(), *version))
@@ -86,7 +86,7 @@
 fn once_on_it_stays_on_and_is_not_written_again() {
     let mut fixture = Fixture::new();
     for controller in ["node-0", "node-1", "node-2"] {
-        fixture.member(controller, FORMAT);
+        fixture.put_member(controller, FORMAT);
     }
     fixture.version += 1;
     fixture.cache.apply(Change {
@@ -94,7 +94,7 @@
         version: fixture.version,
         value: Some(encode(&FormatSwitch { version: FORMAT })),
     });
-    fixture.member("node-2", 0);
+    fixture.put_member("node-2", 0);
     assert_eq!(fixture.cache.format(), FORMAT);
     assert_eq!(fixture.poll(&mut Upgrade::new()), None);
 }
@@ -107,18 +107,18 @@
         ("node-1", PARTS_FORMAT),
         ("node-2", FORMAT),
     ] {
-        fixture.member(controller, format);
+        fixture.put_member(controller, format);
     }
-    let switched_on = |txn: Transaction| match txn.changes.as_slice() {
+    let written_format = |transaction: Transaction| match transaction.changes.as_slice() {
         [crate::store::TransactionChange::Put { value, .. }] => value
             .deserialized::<FormatSwitch>()
             .map(|switch| switch.version)
             .ok(),
         _ => None,
     };
-    let txn = fixture.poll(&mut Upgrade::new()).expect("all know it");
-    assert_eq!(switched_on(txn), Some(PARTS_FORMAT));
-    fixture.member("node-1", FORMAT);
-    let txn = fixture.poll(&mut Upgrade::new()).expect("all know it");
-    assert_eq!(switched_on(txn), Some(FORMAT));
+    let transaction = fixture.poll(&mut Upgrade::new()).expect("all know it");
+    assert_eq!(written_format(transaction), Some(PARTS_FORMAT));
+    fixture.put_member("node-1", FORMAT);
+    let transaction = fixture.poll(&mut Upgrade::new()).expect("all know it");
+    assert_eq!(written_format(transaction), Some(FORMAT));
 }
