--- a/src/peer/mod.rs
+++ b/src/peer/mod.rs
@@ -1,10 +1,11 @@
-//! The messages between controllers, in the form in which they are sent.
+//! The messages between controllers and their wire format.
 //!
-//! The controller builds and handles them, the HTTP server and client carry them as CBOR. None of it is trusted beyond what
-//! the state service's conditions allow: a message that is late, lost or repeated costs time, not a rule.
+//! The controller builds and handles them; the HTTP server and client transfer them as CBOR. They are not trusted
+//! beyond what the conditions of the state service's transactions allow: a late, lost or repeated message costs time
+//! but does not break an invariant.
 //!
-//! Controllers of two versions talk to each other during an upgrade: names and forms on the wire must not change, a new
-//! field needs a default and is left out while it holds nothing.
+//! Controllers of two versions exchange messages during an upgrade: names and types on the wire must not change, and
+//! a new field needs a default and is omitted while it is empty.
 
 use std::collections::BTreeMap;
 
@@ -17,19 +18,19 @@
 /// A message to another controller.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum Message {
-    /// Holder to leader: how its blocks are.
+    /// From a holder to the leader: the status of its blocks.
     Status(ControllerStatus),
-    /// To everyone, every second.
+    /// To all other controllers, every second.
     #[serde(rename = "Alive")]
     Heartbeat(ControllerHeartbeat),
-    /// To everyone, at once: these were just committed.
+    /// To all other controllers, immediately after these cancellations were committed.
     Cancelled(Vec<CancelledJob>),
-    /// Leader to holder: all the tasks it wants placed in those of its blocks where something is new.
+    /// From the leader to a holder: the complete assignments of each of its blocks where they have changed.
     #[serde(rename = "Work")]
     AssignmentUpdates(Vec<AssignmentUpdate>),
 }
 
-/// A controller lives, and these cancellations are known to it.
+/// A heartbeat of a controller, with the cancellations that it knows.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct ControllerHeartbeat {
     /// The sender.
@@ -38,30 +39,31 @@
     /// The sender's process.
     #[serde(rename = "boot")]
     pub incarnation: Incarnation,
-    /// Rises with every heartbeat of a process: one that comes late tells nothing of the present.
+    /// Increases with every heartbeat of a process, so that late heartbeats can be ignored.
     #[serde(rename = "number")]
     pub sequence_number: u64,
     /// Whether the sender reaches the state service.
     #[serde(rename = "reaches_state")]
     pub reaches_state_service: bool,
-    /// Cancelled jobs of which tasks may be left, for those whose copy of the records does not show it.
+    /// Cancelled jobs with tasks that may still run, for controllers whose cache does not show the cancellation.
     #[serde(rename = "cancelled")]
     pub cancelled_jobs: Vec<CancelledJob>,
-    /// Whether these are all that this controller or an earlier process of it can have told a user of.
+    /// Whether `cancelled_jobs` has every cancellation that this controller or an earlier process of it can have
+    /// confirmed to a user.
     #[serde(rename = "complete")]
     pub lists_all_cancellations: bool,
-    /// The last heartbeat of each of the others that the sender had received.
+    /// The last heartbeat that the sender has received from each of the other controllers.
     #[serde(rename = "heard")]
     pub last_received: BTreeMap<ControllerName, HeartbeatId>,
 }
 
-/// Names a heartbeat of a controller. On the wire: an array of both.
+/// Identifies a heartbeat of a controller. Sent as an array of the two fields.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(from = "(Incarnation, u64)", into = "(Incarnation, u64)")]
 pub struct HeartbeatId {
     /// The process that sent it.
     pub incarnation: Incarnation,
-    /// Its number among those of the process.
+    /// Its sequence number among the heartbeats of the process.
     pub sequence_number: u64,
 }
 
@@ -80,20 +82,22 @@
     }
 }
 
-/// A cancellation that was committed: it is final, so that whoever hears of it may act on it.
+/// A committed cancellation. It is final, so that every controller that learns of it may act on it.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 pub struct CancelledJob {
     /// The job.
     pub job: JobId,
-    /// The version of the record that says so. A copy that has got there knows better than a message.
+    /// The version of the job's record with the cancellation. A cache that has reached it takes precedence over a
+    /// message.
     pub version: u64,
-    /// When that was, in milliseconds of Unix time by the clock of the controller that accepted it.
+    /// When the job was cancelled, in milliseconds of Unix time by the clock of the controller that accepted the
+    /// request.
     #[serde(rename = "at_ms")]
     pub cancelled_ms: u64,
 }
 
 impl CancelledJob {
-    /// `version`: of the job's record. `cancelled_ms`: milliseconds of Unix time.
+    /// Creates a cancellation. `version` is that of the job's record, `cancelled_ms` is in milliseconds of Unix time.
     pub fn new(job: JobId, version: u64, cancelled_ms: u64) -> Self {
         CancelledJob {
             job,
@@ -103,7 +107,7 @@
     }
 }
 
-/// How the blocks of a holder are.
+/// The status of a holder's blocks.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct ControllerStatus {
     /// The holder.
@@ -112,20 +116,20 @@
     /// The holder's process.
     #[serde(rename = "boot")]
     pub incarnation: Incarnation,
-    /// Its blocks.
+    /// The status of each block, or of some blocks if the status is split into several messages.
     pub blocks: Vec<BlockStatus>,
-    /// Machines of others' blocks that have reported here lately, some of them if they are many: they go from
-    /// controller to controller if their holder does not answer.
+    /// Machines of other holders' blocks that have recently reported to this controller, or some of them if there are
+    /// many: a worker whose holder does not respond tries one controller after the other.
     #[serde(rename = "strays")]
     pub misrouted: Vec<MachineId>,
 }
 
-/// Machines and attempts in one message. A body between controllers is limited, and one controller may have to hold all
-/// machines there are.
+/// The maximum number of machines and attempts in one status message, except that a block is never split. The size of a
+/// message body between controllers is limited, and one controller may have to hold the blocks of all machines.
 const MAX_STATUS_ITEMS_PER_MESSAGE: usize = 1000;
 
 impl ControllerStatus {
-    /// The same in as many messages as it takes, each about some of the blocks.
+    /// Splits the status into messages of limited size, each with some of the blocks.
     pub fn into_messages(self) -> Vec<ControllerStatus> {
         let ControllerStatus {
             controller,
@@ -160,7 +164,7 @@
     }
 }
 
-/// How a block is, by its holder.
+/// The status of a block, reported by its holder.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct BlockStatus {
     /// The block.
@@ -173,78 +177,79 @@
     /// The number of the last assignment update received under this block lease.
     #[serde(rename = "last_work")]
     pub last_assignment_update: u64,
-    /// Attempts that may still be recorded as placed. What the leader wanted by `last_assignment_update` and is neither
-    /// here nor in the block's placements of `revision` never will be.
+    /// Attempts that may still be recorded as placed. An attempt assigned by `last_assignment_update` or earlier that
+    /// is neither listed here nor in the block's placements at `placements_revision` will never be placed.
     pub pending: Vec<u64>,
-    /// Those of them for which no machine here has room.
+    /// The pending attempts for which no machine of the block has enough free resources.
     #[serde(rename = "refused")]
     pub unplaceable: Vec<u64>,
-    /// Attempts proven gone whose record still stands. The next write removes them, so that what it places may
-    /// have their room.
+    /// Attempts that are proven ended but still recorded as placed. The next write removes them, so that attempts
+    /// placed by that write may use their resources.
     #[serde(rename = "ended")]
     pub proven_ended: Vec<u64>,
-    /// The revision of the state service that the holder's copy of the placements has reached.
+    /// The revision of the state service that the holder's cached placements have reached.
     #[serde(rename = "revision")]
     pub placements_revision: u64,
-    /// The token must be renewed: a command of unknown outcome stands in the way.
+    /// Whether the holder requires a new token because of a command with an unknown outcome.
     #[serde(rename = "wants_new_token")]
     pub token_renewal_required: bool,
-    /// Workers that this holder has heard from or could ask.
+    /// The number of workers that this holder has an address for.
     #[serde(rename = "expected")]
     pub expected_workers: u32,
-    /// How many of them are overdue.
+    /// The number of these workers whose heartbeat is overdue.
     #[serde(rename = "overdue")]
     pub overdue_workers: u32,
-    /// Rises with every message under a block lease. A message that is not newer than the last one is late.
+    /// Increases with every message under a block lease. A message that is not newer than the last one is ignored.
     #[serde(rename = "number")]
     pub sequence_number: u64,
-    /// The machines that have changed since the last status that the leader is known to have received.
+    /// The machines whose status has changed since the last block status that the leader has acknowledged.
     pub machines: Vec<MachineStatus>,
-    /// The attempts that the leader watches and that were seen to run. Production does not tell.
+    /// The attempts watched by the leader that have been seen running. The production version does not send this field.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub running: Vec<u64>,
 }
 
-/// How a machine is, by the holder of its block.
+/// The status of a machine, reported by the holder of its block.
 #[expect(
     clippy::struct_excessive_bools,
-    reason = "the form on the wire: conditions that hold independently of each other"
+    reason = "the wire format has independent conditions as separate fields"
 )]
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct MachineStatus {
     /// The machine.
     pub machine: MachineId,
-    /// Has shown our token, reports, and is not being taken away.
+    /// Whether the machine has confirmed the holder's token, reports, and is not about to be terminated.
     pub usable: bool,
-    /// Has reported to this holder at all.
+    /// Whether the machine has ever reported to this holder.
     #[serde(rename = "seen")]
     pub has_reported: bool,
-    /// Has sent no heartbeat for too long.
+    /// Whether the worker has sent no heartbeat for too long.
     #[serde(rename = "silent")]
     pub unresponsive: bool,
-    /// The cloud has announced that it takes the machine away.
+    /// Whether the cloud has announced that it will terminate the machine.
     #[serde(rename = "notice")]
     pub termination_notice: bool,
-    /// Tasks that failed here one after the other, as far as this holder knows.
+    /// The number of tasks that ended with an error on this machine since one last succeeded there, as far as this
+    /// holder knows. Limited while all failures are of one job.
     #[serde(rename = "errors")]
     pub consecutive_failures: u32,
-    /// Of which jobs tasks have failed here since one was done.
+    /// The task failures on this machine since a task last succeeded there, by job.
     #[serde(rename = "failures")]
     pub failures_by_job: Vec<JobFailures>,
     /// The images that are on the machine.
     pub images: Vec<Image>,
 }
 
-/// How often tasks of a job have failed on a machine.
+/// The number of task failures of a job on a machine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct JobFailures {
     /// The job.
     pub job: JobId,
-    /// The failures.
+    /// The number of failures.
     pub count: u32,
 }
 
-/// The whole of what the leader wants of a block, so that a lost message needs no repeat of its own.
+/// All assignments of the leader for a block. Since the list is complete, a lost message needs no retransmission.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct AssignmentUpdate {
     /// The block.
@@ -252,21 +257,22 @@
     /// The version of the block lease.
     #[serde(rename = "grant_version")]
     pub lease_version: u64,
-    /// Rises with every message of a term.
+    /// Increases with every message of a term.
     #[serde(rename = "number")]
     pub sequence_number: u64,
-    /// The number of the last status of this block that the leader has processed.
+    /// The sequence number of the last status of this block that the leader has processed.
     #[serde(rename = "heard")]
     pub last_status: u64,
-    #[serde(rename = "want")]
     /// All tasks that are to be placed in the block.
+    #[serde(rename = "want")]
     pub assignments: Vec<Assignment>,
-    /// Tasks to be stopped, to make room or to drain a machine.
+    /// Attempts to stop, for preemption or to drain a machine.
     #[serde(rename = "stop")]
     pub attempts_to_stop: Vec<Attempt>,
-    /// Where workers are that this holder has not heard from yet, so that it can raise their token at once.
+    /// The addresses of workers that have not reported to this holder yet, so that it can raise their token
+    /// immediately.
     pub addresses: Vec<(MachineId, String)>,
-    /// Attempts of which the leader needs to know whether they run. Production does not ask.
+    /// Attempts whose running state the leader needs to know. The production version does not send this field.
     #[serde(rename = "watch", default, skip_serializing_if = "Vec::is_empty")]
     pub watched_attempts: Vec<u64>,
 }
@@ -276,7 +282,8 @@
 pub struct Assignment {
     /// The attempt of the task.
     pub attempt: Attempt,
-    /// Where the leader found room. The holder takes it unless it knows better.
+    /// The machine that the leader chose. The holder uses it unless its own state shows that the task does not fit
+    /// there.
     pub machine: MachineId,
 }
 
--- a/src/peer/tests.rs
+++ b/src/peer/tests.rs
@@ -1,10 +1,10 @@
-//! Messages at the size of a large fleet.
+//! Tests of the message size for a large fleet and of the wire format.
 
 use super::*;
 use crate::domain::{FencingToken, Incarnation};
 use crate::http;
 
-/// The most that a controller takes of another: see `http::server`.
+/// The maximum body size of a message between controllers: see `http::server`.
 const MAX_BODY_BYTES: usize = 1 << 20;
 
 fn machine_status(index: usize) -> MachineStatus {
@@ -45,8 +45,8 @@
     }
 }
 
-/// One controller may hold all machines, and a leader that is new knows of none of them: told in one message, 4,000 were
-/// more than a controller takes, and the leader never heard of them.
+/// Guards against a status that exceeds the body limit: one controller may hold all machines, and has to report all of
+/// them to a new leader. In one message, 4,000 machines exceeded the limit, and the leader never received their status.
 #[test]
 fn a_status_of_4000_machines_is_split_into_messages_below_the_body_limit() {
     let status = ControllerStatus {
@@ -58,7 +58,7 @@
     let unsplit_bytes = http::write(&Message::Status(status.clone())).len();
     assert!(
         unsplit_bytes > MAX_BODY_BYTES,
-        "{unsplit_bytes} bytes in one message show nothing"
+        "the unsplit status of {unsplit_bytes} bytes is below the limit, so the test would show nothing"
     );
     let messages = status.clone().into_messages();
     let mut blocks = Vec::new();
@@ -85,7 +85,7 @@
     assert_eq!(status.clone().into_messages(), [status]);
 }
 
-/// One message of each kind as it goes over the wire today: CBOR, in hexadecimal, by what it shows.
+/// One message of each kind in the current wire format: CBOR in hexadecimal, by the name of the case.
 const MESSAGES: &str = include_str!("../../tests/data/peer-messages.json");
 
 /// The hexadecimal form of bytes.
@@ -102,15 +102,15 @@
         .collect()
 }
 
-/// Controllers of different versions talk to each other while an upgrade rolls through: what is said must stay as it is.
+/// Guards against changes of the wire format: controllers of different versions exchange messages during an upgrade.
 #[test]
-fn every_message_comes_back_to_the_same_bytes() {
+fn every_message_is_encoded_to_the_same_bytes_after_decoding() {
     let messages: BTreeMap<String, String> = serde_json::from_str(MESSAGES).expect("a map");
     let mut kinds = std::collections::BTreeSet::new();
     for (name, encoded) in messages {
         let message: Message = ciborium::from_reader(&*from_hex(&encoded)).expect(&name);
         assert_eq!(to_hex(&http::write(&message)), encoded, "{name}");
-        // Each list holds something, so that what is in it is shown too.
+        // Each list must be filled, so that the format of its items is tested too.
         kinds.insert(match &message {
             Message::Status(status) => {
                 let lists_filled = status.blocks.iter().any(|block| {
--- a/src/upgrade/mod.rs
+++ b/src/upgrade/mod.rs
@@ -1,9 +1,9 @@
-//! The switch to a newer format of records, once every controller knows it.
+//! The switch to a newer record format once every controller supports it.
 //!
-//! While versions are mixed, all that this version writes and sends is what the production version reads. The leader
-//! switches the new format on with a durable record when the member record of each configured controller says that it
-//! knows the format. The switch is conditioned on those records, so that a controller that comes back as the production
-//! version in that moment prevents it. It is never taken back.
+//! While versions are mixed, this version writes and sends only what the production version can read. The leader
+//! enables the new format with a durable record when the member record of each configured controller states that it
+//! supports the format. The transaction is conditioned on those member records, so that it fails if a controller
+//! restarts as the production version at the same time. The switch is never reverted.
 //!
 //! The leader's round polls [`Upgrade`]; every controller adopts the format when it sees the record.
 
@@ -15,21 +15,21 @@
 use crate::store::records::{FORMAT, FORMAT_KEY, FormatSwitch, LEADER, member_key};
 use crate::store::{StoreRequest, StoreResponse, Transaction, WatchCache, Writer};
 
-/// The leader's part in the switch.
+/// The leader's state for the switch of the record format.
 #[derive(Debug)]
 pub struct Upgrade {
     writer: Writer,
 }
 
 impl Upgrade {
-    /// Nothing is under way.
+    /// Creates the state without a transaction in flight.
     pub fn new() -> Self {
         Upgrade {
             writer: Writer::Idle,
         }
     }
 
-    /// The transaction that switches the new format on, if it is time.
+    /// Returns the transaction that enables a newer format if all controllers support one.
     pub fn poll(
         &mut self,
         now: Now,
@@ -56,7 +56,7 @@
         ))
     }
 
-    /// The state service has answered the transaction.
+    /// Handles the response to the transaction.
     pub fn handle_store_response(&mut self, now: Now, outcome: &StoreResponse) {
         self.writer.answered(now, outcome);
     }
@@ -68,20 +68,20 @@
     }
 }
 
-/// What the records of all configured controllers say.
+/// The member records of all configured controllers.
 struct MemberRecords {
-    /// The newest format that all of them, this process included, can read and write.
+    /// The newest format that all of them, including this process, can read and write.
     format: u32,
     records: Vec<MemberRecord>,
 }
 
-/// A member record on which the switch is conditioned.
+/// A member record that the switch is conditioned on.
 struct MemberRecord {
     controller: ControllerName,
     version: u64,
 }
 
-/// What the member records say, or None if one of the configured controllers is not up.
+/// Returns the member records, or None if a configured controller has none because it is not up.
 fn member_records(config: &Config, cache: &WatchCache) -> Option<MemberRecords> {
     let peers = config.peers.iter().map(|peer| &peer.name);
     let mut members = MemberRecords {
--- a/src/upgrade/tests.rs
+++ b/src/upgrade/tests.rs
@@ -1,4 +1,4 @@
-//! When the new format is switched on, and when not.
+//! Tests of the conditions for the switch of the record format.
 
 use super::*;
 use crate::cloud::InstanceCatalog;
@@ -54,16 +54,22 @@
 }
 
 #[test]
-fn the_format_is_switched_on_once_every_controller_knows_it() {
+fn the_format_is_switched_on_once_every_controller_supports_it() {
     let mut fixture = Fixture::new();
     let mut upgrade = Upgrade::new();
     fixture.put_member("node-0", FORMAT);
     fixture.put_member("node-1", FORMAT);
-    assert_eq!(fixture.poll(&mut upgrade), None, "one is not up");
+    assert_eq!(fixture.poll(&mut upgrade), None, "node-2 is not a member");
     fixture.put_member("node-2", 0);
-    assert_eq!(fixture.poll(&mut upgrade), None, "one is still production");
+    assert_eq!(
+        fixture.poll(&mut upgrade),
+        None,
+        "node-2 still runs the production version"
+    );
     fixture.put_member("node-2", FORMAT);
-    let transaction = fixture.poll(&mut upgrade).expect("all know it");
+    let transaction = fixture
+        .poll(&mut upgrade)
+        .expect("all controllers support the format");
     let conditions: Vec<(&str, u64)> = transaction
         .conditions
         .iter()
@@ -79,11 +85,15 @@
             ("dappleshore/node/node-0", 1),
         ]
     );
-    assert_eq!(fixture.poll(&mut upgrade), None, "one at a time");
+    assert_eq!(
+        fixture.poll(&mut upgrade),
+        None,
+        "a transaction is in flight"
+    );
 }
 
 #[test]
-fn once_on_it_stays_on_and_is_not_written_again() {
+fn the_switch_is_neither_reverted_nor_written_again() {
     let mut fixture = Fixture::new();
     for controller in ["node-0", "node-1", "node-2"] {
         fixture.put_member(controller, FORMAT);
@@ -100,7 +110,7 @@
 }
 
 #[test]
-fn the_newest_format_that_all_know_is_switched_on() {
+fn the_newest_format_that_all_controllers_support_is_switched_on() {
     let mut fixture = Fixture::new();
     for (controller, format) in [
         ("node-0", FORMAT),
@@ -116,9 +126,13 @@
             .ok(),
         _ => None,
     };
-    let transaction = fixture.poll(&mut Upgrade::new()).expect("all know it");
+    let transaction = fixture
+        .poll(&mut Upgrade::new())
+        .expect("all controllers support the format");
     assert_eq!(written_format(transaction), Some(PARTS_FORMAT));
     fixture.put_member("node-1", FORMAT);
-    let transaction = fixture.poll(&mut Upgrade::new()).expect("all know it");
+    let transaction = fixture
+        .poll(&mut Upgrade::new())
+        .expect("all controllers support the format");
     assert_eq!(written_format(transaction), Some(FORMAT));
 }
