--- a/src/controller/dispatcher.rs
+++ b/src/controller/dispatcher.rs
@@ -37,23 +37,23 @@
         match event {
             Event::Tick => self.tick(now),
             Event::Submit { id, body } => {
-                let (job_api, mut context) = self.job_api();
+                let (job_api, mut context) = self.job_api_with_context();
                 let response = job_api.submit(now, id, &body, &mut context);
                 effects.extend(response.map(|response| Effect::RespondToUser { id, response }));
             }
             Event::Poll { id, job } => {
-                let (job_api, mut context) = self.job_api();
+                let (job_api, mut context) = self.job_api_with_context();
                 let response = job_api.poll(now, id, &job, &mut context);
                 effects.extend(response.map(|response| Effect::RespondToUser { id, response }));
             }
             Event::Cancel { id, job } => {
-                let (job_api, mut context) = self.job_api();
+                let (job_api, mut context) = self.job_api_with_context();
                 let response = job_api.cancel(now, id, &job, &mut context);
                 effects.extend(response.map(|response| Effect::RespondToUser { id, response }));
             }
             Event::Health { id } => effects.push(Effect::RespondToHealthCheck {
                 id,
-                healthy: self.healthy(now),
+                healthy: self.is_healthy(now),
             }),
             Event::OperatorRequest { id, request } => {
                 let reply = self.operations.ask(now, id, request);
@@ -68,14 +68,14 @@
             Event::CommandCompleted {
                 block,
                 machine,
-                commands: body,
+                commands,
                 outcome,
             } => {
                 self.worker_fleet.apply_command_outcome(
                     now,
                     &block,
                     &machine,
-                    &body,
+                    &commands,
                     outcome,
                     &self.cache,
                 );
@@ -100,13 +100,13 @@
             self.push_store_request(WritePriority::Lease, StoreTag::Leadership(tag), request);
         }
         self.run_leader_round(now, effects);
-        self.serve_operators(now, effects);
+        self.respond_to_operators(now, effects);
         self.write_placements(now, effects);
         self.send_worker_commands(now, effects);
         self.delete_machines_of_cancelled_tasks(now, effects);
         self.broadcast_heartbeat(now, effects);
         self.report_status(now, effects);
-        let (job_api, mut context) = self.job_api();
+        let (job_api, mut context) = self.job_api_with_context();
         for (id, response) in job_api.advance(now, &mut context) {
             effects.push(Effect::RespondToUser { id, response });
         }
@@ -135,7 +135,7 @@
         effects.extend(
             ready
                 .into_iter()
-                .map(|(tag, op)| Effect::Store { tag, request: op }),
+                .map(|(tag, request)| Effect::Store { tag, request }),
         );
     }
 
@@ -192,9 +192,9 @@
             &self.cache,
             is_proven_ended,
         );
-        effects.extend(request.map(|(tag, call)| Effect::Cloud {
+        effects.extend(request.map(|(tag, request)| Effect::Cloud {
             tag,
-            request: call,
+            request,
             authority_until: None,
         }));
     }
--- a/src/controller/health.rs
+++ b/src/controller/health.rs
@@ -9,23 +9,23 @@
 use crate::domain::{ControllerName, Now, since};
 
 /// Events come with every tick. If none came for this long, the process was paused while its clocks ran on.
-const PROCESS_PAUSE: Duration = Duration::from_secs(1);
+const MIN_PROCESS_PAUSE: Duration = Duration::from_secs(1);
 /// How long only this controller must be without the state service before users are sent elsewhere.
-const ISOLATED_AFTER: Duration = Duration::from_secs(3);
+const ISOLATION_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// Who reaches the state service: this controller, and the others by what they last said.
+/// Who reachable the state service: this controller, and the others by what they last said.
 #[derive(Debug, Default)]
 pub(super) struct StateServiceReachability {
-    /// When each of the others last said that it reaches it. Without entry: it last said that it doesn't.
-    peers_reached: BTreeMap<ControllerName, Instant>,
+    /// When each of the others last said that it reachable it. Without entry: it last said that it doesn't.
+    peers_reached_at: BTreeMap<ControllerName, Instant>,
     /// Since when this controller doesn't.
     unreachable_since: Option<Instant>,
 }
 
 impl StateServiceReachability {
-    /// Records whether this controller reaches it now.
-    pub(super) fn record_own(&mut self, now: Now, reaches: bool) {
-        self.unreachable_since = if reaches {
+    /// Records whether this controller reachable it now.
+    pub(super) fn record_own(&mut self, now: Now, reachable: bool) {
+        self.unreachable_since = if reachable {
             None
         } else {
             self.unreachable_since.or(Some(now.monotonic))
@@ -33,53 +33,53 @@
     }
 
     /// Records what another controller said.
-    pub(super) fn record_peer(&mut self, now: Now, peer: ControllerName, reaches: bool) {
-        if reaches {
-            self.peers_reached.insert(peer, now.monotonic);
+    pub(super) fn record_peer(&mut self, now: Now, peer: ControllerName, reachable: bool) {
+        if reachable {
+            self.peers_reached_at.insert(peer, now.monotonic);
         } else {
-            self.peers_reached.remove(&peer);
+            self.peers_reached_at.remove(&peer);
         }
     }
 
     /// Whether this controller has not reached it for a while and another one has.
-    fn isolated(&self, now: Now) -> bool {
+    fn is_isolated(&self, now: Now) -> bool {
         self.unreachable_since
-            .is_some_and(|at| since(now, at) > ISOLATED_AFTER)
+            .is_some_and(|at| since(now, at) > ISOLATION_TIMEOUT)
             && self
-                .peers_reached
+                .peers_reached_at
                 .values()
-                .any(|at| since(now, *at) < ISOLATED_AFTER)
+                .any(|at| since(now, *at) < ISOLATION_TIMEOUT)
     }
 }
 
 impl Controller {
     /// Whether users should come here. Not if only this controller can't reach the state service; during an outage for all,
     /// staying is better than being taken out, since coming back takes the load balancer its time.
-    pub(super) fn healthy(&self, now: Now) -> bool {
-        self.cache.ready() && self.catalog.is_loaded() && !self.reachability.isolated(now)
+    pub(super) fn is_healthy(&self, now: Now) -> bool {
+        self.cache.ready() && self.catalog.is_loaded() && !self.reachability.is_isolated(now)
     }
 
     /// Until when the known block leases may be acted on: counted from before they were asked for. That others may hold
     /// them by now is what fencing tokens are for; what has an end is how long a cancellation may be unknown here.
     pub(super) fn authority_until(&self, now: Now) -> Instant {
-        let fresh = self.cache.current_as_of().map(|fresh| {
+        let known_until = self.cache.current_as_of().map(|cache_as_of| {
             self.cancellations
                 .all_cancellations_known_until(now, &self.config)
-                .max(Some(fresh))
+                .max(Some(cache_as_of))
         });
-        fresh.flatten().map_or(now.monotonic, |known| {
-            known + self.policy.block_lease_duration
+        known_until.flatten().map_or(now.monotonic, |known_until| {
+            known_until + self.policy.block_lease_duration
         })
     }
 
     /// Silence of others during a pause of this process is not theirs: the pause is added to when they were last heard.
     pub(super) fn detect_process_pause(&mut self, now: Now) {
-        let gap = since(now, std::mem::replace(&mut self.last_event, now.monotonic));
-        if gap > PROCESS_PAUSE {
-            info!(?gap, "process pause detected");
-            self.worker_fleet.process_paused(gap);
-            self.block_lease_manager.process_paused(gap);
-            self.cancellations.process_paused(gap);
+        let pause = since(now, std::mem::replace(&mut self.last_event, now.monotonic));
+        if pause > MIN_PROCESS_PAUSE {
+            info!(?pause, "process pause detected");
+            self.worker_fleet.process_paused(pause);
+            self.block_lease_manager.process_paused(pause);
+            self.cancellations.process_paused(pause);
         }
     }
 
--- a/src/controller/leader_round.rs
+++ b/src/controller/leader_round.rs
@@ -68,9 +68,9 @@
         }
     }
 
-    /// Whether it is time for a plan. `outdated`: something has changed since the last one.
-    fn plan_due(&self, now: Now, outdated: bool) -> bool {
-        let interval = if outdated {
+    /// Whether it is time for a plan. `plan_outdated`: something has changed since the last one.
+    fn plan_due(&self, now: Now, plan_outdated: bool) -> bool {
+        let interval = if plan_outdated {
             self.plan_interval
         } else {
             self.plan_interval.max(UNCHANGED_PLAN_INTERVAL)
@@ -90,14 +90,14 @@
     }
 }
 
-/// The context in which the leader's modules act in this term. `batch` and `spare`: see [`LeaderContext`].
+/// The context in which the leader's modules act in this term. `max_changes` and `has_spare_writes`: see [`LeaderContext`].
 pub(super) fn leader_context<'a>(
     config: &'a Config,
     policy: &'a Policy,
     catalog: &'a InstanceCatalog,
     leader: LeaderTerm,
-    batch: usize,
-    spare: bool,
+    max_changes: usize,
+    has_spare_writes: bool,
 ) -> LeaderContext<'a> {
     LeaderContext {
         config,
@@ -105,8 +105,8 @@
         catalog,
         term: leader.term,
         record_version: leader.record_version,
-        max_changes: batch,
-        has_spare_writes: spare,
+        max_changes,
+        has_spare_writes,
     }
 }
 
@@ -171,14 +171,14 @@
     }
 
     /// Whether it is time for a plan.
-    fn plan_due(&self, outdated: bool) -> bool {
-        self.context.catalog.is_loaded() && self.state.plan_due(self.now, outdated)
+    fn plan_due(&self, plan_outdated: bool) -> bool {
+        self.context.catalog.is_loaded() && self.state.plan_due(self.now, plan_outdated)
     }
 
     /// Makes a plan, and all that follows from it.
     fn plan(&mut self) {
         self.state.last_plan = Some(self.now.monotonic);
-        self.report_summary();
+        self.log_summary();
         self.observe_machines();
         self.place_tasks();
         self.request_machines();
@@ -194,11 +194,11 @@
             provisioner,
             ..
         } = &mut *self.state;
-        let unreaching = scheduler.isolated_holders(now, config, self.cache);
-        for holder in &unreaching {
+        let isolated_holders = scheduler.isolated_holders(now, config, self.cache);
+        for holder in &isolated_holders {
             self.block_lease_manager.suspend_holder(now, holder);
         }
-        let health = scheduler.machine_health(now, self.cache, &unreaching);
+        let health = scheduler.machine_health(now, self.cache, &isolated_holders);
         let (cache, cancellations) = (&*self.cache, self.cancellations);
         let attempt_resolved = |block: &BlockId, attempt: &Attempt| {
             let is_holder_alive = || {
@@ -296,14 +296,14 @@
         else {
             return;
         };
-        let output = self.decide(now, leader);
+        let output = self.run_round_steps(now, leader);
         effects.extend(
             output
                 .cloud_requests
                 .into_iter()
-                .map(|(tag, call)| Effect::Cloud {
+                .map(|(tag, request)| Effect::Cloud {
                     tag,
-                    request: call,
+                    request,
                     authority_until: Some(authority_until),
                 }),
         );
@@ -315,8 +315,8 @@
 
     /// Starts with empty state if the term is new.
     fn begin_term(&mut self, now: Now, term: Term) {
-        let known = self.leader_state.as_ref();
-        if known.is_some_and(|state| state.scheduler.term() == term) {
+        let current = self.leader_state.as_ref();
+        if current.is_some_and(|state| state.scheduler.term() == term) {
             return;
         }
         self.rate_limiter.set_leading(now, true);
@@ -325,11 +325,11 @@
     }
 
     /// Runs the steps of a round.
-    fn decide(&mut self, now: Now, leader: LeaderTerm) -> RoundOutput {
-        let batch = self
+    fn run_round_steps(&mut self, now: Now, leader: LeaderTerm) -> RoundOutput {
+        let max_changes = self
             .rate_limiter
             .max_batch(self.config.state_limits.txn_ops);
-        let spare = self.rate_limiter.has_spare_writes(now);
+        let has_spare_writes = self.rate_limiter.has_spare_writes(now);
         let Some(state) = &mut self.leader_state else {
             return RoundOutput::default();
         };
@@ -340,8 +340,8 @@
                 &self.policy,
                 &self.catalog,
                 leader,
-                batch,
-                spare,
+                max_changes,
+                has_spare_writes,
             ),
             cache: &mut self.cache,
             state,
@@ -356,7 +356,7 @@
         round.write_block_leases();
         if round.plan_due(self.plan_outdated) {
             round.plan();
-            self.plans += 1;
+            self.plans_made += 1;
             self.plan_outdated = false;
         }
         round.output
--- a/src/controller/metrics_summary.rs
+++ b/src/controller/metrics_summary.rs
@@ -49,7 +49,7 @@
 
 impl LeaderRound<'_> {
     /// Logs how the service is, and sets the gauges anew, when that is due.
-    pub(super) fn report_summary(&mut self) {
+    pub(super) fn log_summary(&mut self) {
         let state = &mut *self.state;
         let last = state.last_summary;
         if last.is_some_and(|at| since(self.now, at) < SUMMARY_INTERVAL) {
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -66,7 +66,7 @@
     /// Something changed that the leader's plan depends on.
     plan_outdated: bool,
     /// The plans made so far.
-    plans: u64,
+    plans_made: u64,
     metrics: Metrics,
     last_metrics_summary: Instant,
     reports: ReportSchedule,
@@ -116,7 +116,7 @@
             job_api: JobApi::new(),
             leader_state: None,
             plan_outdated: true,
-            plans: 0,
+            plans_made: 0,
             metrics: Metrics::new(),
             last_metrics_summary: now.monotonic,
             reports: ReportSchedule::new(),
@@ -140,7 +140,7 @@
 
     /// The machines and tasks that were examined so far, the leader's plans apart, and the plans made.
     pub fn work_counts(&self) -> (u64, u64) {
-        (self.worker_fleet.items_examined(), self.plans)
+        (self.worker_fleet.items_examined(), self.plans_made)
     }
 
     /// The metrics of this process.
@@ -149,7 +149,7 @@
     }
 
     /// The users' requests, and what they need of the rest.
-    fn job_api(&mut self) -> (&mut JobApi, job_api::Context<'_, StoreTag>) {
+    fn job_api_with_context(&mut self) -> (&mut JobApi, job_api::Context<'_, StoreTag>) {
         let context = job_api::Context {
             config: &self.config,
             catalog: &self.catalog,
--- a/src/controller/operator_requests.rs
+++ b/src/controller/operator_requests.rs
@@ -8,17 +8,17 @@
 
 impl Controller {
     /// Responds to operators, as far as that can be done now.
-    pub(super) fn serve_operators(&mut self, now: Now, effects: &mut Vec<Effect>) {
+    pub(super) fn respond_to_operators(&mut self, now: Now, effects: &mut Vec<Effect>) {
         if self.operations.is_idle() {
             return;
         }
-        let authority = self.leadership.authority_until();
+        let authority_until = self.leadership.authority_until();
         let leader = self
             .leadership
             .current_term(&self.cache)
-            .filter(|_| authority.is_some_and(|until| now.monotonic < until));
+            .filter(|_| authority_until.is_some_and(|until| now.monotonic < until));
         let (Some(leader), Some(state)) = (leader, &self.leader_state) else {
-            let replies = self.operations.refer(self.other_leader());
+            let replies = self.operations.refer(self.remote_leader());
             effects.extend(
                 replies
                     .into_iter()
@@ -26,7 +26,7 @@
             );
             return;
         };
-        let batch = self
+        let max_changes = self
             .rate_limiter
             .max_batch(self.config.state_limits.txn_ops);
         let leader = leader_context(
@@ -34,7 +34,7 @@
             &self.policy,
             &self.catalog,
             leader,
-            batch,
+            max_changes,
             false,
         );
         let context = operations::Context {
@@ -50,7 +50,7 @@
     }
 
     /// The controller that leads, if it is another one, and its address.
-    fn other_leader(&self) -> Option<(ControllerName, String)> {
+    fn remote_leader(&self) -> Option<(ControllerName, String)> {
         let leader = &self.cache.leader.as_ref()?.value.controller;
         let mut peers = self.config.peers.iter();
         let peer = peers.find(|peer| peer.name == *leader)?;
--- a/src/controller/store_responses.rs
+++ b/src/controller/store_responses.rs
@@ -75,17 +75,17 @@
             }
             StoreTag::Upgrade => self.upgrade.handle_store_response(now, &outcome),
             StoreTag::Provisioning(term) => {
-                if let Some(state) = self.leader_state_of(term) {
+                if let Some(state) = self.leader_state_in_term(term) {
                     state.provisioner.handle_store_response(now, &outcome);
                 }
             }
             StoreTag::Scheduler(term) => {
-                if let Some(state) = self.leader_state_of(term) {
+                if let Some(state) = self.leader_state_in_term(term) {
                     state.scheduler.handle_store_response(now, &outcome);
                 }
             }
             StoreTag::Draining(term) => {
-                if let Some(state) = self.leader_state_of(term) {
+                if let Some(state) = self.leader_state_in_term(term) {
                     state.scheduler.handle_drain_store_response(now, &outcome);
                 }
             }
@@ -102,7 +102,7 @@
     }
 
     /// The leader's state if it is that of this term.
-    fn leader_state_of(&mut self, term: Term) -> Option<&mut LeaderState> {
+    fn leader_state_in_term(&mut self, term: Term) -> Option<&mut LeaderState> {
         self.leader_state
             .as_mut()
             .filter(|state| state.scheduler.term() == term)
@@ -116,7 +116,7 @@
         outcome: &StoreResponse,
         effects: &mut Vec<Effect>,
     ) {
-        let (job_api, mut context) = self.job_api();
+        let (job_api, mut context) = self.job_api_with_context();
         let cancelled = job_api.cancelled(id, outcome);
         let response = job_api.committed(now, id, outcome, &mut context);
         effects.extend(response.map(|response| Effect::RespondToUser { id, response }));
--- a/src/controller/tests.rs
+++ b/src/controller/tests.rs
@@ -17,7 +17,7 @@
     let config = Config::parse("s.toml", SETTINGS).expect("valid");
     let policy = Policy::built_in(&config);
     let mut controller = Controller::new(config, policy, 1, start);
-    assert!(!controller.healthy(ready_at), "nothing is known yet");
+    assert!(!controller.is_healthy(ready_at), "nothing is known yet");
     let list = InstanceTypeList {
         types: vec![crate::cloud::wire::tests::instance_type()],
     };
@@ -54,17 +54,17 @@
         ..start
     };
     let mut controller = ready_controller(start, at(5));
-    assert!(controller.healthy(at(20)));
+    assert!(controller.is_healthy(at(20)));
     controller
         .rate_limiter
         .record_response(at(2000), &StoreResponse::Refused);
-    let mut healthy = |now: Now, reaches_state_service: bool| {
+    let mut is_healthy = |now: Now, reaches_state_service: bool| {
         let sequence_number =
             now.unix_ms() + u64::try_from(since(now, start.monotonic).as_millis()).expect("short");
         let (cancelled, heard) = (Vec::new(), BTreeMap::new());
-        let node_1 = ControllerName::from("node-1");
+        let peer = ControllerName::from("node-1");
         let heartbeat = ControllerHeartbeat {
-            controller: node_1,
+            controller: peer,
             incarnation: Incarnation(1),
             sequence_number,
             reaches_state_service,
@@ -78,7 +78,7 @@
             .iter()
             .any(|effect| matches!(effect, Effect::RespondToHealthCheck { healthy: true, .. }))
     };
-    assert!(healthy(at(2100), true), "it may pass");
-    assert!(healthy(at(6000), false), "an outage for all");
-    assert!(!healthy(at(6100), true), "only ours");
+    assert!(is_healthy(at(2100), true), "it may pass");
+    assert!(is_healthy(at(6000), false), "an outage for all");
+    assert!(!is_healthy(at(6100), true), "only ours");
 }
--- a/src/controller/workers.rs
+++ b/src/controller/workers.rs
@@ -16,8 +16,8 @@
         heartbeat: Heartbeat,
         effects: &mut Vec<Effect>,
     ) {
-        let until = self.authority_until(now);
-        let authorized = now.monotonic < until;
+        let authority_until = self.authority_until(now);
+        let authorized = now.monotonic < authority_until;
         if !self.cache.machines.contains_key(&heartbeat.machine)
             && let Some(state) = &mut self.leader_state
         {
@@ -25,7 +25,7 @@
                 .provisioner
                 .observe_unrecorded_machine(now, &heartbeat);
         }
-        let answer = self.worker_fleet.handle_heartbeat(
+        let response = self.worker_fleet.handle_heartbeat(
             now,
             heartbeat,
             &self.config,
@@ -35,8 +35,8 @@
         self.reports.request_status();
         effects.push(Effect::RespondToWorker {
             id,
-            response: answer,
-            authority_until: until,
+            response,
+            authority_until,
         });
     }
 
@@ -46,11 +46,11 @@
         while self
             .rate_limiter
             .can_send_now(now, WritePriority::Placement)
-            && let writes = self.spare_writes(now)
+            && let allowance = self.write_allowance(now)
             && let Some((block, request)) = self.worker_fleet.next_transaction(
                 now,
                 &self.config,
-                writes,
+                allowance,
                 &mut self.cache,
                 &self.catalog,
             )
@@ -66,7 +66,7 @@
     }
 
     /// What the rate leaves for the holder's writes.
-    fn spare_writes(&mut self, now: Now) -> WriteAllowance {
+    fn write_allowance(&mut self, now: Now) -> WriteAllowance {
         WriteAllowance {
             max_changes: self
                 .rate_limiter
@@ -77,15 +77,15 @@
 
     /// Sends the commands that workers are to get now rather than with the response to their next heartbeat.
     pub(super) fn send_worker_commands(&mut self, now: Now, effects: &mut Vec<Effect>) {
-        let until = self.authority_until(now);
-        let authorized = now.monotonic < until;
+        let authority_until = self.authority_until(now);
+        let authorized = now.monotonic < authority_until;
         let commands =
             self.worker_fleet
                 .prepare_direct_commands(now, &self.config, &self.cache, authorized);
-        let until = authorized.then_some(until);
+        let authority_until = authorized.then_some(authority_until);
         effects.extend(commands.into_iter().map(|command| Effect::Command {
             command,
-            authority_until: until,
+            authority_until,
         }));
     }
 }
