--- a/src/block_leases/mod.rs
+++ b/src/block_leases/mod.rs
@@ -126,7 +126,7 @@
     }
 
     /// Shifts the recorded times by a pause of this process, so that the pause does not count as missed heartbeats of
-    /// others.
+    /// peers.
     pub fn process_paused(&mut self, pause: Duration) {
         for heartbeat in self.last_heartbeats.values_mut() {
             heartbeat.received_at += pause;
--- a/src/cancellation/deletion.rs
+++ b/src/cancellation/deletion.rs
@@ -24,7 +24,8 @@
     /// Returns a request that deletes machines on which a cancelled task may still run near its deadline: machines of
     /// this holder's blocks whose task is not proven ended, and machines of holders without recent heartbeats.
     ///
-    /// `incarnation` is that of this process. `is_proven_ended` says whether an attempt on a machine of this holder is.
+    /// `incarnation` is that of this process. `is_proven_ended` returns whether an attempt of this holder is proven
+    /// ended.
     pub fn poll(
         &mut self,
         now: Now,
--- a/src/cancellation/mod.rs
+++ b/src/cancellation/mod.rs
@@ -151,7 +151,7 @@
     }
 
     /// Shifts the recorded times by a pause of this process, so that the pause does not count as missed heartbeats of
-    /// others.
+    /// peers.
     pub fn process_paused(&mut self, pause: Duration) {
         self.heartbeats.process_paused(pause);
     }
--- a/src/controller/dispatcher.rs
+++ b/src/controller/dispatcher.rs
@@ -1,6 +1,7 @@
-//! Each event goes to the module that it concerns; then every module does what follows from the new state.
+//! Event handling: passes each event to its module, then advances all modules to the new state.
 //!
-//! The order of the steps in `advance` is part of the behaviour: a step sees what those before it have changed.
+//! The order of the steps in `advance` is part of the behaviour: each step sees the changes made by the steps before
+//! it.
 
 use tracing::{info, warn};
 
@@ -14,7 +15,7 @@
 use crate::store::records::FORMAT;
 
 impl Controller {
-    /// Handles an event and returns what is to be done.
+    /// Handles an event and returns the effects to perform.
     pub fn handle(&mut self, now: Now, event: Event) -> Vec<Effect> {
         let mut effects = Vec::new();
         self.detect_process_pause(now);
@@ -32,7 +33,7 @@
         effects
     }
 
-    /// Brings the event to its module.
+    /// Passes the event to its module.
     fn dispatch(&mut self, now: Now, event: Event, effects: &mut Vec<Effect>) {
         match event {
             Event::Tick => self.tick(now),
@@ -86,7 +87,7 @@
         }
     }
 
-    /// Does what follows from the present state.
+    /// Runs all steps that may be due in the current state.
     fn advance(&mut self, now: Now, effects: &mut Vec<Effect>) {
         let format = self.cache.format();
         if format > FORMAT {
@@ -116,7 +117,7 @@
         self.send_store_requests(now, effects);
     }
 
-    /// Queues a request to the state service, which goes out when the rate allows.
+    /// Queues a request to the state service, which is sent when the rate limit allows.
     pub(super) fn push_store_request(
         &mut self,
         priority: WritePriority,
@@ -124,12 +125,12 @@
         request: StoreRequest,
     ) {
         if let Err(tag) = self.rate_limiter.push(priority, tag, request) {
-            // Only modules with one request at a time come here: their queue can't be full.
-            warn!(?tag, "state service request queue full");
+            // Not expected: the modules that call this have one request in flight each, so the queue can't be full.
+            warn!(?tag, "state service request dropped: queue is full");
         }
     }
 
-    /// Sends the queued requests that the rate allows.
+    /// Sends the queued requests that the rate limit allows.
     pub(super) fn send_store_requests(&mut self, now: Now, effects: &mut Vec<Effect>) {
         let ready = self.rate_limiter.take_ready(now);
         effects.extend(
@@ -139,8 +140,8 @@
         );
     }
 
-    /// Takes up the format to which the records were switched. From then on the limits to come count as well as the
-    /// present ones.
+    /// Adopts the format that the records were switched to. From then on the next limits of the state service apply in
+    /// addition to the current ones.
     fn adopt_record_format(&mut self, now: Now) {
         if self.cache.format() == self.format {
             return;
@@ -153,7 +154,7 @@
         info!(format = self.format, ?limits, "record format adopted");
     }
 
-    /// Asks the cloud for its instance types when the list is due.
+    /// Requests the list of instance types from the cloud when a refresh is due.
     fn request_instance_catalog(&mut self, now: Now, effects: &mut Vec<Effect>) {
         if self.catalog.try_begin_refresh(now) {
             effects.push(Effect::Cloud {
@@ -164,7 +165,7 @@
         }
     }
 
-    /// Brings what is derived from the records up to date with the local copy.
+    /// Updates the state that is derived from the records if the cache has changed.
     fn apply_record_changes(&mut self, now: Now) {
         if self.cache.revision == self.applied_revision && !self.cache.has_changed() {
             return;
@@ -180,7 +181,8 @@
         self.reports.request_status();
     }
 
-    /// Deletes the machines whose cancelled tasks must be gone. It needs no authority: a cancellation is final.
+    /// Deletes machines that may still run cancelled tasks near their deadline. This needs no authority, since a
+    /// cancellation is final.
     fn delete_machines_of_cancelled_tasks(&mut self, now: Now, effects: &mut Vec<Effect>) {
         let is_proven_ended = |block: &BlockId, machine: &MachineId, attempt: &Attempt| {
             self.worker_fleet.is_proven_ended(block, machine, attempt)
--- a/src/controller/events.rs
+++ b/src/controller/events.rs
@@ -1,7 +1,7 @@
-//! What a controller is given and what it asks for: events, effects, and the tag that leads the response of the state
-//! service back to the module that sent the request.
+//! The interface of the controller's state machine: events, effects, and the tag that routes a response of the state
+//! service to the module that sent the request.
 //!
-//! The service and the simulation build events and carry out effects; nothing here has behaviour of its own.
+//! The service and the simulation build events and perform effects. These types have no behaviour.
 
 use std::time::Instant;
 
@@ -16,17 +16,17 @@
 use crate::workers::{CommandOutcome, DirectCommand, HeartbeatResponse};
 use crate::{leadership, provisioning};
 
-/// Which module sent a request to the state service. What belongs to a term names it, so that a response for an earlier
-/// term is ignored.
+/// The module that sent a request to the state service. Requests of the leader carry their term, so that responses to
+/// requests of an earlier term are ignored.
 #[derive(Debug, Clone, PartialEq)]
 pub enum StoreTag {
-    /// The local copy of the records.
+    /// The cache of the records.
     WatchCache(cache::Tag),
     /// Membership and leader election.
     Leadership(leadership::Tag),
     /// A user's request.
     JobApi(RequestId),
-    /// The leases of the blocks, written by the leader.
+    /// The block leases, written by the leader.
     BlockLeases(Term),
     /// The switch of the record format.
     Upgrade,
@@ -42,66 +42,66 @@
     Block {
         /// The block.
         block: BlockId,
-        /// The version of the block lease under which they are written.
+        /// The version of the block lease under which the placements are written.
         lease_version: u64,
     },
 }
 
-/// Something that has happened and that a controller must handle.
+/// An input to the controller.
 #[derive(Debug)]
 pub enum Event {
-    /// Time has passed.
+    /// The periodic timer has fired.
     Tick,
     /// A user submits a job.
     Submit {
-        /// Names the request in its response.
+        /// The id of the request, repeated in the response.
         id: RequestId,
         /// The body of the request.
         body: Vec<u8>,
     },
-    /// A user asks for the state of a job.
+    /// A user requests the state of a job.
     Poll {
-        /// Names the request in its response.
+        /// The id of the request, repeated in the response.
         id: RequestId,
         /// The job's id as the user wrote it.
         job: String,
     },
     /// A user cancels a job.
     Cancel {
-        /// Names the request in its response.
+        /// The id of the request, repeated in the response.
         id: RequestId,
         /// The job's id as the user wrote it.
         job: String,
     },
-    /// The load balancer checks this controller's health.
+    /// The load balancer checks the health of this controller.
     Health {
-        /// Names the request in its response.
+        /// The id of the request, repeated in the response.
         id: RequestId,
     },
     /// An operator sends a request.
     OperatorRequest {
-        /// Names the request in its response.
+        /// The id of the request, repeated in the response.
         id: RequestId,
         /// The request.
         request: operator::Request,
     },
-    /// A worker sends its heartbeat.
+    /// A worker sends a heartbeat.
     Heartbeat {
-        /// Names the request in its response.
+        /// The id of the request, repeated in the response.
         id: RequestId,
         /// The heartbeat.
         heartbeat: Heartbeat,
     },
-    /// The state service has responded, or has not in time.
+    /// A request to the state service was answered or has timed out.
     StoreResponse {
         /// The tag of the request.
         tag: StoreTag,
         /// When the request was sent.
         sent: Instant,
-        /// What became of it.
+        /// The outcome of the request.
         outcome: StoreResponse,
     },
-    /// A worker has answered a direct command, or has not in time.
+    /// A direct command to a worker was answered or has timed out.
     CommandCompleted {
         /// The block of the worker's machine.
         block: BlockId,
@@ -109,43 +109,43 @@
         machine: MachineId,
         /// The commands that were sent.
         commands: WorkerCommands,
-        /// What became of them.
+        /// The outcome of the commands.
         outcome: CommandOutcome,
     },
-    /// The cloud has responded, or has not in time.
+    /// A request to the cloud was answered or has timed out.
     CloudResponse {
         /// The tag of the request.
         tag: provisioning::CloudRequestPurpose,
-        /// What became of it.
+        /// The outcome of the request.
         outcome: CloudResponse,
     },
     /// Another controller has sent a message.
     Peer(Message),
 }
 
-/// What a controller asks whoever runs it to do.
+/// An output of the controller, performed by the service or the simulation.
 ///
-/// `authority_until`: the end of the authority under which it was decided. The sender compares it with the clock once more; without
-/// one no authority is needed.
+/// `authority_until` is the end of the authority under which the effect was decided. The sender checks it against the
+/// clock again before sending. None means that no authority is required.
 #[derive(Debug)]
 pub enum Effect {
     /// Send a request to the state service.
     Store {
-        /// Comes back with the response.
+        /// The tag, returned with the response.
         tag: StoreTag,
         /// The request.
         request: StoreRequest,
     },
     /// Send commands to a worker.
     Command {
-        /// The commands and where they go.
+        /// The commands and their destination.
         command: DirectCommand,
         /// The end of the authority.
         authority_until: Option<Instant>,
     },
     /// Send a request to the cloud.
     Cloud {
-        /// Comes back with the response.
+        /// The tag, returned with the response.
         tag: provisioning::CloudRequestPurpose,
         /// The request.
         request: CloudRequest,
@@ -154,21 +154,21 @@
     },
     /// Send a message to another controller.
     Peer {
-        /// The controller.
+        /// The receiver.
         to: ControllerName,
         /// The message.
         message: Message,
     },
     /// Respond to a user.
     RespondToUser {
-        /// The request.
+        /// The id of the request.
         id: RequestId,
         /// The response.
         response: Response,
     },
     /// Respond to a worker's heartbeat.
     RespondToWorker {
-        /// The request.
+        /// The id of the request.
         id: RequestId,
         /// The response.
         response: HeartbeatResponse,
@@ -177,19 +177,19 @@
     },
     /// Respond to a health check.
     RespondToHealthCheck {
-        /// The request.
+        /// The id of the request.
         id: RequestId,
         /// Whether users should be sent to this controller.
         healthy: bool,
     },
     /// Respond to an operator.
     RespondToOperator {
-        /// The request.
+        /// The id of the request.
         id: RequestId,
         /// The response.
         reply: operator::Reply,
     },
-    /// The records are in a format newer than this program knows: the process must end.
+    /// The records are in a newer format than this program supports: the process must exit.
     UnsupportedFormat {
         /// The format of the records.
         format: u32,
--- a/src/controller/health.rs
+++ b/src/controller/health.rs
@@ -1,4 +1,5 @@
-//! What time alone decides: health for the load balancer, the end of this holder's authority, process pauses, the tick.
+//! Time-dependent state: health for the load balancer, the end of this holder's authority, process pauses, and the
+//! tick.
 
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
@@ -8,22 +9,24 @@
 use super::Controller;
 use crate::domain::{ControllerName, Now, since};
 
-/// Events come with every tick. If none came for this long, the process was paused while its clocks ran on.
+/// The minimum gap between two events that counts as a pause of the process. Every tick is an event, so that a longer
+/// gap means that the process was paused while its clocks continued.
 const MIN_PROCESS_PAUSE: Duration = Duration::from_secs(1);
-/// How long only this controller must be without the state service before users are sent elsewhere.
+/// How long this controller alone must be unable to reach the state service before it reports itself unhealthy.
 const ISOLATION_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// Who reachable the state service: this controller, and the others by what they last said.
+/// The reachability of the state service from this controller and, as last reported, from its peers.
 #[derive(Debug, Default)]
 pub(super) struct StateServiceReachability {
-    /// When each of the others last said that it reachable it. Without entry: it last said that it doesn't.
+    /// When each peer last reported that it reaches the state service. A peer whose last report says that it does not
+    /// has no entry.
     peers_reached_at: BTreeMap<ControllerName, Instant>,
-    /// Since when this controller doesn't.
+    /// The time since which this controller can't reach the state service.
     unreachable_since: Option<Instant>,
 }
 
 impl StateServiceReachability {
-    /// Records whether this controller reachable it now.
+    /// Records whether the state service is reachable from this controller now.
     pub(super) fn record_own(&mut self, now: Now, reachable: bool) {
         self.unreachable_since = if reachable {
             None
@@ -32,7 +35,7 @@
         };
     }
 
-    /// Records what another controller said.
+    /// Records a report of a peer.
     pub(super) fn record_peer(&mut self, now: Now, peer: ControllerName, reachable: bool) {
         if reachable {
             self.peers_reached_at.insert(peer, now.monotonic);
@@ -41,7 +44,8 @@
         }
     }
 
-    /// Whether this controller has not reached it for a while and another one has.
+    /// Whether this controller has been unable to reach the state service for [`ISOLATION_TIMEOUT`] while a peer
+    /// reached it.
     fn is_isolated(&self, now: Now) -> bool {
         self.unreachable_since
             .is_some_and(|at| since(now, at) > ISOLATION_TIMEOUT)
@@ -53,14 +57,16 @@
 }
 
 impl Controller {
-    /// Whether users should come here. Not if only this controller can't reach the state service; during an outage for all,
-    /// staying is better than being taken out, since coming back takes the load balancer its time.
+    /// Whether the load balancer should send users to this controller. False if only this controller can't reach the
+    /// state service. During an outage for all controllers it stays healthy, because a load balancer takes time to
+    /// add a controller again.
     pub(super) fn is_healthy(&self, now: Now) -> bool {
         self.cache.ready() && self.catalog.is_loaded() && !self.reachability.is_isolated(now)
     }
 
-    /// Until when the known block leases may be acted on: counted from before they were asked for. That others may hold
-    /// them by now is what fencing tokens are for; what has an end is how long a cancellation may be unknown here.
+    /// The time until which this holder may act on the cached block leases, counted from before they were read. Fencing
+    /// tokens guard against another holder of the same block; this limit bounds how long a cancellation may be unknown
+    /// here.
     pub(super) fn authority_until(&self, now: Now) -> Instant {
         let known_until = self.cache.current_as_of().map(|cache_as_of| {
             self.cancellations
@@ -72,7 +78,8 @@
         })
     }
 
-    /// Silence of others during a pause of this process is not theirs: the pause is added to when they were last heard.
+    /// Detects a pause of this process and adds it to the times of the last heartbeats, so that the pause does not
+    /// count as missed heartbeats of peers.
     pub(super) fn detect_process_pause(&mut self, now: Now) {
         let pause = since(now, std::mem::replace(&mut self.last_event, now.monotonic));
         if pause > MIN_PROCESS_PAUSE {
@@ -83,7 +90,7 @@
         }
     }
 
-    /// What is done with every tick.
+    /// Handles the periodic timer.
     pub(super) fn tick(&mut self, now: Now) {
         self.worker_fleet.tick(now, &self.config, &self.policy);
         for accepted_ms in self.worker_fleet.take_accept_times_of_started_tasks() {
@@ -94,8 +101,8 @@
         self.log_metrics(now);
     }
 
-    /// Records how long the last event took to handle, as whoever runs this controller measured it. `now` is the time
-    /// that the event was handled at.
+    /// Records how long the last event took to handle, as measured by the caller. `now` is the time passed with the
+    /// event.
     pub fn record_event_duration(&mut self, now: Now, duration: Duration) {
         self.metrics.record_event_duration(duration);
         if let Some(state) = &mut self.leader_state {
--- a/src/controller/leader_round.rs
+++ b/src/controller/leader_round.rs
@@ -1,8 +1,9 @@
-//! The leader's round: while this process leads and its authority lasts, it switches formats, leases blocks, and plans.
+//! The leader's round: while this process leads and its authority lasts, it switches record formats, leases blocks, and
+//! makes plans.
 //!
-//! A plan reads all machines and jobs, so that plans are paced by the time that they take. Everything that a round decides
-//! is gathered in `RoundOutput` and goes out afterwards: requests to the cloud with the end of the leader's authority, for
-//! they are conditioned on nothing; writes conditioned on the leader record.
+//! A plan reads all machines and jobs, so the interval between plans depends on the time that they take. The decisions
+//! of a round are collected in `RoundOutput` and sent afterwards. Writes are conditioned on the leader record; requests
+//! to the cloud carry no condition and are therefore sent with the end of the leader's authority.
 
 use std::collections::BTreeSet;
 use std::time::{Duration, Instant};
@@ -26,30 +27,30 @@
 use crate::store::{StoreRequest, WatchCache};
 use crate::upgrade::Upgrade;
 
-/// Between two plans at least, and ...
+/// The minimum time between two plans.
 const MIN_PLAN_INTERVAL: Duration = Duration::from_millis(40);
-/// ... at least when nothing has changed since the last one.
+/// The minimum time between two plans if nothing has changed since the last one.
 const UNCHANGED_PLAN_INTERVAL: Duration = Duration::from_millis(500);
-/// Between two plans at most, however long they take.
+/// The maximum time between two plans, however long plans take.
 const MAX_PLAN_INTERVAL: Duration = Duration::from_secs(2);
-/// The part of the time that plans may take: a plan delays every response.
+/// The maximum fraction of the time spent on plans, since a plan delays every response.
 const PLAN_TIME_FRACTION: f64 = 0.2;
 
-/// What the leader keeps for its term.
+/// The state of the leader during its term.
 pub(super) struct LeaderState {
     pub(super) scheduler: Scheduler,
     pub(super) provisioner: Provisioner,
-    /// What the last plan lacks.
+    /// The demand for machines as of the last plan.
     pub(super) demand: Demand,
     /// When the last summary was logged.
     pub(super) last_summary: Option<Instant>,
     last_plan: Option<Instant>,
-    /// The time between two plans, by how long the last ones took.
+    /// The time between two plans, adapted to the duration of the last plans.
     plan_interval: Duration,
 }
 
 impl LeaderState {
-    /// The state at the beginning of a term: nothing is known.
+    /// Creates the empty state at the beginning of a term.
     fn new(now: Now, term: Term, features: &Features) -> Self {
         let scheduler = Scheduler::new(now, term);
         let settings = &features.drain;
@@ -68,7 +69,7 @@
         }
     }
 
-    /// Whether it is time for a plan. `plan_outdated`: something has changed since the last one.
+    /// Whether a plan is due. `plan_outdated`: something has changed since the last plan.
     fn plan_due(&self, now: Now, plan_outdated: bool) -> bool {
         let interval = if plan_outdated {
             self.plan_interval
@@ -78,7 +79,8 @@
         self.last_plan.is_none_or(|at| since(now, at) >= interval)
     }
 
-    /// Adapts the interval if a plan was made in the event of this time, whose duration is nearly all the plan's.
+    /// Adapts the interval between plans if the event handled at this time made a plan. Nearly all of the event's
+    /// duration is then the plan's.
     pub(super) fn record_plan_duration(&mut self, now: Now, duration: Duration) {
         if self.last_plan != Some(now.monotonic) {
             return;
@@ -90,7 +92,7 @@
     }
 }
 
-/// The context in which the leader's modules act in this term. `max_changes` and `has_spare_writes`: see [`LeaderContext`].
+/// Returns the context in which the leader's modules act in this term. For the parameters see [`LeaderContext`].
 pub(super) fn leader_context<'a>(
     config: &'a Config,
     policy: &'a Policy,
@@ -110,14 +112,14 @@
     }
 }
 
-/// A write that a round has decided.
+/// A write decided in a round.
 struct PendingWrite {
     priority: WritePriority,
     tag: StoreTag,
     request: StoreRequest,
 }
 
-/// What a round has decided.
+/// The decisions of a round.
 #[derive(Default)]
 struct RoundOutput {
     writes: Vec<PendingWrite>,
@@ -135,7 +137,7 @@
     }
 }
 
-/// One round: what its steps read and change.
+/// One round: the state that its steps read and change.
 pub(super) struct LeaderRound<'a> {
     pub(super) now: Now,
     context: LeaderContext<'a>,
@@ -145,20 +147,20 @@
     upgrade: &'a mut Upgrade,
     block_lease_manager: &'a mut BlockLeaseManager,
     cancellations: &'a Cancellations,
-    /// Zones of which a controller has sent a heartbeat to this process.
+    /// Zones with a controller that has sent a heartbeat to this process.
     heard_zones: &'a BTreeSet<Zone>,
     output: RoundOutput,
 }
 
 impl LeaderRound<'_> {
-    /// Switches to a newer record format once every controller knows it.
+    /// Switches to a newer record format once every controller supports it.
     fn switch_record_format(&mut self) {
         let request = self.upgrade.poll(self.now, &self.context, self.cache);
         self.output
             .write(WritePriority::Lease, StoreTag::Upgrade, request);
     }
 
-    /// Leases blocks to controllers. Zones are known by the catalogue only.
+    /// Leases blocks to controllers. Requires the instance catalogue, which is the only source of the zones.
     fn write_block_leases(&mut self) {
         if !self.context.catalog.is_loaded() {
             return;
@@ -170,12 +172,12 @@
         self.output.write(WritePriority::Lease, tag, request);
     }
 
-    /// Whether it is time for a plan.
+    /// Whether a plan is due and the instance catalogue is loaded.
     fn plan_due(&self, plan_outdated: bool) -> bool {
         self.context.catalog.is_loaded() && self.state.plan_due(self.now, plan_outdated)
     }
 
-    /// Makes a plan, and all that follows from it.
+    /// Makes a plan and collects the requests, writes and messages that result from it.
     fn plan(&mut self) {
         self.state.last_plan = Some(self.now.monotonic);
         self.log_summary();
@@ -186,7 +188,7 @@
         self.collect_assignment_updates();
     }
 
-    /// Takes in how holders and machines are. Holders that can't reach their machines lose their blocks.
+    /// Updates the health of holders and machines. Holders that can't reach their machines are suspended.
     fn observe_machines(&mut self) {
         let (now, config) = (self.now, self.context.config);
         let LeaderState {
@@ -220,7 +222,7 @@
         provisioner.update_drained_scopes(cache);
     }
 
-    /// Decides where tasks go, and what machines are lacking for them.
+    /// Decides the placement of tasks, and the machines required for tasks without capacity.
     fn place_tasks(&mut self) {
         let LeaderState {
             scheduler,
@@ -231,7 +233,7 @@
         *demand = scheduler.plan(self.now, &self.context, self.cache, provisioner);
     }
 
-    /// Rents and returns machines by what is demanded.
+    /// Requests and returns machines according to the demand.
     fn request_machines(&mut self) {
         let LeaderState {
             provisioner,
@@ -243,7 +245,7 @@
         self.output.cloud_requests.extend(requests);
     }
 
-    /// WriteAllowance the states of drains, the jobs' progress and the machine inventory.
+    /// Writes the states of drains, the progress of jobs and the machine inventory.
     fn write_records(&mut self) {
         let (now, term) = (self.now, self.context.term);
         let LeaderState {
@@ -267,7 +269,7 @@
         self.output.write(WritePriority::Placement, tag, request);
     }
 
-    /// Collects what holders are to be told of their blocks.
+    /// Collects the assignment updates for holders.
     fn collect_assignment_updates(&mut self) {
         let LeaderState {
             scheduler,
@@ -280,7 +282,7 @@
 }
 
 impl Controller {
-    /// Does what this process does as leader, if it leads and is certain of it.
+    /// Runs a round if this process is the leader and its authority has not expired.
     pub(super) fn run_leader_round(&mut self, now: Now, effects: &mut Vec<Effect>) {
         let Some(leader) = self.leadership.current_term(&self.cache) else {
             if self.leader_state.take().is_some() {
@@ -313,7 +315,7 @@
         self.send_assignment_updates(now, output.assignment_updates, effects);
     }
 
-    /// Starts with empty state if the term is new.
+    /// Replaces the leader's state by an empty one if the term is new.
     fn begin_term(&mut self, now: Now, term: Term) {
         let current = self.leader_state.as_ref();
         if current.is_some_and(|state| state.scheduler.term() == term) {
@@ -324,7 +326,7 @@
         self.reports.request_status();
     }
 
-    /// Runs the steps of a round.
+    /// Runs the steps of a round and returns its decisions.
     fn run_round_steps(&mut self, now: Now, leader: LeaderTerm) -> RoundOutput {
         let max_changes = self
             .rate_limiter
--- a/src/controller/metrics_summary.rs
+++ b/src/controller/metrics_summary.rs
@@ -1,4 +1,4 @@
-//! The lines that sum up once a minute what this process has done and, on the leader, how the service is.
+//! Periodic log lines that summarize the metrics of this process and, on the leader, the state of the cluster.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -10,11 +10,11 @@
 use crate::domain::{Now, since};
 use crate::metrics::Metrics;
 
-/// Between two summaries.
+/// The time between two summaries.
 const SUMMARY_INTERVAL: Duration = Duration::from_secs(60);
 
 impl Controller {
-    /// Logs the metrics of this process when that is due.
+    /// Logs the metrics of this process when a summary is due.
     pub(super) fn log_metrics(&mut self, now: Now) {
         if since(now, self.last_metrics_summary) < SUMMARY_INTERVAL {
             return;
@@ -48,7 +48,7 @@
 }
 
 impl LeaderRound<'_> {
-    /// Logs how the service is, and sets the gauges anew, when that is due.
+    /// Updates the leader's gauges and logs the state of the cluster when a summary is due.
     pub(super) fn log_summary(&mut self) {
         let state = &mut *self.state;
         let last = state.last_summary;
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -1,8 +1,8 @@
-//! One controller: all modules together, as one state machine.
+//! The controller: a state machine that combines all modules of one process.
 //!
-//! The service, and in tests the simulation, gives it events and carries out the effects that it returns. It reads no clock
-//! and does no I/O, so that the tests drive whole clusters of it through simulated time. Each event is handled to its end
-//! before the next one; nothing here blocks.
+//! The service, or the simulation in tests, passes events to it and performs the effects that it returns. It reads no
+//! clock and does no I/O, so that tests can run whole clusters of controllers in simulated time. Each event is
+//! handled completely before the next one, and nothing here blocks.
 
 use std::collections::BTreeSet;
 use std::time::Instant;
@@ -42,7 +42,7 @@
 use leader_round::LeaderState;
 use peer_messages::ReportSchedule;
 
-/// A controller process.
+/// The state of a controller process.
 pub struct Controller {
     config: Config,
     policy: Policy,
@@ -61,32 +61,32 @@
     catalog: InstanceCatalog,
     worker_fleet: WorkerFleet,
     job_api: JobApi,
-    /// While this process leads.
+    /// The state of the leader; None while this process does not lead.
     leader_state: Option<LeaderState>,
-    /// Something changed that the leader's plan depends on.
+    /// Whether a change since the last plan may affect the leader's plan.
     plan_outdated: bool,
-    /// The plans made so far.
+    /// The number of plans made since the process started.
     plans_made: u64,
     metrics: Metrics,
     last_metrics_summary: Instant,
     reports: ReportSchedule,
     reachability: StateServiceReachability,
-    /// Zones of which a controller has sent a heartbeat to this process.
+    /// Zones with a controller that has sent a heartbeat to this process.
     heard_zones: BTreeSet<Zone>,
-    /// The revision of the local copy that `apply_record_changes` has seen last.
+    /// The revision of the cache at the last run of `apply_record_changes`.
     applied_revision: u64,
     /// When the last event was handled.
     last_event: Instant,
 }
 
 impl Controller {
-    /// A controller of this version. `seed`: of the incarnation and of all random choices.
+    /// Creates a controller of this version. `seed` determines the incarnation and all random choices.
     pub fn new(config: Config, policy: Policy, seed: u64, now: Now) -> Self {
         Controller::with_record_format(FORMAT, config, policy, seed, now)
     }
 
-    /// A controller that tells the others that it knows records up to this format: 0 as the production version, which
-    /// does not say.
+    /// Creates a controller that registers as supporting record formats up to `format`: 0 for the production version,
+    /// which does not register a format.
     pub fn with_record_format(
         format: u32,
         config: Config,
@@ -127,18 +127,19 @@
         }
     }
 
-    /// With what operators have switched on.
+    /// Sets the features that operators have enabled.
     pub fn with_features(mut self, features: Features) -> Self {
         self.features = features;
         self
     }
 
-    /// The local copy of the records.
+    /// The cache of the state service's records.
     pub fn cache(&self) -> &WatchCache {
         &self.cache
     }
 
-    /// The machines and tasks that were examined so far, the leader's plans apart, and the plans made.
+    /// Returns the number of machines and tasks examined so far, without those in the leader's plans, and the number of
+    /// plans made.
     pub fn work_counts(&self) -> (u64, u64) {
         (self.worker_fleet.items_examined(), self.plans_made)
     }
@@ -148,7 +149,7 @@
         &mut self.metrics
     }
 
-    /// The users' requests, and what they need of the rest.
+    /// Returns the job API and the context that its methods need.
     fn job_api_with_context(&mut self) -> (&mut JobApi, job_api::Context<'_, StoreTag>) {
         let context = job_api::Context {
             config: &self.config,
--- a/src/controller/operator_requests.rs
+++ b/src/controller/operator_requests.rs
@@ -1,4 +1,4 @@
-//! Operators' requests: the leader serves them, any other controller names the leader.
+//! Requests of operators: the leader handles them, any other controller responds with the leader's address.
 
 use super::leader_round::leader_context;
 use super::{Controller, Effect, StoreTag};
@@ -7,7 +7,7 @@
 use crate::store::rate_limiter::WritePriority;
 
 impl Controller {
-    /// Responds to operators, as far as that can be done now.
+    /// Responds to pending requests of operators, as far as the responses are available.
     pub(super) fn respond_to_operators(&mut self, now: Now, effects: &mut Vec<Effect>) {
         if self.operations.is_idle() {
             return;
@@ -49,7 +49,7 @@
         effects.extend(replies.map(|(id, reply)| Effect::RespondToOperator { id, reply }));
     }
 
-    /// The controller that leads, if it is another one, and its address.
+    /// The name and address of the leader if another controller leads.
     fn remote_leader(&self) -> Option<(ControllerName, String)> {
         let leader = &self.cache.leader.as_ref()?.value.controller;
         let mut peers = self.config.peers.iter();
--- a/src/controller/peer_messages.rs
+++ b/src/controller/peer_messages.rs
@@ -1,7 +1,7 @@
-//! Messages of other controllers and to them.
+//! Messages from and to other controllers.
 //!
-//! None is trusted beyond what the conditions of the state service allow. A message to this controller itself, such as the
-//! status of a holder that also leads, is handled at once and never sent.
+//! Messages are not trusted beyond what the conditions of the state service's transactions allow. A message to this
+//! controller itself, such as the status of a holder that is also the leader, is handled directly and not sent.
 
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
@@ -12,22 +12,22 @@
     AssignmentUpdate, BlockStatus, CancelledJob, ControllerHeartbeat, ControllerStatus, Message,
 };
 
-/// Between two heartbeats, and between two statuses when nothing is new.
+/// The time between two heartbeats, and between two statuses if nothing has changed.
 const REPORT_INTERVAL: Duration = Duration::from_millis(1000);
-/// Between two statuses when something is new.
+/// The minimum time between two statuses if something has changed.
 const MIN_STATUS_INTERVAL: Duration = Duration::from_millis(100);
 
-/// When the next heartbeat and the next status are due.
+/// The schedule of heartbeats and statuses.
 #[derive(Debug)]
 pub(super) struct ReportSchedule {
     last_heartbeat: Option<Instant>,
     last_status: Option<Instant>,
-    /// Whether a block's state may have changed since the last status.
+    /// Whether the state of a block may have changed since the last status.
     status_requested: bool,
 }
 
 impl ReportSchedule {
-    /// Nothing was sent yet: both are due.
+    /// Creates a schedule in which both are due immediately.
     pub(super) fn new() -> Self {
         ReportSchedule {
             last_heartbeat: None,
@@ -36,7 +36,7 @@
         }
     }
 
-    /// Something may have changed that the leader should know soon.
+    /// Requests a status soon because a change may concern the leader.
     pub(super) fn request_status(&mut self) {
         self.status_requested = true;
     }
@@ -57,12 +57,12 @@
 }
 
 impl Controller {
-    /// Handles a message of another controller, or of this one to itself.
+    /// Handles a message from another controller or from this controller to itself.
     pub(super) fn handle_peer_message(&mut self, now: Now, message: Message) {
         match message {
             Message::Status(status) => self.handle_status(now, status),
             Message::Cancelled(jobs) => {
-                // Repeated by all that know of them: one that finds no room comes again.
+                // Cancellations that can't be stored now are repeated in heartbeats.
                 self.apply_cancellations(jobs);
             }
             Message::Heartbeat(heartbeat) => self.handle_heartbeat(now, heartbeat),
@@ -75,7 +75,8 @@
         }
     }
 
-    /// A holder's status. What it says of blocks counts only if it comes from the process that holds them.
+    /// Handles a holder's status. The status of a block is ignored unless it comes from the process that holds the
+    /// block.
     fn handle_status(&mut self, now: Now, status: ControllerStatus) {
         self.block_lease_manager
             .record_heartbeat(now, &status.controller, status.incarnation);
@@ -95,7 +96,7 @@
         }
     }
 
-    /// The status of one block, by its holder.
+    /// Handles the status of a block from its holder.
     fn handle_block_status(&mut self, now: Now, block: BlockStatus) {
         if block.token_renewal_required {
             self.block_lease_manager
@@ -128,7 +129,7 @@
             .record_peer(now, controller, reaches_state_service);
     }
 
-    /// Enters cancellations into the local copy. Returns whether there was room for all of them.
+    /// Applies cancellations to the cache. Returns whether all of them could be stored.
     pub(super) fn apply_cancellations(
         &mut self,
         jobs: impl IntoIterator<Item = CancelledJob>,
@@ -145,7 +146,7 @@
         all_stored
     }
 
-    /// Sends this controller's heartbeat to all others when it is due.
+    /// Sends this controller's heartbeat to all other controllers when it is due.
     pub(super) fn broadcast_heartbeat(&mut self, now: Now, effects: &mut Vec<Effect>) {
         let reaches_state_service = self.rate_limiter.available(now);
         self.reachability.record_own(now, reaches_state_service);
@@ -203,7 +204,7 @@
         }
     }
 
-    /// Sends the leader's assignments to the holders of their blocks, in one message each.
+    /// Sends the leader's assignment updates to the holders of the blocks, in one message per holder.
     pub(super) fn send_assignment_updates(
         &mut self,
         now: Now,
--- a/src/controller/store_responses.rs
+++ b/src/controller/store_responses.rs
@@ -1,6 +1,6 @@
-//! Responses of the state service and of the cloud: each goes to the module that sent the request.
+//! Responses of the state service and of the cloud, passed to the module that sent the request.
 //!
-//! A response to what the leader sent counts only in the term in which it was sent.
+//! Responses to requests of the leader are ignored after the end of the term in which they were sent.
 
 use std::time::Instant;
 
@@ -16,8 +16,8 @@
 use crate::store::StoreResponse;
 use crate::store::rate_limiter::WritePriority;
 
-/// The module by which a request's transaction is counted. None: it is part of the upkeep of leases and of the local copy
-/// and not counted.
+/// The module label under which a request's transaction is counted. None for requests that maintain leases and the
+/// cache, which are not counted.
 fn transaction_module(tag: &StoreTag) -> Option<&'static str> {
     match tag {
         StoreTag::WatchCache(_) | StoreTag::Leadership(_) => None,
@@ -101,14 +101,15 @@
         }
     }
 
-    /// The leader's state if it is that of this term.
+    /// The leader's state if it belongs to this term.
     fn leader_state_in_term(&mut self, term: Term) -> Option<&mut LeaderState> {
         self.leader_state
             .as_mut()
             .filter(|state| state.scheduler.term() == term)
     }
 
-    /// A user's transaction has been answered. A cancellation that was committed is told to the other controllers at once.
+    /// Handles the response to a user's transaction. A committed cancellation is sent to the other controllers
+    /// immediately.
     fn handle_job_response(
         &mut self,
         now: Now,
--- a/src/controller/tests.rs
+++ b/src/controller/tests.rs
@@ -1,4 +1,4 @@
-//! When users are sent elsewhere.
+//! Tests of the health check for the load balancer.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -12,12 +12,15 @@
 use crate::provisioning;
 use crate::store::{StoreResponse, cache};
 
-/// A controller that knows the instance types and has read an empty state service.
+/// Returns a controller that has loaded the instance types and has read an empty state service.
 fn ready_controller(start: Now, ready_at: Now) -> Controller {
     let config = Config::parse("s.toml", SETTINGS).expect("valid");
     let policy = Policy::built_in(&config);
     let mut controller = Controller::new(config, policy, 1, start);
-    assert!(!controller.is_healthy(ready_at), "nothing is known yet");
+    assert!(
+        !controller.is_healthy(ready_at),
+        "the cache and the catalogue are not loaded"
+    );
     let list = InstanceTypeList {
         types: vec![crate::cloud::wire::tests::instance_type()],
     };
@@ -78,7 +81,16 @@
             .iter()
             .any(|effect| matches!(effect, Effect::RespondToHealthCheck { healthy: true, .. }))
     };
-    assert!(is_healthy(at(2100), true), "it may pass");
-    assert!(is_healthy(at(6000), false), "an outage for all");
-    assert!(!is_healthy(at(6100), true), "only ours");
+    assert!(
+        is_healthy(at(2100), true),
+        "the outage is shorter than ISOLATION_TIMEOUT"
+    );
+    assert!(
+        is_healthy(at(6000), false),
+        "the outage affects all controllers"
+    );
+    assert!(
+        !is_healthy(at(6100), true),
+        "only this controller can't reach the state service"
+    );
 }
--- a/src/controller/workers.rs
+++ b/src/controller/workers.rs
@@ -1,4 +1,4 @@
-//! The controller as a holder of blocks: workers' heartbeats, the commands to them, and the writes of their placements.
+//! The controller as a holder of blocks: heartbeats of workers, commands to workers, and writes of placements.
 
 use super::{Controller, Effect, StoreTag};
 use crate::domain::Now;
@@ -40,8 +40,8 @@
         });
     }
 
-    /// WriteAllowance placements of blocks while the state service's rate allows. Each request is sent before the next one is made
-    /// up, since what is spare decides how large that one may be.
+    /// Writes placements of blocks while the state service's rate limit allows. Each request is sent before the next
+    /// one is built, since the remaining rate determines the size of the next one.
     pub(super) fn write_placements(&mut self, now: Now, effects: &mut Vec<Effect>) {
         while self
             .rate_limiter
@@ -65,7 +65,7 @@
         }
     }
 
-    /// What the rate leaves for the holder's writes.
+    /// The writes that the rate limit currently allows this holder.
     fn write_allowance(&mut self, now: Now) -> WriteAllowance {
         WriteAllowance {
             max_changes: self
@@ -75,7 +75,7 @@
         }
     }
 
-    /// Sends the commands that workers are to get now rather than with the response to their next heartbeat.
+    /// Sends the commands that can't wait for the workers' next heartbeats.
     pub(super) fn send_worker_commands(&mut self, now: Now, effects: &mut Vec<Effect>) {
         let authority_until = self.authority_until(now);
         let authorized = now.monotonic < authority_until;
