--- a/tests/simulation/digest.rs
+++ b/tests/simulation/digest.rs
@@ -11,8 +11,8 @@
 use dappleshore::http::{Method, write};
 use dappleshore::job_api::Response;
 use dappleshore::store::records::FORMAT;
-use dappleshore::workers::HeartbeatResponse;
 use dappleshore::workers::wire::RedirectBody;
+use dappleshore::workers::{DirectCommand, HeartbeatResponse};
 use dappleshore::{cloud, store};
 use dappleshore_drain::{DrainSettings, Limit, Scope};
 
@@ -75,6 +75,20 @@
         }
     }
 
+    /// Takes in a direct command to a worker, and the end of the authority under which it is sent.
+    fn command(
+        &mut self,
+        base: Instant,
+        command: &DirectCommand,
+        authority_until: Option<Instant>,
+    ) {
+        self.field(command.block.0.as_bytes());
+        self.field(command.machine.0.as_bytes());
+        self.field(command.addr.as_bytes());
+        self.field(&write(&command.body));
+        self.until(base, authority_until);
+    }
+
     /// Takes in a response to a user.
     fn response(&mut self, response: &Response) {
         match response {
@@ -119,32 +133,25 @@
         self.number(controller as u64);
         self.duration(now);
         match effect {
-            Effect::Store {
-                tag: _,
-                request: op,
-            } => {
+            Effect::Store { tag: _, request } => {
                 self.number(1);
-                self.request(&store::wire::request(op));
+                self.request(&store::wire::request(request));
             }
             Effect::Command {
                 command,
-                authority_until: until,
+                authority_until,
             } => {
                 self.number(2);
-                self.field(command.block.0.as_bytes());
-                self.field(command.machine.0.as_bytes());
-                self.field(command.addr.as_bytes());
-                self.field(&write(&command.body));
-                self.until(base, *until);
+                self.command(base, command, *authority_until);
             }
             Effect::Cloud {
                 tag: _,
-                request: call,
-                authority_until: until,
+                request,
+                authority_until,
             } => {
                 self.number(3);
-                self.request(&cloud::wire::http_request(call));
-                self.until(base, *until);
+                self.request(&cloud::wire::http_request(request));
+                self.until(base, *authority_until);
             }
             Effect::Peer { to, message } => {
                 self.number(4);
@@ -158,13 +165,13 @@
             }
             Effect::RespondToWorker {
                 id,
-                response: answer,
-                authority_until: until,
+                response,
+                authority_until,
             } => {
                 self.number(6);
                 self.number(*id);
-                self.heartbeat_response(answer);
-                self.until(base, Some(*until));
+                self.heartbeat_response(response);
+                self.until(base, Some(*authority_until));
             }
             Effect::RespondToHealthCheck { id, healthy } => {
                 self.number(7);
