--- a/src/cancellation/peer_heartbeats.rs
+++ b/src/cancellation/peer_heartbeats.rs
@@ -78,36 +78,37 @@
         incarnation: Incarnation,
         heartbeat: &ControllerHeartbeat,
     ) {
-        let last = HeartbeatId {
+        let id = HeartbeatId {
             incarnation: heartbeat.incarnation,
             sequence_number: heartbeat.sequence_number,
         };
         let previous = self.peers.get(&heartbeat.controller);
-        let same_process =
-            previous.filter(|peer| peer.last_received.incarnation == last.incarnation);
-        if same_process
-            .is_some_and(|peer| last.sequence_number <= peer.last_received.sequence_number)
+        let same_process = previous.filter(|peer| peer.last_received.incarnation == id.incarnation);
+        if same_process.is_some_and(|peer| id.sequence_number <= peer.last_received.sequence_number)
         {
             return;
         }
-        let received = heartbeat.last_received.get(controller).filter(|received| {
-            heartbeat.lists_all_cancellations && received.incarnation == incarnation
-        });
-        let received_sent_at = received.and_then(|received| {
+        let acknowledged = heartbeat
+            .last_received
+            .get(controller)
+            .filter(|acknowledged| {
+                heartbeat.lists_all_cancellations && acknowledged.incarnation == incarnation
+            });
+        let acknowledged_sent_at = acknowledged.and_then(|acknowledged| {
             let mut sent = self.sent.iter();
-            sent.find(|sent| sent.sequence_number == received.sequence_number)
+            sent.find(|sent| sent.sequence_number == acknowledged.sequence_number)
                 .map(|sent| sent.sent_at)
         });
         let previously_known = same_process.and_then(|peer| peer.cancellations_known_until);
         let state = PeerState {
-            last_received: last,
+            last_received: id,
             received_at: now.monotonic,
             state_unreachable_at: if heartbeat.reaches_state_service {
                 previous.and_then(|peer| peer.state_unreachable_at)
             } else {
                 Some(now.monotonic)
             },
-            cancellations_known_until: previously_known.max(received_sent_at),
+            cancellations_known_until: previously_known.max(acknowledged_sent_at),
         };
         self.peers.insert(heartbeat.controller.clone(), state);
     }
--- a/src/leadership/election.rs
+++ b/src/leadership/election.rs
@@ -43,7 +43,7 @@
             }
             return;
         }
-        if !self.leader.is_not_held() || !cache.ready() || !self.may_claim_leadership(cache) {
+        if !self.leader.is_idle() || !cache.ready() || !self.may_claim_leadership(cache) {
             self.election_delay = None;
             return;
         }
--- a/src/leadership/key_lease.rs
+++ b/src/leadership/key_lease.rs
@@ -26,7 +26,7 @@
 
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(super) enum LeaseState {
-    NotHeld,
+    Idle,
     /// Requested, not granted yet.
     Requested,
     /// Granted; the transaction that writes the record is in flight.
@@ -51,13 +51,13 @@
         KeyLease {
             role,
             ttl,
-            state: LeaseState::NotHeld,
+            state: LeaseState::Idle,
             retry_at: None,
         }
     }
 
-    pub(super) fn is_not_held(&self) -> bool {
-        self.state == LeaseState::NotHeld
+    pub(super) fn is_idle(&self) -> bool {
+        self.state == LeaseState::Idle
     }
 
     /// Returns the lease if its record is attached, or may be.
@@ -107,12 +107,12 @@
 
     /// Stops renewing the lease, so that it expires.
     pub(super) fn abandon(&mut self) {
-        self.state = LeaseState::NotHeld;
+        self.state = LeaseState::Idle;
     }
 
     /// Abandons the lease and delays the next request by [`RETRY_INTERVAL`].
     pub(super) fn record_failure(&mut self, now: Now) {
-        self.state = LeaseState::NotHeld;
+        self.state = LeaseState::Idle;
         self.retry_at = Some(now.monotonic + RETRY_INTERVAL);
     }
 
--- a/src/leadership/membership.rs
+++ b/src/leadership/membership.rs
@@ -13,7 +13,7 @@
         now: Now,
         cache: &WatchCache,
     ) -> Option<(Tag, StoreRequest)> {
-        if self.member.is_not_held() {
+        if self.member.is_idle() {
             let due = cache.ready() && self.member.may_retry(now);
             return due.then(|| self.member.request_grant());
         }
