--- a/src/block_leases/tests.rs
+++ b/src/block_leases/tests.rs
@@ -24,7 +24,7 @@
 
 impl Fixture {
     fn new() -> Self {
-        let config = Config::parse("s.toml", SETTINGS).expect("valid");
+        let config = Config::parse("s.toml", SETTINGS).expect("the test settings are valid");
         let mut catalog = InstanceCatalog::default();
         catalog.handle_response(Some(InstanceTypeList {
             types: vec![instance_type()],
--- a/src/cancellation/tests.rs
+++ b/src/cancellation/tests.rs
@@ -95,18 +95,24 @@
 
 impl Fixture {
     fn new() -> Self {
-        let config = Config::parse("s.toml", SETTINGS).expect("valid");
+        let config = Config::parse("s.toml", SETTINGS).expect("the test settings are valid");
         let start = Now::read();
         let mut cache = WatchCache::following();
-        let other = &config.peers[0].name;
+        let peer = &config.peers[0].name;
         let mut records = RecordWriter {
             cache: &mut cache,
             version: 0,
         };
-        let ours = lease(&config.name, INCARNATION);
-        let others = lease(other, Incarnation(3));
-        put_block(&mut records, "a.0", &ours, 0, &[("m-1", 1), ("m-3", 2)]);
-        put_block(&mut records, "b.0", &others, 1, &[("m-2", 1)]);
+        let own_lease = lease(&config.name, INCARNATION);
+        let peer_lease = lease(peer, Incarnation(3));
+        put_block(
+            &mut records,
+            "a.0",
+            &own_lease,
+            0,
+            &[("m-1", 1), ("m-3", 2)],
+        );
+        put_block(&mut records, "b.0", &peer_lease, 1, &[("m-2", 1)]);
         let cancelled = JobRecord::Cancelled(job(2, 1.0), start.unix_ms());
         records.put(job_key(JobId(1)), &cancelled);
         records.put(job_key(JobId(2)), &JobRecord::Open(job(2, 1.0)));
@@ -181,14 +187,12 @@
                     proven_ended
                 });
         match request {
-            Some((
-                CloudRequestPurpose::TerminateForCancellation,
-                CloudRequest::Terminate(names),
-            )) => names
-                .machines
-                .iter()
-                .map(|machine| machine.0.to_string())
-                .collect(),
+            Some((CloudRequestPurpose::TerminateForCancellation, CloudRequest::Terminate(ids))) => {
+                ids.machines
+                    .iter()
+                    .map(|machine| machine.0.to_string())
+                    .collect()
+            }
             None => Vec::new(),
             other => panic!("{other:?}"),
         }
@@ -196,8 +200,7 @@
 }
 
 #[test]
-fn machines_due_for_deletion_are_deleted_by_their_holder_or_by_any_controller_if_it_is_unresponsive()
- {
+fn machines_due_for_deletion_are_deleted_by_their_holder_or_by_any_if_it_is_unresponsive() {
     let mut fixture = Fixture::new();
     let due = fixture.config.cancel_within - DELETION_MARGIN;
     assert_eq!(
--- a/src/controller/tests.rs
+++ b/src/controller/tests.rs
@@ -14,7 +14,7 @@
 
 /// Returns a controller that has loaded the instance types and has read an empty state service.
 fn ready_controller(start: Now, ready_at: Now) -> Controller {
-    let config = Config::parse("s.toml", SETTINGS).expect("valid");
+    let config = Config::parse("s.toml", SETTINGS).expect("the test settings are valid");
     let policy = Policy::built_in(&config);
     let mut controller = Controller::new(config, policy, 1, start);
     assert!(
@@ -62,18 +62,19 @@
         .rate_limiter
         .record_response(at(2000), &StoreResponse::Refused);
     let mut is_healthy = |now: Now, reaches_state_service: bool| {
-        let sequence_number =
-            now.unix_ms() + u64::try_from(since(now, start.monotonic).as_millis()).expect("short");
-        let (cancelled, heard) = (Vec::new(), BTreeMap::new());
+        let sequence_number = now.unix_ms()
+            + u64::try_from(since(now, start.monotonic).as_millis())
+                .expect("the test time fits into 64 bits");
+        let (cancelled_jobs, last_received) = (Vec::new(), BTreeMap::new());
         let peer = ControllerName::from("node-1");
         let heartbeat = ControllerHeartbeat {
             controller: peer,
             incarnation: Incarnation(1),
             sequence_number,
             reaches_state_service,
-            cancelled_jobs: cancelled,
+            cancelled_jobs,
             lists_all_cancellations: true,
-            last_received: heard,
+            last_received,
         };
         controller.handle(now, Event::Peer(Message::Heartbeat(heartbeat)));
         let effects = controller.handle(now, Event::Health { id: 2 });
--- a/src/leadership/key_lease.rs
+++ b/src/leadership/key_lease.rs
@@ -24,8 +24,10 @@
     pub(super) keep_alive_pending: bool,
 }
 
+/// The state of a lease as far as this process knows.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(super) enum LeaseState {
+    /// Neither held nor requested.
     Idle,
     /// Requested, not granted yet.
     Requested,
@@ -164,7 +166,7 @@
                 held.renewed_at = sent;
                 held.last_confirmed = sent;
             }
-            // Schedules a retry after a short delay instead of immediately.
+            // Retries after a short delay instead of immediately: half of the retry interval for the leader lease.
             _ => {
                 let retry_base = now.monotonic - LEADER_LEASE_TTL / 4 + RETRY_INTERVAL / 2;
                 held.renewed_at = held.renewed_at.max(retry_base);
--- a/src/peer/tests.rs
+++ b/src/peer/tests.rs
@@ -98,14 +98,15 @@
     assert!(text.len().is_multiple_of(2), "{text}");
     (0..text.len())
         .step_by(2)
-        .map(|at| u8::from_str_radix(&text[at..at + 2], 16).expect("hexadecimal"))
+        .map(|at| u8::from_str_radix(&text[at..at + 2], 16).expect("hexadecimal digits"))
         .collect()
 }
 
 /// Guards against changes of the wire format: controllers of different versions exchange messages during an upgrade.
 #[test]
 fn every_message_is_encoded_to_the_same_bytes_after_decoding() {
-    let messages: BTreeMap<String, String> = serde_json::from_str(MESSAGES).expect("a map");
+    let messages: BTreeMap<String, String> =
+        serde_json::from_str(MESSAGES).expect("a JSON object of strings");
     let mut kinds = std::collections::BTreeSet::new();
     for (name, encoded) in messages {
         let message: Message = ciborium::from_reader(&*from_hex(&encoded)).expect(&name);
--- a/src/upgrade/tests.rs
+++ b/src/upgrade/tests.rs
@@ -17,7 +17,7 @@
 impl Fixture {
     fn new() -> Self {
         Fixture {
-            config: Config::parse("s.toml", SETTINGS).expect("valid"),
+            config: Config::parse("s.toml", SETTINGS).expect("the test settings are valid"),
             cache: WatchCache::following(),
             version: 0,
         }
