--- a/src/peer/mod.rs
+++ b/src/peer/mod.rs
@@ -174,7 +174,7 @@
     /// The version of the block lease.
     #[serde(rename = "grant_version")]
     pub lease_version: u64,
-    /// The number of the last assignment update received under this block lease.
+    /// The sequence number of the last assignment update received under this block lease.
     #[serde(rename = "last_work")]
     pub last_assignment_update: u64,
     /// Attempts that may still be recorded as placed. An attempt assigned by `last_assignment_update` or earlier that
