--- a/src/cancellation/tests.rs
+++ b/src/cancellation/tests.rs
@@ -155,7 +155,7 @@
         last_received: Option<(Incarnation, u64)>,
     ) {
         let own_name = self.config.name.clone();
-        let last_received = last_received.map(HeartbeatId::from);
+        let received_id = last_received.map(HeartbeatId::from);
         let heartbeat = ControllerHeartbeat {
             controller: self.config.peers[peer].name.clone(),
             incarnation,
@@ -163,7 +163,7 @@
             reaches_state_service: self.peers_reach_state_service,
             cancelled_jobs: Vec::new(),
             lists_all_cancellations,
-            last_received: last_received
+            last_received: received_id
                 .into_iter()
                 .map(|id| (own_name.clone(), id))
                 .collect(),
--- a/src/controller/health.rs
+++ b/src/controller/health.rs
@@ -73,8 +73,8 @@
                 .all_cancellations_known_until(now, &self.config)
                 .max(Some(cache_as_of))
         });
-        known_until.flatten().map_or(now.monotonic, |known_until| {
-            known_until + self.policy.block_lease_duration
+        known_until.flatten().map_or(now.monotonic, |until| {
+            until + self.policy.block_lease_duration
         })
     }
 
