--- a/tests/simulation/digest.rs
+++ b/tests/simulation/digest.rs
@@ -11,8 +11,8 @@
 use dappleshore::http::{Method, write};
 use dappleshore::job_api::Response;
 use dappleshore::store::records::FORMAT;
+use dappleshore::workers::HeartbeatResponse;
 use dappleshore::workers::wire::RedirectBody;
-use dappleshore::workers::{DirectCommand, HeartbeatResponse};
 use dappleshore::{cloud, store};
 use dappleshore_drain::{DrainSettings, Limit, Scope};
 
@@ -49,6 +49,13 @@
         self.bytes(&number.to_le_bytes());
     }
 
+    /// Takes in several numbers, each as by itself.
+    fn numbers(&mut self, numbers: &[u64]) {
+        for number in numbers {
+            self.number(*number);
+        }
+    }
+
     /// Takes in a duration, to the nanosecond.
     fn duration(&mut self, duration: Duration) {
         self.number(u64::try_from(duration.as_nanos()).expect("centuries"));
@@ -75,20 +82,6 @@
         }
     }
 
-    /// Takes in a direct command to a worker, and the end of the authority under which it is sent.
-    fn command(
-        &mut self,
-        base: Instant,
-        command: &DirectCommand,
-        authority_until: Option<Instant>,
-    ) {
-        self.field(command.block.0.as_bytes());
-        self.field(command.machine.0.as_bytes());
-        self.field(command.addr.as_bytes());
-        self.field(&write(&command.body));
-        self.until(base, authority_until);
-    }
-
     /// Takes in a response to a user.
     fn response(&mut self, response: &Response) {
         match response {
@@ -142,7 +135,11 @@
                 authority_until,
             } => {
                 self.number(2);
-                self.command(base, command, *authority_until);
+                self.field(command.block.0.as_bytes());
+                self.field(command.machine.0.as_bytes());
+                self.field(command.addr.as_bytes());
+                self.field(&write(&command.body));
+                self.until(base, *authority_until);
             }
             Effect::Cloud {
                 tag: _,
@@ -159,8 +156,7 @@
                 self.field(&write(message));
             }
             Effect::RespondToUser { id, response } => {
-                self.number(5);
-                self.number(*id);
+                self.numbers(&[5, *id]);
                 self.response(response);
             }
             Effect::RespondToWorker {
@@ -168,24 +164,19 @@
                 response,
                 authority_until,
             } => {
-                self.number(6);
-                self.number(*id);
+                self.numbers(&[6, *id]);
                 self.heartbeat_response(response);
                 self.until(base, Some(*authority_until));
             }
             Effect::RespondToHealthCheck { id, healthy } => {
-                self.number(7);
-                self.number(*id);
-                self.number(u64::from(*healthy));
+                self.numbers(&[7, *id, u64::from(*healthy)]);
             }
             Effect::RespondToOperator { id, reply } => {
-                self.number(8);
-                self.number(*id);
+                self.numbers(&[8, *id]);
                 self.field(&write(reply));
             }
             Effect::UnsupportedFormat { format } => {
-                self.number(9);
-                self.number(u64::from(*format));
+                self.numbers(&[9, u64::from(*format)]);
             }
         }
         // Two versions of the program can be compared by their logs: where they part is the first difference.
