--- a/src/cancellation/peer_heartbeats.rs
+++ b/src/cancellation/peer_heartbeats.rs
@@ -1,7 +1,7 @@
-//! Heartbeats sent and received: who is alive, and up to which time all cancellations are known.
+//! Heartbeats between controllers: which holders are alive, and up to which time all cancellations are known.
 //!
-//! Heartbeats of a process are numbered, for a late one tells nothing of the present. Each names the last one that its
-//! sender has received of every other controller.
+//! The heartbeats of a process carry sequence numbers, so that late ones can be ignored. Each lists the last heartbeat
+//! that its sender has received from every other controller.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::time::{Duration, Instant};
@@ -11,64 +11,66 @@
 use crate::peer::{ControllerHeartbeat, HeartbeatId};
 use crate::store::records::BlockLease;
 
-/// A holder that was heard this lately sees to its machines itself. Controllers send heartbeats every second.
+/// A holder whose last heartbeat is more recent than this handles its machines itself. Controllers send a heartbeat
+/// every second.
 pub(super) const HOLDER_HEARTBEAT_TIMEOUT: Duration = Duration::from_secs(3);
-/// An outage counts as lasting for all until this long after the others have last said that they are in it: they are out of
-/// it one by one.
+/// An outage of the state service counts as shared by a peer until this long after the peer last reported it, since
+/// controllers recover from an outage one by one.
 const SHARED_OUTAGE_TIMEOUT: Duration = Duration::from_secs(6);
-/// Heartbeats of this process whose times are kept: answers to older ones are of no use.
+/// The maximum number of sent heartbeats whose send times are kept. Acknowledgements of older ones are ignored.
 const MAX_SENT_HEARTBEATS: usize = 64;
 
-/// What is known of another controller by its heartbeats.
+/// The state of another controller according to its heartbeats.
 #[derive(Debug)]
 struct PeerState {
-    last: HeartbeatId,
-    at: Instant,
-    /// When it last said that it doesn't reach the state service.
-    unreachable_at: Option<Instant>,
-    /// It has named all cancellations that it knew of at this time or later: the time at which this process sent the last
-    /// heartbeat that it had received by then.
+    last_received: HeartbeatId,
+    received_at: Instant,
+    /// When it last reported that it can't reach the state service.
+    state_unreachable_at: Option<Instant>,
+    /// It has listed all cancellations that it knew of at this time or later. This is the send time of the last
+    /// heartbeat of this process that it had received when it listed them.
     cancellations_known_until: Option<Instant>,
 }
 
 /// A heartbeat that this process has sent.
 #[derive(Debug)]
 struct SentHeartbeat {
-    number: u64,
-    at: Instant,
+    sequence_number: u64,
+    sent_at: Instant,
 }
 
 /// The heartbeats between this process and the other controllers.
 #[derive(Debug, Default)]
 pub(super) struct PeerHeartbeats {
     peers: BTreeMap<ControllerName, PeerState>,
-    /// The oldest first.
+    /// Heartbeats sent by this process, oldest first.
     sent: VecDeque<SentHeartbeat>,
 }
 
 impl PeerHeartbeats {
-    /// The number of the heartbeat that is sent now.
-    pub(super) fn next_number(&mut self, now: Now) -> u64 {
-        let number = self.sent.back().map_or(1, |sent| sent.number + 1);
+    /// Returns the sequence number of the heartbeat that is sent now, and records its send time.
+    pub(super) fn next_sequence_number(&mut self, now: Now) -> u64 {
+        let sequence_number = self.sent.back().map_or(1, |sent| sent.sequence_number + 1);
         self.sent.push_back(SentHeartbeat {
-            number,
-            at: now.monotonic,
+            sequence_number,
+            sent_at: now.monotonic,
         });
         if self.sent.len() > MAX_SENT_HEARTBEATS {
             self.sent.pop_front();
         }
-        number
+        sequence_number
     }
 
-    /// The last heartbeat received of each of the others.
+    /// The last heartbeat received from each of the other controllers.
     pub(super) fn last_received(&self) -> BTreeMap<ControllerName, HeartbeatId> {
         self.peers
             .iter()
-            .map(|(controller, peer)| (controller.clone(), peer.last))
+            .map(|(controller, peer)| (controller.clone(), peer.last_received))
             .collect()
     }
 
-    /// Records a heartbeat unless it is late. `controller` and `incarnation`: this process.
+    /// Records a heartbeat unless a newer one of the same process was received. `controller` and `incarnation` identify
+    /// this process.
     pub(super) fn record(
         &mut self,
         now: Now,
@@ -76,44 +78,51 @@
         incarnation: Incarnation,
         heartbeat: &ControllerHeartbeat,
     ) {
-        let last = HeartbeatId {
+        let id = HeartbeatId {
             incarnation: heartbeat.incarnation,
-            number: heartbeat.number,
+            sequence_number: heartbeat.sequence_number,
         };
-        let known = self.peers.get(&heartbeat.controller);
-        let same_process = known.filter(|peer| peer.last.incarnation == last.incarnation);
-        if same_process.is_some_and(|peer| last.number <= peer.last.number) {
+        let previous = self.peers.get(&heartbeat.controller);
+        let same_process = previous.filter(|peer| peer.last_received.incarnation == id.incarnation);
+        if same_process.is_some_and(|peer| id.sequence_number <= peer.last_received.sequence_number)
+        {
             return;
         }
-        let received = heartbeat
-            .heard
+        let acknowledged = heartbeat
+            .last_received
             .get(controller)
-            .filter(|received| heartbeat.complete && received.incarnation == incarnation);
-        let received_sent_at = received.and_then(|received| {
+            .filter(|acknowledged| {
+                heartbeat.lists_all_cancellations && acknowledged.incarnation == incarnation
+            });
+        let acknowledged_sent_at = acknowledged.and_then(|acknowledged| {
             let mut sent = self.sent.iter();
-            sent.find(|sent| sent.number == received.number)
-                .map(|sent| sent.at)
+            sent.find(|sent| sent.sequence_number == acknowledged.sequence_number)
+                .map(|sent| sent.sent_at)
         });
-        let before = same_process.and_then(|peer| peer.cancellations_known_until);
+        let previously_known = same_process.and_then(|peer| peer.cancellations_known_until);
         let state = PeerState {
-            last,
-            at: now.monotonic,
-            unreachable_at: if heartbeat.reaches_state {
-                known.and_then(|peer| peer.unreachable_at)
+            last_received: id,
+            received_at: now.monotonic,
+            state_unreachable_at: if heartbeat.reaches_state_service {
+                previous.and_then(|peer| peer.state_unreachable_at)
             } else {
                 Some(now.monotonic)
             },
-            cancellations_known_until: before.max(received_sent_at),
+            cancellations_known_until: previously_known.max(acknowledged_sent_at),
         };
         self.peers.insert(heartbeat.controller.clone(), state);
     }
 
-    /// See `Cancellations::all_known_until`.
-    pub(super) fn all_known_until(&self, now: Now, config: &Config) -> Option<Instant> {
+    /// See [`super::Cancellations::all_cancellations_known_until`].
+    pub(super) fn all_cancellations_known_until(
+        &self,
+        now: Now,
+        config: &Config,
+    ) -> Option<Instant> {
         let known_until = config.peers.iter().map(|peer| {
             let peer = self.peers.get(&peer.name)?;
             peer.cancellations_known_until.filter(|_| {
-                peer.unreachable_at
+                peer.state_unreachable_at
                     .is_some_and(|at| since(now, at) < SHARED_OUTAGE_TIMEOUT)
             })
         });
@@ -123,19 +132,19 @@
             .min()
     }
 
-    /// This process was paused for so long.
-    pub(super) fn process_paused(&mut self, gap: Duration) {
+    /// Shifts the receive times by a pause of this process.
+    pub(super) fn process_paused(&mut self, pause: Duration) {
         for peer in self.peers.values_mut() {
-            peer.at += gap;
+            peer.received_at += pause;
         }
     }
 
-    /// Whether the process that holds this block lease was heard lately.
-    pub(super) fn holder_is_alive(&self, now: Now, lease: &BlockLease) -> bool {
+    /// Whether the last heartbeat of the process that holds this block lease is recent.
+    pub(super) fn is_holder_alive(&self, now: Now, lease: &BlockLease) -> bool {
         let peer = self.peers.get(&lease.holder);
         peer.is_some_and(|peer| {
-            peer.last.incarnation == lease.incarnation
-                && since(now, peer.at) < HOLDER_HEARTBEAT_TIMEOUT
+            peer.last_received.incarnation == lease.incarnation
+                && since(now, peer.received_at) < HOLDER_HEARTBEAT_TIMEOUT
         })
     }
 }
--- a/src/cancellation/tests.rs
+++ b/src/cancellation/tests.rs
@@ -1,4 +1,4 @@
-//! Who ends what is left of a cancelled job, and when.
+//! Tests of the deletion of machines with cancelled tasks and of the heartbeats between controllers.
 
 use super::deletion::{DELETION_RETRY_INTERVAL, POLL_INTERVAL};
 use super::peer_heartbeats::HOLDER_HEARTBEAT_TIMEOUT;
@@ -17,23 +17,24 @@
 
 const INCARNATION: Incarnation = Incarnation(7);
 
-/// The `number`th of our heartbeats, as the others name it.
-fn ours(number: u64) -> Option<(Incarnation, u64)> {
-    Some((INCARNATION, number))
+/// The id of this process's heartbeat with this sequence number, as acknowledged by other controllers.
+fn own_heartbeat(sequence_number: u64) -> Option<(Incarnation, u64)> {
+    Some((INCARNATION, sequence_number))
 }
 
-/// The local copy of the records: block `a.0` is ours with `m-1`, block `b.0` another's (process 3) with `m-2`. On both is a
-/// task of job 1, which is cancelled, and on `m-3` of ours one of job 2, which is not.
+/// A cache with two blocks: this process holds `a.0` with `m-1` and `m-3`, incarnation 3 of another controller holds
+/// `b.0` with `m-2`. Tasks of job 1, which is cancelled, are placed on `m-1` and `m-2`, a task of job 2, which is
+/// open, on `m-3`.
 struct Fixture {
     config: Config,
     cache: WatchCache,
     start: Now,
     cancellations: Cancellations,
-    /// Whether the others reach the state service.
-    reaches_state: bool,
+    /// Whether the other controllers report that they reach the state service.
+    peers_reach_state_service: bool,
 }
 
-/// Enters records into a local copy, each with a version of its own.
+/// Applies records to a cache, each with a new version.
 struct RecordWriter<'a> {
     cache: &'a mut WatchCache,
     version: u64,
@@ -60,7 +61,7 @@
     }
 }
 
-/// Enters a block with machines, each with the task of this index of a job.
+/// Writes a block with machines, each with the task of its job that has this index.
 fn put_block(
     records: &mut RecordWriter<'_>,
     block: &str,
@@ -94,18 +95,24 @@
 
 impl Fixture {
     fn new() -> Self {
-        let config = Config::parse("s.toml", SETTINGS).expect("valid");
+        let config = Config::parse("s.toml", SETTINGS).expect("the test settings are valid");
         let start = Now::read();
         let mut cache = WatchCache::following();
-        let other = &config.peers[0].name;
+        let peer = &config.peers[0].name;
         let mut records = RecordWriter {
             cache: &mut cache,
             version: 0,
         };
-        let ours = lease(&config.name, INCARNATION);
-        let others = lease(other, Incarnation(3));
-        put_block(&mut records, "a.0", &ours, 0, &[("m-1", 1), ("m-3", 2)]);
-        put_block(&mut records, "b.0", &others, 1, &[("m-2", 1)]);
+        let own_lease = lease(&config.name, INCARNATION);
+        let peer_lease = lease(peer, Incarnation(3));
+        put_block(
+            &mut records,
+            "a.0",
+            &own_lease,
+            0,
+            &[("m-1", 1), ("m-3", 2)],
+        );
+        put_block(&mut records, "b.0", &peer_lease, 1, &[("m-2", 1)]);
         let cancelled = JobRecord::Cancelled(job(2, 1.0), start.unix_ms());
         records.put(job_key(JobId(1)), &cancelled);
         records.put(job_key(JobId(2)), &JobRecord::Open(job(2, 1.0)));
@@ -117,7 +124,7 @@
             cache,
             start,
             cancellations,
-            reaches_state: false,
+            peers_reach_state_service: false,
         }
     }
 
@@ -128,58 +135,64 @@
         }
     }
 
-    fn hear_holder(&mut self, after: Duration, incarnation: Incarnation, number: u64) {
-        self.hear(0, after, incarnation, number, true, None);
+    fn receive_holder_heartbeat(
+        &mut self,
+        after: Duration,
+        incarnation: Incarnation,
+        sequence_number: u64,
+    ) {
+        self.receive_heartbeat(0, after, incarnation, sequence_number, true, None);
     }
 
-    /// `heard`: the last of our signs of life that it has heard.
-    fn hear(
+    /// `last_received`: the last heartbeat of this process that the peer has received.
+    fn receive_heartbeat(
         &mut self,
         peer: usize,
         after: Duration,
         incarnation: Incarnation,
-        number: u64,
-        complete: bool,
-        heard: Option<(Incarnation, u64)>,
+        sequence_number: u64,
+        lists_all_cancellations: bool,
+        last_received: Option<(Incarnation, u64)>,
     ) {
-        let us = self.config.name.clone();
-        let heard = heard.map(HeartbeatId::from);
+        let own_name = self.config.name.clone();
+        let received_id = last_received.map(HeartbeatId::from);
         let heartbeat = ControllerHeartbeat {
             controller: self.config.peers[peer].name.clone(),
             incarnation,
-            number,
-            reaches_state: self.reaches_state,
-            cancelled: Vec::new(),
-            complete,
-            heard: heard.into_iter().map(|heard| (us.clone(), heard)).collect(),
+            sequence_number,
+            reaches_state_service: self.peers_reach_state_service,
+            cancelled_jobs: Vec::new(),
+            lists_all_cancellations,
+            last_received: received_id
+                .into_iter()
+                .map(|id| (own_name.clone(), id))
+                .collect(),
         };
         self.cancellations
-            .record_heartbeat(self.at(after), &us, INCARNATION, &heartbeat);
+            .record_heartbeat(self.at(after), &own_name, INCARNATION, &heartbeat);
     }
 
     fn next_heartbeat(&mut self, after: Duration) -> ControllerHeartbeat {
-        let (now, us) = (self.at(after), self.config.name.clone());
+        let (now, own_name) = (self.at(after), self.config.name.clone());
         self.cancellations
-            .next_heartbeat(now, &us, INCARNATION, &self.cache, false)
+            .next_heartbeat(now, &own_name, INCARNATION, &self.cache, false)
     }
 
-    /// The machines that are deleted then.
-    fn deleted(&mut self, after: Duration, proven: bool) -> Vec<String> {
+    /// Returns the machines that are deleted at this time.
+    fn poll_deletion(&mut self, after: Duration, proven_ended: bool) -> Vec<String> {
         let now = self.at(after);
-        let call =
+        let request =
             self.cancellations
                 .poll(now, &self.config, INCARNATION, &self.cache, |_, _, _| {
-                    proven
+                    proven_ended
                 });
-        match call {
-            Some((
-                CloudRequestPurpose::TerminateForCancellation,
-                CloudRequest::Terminate(names),
-            )) => names
-                .machines
-                .iter()
-                .map(|machine| machine.0.to_string())
-                .collect(),
+        match request {
+            Some((CloudRequestPurpose::TerminateForCancellation, CloudRequest::Terminate(ids))) => {
+                ids.machines
+                    .iter()
+                    .map(|machine| machine.0.to_string())
+                    .collect()
+            }
             None => Vec::new(),
             other => panic!("{other:?}"),
         }
@@ -187,97 +200,100 @@
 }
 
 #[test]
-fn overdue_machines_are_deleted_by_their_holder_or_if_it_is_not_heard_by_anyone() {
+fn machines_due_for_deletion_are_deleted_by_their_holder_or_by_any_if_it_is_unresponsive() {
     let mut fixture = Fixture::new();
-    let late = fixture.config.cancel_within - DELETION_MARGIN;
+    let due = fixture.config.cancel_within - DELETION_MARGIN;
     assert_eq!(
-        fixture.deleted(late - Duration::from_secs(1), false),
+        fixture.poll_deletion(due - Duration::from_secs(1), false),
         [] as [&str; 0],
-        "there is time yet"
+        "the deletion is not due yet"
     );
-    fixture.hear_holder(late, Incarnation(3), 1);
+    fixture.receive_holder_heartbeat(due, Incarnation(3), 1);
     assert_eq!(
-        fixture.deleted(late, true),
+        fixture.poll_deletion(due, true),
         [] as [&str; 0],
-        "ours is proven gone, the other holder sees to its own"
+        "the task on m-1 is proven ended, and the holder of m-2 handles it"
     );
-    let later = late + POLL_INTERVAL;
-    assert_eq!(fixture.deleted(later, false), ["m-1"]);
+    let after_poll_interval = due + POLL_INTERVAL;
+    assert_eq!(fixture.poll_deletion(after_poll_interval, false), ["m-1"]);
     fixture
         .cancellations
-        .handle_cloud_response(fixture.at(later), &CloudResponse::Unknown);
+        .handle_cloud_response(fixture.at(after_poll_interval), &CloudResponse::Unknown);
     assert_eq!(
-        fixture.deleted(later + POLL_INTERVAL, false),
+        fixture.poll_deletion(after_poll_interval + POLL_INTERVAL, false),
         [] as [&str; 0],
-        "not at once"
+        "the retry delay has not passed"
     );
     assert_eq!(
-        fixture.deleted(later + DELETION_RETRY_INTERVAL, false),
+        fixture.poll_deletion(after_poll_interval + DELETION_RETRY_INTERVAL, false),
         ["m-1"],
-        "the call may be lost"
+        "the request may be lost and is retried"
     );
     fixture.cancellations.handle_cloud_response(
-        fixture.at(later + DELETION_RETRY_INTERVAL),
+        fixture.at(after_poll_interval + DELETION_RETRY_INTERVAL),
         &CloudResponse::Terminated,
     );
     assert_eq!(
-        fixture.deleted(later + DELETION_RETRY_INTERVAL * 2, false),
+        fixture.poll_deletion(after_poll_interval + DELETION_RETRY_INTERVAL * 2, false),
         [] as [&str; 0],
-        "once is enough"
+        "a deleted machine is not deleted again"
     );
     assert_eq!(
-        fixture.deleted(late + HOLDER_HEARTBEAT_TIMEOUT, false),
+        fixture.poll_deletion(due + HOLDER_HEARTBEAT_TIMEOUT, false),
         ["m-2"],
-        "its holder is not heard any more"
+        "the heartbeats of its holder have stopped"
     );
 }
 
 #[test]
-fn a_holder_is_alive_by_new_heartbeats_of_the_process_that_holds_the_lease_only() {
+fn only_new_heartbeats_of_the_process_that_holds_the_lease_show_that_the_holder_is_alive() {
     let mut fixture = Fixture::new();
-    let late = fixture.config.cancel_within - DELETION_MARGIN;
+    let due = fixture.config.cancel_within - DELETION_MARGIN;
     let lease = fixture.cache.block_leases[&BlockId::from("b.0")]
         .value
         .clone();
-    let heard = |fixture: &Fixture, after: Duration| {
+    let is_alive = |fixture: &Fixture, after: Duration| {
         fixture
             .cancellations
-            .holder_is_alive(fixture.at(after), &lease)
+            .is_holder_alive(fixture.at(after), &lease)
     };
-    fixture.hear_holder(Duration::from_secs(1), Incarnation(3), 5);
-    assert!(heard(&fixture, Duration::from_secs(1)));
-    fixture.hear_holder(late, Incarnation(3), 4);
-    fixture.hear_holder(late, Incarnation(3), 5);
+    fixture.receive_holder_heartbeat(Duration::from_secs(1), Incarnation(3), 5);
+    assert!(is_alive(&fixture, Duration::from_secs(1)));
+    fixture.receive_holder_heartbeat(due, Incarnation(3), 4);
+    fixture.receive_holder_heartbeat(due, Incarnation(3), 5);
     assert!(
-        !heard(&fixture, late),
-        "an earlier message, and a copy of the last one"
+        !is_alive(&fixture, due),
+        "an earlier heartbeat and a copy of the last one are ignored"
     );
-    fixture.hear_holder(late, Incarnation(3), 6);
-    assert!(heard(&fixture, late));
+    fixture.receive_holder_heartbeat(due, Incarnation(3), 6);
+    assert!(is_alive(&fixture, due));
     fixture
         .cancellations
         .process_paused(Duration::from_secs(30));
     assert!(
-        heard(&fixture, late + Duration::from_secs(30)),
-        "we were away, not it"
+        is_alive(&fixture, due + Duration::from_secs(30)),
+        "a pause of this process does not count as missed heartbeats"
     );
-    fixture.hear_holder(late, Incarnation(4), 1);
+    fixture.receive_holder_heartbeat(due, Incarnation(4), 1);
     assert!(
-        !heard(&fixture, late),
-        "a process that was started since knows nothing of its tasks"
+        !is_alive(&fixture, due),
+        "a new process of the holder does not know the tasks of the old one"
     );
-    assert_eq!(fixture.deleted(late, true), ["m-2"]);
+    assert_eq!(fixture.poll_deletion(due, true), ["m-2"]);
 }
 
 #[test]
-fn heartbeats_name_cancelled_jobs_until_they_are_over() {
+fn heartbeats_list_cancelled_jobs_until_they_have_ended() {
     let mut fixture = Fixture::new();
-    let told = fixture.cancellations.newest_cancelled_jobs();
+    let listed = fixture.cancellations.newest_cancelled_jobs();
     assert_eq!(
-        told.iter().map(|told| told.job).collect::<Vec<_>>(),
+        listed
+            .iter()
+            .map(|cancelled| cancelled.job)
+            .collect::<Vec<_>>(),
         [JobId(1)]
     );
-    assert_eq!(told[0].version, fixture.cache.open[&JobId(1)].version);
+    assert_eq!(listed[0].version, fixture.cache.open[&JobId(1)].version);
     let end = encode(&JobRecord::Ended(crate::domain::JobOutcome::Cancelled, 2));
     fixture.cache.apply(Change {
         key: job_key(JobId(1)),
@@ -289,30 +305,38 @@
     assert_eq!(fixture.cancellations.newest_cancelled_jobs(), []);
 }
 
-/// In an outage all holders may go on only while they know of all that can have been confirmed.
+/// During an outage of the state service holders may continue only while they know every cancellation that can have
+/// been confirmed.
 #[test]
-fn cancellations_are_known_until_we_sent_the_last_heartbeat_that_all_others_received() {
+fn cancellations_are_known_until_the_send_time_of_the_last_heartbeat_that_all_others_received() {
     let mut fixture = Fixture::new();
     let seconds = Duration::from_secs;
-    let known = |fixture: &Fixture| {
-        let known = fixture
+    let known_until = |fixture: &Fixture| {
+        let until = fixture
             .cancellations
-            .all_known_until(fixture.at(seconds(13)), &fixture.config);
-        known.map(|at| at.saturating_duration_since(fixture.start.monotonic))
+            .all_cancellations_known_until(fixture.at(seconds(13)), &fixture.config);
+        until.map(|at| at.saturating_duration_since(fixture.start.monotonic))
     };
     for second in 1..=9 {
-        assert_eq!(fixture.next_heartbeat(seconds(second)).number, second);
+        assert_eq!(
+            fixture.next_heartbeat(seconds(second)).sequence_number,
+            second
+        );
     }
-    fixture.hear(0, seconds(10), Incarnation(3), 1, true, ours(5));
-    assert_eq!(known(&fixture), None, "only one of two");
-    fixture.hear(1, seconds(10), Incarnation(4), 1, true, ours(7));
+    fixture.receive_heartbeat(0, seconds(10), Incarnation(3), 1, true, own_heartbeat(5));
+    assert_eq!(
+        known_until(&fixture),
+        None,
+        "only one of two peers has acknowledged a heartbeat"
+    );
+    fixture.receive_heartbeat(1, seconds(10), Incarnation(4), 1, true, own_heartbeat(7));
     assert_eq!(
-        known(&fixture),
+        known_until(&fixture),
         Some(seconds(5)),
-        "when we sent that, not when the answer came"
+        "the send time of the heartbeat counts, not the time of its acknowledgement"
     );
-    fixture.hear(0, seconds(11), Incarnation(3), 2, false, ours(9));
-    fixture.hear(
+    fixture.receive_heartbeat(0, seconds(11), Incarnation(3), 2, false, own_heartbeat(9));
+    fixture.receive_heartbeat(
         0,
         seconds(11),
         Incarnation(3),
@@ -320,70 +344,82 @@
         true,
         Some((Incarnation(INCARNATION.0 + 1), 9)),
     );
-    fixture.hear(0, seconds(11), Incarnation(3), 4, true, None);
+    fixture.receive_heartbeat(0, seconds(11), Incarnation(3), 4, true, None);
     assert_eq!(
-        known(&fixture),
+        known_until(&fixture),
         Some(seconds(5)),
-        "not all it knows; another process of ours; it has not heard us"
+        "an incomplete list, an acknowledgement of another process, and no acknowledgement change nothing"
     );
-    fixture.hear(0, seconds(12), Incarnation(3), 6, true, ours(9));
-    assert_eq!(known(&fixture), Some(seconds(7)));
-    fixture.hear(1, seconds(12), Incarnation(4), 1, true, ours(9));
+    fixture.receive_heartbeat(0, seconds(12), Incarnation(3), 6, true, own_heartbeat(9));
+    assert_eq!(known_until(&fixture), Some(seconds(7)));
+    fixture.receive_heartbeat(1, seconds(12), Incarnation(4), 1, true, own_heartbeat(9));
     assert_eq!(
-        known(&fixture),
+        known_until(&fixture),
         Some(seconds(7)),
-        "a copy of an earlier message"
+        "a copy of an earlier heartbeat changes nothing"
     );
-    fixture.hear(1, seconds(13), Incarnation(5), 1, false, ours(9));
+    fixture.receive_heartbeat(1, seconds(13), Incarnation(5), 1, false, own_heartbeat(9));
     assert_eq!(
-        known(&fixture),
+        known_until(&fixture),
         None,
-        "started since: what its last process confirmed it does not know"
+        "a new process does not know which cancellations its predecessor confirmed"
     );
 }
 
-/// Who is cut off from the state service alone is replaced, and must leave its workers to its successor.
+/// A holder that alone can't reach the state service is replaced, and must leave its workers to its successor.
 #[test]
-fn cancellations_count_as_known_only_in_an_outage_for_all() {
+fn cancellations_count_as_known_only_in_an_outage_of_all_controllers() {
     let mut fixture = Fixture::new();
     let seconds = Duration::from_secs;
-    let known = |fixture: &Fixture, second| {
+    let all_known = |fixture: &Fixture, second| {
         fixture
             .cancellations
-            .all_known_until(fixture.at(seconds(second)), &fixture.config)
+            .all_cancellations_known_until(fixture.at(seconds(second)), &fixture.config)
             .is_some()
     };
     fixture.next_heartbeat(seconds(1));
-    fixture.hear(0, seconds(2), Incarnation(3), 1, true, ours(1));
-    fixture.hear(1, seconds(2), Incarnation(4), 1, true, ours(1));
-    assert!(known(&fixture, 3));
-    fixture.reaches_state = true;
-    fixture.hear(0, seconds(4), Incarnation(3), 2, true, ours(1));
-    assert!(known(&fixture, 7), "it is out of it first, we follow");
-    fixture.hear(0, seconds(8), Incarnation(3), 3, true, ours(1));
-    assert!(!known(&fixture, 8));
+    fixture.receive_heartbeat(0, seconds(2), Incarnation(3), 1, true, own_heartbeat(1));
+    fixture.receive_heartbeat(1, seconds(2), Incarnation(4), 1, true, own_heartbeat(1));
+    assert!(all_known(&fixture, 3));
+    fixture.peers_reach_state_service = true;
+    fixture.receive_heartbeat(0, seconds(4), Incarnation(3), 2, true, own_heartbeat(1));
+    assert!(
+        all_known(&fixture, 7),
+        "a peer may recover from the outage first"
+    );
+    fixture.receive_heartbeat(0, seconds(8), Incarnation(3), 3, true, own_heartbeat(1));
+    assert!(!all_known(&fixture, 8));
 }
 
 #[test]
-fn a_heartbeat_without_a_copy_or_with_too_many_cancellations_is_not_complete() {
+fn a_heartbeat_without_a_loaded_cache_or_with_too_many_cancellations_is_not_complete() {
     let mut fixture = Fixture::new();
-    assert!(fixture.next_heartbeat(Duration::ZERO).complete);
+    assert!(
+        fixture
+            .next_heartbeat(Duration::ZERO)
+            .lists_all_cancellations
+    );
     let ready = std::mem::replace(
         &mut fixture.cache,
         WatchCache::new(&fixture.config.state_limits, 3),
     );
     assert!(
-        !fixture.next_heartbeat(Duration::ZERO).complete,
-        "started in an outage"
+        !fixture
+            .next_heartbeat(Duration::ZERO)
+            .lists_all_cancellations,
+        "the cache is not loaded"
     );
     fixture.cache = ready;
     let record = |version| CancellationRecord {
         version,
         cancelled_ms: 0,
     };
-    fixture.cancellations.open.extend(
+    fixture.cancellations.unfinished.extend(
         (10..10 + MAX_CANCELLED_JOBS_PER_HEARTBEAT as u64).map(|id| (JobId(id), record(id))),
     );
     let heartbeat = fixture.next_heartbeat(Duration::ZERO);
-    assert!(!heartbeat.complete && heartbeat.cancelled.len() == MAX_CANCELLED_JOBS_PER_HEARTBEAT);
+    assert!(
+        !heartbeat.lists_all_cancellations
+            && heartbeat.cancelled_jobs.len() == MAX_CANCELLED_JOBS_PER_HEARTBEAT
+    );
 }
--- a/src/leadership/election.rs
+++ b/src/leadership/election.rs
@@ -1,4 +1,4 @@
-//! Leader election: the leader record goes to whoever writes it first while there is none.
+//! Leader election: while there is no leader record, the first candidate that writes one becomes the leader.
 
 use std::time::{Duration, Instant};
 
@@ -11,20 +11,20 @@
 use crate::store::records::{LEADER, Leader, TOKEN, Token};
 use crate::store::{StoreRequest, Transaction, WatchCache};
 
-/// A candidate waits for a random time below this, in milliseconds, so that one of them is first.
+/// Upper bound of a candidate's random delay in milliseconds, so that candidates do not all start at once.
 const MAX_ELECTION_DELAY_MS: u64 = 200;
 
-/// A vacancy of the leader's place as this process has seen it.
+/// The random delay of this candidate since it saw that there is no leader.
 #[derive(Debug, Clone, Copy)]
-pub(super) struct Vacancy {
-    since: Instant,
-    /// How long this process waits before it runs.
+pub(super) struct ElectionDelay {
+    started: Instant,
+    /// How long this process waits before it requests the leader lease.
     delay: Duration,
 }
 
 impl Leadership {
-    /// Keeps the leader's lease alive, and runs for leader while the place is vacant.
-    pub(super) fn poll_leader(
+    /// Keeps the leader lease alive, and requests one after the election delay while there is no leader.
+    pub(super) fn poll_leader_lease(
         &mut self,
         now: Now,
         cache: &WatchCache,
@@ -33,40 +33,41 @@
     ) {
         if let Some(held) = self.leader.held() {
             requests.extend(self.leader.keep_alive(now));
-            if self.current_term(cache).is_none() && cache.covers(held.renewed) {
-                // The lease is ours but the record is not: the election was lost, or its outcome unknown.
-                if self.is_vacant(cache) {
-                    requests.push(self.run_for_leader(held.id, held.last_confirmed, cache));
+            if self.current_term(cache).is_none() && cache.covers(held.renewed_at) {
+                // This process holds the lease but not the record: it lost the election, or the outcome is unknown.
+                if self.may_claim_leadership(cache) {
+                    requests.push(self.claim_leadership(held.id, held.last_confirmed, cache));
                 } else {
-                    self.leader.release();
+                    self.leader.abandon();
                 }
             }
             return;
         }
-        if !self.leader.is_released() || !cache.ready() || !self.is_vacant(cache) {
-            self.vacancy = None;
+        if !self.leader.is_idle() || !cache.ready() || !self.may_claim_leadership(cache) {
+            self.election_delay = None;
             return;
         }
-        let vacancy = *self.vacancy.get_or_insert_with(|| Vacancy {
-            since: now.monotonic,
+        let election_delay = *self.election_delay.get_or_insert_with(|| ElectionDelay {
+            started: now.monotonic,
             delay: Duration::from_millis(rng.random_range(0..MAX_ELECTION_DELAY_MS)),
         });
-        if since(now, vacancy.since) >= vacancy.delay && self.leader.may_retry(now) {
-            requests.push(self.leader.request());
+        if since(now, election_delay.started) >= election_delay.delay && self.leader.may_retry(now)
+        {
+            requests.push(self.leader.request_grant());
         }
     }
 
-    /// Whether the leader's place is free. That of an earlier process of this controller is: only after a process
-    /// has ended is the next one started.
-    pub(super) fn is_vacant(&self, cache: &WatchCache) -> bool {
+    /// Whether there is no leader record, or only one of an earlier process of this controller: a process is started
+    /// only after the previous one has ended.
+    pub(super) fn may_claim_leadership(&self, cache: &WatchCache) -> bool {
         cache.leader.as_ref().is_none_or(|leader| {
             leader.value.controller == self.controller
                 && leader.value.incarnation != self.incarnation
         })
     }
 
-    /// WriteAllowance the leader record with a new term, attached to the lease.
-    pub(super) fn run_for_leader(
+    /// Writes the leader record with a new term, attached to the lease.
+    pub(super) fn claim_leadership(
         &mut self,
         lease: u64,
         last_confirmed: Instant,
@@ -86,6 +87,6 @@
             .when(TOKEN, token_version)
             .put_with_lease(LEADER, &record, Some(lease))
             .put(TOKEN, &Token { last: term });
-        self.leader.attach(lease, last_confirmed, transaction)
+        self.leader.attach_key(lease, last_confirmed, transaction)
     }
 }
--- a/src/upgrade/tests.rs
+++ b/src/upgrade/tests.rs
@@ -1,4 +1,4 @@
-//! When the new format is switched on, and when not.
+//! Tests of the conditions for the switch of the record format.
 
 use super::*;
 use crate::cloud::InstanceCatalog;
@@ -17,13 +17,13 @@
 impl Fixture {
     fn new() -> Self {
         Fixture {
-            config: Config::parse("s.toml", SETTINGS).expect("valid"),
+            config: Config::parse("s.toml", SETTINGS).expect("the test settings are valid"),
             cache: WatchCache::following(),
             version: 0,
         }
     }
 
-    fn member(&mut self, controller: &str, format: u32) {
+    fn put_member(&mut self, controller: &str, format: u32) {
         self.version += 1;
         self.cache.apply(Change {
             key: member_key(&controller.into()),
@@ -47,24 +47,30 @@
             has_spare_writes: true,
         };
         match upgrade.poll(Now::read(), &leader, &mut self.cache)? {
-            StoreRequest::Commit(txn) => Some(txn),
-            op => panic!("{op:?}"),
+            StoreRequest::Commit(transaction) => Some(transaction),
+            other => panic!("{other:?}"),
         }
     }
 }
 
 #[test]
-fn the_format_is_switched_on_once_every_controller_knows_it() {
+fn the_format_is_switched_on_once_every_controller_supports_it() {
     let mut fixture = Fixture::new();
     let mut upgrade = Upgrade::new();
-    fixture.member("node-0", FORMAT);
-    fixture.member("node-1", FORMAT);
-    assert_eq!(fixture.poll(&mut upgrade), None, "one is not up");
-    fixture.member("node-2", 0);
-    assert_eq!(fixture.poll(&mut upgrade), None, "one is still production");
-    fixture.member("node-2", FORMAT);
-    let txn = fixture.poll(&mut upgrade).expect("all know it");
-    let conditions: Vec<(&str, u64)> = txn
+    fixture.put_member("node-0", FORMAT);
+    fixture.put_member("node-1", FORMAT);
+    assert_eq!(fixture.poll(&mut upgrade), None, "node-2 is not a member");
+    fixture.put_member("node-2", 0);
+    assert_eq!(
+        fixture.poll(&mut upgrade),
+        None,
+        "node-2 still runs the production version"
+    );
+    fixture.put_member("node-2", FORMAT);
+    let transaction = fixture
+        .poll(&mut upgrade)
+        .expect("all controllers support the format");
+    let conditions: Vec<(&str, u64)> = transaction
         .conditions
         .iter()
         .map(|(key, version)| (key.as_str(), *version))
@@ -79,14 +85,18 @@
             ("dappleshore/node/node-0", 1),
         ]
     );
-    assert_eq!(fixture.poll(&mut upgrade), None, "one at a time");
+    assert_eq!(
+        fixture.poll(&mut upgrade),
+        None,
+        "a transaction is in flight"
+    );
 }
 
 #[test]
-fn once_on_it_stays_on_and_is_not_written_again() {
+fn the_switch_is_neither_reverted_nor_written_again() {
     let mut fixture = Fixture::new();
     for controller in ["node-0", "node-1", "node-2"] {
-        fixture.member(controller, FORMAT);
+        fixture.put_member(controller, FORMAT);
     }
     fixture.version += 1;
     fixture.cache.apply(Change {
@@ -94,31 +104,35 @@
         version: fixture.version,
         value: Some(encode(&FormatSwitch { version: FORMAT })),
     });
-    fixture.member("node-2", 0);
+    fixture.put_member("node-2", 0);
     assert_eq!(fixture.cache.format(), FORMAT);
     assert_eq!(fixture.poll(&mut Upgrade::new()), None);
 }
 
 #[test]
-fn the_newest_format_that_all_know_is_switched_on() {
+fn the_newest_format_that_all_controllers_support_is_switched_on() {
     let mut fixture = Fixture::new();
     for (controller, format) in [
         ("node-0", FORMAT),
         ("node-1", PARTS_FORMAT),
         ("node-2", FORMAT),
     ] {
-        fixture.member(controller, format);
+        fixture.put_member(controller, format);
     }
-    let switched_on = |txn: Transaction| match txn.changes.as_slice() {
+    let written_format = |transaction: Transaction| match transaction.changes.as_slice() {
         [crate::store::TransactionChange::Put { value, .. }] => value
             .deserialized::<FormatSwitch>()
             .map(|switch| switch.version)
             .ok(),
         _ => None,
     };
-    let txn = fixture.poll(&mut Upgrade::new()).expect("all know it");
-    assert_eq!(switched_on(txn), Some(PARTS_FORMAT));
-    fixture.member("node-1", FORMAT);
-    let txn = fixture.poll(&mut Upgrade::new()).expect("all know it");
-    assert_eq!(switched_on(txn), Some(FORMAT));
+    let transaction = fixture
+        .poll(&mut Upgrade::new())
+        .expect("all controllers support the format");
+    assert_eq!(written_format(transaction), Some(PARTS_FORMAT));
+    fixture.put_member("node-1", FORMAT);
+    let transaction = fixture
+        .poll(&mut Upgrade::new())
+        .expect("all controllers support the format");
+    assert_eq!(written_format(transaction), Some(FORMAT));
 }
