--- a/tests/loopback/main.rs
+++ b/tests/loopback/main.rs
@@ -80,7 +80,11 @@
     let fleet = site.lock();
     assert_eq!(fleet.state.recorded_evictions.len(), evictions);
     assert!(evictions > 1, "{evictions} evictions show nothing");
-    assert!(fleet.rules.broken.is_empty(), "{:?}", fleet.rules.broken);
+    assert!(
+        fleet.rules.violations.is_empty(),
+        "{:?}",
+        fleet.rules.violations
+    );
     assert_eq!(fleet.over_budget, [] as [String; 0]);
     assert_eq!(fleet.replicas_running(), 12);
     assert!(fleet.most_down > 0, "nothing was seen down");
--- a/tests/loopback/site.rs
+++ b/tests/loopback/site.rs
@@ -144,13 +144,13 @@
                         zone: on.zone.clone(),
                         capacity_type: on.capacity_type,
                     };
-                    self.rules.starts(now, task, place);
+                    self.rules.task_started(now, task, place);
                 }
-                MachineEvent::Ended(task, done) => self.rules.ends(task, machine, done),
+                MachineEvent::Ended(task, done) => self.rules.task_ended(task, machine, done),
             }
         }
         for team in TEAMS {
-            let down = self.rules.lost(&team.into(), Duration::ZERO);
+            let down = self.rules.tasks_down(&team.into(), Duration::ZERO);
             self.most_down = self.most_down.max(down.len());
             if down.len() > self.budget {
                 let text = format!("{now:?}: {down:?} of {team} down, {} allowed", self.budget);
--- a/tests/simulation/cluster/checks.rs
+++ b/tests/simulation/cluster/checks.rs
@@ -6,9 +6,9 @@
     /// Every rule kept, and nothing that was accepted left undone once faults have ceased.
     pub fn check_end(&self, seed: u64) {
         assert!(
-            self.rules.broken.is_empty(),
+            self.rules.violations.is_empty(),
             "seed {seed}: {:?}",
-            self.rules.broken
+            self.rules.violations
         );
         assert!(
             self.rules.started > 50,
@@ -100,7 +100,7 @@
                 beside.insert(id);
             }
         }
-        self.rules.beside_room(self.now, beside);
+        self.rules.record_waiting_despite_capacity(self.now, beside);
     }
 
     /// Whether there is room for all tasks of a gang at once.
--- a/tests/simulation/cluster/cloud.rs
+++ b/tests/simulation/cluster/cloud.rs
@@ -93,7 +93,7 @@
             self.deleted_up += usize::from(machine.runs(self.now));
             for what in machine.gone() {
                 if let MachineEvent::Ended(task, done) = what {
-                    self.rules.ends(task, &name.0, done);
+                    self.rules.task_ended(task, &name.0, done);
                 }
             }
         }
--- a/tests/simulation/cluster/machines.rs
+++ b/tests/simulation/cluster/machines.rs
@@ -67,13 +67,13 @@
                         zone: machine.zone.clone(),
                         capacity_type: machine.capacity_type,
                     };
-                    self.rules.starts(self.now, task, place);
+                    self.rules.task_started(self.now, task, place);
                 }
                 MachineEvent::Ended(task, done) => {
                     if done {
                         self.results.insert(task);
                     }
-                    self.rules.ends(task, id, done);
+                    self.rules.task_ended(task, id, done);
                     if done && self.rules.all_done(task.job) {
                         self.ended(task.job);
                     }
@@ -247,7 +247,7 @@
         let mut machine = self.machines.remove(id).expect("just found");
         for what in machine.gone() {
             if let MachineEvent::Ended(task, done) = what {
-                self.rules.ends(task, id, done);
+                self.rules.task_ended(task, id, done);
             }
         }
     }
--- a/tests/simulation/cluster/mod.rs
+++ b/tests/simulation/cluster/mod.rs
@@ -386,7 +386,7 @@
             }
             self.rules.check(self.now);
             self.check_disruptions();
-            if !self.rules.broken.is_empty() {
+            if !self.rules.violations.is_empty() {
                 break;
             }
         }
--- a/tests/simulation/cluster/network.rs
+++ b/tests/simulation/cluster/network.rs
@@ -321,7 +321,8 @@
             Some(Asker::User { user, asked }) => self.user_answered(user, asked, response),
             Some(Asker::Odd { expected }) => {
                 let (Response::State { status, .. } | Response::Problem { status, .. }) = response;
-                self.rules.odd_answered(self.now, expected, *status);
+                self.rules
+                    .irregular_request_answered(self.now, expected, *status);
             }
             _ => {}
         }
--- a/tests/simulation/cluster/users.rs
+++ b/tests/simulation/cluster/users.rs
@@ -368,8 +368,10 @@
             };
         let job = user.job;
         match response {
-            Response::State { state, .. } => self.rules.told(now, job, Some(state.status)),
-            Response::Problem { status: 404, .. } => self.rules.told(now, job, None),
+            Response::State { state, .. } => {
+                self.rules.status_reported(now, job, Some(state.status))
+            }
+            Response::Problem { status: 404, .. } => self.rules.status_reported(now, job, None),
             Response::Problem {
                 status: status @ (400 | 422),
                 ..
--- a/tests/simulation/digest.rs
+++ b/tests/simulation/digest.rs
@@ -281,9 +281,9 @@
     cluster.digest = Some(Digest::new());
     cluster.run_until(END);
     assert!(
-        cluster.rules.broken.is_empty(),
+        cluster.rules.violations.is_empty(),
         "{name}: {:?}",
-        cluster.rules.broken
+        cluster.rules.violations
     );
     let (started, rented) = (cluster.rules.started, cluster.rented);
     let (gangs, evictions) = (cluster.gangs().started, cluster.operators.evictions.len());
--- a/tests/simulation/drains.rs
+++ b/tests/simulation/drains.rs
@@ -188,9 +188,9 @@
         drain_busiest(&mut cluster, DRAIN_AT, "disk");
         cluster.run_until(seconds(200));
         assert!(
-            cluster.rules.broken.is_empty(),
+            cluster.rules.violations.is_empty(),
             "{:?}",
-            cluster.rules.broken
+            cluster.rules.violations
         );
         let seen = cluster.seen("disk").expect("seen").clone();
         assert_eq!(seen.state, StateName::WaitingForBudget, "{seen:?}");
@@ -230,9 +230,9 @@
     }
     cluster.run_until(seconds(180));
     assert!(
-        cluster.rules.broken.is_empty(),
+        cluster.rules.violations.is_empty(),
         "{:?}",
-        cluster.rules.broken
+        cluster.rules.violations
     );
     let waits = ["first", "second"]
         .iter()
@@ -257,9 +257,9 @@
     });
     cluster.run_until(seconds(330));
     assert!(
-        cluster.rules.broken.is_empty(),
+        cluster.rules.violations.is_empty(),
         "{:?}",
-        cluster.rules.broken
+        cluster.rules.violations
     );
     assert!(moved(&cluster), "{:?}", cluster.seen("first"));
 }
@@ -287,9 +287,9 @@
     }
     cluster.run_until(seconds(150));
     assert!(
-        cluster.rules.broken.is_empty(),
+        cluster.rules.violations.is_empty(),
         "{:?}",
-        cluster.rules.broken
+        cluster.rules.violations
     );
     let reasons: Vec<String> = ["a", "b", "c"]
         .iter()
@@ -518,9 +518,9 @@
     assert!(early > 0, "nothing was evicted");
     cluster.run_until(DRAIN_AT + seconds(60));
     assert!(
-        cluster.rules.broken.is_empty(),
+        cluster.rules.violations.is_empty(),
         "{:?}",
-        cluster.rules.broken
+        cluster.rules.violations
     );
     assert_eq!(cluster.operators.evictions.len(), early);
     let seen = cluster.seen("disk").expect("seen").clone();
@@ -597,8 +597,8 @@
     cluster.run_until(END);
     let noticed = cluster
         .rules
-        .broken
+        .violations
         .iter()
         .any(|text| text.contains("budget"));
-    assert!(noticed, "{:?}", cluster.rules.broken);
+    assert!(noticed, "{:?}", cluster.rules.violations);
 }
--- a/tests/simulation/fault_combinations.rs
+++ b/tests/simulation/fault_combinations.rs
@@ -96,7 +96,7 @@
 /// No rule broken, and everything that was accepted is over at the end.
 pub fn finish(seed: u64, mut cluster: SimulatedCluster) -> SimulatedCluster {
     cluster.run_until(CALM_FROM + seconds(350.0));
-    assert_eq!(cluster.rules.broken, [] as [&str; 0], "seed {seed}");
+    assert_eq!(cluster.rules.violations, [] as [&str; 0], "seed {seed}");
     assert_eq!(
         cluster.rules.unfinished(),
         [],
@@ -191,7 +191,7 @@
         Gap::new(seed, 1.5).play(move |cluster, jobs, _| {
             cluster.plan(OUT_AT + seconds(2.0), move |cluster| {
                 assert_eq!(machines_of(cluster, &jobs), [] as [&str; 0], "seed {seed}");
-                assert_eq!(cluster.rules.started_cancelled, [], "seed {seed}");
+                assert_eq!(cluster.rules.starts_after_cancellation, [], "seed {seed}");
             });
         });
     }
--- a/tests/simulation/main.rs
+++ b/tests/simulation/main.rs
@@ -225,9 +225,9 @@
     cluster.run_until(end);
     let seconds = end.as_secs_f64();
     assert!(
-        cluster.rules.broken.is_empty(),
+        cluster.rules.violations.is_empty(),
         "{:?}",
-        cluster.rules.broken
+        cluster.rules.violations
     );
     assert_eq!(
         cluster.rules.unfinished(),
@@ -403,10 +403,10 @@
     assert!(
         cluster
             .rules
-            .broken
+            .violations
             .iter()
             .any(|text| text.contains("ran_twice")),
         "{:?}",
-        cluster.rules.broken
+        cluster.rules.violations
     );
 }
--- a/tests/simulation/measure.rs
+++ b/tests/simulation/measure.rs
@@ -150,7 +150,7 @@
                 measured.duration = Some(at - DRAIN_AT);
             }
         }
-        if !cluster.rules.broken.is_empty() {
+        if !cluster.rules.violations.is_empty() {
             break;
         }
     }
@@ -160,7 +160,7 @@
     measured.evictions = cluster.operators.evictions.len();
     let rounds = measured.evictions.div_ceil(TEAMS.len() * measured.allowed);
     measured.least = measured.median_down * rounds as u32;
-    measured.broken = cluster.rules.broken.clone();
+    measured.broken = cluster.rules.violations.clone();
     measured
 }
 
@@ -190,7 +190,7 @@
     cluster.watch_drains(DRAIN_AT + LOOK_EVERY);
     cluster.run_until(DRAIN_AT + Duration::from_secs(seconds));
     let running = TEAMS.map(|team| cluster.rules.on_machines(&team.into(), LASTING));
-    println!("{running:?} replicas run; {:?}", cluster.rules.broken);
+    println!("{running:?} replicas run; {:?}", cluster.rules.violations);
 }
 
 #[test]
--- a/tests/simulation/operators.rs
+++ b/tests/simulation/operators.rs
@@ -135,13 +135,13 @@
             return;
         }
         for (team, allowed) in self.operators.allowed.clone() {
-            let down = self.rules.lost(&team, Duration::ZERO);
+            let down = self.rules.tasks_down(&team, Duration::ZERO);
             let most = self.operators.most_down.entry(team.clone()).or_default();
             *most = down.len().max(*most);
             if down.len() as u64 > allowed {
                 let at = self.now.as_secs_f64();
                 let text = format!("{at:.3} budget: {down:?} of {team} down, {allowed} allowed");
-                self.rules.broken.push(text);
+                self.rules.violations.push(text);
             }
         }
     }
@@ -168,7 +168,7 @@
         let (Check::Evictions, Some(allowed)) = (self.operators.check, allowed) else {
             return;
         };
-        let mut down: BTreeSet<TaskId> = self.rules.lost(&team, NOTICED_WITHIN);
+        let mut down: BTreeSet<TaskId> = self.rules.tasks_down(&team, NOTICED_WITHIN);
         for (subject, at) in &self.operators.evicted {
             let of_team = self.rules.team_of(subject.job()) == Some(team.clone());
             let restored = subject.tasks().all(|task| self.rules.restored(task, *at));
@@ -182,7 +182,7 @@
                 "{at:.3} budget: {eviction:?} makes {} of {team} disrupted, {allowed} allowed: {down:?}",
                 down.len()
             );
-            self.rules.broken.push(text);
+            self.rules.violations.push(text);
         }
     }
 }
--- a/tests/simulation/rollout.rs
+++ b/tests/simulation/rollout.rs
@@ -132,9 +132,9 @@
     cluster.run_until(Duration::from_secs(399));
     assert_eq!(cluster.format(), 0);
     assert!(
-        cluster.rules.broken.is_empty(),
+        cluster.rules.violations.is_empty(),
         "{:?}",
-        cluster.rules.broken
+        cluster.rules.violations
     );
     cluster.run_until(END);
     assert_eq!(cluster.format(), FORMAT);
@@ -163,9 +163,9 @@
         });
         cluster.run_until(Duration::from_secs(400));
         assert!(
-            cluster.rules.broken.is_empty(),
+            cluster.rules.violations.is_empty(),
             "{:?}",
-            cluster.rules.broken
+            cluster.rules.violations
         );
         assert_eq!(cluster.rules.unfinished(), [], "seed {seed}");
         assert_eq!(cluster.rules.unserved(), [] as [&str; 0], "seed {seed}");
--- a/tests/simulation/rules.rs
+++ b/tests/simulation/rules.rs
@@ -65,8 +65,8 @@
     calm: Duration,
     pub started: usize,
     /// Starts after a confirmed cancellation: the task, and how long after.
-    pub started_cancelled: Vec<(TaskId, Duration)>,
-    pub broken: Vec<String>,
+    pub starts_after_cancellation: Vec<(TaskId, Duration)>,
+    pub violations: Vec<String>,
     /// The time of what is being told.
     pub now: Duration,
     /// How long tasks were nowhere before they started again.
@@ -81,8 +81,8 @@
             cancel_within,
             calm,
             started: 0,
-            started_cancelled: Vec::new(),
-            broken: Vec::new(),
+            starts_after_cancellation: Vec::new(),
+            violations: Vec::new(),
             now: Duration::ZERO,
             down_times: Vec::new(),
         }
@@ -90,7 +90,7 @@
 
     /// Tasks of a team that have started and are nowhere now, and that have been nowhere for so long. A gang counts
     /// whole.
-    pub fn lost(&self, team: &Team, longer_than: Duration) -> BTreeSet<TaskId> {
+    pub fn tasks_down(&self, team: &Team, longer_than: Duration) -> BTreeSet<TaskId> {
         let mut lost = BTreeSet::new();
         let of_team = |known: &&JobHistory| known.job.team == *team && !known.cancel_asked;
         let jobs = self.jobs.iter().filter(|(_, known)| of_team(known));
@@ -134,7 +134,8 @@
     }
 
     fn break_rule(&mut self, now: Duration, text: String) {
-        self.broken.push(format!("{:.3} {text}", now.as_secs_f64()));
+        self.violations
+            .push(format!("{:.3} {text}", now.as_secs_f64()));
     }
 
     pub fn submitted(&mut self, id: JobId, job: Job) {
@@ -162,7 +163,7 @@
     }
 
     /// A task has its image and is on its machine.
-    pub fn starts(&mut self, now: Duration, task: TaskId, place: Place) {
+    pub fn task_started(&mut self, now: Duration, task: TaskId, place: Place) {
         self.started += 1;
         if let Some(known) = self.jobs.get_mut(&task.job) {
             known.began.get_or_insert(now);
@@ -173,7 +174,7 @@
                 .extend(lost.map(|at| now.saturating_sub(at)));
         }
         let cancelled = self.jobs.get(&task.job).and_then(|known| known.cancel_told);
-        self.started_cancelled
+        self.starts_after_cancellation
             .extend(cancelled.map(|told| (task, now - told)));
         let Some(known) = self.jobs.get(&task.job) else {
             return self.break_rule(
@@ -232,7 +233,7 @@
         }
     }
 
-    pub fn ends(&mut self, task: TaskId, machine: &str, done: bool) {
+    pub fn task_ended(&mut self, task: TaskId, machine: &str, done: bool) {
         let Some(known) = self.jobs.get_mut(&task.job) else {
             return;
         };
@@ -338,7 +339,7 @@
     }
 
     /// A user is answered. `status` None: 404.
-    pub fn told(&mut self, now: Duration, id: JobId, status: Option<&str>) {
+    pub fn status_reported(&mut self, now: Duration, id: JobId, status: Option<&str>) {
         let Some(known) = self.jobs.get_mut(&id) else {
             if status.is_some() {
                 self.break_rule(now, format!("invented: {id} is {status:?}"));
@@ -389,7 +390,7 @@
     }
 
     /// What was sent should have been refused with this status: by a controller that can decide, and at once.
-    pub fn odd_answered(&mut self, now: Duration, expected: u16, status: u16) {
+    pub fn irregular_request_answered(&mut self, now: Duration, expected: u16, status: u16) {
         if ![expected, 429, 503].contains(&status) {
             self.break_rule(
                 now,
@@ -435,7 +436,7 @@
     }
 
     /// The jobs that wait beside room now.
-    pub fn beside_room(&mut self, now: Duration, jobs: BTreeSet<JobId>) {
+    pub fn record_waiting_despite_capacity(&mut self, now: Duration, jobs: BTreeSet<JobId>) {
         let calm = self.calm;
         let mut late = Vec::new();
         for (id, known) in &mut self.jobs {
--- a/tests/simulation/rules_checked.rs
+++ b/tests/simulation/rules_checked.rs
@@ -58,14 +58,14 @@
     let mut rules = rules(job);
     play(&mut rules);
     rules.check(at(100));
-    let first = rules.broken.first()?;
+    let first = rules.violations.first()?;
     Some(first.split(' ').nth(1).unwrap_or_default().to_owned())
 }
 
 /// The same for a job that was accepted before.
 fn broken_once_accepted(play: &dyn Fn(&mut Rules)) -> Option<String> {
     broken(job(1, 1.0), &|rules| {
-        rules.told(at(1), JobId(1), Some("queued"));
+        rules.status_reported(at(1), JobId(1), Some("queued"));
         play(rules);
     })
 }
@@ -78,14 +78,14 @@
 /// The user cancels the job and is told so.
 fn cancelled(rules: &mut Rules) {
     rules.cancel_asked(JobId(1));
-    rules.told(at(10), JobId(1), Some("cancelled"));
+    rules.status_reported(at(10), JobId(1), Some("cancelled"));
 }
 
 #[test]
 fn tasks_beyond_the_quota_break_quota() {
     let start = |count: u32| {
         move |rules: &mut Rules| {
-            (0..count).for_each(|n| rules.starts(at(1), task(n), place("a", ON_DEMAND)));
+            (0..count).for_each(|n| rules.task_started(at(1), task(n), place("a", ON_DEMAND)));
         }
     };
     assert_eq!(broken(job(2, 4.0), &start(2)), None);
@@ -96,7 +96,7 @@
 fn a_task_on_two_machines_breaks_ran_twice() {
     let twice = |rules: &mut Rules| {
         for zone in ["a", "b"] {
-            rules.starts(at(1), task(0), place(zone, ON_DEMAND));
+            rules.task_started(at(1), task(0), place(zone, ON_DEMAND));
         }
     };
     expect("ran_twice", broken(job(1, 1.0), &twice));
@@ -105,7 +105,7 @@
 #[test]
 fn a_task_on_a_spot_machine_that_it_may_not_use_breaks_wrong_place() {
     let on_spot = |rules: &mut Rules| {
-        rules.starts(at(1), task(0), place("a", CapacityType::Spot));
+        rules.task_started(at(1), task(0), place("a", CapacityType::Spot));
     };
     expect("wrong_place", broken(job(1, 1.0), &on_spot));
 }
@@ -117,7 +117,7 @@
         ..job(2, 1.0)
     };
     let in_one_zone = |rules: &mut Rules| {
-        (0..2).for_each(|n| rules.starts(at(1), task(n), place("a", ON_DEMAND)));
+        (0..2).for_each(|n| rules.task_started(at(1), task(n), place("a", ON_DEMAND)));
     };
     expect("wrong_place", broken(spread, &in_one_zone));
 }
@@ -125,13 +125,13 @@
 #[test]
 fn a_cancelled_task_that_stays_or_starts_too_late_breaks_ran_cancelled() {
     let stays = |rules: &mut Rules| {
-        rules.starts(at(1), task(0), place("a", ON_DEMAND));
+        rules.task_started(at(1), task(0), place("a", ON_DEMAND));
         cancelled(rules);
     };
     expect("ran_cancelled", broken(job(1, 1.0), &stays));
     let late = |rules: &mut Rules| {
         cancelled(rules);
-        rules.starts(at(61), task(0), place("a", ON_DEMAND));
+        rules.task_started(at(61), task(0), place("a", ON_DEMAND));
     };
     expect("ran_cancelled", broken(job(1, 1.0), &late));
 }
@@ -140,15 +140,15 @@
 fn a_cancelled_task_that_starts_in_time_is_counted() {
     let mut rules = rules(job(1, 1.0));
     cancelled(&mut rules);
-    rules.starts(at(12), task(0), place("a", ON_DEMAND));
-    assert_eq!(rules.started_cancelled, [(task(0), at(2))]);
+    rules.task_started(at(12), task(0), place("a", ON_DEMAND));
+    assert_eq!(rules.starts_after_cancellation, [(task(0), at(2))]);
 }
 
 #[test]
 fn an_accepted_job_that_is_unknown_or_refused_later_breaks_forgotten() {
     expect(
         "forgotten",
-        broken_once_accepted(&|rules| rules.told(at(2), JobId(1), None)),
+        broken_once_accepted(&|rules| rules.status_reported(at(2), JobId(1), None)),
     );
     expect(
         "forgotten",
@@ -164,7 +164,7 @@
     );
     let answered = |rules: &mut Rules| {
         rules.asked(at(3), JobId(1));
-        rules.told(at(70), JobId(1), Some("queued"));
+        rules.status_reported(at(70), JobId(1), Some("queued"));
         rules.asked(at(75), JobId(1));
     };
     assert_eq!(broken_once_accepted(&answered), None);
@@ -174,9 +174,9 @@
 fn jobs_that_nothing_was_done_of_are_unserved() {
     let unserved = |began: u64, done: bool| {
         let mut rules = rules(job(1, 1.0));
-        rules.told(at(1), JobId(1), Some("queued"));
-        rules.starts(at(began), task(0), place("a", ON_DEMAND));
-        rules.ends(task(0), "a", done);
+        rules.status_reported(at(1), JobId(1), Some("queued"));
+        rules.task_started(at(began), task(0), place("a", ON_DEMAND));
+        rules.task_ended(task(0), "a", done);
         rules.unserved()
     };
     assert_eq!(unserved(200, true), [] as [&str; 0]);
@@ -191,7 +191,7 @@
 fn an_answer_about_a_job_that_nobody_submitted_breaks_invented() {
     expect(
         "invented",
-        broken_once_accepted(&|rules| rules.told(at(2), JobId(2), Some("queued"))),
+        broken_once_accepted(&|rules| rules.status_reported(at(2), JobId(2), Some("queued"))),
     );
 }
 
@@ -199,7 +199,7 @@
 fn a_job_called_done_before_its_tasks_are_breaks_not_done() {
     expect(
         "not_done",
-        broken_once_accepted(&|rules| rules.told(at(2), JobId(1), Some("done"))),
+        broken_once_accepted(&|rules| rules.status_reported(at(2), JobId(1), Some("done"))),
     );
 }
 
@@ -207,11 +207,11 @@
 fn a_state_that_was_not_asked_for_or_was_final_breaks_went_back() {
     expect(
         "went_back",
-        broken_once_accepted(&|rules| rules.told(at(2), JobId(1), Some("cancelled"))),
+        broken_once_accepted(&|rules| rules.status_reported(at(2), JobId(1), Some("cancelled"))),
     );
     let back = |rules: &mut Rules| {
         cancelled(rules);
-        rules.told(at(11), JobId(1), Some("running"));
+        rules.status_reported(at(11), JobId(1), Some("running"));
     };
     expect("went_back", broken(job(1, 1.0), &back));
 }
@@ -220,7 +220,9 @@
 fn a_job_that_waits_beside_room_for_90_s_breaks_idle() {
     let beside = |from: u64, to: u64| {
         broken_once_accepted(&move |rules| {
-            (from..=to).for_each(|second| rules.beside_room(at(second), [JobId(1)].into()));
+            (from..=to).for_each(|second| {
+                rules.record_waiting_despite_capacity(at(second), [JobId(1)].into())
+            });
         })
     };
     assert_eq!(beside(2, 95), None, "counted from when troubles are over");
@@ -228,7 +230,7 @@
     let gap = |rules: &mut Rules| {
         (6..=110).for_each(|second| {
             let waiting = (second != 50).then_some(JobId(1));
-            rules.beside_room(at(second), waiting.into_iter().collect());
+            rules.record_waiting_despite_capacity(at(second), waiting.into_iter().collect());
         });
     };
     assert_eq!(
@@ -242,7 +244,7 @@
 fn a_job_that_can_not_run_and_is_accepted_breaks_odd() {
     let answered = |status: u16| {
         broken(job(1, 1.0), &move |rules| {
-            rules.odd_answered(at(1), 422, status);
+            rules.irregular_request_answered(at(1), 422, status);
         })
     };
     expect("odd", answered(201));
