--- a/tests/simulation/cluster/cloud.rs
+++ b/tests/simulation/cluster/cloud.rs
@@ -7,11 +7,11 @@
 
 /// How machines boot that are rented while this lasts.
 #[derive(Debug, Clone, Copy)]
-pub struct BootTrouble {
+pub struct BootFaults {
     /// The part of them that never comes up.
-    pub lost: f64,
+    pub failure_rate: f64,
     /// How many times as long as usual the others take.
-    pub factor: f64,
+    pub slowdown: f64,
 }
 
 pub(super) fn instance_types() -> InstanceTypeList {
@@ -131,13 +131,17 @@
         self.most_machines = self.most_machines.max(self.machines.len() + 1);
         self.next_machine += 1;
         let id = format!("m-{:06}", self.next_machine);
-        let BootTrouble { lost, factor } = self.boot_trouble.unwrap_or(BootTrouble {
-            lost: 0.03,
-            factor: 1.0,
+        let BootFaults {
+            failure_rate,
+            slowdown,
+        } = self.boot_faults.unwrap_or(BootFaults {
+            failure_rate: 0.03,
+            slowdown: 1.0,
         });
-        let boot = Duration::from_secs_f64(self.rng.random_range(0.5..10.0) * factor);
-        let never = self.rng.random_bool(lost);
-        let faulty = self.now < self.calm_from && self.rng.random_bool(self.faults.faulty_machines);
+        let boot = Duration::from_secs_f64(self.rng.random_range(0.5..10.0) * slowdown);
+        let never = self.rng.random_bool(failure_rate);
+        let faulty =
+            self.now < self.faults_end && self.rng.random_bool(self.faults.faulty_machines);
         let cpus = if type_name == "small" { 4.0 } else { 16.0 };
         let machine = Machine {
             id: id.clone(),
--- a/tests/simulation/cluster/faults.rs
+++ b/tests/simulation/cluster/faults.rs
@@ -6,9 +6,9 @@
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Faults {
     /// Of all messages: the answer is lost.
-    pub lost: f64,
+    pub lost_responses: f64,
     /// Of all requests: held for up to a minute and executed then, while the sender hears nothing.
-    pub held: f64,
+    pub delayed_requests: f64,
     /// Mean time between faults of each kind; none if zero.
     pub crash: f64,
     pub crash_all: f64,
@@ -23,7 +23,7 @@
     pub zone_cut: f64,
     pub faulty_machines: f64,
     /// A machine's heartbeats arrive, but answers and commands don't reach it for up to a minute.
-    pub machine_deaf: f64,
+    pub responses_blocked: f64,
     /// A machine is off and on again within a moment.
     pub machine_restarts: f64,
     /// Of all heartbeats: a copy comes up to three leases later, to any controller. Of everything else that was carried
@@ -38,16 +38,16 @@
     /// Of all transactions: no answer comes, and it is carried out 2 to 12 s later, after newer ones.
     pub late_writes: f64,
     /// A machine reaches no controller for up to a minute, while direct commands reach it.
-    pub machine_mute: f64,
+    pub heartbeats_blocked: f64,
     /// The state service takes up to a second for each request, for up to half a minute.
     pub state_slow: f64,
     /// Of all jobs that end: called off at the moment of the end.
     pub cancel_at_end: f64,
     /// Of all questions: an unfinished job is submitted again, one that is done is called off, or a job is sent that fits
     /// no machine or lacks a field.
-    pub odd_requests: f64,
+    pub irregular_requests: f64,
     /// A launch is also executed by another machine: breaks a rule on purpose.
-    pub sabotage: bool,
+    pub duplicate_launches: bool,
 }
 
 impl Faults {
@@ -64,20 +64,20 @@
             (Fault::CloudOutage, self.cloud_outage),
             (Fault::PeersCut, self.peers_cut),
             (Fault::ZoneCut, self.zone_cut),
-            (Fault::MachineDeaf, self.machine_deaf),
+            (Fault::MachineDeaf, self.responses_blocked),
             (Fault::MachineRestarts, self.machine_restarts),
             (Fault::Island, self.isolate),
             (Fault::Pause, self.pause),
             (Fault::MassLoss, self.mass_loss),
-            (Fault::MachineMute, self.machine_mute),
+            (Fault::MachineMute, self.heartbeats_blocked),
             (Fault::StateSlow, self.state_slow),
         ]
     }
 
     pub fn all() -> Self {
         Faults {
-            lost: 0.01,
-            held: 0.01,
+            lost_responses: 0.01,
+            delayed_requests: 0.01,
             crash: 25.0,
             crash_all: 110.0,
             outage: 90.0,
@@ -89,18 +89,18 @@
             peers_cut: 70.0,
             zone_cut: 80.0,
             faulty_machines: 0.1,
-            machine_deaf: 50.0,
+            responses_blocked: 50.0,
             machine_restarts: 60.0,
             copies: 0.02,
             isolate: 80.0,
             pause: 60.0,
             mass_loss: 150.0,
             late_writes: 0.01,
-            machine_mute: 50.0,
+            heartbeats_blocked: 50.0,
             state_slow: 90.0,
             cancel_at_end: 0.1,
-            odd_requests: 0.05,
-            sabotage: false,
+            irregular_requests: 0.05,
+            duplicate_launches: false,
         }
     }
 }
@@ -141,7 +141,7 @@
             let mut at = 0.0;
             loop {
                 at += -mean * (1.0 - self.rng.random::<f64>()).ln();
-                if Duration::from_secs_f64(at) >= self.calm_from {
+                if Duration::from_secs_f64(at) >= self.faults_end {
                     break;
                 }
                 self.at(Duration::from_secs_f64(at), ClusterEvent::Fault(fault));
@@ -232,8 +232,8 @@
     }
 
     /// Machines that are rented from now on boot like this.
-    pub fn boots_badly(&mut self, trouble: Option<BootTrouble>) {
-        self.boot_trouble = trouble;
+    pub fn set_boot_faults(&mut self, trouble: Option<BootFaults>) {
+        self.boot_faults = trouble;
     }
 
     /// It reaches no controller, while direct commands reach it.
--- a/tests/simulation/cluster/machines.rs
+++ b/tests/simulation/cluster/machines.rs
@@ -84,7 +84,7 @@
 
     /// A job's last task is done: now and then its user calls it off at that very moment.
     pub(super) fn ended(&mut self, job: JobId) {
-        if self.now >= self.calm_from || !self.rng.random_bool(self.faults.cancel_at_end) {
+        if self.now >= self.faults_end || !self.rng.random_bool(self.faults.cancel_at_end) {
             return;
         }
         self.cancel(job);
@@ -93,7 +93,7 @@
     /// A direct command arrives at a machine, or is held at a cut border.
     pub(super) fn command(&mut self, process: Process, command: DirectCommand, answer: bool) {
         let id = command.machine.0.to_string();
-        if self.faults.sabotage {
+        if self.faults.duplicate_launches {
             self.sabotage(&id, &command.body);
         }
         let zone = self.machines.get(&id).map(|machine| machine.zone.clone());
--- a/tests/simulation/cluster/mod.rs
+++ b/tests/simulation/cluster/mod.rs
@@ -43,7 +43,7 @@
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap, HashMap};
 use std::time::{Duration, Instant, SystemTime};
 
-pub use cloud::BootTrouble;
+pub use cloud::BootFaults;
 use controllers::{Process, Slot};
 use faults::Fault;
 pub use faults::Faults;
@@ -55,7 +55,7 @@
 pub const CONTROLLERS: usize = 3;
 
 /// Faults cease here in most tests.
-pub const CALM_FROM: Duration = Duration::from_secs(150);
+pub const FAULTS_END: Duration = Duration::from_secs(150);
 
 const ZONES: [&str; CONTROLLERS] = ["a", "b", "c"];
 
@@ -180,7 +180,7 @@
     rng: SmallRng,
     faults: Faults,
     /// Faults stop here; what follows is for the service to recover.
-    calm_from: Duration,
+    faults_end: Duration,
     config: Config,
     pub(super) state: StateService,
     state_out_until: Duration,
@@ -206,7 +206,7 @@
     pub rented: usize,
     size: Size,
     looked_for_idle: Duration,
-    boot_trouble: Option<BootTrouble>,
+    boot_faults: Option<BootFaults>,
     /// Users ask so many times as often as they would.
     pub asking: u32,
     /// Questions, submissions and cancellations sent so far.
@@ -240,7 +240,7 @@
 const LAST_TROUBLES: Duration = Duration::from_secs(60);
 
 impl SimulatedCluster {
-    pub fn new(seed: u64, faults: Faults, calm_from: Duration, size: Size) -> Self {
+    pub fn new(seed: u64, faults: Faults, faults_end: Duration, size: Size) -> Self {
         let text = include_str!("../../data/settings.toml");
         let mut config = Config::parse("settings.toml", text).expect("the sample is valid");
         for team in &mut config.teams {
@@ -252,7 +252,7 @@
         let slots = (0..CONTROLLERS)
             .map(|_| Slot::new(rng.random_range(-0.0005..0.0005)))
             .collect();
-        let mut cluster = SimulatedCluster::empty(config, rng, slots, faults, calm_from, size);
+        let mut cluster = SimulatedCluster::empty(config, rng, slots, faults, faults_end, size);
         for controller in 0..CONTROLLERS {
             let at = Duration::from_millis(cluster.rng.random_range(0..500));
             cluster.at(at, ClusterEvent::Restart { controller });
@@ -271,7 +271,7 @@
         rng: SmallRng,
         slots: Vec<Slot>,
         faults: Faults,
-        calm_from: Duration,
+        faults_end: Duration,
         size: Size,
     ) -> Self {
         let limits = config
@@ -287,7 +287,7 @@
             queue: BinaryHeap::new(),
             events: HashMap::new(),
             faults,
-            calm_from,
+            faults_end,
             state: StateService::new(config.state_limits, production::reads_record),
             state_out_until: Duration::ZERO,
             state_slow_until: Duration::ZERO,
@@ -303,14 +303,14 @@
             jobs: BTreeMap::new(),
             results: BTreeSet::new(),
             gangs: Gangs::default(),
-            rules: Rules::new(limits, config.cancel_within, calm_from + LAST_TROUBLES),
+            rules: Rules::new(limits, config.cancel_within, faults_end + LAST_TROUBLES),
             features: Features::default(),
             preemption: true,
             operators: Operators::default(),
             rented: 0,
             size,
             looked_for_idle: Duration::ZERO,
-            boot_trouble: None,
+            boot_faults: None,
             asking: 1,
             deleted_up: 0,
             questions: 0,
@@ -334,11 +334,11 @@
     pub fn upgrading(
         seed: u64,
         faults: Faults,
-        calm_from: Duration,
+        faults_end: Duration,
         size: Size,
         next: StateLimits,
     ) -> Self {
-        let mut cluster = SimulatedCluster::new(seed, faults, calm_from, size);
+        let mut cluster = SimulatedCluster::new(seed, faults, faults_end, size);
         cluster.config.next_state_limits = Some(next);
         for slot in &mut cluster.slots {
             slot.format = 0;
--- a/tests/simulation/cluster/network.rs
+++ b/tests/simulation/cluster/network.rs
@@ -65,9 +65,9 @@
 
     /// A request on its way: sometimes held for long, sometimes its answer is lost.
     pub(super) fn delivery(&mut self) -> Delivery {
-        let calm = self.now >= self.calm_from;
+        let calm = self.now >= self.faults_end;
         let quick = self.now + self.transit();
-        if !calm && self.rng.random_bool(self.faults.held) {
+        if !calm && self.rng.random_bool(self.faults.delayed_requests) {
             let held = Duration::from_secs_f64(self.rng.random_range(1.0..60.0));
             return Delivery {
                 at: self.now + held,
@@ -76,13 +76,13 @@
         }
         Delivery {
             at: quick,
-            answered: calm || !self.rng.random_bool(self.faults.lost),
+            answered: calm || !self.rng.random_bool(self.faults.lost_responses),
         }
     }
 
     /// When a copy of a message is carried out again, if one is.
     pub(crate) fn copied(&mut self) -> Option<Duration> {
-        if self.now >= self.calm_from || !self.rng.random_bool(self.faults.copies) {
+        if self.now >= self.faults_end || !self.rng.random_bool(self.faults.copies) {
             return None;
         }
         let late = self.config.worker_lease.as_secs_f64() * 3.0;
@@ -151,7 +151,7 @@
         if self.now < self.state_slow_until && !matches!(op, StoreRequest::Watch { .. }) {
             at += Duration::from_millis(self.rng.random_range(50..1000));
         }
-        let calm = self.now >= self.calm_from;
+        let calm = self.now >= self.faults_end;
         if matches!(op, StoreRequest::Commit(_))
             && !calm
             && self.rng.random_bool(self.faults.late_writes)
--- a/tests/simulation/cluster/users.rs
+++ b/tests/simulation/cluster/users.rs
@@ -192,7 +192,7 @@
             job.one_zone = false;
             job.zone = None;
         }
-        let last = self.calm_from.as_secs_f64().max(20.0);
+        let last = self.faults_end.as_secs_f64().max(20.0);
         let submit_at = Duration::from_secs_f64(rng.random_range(0.0..last));
         let cancel = service || rng.random_bool(0.15);
         let cancel_at =
@@ -220,7 +220,7 @@
         self.rules.asked(now, job);
         let told = self.rules.told_state(job);
         let asked = self.next_request(index, told);
-        let odd = now < self.calm_from && self.rng.random_bool(self.faults.odd_requests);
+        let odd = now < self.faults_end && self.rng.random_bool(self.faults.irregular_requests);
         let asked = match told {
             Some(Told::Accepted) if odd => Ask::Submit,
             Some(Told::Done) if odd => Ask::Cancel,
--- a/tests/simulation/digest.rs
+++ b/tests/simulation/digest.rs
@@ -185,14 +185,14 @@
 }
 
 /// Until when faults happen in these clusters.
-const CALM_FROM: Duration = Duration::from_secs(120);
+const FAULTS_END: Duration = Duration::from_secs(120);
 /// Until when they are played.
 const END: Duration = Duration::from_secs(240);
 
 /// A small cluster.
 fn cluster(seed: u64, faults: Faults) -> SimulatedCluster {
     super::log_if_asked();
-    SimulatedCluster::new(seed, faults, CALM_FROM, Size::SMALL)
+    SimulatedCluster::new(seed, faults, FAULTS_END, Size::SMALL)
 }
 
 /// No faults.
@@ -208,7 +208,8 @@
 /// An upgrade from the production version under all faults, and gangs once it is through.
 fn upgraded() -> SimulatedCluster {
     super::log_if_asked();
-    let mut cluster = SimulatedCluster::upgrading(903, Faults::all(), CALM_FROM, Size::SMALL, NEXT);
+    let mut cluster =
+        SimulatedCluster::upgrading(903, Faults::all(), FAULTS_END, Size::SMALL, NEXT);
     for (controller, at) in [(1, 20), (2, 24), (0, 28)] {
         cluster.plan(Duration::from_secs(at), move |cluster| {
             cluster.upgrade(controller, Duration::from_millis(900));
--- a/tests/simulation/drains.rs
+++ b/tests/simulation/drains.rs
@@ -12,7 +12,7 @@
 use dappleshore_drain::settings::TeamSettings;
 use dappleshore_drain::{DrainSettings, Limit, Purpose, Scope};
 
-use super::cluster::{CALM_FROM, Faults, SimulatedCluster, Size, array};
+use super::cluster::{FAULTS_END, Faults, SimulatedCluster, Size, array};
 use super::gangs::gang;
 use super::machine::LASTING;
 use super::operators::{Check, start};
@@ -27,7 +27,7 @@
 /// Draining is on, and each team may have so many tasks disrupted.
 fn cluster(seed: u64, faults: Faults, budget: u32) -> SimulatedCluster {
     super::log_if_asked();
-    let mut cluster = SimulatedCluster::new(seed, faults, CALM_FROM, Size::SMALL);
+    let mut cluster = SimulatedCluster::new(seed, faults, FAULTS_END, Size::SMALL);
     cluster.preemption = false;
     // What is bound to a zone can't run anywhere while that is drained.
     cluster.unbind_jobs();
@@ -312,7 +312,7 @@
 /// No machine comes up for a while: the drain halts with the reason, and goes on by itself once there is room.
 #[test]
 fn a_drain_whose_replacements_never_become_ready_is_halted() {
-    use super::cluster::BootTrouble;
+    use super::cluster::BootFaults;
     let mut cluster = cluster(830, Faults::default(), 4);
     cluster.features.drain.room_timeout_s = 30.0.try_into().expect("in range");
     cluster.plan(seconds(2), |cluster| {
@@ -320,14 +320,14 @@
             cluster.add_job(service(team, 3, 16.0), Some(seconds(380)));
         }
     });
-    let lost = BootTrouble {
-        lost: 1.0,
-        factor: 1.0,
+    let lost = BootFaults {
+        failure_rate: 1.0,
+        slowdown: 1.0,
     };
     cluster.plan(DRAIN_AT - seconds(2), move |cluster| {
-        cluster.boots_badly(Some(lost))
+        cluster.set_boot_faults(Some(lost))
     });
-    cluster.plan(seconds(200), |cluster| cluster.boots_badly(None));
+    cluster.plan(seconds(200), |cluster| cluster.set_boot_faults(None));
     drain_at(&mut cluster, DRAIN_AT, "first", zone("a"));
     drain_at(&mut cluster, DRAIN_AT, "second", zone("b"));
     let cluster = check_done(cluster, 830, &["first", "second"]);
--- a/tests/simulation/fault_combinations.rs
+++ b/tests/simulation/fault_combinations.rs
@@ -4,7 +4,7 @@
 
 use dappleshore::domain::JobId;
 
-use super::cluster::{CALM_FROM, CONTROLLERS, Faults, SimulatedCluster, Size};
+use super::cluster::{CONTROLLERS, FAULTS_END, Faults, SimulatedCluster, Size};
 
 /// When the state service goes out for everybody.
 const OUT_AT: Duration = Duration::from_secs(60);
@@ -18,7 +18,7 @@
 /// A quiet cluster in which tasks that start before `OUT_AT` run on for minutes.
 fn cluster(seed: u64) -> SimulatedCluster {
     super::log_if_asked();
-    let mut cluster = SimulatedCluster::new(seed, Faults::default(), CALM_FROM, Size::SMALL);
+    let mut cluster = SimulatedCluster::new(seed, Faults::default(), FAULTS_END, Size::SMALL);
     cluster.longer = seconds(150.0);
     cluster.plan(OUT_AT + seconds(1.0), |cluster| {
         cluster.longer = Duration::ZERO
@@ -95,7 +95,7 @@
 
 /// No rule broken, and everything that was accepted is over at the end.
 pub fn finish(seed: u64, mut cluster: SimulatedCluster) -> SimulatedCluster {
-    cluster.run_until(CALM_FROM + seconds(350.0));
+    cluster.run_until(FAULTS_END + seconds(350.0));
     assert_eq!(cluster.rules.violations, [] as [&str; 0], "seed {seed}");
     assert_eq!(
         cluster.rules.unfinished(),
@@ -123,7 +123,7 @@
     plan: impl FnOnce(&mut SimulatedCluster),
 ) -> SimulatedCluster {
     super::log_if_asked();
-    let mut cluster = SimulatedCluster::new(seed, faults, CALM_FROM, size);
+    let mut cluster = SimulatedCluster::new(seed, faults, FAULTS_END, size);
     plan(&mut cluster);
     let cluster = finish(seed, cluster);
     assert_eq!(cluster.rules.unserved(), [] as [&str; 0], "seed {seed}");
@@ -250,7 +250,7 @@
         play(
             seed,
             Faults {
-                held: 0.06,
+                delayed_requests: 0.06,
                 faulty_machines: 0.3,
                 ..Faults::default()
             },
@@ -339,7 +339,7 @@
     for seed in 225..=230 {
         let faults = Faults {
             cancel_at_end: 1.0,
-            odd_requests: 0.3,
+            irregular_requests: 0.3,
             ..Faults::default()
         };
         play(
@@ -361,7 +361,7 @@
         play(
             seed,
             Faults {
-                machine_mute: 8.0,
+                heartbeats_blocked: 8.0,
                 crash: 60.0,
                 ..Faults::default()
             },
@@ -469,7 +469,7 @@
     for seed in 260..=262 {
         let faults = Faults {
             state_slow: 25.0,
-            odd_requests: 0.1,
+            irregular_requests: 0.1,
             ..Faults::default()
         };
         play(seed, faults, Size::SMALL, |cluster| {
@@ -527,7 +527,7 @@
 fn more_work_than_room_over_slow_links() {
     for seed in 270..=272 {
         let faults = Faults {
-            lost: 0.02,
+            lost_responses: 0.02,
             crash: 60.0,
             ..Faults::default()
         };
--- a/tests/simulation/gangs.rs
+++ b/tests/simulation/gangs.rs
@@ -7,7 +7,7 @@
 use dappleshore::domain::{Job, JobId, JobKind, Priority, Resources, TaskId};
 use dappleshore::workers::wire::{ExitCause, TaskState};
 
-use super::cluster::{CALM_FROM, Faults, SimulatedCluster, Size, array};
+use super::cluster::{FAULTS_END, Faults, SimulatedCluster, Size, array};
 use super::machine::{Machine, MachineEvent};
 
 /// Tasks of a running gang notice within this time that one is gone.
@@ -207,7 +207,7 @@
 }
 
 fn check(seed: u64, faults: Faults) {
-    let mut cluster = SimulatedCluster::new(seed, faults, CALM_FROM, Size::SMALL);
+    let mut cluster = SimulatedCluster::new(seed, faults, FAULTS_END, Size::SMALL);
     submit_gangs(&mut cluster, 15, 14);
     cluster.run_until(Duration::from_secs(420));
     cluster.check_end(seed);
@@ -232,8 +232,8 @@
     let faults = Faults {
         crash: 10.0,
         crash_all: 50.0,
-        held: 0.02,
-        lost: 0.02,
+        delayed_requests: 0.02,
+        lost_responses: 0.02,
         copies: 0.02,
         ..Faults::default()
     };
@@ -249,8 +249,8 @@
         machine_hangs: 10.0,
         spot_taken: 12.0,
         machine_restarts: 20.0,
-        machine_deaf: 30.0,
-        held: 0.01,
+        responses_blocked: 30.0,
+        delayed_requests: 0.01,
         crash: 40.0,
         ..Faults::default()
     };
--- a/tests/simulation/main.rs
+++ b/tests/simulation/main.rs
@@ -20,7 +20,7 @@
 
 use std::time::Duration;
 
-use cluster::{CALM_FROM, Faults, SimulatedCluster, Size};
+use cluster::{FAULTS_END, Faults, SimulatedCluster, Size};
 
 const END: Duration = Duration::from_secs(420);
 
@@ -40,7 +40,7 @@
 
 fn cluster(seed: u64, faults: Faults) -> SimulatedCluster {
     log_if_asked();
-    let mut cluster = SimulatedCluster::new(seed, faults, CALM_FROM, Size::SMALL);
+    let mut cluster = SimulatedCluster::new(seed, faults, FAULTS_END, Size::SMALL);
     cluster.run_until(END);
     cluster
 }
@@ -63,8 +63,8 @@
         check(
             seed,
             Faults {
-                lost: 0.03,
-                held: 0.03,
+                lost_responses: 0.03,
+                delayed_requests: 0.03,
                 ..Faults::default()
             },
         );
@@ -79,7 +79,7 @@
             Faults {
                 crash: 12.0,
                 crash_all: 60.0,
-                held: 0.01,
+                delayed_requests: 0.01,
                 ..Faults::default()
             },
         );
@@ -92,7 +92,7 @@
         machine_dies: 15.0,
         machine_hangs: 12.0,
         spot_taken: 15.0,
-        held: 0.01,
+        delayed_requests: 0.01,
         faulty_machines: 0.1,
         ..Faults::default()
     };
@@ -107,7 +107,7 @@
         outage: 40.0,
         cut_one: 30.0,
         crash: 40.0,
-        lost: 0.01,
+        lost_responses: 0.01,
         ..Faults::default()
     };
     for seed in 40..=45 {
@@ -120,7 +120,7 @@
     let faults = Faults {
         zone_cut: 30.0,
         peers_cut: 50.0,
-        held: 0.01,
+        delayed_requests: 0.01,
         ..Faults::default()
     };
     for seed in 50..=55 {
@@ -134,7 +134,7 @@
         check(
             seed,
             Faults {
-                machine_deaf: 12.0,
+                responses_blocked: 12.0,
                 machine_restarts: 25.0,
                 copies: 0.05,
                 ..Faults::default()
@@ -152,7 +152,7 @@
                 isolate: 20.0,
                 copies: 0.05,
                 crash: 60.0,
-                held: 0.01,
+                delayed_requests: 0.01,
                 ..Faults::default()
             },
         );
@@ -167,7 +167,7 @@
             Faults {
                 pause: 15.0,
                 crash: 80.0,
-                held: 0.01,
+                delayed_requests: 0.01,
                 ..Faults::default()
             },
         );
@@ -272,11 +272,11 @@
     let faults = Faults {
         crash: 60.0,
         machine_dies: 20.0,
-        machine_deaf: 40.0,
+        responses_blocked: 40.0,
         spot_taken: 10.0,
         zone_cut: 90.0,
         copies: 0.02,
-        held: 0.002,
+        delayed_requests: 0.002,
         ..Faults::default()
     };
     let end = Duration::from_secs(240);
@@ -309,7 +309,7 @@
         mass_loss: 40.0,
         machine_restarts: 5.0,
         copies: 0.01,
-        held: 0.001,
+        delayed_requests: 0.001,
         ..Faults::default()
     };
     let end = Duration::from_secs(300);
@@ -396,7 +396,7 @@
     let cluster = cluster(
         1,
         Faults {
-            sabotage: true,
+            duplicate_launches: true,
             ..Faults::default()
         },
     );
--- a/tests/simulation/operations.rs
+++ b/tests/simulation/operations.rs
@@ -5,7 +5,7 @@
 
 use dappleshore::domain::JobId;
 
-use super::cluster::{BootTrouble, CALM_FROM, Faults, GUESTS, SimulatedCluster, Size};
+use super::cluster::{BootFaults, FAULTS_END, Faults, GUESTS, SimulatedCluster, Size};
 use super::fault_combinations::{finish, play, seconds};
 
 /// While most machines are late they are waited for, not ordered over and over; while some never come up, others are
@@ -13,21 +13,23 @@
 #[test]
 fn machines_boot_late_or_never() {
     for seed in 400..=403 {
-        let rented = |trouble: Option<BootTrouble>| {
+        let rented = |trouble: Option<BootFaults>| {
             let cluster = play(seed, Faults::default(), Size::SMALL, |cluster| {
-                cluster.plan(seconds(5.0), move |cluster| cluster.boots_badly(trouble));
-                cluster.plan(seconds(120.0), |cluster| cluster.boots_badly(None));
+                cluster.plan(seconds(5.0), move |cluster| {
+                    cluster.set_boot_faults(trouble)
+                });
+                cluster.plan(seconds(120.0), |cluster| cluster.set_boot_faults(None));
             });
             cluster.rented
         };
         let usual = rented(None);
-        let late = rented(Some(BootTrouble {
-            lost: 0.03,
-            factor: 8.0,
+        let late = rented(Some(BootFaults {
+            failure_rate: 0.03,
+            slowdown: 8.0,
         }));
-        let lost = rented(Some(BootTrouble {
-            lost: 0.4,
-            factor: 1.0,
+        let lost = rented(Some(BootFaults {
+            failure_rate: 0.4,
+            slowdown: 1.0,
         }));
         assert!(
             late < usual * 2,
@@ -97,7 +99,7 @@
     for seed in 420..=422 {
         let played = |guests: bool| {
             let mut cluster =
-                SimulatedCluster::new(seed, Faults::default(), CALM_FROM, Size::SMALL);
+                SimulatedCluster::new(seed, Faults::default(), FAULTS_END, Size::SMALL);
             for (n, tasks) in (0..).zip(TASKS).filter(|_| guests) {
                 cluster.plan(seconds(15.0 + f64::from(n)), move |cluster| {
                     cluster.add_guests_job(tasks, 1.0);
@@ -132,7 +134,7 @@
         let played = |asking: u32| {
             let faults = Faults {
                 crash: 60.0,
-                odd_requests: 0.05,
+                irregular_requests: 0.05,
                 cancel_at_end: 0.1,
                 ..Faults::default()
             };
@@ -170,18 +172,18 @@
             cut_one: 60.0,
             isolate: 80.0,
             machine_dies: 40.0,
-            machine_deaf: 50.0,
-            lost: 0.005,
+            responses_blocked: 50.0,
+            lost_responses: 0.005,
             ..Faults::default()
         };
         play(seed, faults, Size::SMALL, |cluster| {
             cluster.plan(seconds(10.0), |cluster| {
-                cluster.boots_badly(Some(BootTrouble {
-                    lost: 0.2,
-                    factor: 5.0,
+                cluster.set_boot_faults(Some(BootFaults {
+                    failure_rate: 0.2,
+                    slowdown: 5.0,
                 }))
             });
-            cluster.plan(seconds(90.0), |cluster| cluster.boots_badly(None));
+            cluster.plan(seconds(90.0), |cluster| cluster.set_boot_faults(None));
             cluster.plan(seconds(30.0), |cluster| cluster.asking = 10);
             cluster.plan(seconds(100.0), |cluster| cluster.asking = 1);
             for n in 0..3 {
@@ -197,14 +199,14 @@
 /// The stand-ins do what the tests above rest on.
 #[test]
 fn bad_nights_can_be_told_from_quiet_ones() {
-    let mut cluster = SimulatedCluster::new(450, Faults::default(), CALM_FROM, Size::SMALL);
-    cluster.boots_badly(Some(BootTrouble {
-        lost: 1.0,
-        factor: 1.0,
+    let mut cluster = SimulatedCluster::new(450, Faults::default(), FAULTS_END, Size::SMALL);
+    cluster.set_boot_faults(Some(BootFaults {
+        failure_rate: 1.0,
+        slowdown: 1.0,
     }));
     cluster.run_until(seconds(60.0));
     assert_eq!(cluster.rules.started, 0, "no machine comes up");
-    let mut cluster = SimulatedCluster::new(451, Faults::default(), CALM_FROM, Size::SMALL);
+    let mut cluster = SimulatedCluster::new(451, Faults::default(), FAULTS_END, Size::SMALL);
     cluster.plan(seconds(10.0), |cluster| {
         let job = cluster.add_broken_job(5, seconds(1000.0));
         cluster.plan(seconds(100.0), move |cluster| {
--- a/tests/simulation/rollout.rs
+++ b/tests/simulation/rollout.rs
@@ -6,7 +6,7 @@
 use dappleshore::config::StateLimits;
 use dappleshore::store::records::FORMAT;
 
-use super::cluster::{CALM_FROM, CONTROLLERS, Faults, SimulatedCluster, Size};
+use super::cluster::{CONTROLLERS, FAULTS_END, Faults, SimulatedCluster, Size};
 use super::gangs::submit_gangs;
 
 /// The limits that the state service has after the upgrade.
@@ -30,7 +30,7 @@
 
 fn cluster(seed: u64, faults: Faults, size: Size, rollout: &Rollout) -> SimulatedCluster {
     super::log_if_asked();
-    let mut cluster = SimulatedCluster::upgrading(seed, faults, CALM_FROM, size, NEXT);
+    let mut cluster = SimulatedCluster::upgrading(seed, faults, FAULTS_END, size, NEXT);
     for (controller, at) in rollout.order.into_iter().zip(rollout.at_s) {
         let away = rollout.away;
         cluster.plan(Duration::from_secs(at), move |cluster| {
@@ -101,8 +101,8 @@
 fn an_upgrade_rolls_through_while_controllers_crash() {
     let faults = Faults {
         crash: 15.0,
-        held: 0.02,
-        lost: 0.02,
+        delayed_requests: 0.02,
+        lost_responses: 0.02,
         copies: 0.02,
         late_writes: 0.02,
         machine_dies: 40.0,
