--- a/tests/loopback/cloud.rs
+++ b/tests/loopback/cloud.rs
@@ -46,7 +46,7 @@
             let mut fleet = lock(&fleet);
             for name in names {
                 if let Some(machine) = fleet.machines.get_mut(&*name.0) {
-                    let ended = machine.gone();
+                    let ended = machine.lose_all_tasks();
                     fleet.happened(&name.0, ended);
                     fleet.machines.remove(&*name.0);
                 }
@@ -151,14 +151,14 @@
         up: false,
         dead: false,
         hung_until: None,
-        deaf_until: Duration::ZERO,
-        mute_until: Duration::ZERO,
-        notice: None,
+        responses_blocked_until: Duration::ZERO,
+        heartbeats_blocked_until: Duration::ZERO,
+        terminates_at: None,
         faulty: false,
         agent_epoch: AgentEpoch(1),
         sequence_number: 0,
         token: FencingToken(0),
-        lease_from: now + BOOT,
+        lease_renewed_at: now + BOOT,
         tasks: BTreeMap::new(),
         images: BTreeSet::new(),
         controller: 0,
--- a/tests/loopback/site.rs
+++ b/tests/loopback/site.rs
@@ -11,7 +11,7 @@
 use dappleshore::http::{Client, Request};
 use dappleshore::workers::wire::TaskState;
 
-use super::machine::{LASTING, Machine, MachineEvent};
+use super::machine::{LONG_RUNNING_CLASS, Machine, MachineEvent};
 use super::processes::Controllers;
 use super::rules::{Place, Rules};
 use super::state::StateService;
@@ -192,7 +192,7 @@
 
 fn service(team: &str, replicas: u32) -> Job {
     Job {
-        class: LASTING.into(),
+        class: LONG_RUNNING_CLASS.into(),
         team: team.into(),
         kind: JobKind::Service,
         priority: Priority::Production,
@@ -219,7 +219,7 @@
 
 fn submission(id: JobId, team: &str, replicas: u32) -> Vec<u8> {
     let body = cbor!({
-        "id" => id.to_string(), "docket" => LASTING, "desk" => team, "shape" => "service",
+        "id" => id.to_string(), "docket" => LONG_RUNNING_CLASS, "desk" => team, "shape" => "service",
         "precedence" => "prod", "entries" => replicas, "cpus" => 2.0, "cards" => 0.0, "ramGb" => 1.0,
         "bundle" => "img-0", "imageGb" => 1.0, "samePlace" => false, "scatter" => true, "loaner" => false,
         "expectS" => 0.0, "stampEveryS" => 0.0, "stampS" => 0.0,
--- a/tests/loopback/workers.rs
+++ b/tests/loopback/workers.rs
@@ -41,7 +41,7 @@
 fn heartbeat(fleet: &mut Fleet, name: &str) -> Option<Heartbeat> {
     let addr = fleet.addresses[name].to_string();
     let machine = fleet.machines.get_mut(name)?;
-    let heartbeat = machine.message();
+    let heartbeat = machine.build_heartbeat();
     Some(Heartbeat { addr, ..heartbeat })
 }
 
@@ -158,7 +158,7 @@
     }
     if !machine.up {
         machine.up = true;
-        machine.lease_from = now;
+        machine.lease_renewed_at = now;
     }
     let mut happened = machine.check_lease(now, LEASE);
     happened.extend(machine.progress(STEP, jobs, results, runs_for));
@@ -189,6 +189,6 @@
     if execute(fleet, name, &commands)
         && let Some(machine) = fleet.machines.get_mut(name)
     {
-        machine.lease_from = sent;
+        machine.lease_renewed_at = sent;
     }
 }
--- a/tests/simulation/cluster/cloud.rs
+++ b/tests/simulation/cluster/cloud.rs
@@ -91,7 +91,7 @@
                 continue;
             };
             self.deleted_up += usize::from(machine.runs(self.now));
-            for what in machine.gone() {
+            for what in machine.lose_all_tasks() {
                 if let MachineEvent::Ended(task, done) = what {
                     self.rules.task_ended(task, &name.0, done);
                 }
@@ -158,14 +158,14 @@
             up: false,
             dead: false,
             hung_until: None,
-            deaf_until: Duration::ZERO,
-            mute_until: Duration::ZERO,
-            notice: None,
+            responses_blocked_until: Duration::ZERO,
+            heartbeats_blocked_until: Duration::ZERO,
+            terminates_at: None,
             faulty,
             agent_epoch: AgentEpoch(1),
             sequence_number: 0,
             token: FencingToken(0),
-            lease_from: self.now + boot,
+            lease_renewed_at: self.now + boot,
             tasks: BTreeMap::new(),
             images: BTreeSet::new(),
             controller: self.rng.random_range(0..CONTROLLERS),
--- a/tests/simulation/cluster/faults.rs
+++ b/tests/simulation/cluster/faults.rs
@@ -203,7 +203,7 @@
             return;
         };
         found.dead = true;
-        let happened = found.gone();
+        let happened = found.lose_all_tasks();
         self.happened(machine, happened);
     }
 
@@ -219,7 +219,7 @@
     /// The cloud takes it away after this long, and says so.
     pub fn recall(&mut self, machine: &str, notice: Duration) {
         if let Some(found) = self.machines.get_mut(machine) {
-            found.notice = Some(self.now + notice);
+            found.terminates_at = Some(self.now + notice);
             found.changed = true;
         }
     }
@@ -227,7 +227,7 @@
     /// Answers and commands don't reach it.
     pub fn block_responses(&mut self, machine: &str, how_long: Duration) {
         if let Some(machine) = self.machines.get_mut(machine) {
-            machine.deaf_until = self.now + how_long;
+            machine.responses_blocked_until = self.now + how_long;
         }
     }
 
@@ -239,7 +239,7 @@
     /// It reaches no controller, while direct commands reach it.
     pub fn block_heartbeats(&mut self, machine: &str, how_long: Duration) {
         if let Some(machine) = self.machines.get_mut(machine) {
-            machine.mute_until = self.now + how_long;
+            machine.heartbeats_blocked_until = self.now + how_long;
         }
     }
 
--- a/tests/simulation/cluster/machines.rs
+++ b/tests/simulation/cluster/machines.rs
@@ -48,7 +48,7 @@
         self.changed = false;
         self.last_heartbeat = now;
         self.next_heartbeat = now + interval;
-        let heartbeat = self.message();
+        let heartbeat = self.build_heartbeat();
         self.heartbeat = Some((heartbeat.sequence_number, now));
         Some(heartbeat)
     }
@@ -118,7 +118,7 @@
         }
         let executed = self.direct(&id, &command.body);
         if answer && let Some(machine) = self.machines.get_mut(&id) {
-            let heartbeat = machine.message();
+            let heartbeat = machine.build_heartbeat();
             let outcome = if executed {
                 CommandOutcome::Executed(heartbeat)
             } else {
@@ -140,7 +140,7 @@
         let Some(machine) = self.machines.get_mut(id) else {
             return false;
         };
-        if now < machine.deaf_until {
+        if now < machine.responses_blocked_until {
             return false;
         }
         let runs = machine.runs(now);
@@ -207,12 +207,12 @@
         let Some(machine) = self.machines.get_mut(id) else {
             return;
         };
-        if machine.notice.is_some_and(|taken| now >= taken) {
+        if machine.terminates_at.is_some_and(|taken| now >= taken) {
             return self.machine_is_taken_back(id);
         }
         if !machine.up && machine.up_at.is_some_and(|at| now >= at) {
             machine.up = true;
-            machine.lease_from = now;
+            machine.lease_renewed_at = now;
         }
         if !machine.runs(now) {
             return;
@@ -245,7 +245,7 @@
     /// The cloud takes a machine back, with whatever runs there.
     fn machine_is_taken_back(&mut self, id: &str) {
         let mut machine = self.machines.remove(id).expect("just found");
-        for what in machine.gone() {
+        for what in machine.lose_all_tasks() {
             if let MachineEvent::Ended(task, done) = what {
                 self.rules.task_ended(task, id, done);
             }
@@ -256,7 +256,8 @@
     fn send_heartbeat(&mut self, id: &str, heartbeat: Heartbeat) {
         let now = self.now;
         let machine = &self.machines[id];
-        let (controller, block_heartbeats) = (machine.controller, now < machine.mute_until);
+        let (controller, block_heartbeats) =
+            (machine.controller, now < machine.heartbeats_blocked_until);
         let up = self.slots[controller].controller.is_some();
         let request = HeartbeatRequest {
             machine: id.to_owned(),
@@ -367,7 +368,7 @@
                     machine.token = orders.token;
                     machine.changed = true;
                 }
-                machine.lease_from = request.sent;
+                machine.lease_renewed_at = request.sent;
                 let happened = machine.execute(
                     &orders.commands,
                     &self.jobs,
--- a/tests/simulation/cluster/network.rs
+++ b/tests/simulation/cluster/network.rs
@@ -348,7 +348,7 @@
         let deaf = self
             .machines
             .get(&request.machine)
-            .is_some_and(|machine| self.now < machine.deaf_until);
+            .is_some_and(|machine| self.now < machine.responses_blocked_until);
         if deaf {
             return;
         }
--- a/tests/simulation/digest.rs
+++ b/tests/simulation/digest.rs
@@ -18,7 +18,7 @@
 
 use super::cluster::{Faults, SimulatedCluster, Size, array};
 use super::gangs::submit_gangs;
-use super::machine::LASTING;
+use super::machine::LONG_RUNNING_CLASS;
 use super::rollout::NEXT;
 
 /// A 64-bit FNV-1a hash of all effects that controllers returned, in order.
@@ -243,7 +243,7 @@
                     memory_gb: 1.0,
                 },
                 spot: false,
-                ..array(LASTING, team, Priority::Production)
+                ..array(LONG_RUNNING_CLASS, team, Priority::Production)
             };
             cluster.add_job(service, None);
         }
--- a/tests/simulation/drains.rs
+++ b/tests/simulation/drains.rs
@@ -14,7 +14,7 @@
 
 use super::cluster::{FAULTS_END, Faults, SimulatedCluster, Size, array};
 use super::gangs::gang;
-use super::machine::LASTING;
+use super::machine::LONG_RUNNING_CLASS;
 use super::operators::{Check, start};
 
 const DRAIN_AT: Duration = Duration::from_secs(60);
@@ -65,7 +65,7 @@
             memory_gb: 1.0,
         },
         spot: false,
-        ..array(LASTING, team, Priority::Production)
+        ..array(LONG_RUNNING_CLASS, team, Priority::Production)
     }
 }
 
--- a/tests/simulation/machine.rs
+++ b/tests/simulation/machine.rs
@@ -34,16 +34,16 @@
     pub dead: bool,
     pub hung_until: Option<Duration>,
     /// Until then its heartbeats arrive, but answers and commands don't reach it.
-    pub deaf_until: Duration,
+    pub responses_blocked_until: Duration,
     /// Until then it reaches no controller.
-    pub mute_until: Duration,
-    pub notice: Option<Duration>,
+    pub heartbeats_blocked_until: Duration,
+    pub terminates_at: Option<Duration>,
     pub faulty: bool,
     pub agent_epoch: AgentEpoch,
     pub sequence_number: u64,
     pub token: FencingToken,
     /// When the last answered heartbeat was sent, or the session began.
-    pub lease_from: Duration,
+    pub lease_renewed_at: Duration,
     pub tasks: BTreeMap<TaskId, Task>,
     pub images: BTreeSet<String>,
     pub controller: usize,
@@ -70,7 +70,7 @@
 pub const BROKEN: &str = "broken";
 
 /// The class of services that run until they are cancelled. (Others here end, so that days have ends.)
-pub const LASTING: &str = "lookup";
+pub const LONG_RUNNING_CLASS: &str = "lookup";
 
 const FETCH: Duration = Duration::from_secs(2);
 
@@ -86,7 +86,7 @@
         )
     }
 
-    pub fn message(&mut self) -> Heartbeat {
+    pub fn build_heartbeat(&mut self) -> Heartbeat {
         self.sequence_number += 1;
         Heartbeat {
             machine: self.id.as_str().into(),
@@ -97,7 +97,7 @@
             agent_epoch: self.agent_epoch,
             sequence_number: self.sequence_number,
             token: self.token,
-            termination_notice_s: self.notice.map(|_| Amount(5.0)),
+            termination_notice_s: self.terminates_at.map(|_| Amount(5.0)),
             tasks: self
                 .tasks
                 .iter()
@@ -116,7 +116,7 @@
         let up = self
             .up_at
             .is_some_and(|at| now > at + Duration::from_secs(10));
-        up && self.runs(now) && self.notice.is_none() && !self.faulty
+        up && self.runs(now) && self.terminates_at.is_none() && !self.faulty
     }
 
     pub fn free(&self, jobs: &BTreeMap<JobId, Job>) -> Resources {
@@ -302,7 +302,7 @@
 
     /// Kills everything if the lease is over.
     pub fn check_lease(&mut self, now: Duration, lease: Duration) -> Vec<MachineEvent> {
-        if now <= self.lease_from + lease {
+        if now <= self.lease_renewed_at + lease {
             return Vec::new();
         }
         self.restart(now)
@@ -311,14 +311,14 @@
     /// Off and on again: its tasks are gone and it goes on with the next session.
     pub fn restart(&mut self, now: Duration) -> Vec<MachineEvent> {
         self.agent_epoch.0 += 1;
-        self.lease_from = now;
+        self.lease_renewed_at = now;
         self.heartbeat = None;
         self.changed = true;
-        self.gone()
+        self.lose_all_tasks()
     }
 
     /// All tasks are gone.
-    pub fn gone(&mut self) -> Vec<MachineEvent> {
+    pub fn lose_all_tasks(&mut self) -> Vec<MachineEvent> {
         let tasks = std::mem::take(&mut self.tasks);
         tasks
             .into_iter()
@@ -330,7 +330,7 @@
 
 fn is_lasting(jobs: &BTreeMap<JobId, Job>, task: TaskId) -> bool {
     jobs.get(&task.job)
-        .is_some_and(|job| *job.class == *LASTING)
+        .is_some_and(|job| *job.class == *LONG_RUNNING_CLASS)
 }
 
 fn is_gang(jobs: &BTreeMap<JobId, Job>, task: TaskId) -> bool {
--- a/tests/simulation/measure.rs
+++ b/tests/simulation/measure.rs
@@ -11,7 +11,7 @@
 use dappleshore_drain::{DrainSettings, Limit, Purpose, Scope};
 
 use super::cluster::{Faults, SimulatedCluster, Size, array};
-use super::machine::LASTING;
+use super::machine::LONG_RUNNING_CLASS;
 use super::operators::{Check, start};
 use super::report;
 
@@ -77,7 +77,7 @@
             memory_gb: 1.0,
         },
         spread: true,
-        ..array(LASTING, team, Priority::Production)
+        ..array(LONG_RUNNING_CLASS, team, Priority::Production)
     }
 }
 
@@ -134,7 +134,7 @@
         at += LOOK_EVERY;
         cluster.run_until(at);
         machine_seconds += cluster.machines.len();
-        let running = TEAMS.map(|team| cluster.rules.on_machines(&team.into(), LASTING));
+        let running = TEAMS.map(|team| cluster.rules.on_machines(&team.into(), LONG_RUNNING_CLASS));
         let all = (SERVICES * REPLICAS) as usize;
         let down = running.iter().map(|running| all.saturating_sub(*running));
         measured.most_down = measured.most_down.max(down.max().unwrap_or(0));
@@ -189,7 +189,7 @@
     });
     cluster.watch_drains(DRAIN_AT + LOOK_EVERY);
     cluster.run_until(DRAIN_AT + Duration::from_secs(seconds));
-    let running = TEAMS.map(|team| cluster.rules.on_machines(&team.into(), LASTING));
+    let running = TEAMS.map(|team| cluster.rules.on_machines(&team.into(), LONG_RUNNING_CLASS));
     println!("{running:?} replicas run; {:?}", cluster.rules.violations);
 }
 
