--- a/tests/loopback/state_service.rs
+++ b/tests/loopback/state_service.rs
@@ -181,7 +181,7 @@
             let mut fleet = lock(fleet);
             let now = fleet.now();
             fleet.state.expire(now);
-            let changes = fleet.state.news(&prefix, after);
+            let changes = fleet.state.changes_after(&prefix, after);
             if !changes.is_empty() || tokio::time::Instant::now() >= deadline {
                 let news = changes.into_iter().map(|change| {
                     let item = match change.value {
--- a/tests/simulation/cluster/store_requests.rs
+++ b/tests/simulation/cluster/store_requests.rs
@@ -89,7 +89,7 @@
             .iter()
             .filter(|(_, w)| {
                 !self.state_out(w.process.controller)
-                    && !self.state.news(&w.prefix, w.after).is_empty()
+                    && !self.state.changes_after(&w.prefix, w.after).is_empty()
             })
             .map(|(id, _)| *id)
             .collect();
@@ -119,7 +119,7 @@
             return;
         }
         let watcher = self.watchers.remove(&id).expect("looked up");
-        let changes = self.state.news(&watcher.prefix, watcher.after);
+        let changes = self.state.changes_after(&watcher.prefix, watcher.after);
         let outcome = StoreResponse::WatchEvents {
             revision: self.state.revision,
             changes,
--- a/tests/simulation/state.rs
+++ b/tests/simulation/state.rs
@@ -189,7 +189,7 @@
         }
     }
 
-    pub fn news(&self, prefix: &str, after: u64) -> Vec<Change> {
+    pub fn changes_after(&self, prefix: &str, after: u64) -> Vec<Change> {
         let from = self.log.partition_point(|change| change.version <= after);
         self.log[from..]
             .iter()
