--- a/tests/simulation/cluster/cloud.rs
+++ b/tests/simulation/cluster/cloud.rs
@@ -90,7 +90,7 @@
             let Some(mut machine) = self.machines.remove(&*name.0) else {
                 continue;
             };
-            self.deleted_up += usize::from(machine.runs(self.now));
+            self.running_machines_deleted += usize::from(machine.runs(self.now));
             for what in machine.lose_all_tasks() {
                 if let MachineEvent::Ended(task, done) = what {
                     self.rules.task_ended(task, &name.0, done);
--- a/tests/simulation/cluster/machines.rs
+++ b/tests/simulation/cluster/machines.rs
@@ -166,7 +166,7 @@
             &body.commands,
             &self.jobs,
             &self.results,
-            run_for(self.longer, self.apart),
+            run_for(self.extra_task_time, self.extra_time_per_index),
         );
         self.happened(id, happened);
         true
@@ -193,7 +193,7 @@
                 &body.commands,
                 &self.jobs,
                 &self.results,
-                run_for(self.longer, self.apart),
+                run_for(self.extra_task_time, self.extra_time_per_index),
             );
             self.happened(&other, happened);
         }
@@ -232,7 +232,7 @@
             STEP,
             &self.jobs,
             &self.results,
-            run_for(self.longer, self.apart),
+            run_for(self.extra_task_time, self.extra_time_per_index),
         ));
         machine.give_up_overdue_heartbeat(now);
         let heartbeat = machine.due_heartbeat(now, interval);
@@ -373,7 +373,7 @@
                     &orders.commands,
                     &self.jobs,
                     &self.results,
-                    run_for(self.longer, self.apart),
+                    run_for(self.extra_task_time, self.extra_time_per_index),
                 );
                 self.happened(id, happened);
             }
--- a/tests/simulation/cluster/mod.rs
+++ b/tests/simulation/cluster/mod.rs
@@ -208,15 +208,15 @@
     looked_for_idle: Duration,
     boot_faults: Option<BootFaults>,
     /// Users ask so many times as often as they would.
-    pub asking: u32,
+    pub request_rate_factor: u32,
     /// Questions, submissions and cancellations sent so far.
-    pub questions: usize,
+    pub user_requests: usize,
     /// The machines that were up when the cloud was told to delete them.
-    pub deleted_up: usize,
+    pub running_machines_deleted: usize,
     /// Tasks that start now run for so much longer than they would.
-    pub longer: Duration,
+    pub extra_task_time: Duration,
     /// ... and each of a job so much longer than the one before it.
-    pub apart: Duration,
+    pub extra_time_per_index: Duration,
     /// The most that a message takes.
     pub latency: Duration,
     /// Reports sent until then arrive then, at whoever leads by that time.
@@ -311,11 +311,11 @@
             size,
             looked_for_idle: Duration::ZERO,
             boot_faults: None,
-            asking: 1,
-            deleted_up: 0,
-            questions: 0,
-            longer: Duration::ZERO,
-            apart: Duration::ZERO,
+            request_rate_factor: 1,
+            running_machines_deleted: 0,
+            user_requests: 0,
+            extra_task_time: Duration::ZERO,
+            extra_time_per_index: Duration::ZERO,
             latency: Duration::from_millis(6),
             heartbeats_held_until: Duration::ZERO,
             leases_over: 0,
@@ -462,7 +462,7 @@
         for id in ids {
             self.step_machine(&id);
         }
-        let run_for = run_for(self.longer, self.apart);
+        let run_for = run_for(self.extra_task_time, self.extra_time_per_index);
         for (id, event) in self
             .gangs
             .step(self.now, STEP, &mut self.machines, &self.jobs, run_for)
--- a/tests/simulation/cluster/users.rs
+++ b/tests/simulation/cluster/users.rs
@@ -229,7 +229,7 @@
         if odd {
             self.send_odd(index);
         }
-        self.questions += 1;
+        self.user_requests += 1;
         let within = if asked == Ask::Poll { 2 } else { 5 };
         self.users[index].pending = Some((asked, now + Duration::from_secs(within)));
         match asked {
@@ -255,7 +255,7 @@
             }
             user.pending = None;
             let pause = if asked == Ask::Poll {
-                POLL_EVERY / self.asking
+                POLL_EVERY / self.request_rate_factor
             } else {
                 Duration::from_secs(1)
             };
@@ -362,7 +362,7 @@
         user.pending = None;
         user.next_ask = now
             + if asked == Ask::Poll {
-                POLL_EVERY / self.asking
+                POLL_EVERY / self.request_rate_factor
             } else {
                 Duration::from_secs(2)
             };
--- a/tests/simulation/drains.rs
+++ b/tests/simulation/drains.rs
@@ -209,8 +209,10 @@
 #[test]
 fn a_gang_is_moved_whole_or_not_at_all() {
     let mut cluster = cluster(815, Faults::default(), 3);
-    cluster.longer = seconds(400);
-    cluster.plan(seconds(45), |cluster| cluster.longer = Duration::ZERO);
+    cluster.extra_task_time = seconds(400);
+    cluster.plan(seconds(45), |cluster| {
+        cluster.extra_task_time = Duration::ZERO
+    });
     cluster.plan(seconds(30), |cluster| {
         let job = Job {
             spot: false,
--- a/tests/simulation/fault_combinations.rs
+++ b/tests/simulation/fault_combinations.rs
@@ -19,9 +19,9 @@
 fn cluster(seed: u64) -> SimulatedCluster {
     super::log_if_asked();
     let mut cluster = SimulatedCluster::new(seed, Faults::default(), FAULTS_END, Size::SMALL);
-    cluster.longer = seconds(150.0);
+    cluster.extra_task_time = seconds(150.0);
     cluster.plan(OUT_AT + seconds(1.0), |cluster| {
-        cluster.longer = Duration::ZERO
+        cluster.extra_task_time = Duration::ZERO
     });
     cluster
 }
@@ -313,7 +313,7 @@
     for seed in 220..=223 {
         play(seed, Faults::default(), Size::SMALL, |cluster| {
             cluster.bind_jobs();
-            cluster.longer = seconds(15.0);
+            cluster.extra_task_time = seconds(15.0);
             for (at, zone, part) in [
                 (50.0, "a", 1),
                 (70.0, "b", 2),
@@ -367,7 +367,7 @@
             },
             Size::SMALL,
             |cluster| {
-                cluster.longer = seconds(20.0);
+                cluster.extra_task_time = seconds(20.0);
                 cluster.plan(seconds(60.0), |cluster| {
                     cluster
                         .up(None)
@@ -386,7 +386,7 @@
 fn machines_that_reach_no_controller_any_more_are_replaced() {
     for seed in 235..=238 {
         play(seed, Faults::default(), Size::SMALL, |cluster| {
-            cluster.longer = seconds(30.0);
+            cluster.extra_task_time = seconds(30.0);
             cluster.plan(seconds(60.0), move |cluster| {
                 let block_heartbeats: Vec<String> =
                     cluster.up(None).into_iter().step_by(2).collect();
@@ -456,7 +456,7 @@
                 ..Size::SMALL
             },
             |cluster| {
-                cluster.apart = seconds(25.0);
+                cluster.extra_time_per_index = seconds(25.0);
                 every(cluster, 30, 150, 15, |cluster| end_leader(cluster, 4.0));
             },
         );
@@ -499,7 +499,7 @@
                 ..Size::SMALL
             },
             |cluster| {
-                cluster.longer = seconds(10.0);
+                cluster.extra_task_time = seconds(10.0);
                 every(cluster, 40, 140, 25, |cluster| {
                     cluster
                         .up(None)
@@ -547,7 +547,7 @@
 fn all_controllers_are_away_for_longer_than_a_lease() {
     for seed in 275..=277 {
         play(seed, Faults::default(), Size::SMALL, |cluster| {
-            cluster.longer = seconds(10.0);
+            cluster.extra_task_time = seconds(10.0);
             cluster.plan(seconds(50.0), |cluster| {
                 (0..CONTROLLERS).for_each(|controller| {
                     cluster.end_controller(controller, seconds(24.0 + controller as f64))
@@ -597,7 +597,7 @@
             },
             Size::SMALL,
             |cluster| {
-                cluster.longer = seconds(20.0);
+                cluster.extra_task_time = seconds(20.0);
                 for (at, how_long) in [(50.0, 28.0), (95.0, 55.0)] {
                     cluster.plan(seconds(at), move |cluster| {
                         let zone = ["a", "b", "c"][cluster.leader().unwrap_or(0)];
@@ -617,7 +617,7 @@
 fn a_leader_ends_while_machines_cannot_be_reached() {
     for seed in 290..=293 {
         play(seed, Faults::default(), Size::SMALL, |cluster| {
-            cluster.longer = seconds(30.0);
+            cluster.extra_task_time = seconds(30.0);
             every(cluster, 45, 140, 30, |cluster| {
                 cluster
                     .up(None)
@@ -648,7 +648,7 @@
 fn a_leader_on_an_island_while_jobs_are_cancelled_through_the_new_one() {
     for seed in 295..=298 {
         play(seed, Faults::default(), Size::SMALL, |cluster| {
-            cluster.longer = seconds(30.0);
+            cluster.extra_task_time = seconds(30.0);
             for (at, how_long) in [(45.0, 20.0), (80.0, 60.0)] {
                 cluster.plan(seconds(at), move |cluster| {
                     let leader = cluster.leader().expect("led by now");
--- a/tests/simulation/main.rs
+++ b/tests/simulation/main.rs
@@ -348,7 +348,7 @@
         changes: 40.0,
     };
     let mut cluster = SimulatedCluster::new(13, faults, Duration::from_secs(60), Size::LARGEST);
-    cluster.longer = Duration::from_secs(25);
+    cluster.extra_task_time = Duration::from_secs(25);
     for (controller, away) in [(0, 10.0), (1, 10.0)] {
         cluster.plan(Duration::from_secs(50), move |cluster| {
             cluster.end_controller(controller, Duration::from_secs_f64(away));
--- a/tests/simulation/operations.rs
+++ b/tests/simulation/operations.rs
@@ -62,7 +62,7 @@
                     });
                 }
             });
-            cluster.deleted_up
+            cluster.running_machines_deleted
         };
         with += deleted(4);
         without += deleted(0);
@@ -139,22 +139,24 @@
                 ..Faults::default()
             };
             play(seed, faults, Size::SMALL, |cluster| {
-                cluster.plan(seconds(20.0), move |cluster| cluster.asking = asking);
-                cluster.plan(seconds(130.0), |cluster| cluster.asking = 1);
+                cluster.plan(seconds(20.0), move |cluster| {
+                    cluster.request_rate_factor = asking
+                });
+                cluster.plan(seconds(130.0), |cluster| cluster.request_rate_factor = 1);
             })
         };
         let (usual, many) = (played(1), played(50));
         assert!(
-            many.questions > 2 * usual.questions,
+            many.user_requests > 2 * usual.user_requests,
             "seed {seed}: {} questions",
-            many.questions
+            many.user_requests
         );
         assert_eq!(
             many.state().refused,
             0,
             "seed {seed}: requests beyond the state service's rate"
         );
-        let reads = many.state().reads as f64 / many.questions as f64;
+        let reads = many.state().reads as f64 / many.user_requests as f64;
         assert!(
             reads < 0.8,
             "seed {seed}: {reads:.2} reads for each question"
@@ -184,8 +186,8 @@
                 }))
             });
             cluster.plan(seconds(90.0), |cluster| cluster.set_boot_faults(None));
-            cluster.plan(seconds(30.0), |cluster| cluster.asking = 10);
-            cluster.plan(seconds(100.0), |cluster| cluster.asking = 1);
+            cluster.plan(seconds(30.0), |cluster| cluster.request_rate_factor = 10);
+            cluster.plan(seconds(100.0), |cluster| cluster.request_rate_factor = 1);
             for n in 0..3 {
                 cluster.plan(seconds(25.0 + f64::from(n)), move |cluster| {
                     cluster.add_guests_job(40 + 20 * n, 1.0);
--- a/tests/simulation/rollout.rs
+++ b/tests/simulation/rollout.rs
@@ -152,7 +152,7 @@
             fall_at_s,
         };
         let mut cluster = cluster(seed, Faults::default(), Size::GROWN, &rollout);
-        cluster.longer = Duration::from_secs(20);
+        cluster.extra_task_time = Duration::from_secs(20);
         cluster.plan(Duration::from_secs(fall_at_s + 2), |cluster| {
             cluster.state_outage(Duration::from_secs(4));
         });
