--- a/tests/simulation/cluster/cloud.rs
+++ b/tests/simulation/cluster/cloud.rs
@@ -7,11 +7,11 @@
 
 /// How machines boot that are rented while this lasts.
 #[derive(Debug, Clone, Copy)]
-pub struct BootTrouble {
+pub struct BootFaults {
     /// The part of them that never comes up.
-    pub lost: f64,
+    pub failure_rate: f64,
     /// How many times as long as usual the others take.
-    pub factor: f64,
+    pub slowdown: f64,
 }
 
 pub(super) fn instance_types() -> InstanceTypeList {
@@ -90,10 +90,10 @@
             let Some(mut machine) = self.machines.remove(&*name.0) else {
                 continue;
             };
-            self.deleted_up += usize::from(machine.runs(self.now));
-            for what in machine.gone() {
+            self.running_machines_deleted += usize::from(machine.runs(self.now));
+            for what in machine.lose_all_tasks() {
                 if let MachineEvent::Ended(task, done) = what {
-                    self.rules.ends(task, &name.0, done);
+                    self.rules.task_ended(task, &name.0, done);
                 }
             }
         }
@@ -131,13 +131,17 @@
         self.most_machines = self.most_machines.max(self.machines.len() + 1);
         self.next_machine += 1;
         let id = format!("m-{:06}", self.next_machine);
-        let BootTrouble { lost, factor } = self.boot_trouble.unwrap_or(BootTrouble {
-            lost: 0.03,
-            factor: 1.0,
+        let BootFaults {
+            failure_rate,
+            slowdown,
+        } = self.boot_faults.unwrap_or(BootFaults {
+            failure_rate: 0.03,
+            slowdown: 1.0,
         });
-        let boot = Duration::from_secs_f64(self.rng.random_range(0.5..10.0) * factor);
-        let never = self.rng.random_bool(lost);
-        let faulty = self.now < self.calm_from && self.rng.random_bool(self.faults.faulty_machines);
+        let boot = Duration::from_secs_f64(self.rng.random_range(0.5..10.0) * slowdown);
+        let never = self.rng.random_bool(failure_rate);
+        let faulty =
+            self.now < self.faults_end && self.rng.random_bool(self.faults.faulty_machines);
         let cpus = if type_name == "small" { 4.0 } else { 16.0 };
         let machine = Machine {
             id: id.clone(),
@@ -154,14 +158,14 @@
             up: false,
             dead: false,
             hung_until: None,
-            deaf_until: Duration::ZERO,
-            mute_until: Duration::ZERO,
-            notice: None,
+            responses_blocked_until: Duration::ZERO,
+            heartbeats_blocked_until: Duration::ZERO,
+            terminates_at: None,
             faulty,
             agent_epoch: AgentEpoch(1),
             sequence_number: 0,
             token: FencingToken(0),
-            lease_from: self.now + boot,
+            lease_renewed_at: self.now + boot,
             tasks: BTreeMap::new(),
             images: BTreeSet::new(),
             controller: self.rng.random_range(0..CONTROLLERS),
--- a/tests/simulation/digest.rs
+++ b/tests/simulation/digest.rs
@@ -18,7 +18,7 @@
 
 use super::cluster::{Faults, SimulatedCluster, Size, array};
 use super::gangs::submit_gangs;
-use super::machine::LASTING;
+use super::machine::LONG_RUNNING_CLASS;
 use super::rollout::NEXT;
 
 /// A 64-bit FNV-1a hash of all effects that controllers returned, in order.
@@ -185,14 +185,14 @@
 }
 
 /// Until when faults happen in these clusters.
-const CALM_FROM: Duration = Duration::from_secs(120);
+const FAULTS_END: Duration = Duration::from_secs(120);
 /// Until when they are played.
 const END: Duration = Duration::from_secs(240);
 
 /// A small cluster.
 fn cluster(seed: u64, faults: Faults) -> SimulatedCluster {
     super::log_if_asked();
-    SimulatedCluster::new(seed, faults, CALM_FROM, Size::SMALL)
+    SimulatedCluster::new(seed, faults, FAULTS_END, Size::SMALL)
 }
 
 /// No faults.
@@ -208,7 +208,8 @@
 /// An upgrade from the production version under all faults, and gangs once it is through.
 fn upgraded() -> SimulatedCluster {
     super::log_if_asked();
-    let mut cluster = SimulatedCluster::upgrading(903, Faults::all(), CALM_FROM, Size::SMALL, NEXT);
+    let mut cluster =
+        SimulatedCluster::upgrading(903, Faults::all(), FAULTS_END, Size::SMALL, NEXT);
     for (controller, at) in [(1, 20), (2, 24), (0, 28)] {
         cluster.plan(Duration::from_secs(at), move |cluster| {
             cluster.upgrade(controller, Duration::from_millis(900));
@@ -242,7 +243,7 @@
                     memory_gb: 1.0,
                 },
                 spot: false,
-                ..array(LASTING, team, Priority::Production)
+                ..array(LONG_RUNNING_CLASS, team, Priority::Production)
             };
             cluster.add_job(service, None);
         }
@@ -281,9 +282,9 @@
     cluster.digest = Some(Digest::new());
     cluster.run_until(END);
     assert!(
-        cluster.rules.broken.is_empty(),
+        cluster.rules.violations.is_empty(),
         "{name}: {:?}",
-        cluster.rules.broken
+        cluster.rules.violations
     );
     let (started, rented) = (cluster.rules.started, cluster.rented);
     let (gangs, evictions) = (cluster.gangs().started, cluster.operators.evictions.len());
--- a/tests/simulation/drains.rs
+++ b/tests/simulation/drains.rs
@@ -12,9 +12,9 @@
 use dappleshore_drain::settings::TeamSettings;
 use dappleshore_drain::{DrainSettings, Limit, Purpose, Scope};
 
-use super::cluster::{CALM_FROM, Faults, SimulatedCluster, Size, array};
+use super::cluster::{FAULTS_END, Faults, SimulatedCluster, Size, array};
 use super::gangs::gang;
-use super::machine::LASTING;
+use super::machine::LONG_RUNNING_CLASS;
 use super::operators::{Check, start};
 
 const DRAIN_AT: Duration = Duration::from_secs(60);
@@ -27,7 +27,7 @@
 /// Draining is on, and each team may have so many tasks disrupted.
 fn cluster(seed: u64, faults: Faults, budget: u32) -> SimulatedCluster {
     super::log_if_asked();
-    let mut cluster = SimulatedCluster::new(seed, faults, CALM_FROM, Size::SMALL);
+    let mut cluster = SimulatedCluster::new(seed, faults, FAULTS_END, Size::SMALL);
     cluster.preemption = false;
     // What is bound to a zone can't run anywhere while that is drained.
     cluster.unbind_jobs();
@@ -65,7 +65,7 @@
             memory_gb: 1.0,
         },
         spot: false,
-        ..array(LASTING, team, Priority::Production)
+        ..array(LONG_RUNNING_CLASS, team, Priority::Production)
     }
 }
 
@@ -188,9 +188,9 @@
         drain_busiest(&mut cluster, DRAIN_AT, "disk");
         cluster.run_until(seconds(200));
         assert!(
-            cluster.rules.broken.is_empty(),
+            cluster.rules.violations.is_empty(),
             "{:?}",
-            cluster.rules.broken
+            cluster.rules.violations
         );
         let seen = cluster.seen("disk").expect("seen").clone();
         assert_eq!(seen.state, StateName::WaitingForBudget, "{seen:?}");
@@ -209,8 +209,10 @@
 #[test]
 fn a_gang_is_moved_whole_or_not_at_all() {
     let mut cluster = cluster(815, Faults::default(), 3);
-    cluster.longer = seconds(400);
-    cluster.plan(seconds(45), |cluster| cluster.longer = Duration::ZERO);
+    cluster.extra_task_time = seconds(400);
+    cluster.plan(seconds(45), |cluster| {
+        cluster.extra_task_time = Duration::ZERO
+    });
     cluster.plan(seconds(30), |cluster| {
         let job = Job {
             spot: false,
@@ -230,9 +232,9 @@
     }
     cluster.run_until(seconds(180));
     assert!(
-        cluster.rules.broken.is_empty(),
+        cluster.rules.violations.is_empty(),
         "{:?}",
-        cluster.rules.broken
+        cluster.rules.violations
     );
     let waits = ["first", "second"]
         .iter()
@@ -257,9 +259,9 @@
     });
     cluster.run_until(seconds(330));
     assert!(
-        cluster.rules.broken.is_empty(),
+        cluster.rules.violations.is_empty(),
         "{:?}",
-        cluster.rules.broken
+        cluster.rules.violations
     );
     assert!(moved(&cluster), "{:?}", cluster.seen("first"));
 }
@@ -287,9 +289,9 @@
     }
     cluster.run_until(seconds(150));
     assert!(
-        cluster.rules.broken.is_empty(),
+        cluster.rules.violations.is_empty(),
         "{:?}",
-        cluster.rules.broken
+        cluster.rules.violations
     );
     let reasons: Vec<String> = ["a", "b", "c"]
         .iter()
@@ -312,7 +314,7 @@
 /// No machine comes up for a while: the drain halts with the reason, and goes on by itself once there is room.
 #[test]
 fn a_drain_whose_replacements_never_become_ready_is_halted() {
-    use super::cluster::BootTrouble;
+    use super::cluster::BootFaults;
     let mut cluster = cluster(830, Faults::default(), 4);
     cluster.features.drain.room_timeout_s = 30.0.try_into().expect("in range");
     cluster.plan(seconds(2), |cluster| {
@@ -320,14 +322,14 @@
             cluster.add_job(service(team, 3, 16.0), Some(seconds(380)));
         }
     });
-    let lost = BootTrouble {
-        lost: 1.0,
-        factor: 1.0,
+    let lost = BootFaults {
+        failure_rate: 1.0,
+        slowdown: 1.0,
     };
     cluster.plan(DRAIN_AT - seconds(2), move |cluster| {
-        cluster.boots_badly(Some(lost))
+        cluster.set_boot_faults(Some(lost))
     });
-    cluster.plan(seconds(200), |cluster| cluster.boots_badly(None));
+    cluster.plan(seconds(200), |cluster| cluster.set_boot_faults(None));
     drain_at(&mut cluster, DRAIN_AT, "first", zone("a"));
     drain_at(&mut cluster, DRAIN_AT, "second", zone("b"));
     let cluster = check_done(cluster, 830, &["first", "second"]);
@@ -518,9 +520,9 @@
     assert!(early > 0, "nothing was evicted");
     cluster.run_until(DRAIN_AT + seconds(60));
     assert!(
-        cluster.rules.broken.is_empty(),
+        cluster.rules.violations.is_empty(),
         "{:?}",
-        cluster.rules.broken
+        cluster.rules.violations
     );
     assert_eq!(cluster.operators.evictions.len(), early);
     let seen = cluster.seen("disk").expect("seen").clone();
@@ -597,8 +599,8 @@
     cluster.run_until(END);
     let noticed = cluster
         .rules
-        .broken
+        .violations
         .iter()
         .any(|text| text.contains("budget"));
-    assert!(noticed, "{:?}", cluster.rules.broken);
+    assert!(noticed, "{:?}", cluster.rules.violations);
 }
--- a/tests/simulation/fault_combinations.rs
+++ b/tests/simulation/fault_combinations.rs
@@ -4,7 +4,7 @@
 
 use dappleshore::domain::JobId;
 
-use super::cluster::{CALM_FROM, CONTROLLERS, Faults, SimulatedCluster, Size};
+use super::cluster::{CONTROLLERS, FAULTS_END, Faults, SimulatedCluster, Size};
 
 /// When the state service goes out for everybody.
 const OUT_AT: Duration = Duration::from_secs(60);
@@ -18,10 +18,10 @@
 /// A quiet cluster in which tasks that start before `OUT_AT` run on for minutes.
 fn cluster(seed: u64) -> SimulatedCluster {
     super::log_if_asked();
-    let mut cluster = SimulatedCluster::new(seed, Faults::default(), CALM_FROM, Size::SMALL);
-    cluster.longer = seconds(150.0);
+    let mut cluster = SimulatedCluster::new(seed, Faults::default(), FAULTS_END, Size::SMALL);
+    cluster.extra_task_time = seconds(150.0);
     cluster.plan(OUT_AT + seconds(1.0), |cluster| {
-        cluster.longer = Duration::ZERO
+        cluster.extra_task_time = Duration::ZERO
     });
     cluster
 }
@@ -95,8 +95,8 @@
 
 /// No rule broken, and everything that was accepted is over at the end.
 pub fn finish(seed: u64, mut cluster: SimulatedCluster) -> SimulatedCluster {
-    cluster.run_until(CALM_FROM + seconds(350.0));
-    assert_eq!(cluster.rules.broken, [] as [&str; 0], "seed {seed}");
+    cluster.run_until(FAULTS_END + seconds(350.0));
+    assert_eq!(cluster.rules.violations, [] as [&str; 0], "seed {seed}");
     assert_eq!(
         cluster.rules.unfinished(),
         [],
@@ -123,7 +123,7 @@
     plan: impl FnOnce(&mut SimulatedCluster),
 ) -> SimulatedCluster {
     super::log_if_asked();
-    let mut cluster = SimulatedCluster::new(seed, faults, CALM_FROM, size);
+    let mut cluster = SimulatedCluster::new(seed, faults, FAULTS_END, size);
     plan(&mut cluster);
     let cluster = finish(seed, cluster);
     assert_eq!(cluster.rules.unserved(), [] as [&str; 0], "seed {seed}");
@@ -191,7 +191,7 @@
         Gap::new(seed, 1.5).play(move |cluster, jobs, _| {
             cluster.plan(OUT_AT + seconds(2.0), move |cluster| {
                 assert_eq!(machines_of(cluster, &jobs), [] as [&str; 0], "seed {seed}");
-                assert_eq!(cluster.rules.started_cancelled, [], "seed {seed}");
+                assert_eq!(cluster.rules.starts_after_cancellation, [], "seed {seed}");
             });
         });
     }
@@ -250,7 +250,7 @@
         play(
             seed,
             Faults {
-                held: 0.06,
+                delayed_requests: 0.06,
                 faulty_machines: 0.3,
                 ..Faults::default()
             },
@@ -313,7 +313,7 @@
     for seed in 220..=223 {
         play(seed, Faults::default(), Size::SMALL, |cluster| {
             cluster.bind_jobs();
-            cluster.longer = seconds(15.0);
+            cluster.extra_task_time = seconds(15.0);
             for (at, zone, part) in [
                 (50.0, "a", 1),
                 (70.0, "b", 2),
@@ -339,7 +339,7 @@
     for seed in 225..=230 {
         let faults = Faults {
             cancel_at_end: 1.0,
-            odd_requests: 0.3,
+            irregular_requests: 0.3,
             ..Faults::default()
         };
         play(
@@ -361,13 +361,13 @@
         play(
             seed,
             Faults {
-                machine_mute: 8.0,
+                heartbeats_blocked: 8.0,
                 crash: 60.0,
                 ..Faults::default()
             },
             Size::SMALL,
             |cluster| {
-                cluster.longer = seconds(20.0);
+                cluster.extra_task_time = seconds(20.0);
                 cluster.plan(seconds(60.0), |cluster| {
                     cluster
                         .up(None)
@@ -386,7 +386,7 @@
 fn machines_that_reach_no_controller_any_more_are_replaced() {
     for seed in 235..=238 {
         play(seed, Faults::default(), Size::SMALL, |cluster| {
-            cluster.longer = seconds(30.0);
+            cluster.extra_task_time = seconds(30.0);
             cluster.plan(seconds(60.0), move |cluster| {
                 let block_heartbeats: Vec<String> =
                     cluster.up(None).into_iter().step_by(2).collect();
@@ -456,7 +456,7 @@
                 ..Size::SMALL
             },
             |cluster| {
-                cluster.apart = seconds(25.0);
+                cluster.extra_time_per_index = seconds(25.0);
                 every(cluster, 30, 150, 15, |cluster| end_leader(cluster, 4.0));
             },
         );
@@ -469,7 +469,7 @@
     for seed in 260..=262 {
         let faults = Faults {
             state_slow: 25.0,
-            odd_requests: 0.1,
+            irregular_requests: 0.1,
             ..Faults::default()
         };
         play(seed, faults, Size::SMALL, |cluster| {
@@ -499,7 +499,7 @@
                 ..Size::SMALL
             },
             |cluster| {
-                cluster.longer = seconds(10.0);
+                cluster.extra_task_time = seconds(10.0);
                 every(cluster, 40, 140, 25, |cluster| {
                     cluster
                         .up(None)
@@ -527,7 +527,7 @@
 fn more_work_than_room_over_slow_links() {
     for seed in 270..=272 {
         let faults = Faults {
-            lost: 0.02,
+            lost_responses: 0.02,
             crash: 60.0,
             ..Faults::default()
         };
@@ -547,7 +547,7 @@
 fn all_controllers_are_away_for_longer_than_a_lease() {
     for seed in 275..=277 {
         play(seed, Faults::default(), Size::SMALL, |cluster| {
-            cluster.longer = seconds(10.0);
+            cluster.extra_task_time = seconds(10.0);
             cluster.plan(seconds(50.0), |cluster| {
                 (0..CONTROLLERS).for_each(|controller| {
                     cluster.end_controller(controller, seconds(24.0 + controller as f64))
@@ -597,7 +597,7 @@
             },
             Size::SMALL,
             |cluster| {
-                cluster.longer = seconds(20.0);
+                cluster.extra_task_time = seconds(20.0);
                 for (at, how_long) in [(50.0, 28.0), (95.0, 55.0)] {
                     cluster.plan(seconds(at), move |cluster| {
                         let zone = ["a", "b", "c"][cluster.leader().unwrap_or(0)];
@@ -617,7 +617,7 @@
 fn a_leader_ends_while_machines_cannot_be_reached() {
     for seed in 290..=293 {
         play(seed, Faults::default(), Size::SMALL, |cluster| {
-            cluster.longer = seconds(30.0);
+            cluster.extra_task_time = seconds(30.0);
             every(cluster, 45, 140, 30, |cluster| {
                 cluster
                     .up(None)
@@ -648,7 +648,7 @@
 fn a_leader_on_an_island_while_jobs_are_cancelled_through_the_new_one() {
     for seed in 295..=298 {
         play(seed, Faults::default(), Size::SMALL, |cluster| {
-            cluster.longer = seconds(30.0);
+            cluster.extra_task_time = seconds(30.0);
             for (at, how_long) in [(45.0, 20.0), (80.0, 60.0)] {
                 cluster.plan(seconds(at), move |cluster| {
                     let leader = cluster.leader().expect("led by now");
