--- a/src/workers/block/heartbeats.rs
+++ b/src/workers/block/heartbeats.rs
@@ -84,7 +84,7 @@
             let before = worker.tasks.get(task).map(|before| before.state);
             let started = observed.state == TaskState::Running
                 && before != Some(TaskState::Running)
-                && worker.launches.contains(&observed.attempt(*task));
+                && worker.launches.has_state(&observed.attempt(*task));
             if started && let Some(open) = cache.open.get(&task.job) {
                 self.started_accepted_ms.push(open.job.accepted_ms);
             }
@@ -104,7 +104,7 @@
         };
         let Some(observed) = worker.observed(&attempt).copied() else {
             let unwanted = !active || self.assignments.is_stopped(&attempt);
-            if unwanted && worker.token >= token && !worker.launches.may_start_late(&attempt) {
+            if unwanted && worker.token >= token && !worker.launches.may_still_execute(&attempt) {
                 // Not there, and nothing that could start it is under way.
                 self.ended.insert(key, Exit::Gone);
             } else if worker.token >= token {
--- a/src/workers/block/mod.rs
+++ b/src/workers/block/mod.rs
@@ -270,7 +270,7 @@
             }
             let health = (
                 worker.is_unresponsive(now, policy),
-                worker.usable(now, self.token),
+                worker.is_usable(now, self.token),
             );
             let unchanged = worker.reported_status.as_ref().is_some_and(|reported| {
                 (reported.status.unresponsive, reported.status.usable) == health
--- a/src/workers/block/placement_writes.rs
+++ b/src/workers/block/placement_writes.rs
@@ -291,7 +291,7 @@
             let Some(instance_type) = catalog.get(&machine.type_name) else {
                 continue;
             };
-            if !machine.state.takes_tasks() || !worker.usable(now, self.token) {
+            if !machine.state.takes_tasks() || !worker.is_usable(now, self.token) {
                 continue;
             }
             let mut used = Resources::default();
--- a/src/workers/block/status.rs
+++ b/src/workers/block/status.rs
@@ -124,7 +124,7 @@
 ) -> MachineStatus {
     MachineStatus {
         machine,
-        usable: worker.usable(now, token),
+        usable: worker.is_usable(now, token),
         has_reported: worker.liveness.has_reported(),
         unresponsive: worker.is_unresponsive(now, policy),
         termination_notice: worker.termination_notice,
--- a/src/workers/worker/failures.rs
+++ b/src/workers/worker/failures.rs
@@ -7,7 +7,7 @@
 use crate::workers::wire::ExitCause;
 
 /// Jobs whose failures on one machine are counted.
-const MAX_FAILED_JOBS: usize = 16;
+const MAX_TRACKED_JOBS: usize = 16;
 /// The errors that one job alone can add to a machine's count: it takes two jobs to tell a faulty machine.
 const MAX_ERRORS_OF_ONE_JOB: u32 = 2;
 
@@ -36,7 +36,7 @@
             Some(cause) => {
                 self.errors += u32::from(cause == ExitCause::Error);
                 *self.by_job.entry(job).or_default() += 1;
-                if self.by_job.len() > MAX_FAILED_JOBS {
+                if self.by_job.len() > MAX_TRACKED_JOBS {
                     // Ids grow with time: the first is most likely the oldest.
                     self.by_job.pop_first();
                 }
--- a/src/workers/worker/launches.rs
+++ b/src/workers/worker/launches.rs
@@ -90,7 +90,7 @@
 
     /// Forgets the attempts that the worker has forgotten too: those that it neither lists nor is to list. Without this
     /// every task that ever ran there would be kept.
-    pub(in crate::workers) fn forget(
+    pub(in crate::workers) fn forget_unlisted(
         &mut self,
         listed: impl Fn(&Attempt) -> bool,
         placed: impl Fn(&Attempt) -> bool,
@@ -102,7 +102,7 @@
     }
 
     /// Whether the state of a launch of this attempt is known.
-    pub(in crate::workers) fn contains(&self, attempt: &Attempt) -> bool {
+    pub(in crate::workers) fn has_state(&self, attempt: &Attempt) -> bool {
         self.states.contains_key(attempt)
     }
 
@@ -128,7 +128,7 @@
     }
 
     /// Whether a launch of this attempt may still be on its way.
-    pub(in crate::workers) fn may_start_late(&self, attempt: &Attempt) -> bool {
+    pub(in crate::workers) fn may_still_execute(&self, attempt: &Attempt) -> bool {
         self.unacknowledged.contains(attempt)
             || matches!(self.states.get(attempt), Some(LaunchState::InFlight))
     }
--- a/src/workers/worker/mod.rs
+++ b/src/workers/worker/mod.rs
@@ -126,9 +126,9 @@
     /// Takes over the token that a report shows. A worker that has to be shown the block's token, or has just shown it, so
     /// that tasks can be launched, gets a command.
     pub(super) fn apply_token(&mut self, shown: FencingToken, block_token: FencingToken) {
-        let reached = shown >= block_token && self.token < block_token;
+        let newly_shown = shown >= block_token && self.token < block_token;
         self.token = shown;
-        if self.token < block_token || reached {
+        if self.token < block_token || newly_shown {
             self.command_pending = true;
         }
     }
@@ -160,7 +160,7 @@
     }
 
     /// Whether tasks can be placed here: it has shown the token, reports, answers commands, and the machine stays.
-    pub(super) fn usable(&self, now: Now, token: FencingToken) -> bool {
+    pub(super) fn is_usable(&self, now: Now, token: FencingToken) -> bool {
         let reachable = self.token >= token && self.liveness.answers_commands();
         self.liveness.has_reported()
             && reachable
@@ -176,8 +176,9 @@
 
     /// Whether the worker may forget an attempt that has ended: no launch of it, nor a copy of one, could start it again.
     pub(super) fn may_forget(&self, attempt: &Attempt, cause: Option<ExitCause>) -> bool {
-        let harmless = cause == Some(ExitCause::Done) || !self.launches.was_sent(attempt);
-        harmless && !self.launches.may_start_late(attempt)
+        let restart_is_harmless =
+            cause == Some(ExitCause::Done) || !self.launches.was_sent(attempt);
+        restart_is_harmless && !self.launches.may_still_execute(attempt)
     }
 
     /// Forgets the launches of attempts that the worker has forgotten too.
@@ -188,7 +189,7 @@
                 .get(&attempt.task)
                 .is_some_and(|observed| observed.number == attempt.number)
         };
-        self.launches.forget(listed, placed);
+        self.launches.forget_unlisted(listed, placed);
     }
 
     /// Whether only a new token lets it forget what it must remember now.
