--- a/src/workers/block/status.rs
+++ b/src/workers/block/status.rs
@@ -24,26 +24,30 @@
     }
 
     /// Notes the last message that the leader has received.
-    pub(super) fn acknowledge(&mut self, number: u64) {
-        self.last_acknowledged = self.last_acknowledged.max(number);
+    pub(super) fn acknowledge(&mut self, sequence_number: u64) {
+        self.last_acknowledged = self.last_acknowledged.max(sequence_number);
     }
 
     /// Whether the leader has received the message of this number, or a later one.
-    fn is_acknowledged(&self, number: u64) -> bool {
-        number <= self.last_acknowledged
+    fn is_acknowledged(&self, sequence_number: u64) -> bool {
+        sequence_number <= self.last_acknowledged
     }
 }
 
 impl Block {
     /// The next status message. Machines are in it until the leader has acknowledged what is said of them.
     pub(in crate::workers) fn status(&mut self, now: Now, policy: &Policy) -> BlockStatus {
-        let number = self.status_sequence.next();
-        self.update_reported_statuses(now, policy, number);
+        let sequence_number = self.status_sequence.next();
+        self.update_reported_statuses(now, policy, sequence_number);
         let unacknowledged = |worker: &Worker| {
             worker
                 .reported_status
                 .as_ref()
-                .filter(|reported| !self.status_sequence.is_acknowledged(reported.number))
+                .filter(|reported| {
+                    !self
+                        .status_sequence
+                        .is_acknowledged(reported.sequence_number)
+                })
                 .map(|reported| reported.status.clone())
         };
         let mut pending: Vec<u64> = self
@@ -76,14 +80,14 @@
                 .filter(|worker| worker.addr.is_some())
                 .count() as u32,
             overdue_workers: self.overdue_workers,
-            sequence_number: number,
+            sequence_number,
             machines: self.workers.values().filter_map(unacknowledged).collect(),
-            running: self.watched_running(),
+            running: self.running_watched_attempts(),
         }
     }
 
     /// Takes the status of the workers that have changed into the message of this number.
-    fn update_reported_statuses(&mut self, now: Now, policy: &Policy, number: u64) {
+    fn update_reported_statuses(&mut self, now: Now, policy: &Policy, sequence_number: u64) {
         for id in std::mem::take(&mut self.workers_to_report) {
             let Some(worker) = self.workers.get_mut(&id) else {
                 continue;
@@ -94,13 +98,16 @@
                 .as_ref()
                 .is_some_and(|reported| reported.status == status);
             if !unchanged {
-                worker.reported_status = Some(ReportedStatus { status, number });
+                worker.reported_status = Some(ReportedStatus {
+                    status,
+                    sequence_number,
+                });
             }
         }
     }
 
     /// The numbers of the watched attempts that their workers report as running.
-    fn watched_running(&self) -> Vec<u64> {
+    fn running_watched_attempts(&self) -> Vec<u64> {
         if !self.assignments.any_watched() {
             return Vec::new();
         }
--- a/src/workers/worker/mod.rs
+++ b/src/workers/worker/mod.rs
@@ -55,7 +55,7 @@
 pub(super) struct ReportedStatus {
     pub(super) status: MachineStatus,
     /// The number of the first block status that holds it.
-    pub(super) number: u64,
+    pub(super) sequence_number: u64,
 }
 
 /// A machine's worker as the holder of its block knows it.
