--- a/src/workers/wire.rs
+++ b/src/workers/wire.rs
@@ -71,7 +71,7 @@
     Running,
     /// It was told to stop and saves.
     #[serde(rename = "flushing")]
-    Saving,
+    Checkpointing,
     /// A gang's task that waits for the others of its attempt.
     #[serde(rename = "waiting")]
     Waiting,
--- a/src/workers/worker/mod.rs
+++ b/src/workers/worker/mod.rs
@@ -138,7 +138,7 @@
         for (task, observed) in &self.tasks {
             let has_image = matches!(
                 observed.state,
-                TaskState::Running | TaskState::Saving | TaskState::Waiting
+                TaskState::Running | TaskState::Checkpointing | TaskState::Waiting
             );
             if has_image && let Some(open) = cache.open.get(&task.job) {
                 self.images.insert(open.job.image.clone());
