--- a/src/workers/block/heartbeats.rs
+++ b/src/workers/block/heartbeats.rs
@@ -5,7 +5,7 @@
 
 use tracing::{debug, info};
 
-use super::{Block, EndedAttempt, Exit, job_is_active};
+use super::{AttemptOutcome, Block, EndedAttempt, job_is_active};
 use crate::domain::{Attempt, MachineId, Now, TaskId};
 use crate::store::WatchCache;
 use crate::workers::wire::{ExitCause, Heartbeat, TaskState, TaskStatus};
@@ -106,7 +106,7 @@
             let unwanted = !active || self.assignments.is_stopped(&attempt);
             if unwanted && worker.token >= token && !worker.launches.may_still_execute(&attempt) {
                 // Not there, and nothing that could start it is under way.
-                self.ended.insert(key, Exit::Gone);
+                self.ended.insert(key, AttemptOutcome::Unfinished);
             } else if worker.token >= token {
                 worker.command_pending = true;
             }
@@ -128,9 +128,9 @@
                 .failures
                 .record_exit(attempt.task.job, observed.cause);
             entry.insert(if observed.cause == Some(ExitCause::Done) {
-                Exit::Done
+                AttemptOutcome::Done
             } else {
-                Exit::Gone
+                AttemptOutcome::Unfinished
             });
         }
     }
--- a/src/workers/block/mod.rs
+++ b/src/workers/block/mod.rs
@@ -43,11 +43,11 @@
 
 /// How an attempt ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Exit {
+enum AttemptOutcome {
     /// It finished its task.
     Done,
     /// It is gone, and its task may have to run again.
-    Gone,
+    Unfinished,
 }
 
 /// An attempt that is proven to have ended.
@@ -78,7 +78,7 @@
     pub(super) workers: BTreeMap<MachineId, Worker>,
     assignments: Assignments,
     /// What is proven to have ended, and not yet recorded as such.
-    ended: BTreeMap<EndedAttempt, Exit>,
+    ended: BTreeMap<EndedAttempt, AttemptOutcome>,
     token_renewal: TokenRenewal,
     /// Workers whose heartbeats were overdue at the last review.
     overdue_workers: u32,
@@ -211,7 +211,7 @@
             };
             self.ended.entry(ended).or_insert_with(|| {
                 info!(%attempt, proof = "machine deleted", "task lost");
-                Exit::Gone
+                AttemptOutcome::Unfinished
             });
         }
     }
--- a/src/workers/block/placement_writes.rs
+++ b/src/workers/block/placement_writes.rs
@@ -5,7 +5,7 @@
 
 use tracing::{debug, info};
 
-use super::{Block, Exit, RecordedPlacements};
+use super::{AttemptOutcome, Block, RecordedPlacements};
 use crate::cloud::InstanceCatalog;
 use crate::config::Config;
 use crate::domain::{Attempt, Job, JobId, MachineId, Now, Resources, TaskId, since};
@@ -189,10 +189,11 @@
         let ended = self
             .ended
             .iter()
-            .map(|(ended, exit)| EndedPlacement {
+            .map(|(ended, outcome)| EndedPlacement {
                 machine: &ended.machine,
                 attempt: ended.attempt,
-                done: *exit == Exit::Done && cache.open.contains_key(&ended.attempt.task.job),
+                done: *outcome == AttemptOutcome::Done
+                    && cache.open.contains_key(&ended.attempt.task.job),
                 awaited: wanted.contains(&ended.machine),
             })
             .collect();
