--- a/src/workers/block/assignments.rs
+++ b/src/workers/block/assignments.rs
@@ -14,22 +14,22 @@
     /// Attempts that are to be placed.
     pub(super) pending: Vec<Assignment>,
     /// The numbers of attempts that were placed, though the leader may not know that yet.
-    handled: HashSet<u64>,
+    placed: HashSet<u64>,
     /// Those that fitted no machine when the last transaction was prepared.
     pub(super) unplaceable: Vec<u64>,
     /// Attempts that are to be stopped.
-    stops: HashSet<Attempt>,
+    stop_requests: HashSet<Attempt>,
     /// The numbers of attempts of which the leader needs to know whether they run.
     watched: HashSet<u64>,
 }
 
 impl Assignments {
-    /// Forgets what an earlier leader wanted.
+    /// Forgets what an earlier leader assigned.
     pub(super) fn clear(&mut self) {
         self.last_update = 0;
         self.pending.clear();
-        self.handled.clear();
-        self.stops.clear();
+        self.placed.clear();
+        self.stop_requests.clear();
         self.watched.clear();
     }
 
@@ -47,14 +47,14 @@
 
     /// Notes that the attempt of this number is recorded.
     pub(super) fn record_placed(&mut self, number: u64) {
-        self.handled.insert(number);
+        self.placed.insert(number);
         self.pending
             .retain(|assignment| assignment.attempt.number != number);
     }
 
     /// Whether the leader wants the attempt stopped.
-    pub(super) fn is_stopped(&self, attempt: &Attempt) -> bool {
-        self.stops.contains(attempt)
+    pub(super) fn is_stop_requested(&self, attempt: &Attempt) -> bool {
+        self.stop_requests.contains(attempt)
     }
 
     /// Whether the leader watches any attempt.
@@ -69,17 +69,17 @@
 
     /// Takes over the attempts to be placed. `recorded`: the numbers of those that are placed already.
     fn replace_pending(&mut self, assignments: Vec<Assignment>, recorded: &HashSet<u64>) {
-        let wanted: HashSet<u64> = assignments
+        let assigned: HashSet<u64> = assignments
             .iter()
             .map(|assignment| assignment.attempt.number)
             .collect();
-        self.handled.retain(|number| wanted.contains(number));
-        let handled = &self.handled;
+        self.placed.retain(|number| assigned.contains(number));
+        let placed = &self.placed;
         self.pending = assignments
             .into_iter()
             .filter(|assignment| {
                 let number = assignment.attempt.number;
-                !handled.contains(&number) && !recorded.contains(&number)
+                !placed.contains(&number) && !recorded.contains(&number)
             })
             .collect();
     }
@@ -101,20 +101,20 @@
             .collect();
         self.assignments
             .replace_pending(update.assignments, &recorded);
-        self.learn_addresses(update.addresses);
-        self.assignments.stops = update.attempts_to_stop.into_iter().collect();
+        self.apply_addresses(update.addresses);
+        self.assignments.stop_requests = update.attempts_to_stop.into_iter().collect();
         self.assignments.watched = update.watched_attempts.into_iter().collect();
-        let with_stops: BTreeSet<MachineId> = self
+        let machines_to_command: BTreeSet<MachineId> = self
             .recorded
             .attempts()
-            .filter(|(_, attempt)| self.assignments.is_stopped(attempt))
+            .filter(|(_, attempt)| self.assignments.is_stop_requested(attempt))
             .map(|(machine, _)| machine.clone())
             .collect();
-        self.request_commands(with_stops);
+        self.request_commands(machines_to_command);
     }
 
     /// Takes over the addresses of workers that have not reported to us yet.
-    fn learn_addresses(&mut self, addresses: Vec<(MachineId, String)>) {
+    fn apply_addresses(&mut self, addresses: Vec<(MachineId, String)>) {
         for (machine, addr) in addresses {
             let Some(worker) = self.workers.get_mut(&machine) else {
                 continue;
--- a/src/workers/block/commands.rs
+++ b/src/workers/block/commands.rs
@@ -201,7 +201,7 @@
 
     /// Whether a recorded attempt should run.
     fn should_run(&self, cache: &WatchCache, attempt: &Attempt) -> bool {
-        job_is_active(cache, attempt.task.job) && !self.assignments.is_stopped(attempt)
+        job_is_active(cache, attempt.task.job) && !self.assignments.is_stop_requested(attempt)
     }
 
     /// Applies the response to a direct command, or that there was none.
--- a/src/workers/block/heartbeats.rs
+++ b/src/workers/block/heartbeats.rs
@@ -103,7 +103,7 @@
             attempt,
         };
         let Some(observed) = worker.observed(&attempt).copied() else {
-            let unwanted = !active || self.assignments.is_stopped(&attempt);
+            let unwanted = !active || self.assignments.is_stop_requested(&attempt);
             if unwanted && worker.token >= token && !worker.launches.may_still_execute(&attempt) {
                 // Not there, and nothing that could start it is under way.
                 self.ended.insert(key, AttemptOutcome::Unfinished);
--- a/src/workers/block/mod.rs
+++ b/src/workers/block/mod.rs
@@ -64,7 +64,7 @@
     /// Since when it is needed.
     needed_since: Option<Instant>,
     /// The only machines with free resources for some task must not forget an earlier attempt of it yet.
-    placement_fenced: bool,
+    placement_blocked: bool,
 }
 
 /// A block that is leased to us.
@@ -133,8 +133,8 @@
         self.raise_token(lease.value.token);
         self.recorded = recorded;
         self.assignments.clear();
-        self.writer.lease_renewed();
-        self.repeat_status();
+        self.writer.reset_after_lease_renewal();
+        self.resend_all_statuses();
     }
 
     /// Takes up a new token. Workers that have shown it execute nothing that was sent under the old one.
@@ -154,7 +154,7 @@
     }
 
     /// Makes the next status tell of all machines: a new leader, or the same under a new lease, knows nothing of them.
-    fn repeat_status(&mut self) {
+    fn resend_all_statuses(&mut self) {
         self.status_sequence = StatusSequence::default();
         for (id, worker) in &mut self.workers {
             worker.reported_status = None;
@@ -226,12 +226,12 @@
     }
 
     /// The number of workers whose status may have changed.
-    pub(super) fn workers_to_report(&self) -> usize {
+    pub(super) fn workers_to_report_count(&self) -> usize {
         self.workers_to_report.len()
     }
 
     /// The number of attempts that are to be placed or recorded as ended.
-    pub(super) fn changes_pending(&self) -> usize {
+    pub(super) fn pending_changes(&self) -> usize {
         self.assignments.pending.len() + self.ended.len()
     }
 
@@ -283,7 +283,7 @@
 
     /// Notes since when a new token is needed.
     fn review_token(&mut self, now: Now) {
-        let needed = self.token_renewal.placement_fenced
+        let needed = self.token_renewal.placement_blocked
             || self.workers.values().any(Worker::needs_new_token);
         self.token_renewal.needed_since = self
             .token_renewal
--- a/src/workers/block/placement_writer.rs
+++ b/src/workers/block/placement_writer.rs
@@ -51,7 +51,7 @@
 
     /// Takes up a new version of the block lease. No write under the old one can be committed any more, so nothing is
     /// undecided; the response to one that is under way is still waited for.
-    pub(super) fn lease_renewed(&mut self) {
+    pub(super) fn reset_after_lease_renewal(&mut self) {
         self.clear_undecided();
         if self.writer != Writer::InFlight {
             self.in_flight = None;
--- a/src/workers/block/placement_writes.rs
+++ b/src/workers/block/placement_writes.rs
@@ -213,7 +213,7 @@
     ) -> NewPlacements {
         let mut new = NewPlacements::default();
         let mut unplaceable = Vec::new();
-        let mut fenced = false;
+        let mut placement_blocked = false;
         let mut candidates = if self.assignments.pending.is_empty() {
             Vec::new()
         } else {
@@ -226,7 +226,7 @@
             };
             let Some(machine) = self.choose_machine(assignment, &open.job, &candidates) else {
                 // Only a machine that must remember an earlier attempt could take it: a new token lets it forget.
-                fenced |= candidates
+                placement_blocked |= candidates
                     .iter()
                     .any(|candidate| accepts(candidate, &open.job));
                 unplaceable.push(attempt.number);
@@ -249,7 +249,7 @@
             new.add(attempt, open.version, inventory_part);
         }
         self.assignments.unplaceable = unplaceable;
-        self.token_renewal.placement_fenced = fenced;
+        self.token_renewal.placement_blocked = placement_blocked;
         new
     }
 
--- a/src/workers/mod.rs
+++ b/src/workers/mod.rs
@@ -255,7 +255,7 @@
             let Some(block) = self.blocks.get_mut(&id) else {
                 continue;
             };
-            self.items_examined += block.changes_pending() as u64;
+            self.items_examined += block.pending_changes() as u64;
             let request =
                 block.next_transaction(now, config, allowance.max_changes, cache, catalog);
             if let Some(request) = request {
@@ -360,7 +360,10 @@
 
     /// The next status message of each block for the leader.
     pub fn prepare_block_statuses(&mut self, now: Now, policy: &Policy) -> Vec<BlockStatus> {
-        let to_report = self.blocks.values().map(|block| block.workers_to_report());
+        let to_report = self
+            .blocks
+            .values()
+            .map(|block| block.workers_to_report_count());
         self.items_examined += to_report.sum::<usize>() as u64;
         self.blocks
             .values_mut()
