--- a/src/workers/block/commands.rs
+++ b/src/workers/block/commands.rs
@@ -57,9 +57,10 @@
             agent_epoch: worker.agent_epoch.max(FIRST_AGENT_EPOCH),
             may_launch: lease_valid,
         };
-        let mut body = self.commands(now, &machine, cache, channel);
+        let mut body = self.prepare_commands(now, &machine, cache, channel);
         if !lease_valid {
-            body.commands.retain(|command| is_final(command, cache));
+            body.commands
+                .retain(|command| stops_ended_job(command, cache));
         }
         let token = self.token;
         let worker = self.workers.get_mut(&machine)?;
@@ -81,7 +82,7 @@
     }
 
     /// All that the worker of a machine should be told now. Launches are recorded as sent.
-    pub(in crate::workers) fn commands(
+    pub(in crate::workers) fn prepare_commands(
         &mut self,
         now: Now,
         machine: &MachineId,
@@ -89,7 +90,7 @@
         channel: CommandChannel,
     ) -> WorkerCommands {
         let recorded = self.recorded.numbers_on(machine);
-        let mut commands = self.stops_and_reaps(machine, &recorded, cache);
+        let mut commands = self.stop_and_reap_commands(machine, &recorded, cache);
         let agent_epoch = match channel {
             CommandChannel::HeartbeatResponse => None,
             CommandChannel::Direct {
@@ -97,7 +98,7 @@
                 may_launch,
             } => {
                 if may_launch {
-                    commands.extend(self.launches(now, machine, &recorded, cache));
+                    commands.extend(self.prepare_launches(now, machine, &recorded, cache));
                 }
                 Some(agent_epoch)
             }
@@ -111,7 +112,7 @@
 
     /// Commands for the tasks that the worker reports: those that it should not run are stopped, and those that have ended
     /// and that it need not remember are reaped.
-    fn stops_and_reaps(
+    fn stop_and_reap_commands(
         &self,
         machine: &MachineId,
         recorded: &BTreeMap<TaskId, u64>,
@@ -122,12 +123,12 @@
         };
         let command = |(task, observed): (&TaskId, &ObservedTask)| {
             let is_recorded = recorded.get(task) == Some(&observed.number);
-            self.stop_or_reap(worker, *task, observed, is_recorded, cache)
+            self.stop_or_reap_command(worker, *task, observed, is_recorded, cache)
         };
         worker.tasks.iter().filter_map(command).collect()
     }
 
-    fn stop_or_reap(
+    fn stop_or_reap_command(
         &self,
         worker: &Worker,
         task: TaskId,
@@ -153,7 +154,7 @@
     }
 
     /// Launches of recorded attempts that the worker does not report. There are none before the worker has shown our token.
-    fn launches(
+    fn prepare_launches(
         &mut self,
         now: Now,
         machine: &MachineId,
@@ -265,12 +266,12 @@
 }
 
 /// Whether a command only ends a task whose job is known to be cancelled or over.
-fn is_final(command: &WorkerCommand, cache: &WatchCache) -> bool {
-    let over = |job| {
+fn stops_ended_job(command: &WorkerCommand, cache: &WatchCache) -> bool {
+    let has_ended = |job| {
         cache.ended.contains_key(&job)
             || cache.open.contains_key(&job) && !job_is_active(cache, job)
     };
-    matches!(command, WorkerCommand::Stop { task, .. } if over(task.job))
+    matches!(command, WorkerCommand::Stop { task, .. } if has_ended(task.job))
 }
 
 /// How long a task that is stopped may take to save, in seconds.
--- a/src/workers/mod.rs
+++ b/src/workers/mod.rs
@@ -192,7 +192,7 @@
             return HeartbeatResponse::Unavailable;
         }
         let channel = CommandChannel::HeartbeatResponse;
-        HeartbeatResponse::Commands(block.commands(now, &id, cache, channel))
+        HeartbeatResponse::Commands(block.prepare_commands(now, &id, cache, channel))
     }
 
     /// Applies a heartbeat that can't be answered, as far as no newer token shows that the block is another's.
