--- a/src/workers/block/commands.rs
+++ b/src/workers/block/commands.rs
@@ -89,7 +89,7 @@
         cache: &WatchCache,
         channel: CommandChannel,
     ) -> WorkerCommands {
-        let recorded = self.recorded.numbers_on(machine);
+        let recorded = self.recorded.attempt_numbers_on(machine);
         let mut commands = self.stop_and_reap_commands(machine, &recorded, cache);
         let agent_epoch = match channel {
             CommandChannel::HeartbeatResponse => None,
--- a/src/workers/block/heartbeats.rs
+++ b/src/workers/block/heartbeats.rs
@@ -60,12 +60,12 @@
         worker.record_images(cache);
         let recorded = &self.recorded;
         worker.forget_launches(|attempt| recorded.contains(&machine, attempt));
-        let placed: Vec<Attempt> = recorded.on(&machine).collect();
+        let placed: Vec<Attempt> = recorded.attempts_on(&machine).collect();
         for attempt in placed {
             self.reconcile_placement(&machine, attempt, cache);
         }
-        let pending = self.workers.get(&machine);
-        if pending.is_some_and(|worker| worker.command_pending) {
+        let worker = self.workers.get(&machine);
+        if worker.is_some_and(|worker| worker.command_pending) {
             self.workers_to_command.insert(machine);
         }
     }
@@ -81,9 +81,9 @@
             return;
         };
         for (task, observed) in tasks {
-            let before = worker.tasks.get(task).map(|before| before.state);
+            let previous_state = worker.tasks.get(task).map(|previous| previous.state);
             let started = observed.state == TaskState::Running
-                && before != Some(TaskState::Running)
+                && previous_state != Some(TaskState::Running)
                 && worker.launches.has_state(&observed.attempt(*task));
             if started && let Some(open) = cache.open.get(&task.job) {
                 self.started_accepted_ms.push(open.job.accepted_ms);
@@ -97,13 +97,13 @@
         let Some(worker) = self.workers.get_mut(machine) else {
             return;
         };
-        let active = job_is_active(cache, attempt.task.job);
+        let job_active = job_is_active(cache, attempt.task.job);
         let key = EndedAttempt {
             machine: machine.clone(),
             attempt,
         };
         let Some(observed) = worker.observed(&attempt).copied() else {
-            let unwanted = !active || self.assignments.is_stop_requested(&attempt);
+            let unwanted = !job_active || self.assignments.is_stop_requested(&attempt);
             if unwanted && worker.token >= token && !worker.launches.may_still_execute(&attempt) {
                 // Not there, and nothing that could start it is under way.
                 self.ended.insert(key, AttemptOutcome::Unfinished);
@@ -115,7 +115,7 @@
         if observed.state != TaskState::Exited {
             // Started by a command that was under way when its job was cancelled. Workers that show a newer token are
             // another holder's, and would refuse this for ever.
-            worker.command_pending |= !active && worker.token <= token;
+            worker.command_pending |= !job_active && worker.token <= token;
             return;
         }
         if worker.token < token {
--- a/src/workers/block/mod.rs
+++ b/src/workers/block/mod.rs
@@ -204,7 +204,7 @@
         }
         self.workers.remove(id);
         // The record of a machine is removed after the cloud has deleted it: its tasks are gone.
-        for attempt in self.recorded.on(id) {
+        for attempt in self.recorded.attempts_on(id) {
             let ended = EndedAttempt {
                 machine: id.clone(),
                 attempt,
--- a/src/workers/block/placement_writes.rs
+++ b/src/workers/block/placement_writes.rs
@@ -325,7 +325,8 @@
             .attempts()
             .map(|(_, attempt)| attempt.number)
             .collect();
-        self.recorded.commit(committed.parts, committed.revision);
+        self.recorded
+            .apply_commit(committed.parts, committed.revision);
         self.drop_recorded_ends();
         let placed: Vec<(MachineId, Attempt)> = self
             .recorded
--- a/src/workers/block/recorded.rs
+++ b/src/workers/block/recorded.rs
@@ -32,7 +32,7 @@
     }
 
     /// Takes over what a transaction has committed.
-    pub(super) fn commit(&mut self, parts: PartsTransaction, revision: u64) {
+    pub(super) fn apply_commit(&mut self, parts: PartsTransaction, revision: u64) {
         self.parts = parts.into_committed(revision);
         self.placements = merged(&self.parts);
         self.version = revision;
@@ -59,21 +59,24 @@
     }
 
     /// The attempts on a machine, in the order of their record.
-    pub(in crate::workers) fn on(&self, machine: &MachineId) -> impl Iterator<Item = Attempt> {
+    pub(in crate::workers) fn attempts_on(
+        &self,
+        machine: &MachineId,
+    ) -> impl Iterator<Item = Attempt> {
         let list = self.placements.on.get(machine);
         list.into_iter().flatten().map(|placed| placed.0)
     }
 
     /// The number of the recorded attempt of each task on a machine.
-    pub(super) fn numbers_on(&self, machine: &MachineId) -> BTreeMap<TaskId, u64> {
-        self.on(machine)
+    pub(super) fn attempt_numbers_on(&self, machine: &MachineId) -> BTreeMap<TaskId, u64> {
+        self.attempts_on(machine)
             .map(|attempt| (attempt.task, attempt.number))
             .collect()
     }
 
     /// Whether the attempt is recorded on this machine.
     pub(in crate::workers) fn contains(&self, machine: &MachineId, attempt: &Attempt) -> bool {
-        self.on(machine).any(|placed| placed == *attempt)
+        self.attempts_on(machine).any(|placed| placed == *attempt)
     }
 
     /// Whether finished tasks are recorded that may be recorded elsewhere by now.
--- a/src/workers/mod.rs
+++ b/src/workers/mod.rs
@@ -185,7 +185,7 @@
             return HeartbeatResponse::Redirect(None);
         }
         let id = heartbeat.machine.clone();
-        let placed = block.recorded.on(&id).count();
+        let placed = block.recorded.attempts_on(&id).count();
         self.items_examined += (1 + heartbeat.tasks.len() + placed) as u64;
         block.apply_heartbeat(now, heartbeat, cache, HeartbeatSource::Heartbeat);
         if !block.workers.contains_key(&id) {
