--- a/src/workers/block/placement_writes.rs
+++ b/src/workers/block/placement_writes.rs
@@ -58,7 +58,12 @@
     }
 
     /// Adds the conditions to a transaction.
-    fn apply(&self, block: &Block, cache: &WatchCache, mut txn: Transaction) -> Transaction {
+    fn add_conditions(
+        &self,
+        block: &Block,
+        cache: &WatchCache,
+        mut txn: Transaction,
+    ) -> Transaction {
         for part in &self.inventory_parts {
             // Nothing is placed on a machine that the leader has begun to drain or has deleted meanwhile.
             let version = cache
@@ -85,11 +90,11 @@
 
     /// Whether it has nothing but ends to record, and has written just now.
     pub(in crate::workers) fn may_batch_ends(&self, now: Now) -> bool {
-        let places = !self.assignments.pending.is_empty() || self.has_undecided_attempts();
+        let has_placements = !self.assignments.pending.is_empty() || self.has_undecided_attempts();
         let wrote_recently = self
             .last_write
             .is_some_and(|at| since(now, at) < END_BATCH_INTERVAL);
-        !places && wrote_recently
+        !has_placements && wrote_recently
     }
 
     /// Whether there may be something to write.
@@ -130,7 +135,8 @@
         let divided = cache.format() >= PARTS_FORMAT;
         let limits = PartLimits::new(&config.state_limits, max_changes, divided);
         let (recorded, undecided) = (self.recorded.parts(), self.writer.undecided_parts());
-        let (parts, new) = match PartsTransaction::dividing(recorded, limits, undecided) {
+        let (parts, new_placements) = match PartsTransaction::dividing(recorded, limits, undecided)
+        {
             Some(parts) => {
                 info!(block = %self.id, changes = parts.changed().len(), "a value is too large: divided");
                 (parts, NewPlacements::default())
@@ -138,8 +144,9 @@
             None => {
                 let mut parts = self.prepare_ends(cache, limits);
                 let max_conditions = max_new_conditions(config, &parts);
-                let new = self.prepare_placements(now, max_conditions, cache, catalog, &mut parts);
-                (parts, new)
+                let new_placements =
+                    self.prepare_placements(now, max_conditions, cache, catalog, &mut parts);
+                (parts, new_placements)
             }
         };
         // A write of unknown outcome is repeated by the next one, needed or not.
@@ -148,9 +155,9 @@
             return None;
         }
         let mut txn = Transaction::default().when(block_lease_key(&self.id), self.lease_version);
-        txn = new.apply(self, cache, txn);
+        txn = new_placements.add_conditions(self, cache, txn);
         txn = parts.add_to(&self.id, self.recorded.parts(), txn);
-        self.writer.begin(parts, new.attempts);
+        self.writer.begin(parts, new_placements.attempts);
         Some(StoreRequest::Commit(txn))
     }
 
@@ -180,7 +187,7 @@
         let undecided = self.writer.undecided_parts();
         let mut parts = PartsTransaction::new(self.recorded.parts(), limits, undecided);
         // What is to be placed does not fit before the ends on its machine are recorded.
-        let wanted: HashSet<&MachineId> = self
+        let target_machines: HashSet<&MachineId> = self
             .assignments
             .pending
             .iter()
@@ -194,7 +201,7 @@
                 attempt: ended.attempt,
                 done: *outcome == AttemptOutcome::Done
                     && cache.open.contains_key(&ended.attempt.task.job),
-                awaited: wanted.contains(&ended.machine),
+                awaited: target_machines.contains(&ended.machine),
             })
             .collect();
         parts.remove_ended(ended);
@@ -211,7 +218,7 @@
         catalog: &InstanceCatalog,
         parts: &mut PartsTransaction,
     ) -> NewPlacements {
-        let mut new = NewPlacements::default();
+        let mut new_placements = NewPlacements::default();
         let mut unplaceable = Vec::new();
         let mut placement_blocked = false;
         let mut candidates = if self.assignments.pending.is_empty() {
@@ -235,7 +242,7 @@
             let Some(inventory_part) = cache.inventory_part_of(&self.id, &machine) else {
                 continue;
             };
-            if new.conditions_with(attempt.task.job, inventory_part) > max_conditions {
+            if new_placements.conditions_with(attempt.task.job, inventory_part) > max_conditions {
                 // Left to the next write.
                 continue;
             }
@@ -246,11 +253,11 @@
             if let Some(candidate) = chosen {
                 candidate.free.take(&open.job.need);
             }
-            new.add(attempt, open.version, inventory_part);
+            new_placements.add(attempt, open.version, inventory_part);
         }
         self.assignments.unplaceable = unplaceable;
         self.token_renewal.placement_blocked = placement_blocked;
-        new
+        new_placements
     }
 
     /// The machine for an assignment: the one that the leader has chosen if the task still fits there, else the best of the block.
@@ -262,17 +269,19 @@
         job: &Job,
         candidates: &[Candidate],
     ) -> Option<MachineId> {
-        let clear = |candidate: &&Candidate| {
+        let never_launched = |candidate: &&Candidate| {
             self.workers
                 .get(&candidate.machine)
                 .is_some_and(|worker| !worker.launches.was_sent_for_task(assignment.attempt.task))
         };
         candidates
             .iter()
-            .filter(clear)
+            .filter(never_launched)
             .find(|candidate| candidate.machine == assignment.machine)
             .filter(|candidate| accepts(candidate, job))
-            .or_else(|| placement::best_candidate(candidates.iter().filter(clear), job, |_| true))
+            .or_else(|| {
+                placement::best_candidate(candidates.iter().filter(never_launched), job, |_| true)
+            })
             .map(|candidate| candidate.machine.clone())
     }
 
