--- a/src/workers/block/placement_writes.rs
+++ b/src/workers/block/placement_writes.rs
@@ -132,11 +132,12 @@
         if reload {
             self.reload_recorded(cache);
         }
-        let divided = cache.format() >= PARTS_FORMAT;
-        let limits = PartLimits::new(&config.state_limits, max_changes, divided);
+        let multiple_parts = cache.format() >= PARTS_FORMAT;
+        let limits = PartLimits::new(&config.state_limits, max_changes, multiple_parts);
         let (recorded, undecided) = (self.recorded.parts(), self.writer.undecided_parts());
-        let (parts, new_placements) = match PartsTransaction::dividing(recorded, limits, undecided)
-        {
+        let (parts, new_placements) = match PartsTransaction::split_oversized(
+            recorded, limits, undecided,
+        ) {
             Some(parts) => {
                 info!(block = %self.id, changes = parts.changed().len(), "a value is too large: divided");
                 (parts, NewPlacements::default())
--- a/src/workers/parts/mod.rs
+++ b/src/workers/parts/mod.rs
@@ -6,9 +6,9 @@
 //!
 //! Invariants: an attempt is recorded in one part only, whichever has space, so that placements of one time are one change;
 //! no part is made larger than its limit. A value that is too large for the limits in force can't be written again: what it
-//! holds is copied to other parts, and it is deleted once they hold everything (`division`).
+//! holds is copied to other parts, and it is deleted once they hold everything (`split`).
 
-mod division;
+mod split;
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet};
@@ -24,7 +24,7 @@
 /// Finished tasks that are recorded elsewhere are removed when their part is written anyway, or when it is this full, as a
 /// part of its limit: until then they do no harm, and each part costs a change.
 const PRUNE_FILL_RATIO: f64 = 0.6;
-/// A large value is divided by copying a part of it and, in the end, deleting it.
+/// A large value is split by copying a part of it and, in the end, deleting it.
 const MIN_CHANGES: usize = 2;
 /// How many other ends it is worth to record one on a machine that another task is to be placed on.
 const AWAITED_END_WEIGHT: usize = 4;
@@ -39,17 +39,17 @@
     /// The most parts that one transaction changes.
     pub(super) changes: usize,
     /// Whether there may be other parts than the first.
-    pub(super) divided: bool,
+    pub(super) multiple_parts: bool,
 }
 
 impl PartLimits {
     /// `max_changes`: the changes that a transaction should not exceed, by the rate at which we may write.
-    pub(super) fn new(limits: &StateLimits, max_changes: usize, divided: bool) -> Self {
+    pub(super) fn new(limits: &StateLimits, max_changes: usize, multiple_parts: bool) -> Self {
         let changes = max_changes.clamp(MIN_CHANGES, limits.txn_ops);
         PartLimits {
             value_bytes: limits.value_bytes,
-            changes: if divided { changes } else { 1 },
-            divided,
+            changes: if multiple_parts { changes } else { 1 },
+            multiple_parts,
         }
     }
 }
@@ -191,7 +191,7 @@
             let Some(part) = self.parts.get_mut(&index) else {
                 continue;
             };
-            let worth_a_change = !self.limits.divided
+            let worth_a_change = !self.limits.multiple_parts
                 || self.changed.contains(&index)
                 || part.value.worst_case_size() as f64 > full;
             if part.value.done.is_empty() || !worth_a_change || !may_change {
@@ -239,7 +239,7 @@
         let emptiest = with_space.min().map(|(_, _, index)| index);
         emptiest.or_else(|| {
             let next = self.next_part();
-            let allowed = next == FIRST_PART || self.limits.divided;
+            let allowed = next == FIRST_PART || self.limits.multiple_parts;
             (allowed && self.may_change(next)).then_some(next)
         })
     }
--- a/src/workers/parts/division.rs
+++ b/src/workers/parts/split.rs
@@ -7,43 +7,48 @@
 use crate::store::cache::Parts;
 use crate::store::records::{BlockPlacements, Part, Ranges, done_entry_size};
 
-/// How full a part is made when a large value is divided, as a part of its limit. The rest is for tasks that end there.
-const DIVISION_FILL_RATIO: f64 = 0.7;
+/// How full a part is made when a large value is split, as a part of its limit. The rest is for tasks that end there.
+const SPLIT_FILL_RATIO: f64 = 0.7;
 
 impl PartsTransaction {
     /// A transaction that only copies a value which is too large to others, if there is one.
-    pub(in crate::workers) fn dividing(
+    pub(in crate::workers) fn split_oversized(
         parts: &Parts<BlockPlacements>,
         limits: PartLimits,
         undecided: &BTreeSet<Part>,
     ) -> Option<Self> {
-        let (large, _) = parts.iter().find(|(_, part)| {
-            limits.divided
+        let (oversized, _) = parts.iter().find(|(_, part)| {
+            limits.multiple_parts
                 && part.value.size().max(part.value.worst_case_size()) > limits.value_bytes
         })?;
         let mut transaction = PartsTransaction::new(parts, limits, undecided);
-        transaction.divide(*large);
+        transaction.split(*oversized);
         Some(transaction)
     }
 
     /// Copies what no other part holds to new ones, as much as one transaction can, and deletes the large part if that was
     /// all.
-    fn divide(&mut self, large: Part) {
+    fn split(&mut self, oversized: Part) {
         let mut not_copied = self
             .parts
-            .get(&large)
+            .get(&oversized)
             .map(|part| part.value.clone())
             .unwrap_or_default();
-        for (_, part) in self.parts.iter().filter(|(index, _)| **index != large) {
+        for (_, part) in self.parts.iter().filter(|(index, _)| **index != oversized) {
             subtract(&mut not_copied, &part.value);
         }
         // One change is left for the deletion.
         let max_copies = self.limits.changes.saturating_sub(1).max(1);
-        let fill_bytes = (self.limits.value_bytes as f64 * DIVISION_FILL_RATIO) as usize;
+        let max_bytes = (self.limits.value_bytes as f64 * SPLIT_FILL_RATIO) as usize;
         while !not_copied.is_empty()
-            && self.changed.iter().filter(|part| **part != large).count() < max_copies
+            && self
+                .changed
+                .iter()
+                .filter(|part| **part != oversized)
+                .count()
+                < max_copies
         {
-            let copied = take_up_to(&mut not_copied, fill_bytes);
+            let copied = take_entries(&mut not_copied, max_bytes);
             let next = self.next_part();
             let mut part = empty_part();
             part.value = copied;
@@ -51,8 +56,8 @@
             self.changed.insert(next);
         }
         if not_copied.is_empty() {
-            self.parts.remove(&large);
-            self.changed.insert(large);
+            self.parts.remove(&oversized);
+            self.changed.insert(oversized);
         }
     }
 }
@@ -76,12 +81,12 @@
 }
 
 /// Takes out attempts, then finished tasks, that together make a part of this size, but at least one entry.
-fn take_up_to(placements: &mut BlockPlacements, bytes: usize) -> BlockPlacements {
+fn take_entries(placements: &mut BlockPlacements, max_bytes: usize) -> BlockPlacements {
     let mut taken = BlockPlacements::default();
     while let Some((machine, list)) = placements.on.pop_first() {
         let mut rest = list;
         while let Some(placed) = rest.pop() {
-            if taken.worst_case_size() + growth(&taken, &machine, placed.0) > bytes
+            if taken.worst_case_size() + growth(&taken, &machine, placed.0) > max_bytes
                 && !taken.is_empty()
             {
                 rest.push(placed);
@@ -91,25 +96,29 @@
             taken.add(&machine, placed.0);
         }
     }
-    take_done(placements, &mut taken, bytes);
+    take_finished_tasks(placements, &mut taken, max_bytes);
     taken
 }
 
 /// Takes out finished tasks, as many as fit a part of this size, but at least one range of them if `taken` is empty.
-fn take_done(placements: &mut BlockPlacements, taken: &mut BlockPlacements, bytes: usize) {
+fn take_finished_tasks(
+    placements: &mut BlockPlacements,
+    taken: &mut BlockPlacements,
+    max_bytes: usize,
+) {
     let jobs: BTreeMap<JobId, Ranges> = std::mem::take(&mut placements.done);
     let mut size = taken.worst_case_size();
     for (job, done) in jobs {
         size += done_entry_size(job);
         for range in done.0.iter() {
-            let one = Ranges([range.clone()].into_iter().collect());
-            size += one.size();
-            let target = if size + RESERVE_BYTES > bytes && !taken.is_empty() {
+            let single_range = Ranges([range.clone()].into_iter().collect());
+            size += single_range.size();
+            let target = if size + RESERVE_BYTES > max_bytes && !taken.is_empty() {
                 &mut placements.done
             } else {
                 &mut taken.done
             };
-            target.entry(job).or_default().merge(&one);
+            target.entry(job).or_default().merge(&single_range);
         }
     }
 }
--- a/src/workers/parts/tests.rs
+++ b/src/workers/parts/tests.rs
@@ -12,7 +12,7 @@
 const LIMITS: PartLimits = PartLimits {
     value_bytes: 2048,
     changes: 5,
-    divided: true,
+    multiple_parts: true,
 };
 
 fn attempt(job: u64, index: u32) -> Attempt {
@@ -116,7 +116,9 @@
     assert!(json_size(&encode(&large)) > 10_000);
     let mut parts = one_part(large.clone());
     let mut steps = 0;
-    while let Some(transaction) = PartsTransaction::dividing(&parts, LIMITS, &BTreeSet::new()) {
+    while let Some(transaction) =
+        PartsTransaction::split_oversized(&parts, LIMITS, &BTreeSet::new())
+    {
         steps += 1;
         assert!(transaction.has_changes() && steps < 20, "step {steps}");
         parts = commit(&parts, transaction, steps + 1);
@@ -147,7 +149,7 @@
 fn production_keeps_to_a_single_value() {
     let limits = PartLimits {
         changes: 1,
-        divided: false,
+        multiple_parts: false,
         ..LIMITS
     };
     let mut large = BlockPlacements::default();
@@ -155,7 +157,7 @@
         large.add(&machine(n), attempt(n, 0));
     });
     let parts = one_part(large);
-    assert!(PartsTransaction::dividing(&parts, limits, &BTreeSet::new()).is_none());
+    assert!(PartsTransaction::split_oversized(&parts, limits, &BTreeSet::new()).is_none());
     let mut transaction = PartsTransaction::new(&parts, limits, &BTreeSet::new());
     assert!(
         !transaction.add(&machine(1), attempt(900, 0)),
