--- a/src/workers/block/placement_writes.rs
+++ b/src/workers/block/placement_writes.rs
@@ -202,7 +202,7 @@
                 attempt: ended.attempt,
                 done: *outcome == AttemptOutcome::Done
                     && cache.open.contains_key(&ended.attempt.task.job),
-                awaited: target_machines.contains(&ended.machine),
+                blocks_placement: target_machines.contains(&ended.machine),
             })
             .collect();
         parts.remove_ended(ended);
--- a/src/workers/parts/mod.rs
+++ b/src/workers/parts/mod.rs
@@ -25,19 +25,19 @@
 /// part of its limit: until then they do no harm, and each part costs a change.
 const PRUNE_FILL_RATIO: f64 = 0.6;
 /// A large value is split by copying a part of it and, in the end, deleting it.
-const MIN_CHANGES: usize = 2;
+const MIN_CHANGES_PER_TRANSACTION: usize = 2;
 /// How many other ends it is worth to record one on a machine that another task is to be placed on.
-const AWAITED_END_WEIGHT: usize = 4;
+const BLOCKING_END_WEIGHT: usize = 4;
 /// Added to the computed growth of a part, for what the computation leaves out.
-const RESERVE_BYTES: usize = 64;
+const SIZE_MARGIN_BYTES: usize = 64;
 
 /// What one value and one transaction may hold.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct PartLimits {
     /// The most bytes of one value.
-    pub(super) value_bytes: usize,
+    pub(super) max_value_bytes: usize,
     /// The most parts that one transaction changes.
-    pub(super) changes: usize,
+    pub(super) max_changes: usize,
     /// Whether there may be other parts than the first.
     pub(super) multiple_parts: bool,
 }
@@ -45,10 +45,10 @@
 impl PartLimits {
     /// `max_changes`: the changes that a transaction should not exceed, by the rate at which we may write.
     pub(super) fn new(limits: &StateLimits, max_changes: usize, multiple_parts: bool) -> Self {
-        let changes = max_changes.clamp(MIN_CHANGES, limits.txn_ops);
+        let changes = max_changes.clamp(MIN_CHANGES_PER_TRANSACTION, limits.txn_ops);
         PartLimits {
-            value_bytes: limits.value_bytes,
-            changes: if multiple_parts { changes } else { 1 },
+            max_value_bytes: limits.value_bytes,
+            max_changes: if multiple_parts { changes } else { 1 },
             multiple_parts,
         }
     }
@@ -62,7 +62,7 @@
     /// Its task is to be recorded as finished.
     pub(super) done: bool,
     /// Another task is to be placed on its machine.
-    pub(super) awaited: bool,
+    pub(super) blocks_placement: bool,
 }
 
 /// The ends to be recorded in one part, and how much it is worth to do so.
@@ -125,11 +125,11 @@
 
     /// The most parts that it may change.
     pub(super) fn max_changes(&self) -> usize {
-        self.limits.changes
+        self.limits.max_changes
     }
 
     fn may_change(&self, part: Part) -> bool {
-        self.changed.contains(&part) || self.changed.len() < self.limits.changes
+        self.changed.contains(&part) || self.changed.len() < self.limits.max_changes
     }
 
     /// Removes attempts that have ended, as many as the transaction can: those of the parts with the most of them.
@@ -137,17 +137,22 @@
         let mut by_part: BTreeMap<Part, WeightedEnds<'_>> = BTreeMap::new();
         for end in ended {
             let mut parts = self.parts.iter();
-            let holding = parts.find(|(_, part)| holds(&part.value, end.machine, end.attempt));
+            let holding =
+                parts.find(|(_, part)| contains_attempt(&part.value, end.machine, end.attempt));
             let Some((index, _)) = holding else {
                 continue;
             };
-            let of_part = by_part.entry(*index).or_default();
-            of_part.weight += if end.awaited { AWAITED_END_WEIGHT } else { 1 };
-            of_part.ends.push(end);
+            let part_ends = by_part.entry(*index).or_default();
+            part_ends.weight += if end.blocks_placement {
+                BLOCKING_END_WEIGHT
+            } else {
+                1
+            };
+            part_ends.ends.push(end);
         }
         let mut by_weight: Vec<WeightedEnds<'_>> = by_part.into_values().collect();
-        by_weight.sort_by_key(|of_part| Reverse(of_part.weight));
-        for end in by_weight.into_iter().flat_map(|of_part| of_part.ends) {
+        by_weight.sort_by_key(|part_ends| Reverse(part_ends.weight));
+        for end in by_weight.into_iter().flat_map(|part_ends| part_ends.ends) {
             self.remove(end.machine, end.attempt, end.done);
         }
     }
@@ -158,7 +163,7 @@
         let holding: Vec<Part> = self
             .parts
             .iter()
-            .filter(|(_, part)| holds(&part.value, machine, attempt))
+            .filter(|(_, part)| contains_attempt(&part.value, machine, attempt))
             .map(|(part, _)| *part)
             .collect();
         if holding.is_empty() || !holding.iter().all(|part| self.may_change(*part)) {
@@ -184,17 +189,17 @@
 
     /// Removes finished tasks that are recorded elsewhere.
     pub(super) fn prune(&mut self, cache: &WatchCache) {
-        let full = self.limits.value_bytes as f64 * PRUNE_FILL_RATIO;
+        let prune_threshold_bytes = self.limits.max_value_bytes as f64 * PRUNE_FILL_RATIO;
         let indexes: Vec<Part> = self.parts.keys().copied().collect();
         for index in indexes {
             let may_change = self.may_change(index);
             let Some(part) = self.parts.get_mut(&index) else {
                 continue;
             };
-            let worth_a_change = !self.limits.multiple_parts
+            let should_prune = !self.limits.multiple_parts
                 || self.changed.contains(&index)
-                || part.value.worst_case_size() as f64 > full;
-            if part.value.done.is_empty() || !worth_a_change || !may_change {
+                || part.value.worst_case_size() as f64 > prune_threshold_bytes;
+            if part.value.done.is_empty() || !should_prune || !may_change {
                 continue;
             }
             let mut pruned = part.value.clone();
@@ -209,7 +214,7 @@
     /// Records an attempt in a part with space: one that is changed anyway, else the emptiest, else a new one. Returns false if
     /// this transaction has no space for it.
     pub(super) fn add(&mut self, machine: &MachineId, attempt: Attempt) -> bool {
-        let Some(index) = self.part_for(machine, attempt) else {
+        let Some(index) = self.choose_part(machine, attempt) else {
             return false;
         };
         let part = self.parts.entry(index).or_insert_with(empty_part);
@@ -226,14 +231,15 @@
     }
 
     /// The part to record an attempt in, if there is one with space that the transaction may change.
-    fn part_for(&self, machine: &MachineId, attempt: Attempt) -> Option<Part> {
+    fn choose_part(&self, machine: &MachineId, attempt: Attempt) -> Option<Part> {
         let changeable = self
             .parts
             .iter()
             .filter(|(index, _)| self.may_change(**index));
         let with_space = changeable.filter_map(|(index, part)| {
             let size = part.value.worst_case_size();
-            let fits = size + growth(&part.value, machine, attempt) <= self.limits.value_bytes;
+            let fits = size + worst_case_growth(&part.value, machine, attempt)
+                <= self.limits.max_value_bytes;
             fits.then_some((!self.changed.contains(index), size, *index))
         });
         let emptiest = with_space.min().map(|(_, _, index)| index);
@@ -280,7 +286,7 @@
     }
 }
 
-fn holds(placements: &BlockPlacements, machine: &MachineId, attempt: Attempt) -> bool {
+fn contains_attempt(placements: &BlockPlacements, machine: &MachineId, attempt: Attempt) -> bool {
     placements
         .on
         .get(machine)
@@ -288,13 +294,13 @@
 }
 
 /// By how much a part may grow with one more attempt, until that has ended.
-fn growth(placements: &BlockPlacements, machine: &MachineId, attempt: Attempt) -> usize {
+fn worst_case_growth(placements: &BlockPlacements, machine: &MachineId, attempt: Attempt) -> usize {
     let entry = if placements.on.contains_key(machine) {
         0
     } else {
         machine.0.len() + 8
     };
-    entry + AttemptEncoding(attempt).size() + done_entry_size(attempt.task.job) + RESERVE_BYTES
+    entry + AttemptEncoding(attempt).size() + done_entry_size(attempt.task.job) + SIZE_MARGIN_BYTES
 }
 
 #[cfg(test)]
--- a/src/workers/parts/split.rs
+++ b/src/workers/parts/split.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use super::{PartLimits, PartsTransaction, RESERVE_BYTES, empty_part, growth};
+use super::{PartLimits, PartsTransaction, SIZE_MARGIN_BYTES, empty_part, worst_case_growth};
 use crate::domain::JobId;
 use crate::store::cache::Parts;
 use crate::store::records::{BlockPlacements, Part, Ranges, done_entry_size};
@@ -19,7 +19,7 @@
     ) -> Option<Self> {
         let (oversized, _) = parts.iter().find(|(_, part)| {
             limits.multiple_parts
-                && part.value.size().max(part.value.worst_case_size()) > limits.value_bytes
+                && part.value.size().max(part.value.worst_case_size()) > limits.max_value_bytes
         })?;
         let mut transaction = PartsTransaction::new(parts, limits, undecided);
         transaction.split(*oversized);
@@ -38,8 +38,8 @@
             subtract(&mut not_copied, &part.value);
         }
         // One change is left for the deletion.
-        let max_copies = self.limits.changes.saturating_sub(1).max(1);
-        let max_bytes = (self.limits.value_bytes as f64 * SPLIT_FILL_RATIO) as usize;
+        let max_copies = self.limits.max_changes.saturating_sub(1).max(1);
+        let max_bytes = (self.limits.max_value_bytes as f64 * SPLIT_FILL_RATIO) as usize;
         while !not_copied.is_empty()
             && self
                 .changed
@@ -86,7 +86,7 @@
     while let Some((machine, list)) = placements.on.pop_first() {
         let mut rest = list;
         while let Some(placed) = rest.pop() {
-            if taken.worst_case_size() + growth(&taken, &machine, placed.0) > max_bytes
+            if taken.worst_case_size() + worst_case_growth(&taken, &machine, placed.0) > max_bytes
                 && !taken.is_empty()
             {
                 rest.push(placed);
@@ -113,7 +113,7 @@
         for range in done.0.iter() {
             let single_range = Ranges([range.clone()].into_iter().collect());
             size += single_range.size();
-            let target = if size + RESERVE_BYTES > max_bytes && !taken.is_empty() {
+            let target = if size + SIZE_MARGIN_BYTES > max_bytes && !taken.is_empty() {
                 &mut placements.done
             } else {
                 &mut taken.done
--- a/src/workers/parts/tests.rs
+++ b/src/workers/parts/tests.rs
@@ -10,8 +10,8 @@
 use crate::store::records::{encode, json_size};
 
 const LIMITS: PartLimits = PartLimits {
-    value_bytes: 2048,
-    changes: 5,
+    max_value_bytes: 2048,
+    max_changes: 5,
     multiple_parts: true,
 };
 
@@ -37,14 +37,14 @@
 ) -> Parts<BlockPlacements> {
     let txn = transaction.add_to(&"a.0".into(), old, Transaction::default());
     assert!(
-        txn.changes.len() <= LIMITS.changes,
+        txn.changes.len() <= LIMITS.max_changes,
         "{} changes",
         txn.changes.len()
     );
     for change in &txn.changes {
         if let TransactionChange::Put { key, value, .. } = change {
             let size = json_size(value);
-            assert!(size <= LIMITS.value_bytes, "{key} is {size} bytes");
+            assert!(size <= LIMITS.max_value_bytes, "{key} is {size} bytes");
         }
     }
     transaction.into_committed(revision)
@@ -92,7 +92,9 @@
                 "seed {seed}, step {step}"
             );
             assert!(
-                placed.iter().all(|(on, attempt)| holds(&all, on, *attempt)),
+                placed
+                    .iter()
+                    .all(|(on, attempt)| contains_attempt(&all, on, *attempt)),
                 "seed {seed}, step {step}"
             );
             for (job, done) in &finished {
@@ -148,7 +150,7 @@
 #[test]
 fn production_keeps_to_a_single_value() {
     let limits = PartLimits {
-        changes: 1,
+        max_changes: 1,
         multiple_parts: false,
         ..LIMITS
     };
