--- a/src/workers/mod.rs
+++ b/src/workers/mod.rs
@@ -35,7 +35,7 @@
 use wire::{Heartbeat, TaskState, WorkerCommands};
 
 /// A heartbeat is overdue after this many times its interval.
-const OVERDUE_INTERVALS: f64 = 1.5;
+const OVERDUE_AFTER_INTERVALS: f64 = 1.5;
 /// How often to review what follows from the clock alone: overdue heartbeats, launches to be sent again.
 const REVIEW_INTERVAL: Duration = Duration::from_millis(400);
 /// Direct commands may hold one in this many of our sockets; others wait for their turn.
@@ -80,9 +80,9 @@
         }
         self.items_examined += changed.machines.len() as u64;
         for id in &changed.machines {
-            let home = cache.machines.get(id).map(|machine| &machine.block);
+            let current_block = cache.machines.get(id).map(|machine| &machine.block);
             for block in self.blocks.values_mut() {
-                block.sync_machine(now, id, home == Some(&block.id));
+                block.sync_machine(now, id, current_block == Some(&block.id));
             }
         }
         self.request_stops(cache, changed);
@@ -243,15 +243,15 @@
         cache: &mut WatchCache,
         catalog: &InstanceCatalog,
     ) -> Option<(BlockId, StoreRequest)> {
-        let mut waiting: Vec<(Option<Instant>, BlockId)> = self
+        let mut due_blocks: Vec<(Option<Instant>, BlockId)> = self
             .blocks
             .values()
             .filter(|block| block.write_due(now))
             .filter(|block| allowance.has_spare_writes || !block.may_batch_ends(now))
             .map(|block| (block.last_write, block.id.clone()))
             .collect();
-        waiting.sort();
-        for (_, id) in waiting {
+        due_blocks.sort();
+        for (_, id) in due_blocks {
             let Some(block) = self.blocks.get_mut(&id) else {
                 continue;
             };
@@ -308,12 +308,12 @@
                 self.items_examined += 1;
                 // Those that did not answer last time may hold their sockets for long: they leave half to the others, and
                 // come back with the next review.
-                let may_hang = self.commands_in_flight >= max_in_flight / 2;
+                let half_in_use = self.commands_in_flight >= max_in_flight / 2;
                 let answers = block
                     .workers
                     .get(&machine)
                     .is_some_and(|worker| worker.liveness.answers_commands());
-                if may_hang && !answers {
+                if half_in_use && !answers {
                     continue;
                 }
                 if let Some(command) =
@@ -388,7 +388,7 @@
 
 /// The age of a worker's last heartbeat from which on the next one is overdue.
 fn overdue_after(config: &Config) -> Duration {
-    config.heartbeat_interval.mul_f64(OVERDUE_INTERVALS)
+    config.heartbeat_interval.mul_f64(OVERDUE_AFTER_INTERVALS)
 }
 
 #[cfg(test)]
