--- a/src/workers/block/placement_writes.rs
+++ b/src/workers/block/placement_writes.rs
@@ -270,18 +270,20 @@
         job: &Job,
         candidates: &[Candidate],
     ) -> Option<MachineId> {
-        let never_launched = |candidate: &&Candidate| {
+        let no_earlier_launch = |candidate: &&Candidate| {
             self.workers
                 .get(&candidate.machine)
                 .is_some_and(|worker| !worker.launches.was_sent_for_task(assignment.attempt.task))
         };
         candidates
             .iter()
-            .filter(never_launched)
+            .filter(no_earlier_launch)
             .find(|candidate| candidate.machine == assignment.machine)
             .filter(|candidate| accepts(candidate, job))
             .or_else(|| {
-                placement::best_candidate(candidates.iter().filter(never_launched), job, |_| true)
+                placement::best_candidate(candidates.iter().filter(no_earlier_launch), job, |_| {
+                    true
+                })
             })
             .map(|candidate| candidate.machine.clone())
     }
--- a/src/workers/tests/commands.rs
+++ b/src/workers/tests/commands.rs
@@ -6,14 +6,14 @@
 #[test]
 fn a_cancelled_task_is_stopped_without_a_valid_lease_and_nothing_else_is_done() {
     let mut holder = Holder::new(job(1, 1.0));
-    holder.assignments(9, "m-1", 1);
-    holder.write();
+    holder.assign_task(9, "m-1", 1);
+    holder.commit_due_writes();
     assert_eq!(holder.commands_without_lease(), [], "no launch");
     holder.tick();
-    let command = holder.commands().remove(0);
+    let command = holder.direct_commands().remove(0);
     let running = [(9, TaskState::Running, None)];
-    let shown = holder.message("m-1", FencingToken(4), &running);
-    holder.answer(&command, CommandOutcome::Executed(shown));
+    let shown = holder.build_heartbeat("m-1", FencingToken(4), &running);
+    holder.apply_command_outcome(&command, CommandOutcome::Executed(shown));
     holder.now.monotonic += REVIEW_INTERVAL;
     holder.tick();
     assert_eq!(holder.commands_without_lease(), []);
@@ -25,7 +25,7 @@
         ..assignment_update(version, 2, Vec::new())
     }));
     assert_eq!(holder.commands_without_lease(), []);
-    holder.cancel();
+    holder.cancel_job();
     let stop = WorkerCommand::Stop {
         task: first_task(),
         wire_number: 9,
@@ -33,7 +33,7 @@
     };
     assert_eq!(holder.commands_without_lease(), [stop]);
     // The heartbeat is not answered, but what it says counts.
-    let gone = holder.message(
+    let gone = holder.build_heartbeat(
         "m-1",
         FencingToken(4),
         &[(9, TaskState::Exited, Some(ExitCause::Stopped))],
@@ -60,14 +60,14 @@
 #[test]
 fn a_task_that_appears_after_its_cancellation_is_stopped_at_once() {
     let mut holder = Holder::new(job(1, 1.0));
-    holder.assignments(9, "m-1", 1);
-    holder.write();
-    let command = holder.commands().remove(0);
-    holder.cancel();
-    let shown = holder.message("m-1", FencingToken(4), &[(9, TaskState::Fetching, None)]);
-    holder.answer(&command, CommandOutcome::Executed(shown));
+    holder.assign_task(9, "m-1", 1);
+    holder.commit_due_writes();
+    let command = holder.direct_commands().remove(0);
+    holder.cancel_job();
+    let shown = holder.build_heartbeat("m-1", FencingToken(4), &[(9, TaskState::Fetching, None)]);
+    holder.apply_command_outcome(&command, CommandOutcome::Executed(shown));
     let commands: Vec<WorkerCommand> = holder
-        .commands()
+        .direct_commands()
         .into_iter()
         .flat_map(|command| command.body.commands)
         .collect();
@@ -87,50 +87,50 @@
 #[test]
 fn nothing_is_launched_before_it_is_recorded_nor_before_the_worker_has_shown_the_token() {
     let mut holder = Holder::new(job(1, 1.0));
-    holder.assignments(9, "m-1", 1);
-    assert_eq!(launches(&holder.commands()), 0, "not recorded yet");
-    assert_eq!(holder.write(), [("m-1".to_owned(), 9)]);
-    assert_eq!(launches(&holder.commands()), 1);
+    holder.assign_task(9, "m-1", 1);
+    assert_eq!(launches(&holder.direct_commands()), 0, "not recorded yet");
+    assert_eq!(holder.commit_due_writes(), [("m-1".to_owned(), 9)]);
+    assert_eq!(launches(&holder.direct_commands()), 1);
 
     let mut holder = Holder::new(job(1, 1.0));
-    holder.assignments(9, "m-1", 1);
-    holder.write();
-    holder.lease(FencingToken(6));
-    let raising = holder.commands();
+    holder.assign_task(9, "m-1", 1);
+    holder.commit_due_writes();
+    holder.grant_lease(FencingToken(6));
+    let raising = holder.direct_commands();
     assert!(
         raising
             .iter()
             .all(|command| command.body.token == FencingToken(6))
             && launches(&raising) == 0
     );
-    let shown = holder.message("m-1", FencingToken(6), &[]);
+    let shown = holder.build_heartbeat("m-1", FencingToken(6), &[]);
     let to_first = raising
         .iter()
         .find(|command| &*command.machine.0 == "m-1")
         .expect("raised")
         .clone();
-    holder.answer(&to_first, CommandOutcome::Executed(shown));
-    assert_eq!(launches(&holder.commands()), 1);
+    holder.apply_command_outcome(&to_first, CommandOutcome::Executed(shown));
+    assert_eq!(launches(&holder.direct_commands()), 1);
 }
 
 /// Found by a seeded run with zone cuts: see `Launches::unacknowledged`.
 #[test]
 fn an_unanswered_launch_holds_back_reaping_and_the_next_attempt_until_a_new_token() {
     let mut holder = Holder::new(job(1, 1.0));
-    holder.assignments(9, "m-1", 1);
-    holder.write();
-    let command = holder.commands().remove(0);
-    holder.answer(&command, CommandOutcome::Unknown);
+    holder.assign_task(9, "m-1", 1);
+    holder.commit_due_writes();
+    let command = holder.direct_commands().remove(0);
+    holder.apply_command_outcome(&command, CommandOutcome::Unknown);
     let failed = [(9, TaskState::Exited, Some(ExitCause::Error))];
-    holder.heartbeat("m-1", FencingToken(4), &failed);
-    assert_eq!(holder.write(), []);
+    holder.send_heartbeat("m-1", FencingToken(4), &failed);
+    assert_eq!(holder.commit_due_writes(), []);
     assert!(
-        !reaped(holder.heartbeat("m-1", FencingToken(4), &failed)),
+        !reaped(holder.send_heartbeat("m-1", FencingToken(4), &failed)),
         "the lost launch could start it again"
     );
-    holder.assignments(10, "m-1", 2);
+    holder.assign_task(10, "m-1", 2);
     assert_eq!(
-        holder.write(),
+        holder.commit_due_writes(),
         [("m-2".to_owned(), 10)],
         "away from the machine it was meant for"
     );
@@ -139,8 +139,12 @@
     holder.tick();
     let policy = Policy::built_in(&holder.config);
     assert!(holder.fleet.prepare_block_statuses(holder.now, &policy)[0].token_renewal_required);
-    holder.lease(FencingToken(6));
-    assert!(reaped(holder.heartbeat("m-1", FencingToken(6), &failed)));
+    holder.grant_lease(FencingToken(6));
+    assert!(reaped(holder.send_heartbeat(
+        "m-1",
+        FencingToken(6),
+        &failed
+    )));
 }
 
 /// A launch was answered and its task stopped; then a copy of the launch comes. A worker that has been told to forget
@@ -148,18 +152,22 @@
 #[test]
 fn an_attempt_that_could_be_launched_by_a_copy_is_remembered_until_a_new_token() {
     let mut holder = Holder::new(job(1, 1.0));
-    holder.assignments(9, "m-1", 1);
-    holder.write();
-    let command = holder.commands().remove(0);
-    let running = holder.message("m-1", FencingToken(4), &[(9, TaskState::Running, None)]);
-    holder.answer(&command, CommandOutcome::Executed(running));
+    holder.assign_task(9, "m-1", 1);
+    holder.commit_due_writes();
+    let command = holder.direct_commands().remove(0);
+    let running = holder.build_heartbeat("m-1", FencingToken(4), &[(9, TaskState::Running, None)]);
+    holder.apply_command_outcome(&command, CommandOutcome::Executed(running));
     let stopped = [(9, TaskState::Exited, Some(ExitCause::Stopped))];
-    holder.heartbeat("m-1", FencingToken(4), &stopped);
-    assert_eq!(holder.write(), []);
-    assert!(!reaped(holder.heartbeat("m-1", FencingToken(4), &stopped)));
-    holder.assignments(10, "m-1", 2);
+    holder.send_heartbeat("m-1", FencingToken(4), &stopped);
+    assert_eq!(holder.commit_due_writes(), []);
+    assert!(!reaped(holder.send_heartbeat(
+        "m-1",
+        FencingToken(4),
+        &stopped
+    )));
+    holder.assign_task(10, "m-1", 2);
     assert_eq!(
-        holder.write(),
+        holder.commit_due_writes(),
         [("m-2".to_owned(), 10)],
         "the worker keeps one attempt of a task in mind"
     );
@@ -171,20 +179,24 @@
         !holder.fleet.prepare_block_statuses(holder.now, &policy)[0].token_renewal_required,
         "nothing waits for it"
     );
-    holder.lease(FencingToken(6));
-    assert!(reaped(holder.heartbeat("m-1", FencingToken(6), &stopped)));
+    holder.grant_lease(FencingToken(6));
+    assert!(reaped(holder.send_heartbeat(
+        "m-1",
+        FencingToken(6),
+        &stopped
+    )));
     // What is done ends again at once, so it may be forgotten.
     let command = holder
-        .commands()
+        .direct_commands()
         .into_iter()
         .find(|command| &*command.machine.0 == "m-2")
         .expect("raised");
-    let running = holder.message("m-2", FencingToken(6), &[(10, TaskState::Running, None)]);
-    holder.answer(&command, CommandOutcome::Executed(running));
+    let running = holder.build_heartbeat("m-2", FencingToken(6), &[(10, TaskState::Running, None)]);
+    holder.apply_command_outcome(&command, CommandOutcome::Executed(running));
     let done = [(10, TaskState::Exited, Some(ExitCause::Done))];
-    holder.heartbeat("m-2", FencingToken(6), &done);
-    holder.write();
-    assert!(reaped(holder.heartbeat("m-2", FencingToken(6), &done)));
+    holder.send_heartbeat("m-2", FencingToken(6), &done);
+    holder.commit_due_writes();
+    assert!(reaped(holder.send_heartbeat("m-2", FencingToken(6), &done)));
 }
 
 /// Else every task that ever ran on a machine would be kept in mind there, and be gone through for each placement.
@@ -196,22 +208,22 @@
             .launches
             .attempts_sent()
     };
-    holder.assignments(9, "m-1", 1);
-    holder.write();
-    let command = holder.commands().remove(0);
+    holder.assign_task(9, "m-1", 1);
+    holder.commit_due_writes();
+    let command = holder.direct_commands().remove(0);
     // Sent before the launch came.
-    holder.heartbeat("m-1", FencingToken(4), &[]);
+    holder.send_heartbeat("m-1", FencingToken(4), &[]);
     assert_eq!(remembered(&holder), 1);
-    let running = holder.message("m-1", FencingToken(4), &[(9, TaskState::Running, None)]);
-    holder.answer(&command, CommandOutcome::Executed(running));
-    holder.heartbeat(
+    let running = holder.build_heartbeat("m-1", FencingToken(4), &[(9, TaskState::Running, None)]);
+    holder.apply_command_outcome(&command, CommandOutcome::Executed(running));
+    holder.send_heartbeat(
         "m-1",
         FencingToken(4),
         &[(9, TaskState::Exited, Some(ExitCause::Done))],
     );
-    holder.write();
+    holder.commit_due_writes();
     assert_eq!(remembered(&holder), 1, "not reaped yet");
-    holder.heartbeat("m-1", FencingToken(4), &[]);
+    holder.send_heartbeat("m-1", FencingToken(4), &[]);
     assert_eq!(remembered(&holder), 0);
 }
 
@@ -221,9 +233,9 @@
 fn a_new_holder_raises_the_token_of_workers_that_it_was_told_of() {
     let mut holder = Holder::new(job(1, 1.0));
     let policy = Policy::built_in(&holder.config);
-    holder.put(block_lease_key(&"a.0".into()), ciborium::Value::Null);
-    holder.lease(FencingToken(6));
-    assert_eq!(holder.commands(), [], "nothing is known of them");
+    holder.put_record(block_lease_key(&"a.0".into()), ciborium::Value::Null);
+    holder.grant_lease(FencingToken(6));
+    assert_eq!(holder.direct_commands(), [], "nothing is known of them");
     holder.now.monotonic += policy.worker_timeout + Duration::from_secs(1);
     assert!(
         holder.fleet.prepare_block_statuses(holder.now, &policy)[0]
@@ -237,7 +249,7 @@
         addresses,
         ..assignment_update(lease_version, 1, Vec::new())
     }));
-    let command = holder.commands().remove(0);
+    let command = holder.direct_commands().remove(0);
     assert_eq!(
         (
             command.body.token,
@@ -247,10 +259,10 @@
         (FencingToken(6), Some(AgentEpoch(1)), 0)
     );
     // Its session is another: it says so, and is asked again.
-    let mut shown = holder.message("m-1", FencingToken(4), &[]);
+    let mut shown = holder.build_heartbeat("m-1", FencingToken(4), &[]);
     shown.agent_epoch = AgentEpoch(3);
-    holder.answer(&command, CommandOutcome::Rejected(shown));
-    let command = holder.commands().remove(0);
+    holder.apply_command_outcome(&command, CommandOutcome::Rejected(shown));
+    let command = holder.direct_commands().remove(0);
     assert_eq!(
         (command.body.token, command.body.agent_epoch),
         (FencingToken(6), Some(AgentEpoch(3)))
@@ -267,17 +279,17 @@
     let machines: Vec<&str> = names.iter().map(String::as_str).collect();
     holder.put_inventory("a.0", &machines);
     for name in &names {
-        holder.heartbeat(name, FencingToken(3), &[]);
+        holder.send_heartbeat(name, FencingToken(3), &[]);
     }
-    let first = holder.commands();
-    assert_eq!((first.len(), holder.commands().len()), (most, 0));
+    let first = holder.direct_commands();
+    assert_eq!((first.len(), holder.direct_commands().len()), (most, 0));
     for command in &first {
-        holder.answer(command, CommandOutcome::Unknown);
+        holder.apply_command_outcome(command, CommandOutcome::Unknown);
     }
     holder.now.monotonic += PROBE_INTERVAL * 2;
     holder.tick();
     let again: BTreeSet<MachineId> = holder
-        .commands()
+        .direct_commands()
         .into_iter()
         .map(|command| command.machine)
         .collect();
--- a/src/workers/tests/heartbeats.rs
+++ b/src/workers/tests/heartbeats.rs
@@ -6,14 +6,14 @@
 #[test]
 fn a_heartbeat_that_is_older_than_the_last_proves_nothing() {
     let mut holder = Holder::new(job(1, 1.0));
-    holder.assignments(9, "m-1", 1);
-    let before = holder.message("m-1", FencingToken(4), &[]);
-    holder.write();
-    let command = holder.commands().remove(0);
-    let shown = holder.message("m-1", FencingToken(4), &[(9, TaskState::Running, None)]);
-    holder.answer(&command, CommandOutcome::Executed(shown));
-    holder.cancel();
-    let mut of_another_session = holder.message("m-1", FencingToken(4), &[]);
+    holder.assign_task(9, "m-1", 1);
+    let before = holder.build_heartbeat("m-1", FencingToken(4), &[]);
+    holder.commit_due_writes();
+    let command = holder.direct_commands().remove(0);
+    let shown = holder.build_heartbeat("m-1", FencingToken(4), &[(9, TaskState::Running, None)]);
+    holder.apply_command_outcome(&command, CommandOutcome::Executed(shown));
+    holder.cancel_job();
+    let mut of_another_session = holder.build_heartbeat("m-1", FencingToken(4), &[]);
     of_another_session.agent_epoch = AgentEpoch(0);
     let attempt = first_attempt(9);
     for late in [before, of_another_session] {
@@ -26,7 +26,7 @@
                 .is_proven_ended(&"a.0".into(), &"m-1".into(), &attempt)
         );
     }
-    let gone = holder.message("m-1", FencingToken(4), &[]);
+    let gone = holder.build_heartbeat("m-1", FencingToken(4), &[]);
     holder
         .fleet
         .handle_heartbeat(holder.now, gone, &holder.config, &holder.cache, true);
@@ -41,34 +41,38 @@
 #[test]
 fn a_task_missing_from_a_heartbeat_is_gone_only_if_unwanted_and_fenced() {
     let mut holder = Holder::new(job(1, 1.0));
-    holder.assignments(9, "m-1", 1);
-    holder.write();
-    let command = holder.commands().remove(0);
-    holder.heartbeat("m-1", FencingToken(4), &[]);
-    assert_eq!(holder.write().len(), 1, "its launch is on its way");
-    holder.put(
+    holder.assign_task(9, "m-1", 1);
+    holder.commit_due_writes();
+    let command = holder.direct_commands().remove(0);
+    holder.send_heartbeat("m-1", FencingToken(4), &[]);
+    assert_eq!(
+        holder.commit_due_writes().len(),
+        1,
+        "its launch is on its way"
+    );
+    holder.put_record(
         job_key(JobId(1)),
         encode(&JobRecord::Cancelled(job(1, 1.0), 0)),
     );
-    holder.heartbeat("m-1", FencingToken(4), &[]);
+    holder.send_heartbeat("m-1", FencingToken(4), &[]);
     assert_eq!(
-        holder.write().len(),
+        holder.commit_due_writes().len(),
         1,
         "cancelled, but the launch may still come"
     );
-    let empty = holder.message("m-1", FencingToken(4), &[]);
-    holder.answer(&command, CommandOutcome::Rejected(empty));
-    assert_eq!(holder.write(), [], "refused: it never started");
+    let empty = holder.build_heartbeat("m-1", FencingToken(4), &[]);
+    holder.apply_command_outcome(&command, CommandOutcome::Rejected(empty));
+    assert_eq!(holder.commit_due_writes(), [], "refused: it never started");
 }
 
 #[test]
 fn a_heartbeat_with_a_higher_token_or_an_old_block_lease_is_not_answered_with_commands() {
     let mut holder = Holder::new(job(1, 1.0));
     assert_eq!(
-        holder.heartbeat("m-1", FencingToken(5), &[]),
+        holder.send_heartbeat("m-1", FencingToken(5), &[]),
         HeartbeatResponse::Redirect(None)
     );
-    let heartbeat = holder.message("m-1", FencingToken(4), &[]);
+    let heartbeat = holder.build_heartbeat("m-1", FencingToken(4), &[]);
     let answer =
         holder
             .fleet
--- a/src/workers/tests/liveness.rs
+++ b/src/workers/tests/liveness.rs
@@ -8,8 +8,8 @@
 fn a_machine_that_reports_but_does_not_answer_is_noticed() {
     let mut holder = Holder::new(job(1, 1.0));
     let policy = Policy::built_in(&holder.config);
-    holder.assignments(9, "m-1", 1);
-    holder.write();
+    holder.assign_task(9, "m-1", 1);
+    holder.commit_due_writes();
     let usable = |holder: &mut Holder| {
         let status = holder
             .fleet
@@ -22,26 +22,26 @@
             .map(|m| (m.usable, m.unresponsive))
     };
     assert_eq!(usable(&mut holder), Some((true, false)));
-    let command = holder.commands().remove(0);
-    holder.answer(&command, CommandOutcome::Unknown);
-    holder.heartbeat("m-1", FencingToken(4), &[]);
+    let command = holder.direct_commands().remove(0);
+    holder.apply_command_outcome(&command, CommandOutcome::Unknown);
+    holder.send_heartbeat("m-1", FencingToken(4), &[]);
     assert_eq!(usable(&mut holder), Some((false, false)));
     let mut asked = 0;
     for _ in 0..20 {
         holder.now.monotonic += Duration::from_secs(1);
-        holder.heartbeat("m-1", FencingToken(4), &[]);
-        holder.heartbeat("m-2", FencingToken(4), &[]);
+        holder.send_heartbeat("m-1", FencingToken(4), &[]);
+        holder.send_heartbeat("m-2", FencingToken(4), &[]);
         holder.tick();
-        for command in holder.commands() {
+        for command in holder.direct_commands() {
             asked += 1;
-            holder.answer(&command, CommandOutcome::Unknown);
+            holder.apply_command_outcome(&command, CommandOutcome::Unknown);
         }
     }
     assert!(asked > 2, "asked {asked} times");
     assert_eq!(usable(&mut holder), Some((false, true)));
     // An answer settles it, and all is as before.
-    let shown = holder.message("m-1", FencingToken(4), &[]);
-    holder.answer(&command, CommandOutcome::Executed(shown));
+    let shown = holder.build_heartbeat("m-1", FencingToken(4), &[]);
+    holder.apply_command_outcome(&command, CommandOutcome::Executed(shown));
     assert_eq!(usable(&mut holder), Some((true, false)));
 }
 
@@ -76,7 +76,7 @@
 #[test]
 fn a_machine_is_faulty_when_tasks_of_two_jobs_fail_there_though_they_ran() {
     let mut holder = Holder::new(job(1, 1.0));
-    holder.put(job_key(JobId(2)), encode(&JobRecord::Open(job(1, 1.0))));
+    holder.put_record(job_key(JobId(2)), encode(&JobRecord::Open(job(1, 1.0))));
     let policy = Policy::built_in(&holder.config);
     let mut errors = Vec::new();
     for (number, of) in [(9, 1), (10, 1), (11, 1), (12, 2)] {
@@ -97,12 +97,13 @@
             number,
             assignments
         )));
-        holder.write();
+        holder.commit_due_writes();
         for (state, cause) in [
             (TaskState::Running, None),
             (TaskState::Exited, Some(ExitCause::Error)),
         ] {
-            let mut heartbeat = holder.message("m-1", FencingToken(4), &[(number, state, cause)]);
+            let mut heartbeat =
+                holder.build_heartbeat("m-1", FencingToken(4), &[(number, state, cause)]);
             heartbeat.tasks[0].task = attempt.task;
             holder.fleet.handle_heartbeat(
                 holder.now,
@@ -112,7 +113,7 @@
                 true,
             );
         }
-        holder.write();
+        holder.commit_due_writes();
         errors.push(
             holder.fleet.prepare_block_statuses(holder.now, &policy)[0].machines[0]
                 .consecutive_failures,
--- a/src/workers/tests/mod.rs
+++ b/src/workers/tests/mod.rs
@@ -28,7 +28,7 @@
 
 const INCARNATION: Incarnation = Incarnation(7);
 
-const AMPLE: WriteAllowance = WriteAllowance {
+const SPARE_WRITES: WriteAllowance = WriteAllowance {
     max_changes: 16,
     has_spare_writes: true,
 };
@@ -62,14 +62,14 @@
             sequence_number: 0,
         };
         holder.put_inventory("a.0", &["m-1", "m-2"]);
-        holder.put(job_key(JobId(1)), encode(&JobRecord::Open(job)));
-        holder.lease(FencingToken(4));
-        holder.heartbeat("m-1", FencingToken(4), &[]);
-        holder.heartbeat("m-2", FencingToken(4), &[]);
+        holder.put_record(job_key(JobId(1)), encode(&JobRecord::Open(job)));
+        holder.grant_lease(FencingToken(4));
+        holder.send_heartbeat("m-1", FencingToken(4), &[]);
+        holder.send_heartbeat("m-2", FencingToken(4), &[]);
         holder
     }
 
-    fn put(&mut self, key: String, value: ciborium::Value) {
+    fn put_record(&mut self, key: String, value: ciborium::Value) {
         self.version += 1;
         self.cache.apply(Change {
             key,
@@ -94,7 +94,7 @@
             zone: "a".into(),
             on: on.collect(),
         };
-        self.put(inventory_key(&block.into()), encode(&inventory));
+        self.put_record(inventory_key(&block.into()), encode(&inventory));
     }
 
     fn sync(&mut self) {
@@ -104,11 +104,11 @@
     }
 
     /// Leases block `a.0` to the holder under this token.
-    fn lease(&mut self, token: FencingToken) {
-        self.lease_block("a.0", token);
+    fn grant_lease(&mut self, token: FencingToken) {
+        self.grant_block_lease("a.0", token);
     }
 
-    fn lease_block(&mut self, block: &str, token: FencingToken) {
+    fn grant_block_lease(&mut self, block: &str, token: FencingToken) {
         let holder = self.config.name.clone();
         let lease = BlockLease {
             zone: "a".into(),
@@ -117,10 +117,10 @@
             token,
             term: Term(3),
         };
-        self.put(block_lease_key(&block.into()), encode(&lease));
+        self.put_record(block_lease_key(&block.into()), encode(&lease));
     }
 
-    fn message(
+    fn build_heartbeat(
         &mut self,
         machine: &str,
         token: FencingToken,
@@ -148,18 +148,18 @@
         }
     }
 
-    fn heartbeat(
+    fn send_heartbeat(
         &mut self,
         machine: &str,
         token: FencingToken,
         tasks: &[(u64, TaskState, Option<ExitCause>)],
     ) -> HeartbeatResponse {
-        let heartbeat = self.message(machine, token, tasks);
+        let heartbeat = self.build_heartbeat(machine, token, tasks);
         self.fleet
             .handle_heartbeat(self.now, heartbeat, &self.config, &self.cache, true)
     }
 
-    fn assignments(&mut self, number: u64, machine: &str, message: u64) {
+    fn assign_task(&mut self, number: u64, machine: &str, message: u64) {
         let lease_version = self.fleet.lease_version(&"a.0".into());
         let assignments = vec![Assignment {
             attempt: first_attempt(number),
@@ -170,12 +170,12 @@
     }
 
     /// WriteAllowance and commits what is due. Returns where the attempts are then.
-    fn write(&mut self) -> Vec<(String, u64)> {
+    fn commit_due_writes(&mut self) -> Vec<(String, u64)> {
         self.now.monotonic += WRITE_CHECK_INTERVAL;
         while let Some((block, op)) = self.fleet.next_transaction(
             self.now,
             &self.config,
-            AMPLE,
+            SPARE_WRITES,
             &mut self.cache,
             &self.catalog,
         ) {
@@ -215,12 +215,12 @@
         self.fleet.tick(self.now, &self.config, &policy);
     }
 
-    fn commands(&mut self) -> Vec<DirectCommand> {
+    fn direct_commands(&mut self) -> Vec<DirectCommand> {
         self.fleet
             .prepare_direct_commands(self.now, &self.config, &self.cache, true)
     }
 
-    fn answer(&mut self, command: &DirectCommand, outcome: CommandOutcome) {
+    fn apply_command_outcome(&mut self, command: &DirectCommand, outcome: CommandOutcome) {
         let (block, machine) = (command.block.clone(), command.machine.clone());
         self.fleet.apply_command_outcome(
             self.now,
@@ -232,8 +232,8 @@
         );
     }
 
-    fn cancel(&mut self) {
-        self.put(
+    fn cancel_job(&mut self) {
+        self.put_record(
             job_key(JobId(1)),
             encode(&JobRecord::Cancelled(job(1, 1.0), self.now.unix_ms())),
         );
--- a/src/workers/tests/placement_writes.rs
+++ b/src/workers/tests/placement_writes.rs
@@ -6,12 +6,12 @@
 #[test]
 fn a_placement_is_conditioned_on_its_jobs() {
     let mut holder = Holder::new(job(1, 1.0));
-    holder.assignments(9, "m-1", 1);
+    holder.assign_task(9, "m-1", 1);
     holder.now.monotonic += WRITE_CHECK_INTERVAL;
     let write = holder.fleet.next_transaction(
         holder.now,
         &holder.config,
-        AMPLE,
+        SPARE_WRITES,
         &mut holder.cache,
         &holder.catalog,
     );
@@ -35,8 +35,8 @@
         ..job(1, 0.1)
     });
     holder.put_inventory("a.1", &["m-3"]);
-    holder.lease_block("a.1", FencingToken(5));
-    holder.heartbeat("m-3", FencingToken(5), &[]);
+    holder.grant_block_lease("a.1", FencingToken(5));
+    holder.send_heartbeat("m-3", FencingToken(5), &[]);
     // Each round brings new work for both, but only one write can be sent.
     let mut written: HashMap<BlockId, usize> = HashMap::new();
     for round in 0..8 {
@@ -65,7 +65,7 @@
         let next = holder.fleet.next_transaction(
             holder.now,
             &holder.config,
-            AMPLE,
+            SPARE_WRITES,
             &mut holder.cache,
             &holder.catalog,
         );
@@ -91,16 +91,16 @@
         tasks: 3,
         ..job(1, 0.1)
     });
-    holder.assignments(20, "m-1", 1);
-    assert_eq!(holder.write().len(), 1);
-    holder.heartbeat(
+    holder.assign_task(20, "m-1", 1);
+    assert_eq!(holder.commit_due_writes().len(), 1);
+    holder.send_heartbeat(
         "m-1",
         FencingToken(4),
         &[(20, TaskState::Exited, Some(ExitCause::Done))],
     );
     let scarce = WriteAllowance {
         has_spare_writes: false,
-        ..AMPLE
+        ..SPARE_WRITES
     };
     let mut next = |writes: WriteAllowance, after: Duration| {
         holder.now.monotonic += after;
@@ -127,20 +127,20 @@
             tasks: 3,
             ..job(1, 0.1)
         });
-        holder.assignments(20, "m-1", 1);
-        assert_eq!(holder.write().len(), 1);
-        holder.heartbeat(
+        holder.assign_task(20, "m-1", 1);
+        assert_eq!(holder.commit_due_writes().len(), 1);
+        holder.send_heartbeat(
             "m-1",
             FencingToken(4),
             &[(20, TaskState::Exited, Some(ExitCause::Done))],
         );
         if starts {
-            holder.assignments(21, "m-2", 2);
+            holder.assign_task(21, "m-2", 2);
         }
         holder.now.monotonic += WRITE_CHECK_INTERVAL;
         let writes = WriteAllowance {
             has_spare_writes: !starts,
-            ..AMPLE
+            ..SPARE_WRITES
         };
         let write = holder.fleet.next_transaction(
             holder.now,
@@ -158,7 +158,7 @@
 #[test]
 fn a_placement_of_unknown_outcome_stays_pending_when_the_next_write_is_refused() {
     let mut holder = Holder::new(job(1, 1.0));
-    holder.assignments(20, "m-1", 1);
+    holder.assign_task(20, "m-1", 1);
     let write = |holder: &mut Holder, outcome: StoreResponse| {
         holder.now.monotonic += Duration::from_secs(1);
         holder.cache.assume_fresh(holder.now.monotonic);
@@ -171,7 +171,7 @@
             ..
         } = holder;
         let (block, _) = fleet
-            .next_transaction(*now, config, AMPLE, cache, catalog)
+            .next_transaction(*now, config, SPARE_WRITES, cache, catalog)
             .expect("something to write");
         let lease_version = fleet.lease_version(&block);
         fleet.apply_write_outcome(*now, &block, lease_version, &outcome);
