--- a/src/workers/tests/commands.rs
+++ b/src/workers/tests/commands.rs
@@ -12,8 +12,8 @@
     holder.tick();
     let command = holder.direct_commands().remove(0);
     let running = [(9, TaskState::Running, None)];
-    let shown = holder.build_heartbeat("m-1", FencingToken(4), &running);
-    holder.apply_command_outcome(&command, CommandOutcome::Executed(shown));
+    let report = holder.build_heartbeat("m-1", FencingToken(4), &running);
+    holder.apply_command_outcome(&command, CommandOutcome::Executed(report));
     holder.now.monotonic += REVIEW_INTERVAL;
     holder.tick();
     assert_eq!(holder.commands_without_lease(), []);
@@ -33,16 +33,16 @@
     };
     assert_eq!(holder.commands_without_lease(), [stop]);
     // The heartbeat is not answered, but what it says counts.
-    let gone = holder.build_heartbeat(
+    let heartbeat = holder.build_heartbeat(
         "m-1",
         FencingToken(4),
         &[(9, TaskState::Exited, Some(ExitCause::Stopped))],
     );
-    let answer =
+    let response =
         holder
             .fleet
-            .handle_heartbeat(holder.now, gone, &holder.config, &holder.cache, false);
-    assert_eq!(answer, HeartbeatResponse::Unavailable);
+            .handle_heartbeat(holder.now, heartbeat, &holder.config, &holder.cache, false);
+    assert_eq!(response, HeartbeatResponse::Unavailable);
     assert!(
         holder
             .fleet
@@ -64,8 +64,8 @@
     holder.commit_due_writes();
     let command = holder.direct_commands().remove(0);
     holder.cancel_job();
-    let shown = holder.build_heartbeat("m-1", FencingToken(4), &[(9, TaskState::Fetching, None)]);
-    holder.apply_command_outcome(&command, CommandOutcome::Executed(shown));
+    let report = holder.build_heartbeat("m-1", FencingToken(4), &[(9, TaskState::Fetching, None)]);
+    holder.apply_command_outcome(&command, CommandOutcome::Executed(report));
     let commands: Vec<WorkerCommand> = holder
         .direct_commands()
         .into_iter()
@@ -96,20 +96,20 @@
     holder.assign_task(9, "m-1", 1);
     holder.commit_due_writes();
     holder.grant_lease(FencingToken(6));
-    let raising = holder.direct_commands();
+    let token_commands = holder.direct_commands();
     assert!(
-        raising
+        token_commands
             .iter()
             .all(|command| command.body.token == FencingToken(6))
-            && launches(&raising) == 0
+            && launches(&token_commands) == 0
     );
-    let shown = holder.build_heartbeat("m-1", FencingToken(6), &[]);
-    let to_first = raising
+    let report = holder.build_heartbeat("m-1", FencingToken(6), &[]);
+    let command = token_commands
         .iter()
         .find(|command| &*command.machine.0 == "m-1")
         .expect("raised")
         .clone();
-    holder.apply_command_outcome(&to_first, CommandOutcome::Executed(shown));
+    holder.apply_command_outcome(&command, CommandOutcome::Executed(report));
     assert_eq!(launches(&holder.direct_commands()), 1);
 }
 
@@ -259,9 +259,9 @@
         (FencingToken(6), Some(AgentEpoch(1)), 0)
     );
     // Its session is another: it says so, and is asked again.
-    let mut shown = holder.build_heartbeat("m-1", FencingToken(4), &[]);
-    shown.agent_epoch = AgentEpoch(3);
-    holder.apply_command_outcome(&command, CommandOutcome::Rejected(shown));
+    let mut report = holder.build_heartbeat("m-1", FencingToken(4), &[]);
+    report.agent_epoch = AgentEpoch(3);
+    holder.apply_command_outcome(&command, CommandOutcome::Rejected(report));
     let command = holder.direct_commands().remove(0);
     assert_eq!(
         (command.body.token, command.body.agent_epoch),
@@ -274,30 +274,38 @@
 #[test]
 fn commands_under_way_are_bounded_and_those_without_answers_leave_room_for_others() {
     let mut holder = Holder::new(job(1, 1.0));
-    let most = holder.config.max_sockets / COMMAND_SOCKET_DIVISOR;
-    let names: Vec<String> = (0..most * 3).map(|n| format!("m-{n:06}")).collect();
+    let max_in_flight = holder.config.max_sockets / COMMAND_SOCKET_DIVISOR;
+    let names: Vec<String> = (0..max_in_flight * 3)
+        .map(|n| format!("m-{n:06}"))
+        .collect();
     let machines: Vec<&str> = names.iter().map(String::as_str).collect();
     holder.put_inventory("a.0", &machines);
     for name in &names {
         holder.send_heartbeat(name, FencingToken(3), &[]);
     }
     let first = holder.direct_commands();
-    assert_eq!((first.len(), holder.direct_commands().len()), (most, 0));
+    assert_eq!(
+        (first.len(), holder.direct_commands().len()),
+        (max_in_flight, 0)
+    );
     for command in &first {
         holder.apply_command_outcome(command, CommandOutcome::Unknown);
     }
     holder.now.monotonic += PROBE_INTERVAL * 2;
     holder.tick();
-    let again: BTreeSet<MachineId> = holder
+    let commanded_again: BTreeSet<MachineId> = holder
         .direct_commands()
         .into_iter()
         .map(|command| command.machine)
         .collect();
     let unanswered_before = first
         .iter()
-        .filter(|command| again.contains(&command.machine))
+        .filter(|command| commanded_again.contains(&command.machine))
         .count();
-    assert_eq!((again.len(), unanswered_before), (most, most / 2));
+    assert_eq!(
+        (commanded_again.len(), unanswered_before),
+        (max_in_flight, max_in_flight / 2)
+    );
 }
 
 /// Whether a response to a heartbeat tells the worker to forget a task.
--- a/src/workers/tests/heartbeats.rs
+++ b/src/workers/tests/heartbeats.rs
@@ -7,16 +7,16 @@
 fn a_heartbeat_that_is_older_than_the_last_proves_nothing() {
     let mut holder = Holder::new(job(1, 1.0));
     holder.assign_task(9, "m-1", 1);
-    let before = holder.build_heartbeat("m-1", FencingToken(4), &[]);
+    let earlier_report = holder.build_heartbeat("m-1", FencingToken(4), &[]);
     holder.commit_due_writes();
     let command = holder.direct_commands().remove(0);
-    let shown = holder.build_heartbeat("m-1", FencingToken(4), &[(9, TaskState::Running, None)]);
-    holder.apply_command_outcome(&command, CommandOutcome::Executed(shown));
+    let report = holder.build_heartbeat("m-1", FencingToken(4), &[(9, TaskState::Running, None)]);
+    holder.apply_command_outcome(&command, CommandOutcome::Executed(report));
     holder.cancel_job();
-    let mut of_another_session = holder.build_heartbeat("m-1", FencingToken(4), &[]);
-    of_another_session.agent_epoch = AgentEpoch(0);
+    let mut earlier_epoch = holder.build_heartbeat("m-1", FencingToken(4), &[]);
+    earlier_epoch.agent_epoch = AgentEpoch(0);
     let attempt = first_attempt(9);
-    for late in [before, of_another_session] {
+    for late in [earlier_report, earlier_epoch] {
         holder
             .fleet
             .handle_heartbeat(holder.now, late, &holder.config, &holder.cache, true);
@@ -26,10 +26,10 @@
                 .is_proven_ended(&"a.0".into(), &"m-1".into(), &attempt)
         );
     }
-    let gone = holder.build_heartbeat("m-1", FencingToken(4), &[]);
+    let empty = holder.build_heartbeat("m-1", FencingToken(4), &[]);
     holder
         .fleet
-        .handle_heartbeat(holder.now, gone, &holder.config, &holder.cache, true);
+        .handle_heartbeat(holder.now, empty, &holder.config, &holder.cache, true);
     assert!(
         holder
             .fleet
@@ -73,9 +73,9 @@
         HeartbeatResponse::Redirect(None)
     );
     let heartbeat = holder.build_heartbeat("m-1", FencingToken(4), &[]);
-    let answer =
+    let response =
         holder
             .fleet
             .handle_heartbeat(holder.now, heartbeat, &holder.config, &holder.cache, false);
-    assert_eq!(answer, HeartbeatResponse::Unavailable);
+    assert_eq!(response, HeartbeatResponse::Unavailable);
 }
--- a/src/workers/tests/liveness.rs
+++ b/src/workers/tests/liveness.rs
@@ -10,7 +10,7 @@
     let policy = Policy::built_in(&holder.config);
     holder.assign_task(9, "m-1", 1);
     holder.commit_due_writes();
-    let usable = |holder: &mut Holder| {
+    let health = |holder: &mut Holder| {
         let status = holder
             .fleet
             .prepare_block_statuses(holder.now, &policy)
@@ -18,31 +18,31 @@
         status
             .machines
             .iter()
-            .find(|m| &*m.machine.0 == "m-1")
-            .map(|m| (m.usable, m.unresponsive))
+            .find(|machine| &*machine.machine.0 == "m-1")
+            .map(|machine| (machine.usable, machine.unresponsive))
     };
-    assert_eq!(usable(&mut holder), Some((true, false)));
+    assert_eq!(health(&mut holder), Some((true, false)));
     let command = holder.direct_commands().remove(0);
     holder.apply_command_outcome(&command, CommandOutcome::Unknown);
     holder.send_heartbeat("m-1", FencingToken(4), &[]);
-    assert_eq!(usable(&mut holder), Some((false, false)));
-    let mut asked = 0;
+    assert_eq!(health(&mut holder), Some((false, false)));
+    let mut probes = 0;
     for _ in 0..20 {
         holder.now.monotonic += Duration::from_secs(1);
         holder.send_heartbeat("m-1", FencingToken(4), &[]);
         holder.send_heartbeat("m-2", FencingToken(4), &[]);
         holder.tick();
         for command in holder.direct_commands() {
-            asked += 1;
+            probes += 1;
             holder.apply_command_outcome(&command, CommandOutcome::Unknown);
         }
     }
-    assert!(asked > 2, "asked {asked} times");
-    assert_eq!(usable(&mut holder), Some((false, true)));
+    assert!(probes > 2, "{probes} probes were sent");
+    assert_eq!(health(&mut holder), Some((false, true)));
     // An answer settles it, and all is as before.
-    let shown = holder.build_heartbeat("m-1", FencingToken(4), &[]);
-    holder.apply_command_outcome(&command, CommandOutcome::Executed(shown));
-    assert_eq!(usable(&mut holder), Some((true, false)));
+    let report = holder.build_heartbeat("m-1", FencingToken(4), &[]);
+    holder.apply_command_outcome(&command, CommandOutcome::Executed(report));
+    assert_eq!(health(&mut holder), Some((true, false)));
 }
 
 /// Found on the bench: a controller that had stood still took all its workers for silent when it went on, and
@@ -51,7 +51,7 @@
 fn time_in_which_a_holder_was_paused_is_no_silence_of_its_workers() {
     let mut holder = Holder::new(job(1, 1.0));
     let policy = Policy::built_in(&holder.config);
-    let silent = |holder: &mut Holder| {
+    let unresponsive_count = |holder: &mut Holder| {
         holder.tick();
         let status = holder
             .fleet
@@ -63,12 +63,12 @@
             .filter(|machine| machine.unresponsive)
             .count()
     };
-    let gap = policy.worker_timeout * 2;
-    holder.now.monotonic += gap;
-    holder.fleet.process_paused(gap);
-    assert_eq!(silent(&mut holder), 0);
-    holder.now.monotonic += gap;
-    assert_eq!(silent(&mut holder), 2);
+    let pause = policy.worker_timeout * 2;
+    holder.now.monotonic += pause;
+    holder.fleet.process_paused(pause);
+    assert_eq!(unresponsive_count(&mut holder), 0);
+    holder.now.monotonic += pause;
+    assert_eq!(unresponsive_count(&mut holder), 2);
 }
 
 /// Found by a search of seeds: a sight of a running task reset the count, and machines whose tasks fail after
@@ -79,10 +79,10 @@
     holder.put_record(job_key(JobId(2)), encode(&JobRecord::Open(job(1, 1.0))));
     let policy = Policy::built_in(&holder.config);
     let mut errors = Vec::new();
-    for (number, of) in [(9, 1), (10, 1), (11, 1), (12, 2)] {
+    for (number, job_id) in [(9, 1), (10, 1), (11, 1), (12, 2)] {
         let attempt = Attempt {
             task: TaskId {
-                job: JobId(of),
+                job: JobId(job_id),
                 index: 0,
             },
             number,
--- a/src/workers/tests/mod.rs
+++ b/src/workers/tests/mod.rs
@@ -39,7 +39,7 @@
     cache: WatchCache,
     fleet: WorkerFleet,
     now: Now,
-    version: u64,
+    revision: u64,
     sequence_number: u64,
 }
 
@@ -58,7 +58,7 @@
             cache,
             fleet,
             now: Now::read(),
-            version: 0,
+            revision: 0,
             sequence_number: 0,
         };
         holder.put_inventory("a.0", &["m-1", "m-2"]);
@@ -70,10 +70,10 @@
     }
 
     fn put_record(&mut self, key: String, value: ciborium::Value) {
-        self.version += 1;
+        self.revision += 1;
         self.cache.apply(Change {
             key,
-            version: self.version,
+            version: self.revision,
             value: Some(value),
         });
         self.sync();
@@ -128,12 +128,13 @@
     ) -> Heartbeat {
         self.sequence_number += 1;
         let task = first_task();
-        let of = |(number, state, cause): &(u64, TaskState, Option<ExitCause>)| TaskStatus {
-            task,
-            wire_number: *number,
-            state: *state,
-            cause: *cause,
-        };
+        let task_status =
+            |(number, state, cause): &(u64, TaskState, Option<ExitCause>)| TaskStatus {
+                task,
+                wire_number: *number,
+                state: *state,
+                cause: *cause,
+            };
         Heartbeat {
             machine: machine.into(),
             addr: "10.1.0.1:9000".to_owned(),
@@ -144,7 +145,7 @@
             sequence_number: self.sequence_number,
             token,
             termination_notice_s: None,
-            tasks: tasks.iter().map(of).collect(),
+            tasks: tasks.iter().map(task_status).collect(),
         }
     }
 
@@ -159,37 +160,37 @@
             .handle_heartbeat(self.now, heartbeat, &self.config, &self.cache, true)
     }
 
-    fn assign_task(&mut self, number: u64, machine: &str, message: u64) {
+    fn assign_task(&mut self, number: u64, machine: &str, sequence_number: u64) {
         let lease_version = self.fleet.lease_version(&"a.0".into());
         let assignments = vec![Assignment {
             attempt: first_attempt(number),
             machine: machine.into(),
         }];
-        let work = assignment_update(lease_version, message, assignments);
-        assert!(self.fleet.apply_assignments(work));
+        let update = assignment_update(lease_version, sequence_number, assignments);
+        assert!(self.fleet.apply_assignments(update));
     }
 
     /// WriteAllowance and commits what is due. Returns where the attempts are then.
     fn commit_due_writes(&mut self) -> Vec<(String, u64)> {
         self.now.monotonic += WRITE_CHECK_INTERVAL;
-        while let Some((block, op)) = self.fleet.next_transaction(
+        while let Some((block, request)) = self.fleet.next_transaction(
             self.now,
             &self.config,
             SPARE_WRITES,
             &mut self.cache,
             &self.catalog,
         ) {
-            let StoreRequest::Commit(txn) = op else {
-                panic!("{op:?}")
+            let StoreRequest::Commit(txn) = request else {
+                panic!("{request:?}")
             };
-            self.version += 1;
+            self.revision += 1;
             for change in txn.changes {
                 let crate::store::TransactionChange::Put { key, value, .. } = change else {
                     panic!("{change:?}")
                 };
                 self.cache.apply(Change {
                     key,
-                    version: self.version,
+                    version: self.revision,
                     value: Some(value),
                 });
             }
@@ -199,7 +200,7 @@
                 &block,
                 lease_version,
                 &StoreResponse::Committed {
-                    revision: self.version,
+                    revision: self.revision,
                 },
             );
         }
@@ -253,14 +254,14 @@
 
 fn assignment_update(
     lease_version: u64,
-    number: u64,
+    sequence_number: u64,
     assignments: Vec<Assignment>,
 ) -> AssignmentUpdate {
     let (stop, addresses) = (Vec::new(), Vec::new());
     AssignmentUpdate {
         block: "a.0".into(),
         lease_version,
-        sequence_number: number,
+        sequence_number,
         last_status: 0,
         assignments,
         attempts_to_stop: stop,
--- a/src/workers/tests/placement_writes.rs
+++ b/src/workers/tests/placement_writes.rs
@@ -8,15 +8,15 @@
     let mut holder = Holder::new(job(1, 1.0));
     holder.assign_task(9, "m-1", 1);
     holder.now.monotonic += WRITE_CHECK_INTERVAL;
-    let write = holder.fleet.next_transaction(
+    let transaction = holder.fleet.next_transaction(
         holder.now,
         &holder.config,
         SPARE_WRITES,
         &mut holder.cache,
         &holder.catalog,
     );
-    let Some((_, StoreRequest::Commit(txn))) = write else {
-        panic!("{write:?}")
+    let Some((_, StoreRequest::Commit(txn))) = transaction else {
+        panic!("{transaction:?}")
     };
     let version = holder.cache.open[&JobId(1)].version;
     assert!(
@@ -55,11 +55,11 @@
                 machine: machine.into(),
             }];
             let number = u64::from(round) + 1;
-            let work = AssignmentUpdate {
+            let update = AssignmentUpdate {
                 block: block.into(),
                 ..assignment_update(lease_version, number, assignments)
             };
-            assert!(holder.fleet.apply_assignments(work));
+            assert!(holder.fleet.apply_assignments(update));
         }
         holder.now.monotonic += WRITE_CHECK_INTERVAL;
         let next = holder.fleet.next_transaction(
@@ -72,8 +72,8 @@
         let (block, _) = next.expect("there is work");
         let lease_version = holder.fleet.lease_version(&block);
         *written.entry(block.clone()).or_default() += 1;
-        holder.version += 1;
-        let revision = holder.version;
+        holder.revision += 1;
+        let revision = holder.revision;
         holder.fleet.apply_write_outcome(
             holder.now,
             &block,
@@ -98,12 +98,12 @@
         FencingToken(4),
         &[(20, TaskState::Exited, Some(ExitCause::Done))],
     );
-    let scarce = WriteAllowance {
+    let no_spare_writes = WriteAllowance {
         has_spare_writes: false,
         ..SPARE_WRITES
     };
-    let mut next = |writes: WriteAllowance, after: Duration| {
-        holder.now.monotonic += after;
+    let mut has_transaction = |allowance: WriteAllowance, elapsed: Duration| {
+        holder.now.monotonic += elapsed;
         let Holder {
             fleet,
             now,
@@ -113,16 +113,22 @@
             ..
         } = &mut holder;
         fleet
-            .next_transaction(*now, config, writes, cache, catalog)
+            .next_transaction(*now, config, allowance, cache, catalog)
             .is_some()
     };
-    assert!(!next(scarce, WRITE_CHECK_INTERVAL), "it has just written");
-    assert!(next(scarce, Duration::from_secs(1)), "but not for long");
+    assert!(
+        !has_transaction(no_spare_writes, WRITE_CHECK_INTERVAL),
+        "it has just written"
+    );
+    assert!(
+        has_transaction(no_spare_writes, Duration::from_secs(1)),
+        "but not for long"
+    );
 }
 
 #[test]
 fn ends_are_recorded_at_once_while_there_are_writes_in_plenty_or_starts_to_record() {
-    for starts in [false, true] {
+    for has_placements in [false, true] {
         let mut holder = Holder::new(Job {
             tasks: 3,
             ..job(1, 0.1)
@@ -134,22 +140,22 @@
             FencingToken(4),
             &[(20, TaskState::Exited, Some(ExitCause::Done))],
         );
-        if starts {
+        if has_placements {
             holder.assign_task(21, "m-2", 2);
         }
         holder.now.monotonic += WRITE_CHECK_INTERVAL;
-        let writes = WriteAllowance {
-            has_spare_writes: !starts,
+        let allowance = WriteAllowance {
+            has_spare_writes: !has_placements,
             ..SPARE_WRITES
         };
-        let write = holder.fleet.next_transaction(
+        let transaction = holder.fleet.next_transaction(
             holder.now,
             &holder.config,
-            writes,
+            allowance,
             &mut holder.cache,
             &holder.catalog,
         );
-        assert!(write.is_some(), "starts: {starts}");
+        assert!(transaction.is_some(), "has_placements: {has_placements}");
     }
 }
 
@@ -159,7 +165,7 @@
 fn a_placement_of_unknown_outcome_stays_pending_when_the_next_write_is_refused() {
     let mut holder = Holder::new(job(1, 1.0));
     holder.assign_task(20, "m-1", 1);
-    let write = |holder: &mut Holder, outcome: StoreResponse| {
+    let write_with_outcome = |holder: &mut Holder, outcome: StoreResponse| {
         holder.now.monotonic += Duration::from_secs(1);
         holder.cache.assume_fresh(holder.now.monotonic);
         let Holder {
@@ -177,7 +183,7 @@
         fleet.apply_write_outcome(*now, &block, lease_version, &outcome);
     };
     let policy = Policy::built_in(&holder.config);
-    write(&mut holder, StoreResponse::Unknown);
+    write_with_outcome(&mut holder, StoreResponse::Unknown);
     // The leader takes the release back.
     let lease_version = holder.fleet.lease_version(&"a.0".into());
     assert!(
@@ -190,7 +196,7 @@
         StoreResponse::Conflict,
         StoreResponse::Refused,
     ] {
-        write(&mut holder, outcome);
+        write_with_outcome(&mut holder, outcome);
         let status = holder
             .fleet
             .prepare_block_statuses(holder.now, &policy)
@@ -198,8 +204,8 @@
         assert_eq!(status.pending, [20]);
     }
     // The next one that is carried out decides it.
-    let revision = holder.version + 1;
-    write(&mut holder, StoreResponse::Committed { revision });
+    let revision = holder.revision + 1;
+    write_with_outcome(&mut holder, StoreResponse::Committed { revision });
     let status = holder
         .fleet
         .prepare_block_statuses(holder.now, &policy)
