--- a/src/workers/messages.rs
+++ b/src/workers/messages.rs
@@ -1,48 +1,49 @@
-//! What passes between the holder's side and the event loop: commands to workers, their outcomes, responses to heartbeats.
+//! Messages between the worker fleet and the controller's event loop: direct commands, their outcomes, and responses to
+//! heartbeats.
 
 use super::wire::{Heartbeat, WorkerCommands};
 use crate::domain::{BlockId, ControllerName, MachineId};
 
-/// A request to a worker, to be sent at once.
+/// A request with commands to a worker, sent without waiting for its next heartbeat.
 #[derive(Debug, Clone, PartialEq)]
 pub struct DirectCommand {
-    /// The block of its machine.
+    /// The block of the worker's machine.
     pub block: BlockId,
-    /// Its machine.
+    /// The worker's machine.
     pub machine: MachineId,
-    /// Where the worker takes commands: `host:port`.
+    /// The address at which the worker accepts commands: `host:port`.
     pub addr: String,
     /// The body of the request.
     pub body: WorkerCommands,
 }
 
-/// What became of a direct command.
+/// The outcome of a direct command.
 #[derive(Debug, Clone, PartialEq)]
 pub enum CommandOutcome {
-    /// The worker executed it, and reports its state after that.
+    /// The worker executed it and responded with its state afterwards.
     Executed(Heartbeat),
-    /// The worker refused it, for it shows another token or agent epoch.
+    /// The worker rejected it, because its token or agent epoch is not the one in the command.
     Rejected(Heartbeat),
-    /// There was no response: it may be executed, now or later.
+    /// No response arrived: it may have been executed, or may still be.
     Unknown,
 }
 
-/// What a controller responds to a heartbeat.
+/// A controller's response to a heartbeat.
 #[derive(Debug, Clone, PartialEq)]
 pub enum HeartbeatResponse {
-    /// The commands of the worker's holder. They renew the worker's lease.
+    /// Commands from the holder of the worker's block. The response renews the worker's lease.
     Commands(WorkerCommands),
-    /// We are not the holder: the worker should report to this controller, or to any other one if `None`.
+    /// This controller is not the holder: the worker should report to the named controller, or to any other one if `None`.
     Redirect(Option<ControllerName>),
-    /// Nobody may respond for the holder now: the block leases that we know of may be outdated.
+    /// This controller can't tell who the holder is, because its copy of the block leases may be stale.
     Unavailable,
 }
 
-/// How much may be written just now, by the rate limit of the state service.
+/// The writes that the rate limit of the state service allows at the moment.
 #[derive(Debug, Clone, Copy)]
 pub struct WriteAllowance {
-    /// The most changes that one transaction should have.
+    /// The maximum number of changes in one transaction.
     pub max_changes: usize,
-    /// Whether most of what may be written in a second is left.
+    /// Whether most of the writes allowed per second are still available.
     pub has_spare_writes: bool,
 }
--- a/src/workers/misrouted.rs
+++ b/src/workers/misrouted.rs
@@ -1,4 +1,4 @@
-//! Machines of other controllers' blocks whose workers report here.
+//! Tracks workers that report to this controller although another one holds their block.
 
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
@@ -6,30 +6,31 @@
 use crate::config::Config;
 use crate::domain::{MachineId, Now, since};
 
-/// A worker whose holder does not respond comes round once in its time-out (4 s), a second's pause and the way there and
-/// back.
+/// The longest time between two heartbeats of a worker to this controller while its holder does not respond: the worker's
+/// timeout of 4 s, its pause of 1 s before it tries the next controller, and the round trips.
 const RETRY_CYCLE: Duration = Duration::from_secs(8);
-/// Misrouted workers named in one message to the leader.
+/// The maximum number of misrouted workers in one status message to the leader.
 const MAX_MISROUTED_PER_STATUS: usize = 64;
 
-/// For how long a machine counts as misrouted after its worker has reported to another controller than its holder.
+/// How long a machine counts as misrouted after its worker reported to a controller that is not its holder.
 pub fn misrouted_window(config: &Config) -> Duration {
     config.heartbeat_interval + RETRY_CYCLE
 }
 
-/// The misrouted workers that this controller has heard of, by machine.
+/// The misrouted workers that have reported to this controller, by machine.
 #[derive(Debug, Default)]
 pub(super) struct MisroutedWorkers {
     last_heartbeats: HashMap<MachineId, Instant>,
 }
 
 impl MisroutedWorkers {
-    /// Notes a heartbeat that should have gone to the machine's holder.
+    /// Records a heartbeat that should have gone to the holder of the machine's block.
     pub(super) fn record(&mut self, now: Now, machine: MachineId) {
         self.last_heartbeats.insert(machine, now.monotonic);
     }
 
-    /// Some of the machines whose workers have reported here recently. Forgets the others.
+    /// Returns up to `MAX_MISROUTED_PER_STATUS` machines whose workers reported here within the window, and removes the
+    /// entries that are older.
     pub(super) fn recent(&mut self, now: Now, config: &Config) -> Vec<MachineId> {
         let window = misrouted_window(config);
         self.last_heartbeats
--- a/src/workers/wire.rs
+++ b/src/workers/wire.rs
@@ -1,20 +1,20 @@
-//! The messages between workers and controllers, as the protocol spells them.
+//! The messages between workers and controllers, in their format on the wire.
 //!
-//! Owns the names of all fields and values on the wire; the rest of the program uses the names of the types here. Messages
-//! are CBOR maps. Unknown fields are skipped, and unknown states and causes are read as `Other`, so that workers of a later
-//! version can be understood.
+//! Defines the names of all fields and values on the wire; the rest of the program uses the names of the types here.
+//! Messages are CBOR maps. Unknown fields are skipped, and unknown states and causes are read as `Other`, so that messages
+//! of workers with a later version can be read.
 
 use serde::{Deserialize, Serialize};
 
 use crate::domain::{AgentEpoch, Amount, FencingToken, InstanceTypeName, MachineId, TaskId, Zone};
 
-/// A worker's report of its state: a heartbeat, or the response to a direct command.
+/// A worker's report of its state, sent as a heartbeat or as the response to a direct command.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Heartbeat {
     /// The machine that the worker runs on.
     #[serde(rename = "berth")]
     pub machine: MachineId,
-    /// Where the worker takes commands: `host:port`.
+    /// The address at which the worker accepts commands: `host:port`.
     #[serde(rename = "endpoint")]
     pub addr: String,
     /// The machine's instance type.
@@ -26,19 +26,19 @@
     /// Whether it is a spot machine.
     #[serde(rename = "loaner")]
     pub spot: bool,
-    /// The worker's epoch; it grows each time its lease expires.
+    /// The worker's epoch, which increases each time its lease expires.
     #[serde(rename = "shift")]
     pub agent_epoch: AgentEpoch,
-    /// The number of the report; it grows with each.
+    /// The sequence number of the report.
     #[serde(rename = "folio")]
     pub sequence_number: u64,
-    /// The highest fencing token that the worker has been shown.
+    /// The highest fencing token that the worker has received.
     #[serde(rename = "seal")]
     pub token: FencingToken,
-    /// The cloud takes the machine away in so many seconds, if it has said so.
+    /// The seconds until the cloud terminates the machine, if it has announced that.
     #[serde(rename = "recallS", default)]
     pub termination_notice_s: Option<Amount>,
-    /// The tasks that the worker has or remembers.
+    /// The tasks that are on the worker, and ended ones that it still lists.
     #[serde(rename = "entries")]
     pub tasks: Vec<TaskStatus>,
 }
@@ -52,15 +52,15 @@
     /// The number of the attempt, in its form on the wire.
     #[serde(rename = "try")]
     pub wire_number: u64,
-    /// What it does.
+    /// The state of the task.
     #[serde(rename = "status")]
     pub state: TaskState,
-    /// Why it has exited, if it has.
+    /// Why it exited, if it did.
     #[serde(rename = "cause", default, skip_serializing_if = "Option::is_none")]
     pub cause: Option<ExitCause>,
 }
 
-/// What a task on a machine does.
+/// The state of a task on a machine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum TaskState {
     /// Its image is being fetched.
@@ -69,21 +69,21 @@
     /// It runs.
     #[serde(rename = "running")]
     Running,
-    /// It was told to stop and saves.
+    /// It was told to stop and is writing its checkpoint.
     #[serde(rename = "flushing")]
     Checkpointing,
-    /// A gang's task that waits for the others of its attempt.
+    /// It is a task of a gang and waits for the other tasks of its attempt.
     #[serde(rename = "waiting")]
     Waiting,
-    /// It has ended; the worker remembers it until it is reaped.
+    /// It has ended; the worker lists it until it is reaped.
     #[serde(rename = "exited")]
     Exited,
-    /// A state this version does not know: the task is there, that is all.
+    /// A state that this version does not know. The task is on the machine.
     #[serde(other)]
     Other,
 }
 
-/// Why a task has exited.
+/// The reason why a task exited.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ExitCause {
     /// It finished its work.
@@ -95,22 +95,22 @@
     /// It failed.
     #[serde(rename = "error")]
     Error,
-    /// Its start was refused: the machine has not enough free resources.
+    /// Its start was refused: the machine does not have enough free resources.
     #[serde(rename = "no_room")]
     NoRoom,
     /// Its start was refused: the machine has another attempt of the task.
     #[serde(rename = "in_use")]
     Busy,
-    /// Its start was refused: there is no such task, or its job was not submitted.
+    /// Its start was refused: the task does not exist, or its job was not submitted.
     #[serde(rename = "unknown")]
     UnknownTask,
-    /// Another task of the gang is gone.
+    /// Another task of the gang was lost.
     #[serde(rename = "peers")]
     GangMemberLost,
-    /// The gang was not complete in time.
+    /// Not all tasks of the gang started in time.
     #[serde(rename = "alone")]
     GangIncomplete,
-    /// A cause this version does not know.
+    /// A cause that this version does not know.
     #[serde(other)]
     Other,
 }
@@ -118,18 +118,18 @@
 /// The response to a heartbeat, and the body of a direct command.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct WorkerCommands {
-    /// The block's fencing token. Workers refuse commands under a lower one than they have been shown.
+    /// The block's fencing token. Workers reject commands with a lower token than the highest that they have received.
     #[serde(rename = "seal")]
     pub token: FencingToken,
-    /// The epoch that the worker must be in to execute them; only in direct commands.
+    /// The agent epoch in which the worker must be to execute the commands; only in direct commands.
     #[serde(rename = "shift", skip_serializing_if = "Option::is_none")]
     pub agent_epoch: Option<AgentEpoch>,
-    /// What the worker is to do, in this order.
+    /// The commands, in the order in which the worker executes them.
     #[serde(rename = "orders")]
     pub commands: Vec<WorkerCommand>,
 }
 
-/// One thing for a worker to do.
+/// A command to a worker.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "order")]
 pub enum WorkerCommand {
@@ -143,7 +143,7 @@
         #[serde(rename = "try")]
         wire_number: u64,
     },
-    /// End a task.
+    /// Stop a task.
     #[serde(rename = "stop")]
     Stop {
         /// The task.
@@ -152,11 +152,11 @@
         /// The number of the attempt, in its form on the wire.
         #[serde(rename = "try")]
         wire_number: u64,
-        /// How long it may save before it is killed, in seconds.
+        /// How long it may take to write its checkpoint before it is killed, in seconds.
         #[serde(rename = "leaveS")]
         grace_s: f64,
     },
-    /// Forget a task that has ended.
+    /// Remove the entry of a task that has ended.
     #[serde(rename = "reap")]
     Reap {
         /// The task.
@@ -168,10 +168,10 @@
     },
 }
 
-/// The body of a 421: heartbeats of this machine belong to another controller.
+/// The body of a 421 response: another controller is responsible for the heartbeats of this machine.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct RedirectBody {
-    /// The controller that holds its block, if known.
+    /// The controller that holds the machine's block, if known.
     #[serde(rename = "clerk", skip_serializing_if = "Option::is_none")]
     pub holder: Option<crate::domain::ControllerName>,
 }
--- a/src/workers/worker/launches.rs
+++ b/src/workers/worker/launches.rs
@@ -1,66 +1,66 @@
-//! The launches that were sent to a worker, and which of them may still be executed.
+//! Tracks the launch commands that were sent to a worker, and which of them may still be executed.
 
 use std::collections::{HashMap, HashSet};
 use std::time::{Duration, Instant};
 
 use crate::domain::{Attempt, Now, TaskId, since};
 
-/// A launch that got no response is sent again after this long.
+/// The delay before a launch without a response is sent again.
 const RESEND_INTERVAL: Duration = Duration::from_millis(1500);
 
-/// The response to a launch.
+/// The outcome of a launch command.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(in crate::workers) enum LaunchOutcome {
     /// The worker executed it.
     Executed,
-    /// The worker refused it: it shows another token or agent epoch.
+    /// The worker rejected it, because its token or agent epoch is not the one in the command.
     Rejected,
-    /// There was no response: it may still be executed.
+    /// No response arrived: it may still be executed.
     Unknown,
 }
 
-/// The last launch of an attempt under the present token and agent epoch.
+/// The state of the last launch of an attempt under the current token and agent epoch.
 #[derive(Debug, Clone, Copy, PartialEq)]
 enum LaunchState {
-    /// Sent; no response yet.
+    /// Sent, and no response has arrived yet.
     InFlight,
     /// The worker executed it.
     Confirmed,
-    /// No response came.
+    /// The request ended without a response.
     Unacknowledged { at: Instant },
 }
 
-/// The launches sent to a worker under the present token and agent epoch.
+/// The launches sent to a worker under the current token and agent epoch.
 ///
-/// The network may deliver a launch late or twice. A worker executes none that was sent under an earlier token or agent
-/// epoch, so all is forgotten when one of them changes.
+/// The network may deliver a launch late or twice. A worker executes no launch that was sent under an earlier token or
+/// agent epoch, so all entries are cleared when either changes.
 #[derive(Debug, Default)]
 pub(in crate::workers) struct Launches {
     states: HashMap<Attempt, LaunchState>,
-    /// Attempts of which some launch went unanswered: it may still be executed, minutes later, as long as token and agent
-    /// epoch stay the same. Only the worker's memory of the attempt keeps it from starting again.
+    /// Attempts with at least one launch without a response. It may still be executed minutes later, as long as token and
+    /// agent epoch stay the same. Only the worker's entry for the attempt prevents a second start.
     unacknowledged: HashSet<Attempt>,
-    /// Every attempt that a launch was sent for. Copies of a launch may come late though it was answered, so those that did
-    /// not end as done are remembered by the worker until the token has changed: a finished task ends again at once, any
-    /// other would run a second time.
+    /// All attempts for which a launch was sent. A duplicate of a launch may arrive after its response, so the worker has
+    /// to keep its entry for an attempt until the token changes, unless the attempt ended as done: a finished task that is
+    /// started again ends at once, any other would run a second time.
     sent: HashSet<Attempt>,
 }
 
 impl Launches {
-    /// Forgets all: the token or the agent epoch has changed.
+    /// Clears all entries after a change of the token or the agent epoch.
     pub(in crate::workers) fn clear(&mut self) {
         self.states.clear();
         self.unacknowledged.clear();
         self.sent.clear();
     }
 
-    /// Records that a launch is sent now.
+    /// Records that a launch of the attempt is being sent.
     pub(in crate::workers) fn record_sent(&mut self, attempt: Attempt) {
         self.states.insert(attempt, LaunchState::InFlight);
         self.sent.insert(attempt);
     }
 
-    /// Records the response to a launch that was sent under the present token and agent epoch.
+    /// Records the outcome of a launch that was sent under the current token and agent epoch.
     pub(in crate::workers) fn record_outcome(
         &mut self,
         now: Now,
@@ -83,13 +83,13 @@
         }
     }
 
-    /// Drops the states of attempts that are no longer placed on the machine.
+    /// Removes the states of attempts that are no longer placed on the machine.
     pub(in crate::workers) fn retain_states(&mut self, placed: impl Fn(&Attempt) -> bool) {
         self.states.retain(|attempt, _| placed(attempt));
     }
 
-    /// Forgets the attempts that the worker has forgotten too: those that it neither lists nor is to list. Without this
-    /// every task that ever ran there would be kept.
+    /// Removes the attempts that the worker no longer lists, are not placed on it, and have no launch without a response.
+    /// Otherwise an entry for every task that ever ran on the machine would be kept.
     pub(in crate::workers) fn forget_unlisted(
         &mut self,
         listed: impl Fn(&Attempt) -> bool,
@@ -101,12 +101,12 @@
         });
     }
 
-    /// Whether the state of a launch of this attempt is known.
+    /// Whether a launch of the attempt is tracked.
     pub(in crate::workers) fn has_state(&self, attempt: &Attempt) -> bool {
         self.states.contains_key(attempt)
     }
 
-    /// Whether a launch of the attempt may be sent now, as far as earlier ones are concerned.
+    /// Whether earlier launches of the attempt allow another one to be sent now.
     pub(in crate::workers) fn may_send(&self, now: Now, attempt: &Attempt) -> bool {
         match self.states.get(attempt) {
             Some(LaunchState::InFlight) => false,
@@ -115,36 +115,36 @@
         }
     }
 
-    /// Whether a launch that got no response is to be sent again.
+    /// Whether any launch without a response is due to be sent again.
     pub(in crate::workers) fn resend_due(&self, now: Now) -> bool {
         self.states.values().any(|state| {
             matches!(state, LaunchState::Unacknowledged { at } if since(now, *at) >= RESEND_INTERVAL)
         })
     }
 
-    /// Whether some launch got no response, so that only a new token makes sure that it is not executed.
+    /// Whether any launch got no response. Only a new token guarantees that it is not executed.
     pub(in crate::workers) fn any_unacknowledged(&self) -> bool {
         !self.unacknowledged.is_empty()
     }
 
-    /// Whether a launch of this attempt may still be on its way.
+    /// Whether a launch of the attempt that has no response yet may still be executed.
     pub(in crate::workers) fn may_still_execute(&self, attempt: &Attempt) -> bool {
         self.unacknowledged.contains(attempt)
             || matches!(self.states.get(attempt), Some(LaunchState::InFlight))
     }
 
-    /// Whether a launch of this attempt, or a copy of it, could start it again if the worker forgot it.
+    /// Whether a launch of the attempt, or a duplicate of one, could start it again if the worker removed its entry for it.
     pub(in crate::workers) fn was_sent(&self, attempt: &Attempt) -> bool {
         self.sent.contains(attempt)
     }
 
-    /// Whether a launch of any attempt of the task, or a copy of one, may still be on its way. A new attempt would make the
-    /// worker forget that one, and it could start beside the new one.
+    /// Whether a launch of any attempt of the task, or a duplicate of one, may still arrive. A new attempt would replace the
+    /// worker's entry for the earlier one, which could then start in parallel with the new one.
     pub(in crate::workers) fn was_sent_for_task(&self, task: TaskId) -> bool {
         self.sent.iter().any(|attempt| attempt.task == task)
     }
 
-    /// The number of attempts that are kept in mind.
+    /// The number of attempts for which a sent launch is tracked.
     #[cfg(test)]
     pub(in crate::workers) fn attempts_sent(&self) -> usize {
         self.sent.len()
--- a/src/workers/worker/liveness.rs
+++ b/src/workers/worker/liveness.rs
@@ -1,40 +1,42 @@
-//! Whether a worker is alive and reachable: its heartbeats, the commands that it did not answer, and probes.
+//! Decides whether a worker is alive and reachable, from its heartbeats, unanswered commands and probes.
 
 use std::time::{Duration, Instant};
 
 use crate::domain::{Now, since};
 use crate::policy::Policy;
 
-/// A worker whose last heartbeat is older than this gets no new tasks.
+/// The age of the last heartbeat from which a worker gets no new tasks.
 const HEARTBEAT_TIMEOUT: Duration = Duration::from_secs(9);
-/// The least time between two probes of a worker.
+/// The minimum time between two probes of a worker.
 pub(in crate::workers) const PROBE_INTERVAL: Duration = Duration::from_secs(4);
 
-/// An empty command, sent to learn whether a worker answers.
+/// An empty command, sent to check whether a worker responds.
 #[derive(Debug, Clone, Copy)]
 struct Probe {
     sent_at: Instant,
     unanswered: bool,
 }
 
-/// What is known of a worker's being alive.
+/// The evidence that a worker is alive and reachable.
 ///
-/// Only a heartbeat shows that the worker reaches us, and only the response to a command that we reach it.
+/// Only a heartbeat shows that the worker reaches this controller, and only the response to a command shows that this
+/// controller reaches the worker.
 #[derive(Debug)]
 pub(in crate::workers) struct Liveness {
-    /// When the last heartbeat came, or the block lease was acquired if none has come since.
+    /// When the last heartbeat arrived. If none has arrived yet, when the block lease was acquired or the machine was added
+    /// to the block.
     last_heartbeat: Instant,
-    /// Whether the worker has reported at all, in a heartbeat or in the response to a command.
+    /// Whether the worker has ever reported its state, in a heartbeat or in the response to a command.
     has_reported: bool,
-    /// Since when commands have gone unanswered. Heartbeats may still arrive: then our responses do not reach the worker,
-    /// its lease expires whatever we respond, and a task that is launched there never starts.
+    /// Since when commands have gone unanswered. Heartbeats may still arrive, but if the responses do not reach the worker,
+    /// its lease expires regardless of them, and a task launched there never starts.
     unanswered_since: Option<Instant>,
     /// The last probe since the last heartbeat.
     probe: Option<Probe>,
 }
 
 impl Liveness {
-    /// A worker that is first known of now.
+    /// Creates the state for a worker that becomes known now.
     pub(in crate::workers) fn new(now: Now) -> Self {
         Liveness {
             last_heartbeat: now.monotonic,
@@ -44,7 +46,7 @@
         }
     }
 
-    /// Records a heartbeat. It ends a probe only if commands are answered as well.
+    /// Records a heartbeat. It clears a probe only if commands are answered as well.
     pub(in crate::workers) fn record_heartbeat(&mut self, now: Now) {
         self.has_reported = true;
         self.last_heartbeat = now.monotonic;
@@ -53,7 +55,7 @@
         }
     }
 
-    /// Records the state that came with the response to a command.
+    /// Records a report that arrived with the response to a command.
     pub(in crate::workers) fn record_response(&mut self) {
         self.has_reported = true;
         if let Some(probe) = &mut self.probe {
@@ -61,7 +63,7 @@
         }
     }
 
-    /// Records that the worker responded to a command, whether or not the state in its response is new.
+    /// Records that the worker responded to a command, whether or not the report in the response is new.
     pub(in crate::workers) fn record_answered_command(&mut self) {
         self.unanswered_since = None;
     }
@@ -76,7 +78,7 @@
         });
     }
 
-    /// Records that a probe is sent now.
+    /// Records that a probe is being sent.
     pub(in crate::workers) fn record_probe(&mut self, now: Now) {
         self.probe = Some(Probe {
             sent_at: now.monotonic,
@@ -84,23 +86,23 @@
         });
     }
 
-    /// Leaves out a time in which this process was paused and could hear nothing.
+    /// Shifts the recorded times by a pause of this process, in which it could receive nothing.
     pub(in crate::workers) fn process_paused(&mut self, pause: Duration) {
         self.last_heartbeat += pause;
         self.unanswered_since = self.unanswered_since.map(|at| at + pause);
     }
 
-    /// Whether the worker has reported at all.
+    /// Whether the worker has ever reported its state.
     pub(in crate::workers) fn has_reported(&self) -> bool {
         self.has_reported
     }
 
-    /// Whether the last command, if any, was answered.
+    /// Whether the worker responded to the last command, if there was one.
     pub(in crate::workers) fn answers_commands(&self) -> bool {
         self.unanswered_since.is_none()
     }
 
-    /// Whether a heartbeat came within the time after which a worker gets no new tasks.
+    /// Whether the last heartbeat is recent enough for the worker to get new tasks.
     pub(in crate::workers) fn heartbeat_is_recent(&self, now: Now) -> bool {
         since(now, self.last_heartbeat) < HEARTBEAT_TIMEOUT
     }
@@ -110,8 +112,8 @@
         since(now, self.last_heartbeat) > overdue_after
     }
 
-    /// Whether a probe should be sent: a heartbeat is overdue or a command was not answered, and the last probe was some
-    /// time ago.
+    /// Whether a probe should be sent: a heartbeat is overdue or a command was not answered, and the last probe is older
+    /// than `PROBE_INTERVAL`.
     pub(in crate::workers) fn probe_due(&self, now: Now, overdue_after: Duration) -> bool {
         let suspected = self.heartbeat_overdue(now, overdue_after) || !self.answers_commands();
         let probed_recently = self
@@ -120,10 +122,10 @@
         suspected && !probed_recently
     }
 
-    /// Whether the worker is taken for unresponsive: heartbeats are missing for as long as the policy allows, which is
-    /// shorter once a probe failed, or commands have gone unanswered for long.
+    /// Whether the worker counts as unresponsive: no heartbeat arrived within the policy's timeout, which is shorter after
+    /// a failed probe, or commands have gone unanswered for the policy's `worker_timeout`.
     ///
-    /// `addr_known`: whether the worker can be probed at all.
+    /// `addr_known`: whether the worker's address is known, so that it can be probed.
     pub(in crate::workers) fn is_unresponsive(
         &self,
         now: Now,
@@ -134,8 +136,8 @@
         let timeout = match (probe_failed, addr_known) {
             (true, _) => policy.worker_timeout_after_failed_probe,
             (false, true) => policy.worker_timeout,
-            // Nobody knows its address, so it can't be probed, and the block's last holder, if it lost only the state
-            // service, answers its heartbeats for the life of its block lease.
+            // Without an address the worker can't be probed. The previous holder of the block, if it lost only the
+            // connection to the state service, responds to its heartbeats until the block lease expires.
             (false, false) => policy
                 .worker_timeout
                 .max(policy.block_lease_duration + policy.worker_timeout_after_failed_probe),
--- a/src/workers/worker/mod.rs
+++ b/src/workers/worker/mod.rs
@@ -1,11 +1,11 @@
-//! A machine's worker as the holder of its block knows it.
+//! The state of a machine's worker, as the holder of its block knows it.
 //!
-//! Owns what a worker reported last, its [`Liveness`], the [`Launches`] sent to it and the [`TaskFailures`] of its machine.
-//! The block changes it as heartbeats and responses arrive, and reads it when it prepares commands, placements and the
-//! status for the leader. Nothing here is stored: a new holder learns it anew from heartbeats.
+//! Holds a worker's last report, its [`Liveness`], the [`Launches`] sent to it and the [`TaskFailures`] of its machine. The
+//! block updates it as heartbeats and responses arrive, and reads it to prepare commands, placements and the status for the
+//! leader. Nothing here is stored: a new holder rebuilds it from heartbeats.
 //!
-//! Invariants: agent epoch and sequence number of the last report only grow; `launches` holds nothing that was sent under an
-//! earlier token of the block or an earlier agent epoch.
+//! Invariants: agent epoch and sequence number of the last report only increase; `launches` holds nothing that was sent under
+//! an earlier token of the block or an earlier agent epoch.
 
 mod failures;
 mod launches;
@@ -26,22 +26,22 @@
 #[cfg(test)]
 pub(super) use liveness::PROBE_INTERVAL;
 
-/// Ended tasks that a worker remembers, so that no copy of a launch starts them again, before a new token lets it forget
-/// them.
+/// The number of ended tasks that a worker may keep, to reject duplicates of their launches, before the block requests a new
+/// token so that they can be reaped.
 const MAX_REMEMBERED_TASKS: usize = 40;
 
-/// An attempt as the worker's last report shows it.
+/// An attempt in the worker's last report.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(super) struct ObservedTask {
     /// The number of the attempt.
     pub(super) number: u64,
     pub(super) state: TaskState,
-    /// How it ended, if it did and the worker says.
+    /// Why it exited, if it did and the worker reports a cause.
     pub(super) cause: Option<ExitCause>,
 }
 
 impl ObservedTask {
-    /// The attempt of the task that is observed.
+    /// Returns the observed attempt of the task.
     pub(super) fn attempt(&self, task: TaskId) -> Attempt {
         Attempt {
             task,
@@ -50,42 +50,42 @@
     }
 }
 
-/// The status of a worker that the leader is told, until it acknowledges it.
+/// The last status of a worker for the leader. It is sent until the leader acknowledges it.
 #[derive(Debug)]
 pub(super) struct ReportedStatus {
     pub(super) status: MachineStatus,
-    /// The number of the first block status that holds it.
+    /// The sequence number of the first block status that contains it.
     pub(super) sequence_number: u64,
 }
 
-/// A machine's worker as the holder of its block knows it.
+/// The state of a machine's worker, as the holder of its block knows it.
 #[derive(Debug)]
 pub(super) struct Worker {
-    /// Where it takes commands; unknown until it, or the leader, has told it.
+    /// The address at which it accepts commands; unknown until a report or the leader provides it.
     pub(super) addr: Option<String>,
     pub(super) agent_epoch: AgentEpoch,
     /// The sequence number of its last report.
     sequence_number: u64,
-    /// The highest fencing token that it has shown.
+    /// The fencing token in its last report.
     pub(super) token: FencingToken,
     pub(super) liveness: Liveness,
-    /// The cloud is about to take the machine away.
+    /// The cloud has announced that it will terminate the machine.
     pub(super) termination_notice: bool,
-    /// The tasks of its last report.
+    /// The tasks in its last report.
     pub(super) tasks: BTreeMap<TaskId, ObservedTask>,
     pub(super) launches: Launches,
     pub(super) failures: TaskFailures,
-    /// Images that its tasks have fetched.
+    /// The images that its tasks have fetched.
     pub(super) images: BTreeSet<Image>,
-    /// A direct command is on its way.
+    /// A direct command has been sent and its outcome is not known yet.
     pub(super) command_in_flight: bool,
-    /// There may be a command that should not wait for the next heartbeat.
+    /// There may be commands that should not wait for the next heartbeat.
     pub(super) command_pending: bool,
     pub(super) reported_status: Option<ReportedStatus>,
 }
 
 impl Worker {
-    /// A worker that has not reported yet.
+    /// Creates the state of a worker that has not reported yet.
     pub(super) fn new(now: Now) -> Self {
         Worker {
             addr: None,
@@ -104,18 +104,18 @@
         }
     }
 
-    /// Whether a report was made after the last one that was applied.
+    /// Whether a report is newer than the last one that was applied.
     pub(super) fn is_newer(&self, heartbeat: &Heartbeat) -> bool {
         (heartbeat.agent_epoch, heartbeat.sequence_number)
             > (self.agent_epoch, self.sequence_number)
     }
 
-    /// Whether a report shows that the worker has begun a new agent epoch: its lease had expired.
+    /// Whether a report shows a new agent epoch, which the worker begins when its lease has expired.
     pub(super) fn has_new_epoch(&self, heartbeat: &Heartbeat) -> bool {
         self.agent_epoch != AgentEpoch(0) && heartbeat.agent_epoch != self.agent_epoch
     }
 
-    /// Takes over what a report says of the worker itself; its tasks apart.
+    /// Applies the parts of a report that concern the worker itself, not its tasks or token.
     pub(super) fn apply_report(&mut self, heartbeat: &Heartbeat) {
         self.agent_epoch = heartbeat.agent_epoch;
         self.sequence_number = heartbeat.sequence_number;
@@ -123,8 +123,8 @@
         self.addr = Some(heartbeat.addr.clone());
     }
 
-    /// Takes over the token that a report shows. A worker that has to be shown the block's token, or has just shown it, so
-    /// that tasks can be launched, gets a command.
+    /// Applies the token in a report. Requests a command if the worker still has to be sent the block's token, or has just
+    /// confirmed it, so that tasks can be launched.
     pub(super) fn apply_token(&mut self, shown: FencingToken, block_token: FencingToken) {
         let newly_shown = shown >= block_token && self.token < block_token;
         self.token = shown;
@@ -133,7 +133,7 @@
         }
     }
 
-    /// Notes the images of its tasks, which the machine must have fetched or be fetching.
+    /// Records the images of its tasks, which the machine must have fetched or be fetching.
     pub(super) fn record_images(&mut self, cache: &WatchCache) {
         for (task, observed) in &self.tasks {
             let has_image = matches!(
@@ -146,20 +146,21 @@
         }
     }
 
-    /// The observed task, if it is this attempt.
+    /// Returns the observed task if it is this attempt.
     pub(super) fn observed(&self, attempt: &Attempt) -> Option<&ObservedTask> {
         self.tasks
             .get(&attempt.task)
             .filter(|observed| observed.number == attempt.number)
     }
 
-    /// Whether it should be probed now.
+    /// Whether a probe should be sent to it now.
     pub(super) fn probe_due(&self, now: Now, overdue_after: Duration) -> bool {
         (self.liveness.has_reported() || self.addr.is_some())
             && self.liveness.probe_due(now, overdue_after)
     }
 
-    /// Whether tasks can be placed here: it has shown the token, reports, answers commands, and the machine stays.
+    /// Whether tasks can be placed on it: it has confirmed the token, sends heartbeats, answers commands, and has no
+    /// termination notice.
     pub(super) fn is_usable(&self, now: Now, token: FencingToken) -> bool {
         let reachable = self.token >= token && self.liveness.answers_commands();
         self.liveness.has_reported()
@@ -168,20 +169,21 @@
             && self.liveness.heartbeat_is_recent(now)
     }
 
-    /// Whether it is taken for unresponsive.
+    /// Whether it counts as unresponsive by the policy's timeouts.
     pub(super) fn is_unresponsive(&self, now: Now, policy: &Policy) -> bool {
         self.liveness
             .is_unresponsive(now, policy, self.addr.is_some())
     }
 
-    /// Whether the worker may forget an attempt that has ended: no launch of it, nor a copy of one, could start it again.
+    /// Whether the worker may remove its entry for an attempt that has ended: no launch of it, nor a duplicate of one, could
+    /// run it a second time.
     pub(super) fn may_forget(&self, attempt: &Attempt, cause: Option<ExitCause>) -> bool {
         let restart_is_harmless =
             cause == Some(ExitCause::Done) || !self.launches.was_sent(attempt);
         restart_is_harmless && !self.launches.may_still_execute(attempt)
     }
 
-    /// Forgets the launches of attempts that the worker has forgotten too.
+    /// Removes the launches of attempts that the worker no longer lists.
     pub(super) fn forget_launches(&mut self, placed: impl Fn(&Attempt) -> bool) {
         let tasks = &self.tasks;
         let listed = |attempt: &Attempt| {
@@ -192,7 +194,7 @@
         self.launches.forget_unlisted(listed, placed);
     }
 
-    /// Whether only a new token lets it forget what it must remember now.
+    /// Whether a new token is needed: a launch got no response, or it keeps too many ended tasks that can't be reaped.
     pub(super) fn needs_new_token(&self) -> bool {
         let ended = self
             .tasks
