--- a/src/workers/block/assignments.rs
+++ b/src/workers/block/assignments.rs
@@ -1,4 +1,4 @@
-//! What the leader wants of a block, and how far that has come.
+//! The leader's assignments for a block, and which of them are still to be done.
 
 use std::collections::{BTreeSet, HashSet};
 
@@ -6,25 +6,25 @@
 use crate::domain::{Attempt, MachineId};
 use crate::peer::{Assignment, AssignmentUpdate};
 
-/// What the leader wants of a block.
+/// The leader's assignments for a block.
 #[derive(Debug, Default)]
 pub(super) struct Assignments {
-    /// The number of the last update that was applied.
+    /// The sequence number of the last update that was applied.
     last_update: u64,
-    /// Attempts that are to be placed.
+    /// The attempts that are still to be placed.
     pub(super) pending: Vec<Assignment>,
-    /// The numbers of attempts that were placed, though the leader may not know that yet.
+    /// The numbers of attempts that were placed. The leader may not know that yet and may repeat their assignments.
     placed: HashSet<u64>,
-    /// Those that fitted no machine when the last transaction was prepared.
+    /// The numbers of pending attempts that fitted no machine when the last transaction was prepared.
     pub(super) unplaceable: Vec<u64>,
-    /// Attempts that are to be stopped.
+    /// The attempts that the leader wants to be stopped.
     stop_requests: HashSet<Attempt>,
-    /// The numbers of attempts of which the leader needs to know whether they run.
+    /// The numbers of attempts for which the leader needs to know whether they run.
     watched: HashSet<u64>,
 }
 
 impl Assignments {
-    /// Forgets what an earlier leader assigned.
+    /// Clears the assignments of an earlier leader.
     pub(super) fn clear(&mut self) {
         self.last_update = 0;
         self.pending.clear();
@@ -33,26 +33,26 @@
         self.watched.clear();
     }
 
-    /// The number of the last update that was applied.
+    /// Returns the sequence number of the last update that was applied.
     pub(super) fn last_update(&self) -> u64 {
         self.last_update
     }
 
-    /// Whether the attempt of this number is still to be placed.
+    /// Whether the attempt with this number is still to be placed.
     pub(super) fn is_pending(&self, number: u64) -> bool {
         self.pending
             .iter()
             .any(|assignment| assignment.attempt.number == number)
     }
 
-    /// Notes that the attempt of this number is recorded.
+    /// Records that the attempt with this number has been placed.
     pub(super) fn record_placed(&mut self, number: u64) {
         self.placed.insert(number);
         self.pending
             .retain(|assignment| assignment.attempt.number != number);
     }
 
-    /// Whether the leader wants the attempt stopped.
+    /// Whether the leader wants the attempt to be stopped.
     pub(super) fn is_stop_requested(&self, attempt: &Attempt) -> bool {
         self.stop_requests.contains(attempt)
     }
@@ -62,12 +62,12 @@
         !self.watched.is_empty()
     }
 
-    /// Whether the leader needs to know whether the attempt of this number runs.
+    /// Whether the leader needs to know whether the attempt with this number runs.
     pub(super) fn is_watched(&self, number: u64) -> bool {
         self.watched.contains(&number)
     }
 
-    /// Takes over the attempts to be placed. `recorded`: the numbers of those that are placed already.
+    /// Replaces the attempts to be placed. `recorded`: the numbers of attempts that are placed already.
     fn replace_pending(&mut self, assignments: Vec<Assignment>, recorded: &HashSet<u64>) {
         let assigned: HashSet<u64> = assignments
             .iter()
@@ -86,7 +86,7 @@
 }
 
 impl Block {
-    /// Applies what the leader wants of this block. An update that is not newer than the last one changes nothing.
+    /// Applies an update of the leader's assignments. An update that is not newer than the last one is ignored.
     pub(in crate::workers) fn apply_assignments(&mut self, update: AssignmentUpdate) {
         if update.sequence_number <= self.assignments.last_update {
             return;
@@ -113,7 +113,7 @@
         self.request_commands(machines_to_command);
     }
 
-    /// Takes over the addresses of workers that have not reported to us yet.
+    /// Applies the addresses of workers that have not reported to this controller yet.
     fn apply_addresses(&mut self, addresses: Vec<(MachineId, String)>) {
         for (machine, addr) in addresses {
             let Some(worker) = self.workers.get_mut(&machine) else {
--- a/src/workers/block/commands.rs
+++ b/src/workers/block/commands.rs
@@ -1,4 +1,4 @@
-//! What workers are told: which tasks to launch, to stop and to forget.
+//! Prepares the commands to workers: which tasks to launch, stop and reap.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -19,23 +19,23 @@
 /// How commands reach a worker.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(in crate::workers) enum CommandChannel {
-    /// In the response to its heartbeat. Nothing is launched that way, so that each launch has a response of its own.
+    /// In the response to its heartbeat. Launches are not sent this way, so that each launch gets a response.
     HeartbeatResponse,
-    /// In a request of ours.
+    /// In a request from this controller.
     Direct {
-        /// The worker refuses the request in any other agent epoch.
+        /// The worker rejects the request in any other agent epoch.
         agent_epoch: AgentEpoch,
-        /// Whether the block lease is known to last, so that tasks may be launched.
+        /// Whether the block lease is known to be still valid, so that tasks may be launched.
         may_launch: bool,
     },
 }
 
 impl Block {
-    /// The direct command that a worker should get now, if it can take one: with commands that should not wait for its next
-    /// heartbeat, or as a probe.
+    /// Prepares the direct command to a worker, if one is due and can be sent now: it contains the commands that should
+    /// not wait for the next heartbeat, or is a probe.
     ///
-    /// `lease_valid`: whether the block lease is known to last. `overdue_after`: the age of the last heartbeat from which on
-    /// the next one is overdue.
+    /// `lease_valid`: whether the block lease is known to be still valid. `overdue_after`: the age of the last
+    /// heartbeat after which the next one is overdue.
     pub(in crate::workers) fn direct_command(
         &mut self,
         now: Now,
@@ -47,13 +47,13 @@
         let worker = self.workers.get(&machine)?;
         let probe = lease_valid && worker.probe_due(now, overdue_after);
         if worker.command_in_flight || !(worker.command_pending || probe) {
-            // It comes back here with the response to the command in flight, or its first heartbeat.
+            // It is considered again after the outcome of the command in flight, or after its first heartbeat.
             return None;
         }
         let addr = worker.addr.clone()?;
         let channel = CommandChannel::Direct {
-            // Of a worker that has not reported yet only the address is known. If its epoch is another than the first, it
-            // says so, and executes nothing.
+            // Only the address is known of a worker that has not reported yet. If its epoch is not the first one, it
+            // rejects the command and responds with its epoch.
             agent_epoch: worker.agent_epoch.max(FIRST_AGENT_EPOCH),
             may_launch: lease_valid,
         };
@@ -64,7 +64,7 @@
         }
         let token = self.token;
         let worker = self.workers.get_mut(&machine)?;
-        // Other commands wait until the lease is known to last again: the next review finds them.
+        // Other commands wait until the lease is known to be valid again; the next review requests them.
         worker.command_pending = !lease_valid;
         if body.commands.is_empty() && (worker.token >= token || !lease_valid) && !probe {
             return None;
@@ -81,7 +81,7 @@
         })
     }
 
-    /// All that the worker of a machine should be told now. Launches are recorded as sent.
+    /// Prepares all commands that the worker of a machine should get now. Launches are recorded as sent.
     pub(in crate::workers) fn prepare_commands(
         &mut self,
         now: Now,
@@ -110,8 +110,8 @@
         }
     }
 
-    /// Commands for the tasks that the worker reports: those that it should not run are stopped, and those that have ended
-    /// and that it need not remember are reaped.
+    /// Returns the commands for the tasks that the worker reports: tasks that it should not run are stopped, and ended
+    /// tasks whose entries it no longer needs are reaped.
     fn stop_and_reap_commands(
         &self,
         machine: &MachineId,
@@ -139,7 +139,7 @@
         let attempt = observed.attempt(task);
         let wire_number = attempt.wire_number();
         if observed.state == TaskState::Exited {
-            // Reaped only once its end is recorded, and never while an old launch of it may come late.
+            // Reaped only after its end is recorded, and never while a launch of it may still arrive.
             let reap = !is_recorded && worker.may_forget(&attempt, observed.cause);
             return reap.then_some(WorkerCommand::Reap { task, wire_number });
         }
@@ -153,7 +153,8 @@
         })
     }
 
-    /// Launches of recorded attempts that the worker does not report. There are none before the worker has shown our token.
+    /// Prepares the launches of recorded attempts that the worker does not report. Returns none before the worker has
+    /// confirmed the block's token.
     fn prepare_launches(
         &mut self,
         now: Now,
@@ -200,12 +201,12 @@
         commands
     }
 
-    /// Whether a recorded attempt should run.
+    /// Whether a recorded attempt should run: its job is active and the leader has not requested a stop.
     fn should_run(&self, cache: &WatchCache, attempt: &Attempt) -> bool {
         job_is_active(cache, attempt.task.job) && !self.assignments.is_stop_requested(attempt)
     }
 
-    /// Applies the response to a direct command, or that there was none.
+    /// Applies the outcome of a direct command.
     pub(in crate::workers) fn apply_command_outcome(
         &mut self,
         now: Now,
@@ -240,7 +241,7 @@
     }
 }
 
-/// Records what became of the launches in a direct command that was sent under the present token and agent epoch.
+/// Records the outcomes of the launches in a direct command that was sent under the current token and agent epoch.
 fn record_launch_outcomes(
     worker: &mut Worker,
     now: Now,
@@ -265,7 +266,7 @@
     }
 }
 
-/// Whether a command only ends a task whose job is known to be cancelled or over.
+/// Whether a command stops a task whose job is known to be cancelled or to have ended.
 fn stops_ended_job(command: &WorkerCommand, cache: &WatchCache) -> bool {
     let has_ended = |job| {
         cache.ended.contains_key(&job)
@@ -274,14 +275,14 @@
     matches!(command, WorkerCommand::Stop { task, .. } if has_ended(task.job))
 }
 
-/// How long a task that is stopped may take to save, in seconds.
+/// How long a stopped task may take to write its checkpoint, in seconds.
 fn grace_s(cache: &WatchCache, task: TaskId, is_recorded: bool) -> f64 {
     let job = cache
         .open
         .get(&task.job)
         .filter(|open| !open.cancelled)
         .map(|open| &open.job);
-    // What is left of a gang that has lost a task can't save any more.
+    // The remaining tasks of a gang that has lost one can't write a checkpoint.
     job.filter(|job| job.kind != JobKind::Gang)
         .filter(|job| job.checkpoint_every_s > 0.0 && is_recorded)
         .map_or(0.0, |job| job.checkpoint_s)
--- a/src/workers/block/heartbeats.rs
+++ b/src/workers/block/heartbeats.rs
@@ -1,4 +1,4 @@
-//! What workers report, in heartbeats and in the responses to commands.
+//! Applies the reports of workers, from heartbeats and from the responses to commands.
 
 use std::collections::BTreeMap;
 use std::collections::btree_map::Entry;
@@ -11,20 +11,20 @@
 use crate::workers::wire::{ExitCause, Heartbeat, TaskState, TaskStatus};
 use crate::workers::worker::ObservedTask;
 
-/// How a report reached us. Only a heartbeat can renew a worker's lease: a worker that answers commands and reaches no
-/// controller loses its tasks again and again, so that its responses are no sign of its health.
+/// How a report was received. Only a heartbeat can renew a worker's lease: a worker that answers commands but can't reach
+/// a controller loses its tasks repeatedly, so its responses do not show that it is healthy.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(in crate::workers) enum HeartbeatSource {
-    /// The worker sent it.
+    /// The worker sent it as a heartbeat.
     Heartbeat,
-    /// It is the response to a direct command.
+    /// It came with the response to a direct command.
     CommandResponse,
 }
 
 impl Block {
-    /// Applies a worker's report: the one place where what workers report is taken in.
+    /// Applies a worker's report. All reports are applied here.
     ///
-    /// A report that is not newer than the last one is dropped: its list of tasks is as old as it is.
+    /// A report that is not newer than the last one is ignored, because its list of tasks is stale.
     pub(in crate::workers) fn apply_heartbeat(
         &mut self,
         now: Now,
@@ -39,7 +39,7 @@
             return;
         }
         if worker.has_new_epoch(&heartbeat) {
-            // Commands for the old epoch are not executed any more.
+            // The worker no longer executes commands for the old epoch.
             info!(machine = %heartbeat.machine, agent_epoch = %heartbeat.agent_epoch, "worker lease expired");
             worker.launches.clear();
         }
@@ -70,7 +70,8 @@
         }
     }
 
-    /// Records the starts of tasks that we have launched and that did not run before. Nobody knows when others started.
+    /// Records the starts of tasks that this holder launched and that did not run before. The start times of other
+    /// tasks are not known.
     fn record_starts(
         &mut self,
         machine: &MachineId,
@@ -91,7 +92,7 @@
         }
     }
 
-    /// Compares a recorded attempt with the worker's report, and notes whether it has ended or needs a command.
+    /// Compares a recorded attempt with the worker's report, and records whether it has ended or needs a command.
     fn reconcile_placement(&mut self, machine: &MachineId, attempt: Attempt, cache: &WatchCache) {
         let token = self.token;
         let Some(worker) = self.workers.get_mut(machine) else {
@@ -105,7 +106,7 @@
         let Some(observed) = worker.observed(&attempt).copied() else {
             let unwanted = !job_active || self.assignments.is_stop_requested(&attempt);
             if unwanted && worker.token >= token && !worker.launches.may_still_execute(&attempt) {
-                // Not there, and nothing that could start it is under way.
+                // The worker does not list it, and no launch of it can still be executed.
                 self.ended.insert(key, AttemptOutcome::Unfinished);
             } else if worker.token >= token {
                 worker.command_pending = true;
@@ -113,13 +114,13 @@
             return;
         };
         if observed.state != TaskState::Exited {
-            // Started by a command that was under way when its job was cancelled. Workers that show a newer token are
-            // another holder's, and would refuse this for ever.
+            // Started by a command that was in flight when its job was cancelled. Workers with a newer token belong to
+            // another holder and would reject the stop every time.
             worker.command_pending |= !job_active && worker.token <= token;
             return;
         }
         if worker.token < token {
-            // An older holder could still give it commands.
+            // A previous holder can still send it commands.
             return;
         }
         if let Entry::Vacant(entry) = self.ended.entry(key) {
@@ -136,7 +137,7 @@
     }
 }
 
-/// The tasks of a report; of each the last entry.
+/// Returns the tasks of a report. If a task has several entries, the last one counts.
 fn observed_tasks(reported: &[TaskStatus]) -> BTreeMap<TaskId, ObservedTask> {
     let observed = |status: &TaskStatus| ObservedTask {
         number: Attempt::from_wire(status.task, status.wire_number).number,
--- a/src/workers/block/mod.rs
+++ b/src/workers/block/mod.rs
@@ -1,15 +1,15 @@
-//! A block that is leased to this controller.
+//! Manages one block that is leased to this controller.
 //!
-//! A [`Block`] owns all that its holder knows and wants of the block's machines: the workers and their reports
-//! (`heartbeats`), the commands to them (`commands`), the leader's assignments (`assignments`), the record of what runs
-//! where (`recorded`) and the transactions on it (`placement_writes`, `placement_writer`), and the status for the leader
-//! (`status`). [`super::WorkerFleet`] calls it; it sends nothing itself, but returns commands, transactions and messages.
+//! A [`Block`] owns the holder's state of the block's machines: the workers and their reports (`heartbeats`), the
+//! commands to them (`commands`), the leader's assignments (`assignments`), the recorded placements (`recorded`) and
+//! the transactions on them (`placement_writes`, `placement_writer`), and the status for the leader (`status`).
+//! [`super::WorkerFleet`] calls it; it sends nothing itself, but returns commands, transactions and messages.
 //!
 //! Invariants:
-//! - An attempt is launched only once it is recorded, and by a worker that has shown the block's token.
-//! - An end is noted in `ended` only if it is proven: the worker, having shown our token, reports the exit, or does not
-//!   report the attempt and no launch of it can be under way; or the machine is deleted.
-//! - One transaction on the placements is under way at a time.
+//! - An attempt is launched only after it is recorded, and only on a worker that has confirmed the block's token.
+//! - An attempt is added to `ended` only if its end is proven: the worker, having confirmed the block's token, reports the
+//!   exit, or does not list the attempt while no launch of it can still be executed; or the machine is deleted.
+//! - At most one transaction on the placements is in flight.
 
 mod assignments;
 mod commands;
@@ -38,15 +38,15 @@
 pub(super) use recorded::RecordedPlacements;
 use status::StatusSequence;
 
-/// A new token is asked for when one has been needed for this long.
+/// A new token is requested when one has been needed for this long.
 pub(super) const TOKEN_RENEWAL_DELAY: Duration = Duration::from_secs(3);
 
-/// How an attempt ended.
+/// The outcome of an ended attempt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum AttemptOutcome {
-    /// It finished its task.
+    /// The attempt finished its task.
     Done,
-    /// It is gone, and its task may have to run again.
+    /// The attempt ended without finishing its task, which may have to run again.
     Unfinished,
 }
 
@@ -57,17 +57,17 @@
     attempt: Attempt,
 }
 
-/// Whether the block needs a new fencing token: workers that show it execute nothing that was sent under the old one, and
-/// may forget the attempts that they had to remember until then.
+/// Tracks whether the block needs a new fencing token. Workers that have received it execute nothing that was sent under
+/// the old one, so that they no longer need their entries for ended attempts.
 #[derive(Debug, Default)]
 struct TokenRenewal {
-    /// Since when it is needed.
+    /// Since when a new token is needed.
     needed_since: Option<Instant>,
-    /// The only machines with free resources for some task must not forget an earlier attempt of it yet.
+    /// For some task, the only machines with enough free resources still need their entry for an earlier attempt of it.
     placement_blocked: bool,
 }
 
-/// A block that is leased to us.
+/// A block that is leased to this controller.
 #[derive(Debug)]
 pub(super) struct Block {
     pub(super) id: BlockId,
@@ -77,26 +77,26 @@
     writer: PlacementWriter,
     pub(super) workers: BTreeMap<MachineId, Worker>,
     assignments: Assignments,
-    /// What is proven to have ended, and not yet recorded as such.
+    /// The attempts that are proven to have ended, but not yet recorded as ended.
     ended: BTreeMap<EndedAttempt, AttemptOutcome>,
     token_renewal: TokenRenewal,
-    /// Workers whose heartbeats were overdue at the last review.
+    /// The number of workers whose heartbeats were overdue at the last review.
     overdue_workers: u32,
-    /// Workers that there may be commands for; so that no event has to go through all of them.
+    /// Workers that may need a direct command. The set saves a scan of all workers on each event.
     pub(super) workers_to_command: BTreeSet<MachineId>,
-    /// Workers whose status may have changed since the last message to the leader.
+    /// Workers whose status may have changed since the last status message to the leader.
     workers_to_report: BTreeSet<MachineId>,
     status_sequence: StatusSequence,
-    /// When it was last checked for something to write.
+    /// When the block was last checked for changes to write.
     last_write_check: Option<Instant>,
-    /// When it last wrote: the block that has waited longest writes next.
+    /// When the block last wrote: the block with the oldest write is next.
     pub(super) last_write: Option<Instant>,
-    /// When the jobs were accepted whose tasks were seen to have started, in ms of Unix time, for the metrics.
+    /// For each task that was observed to start, when its job was accepted, in ms of Unix time; for the metrics.
     started_accepted_ms: Vec<u64>,
 }
 
 impl Block {
-    /// A block that was just leased to us. Its workers are not known yet.
+    /// Creates a block that was just leased to this controller. Its workers are not known yet.
     pub(super) fn new(
         id: BlockId,
         lease: &Versioned<BlockLease>,
@@ -122,8 +122,8 @@
         }
     }
 
-    /// Takes up a newer version of the lease, which comes from a new leader. What the old one wanted is void, and no write
-    /// under the old version can be committed any more, so `recorded` holds all that were.
+    /// Applies a newer version of the lease, which comes from a new leader. The assignments of the previous leader are
+    /// void. No write under the old version can be committed any more, so `recorded` contains all of them that were.
     pub(super) fn renew_lease(
         &mut self,
         lease: &Versioned<BlockLease>,
@@ -137,7 +137,7 @@
         self.resend_all_statuses();
     }
 
-    /// Takes up a new token. Workers that have shown it execute nothing that was sent under the old one.
+    /// Applies a new token. Workers that have received it execute nothing that was sent under the old one.
     fn raise_token(&mut self, token: FencingToken) {
         if token == self.token {
             return;
@@ -153,7 +153,8 @@
         }
     }
 
-    /// Makes the next status tell of all machines: a new leader, or the same under a new lease, knows nothing of them.
+    /// Makes the next status message include all machines: a new leader, or the same one under a new lease, has no
+    /// status of them.
     fn resend_all_statuses(&mut self) {
         self.status_sequence = StatusSequence::default();
         for (id, worker) in &mut self.workers {
@@ -162,7 +163,7 @@
         }
     }
 
-    /// Makes the next round of direct commands include these machines, without waiting for their heartbeats.
+    /// Includes these machines in the next round of direct commands, without waiting for their heartbeats.
     pub(super) fn request_commands(&mut self, machines: impl IntoIterator<Item = MachineId>) {
         for machine in machines {
             if let Some(worker) = self.workers.get_mut(&machine) {
@@ -172,7 +173,7 @@
         }
     }
 
-    /// Compares all machines that the block has, or had, with the records.
+    /// Updates all machines that are, or were, in the block from the records.
     pub(super) fn sync_machines(&mut self, now: Now, cache: &WatchCache) {
         let inventory = cache.inventories.get(&self.id);
         let known: BTreeSet<MachineId> = self
@@ -193,7 +194,7 @@
         }
     }
 
-    /// Takes up a machine that is in the block, and drops one that is not.
+    /// Adds a machine that is in the block, and removes one that is not.
     pub(super) fn sync_machine(&mut self, now: Now, id: &MachineId, in_block: bool) {
         if in_block {
             if !self.workers.contains_key(id) {
@@ -203,7 +204,7 @@
             return;
         }
         self.workers.remove(id);
-        // The record of a machine is removed after the cloud has deleted it: its tasks are gone.
+        // The record of a machine is removed only after the cloud has deleted it, so its tasks have ended.
         for attempt in self.recorded.attempts_on(id) {
             let ended = EndedAttempt {
                 machine: id.clone(),
@@ -216,7 +217,7 @@
         }
     }
 
-    /// Whether an attempt is proven gone, or not recorded on this machine.
+    /// Whether an attempt is proven to have ended, or is not recorded on this machine.
     pub(super) fn is_proven_ended(&self, machine: &MachineId, attempt: &Attempt) -> bool {
         let ended = EndedAttempt {
             machine: machine.clone(),
@@ -225,31 +226,33 @@
         self.ended.contains_key(&ended) || !self.recorded.contains(machine, attempt)
     }
 
-    /// The number of workers whose status may have changed.
+    /// Returns the number of workers whose status may have changed.
     pub(super) fn workers_to_report_count(&self) -> usize {
         self.workers_to_report.len()
     }
 
-    /// The number of attempts that are to be placed or recorded as ended.
+    /// Returns the number of attempts that have to be placed or recorded as ended.
     pub(super) fn pending_changes(&self) -> usize {
         self.assignments.pending.len() + self.ended.len()
     }
 
-    /// When the jobs were accepted whose tasks have been seen to start since the last call, in ms of Unix time.
+    /// Returns, for each task that was observed to start since the last call, when its job was accepted, in ms of Unix
+    /// time.
     pub(super) fn take_accept_times_of_started_tasks(&mut self) -> Vec<u64> {
         std::mem::take(&mut self.started_accepted_ms)
     }
 
-    /// Leaves out a time in which this process was paused and could hear nothing.
+    /// Excludes a pause of this process, in which it could receive nothing, from the ages of heartbeats.
     pub(super) fn process_paused(&mut self, pause: Duration) {
         for worker in self.workers.values_mut() {
             worker.liveness.process_paused(pause);
         }
     }
 
-    /// What follows from the clock alone: overdue heartbeats, launches to be sent again, probes, a new token.
+    /// Reviews time-based conditions: overdue heartbeats, launches to be sent again, probes, and the need for a new
+    /// token.
     ///
-    /// `overdue_after`: the age of the last heartbeat from which on the next one is overdue.
+    /// `overdue_after`: the age of the last heartbeat after which the next one is overdue.
     pub(super) fn review(&mut self, now: Now, overdue_after: Duration, policy: &Policy) {
         self.review_token(now);
         self.overdue_workers = 0;
@@ -281,7 +284,7 @@
         }
     }
 
-    /// Notes since when a new token is needed.
+    /// Records since when a new token is needed.
     fn review_token(&mut self, now: Now) {
         let needed = self.token_renewal.placement_blocked
             || self.workers.values().any(Worker::needs_new_token);
@@ -293,7 +296,7 @@
     }
 }
 
-/// Whether a job's tasks should run at all.
+/// Whether a job is neither cancelled nor ended, so that its tasks should run.
 pub(super) fn job_is_active(cache: &WatchCache, job: JobId) -> bool {
     cache.open.get(&job).is_some_and(|open| !open.cancelled)
 }
--- a/src/workers/block/placement_writer.rs
+++ b/src/workers/block/placement_writer.rs
@@ -1,4 +1,5 @@
-//! The transaction on a block's placements that is under way, and what those of unknown outcome may still change.
+//! Tracks the transaction on a block's placements that is in flight, and the changes that transactions of unknown outcome
+//! may still make.
 
 use std::collections::BTreeSet;
 
@@ -7,7 +8,7 @@
 use crate::store::{StoreResponse, WatchCache, Writer};
 use crate::workers::parts::PartsTransaction;
 
-/// What transactions that are under way, or whose outcome is not known, may still change.
+/// The changes that transactions in flight or of unknown outcome may still make.
 #[derive(Debug, Clone, Default)]
 struct UndecidedWrites {
     /// The numbers of the attempts that they place.
@@ -16,30 +17,30 @@
     parts: BTreeSet<Part>,
 }
 
-/// A transaction that was committed.
+/// A committed transaction.
 #[derive(Debug)]
 pub(super) struct CommittedWrite {
     pub(super) parts: PartsTransaction,
     pub(super) revision: u64,
 }
 
-/// Sends the transactions on a block's placements one at a time.
+/// Ensures that the transactions on a block's placements are sent one at a time.
 ///
-/// The next transaction after one of unknown outcome writes the parts of that one again, so that at most one of the two
-/// is executed: either decides the other.
+/// The next transaction after one of unknown outcome writes the same parts again, so that at most one of the two is
+/// executed: the outcome of either one decides that of the other.
 #[derive(Debug)]
 pub(super) struct PlacementWriter {
     writer: Writer,
-    /// What the transaction under way leaves behind.
+    /// The transaction in flight, with the parts as it leaves them.
     in_flight: Option<PartsTransaction>,
     undecided: UndecidedWrites,
-    /// `undecided` before the transaction under way. If that is not executed, an earlier one of unknown outcome still may
-    /// be.
+    /// The value of `undecided` before the transaction in flight. If that one is not executed, an earlier transaction of
+    /// unknown outcome may still be.
     undecided_before: UndecidedWrites,
 }
 
 impl PlacementWriter {
-    /// A writer that has sent nothing.
+    /// Creates a writer that has sent nothing.
     pub(super) fn new() -> Self {
         PlacementWriter {
             writer: Writer::Idle,
@@ -49,8 +50,8 @@
         }
     }
 
-    /// Takes up a new version of the block lease. No write under the old one can be committed any more, so nothing is
-    /// undecided; the response to one that is under way is still waited for.
+    /// Resets the writer for a new version of the block lease. No write under the old version can be committed any
+    /// more, so nothing is undecided. If a transaction is in flight, the writer still waits for its response.
     pub(super) fn reset_after_lease_renewal(&mut self) {
         self.clear_undecided();
         if self.writer != Writer::InFlight {
@@ -59,32 +60,32 @@
         }
     }
 
-    /// Whether the last transaction may have failed, so that the records must be read again.
+    /// Whether the last transaction is unconfirmed, so that the recorded placements must be reloaded.
     pub(super) fn must_reload(&self) -> bool {
         self.writer.is_unconfirmed()
     }
 
-    /// Whether a transaction may be prepared from the cache now. Asks for a fresh copy if one is needed.
+    /// Whether a transaction may be prepared from the cache now. Requests a fresh copy of the records if one is needed.
     pub(super) fn ready(&mut self, now: Now, cache: &mut WatchCache) -> bool {
         self.writer.ready(now, cache)
     }
 
-    /// The attempts that transactions under way, or of unknown outcome, place.
+    /// Returns the numbers of the attempts that transactions in flight or of unknown outcome place.
     pub(super) fn undecided_attempts(&self) -> &[u64] {
         &self.undecided.attempts
     }
 
-    /// The parts that they change: the next transaction has to write them again.
+    /// Returns the parts that these transactions change. The next transaction has to write them again.
     pub(super) fn undecided_parts(&self) -> &BTreeSet<Part> {
         &self.undecided.parts
     }
 
-    /// Forgets the undecided transactions: the records show what became of them.
+    /// Clears the undecided transactions, once the records show their outcome.
     pub(super) fn clear_undecided(&mut self) {
         self.undecided = UndecidedWrites::default();
     }
 
-    /// Takes over the transaction that is sent now. `attempts`: the numbers of those that it places.
+    /// Records that a transaction is being sent. `attempts`: the numbers of the attempts that it places.
     pub(super) fn begin(&mut self, parts: PartsTransaction, attempts: Vec<u64>) {
         self.undecided_before = self.undecided.clone();
         self.undecided.attempts.extend(attempts);
@@ -93,8 +94,8 @@
         self.writer.sent();
     }
 
-    /// Applies the response to a transaction that was sent under an earlier version of the block lease: the records that
-    /// we read next hold it if it was committed.
+    /// Applies the response to a transaction that was sent under an earlier version of the block lease. The records
+    /// that are read next contain it if it was committed.
     pub(super) fn apply_outdated_outcome(&mut self, now: Now) {
         self.in_flight = None;
         self.writer = Writer::Unconfirmed {
@@ -102,7 +103,7 @@
         };
     }
 
-    /// Applies the response to the transaction under way, and returns that if it was committed.
+    /// Applies the response to the transaction in flight, and returns the transaction if it was committed.
     pub(super) fn apply_outcome(
         &mut self,
         now: Now,
@@ -111,7 +112,7 @@
         self.writer.answered(now, outcome);
         match (outcome, self.in_flight.take()) {
             (StoreResponse::Committed { revision }, Some(parts)) => {
-                // We know our own placements: there is no need to wait until the cache shows them.
+                // The committed parts are known, so there is no need to wait until the cache shows them.
                 self.writer = Writer::Idle;
                 self.clear_undecided();
                 Some(CommittedWrite {
@@ -120,7 +121,7 @@
                 })
             }
             (StoreResponse::Unknown, _) => None,
-            // Not executed.
+            // The transaction was not executed.
             _ => {
                 self.undecided = std::mem::take(&mut self.undecided_before);
                 None
--- a/src/workers/block/placement_writes.rs
+++ b/src/workers/block/placement_writes.rs
@@ -1,4 +1,5 @@
-//! The transactions that record what runs where: what has ended, what the leader wants placed, what can be forgotten.
+//! Prepares the transactions on a block's placements: they remove ended attempts, add new placements, and prune finished
+//! tasks that are recorded elsewhere.
 
 use std::collections::{BTreeMap, BTreeSet, HashSet};
 use std::time::Duration;
@@ -18,31 +19,32 @@
 use crate::store::{StoreRequest, StoreResponse, Transaction, WatchCache};
 use crate::workers::parts::{EndedPlacement, PartLimits, PartsTransaction};
 
-/// A block that found nothing to write checks again after this long.
+/// The minimum time between two checks of a block for changes to write.
 pub(in crate::workers) const WRITE_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// A block that has nothing else to write checks this often for finished tasks that are recorded elsewhere by now.
+/// How often a block with nothing else to write checks for finished tasks that have since been recorded elsewhere.
 const PRUNE_INTERVAL: Duration = Duration::from_millis(1500);
 
-/// While writes are scarce, a block that only has ends to record writes at most this often.
+/// The minimum time between two writes of a block that only has ended attempts to record, while there are no spare
+/// writes.
 const END_BATCH_INTERVAL: Duration = Duration::from_secs(1);
 
-/// The protocol's limit for the conditions of a transaction, by that for its changes.
+/// The ratio of the state service's limit on the conditions of a transaction to its limit on the changes.
 const CONDITIONS_PER_CHANGE: usize = 4;
 
-/// What a transaction places, and the records that it is conditioned on for that.
+/// The attempts that a transaction places, and the records that it is conditioned on.
 #[derive(Debug, Default)]
 struct NewPlacements {
     /// The numbers of the attempts.
     attempts: Vec<u64>,
-    /// Their jobs, and the versions of these.
+    /// The jobs of the attempts, with the versions of their records.
     jobs: BTreeMap<JobId, u64>,
-    /// The parts of the inventory that hold their machines.
+    /// The parts of the inventory that contain the machines.
     inventory_parts: BTreeSet<Part>,
 }
 
 impl NewPlacements {
-    /// The number of conditions with one more task.
+    /// Returns the number of conditions if a task of this job on a machine in this part were added.
     fn conditions_with(&self, job: JobId, inventory_part: Part) -> usize {
         self.jobs.len()
             + self.inventory_parts.len()
@@ -50,14 +52,15 @@
             + usize::from(!self.inventory_parts.contains(&inventory_part))
     }
 
-    /// Adds a task. It is placed only if its job was not cancelled before, whatever our copy of its record shows.
+    /// Adds a task. The condition on the job's version makes the transaction fail if the job was cancelled before, even
+    /// if this controller's copy of its record does not show that yet.
     fn add(&mut self, attempt: Attempt, job_version: u64, inventory_part: Part) {
         self.jobs.insert(attempt.task.job, job_version);
         self.inventory_parts.insert(inventory_part);
         self.attempts.push(attempt.number);
     }
 
-    /// Adds the conditions to a transaction.
+    /// Adds the conditions on jobs and inventory parts to a transaction.
     fn add_conditions(
         &self,
         block: &Block,
@@ -65,7 +68,7 @@
         mut txn: Transaction,
     ) -> Transaction {
         for part in &self.inventory_parts {
-            // Nothing is placed on a machine that the leader has begun to drain or has deleted meanwhile.
+            // Fails the transaction if the leader has since begun to drain or has deleted one of the machines.
             let version = cache
                 .inventory_parts(&block.id)
                 .and_then(|parts| parts.get(part));
@@ -80,7 +83,7 @@
 }
 
 impl Block {
-    /// Whether to check for something to write.
+    /// Whether the block should be checked for changes to write.
     pub(in crate::workers) fn write_due(&self, now: Now) -> bool {
         self.may_have_changes(now)
             && self
@@ -88,7 +91,8 @@
                 .is_none_or(|at| since(now, at) >= WRITE_CHECK_INTERVAL)
     }
 
-    /// Whether it has nothing but ends to record, and has written just now.
+    /// Whether it only has ended attempts to record and has written within `END_BATCH_INTERVAL`, so that the write may
+    /// wait for more of them.
     pub(in crate::workers) fn may_batch_ends(&self, now: Now) -> bool {
         let has_placements = !self.assignments.pending.is_empty() || self.has_undecided_attempts();
         let wrote_recently = self
@@ -97,7 +101,7 @@
         !has_placements && wrote_recently
     }
 
-    /// Whether there may be something to write.
+    /// Whether there may be changes to write.
     fn may_have_changes(&self, now: Now) -> bool {
         let prune = self.recorded.has_finished_tasks()
             && self
@@ -113,9 +117,9 @@
         !self.writer.undecided_attempts().is_empty()
     }
 
-    /// The next transaction, if there is something to write and it can be written now.
+    /// Prepares the next transaction, if there are changes to write and a transaction may be sent now.
     ///
-    /// `max_changes`: the most changes that it should have, by the rate at which we may write.
+    /// `max_changes`: the maximum number of changes that the write rate allows for it.
     pub(in crate::workers) fn next_transaction(
         &mut self,
         now: Now,
@@ -150,7 +154,7 @@
                 (parts, new_placements)
             }
         };
-        // A write of unknown outcome is repeated by the next one, needed or not.
+        // The parts of a transaction of unknown outcome are in `parts` and are written again even without new changes.
         if !parts.has_changes() {
             self.drop_recorded_ends();
             return None;
@@ -162,10 +166,11 @@
         Some(StoreRequest::Commit(txn))
     }
 
-    /// After a write that failed or whose outcome is unknown: takes over what our copy of the records shows.
+    /// Replaces the recorded placements by the cached records, after a transaction that failed or whose outcome is
+    /// unknown.
     fn reload_recorded(&mut self, cache: &WatchCache) {
-        // Nothing of ours is under way that our copy does not show, but for a late repeat of the last
-        // transaction, which fails once another one has been committed.
+        // The copy contains every committed transaction of this holder, except for a late duplicate of the last one,
+        // which fails once another transaction has been committed.
         let recorded = RecordedPlacements::read(cache, &self.id);
         if recorded.version() > self.recorded.version() {
             self.writer.clear_undecided();
@@ -183,11 +188,11 @@
         }
     }
 
-    /// Prepares the removal of attempts that are proven gone, and of finished tasks that are recorded elsewhere.
+    /// Prepares the removal of attempts that are proven to have ended, and of finished tasks that are recorded elsewhere.
     fn prepare_ends(&self, cache: &WatchCache, limits: PartLimits) -> PartsTransaction {
         let undecided = self.writer.undecided_parts();
         let mut parts = PartsTransaction::new(self.recorded.parts(), limits, undecided);
-        // What is to be placed does not fit before the ends on its machine are recorded.
+        // A pending attempt does not fit on its machine until the ended attempts there are removed from the record.
         let target_machines: HashSet<&MachineId> = self
             .assignments
             .pending
@@ -210,7 +215,8 @@
         parts
     }
 
-    /// Prepares the placement of pending assignments, as far as they fit the machines, the values and the transaction.
+    /// Prepares the placement of the pending assignments that fit their machine, the size limit of the parts and the
+    /// limits of the transaction.
     fn prepare_placements(
         &mut self,
         now: Now,
@@ -233,7 +239,8 @@
                 continue;
             };
             let Some(machine) = self.choose_machine(assignment, &open.job, &candidates) else {
-                // Only a machine that must remember an earlier attempt could take it: a new token lets it forget.
+                // If any candidate accepts it, that machine still needs its entry for an earlier attempt of the task.
+                // After a token renewal the entry can be reaped.
                 placement_blocked |= candidates
                     .iter()
                     .any(|candidate| accepts(candidate, &open.job));
@@ -244,7 +251,7 @@
                 continue;
             };
             if new_placements.conditions_with(attempt.task.job, inventory_part) > max_conditions {
-                // Left to the next write.
+                // Left for the next transaction.
                 continue;
             }
             if !parts.add(&machine, attempt) {
@@ -261,9 +268,10 @@
         new_placements
     }
 
-    /// The machine for an assignment: the one that the leader has chosen if the task still fits there, else the best of the block.
+    /// Returns the machine for an assignment: the leader's choice if the task still fits there, otherwise the best
+    /// candidate in the block.
     ///
-    /// Machines that an earlier attempt of the task may still be launched on are left out.
+    /// Machines on which an earlier attempt of the task may still be launched are excluded.
     fn choose_machine(
         &self,
         assignment: &Assignment,
@@ -288,7 +296,7 @@
             .map(|candidate| candidate.machine.clone())
     }
 
-    /// The machines of the block that take tasks, with what `placements` leave free of them.
+    /// Returns the machines of the block that accept tasks, with the resources that `placements` leave free.
     fn candidates(
         &self,
         now: Now,
@@ -318,7 +326,7 @@
         candidates
     }
 
-    /// Applies the response to a transaction. `lease_version`: the version of the block lease that it was sent under.
+    /// Applies the response to a transaction. `lease_version`: the version of the block lease under which it was sent.
     pub(in crate::workers) fn apply_write_outcome(
         &mut self,
         now: Now,
@@ -353,7 +361,7 @@
         }
     }
 
-    /// Forgets proven ends whose attempts are not recorded any more.
+    /// Removes ended attempts that are no longer in the recorded placements.
     fn drop_recorded_ends(&mut self) {
         let recorded = &self.recorded;
         self.ended
@@ -361,14 +369,14 @@
     }
 }
 
-/// The conditions that a transaction has left for placements, beside those on the block lease and on the parts.
+/// Returns how many conditions a transaction can use for placements, besides those on the block lease and on the parts.
 fn max_new_conditions(config: &Config, parts: &PartsTransaction) -> usize {
     (CONDITIONS_PER_CHANGE * config.state_limits.txn_ops)
         .saturating_sub(1 + parts.max_changes())
         .max(2)
 }
 
-/// The job of a task that is still to run.
+/// Returns the job of a task, if it is active and the task is not finished.
 fn unfinished_job(cache: &WatchCache, task: TaskId) -> Option<&OpenJob> {
     cache
         .open
@@ -376,7 +384,7 @@
         .filter(|open| !open.cancelled && !open.done.contains(task.index))
 }
 
-/// Whether a task of the job can be placed there.
+/// Whether a task of the job can be placed on the candidate.
 fn accepts(candidate: &Candidate, job: &Job) -> bool {
     candidate.allows(job) && candidate.free.fits(&job.need)
 }
--- a/src/workers/block/recorded.rs
+++ b/src/workers/block/recorded.rs
@@ -1,4 +1,4 @@
-//! What the records say of a block's tasks.
+//! The recorded placements of a block.
 
 use std::collections::BTreeMap;
 
@@ -8,10 +8,11 @@
 use crate::store::records::BlockPlacements;
 use crate::workers::parts::{PartsTransaction, merged};
 
-/// The recorded placements of a block, as of our last own write or the last copy that we have read.
+/// The recorded placements of a block, as of this holder's last committed transaction or the last copy read from the
+/// cache.
 #[derive(Debug)]
 pub(in crate::workers) struct RecordedPlacements {
-    /// All parts together.
+    /// All parts merged.
     placements: BlockPlacements,
     /// The version of the last change to any part.
     version: u64,
@@ -19,7 +20,7 @@
 }
 
 impl RecordedPlacements {
-    /// The placements of a block as the cache holds them.
+    /// Reads the placements of a block from the cache.
     pub(in crate::workers) fn read(cache: &WatchCache, block: &BlockId) -> Self {
         let placements = cache.placements.get(block);
         RecordedPlacements {
@@ -31,34 +32,34 @@
         }
     }
 
-    /// Takes over what a transaction has committed.
+    /// Replaces the placements by those that a committed transaction leaves.
     pub(super) fn apply_commit(&mut self, parts: PartsTransaction, revision: u64) {
         self.parts = parts.into_committed(revision);
         self.placements = merged(&self.parts);
         self.version = revision;
     }
 
-    /// The version of the last change to any part.
+    /// Returns the version of the last change to any part.
     pub(super) fn version(&self) -> u64 {
         self.version
     }
 
-    /// The values that the placements are kept in.
+    /// Returns the parts that the placements are stored in.
     pub(super) fn parts(&self) -> &Parts<BlockPlacements> {
         &self.parts
     }
 
-    /// All attempts, with the machines that they are placed on.
+    /// Returns all attempts, with the machines that they are placed on.
     pub(in crate::workers) fn attempts(&self) -> impl Iterator<Item = (&MachineId, Attempt)> {
         self.placements.attempts()
     }
 
-    /// The machines that have attempts.
+    /// Returns the machines that have attempts.
     pub(super) fn machines(&self) -> impl Iterator<Item = &MachineId> {
         self.placements.on.keys()
     }
 
-    /// The attempts on a machine, in the order of their record.
+    /// Returns the attempts on a machine, in the order in which they are recorded.
     pub(in crate::workers) fn attempts_on(
         &self,
         machine: &MachineId,
@@ -67,7 +68,7 @@
         list.into_iter().flatten().map(|placed| placed.0)
     }
 
-    /// The number of the recorded attempt of each task on a machine.
+    /// Returns the number of the recorded attempt of each task on a machine.
     pub(super) fn attempt_numbers_on(&self, machine: &MachineId) -> BTreeMap<TaskId, u64> {
         self.attempts_on(machine)
             .map(|attempt| (attempt.task, attempt.number))
@@ -79,7 +80,7 @@
         self.attempts_on(machine).any(|placed| placed == *attempt)
     }
 
-    /// Whether finished tasks are recorded that may be recorded elsewhere by now.
+    /// Whether the placements contain finished tasks, which may have been recorded elsewhere by now.
     pub(super) fn has_finished_tasks(&self) -> bool {
         !self.placements.done.is_empty()
     }
--- a/src/workers/block/status.rs
+++ b/src/workers/block/status.rs
@@ -1,4 +1,4 @@
-//! What the leader is told of a block.
+//! Prepares the status messages of a block for the leader.
 
 use super::Block;
 use super::TOKEN_RENEWAL_DELAY;
@@ -8,8 +8,8 @@
 use crate::workers::wire::TaskState;
 use crate::workers::worker::{ReportedStatus, Worker};
 
-/// The numbers of the block's status messages. The leader names the last one that it has received, so that the status of a
-/// machine is repeated until it has.
+/// The sequence numbers of the block's status messages. The leader acknowledges the last one that it has received, and
+/// the status of a machine is repeated until then.
 #[derive(Debug, Default)]
 pub(super) struct StatusSequence {
     last_sent: u64,
@@ -17,25 +17,25 @@
 }
 
 impl StatusSequence {
-    /// The number of the next message.
+    /// Returns the sequence number of the next message.
     fn next(&mut self) -> u64 {
         self.last_sent += 1;
         self.last_sent
     }
 
-    /// Notes the last message that the leader has received.
+    /// Records the last message that the leader has received.
     pub(super) fn acknowledge(&mut self, sequence_number: u64) {
         self.last_acknowledged = self.last_acknowledged.max(sequence_number);
     }
 
-    /// Whether the leader has received the message of this number, or a later one.
+    /// Whether the leader has received the message with this sequence number, or a later one.
     fn is_acknowledged(&self, sequence_number: u64) -> bool {
         sequence_number <= self.last_acknowledged
     }
 }
 
 impl Block {
-    /// The next status message. Machines are in it until the leader has acknowledged what is said of them.
+    /// Prepares the next status message. It includes each machine whose last status the leader has not acknowledged.
     pub(in crate::workers) fn status(&mut self, now: Now, policy: &Policy) -> BlockStatus {
         let sequence_number = self.status_sequence.next();
         self.update_reported_statuses(now, policy, sequence_number);
@@ -86,7 +86,7 @@
         }
     }
 
-    /// Takes the status of the workers that have changed into the message of this number.
+    /// Adds the changed statuses of workers to the message with this sequence number.
     fn update_reported_statuses(&mut self, now: Now, policy: &Policy, sequence_number: u64) {
         for id in std::mem::take(&mut self.workers_to_report) {
             let Some(worker) = self.workers.get_mut(&id) else {
@@ -106,7 +106,7 @@
         }
     }
 
-    /// The numbers of the watched attempts that their workers report as running.
+    /// Returns the numbers of the watched attempts that their workers report as running.
     fn running_watched_attempts(&self) -> Vec<u64> {
         if !self.assignments.any_watched() {
             return Vec::new();
@@ -121,7 +121,7 @@
     }
 }
 
-/// What the leader is to know of a machine.
+/// Returns the status of a machine for the leader.
 fn machine_status(
     now: Now,
     machine: MachineId,
--- a/src/workers/messages.rs
+++ b/src/workers/messages.rs
@@ -33,7 +33,8 @@
 pub enum HeartbeatResponse {
     /// Commands from the holder of the worker's block. The response renews the worker's lease.
     Commands(WorkerCommands),
-    /// This controller is not the holder: the worker should report to the named controller, or to any other one if `None`.
+    /// This controller is not the holder: the worker should report to the named controller, or to any other one if
+    /// `None`.
     Redirect(Option<ControllerName>),
     /// This controller can't tell who the holder is, because its copy of the block leases may be stale.
     Unavailable,
--- a/src/workers/mod.rs
+++ b/src/workers/mod.rs
@@ -1,13 +1,14 @@
-//! The holder's side of a block: its machines' heartbeats, the tasks on them, and the record of both.
+//! Manages the workers of the blocks that this controller holds: their heartbeats, their tasks, and the recorded
+//! placements.
 //!
-//! A [`WorkerFleet`] owns the blocks that are leased to this controller. The controller calls it with everything that
+//! A [`WorkerFleet`] owns the blocks that are leased to this controller. The controller calls it with every event that
 //! concerns them: changes of the records, heartbeats, the leader's assignments, responses of workers and of the state
-//! service, and the clock. It does no input or output; it returns the commands, transactions and status messages that the
-//! controller is to send.
+//! service, and the clock. It performs no I/O; it returns the commands, transactions and status messages that the
+//! controller has to send.
 //!
-//! Invariants: every task is in the block's placements before it is launched, and leaves them only when it is proven gone:
-//! its worker, having seen our token, reports its exit; or the machine's record is removed, which the leader does only after
-//! the cloud has deleted it.
+//! Invariants: every task is in the block's placements before it is launched, and is removed only when it is proven to
+//! have ended: its worker, having confirmed the block's token, reports its exit; or the machine's record is removed,
+//! which the leader does only after the cloud has deleted the machine.
 
 mod block;
 mod messages;
@@ -34,11 +35,11 @@
 pub use misrouted::misrouted_window;
 use wire::{Heartbeat, TaskState, WorkerCommands};
 
-/// A heartbeat is overdue after this many times its interval.
+/// A heartbeat is overdue after this multiple of the heartbeat interval.
 const OVERDUE_AFTER_INTERVALS: f64 = 1.5;
-/// How often to review what follows from the clock alone: overdue heartbeats, launches to be sent again.
+/// The minimum time between two reviews of time-based conditions: overdue heartbeats, launches to be sent again.
 const REVIEW_INTERVAL: Duration = Duration::from_millis(400);
-/// Direct commands may hold one in this many of our sockets; others wait for their turn.
+/// Direct commands in flight may use `max_sockets` divided by this number; further ones wait until one completes.
 pub const COMMAND_SOCKET_DIVISOR: usize = 8;
 
 /// The blocks that are leased to this controller, with their workers.
@@ -47,21 +48,21 @@
     blocks: BTreeMap<BlockId, Block>,
     last_review: Option<Instant>,
     misrouted: MisroutedWorkers,
-    /// Direct commands on their way: each holds a socket.
+    /// Direct commands without an outcome yet; each holds a socket.
     commands_in_flight: usize,
-    /// Machines and tasks gone through so far, the reviews by the clock apart: what an event costs must follow from what it
-    /// changes.
+    /// The machines and tasks examined so far, without the periodic reviews. It shows whether the cost of an event is
+    /// proportional to what it changes.
     items_examined: u64,
 }
 
 impl WorkerFleet {
-    /// A fleet without blocks.
+    /// Creates a fleet without blocks.
     pub fn new() -> Self {
         WorkerFleet::default()
     }
 
-    /// Brings the blocks and their machines in line with the records: takes up blocks that were leased to us, and drops
-    /// those that are not any more.
+    /// Updates the blocks and their machines from the changed records: adds blocks that were leased to this controller
+    /// and removes those whose lease it has lost.
     pub fn sync(
         &mut self,
         now: Now,
@@ -125,7 +126,7 @@
         }
     }
 
-    /// Requests commands to the workers that run tasks of jobs which have ended, so that these are stopped at once.
+    /// Requests commands to workers that still run tasks of ended jobs, so that the tasks are stopped at once.
     fn request_stops(&mut self, cache: &WatchCache, changed: &ChangedRecords) {
         for job in &changed.ended {
             for ((index, _), placement) in cache.placed(*job) {
@@ -149,8 +150,8 @@
 
     /// Applies a worker's heartbeat and returns the response to it.
     ///
-    /// `lease_valid`: whether our copy of the block leases is recent enough to act on. If it is not, the heartbeat still
-    /// shows what has ended, and which machines are alive.
+    /// `lease_valid`: whether this controller's copy of the block leases is recent enough to act on. If it is not, the
+    /// heartbeat still shows which tasks have ended and which machines are alive.
     pub fn handle_heartbeat(
         &mut self,
         now: Now,
@@ -167,7 +168,7 @@
             return HeartbeatResponse::Unavailable;
         }
         let Some(machine) = cache.machines.get(&heartbeat.machine) else {
-            // Not in any inventory yet: the leader adds it to one.
+            // The machine is not in any inventory yet; the leader adds it to one.
             let leader = cache.leader.as_ref().map(|leader| &leader.value.controller);
             let other = leader.filter(|leader| **leader != config.name);
             return HeartbeatResponse::Redirect(other.cloned());
@@ -180,8 +181,8 @@
             return HeartbeatResponse::Redirect(other.cloned());
         };
         if heartbeat.token > block.token {
-            // The block was leased to another controller after us. The worker would drop a 200 from us, and its lease
-            // expire.
+            // The block has since been leased to another controller. The worker would ignore a 200 response with this
+            // lower token, and its lease would expire.
             return HeartbeatResponse::Redirect(None);
         }
         let id = heartbeat.machine.clone();
@@ -195,7 +196,8 @@
         HeartbeatResponse::Commands(block.prepare_commands(now, &id, cache, channel))
     }
 
-    /// Applies a heartbeat that can't be answered, as far as no newer token shows that the block is another's.
+    /// Applies a heartbeat without responding to it, unless a newer token in it shows that another controller holds the
+    /// block.
     fn observe_heartbeat(&mut self, now: Now, heartbeat: Heartbeat, cache: &WatchCache) {
         let block = cache
             .machines
@@ -206,7 +208,8 @@
         }
     }
 
-    /// Applies the outcome of a direct command. It must be called once for each that was returned.
+    /// Applies the outcome of a direct command. It must be called once for each command returned by
+    /// [`Self::prepare_direct_commands`].
     pub fn apply_command_outcome(
         &mut self,
         now: Now,
@@ -222,7 +225,8 @@
         }
     }
 
-    /// Applies what the leader wants of a block. Returns false if our lease of the block is not the one that it means.
+    /// Applies the leader's assignments for a block. Returns false if they were made for another version of the block
+    /// lease.
     pub fn apply_assignments(&mut self, update: AssignmentUpdate) -> bool {
         let block = self.blocks.get_mut(&update.block);
         let Some(block) = block.filter(|block| block.lease_version == update.lease_version) else {
@@ -232,9 +236,10 @@
         true
     }
 
-    /// Prepares the next write: of the block that has waited longest. To be called when it can be sent at once,
-    /// so that it holds all that has come up until then. Ends alone are left to gather while writes are scarce, so that
-    /// placements find some.
+    /// Prepares the next transaction, of the block whose last write is oldest. Call it only when the transaction can be
+    /// sent at once, so that it contains all changes up to that moment. While there are no spare writes, a block that
+    /// only has ended attempts to record is skipped for a while, so that these are batched and writes remain for
+    /// placements.
     pub fn next_transaction(
         &mut self,
         now: Now,
@@ -267,7 +272,7 @@
         None
     }
 
-    /// Applies the outcome of a write. `lease_version`: the version of the block lease when it was prepared.
+    /// Applies the outcome of a transaction. `lease_version`: the version of the block lease when it was prepared.
     pub fn apply_write_outcome(
         &mut self,
         now: Now,
@@ -280,17 +285,17 @@
         }
     }
 
-    /// The version of our lease of the block, or 0 if it is not leased to us.
+    /// Returns the version of the block's lease, or 0 if the block is not leased to this controller.
     pub fn lease_version(&self, block: &BlockId) -> u64 {
         self.blocks
             .get(block)
             .map_or(0, |block| block.lease_version)
     }
 
-    /// Commands that should not wait for the next heartbeat.
+    /// Prepares the commands that should not wait for the next heartbeat, up to the limit on sockets in use.
     ///
-    /// `lease_valid`: whether our block leases are known to last. If not, only tasks of cancelled jobs are ended: a
-    /// cancellation is final, whoever may hold the block by now.
+    /// `lease_valid`: whether the block leases are known to be still valid. If not, the commands only stop tasks of
+    /// jobs that are cancelled or have ended: that is final, whichever controller holds the block by now.
     pub fn prepare_direct_commands(
         &mut self,
         now: Now,
@@ -306,8 +311,8 @@
                 && let Some(machine) = block.workers_to_command.pop_first()
             {
                 self.items_examined += 1;
-                // Those that did not answer last time may hold their sockets for long: they leave half to the others, and
-                // come back with the next review.
+                // A command to a worker that did not respond last time may hold its socket for long. Such commands may
+                // use only half of the sockets; the next review requests those that were skipped again.
                 let half_in_use = self.commands_in_flight >= max_in_flight / 2;
                 let answers = block
                     .workers
@@ -327,38 +332,40 @@
         commands
     }
 
-    /// Whether an attempt of ours is proven gone, by its worker or by the end of its machine.
+    /// Whether an attempt in a block of this controller is proven to have ended, by its worker's report or by the
+    /// deletion of its machine.
     pub fn is_proven_ended(&self, block: &BlockId, machine: &MachineId, attempt: &Attempt) -> bool {
         self.blocks
             .get(block)
             .is_some_and(|block| block.is_proven_ended(machine, attempt))
     }
 
-    /// Leaves out a time in which this process was paused: what it did not hear meanwhile is no silence of its workers.
+    /// Excludes a pause of this process from all heartbeat ages: workers do not count as unresponsive for that time.
     pub fn process_paused(&mut self, pause: Duration) {
         for block in self.blocks.values_mut() {
             block.process_paused(pause);
         }
     }
 
-    /// Some of the machines of others' blocks whose workers have reported here recently.
+    /// Returns some of the machines in blocks of other controllers whose workers have reported here recently.
     pub fn recent_misrouted_machines(&mut self, now: Now, config: &Config) -> Vec<MachineId> {
         self.misrouted.recent(now, config)
     }
 
-    /// When the jobs were accepted whose tasks have been seen to start since the last call, in ms of Unix time.
+    /// Returns, for each task that was observed to start since the last call, when its job was accepted, in ms of Unix
+    /// time.
     pub fn take_accept_times_of_started_tasks(&mut self) -> impl Iterator<Item = u64> {
         self.blocks
             .values_mut()
             .flat_map(Block::take_accept_times_of_started_tasks)
     }
 
-    /// Machines and tasks gone through so far.
+    /// Returns the number of machines and tasks examined so far.
     pub fn items_examined(&self) -> u64 {
         self.items_examined
     }
 
-    /// The next status message of each block for the leader.
+    /// Prepares the next status message of each block for the leader.
     pub fn prepare_block_statuses(&mut self, now: Now, policy: &Policy) -> Vec<BlockStatus> {
         let to_report = self
             .blocks
@@ -371,7 +378,7 @@
             .collect()
     }
 
-    /// Reviews what follows from the clock alone, at most once in `REVIEW_INTERVAL`.
+    /// Reviews time-based conditions, at most once per `REVIEW_INTERVAL`.
     pub fn tick(&mut self, now: Now, config: &Config, policy: &Policy) {
         if self
             .last_review
@@ -386,7 +393,7 @@
     }
 }
 
-/// The age of a worker's last heartbeat from which on the next one is overdue.
+/// Returns the age of a worker's last heartbeat after which the next one is overdue.
 fn overdue_after(config: &Config) -> Duration {
     config.heartbeat_interval.mul_f64(OVERDUE_AFTER_INTERVALS)
 }
--- a/src/workers/parts/mod.rs
+++ b/src/workers/parts/mod.rs
@@ -1,12 +1,12 @@
-//! The values that a block's placements are kept in, and changes to them that fit one transaction.
+//! The parts (values of the state service) that a block's placements are stored in, and transactions on them.
 //!
-//! Owns the choice of the part that an attempt is recorded in, and the limits on the size of a part and on the parts that
-//! one transaction changes. The block prepares each of its transactions with a [`PartsTransaction`] and takes over the parts
-//! that this leaves once it is committed.
+//! Chooses the part in which an attempt is recorded, and enforces the limits on the size of a part and on the parts
+//! that one transaction changes. The block prepares each of its transactions with a [`PartsTransaction`] and replaces
+//! its parts by the resulting ones once it is committed.
 //!
-//! Invariants: an attempt is recorded in one part only, whichever has space, so that placements of one time are one change;
-//! no part is made larger than its limit. A value that is too large for the limits in force can't be written again: what it
-//! holds is copied to other parts, and it is deleted once they hold everything (`split`).
+//! Invariants: an attempt is recorded in one part only, any with space, so that placements made at the same time are a
+//! single change; no part is made larger than its limit. A value that is too large for the limits in force can't be
+//! written again: its entries are copied to other parts, and it is deleted once they contain all of them (`split`).
 
 mod split;
 
@@ -21,29 +21,30 @@
 };
 use crate::store::{Transaction, Versioned, WatchCache};
 
-/// Finished tasks that are recorded elsewhere are removed when their part is written anyway, or when it is this full, as a
-/// part of its limit: until then they do no harm, and each part costs a change.
+/// Finished tasks that are recorded elsewhere are removed when their part is written anyway, or when it has reached this
+/// fraction of its size limit. Until then they do no harm, and pruning a part costs one change.
 const PRUNE_FILL_RATIO: f64 = 0.6;
-/// A large value is split by copying a part of it and, in the end, deleting it.
+/// A transaction that splits an oversized value needs one change to copy entries to a new part and, in the end, one to
+/// delete the value.
 const MIN_CHANGES_PER_TRANSACTION: usize = 2;
-/// How many other ends it is worth to record one on a machine that another task is to be placed on.
+/// The weight of an ended attempt that blocks the placement of another task on its machine; other ended attempts weigh 1.
 const BLOCKING_END_WEIGHT: usize = 4;
-/// Added to the computed growth of a part, for what the computation leaves out.
+/// Added to the computed growth of a part, for overhead that the computation does not include.
 const SIZE_MARGIN_BYTES: usize = 64;
 
-/// What one value and one transaction may hold.
+/// The limits on one value and on one transaction.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct PartLimits {
-    /// The most bytes of one value.
+    /// The maximum size of one value, in bytes.
     pub(super) max_value_bytes: usize,
-    /// The most parts that one transaction changes.
+    /// The maximum number of parts that one transaction changes.
     pub(super) max_changes: usize,
-    /// Whether there may be other parts than the first.
+    /// Whether the placements may be stored in more than the first part.
     pub(super) multiple_parts: bool,
 }
 
 impl PartLimits {
-    /// `max_changes`: the changes that a transaction should not exceed, by the rate at which we may write.
+    /// `max_changes`: the maximum number of changes that the write rate allows for a transaction.
     pub(super) fn new(limits: &StateLimits, max_changes: usize, multiple_parts: bool) -> Self {
         let changes = max_changes.clamp(MIN_CHANGES_PER_TRANSACTION, limits.txn_ops);
         PartLimits {
@@ -59,39 +60,39 @@
 pub(super) struct EndedPlacement<'a> {
     pub(super) machine: &'a MachineId,
     pub(super) attempt: Attempt,
-    /// Its task is to be recorded as finished.
+    /// Whether its task has to be recorded as finished.
     pub(super) done: bool,
-    /// Another task is to be placed on its machine.
+    /// Whether another task has to be placed on its machine.
     pub(super) blocks_placement: bool,
 }
 
-/// The ends to be recorded in one part, and how much it is worth to do so.
+/// The ended attempts of one part, with the sum of their weights.
 #[derive(Debug, Default)]
 struct WeightedEnds<'a> {
     weight: usize,
     ends: Vec<EndedPlacement<'a>>,
 }
 
-/// All parts together.
+/// Merges all parts.
 pub(super) fn merged(parts: &Parts<BlockPlacements>) -> BlockPlacements {
     let mut merged = BlockPlacements::default();
     parts.values().for_each(|part| merged.merge(&part.value));
     merged
 }
 
-/// A transaction on a block's parts, while it is prepared and until its outcome is known.
+/// A transaction on a block's parts, from its preparation until its outcome is known.
 #[derive(Debug, Clone)]
 pub(super) struct PartsTransaction {
     limits: PartLimits,
-    /// The parts as it is to leave them.
+    /// The parts as the transaction leaves them.
     parts: Parts<BlockPlacements>,
-    /// The parts that it writes or deletes.
+    /// The parts that the transaction writes or deletes.
     changed: BTreeSet<Part>,
 }
 
 impl PartsTransaction {
-    /// A transaction without changes but for the parts in `undecided`, which are those of a transaction of unknown outcome.
-    /// Writing them once more decides that one: either of the two fails.
+    /// Creates a transaction that only writes the parts in `undecided`, which a transaction of unknown outcome changes.
+    /// Writing them again decides the outcome: one of the two transactions fails.
     pub(super) fn new(
         parts: &Parts<BlockPlacements>,
         limits: PartLimits,
@@ -108,22 +109,22 @@
         transaction
     }
 
-    /// Whether it changes anything.
+    /// Whether the transaction changes any part.
     pub(super) fn has_changes(&self) -> bool {
         !self.changed.is_empty()
     }
 
-    /// The parts that it writes or deletes.
+    /// Returns the parts that the transaction writes or deletes.
     pub(super) fn changed(&self) -> &BTreeSet<Part> {
         &self.changed
     }
 
-    /// The placements as it is to leave them.
+    /// Returns the placements as the transaction leaves them.
     pub(super) fn merged(&self) -> BlockPlacements {
         merged(&self.parts)
     }
 
-    /// The most parts that it may change.
+    /// Returns the maximum number of parts that the transaction may change.
     pub(super) fn max_changes(&self) -> usize {
         self.limits.max_changes
     }
@@ -132,7 +133,7 @@
         self.changed.contains(&part) || self.changed.len() < self.limits.max_changes
     }
 
-    /// Removes attempts that have ended, as many as the transaction can: those of the parts with the most of them.
+    /// Removes ended attempts within the limit on changed parts, beginning with the parts of the greatest weight.
     pub(super) fn remove_ended(&mut self, ended: Vec<EndedPlacement<'_>>) {
         let mut by_part: BTreeMap<Part, WeightedEnds<'_>> = BTreeMap::new();
         for end in ended {
@@ -157,8 +158,8 @@
         }
     }
 
-    /// Removes an attempt that has ended, and records its task as finished if it is `done`. Returns false if there is no such
-    /// attempt, or no more parts can be changed.
+    /// Removes an ended attempt, and records its task as finished if `done` is set. Returns false if the attempt is not
+    /// recorded, or if no more parts can be changed.
     fn remove(&mut self, machine: &MachineId, attempt: Attempt, done: bool) -> bool {
         let holding: Vec<Part> = self
             .parts
@@ -211,8 +212,8 @@
         }
     }
 
-    /// Records an attempt in a part with space: one that is changed anyway, else the emptiest, else a new one. Returns false if
-    /// this transaction has no space for it.
+    /// Records an attempt in a part with space: preferably one that is changed anyway, otherwise the smallest,
+    /// otherwise a new one. Returns false if this transaction has no space for it.
     pub(super) fn add(&mut self, machine: &MachineId, attempt: Attempt) -> bool {
         let Some(index) = self.choose_part(machine, attempt) else {
             return false;
@@ -223,14 +224,14 @@
         true
     }
 
-    /// The first number that no part has, nor any part after it.
+    /// Returns the number after that of the last part.
     fn next_part(&self) -> Part {
         self.parts
             .last_key_value()
             .map_or(FIRST_PART, |(last, _)| last + 1)
     }
 
-    /// The part to record an attempt in, if there is one with space that the transaction may change.
+    /// Returns the part in which to record an attempt, if there is one with space that the transaction may change.
     fn choose_part(&self, machine: &MachineId, attempt: Attempt) -> Option<Part> {
         let changeable = self
             .parts
@@ -250,7 +251,8 @@
         })
     }
 
-    /// Adds its conditions and changes to a transaction of the state service. `old`: the parts that it was made from.
+    /// Adds the conditions and changes to a transaction of the state service. `old`: the parts from which this one was
+    /// made.
     pub(super) fn add_to(
         &self,
         block: &BlockId,
@@ -268,7 +270,7 @@
         txn
     }
 
-    /// The parts once it is committed with this revision.
+    /// Returns the parts after the transaction was committed with this revision.
     pub(super) fn into_committed(mut self, revision: u64) -> Parts<BlockPlacements> {
         for index in &self.changed {
             if let Some(part) = self.parts.get_mut(index) {
@@ -293,7 +295,7 @@
         .is_some_and(|list| list.contains(&AttemptEncoding(attempt)))
 }
 
-/// By how much a part may grow with one more attempt, until that has ended.
+/// Returns by how many bytes one more attempt may enlarge a part, including the record of its finished task.
 fn worst_case_growth(placements: &BlockPlacements, machine: &MachineId, attempt: Attempt) -> usize {
     let entry = if placements.on.contains_key(machine) {
         0
--- a/src/workers/parts/split.rs
+++ b/src/workers/parts/split.rs
@@ -1,4 +1,4 @@
-//! The division of a value that is too large for the limits in force into others, step by step.
+//! Splits a value that is too large for the limits in force into several parts, over several transactions if necessary.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -7,11 +7,12 @@
 use crate::store::cache::Parts;
 use crate::store::records::{BlockPlacements, Part, Ranges, done_entry_size};
 
-/// How full a part is made when a large value is split, as a part of its limit. The rest is for tasks that end there.
+/// The fraction of the size limit to which parts are filled when a value is split. The rest is for records of tasks that
+/// finish there.
 const SPLIT_FILL_RATIO: f64 = 0.7;
 
 impl PartsTransaction {
-    /// A transaction that only copies a value which is too large to others, if there is one.
+    /// Creates a transaction that only splits an oversized value into other parts, if there is one.
     pub(in crate::workers) fn split_oversized(
         parts: &Parts<BlockPlacements>,
         limits: PartLimits,
@@ -26,8 +27,8 @@
         Some(transaction)
     }
 
-    /// Copies what no other part holds to new ones, as much as one transaction can, and deletes the large part if that was
-    /// all.
+    /// Copies entries of the oversized part that no other part contains to new parts, within the limits of the
+    /// transaction. Deletes the oversized part once all its entries are copied.
     fn split(&mut self, oversized: Part) {
         let mut not_copied = self
             .parts
@@ -37,7 +38,7 @@
         for (_, part) in self.parts.iter().filter(|(index, _)| **index != oversized) {
             subtract(&mut not_copied, &part.value);
         }
-        // One change is left for the deletion.
+        // One change is reserved for the deletion.
         let max_copies = self.limits.max_changes.saturating_sub(1).max(1);
         let max_bytes = (self.limits.max_value_bytes as f64 * SPLIT_FILL_RATIO) as usize;
         while !not_copied.is_empty()
@@ -62,7 +63,7 @@
     }
 }
 
-/// Removes what the other part holds too.
+/// Removes the entries that the other part contains as well.
 fn subtract(placements: &mut BlockPlacements, other: &BlockPlacements) {
     for (machine, list) in &other.on {
         for placed in list {
@@ -80,7 +81,7 @@
     });
 }
 
-/// Takes out attempts, then finished tasks, that together make a part of this size, but at least one entry.
+/// Removes and returns attempts, then finished tasks, up to this total size, but at least one entry.
 fn take_entries(placements: &mut BlockPlacements, max_bytes: usize) -> BlockPlacements {
     let mut taken = BlockPlacements::default();
     while let Some((machine, list)) = placements.on.pop_first() {
@@ -100,7 +101,7 @@
     taken
 }
 
-/// Takes out finished tasks, as many as fit a part of this size, but at least one range of them if `taken` is empty.
+/// Moves finished tasks to `taken` up to this total size, but at least one range of them if `taken` is empty.
 fn take_finished_tasks(
     placements: &mut BlockPlacements,
     taken: &mut BlockPlacements,
--- a/src/workers/wire.rs
+++ b/src/workers/wire.rs
@@ -1,8 +1,8 @@
 //! The messages between workers and controllers, in their format on the wire.
 //!
 //! Defines the names of all fields and values on the wire; the rest of the program uses the names of the types here.
-//! Messages are CBOR maps. Unknown fields are skipped, and unknown states and causes are read as `Other`, so that messages
-//! of workers with a later version can be read.
+//! Messages are CBOR maps. Unknown fields are skipped, and unknown states and causes are read as `Other`, so that
+//! messages of workers with a later version can be read.
 
 use serde::{Deserialize, Serialize};
 
--- a/src/workers/worker/launches.rs
+++ b/src/workers/worker/launches.rs
@@ -40,9 +40,9 @@
     /// Attempts with at least one launch without a response. It may still be executed minutes later, as long as token and
     /// agent epoch stay the same. Only the worker's entry for the attempt prevents a second start.
     unacknowledged: HashSet<Attempt>,
-    /// All attempts for which a launch was sent. A duplicate of a launch may arrive after its response, so the worker has
-    /// to keep its entry for an attempt until the token changes, unless the attempt ended as done: a finished task that is
-    /// started again ends at once, any other would run a second time.
+    /// All attempts for which a launch was sent. A duplicate of a launch may arrive after its response, so the worker
+    /// has to keep its entry for an attempt until the token changes, unless the attempt ended as done: a finished task
+    /// that is started again ends at once, any other would run a second time.
     sent: HashSet<Attempt>,
 }
 
@@ -133,13 +133,14 @@
             || matches!(self.states.get(attempt), Some(LaunchState::InFlight))
     }
 
-    /// Whether a launch of the attempt, or a duplicate of one, could start it again if the worker removed its entry for it.
+    /// Whether a launch of the attempt, or a duplicate of one, could start it again if the worker removed its entry for
+    /// it.
     pub(in crate::workers) fn was_sent(&self, attempt: &Attempt) -> bool {
         self.sent.contains(attempt)
     }
 
-    /// Whether a launch of any attempt of the task, or a duplicate of one, may still arrive. A new attempt would replace the
-    /// worker's entry for the earlier one, which could then start in parallel with the new one.
+    /// Whether a launch of any attempt of the task, or a duplicate of one, may still arrive. A new attempt would
+    /// replace the worker's entry for the earlier one, which could then start in parallel with the new one.
     pub(in crate::workers) fn was_sent_for_task(&self, task: TaskId) -> bool {
         self.sent.iter().any(|attempt| attempt.task == task)
     }
--- a/src/workers/worker/liveness.rs
+++ b/src/workers/worker/liveness.rs
@@ -23,13 +23,13 @@
 /// controller reaches the worker.
 #[derive(Debug)]
 pub(in crate::workers) struct Liveness {
-    /// When the last heartbeat arrived. If none has arrived yet, when the block lease was acquired or the machine was added
-    /// to the block.
+    /// When the last heartbeat arrived. If none has arrived yet, when the block lease was acquired or the machine was
+    /// added to the block.
     last_heartbeat: Instant,
     /// Whether the worker has ever reported its state, in a heartbeat or in the response to a command.
     has_reported: bool,
-    /// Since when commands have gone unanswered. Heartbeats may still arrive, but if the responses do not reach the worker,
-    /// its lease expires regardless of them, and a task launched there never starts.
+    /// Since when commands have gone unanswered. Heartbeats may still arrive, but if the responses do not reach the
+    /// worker, its lease expires regardless of them, and a task launched there never starts.
     unanswered_since: Option<Instant>,
     /// The last probe since the last heartbeat.
     probe: Option<Probe>,
@@ -122,8 +122,8 @@
         suspected && !probed_recently
     }
 
-    /// Whether the worker counts as unresponsive: no heartbeat arrived within the policy's timeout, which is shorter after
-    /// a failed probe, or commands have gone unanswered for the policy's `worker_timeout`.
+    /// Whether the worker counts as unresponsive: no heartbeat arrived within the policy's timeout, which is shorter
+    /// after a failed probe, or commands have gone unanswered for the policy's `worker_timeout`.
     ///
     /// `addr_known`: whether the worker's address is known, so that it can be probed.
     pub(in crate::workers) fn is_unresponsive(
--- a/src/workers/worker/mod.rs
+++ b/src/workers/worker/mod.rs
@@ -1,11 +1,11 @@
 //! The state of a machine's worker, as the holder of its block knows it.
 //!
-//! Holds a worker's last report, its [`Liveness`], the [`Launches`] sent to it and the [`TaskFailures`] of its machine. The
-//! block updates it as heartbeats and responses arrive, and reads it to prepare commands, placements and the status for the
-//! leader. Nothing here is stored: a new holder rebuilds it from heartbeats.
+//! Holds a worker's last report, its [`Liveness`], the [`Launches`] sent to it and the [`TaskFailures`] of its machine.
+//! The block updates it as heartbeats and responses arrive, and reads it to prepare commands, placements and the status
+//! for the leader. Nothing here is stored: a new holder rebuilds it from heartbeats.
 //!
-//! Invariants: agent epoch and sequence number of the last report only increase; `launches` holds nothing that was sent under
-//! an earlier token of the block or an earlier agent epoch.
+//! Invariants: agent epoch and sequence number of the last report only increase; `launches` holds nothing that was sent
+//! under an earlier token of the block or an earlier agent epoch.
 
 mod failures;
 mod launches;
@@ -26,8 +26,8 @@
 #[cfg(test)]
 pub(super) use liveness::PROBE_INTERVAL;
 
-/// The number of ended tasks that a worker may keep, to reject duplicates of their launches, before the block requests a new
-/// token so that they can be reaped.
+/// The number of ended tasks that a worker may keep, to reject duplicates of their launches, before the block requests
+/// a new token so that they can be reaped.
 const MAX_REMEMBERED_TASKS: usize = 40;
 
 /// An attempt in the worker's last report.
@@ -123,8 +123,8 @@
         self.addr = Some(heartbeat.addr.clone());
     }
 
-    /// Applies the token in a report. Requests a command if the worker still has to be sent the block's token, or has just
-    /// confirmed it, so that tasks can be launched.
+    /// Applies the token in a report. Requests a command if the worker still has to be sent the block's token, or has
+    /// just confirmed it, so that tasks can be launched.
     pub(super) fn apply_token(&mut self, shown: FencingToken, block_token: FencingToken) {
         let newly_shown = shown >= block_token && self.token < block_token;
         self.token = shown;
@@ -175,8 +175,8 @@
             .is_unresponsive(now, policy, self.addr.is_some())
     }
 
-    /// Whether the worker may remove its entry for an attempt that has ended: no launch of it, nor a duplicate of one, could
-    /// run it a second time.
+    /// Whether the worker may remove its entry for an attempt that has ended: no launch of it, nor a duplicate of one,
+    /// could run it a second time.
     pub(super) fn may_forget(&self, attempt: &Attempt, cause: Option<ExitCause>) -> bool {
         let restart_is_harmless =
             cause == Some(ExitCause::Done) || !self.launches.was_sent(attempt);
