--- a/src/workers/parts/tests.rs
+++ b/src/workers/parts/tests.rs
@@ -1,4 +1,4 @@
-//! A block's values under limits on their size and on the changes of a transaction.
+//! Tests of a block's parts under limits on the size of a value and on the changes of a transaction.
 
 use rand::rngs::SmallRng;
 use rand::seq::IndexedRandom;
@@ -29,7 +29,7 @@
     format!("m-{n:06}").as_str().into()
 }
 
-/// What the state service holds after the transaction; checks what it must keep to.
+/// Returns the parts after the transaction. Checks that it keeps to the limits.
 fn commit(
     old: &Parts<BlockPlacements>,
     transaction: PartsTransaction,
@@ -38,13 +38,16 @@
     let txn = transaction.add_to(&"a.0".into(), old, Transaction::default());
     assert!(
         txn.changes.len() <= LIMITS.max_changes,
-        "{} changes",
+        "a transaction has {} changes",
         txn.changes.len()
     );
     for change in &txn.changes {
         if let TransactionChange::Put { key, value, .. } = change {
             let size = json_size(value);
-            assert!(size <= LIMITS.max_value_bytes, "{key} is {size} bytes");
+            assert!(
+                size <= LIMITS.max_value_bytes,
+                "the value of {key} has {size} bytes"
+            );
         }
     }
     transaction.into_committed(revision)
@@ -59,7 +62,7 @@
 }
 
 #[test]
-fn no_value_and_no_transaction_exceeds_its_limit_whatever_starts_and_ends() {
+fn values_and_transactions_stay_within_limits_for_random_starts_and_ends() {
     for seed in 0..3 {
         let mut rng = SmallRng::seed_from_u64(seed);
         let mut parts: Parts<BlockPlacements> = Parts::new();
@@ -106,7 +109,7 @@
 }
 
 #[test]
-fn a_value_that_is_too_large_is_divided_step_by_step_and_loses_nothing() {
+fn an_oversized_value_is_split_over_several_transactions_without_loss() {
     let mut large = BlockPlacements::default();
     for n in 0..500 {
         large.add(&machine(n % 150), attempt(n, 0));
@@ -124,13 +127,13 @@
         steps += 1;
         assert!(transaction.has_changes() && steps < 20, "step {steps}");
         parts = commit(&parts, transaction, steps + 1);
-        // In between, too, nothing is missing.
+        // No entry is missing after any of the transactions.
         assert_same(&merged(&parts), &large);
     }
-    assert!(steps > 1, "more than one transaction holds");
+    assert!(steps > 1, "the split must need more than one transaction");
     assert!(
         !parts.contains_key(&FIRST_PART),
-        "deleted, for it can't be written"
+        "the oversized part must be deleted, because it can't be written"
     );
 }
 
@@ -148,7 +151,7 @@
 }
 
 #[test]
-fn production_keeps_to_a_single_value() {
+fn placements_stay_in_a_single_part_where_production_allows_no_others() {
     let limits = PartLimits {
         max_changes: 1,
         multiple_parts: false,
@@ -163,18 +166,18 @@
     let mut transaction = PartsTransaction::new(&parts, limits, &BTreeSet::new());
     assert!(
         !transaction.add(&machine(1), attempt(900, 0)),
-        "no room and no other part"
+        "the only part has no space, and no other one is allowed"
     );
     assert!(
         transaction.remove(&machine(0), attempt(0, 0), true),
-        "what ends makes room"
+        "the removal of an ended attempt must be possible in a full part"
     );
     assert_eq!(transaction.changed().len(), 1);
 }
 
-/// Without it a late copy of the first transaction would be carried out after the second one.
+/// Otherwise a late duplicate of the first transaction could be executed after the second one.
 #[test]
-fn a_transaction_of_unknown_outcome_excludes_the_next_one_and_the_other_way_round() {
+fn at_most_one_of_a_transaction_of_unknown_outcome_and_the_next_one_is_executed() {
     let parts: Parts<BlockPlacements> = (0..3)
         .map(|index| {
             let mut placements = BlockPlacements::default();
--- a/src/workers/tests/commands.rs
+++ b/src/workers/tests/commands.rs
@@ -1,14 +1,19 @@
-//! What workers are told, and what is not said before it is safe.
+//! Tests of the commands to workers, and of the conditions under which they are withheld.
 
 use super::*;
 
-/// In an outage no block lease is known to last, while machines go on with tasks of jobs that were cancelled before it.
+/// During an outage no block lease is known to be valid, while machines keep running tasks of jobs that were cancelled
+/// before it.
 #[test]
-fn a_cancelled_task_is_stopped_without_a_valid_lease_and_nothing_else_is_done() {
+fn without_a_valid_lease_only_tasks_of_cancelled_jobs_are_stopped() {
     let mut holder = Holder::new(job(1, 1.0));
     holder.assign_task(9, "m-1", 1);
     holder.commit_due_writes();
-    assert_eq!(holder.commands_without_lease(), [], "no launch");
+    assert_eq!(
+        holder.commands_without_lease(),
+        [],
+        "nothing may be launched without a valid lease"
+    );
     holder.tick();
     let command = holder.direct_commands().remove(0);
     let running = [(9, TaskState::Running, None)];
@@ -17,7 +22,7 @@
     holder.now.monotonic += REVIEW_INTERVAL;
     holder.tick();
     assert_eq!(holder.commands_without_lease(), []);
-    // What the leader wants stopped to make room, which another leader may see otherwise by now.
+    // The leader wants the attempt stopped to free resources; another leader may have decided otherwise since.
     let attempt = first_attempt(9);
     let version = holder.fleet.lease_version(&"a.0".into());
     assert!(holder.fleet.apply_assignments(AssignmentUpdate {
@@ -32,7 +37,7 @@
         grace_s: 0.0,
     };
     assert_eq!(holder.commands_without_lease(), [stop]);
-    // The heartbeat is not answered, but what it says counts.
+    // The heartbeat gets no response with commands, but its report is applied.
     let heartbeat = holder.build_heartbeat(
         "m-1",
         FencingToken(4),
@@ -52,13 +57,13 @@
         !holder
             .fleet
             .is_proven_ended(&"a.1".into(), &"m-1".into(), &attempt),
-        "not ours to say"
+        "an end in a block of another holder must not be claimed as proven"
     );
 }
 
-/// Its launch was under way when the job was cancelled.
+/// The launch was in flight when the job was cancelled.
 #[test]
-fn a_task_that_appears_after_its_cancellation_is_stopped_at_once() {
+fn a_task_reported_after_its_job_was_cancelled_is_stopped_at_once() {
     let mut holder = Holder::new(job(1, 1.0));
     holder.assign_task(9, "m-1", 1);
     holder.commit_due_writes();
@@ -77,7 +82,7 @@
     );
 }
 
-fn launches(commands: &[DirectCommand]) -> usize {
+fn count_launches(commands: &[DirectCommand]) -> usize {
     let commands = commands.iter().flat_map(|command| &command.body.commands);
     commands
         .filter(|command| matches!(command, WorkerCommand::Launch { .. }))
@@ -85,12 +90,16 @@
 }
 
 #[test]
-fn nothing_is_launched_before_it_is_recorded_nor_before_the_worker_has_shown_the_token() {
+fn launches_wait_until_the_attempt_is_recorded_and_the_worker_has_confirmed_the_token() {
     let mut holder = Holder::new(job(1, 1.0));
     holder.assign_task(9, "m-1", 1);
-    assert_eq!(launches(&holder.direct_commands()), 0, "not recorded yet");
+    assert_eq!(
+        count_launches(&holder.direct_commands()),
+        0,
+        "an attempt must not be launched before it is recorded"
+    );
     assert_eq!(holder.commit_due_writes(), [("m-1".to_owned(), 9)]);
-    assert_eq!(launches(&holder.direct_commands()), 1);
+    assert_eq!(count_launches(&holder.direct_commands()), 1);
 
     let mut holder = Holder::new(job(1, 1.0));
     holder.assign_task(9, "m-1", 1);
@@ -101,21 +110,21 @@
         token_commands
             .iter()
             .all(|command| command.body.token == FencingToken(6))
-            && launches(&token_commands) == 0
+            && count_launches(&token_commands) == 0
     );
     let report = holder.build_heartbeat("m-1", FencingToken(6), &[]);
     let command = token_commands
         .iter()
         .find(|command| &*command.machine.0 == "m-1")
-        .expect("raised")
+        .expect("a command with the new token must be sent to m-1")
         .clone();
     holder.apply_command_outcome(&command, CommandOutcome::Executed(report));
-    assert_eq!(launches(&holder.direct_commands()), 1);
+    assert_eq!(count_launches(&holder.direct_commands()), 1);
 }
 
-/// Found by a seeded run with zone cuts: see `Launches::unacknowledged`.
+/// Found by a seeded simulation with partitioned zones; see `Launches::unacknowledged`.
 #[test]
-fn an_unanswered_launch_holds_back_reaping_and_the_next_attempt_until_a_new_token() {
+fn an_unanswered_launch_blocks_reaping_and_the_next_attempt_until_a_new_token() {
     let mut holder = Holder::new(job(1, 1.0));
     holder.assign_task(9, "m-1", 1);
     holder.commit_due_writes();
@@ -125,14 +134,14 @@
     holder.send_heartbeat("m-1", FencingToken(4), &failed);
     assert_eq!(holder.commit_due_writes(), []);
     assert!(
-        !reaped(holder.send_heartbeat("m-1", FencingToken(4), &failed)),
-        "the lost launch could start it again"
+        !has_reap_command(holder.send_heartbeat("m-1", FencingToken(4), &failed)),
+        "the unanswered launch could start the attempt again"
     );
     holder.assign_task(10, "m-1", 2);
     assert_eq!(
         holder.commit_due_writes(),
         [("m-2".to_owned(), 10)],
-        "away from the machine it was meant for"
+        "the next attempt must not be placed on the machine of the unanswered launch"
     );
     holder.tick();
     holder.now.monotonic += TOKEN_RENEWAL_DELAY + Duration::from_secs(1);
@@ -140,17 +149,17 @@
     let policy = Policy::built_in(&holder.config);
     assert!(holder.fleet.prepare_block_statuses(holder.now, &policy)[0].token_renewal_required);
     holder.grant_lease(FencingToken(6));
-    assert!(reaped(holder.send_heartbeat(
+    assert!(has_reap_command(holder.send_heartbeat(
         "m-1",
         FencingToken(6),
         &failed
     )));
 }
 
-/// A launch was answered and its task stopped; then a copy of the launch comes. A worker that has been told to forget
-/// the attempt would start it again beside the next one.
+/// A launch is answered and its task stopped; then a duplicate of the launch arrives. A worker that has reaped the
+/// attempt would start it again in parallel with the next one.
 #[test]
-fn an_attempt_that_could_be_launched_by_a_copy_is_remembered_until_a_new_token() {
+fn an_attempt_that_a_duplicate_launch_could_start_is_not_reaped_until_a_new_token() {
     let mut holder = Holder::new(job(1, 1.0));
     holder.assign_task(9, "m-1", 1);
     holder.commit_due_writes();
@@ -160,7 +169,7 @@
     let stopped = [(9, TaskState::Exited, Some(ExitCause::Stopped))];
     holder.send_heartbeat("m-1", FencingToken(4), &stopped);
     assert_eq!(holder.commit_due_writes(), []);
-    assert!(!reaped(holder.send_heartbeat(
+    assert!(!has_reap_command(holder.send_heartbeat(
         "m-1",
         FencingToken(4),
         &stopped
@@ -169,7 +178,7 @@
     assert_eq!(
         holder.commit_due_writes(),
         [("m-2".to_owned(), 10)],
-        "the worker keeps one attempt of a task in mind"
+        "a worker lists one attempt of a task, and still needs the entry for the earlier one"
     );
     holder.tick();
     holder.now.monotonic += TOKEN_RENEWAL_DELAY * 2;
@@ -177,33 +186,37 @@
     let policy = Policy::built_in(&holder.config);
     assert!(
         !holder.fleet.prepare_block_statuses(holder.now, &policy)[0].token_renewal_required,
-        "nothing waits for it"
+        "no token renewal is needed while no placement waits for it"
     );
     holder.grant_lease(FencingToken(6));
-    assert!(reaped(holder.send_heartbeat(
+    assert!(has_reap_command(holder.send_heartbeat(
         "m-1",
         FencingToken(6),
         &stopped
     )));
-    // What is done ends again at once, so it may be forgotten.
+    // A finished task that is started again ends at once, so its entry may be reaped.
     let command = holder
         .direct_commands()
         .into_iter()
         .find(|command| &*command.machine.0 == "m-2")
-        .expect("raised");
+        .expect("a command with the new token must be sent to m-2");
     let running = holder.build_heartbeat("m-2", FencingToken(6), &[(10, TaskState::Running, None)]);
     holder.apply_command_outcome(&command, CommandOutcome::Executed(running));
     let done = [(10, TaskState::Exited, Some(ExitCause::Done))];
     holder.send_heartbeat("m-2", FencingToken(6), &done);
     holder.commit_due_writes();
-    assert!(reaped(holder.send_heartbeat("m-2", FencingToken(6), &done)));
+    assert!(has_reap_command(holder.send_heartbeat(
+        "m-2",
+        FencingToken(6),
+        &done
+    )));
 }
 
-/// Else every task that ever ran on a machine would be kept in mind there, and be gone through for each placement.
+/// Otherwise an entry for every task that ever ran on a machine would be kept, and examined for each placement.
 #[test]
-fn a_launch_is_forgotten_once_its_worker_has_forgotten_the_attempt() {
+fn a_launch_entry_is_removed_once_the_worker_no_longer_lists_the_attempt() {
     let mut holder = Holder::new(job(1, 1.0));
-    let remembered = |holder: &Holder| {
+    let tracked_launches = |holder: &Holder| {
         holder.fleet.blocks[&BlockId::from("a.0")].workers[&"m-1".into()]
             .launches
             .attempts_sent()
@@ -211,9 +224,9 @@
     holder.assign_task(9, "m-1", 1);
     holder.commit_due_writes();
     let command = holder.direct_commands().remove(0);
-    // Sent before the launch came.
+    // The worker sent this heartbeat before the launch arrived.
     holder.send_heartbeat("m-1", FencingToken(4), &[]);
-    assert_eq!(remembered(&holder), 1);
+    assert_eq!(tracked_launches(&holder), 1);
     let running = holder.build_heartbeat("m-1", FencingToken(4), &[(9, TaskState::Running, None)]);
     holder.apply_command_outcome(&command, CommandOutcome::Executed(running));
     holder.send_heartbeat(
@@ -222,20 +235,29 @@
         &[(9, TaskState::Exited, Some(ExitCause::Done))],
     );
     holder.commit_due_writes();
-    assert_eq!(remembered(&holder), 1, "not reaped yet");
+    assert_eq!(
+        tracked_launches(&holder),
+        1,
+        "the attempt has not been reaped yet"
+    );
     holder.send_heartbeat("m-1", FencingToken(4), &[]);
-    assert_eq!(remembered(&holder), 0);
+    assert_eq!(tracked_launches(&holder), 0);
 }
 
-/// Found on the bench: a controller that lost the state service went on answering its workers for the life of its
-/// block lease, the new holder knew none of their addresses and heard nothing, and they were given up with all on them.
+/// Found on the bench: a controller that lost the state service kept responding to its workers until its block lease
+/// expired. The new holder knew none of their addresses and received no heartbeats, and the machines were deleted with
+/// all their tasks.
 #[test]
-fn a_new_holder_raises_the_token_of_workers_that_it_was_told_of() {
+fn a_new_holder_sends_its_token_to_workers_whose_addresses_the_leader_provides() {
     let mut holder = Holder::new(job(1, 1.0));
     let policy = Policy::built_in(&holder.config);
     holder.put_record(block_lease_key(&"a.0".into()), ciborium::Value::Null);
     holder.grant_lease(FencingToken(6));
-    assert_eq!(holder.direct_commands(), [], "nothing is known of them");
+    assert_eq!(
+        holder.direct_commands(),
+        [],
+        "no command can be sent without an address"
+    );
     holder.now.monotonic += policy.worker_timeout + Duration::from_secs(1);
     assert!(
         holder.fleet.prepare_block_statuses(holder.now, &policy)[0]
@@ -258,7 +280,7 @@
         ),
         (FencingToken(6), Some(AgentEpoch(1)), 0)
     );
-    // Its session is another: it says so, and is asked again.
+    // The worker is in another epoch: it rejects the command with its epoch, and gets the command again.
     let mut report = holder.build_heartbeat("m-1", FencingToken(4), &[]);
     report.agent_epoch = AgentEpoch(3);
     holder.apply_command_outcome(&command, CommandOutcome::Rejected(report));
@@ -269,10 +291,10 @@
     );
 }
 
-/// A controller that takes over for others has something to tell every worker at once, and each command holds a
-/// socket, for long if its worker does not answer.
+/// A controller that takes over blocks has commands for all workers at once. Each command holds a socket, and for long
+/// if its worker does not respond.
 #[test]
-fn commands_under_way_are_bounded_and_those_without_answers_leave_room_for_others() {
+fn commands_in_flight_are_bounded_and_at_most_half_go_to_workers_that_did_not_answer() {
     let mut holder = Holder::new(job(1, 1.0));
     let max_in_flight = holder.config.max_sockets / COMMAND_SOCKET_DIVISOR;
     let names: Vec<String> = (0..max_in_flight * 3)
@@ -308,13 +330,13 @@
     );
 }
 
-/// Whether a response to a heartbeat tells the worker to forget a task.
-fn reaped(response: HeartbeatResponse) -> bool {
+/// Whether a response to a heartbeat contains a command to reap a task.
+fn has_reap_command(response: HeartbeatResponse) -> bool {
     match response {
         HeartbeatResponse::Commands(commands) => commands
             .commands
             .iter()
             .any(|command| matches!(command, WorkerCommand::Reap { .. })),
-        other => panic!("{other:?}"),
+        other => panic!("the response must contain commands: {other:?}"),
     }
 }
--- a/src/workers/tests/heartbeats.rs
+++ b/src/workers/tests/heartbeats.rs
@@ -1,10 +1,10 @@
-//! What heartbeats prove.
+//! Tests of which ends of tasks a heartbeat proves.
 
 use super::*;
 
-/// A copy of an old heartbeat, or one that was held back until a new holder had acted, shows what was once so.
+/// A duplicate of an old heartbeat, or one that was delayed until a new holder had acted, shows a stale state.
 #[test]
-fn a_heartbeat_that_is_older_than_the_last_proves_nothing() {
+fn a_heartbeat_older_than_the_last_one_does_not_prove_that_a_task_ended() {
     let mut holder = Holder::new(job(1, 1.0));
     holder.assign_task(9, "m-1", 1);
     let earlier_report = holder.build_heartbeat("m-1", FencingToken(4), &[]);
@@ -34,12 +34,12 @@
         holder
             .fleet
             .is_proven_ended(&"a.0".into(), &"m-1".into(), &attempt),
-        "a newer one does"
+        "a newer heartbeat without the task must prove its end"
     );
 }
 
 #[test]
-fn a_task_missing_from_a_heartbeat_is_gone_only_if_unwanted_and_fenced() {
+fn a_task_missing_from_a_heartbeat_has_ended_only_if_cancelled_and_no_launch_can_arrive() {
     let mut holder = Holder::new(job(1, 1.0));
     holder.assign_task(9, "m-1", 1);
     holder.commit_due_writes();
@@ -48,7 +48,7 @@
     assert_eq!(
         holder.commit_due_writes().len(),
         1,
-        "its launch is on its way"
+        "the launch of the task may still be executed"
     );
     holder.put_record(
         job_key(JobId(1)),
@@ -58,15 +58,19 @@
     assert_eq!(
         holder.commit_due_writes().len(),
         1,
-        "cancelled, but the launch may still come"
+        "the job is cancelled, but the launch may still be executed"
     );
     let empty = holder.build_heartbeat("m-1", FencingToken(4), &[]);
     holder.apply_command_outcome(&command, CommandOutcome::Rejected(empty));
-    assert_eq!(holder.commit_due_writes(), [], "refused: it never started");
+    assert_eq!(
+        holder.commit_due_writes(),
+        [],
+        "the launch was rejected, so the task never started"
+    );
 }
 
 #[test]
-fn a_heartbeat_with_a_higher_token_or_an_old_block_lease_is_not_answered_with_commands() {
+fn a_heartbeat_with_a_higher_token_or_a_stale_block_lease_gets_no_commands() {
     let mut holder = Holder::new(job(1, 1.0));
     assert_eq!(
         holder.send_heartbeat("m-1", FencingToken(5), &[]),
--- a/src/workers/tests/liveness.rs
+++ b/src/workers/tests/liveness.rs
@@ -1,11 +1,11 @@
-//! Which machines the leader is told are unresponsive or faulty.
+//! Tests of which machines are reported to the leader as unresponsive or faulty.
 
 use super::*;
 
-/// Reports arrive, but neither answers nor commands reach the machine: nothing more is placed there, and it is
-/// given up although it is heard all the time.
+/// Heartbeats arrive, but neither responses nor commands reach the machine. Nothing more must be placed there, and the
+/// machine must become unresponsive in spite of its heartbeats.
 #[test]
-fn a_machine_that_reports_but_does_not_answer_is_noticed() {
+fn a_machine_that_sends_heartbeats_but_answers_no_commands_becomes_unresponsive() {
     let mut holder = Holder::new(job(1, 1.0));
     let policy = Policy::built_in(&holder.config);
     holder.assign_task(9, "m-1", 1);
@@ -39,16 +39,16 @@
     }
     assert!(probes > 2, "{probes} probes were sent");
     assert_eq!(health(&mut holder), Some((false, true)));
-    // An answer settles it, and all is as before.
+    // A response makes the machine usable again.
     let report = holder.build_heartbeat("m-1", FencingToken(4), &[]);
     holder.apply_command_outcome(&command, CommandOutcome::Executed(report));
     assert_eq!(health(&mut holder), Some((true, false)));
 }
 
-/// Found on the bench: a controller that had stood still took all its workers for silent when it went on, and
-/// machines that nothing was wrong with were deleted.
+/// Found on the bench: a controller that had been paused counted all its workers as unresponsive when it resumed, and
+/// healthy machines were deleted.
 #[test]
-fn time_in_which_a_holder_was_paused_is_no_silence_of_its_workers() {
+fn a_pause_of_the_holder_does_not_make_its_workers_unresponsive() {
     let mut holder = Holder::new(job(1, 1.0));
     let policy = Policy::built_in(&holder.config);
     let unresponsive_count = |holder: &mut Holder| {
@@ -71,10 +71,10 @@
     assert_eq!(unresponsive_count(&mut holder), 2);
 }
 
-/// Found by a search of seeds: a sight of a running task reset the count, and machines whose tasks fail after
-/// running were never given up.
+/// Found by a search over simulation seeds: a report of a running task reset the count, so machines whose tasks fail
+/// after running were never given up as faulty.
 #[test]
-fn a_machine_is_faulty_when_tasks_of_two_jobs_fail_there_though_they_ran() {
+fn failures_of_tasks_that_ran_are_counted_and_bounded_for_a_single_job() {
     let mut holder = Holder::new(job(1, 1.0));
     holder.put_record(job_key(JobId(2)), encode(&JobRecord::Open(job(1, 1.0))));
     let policy = Policy::built_in(&holder.config);
--- a/src/workers/tests/mod.rs
+++ b/src/workers/tests/mod.rs
@@ -1,4 +1,4 @@
-//! A holder's duties, as the leader, the workers and the state service see them.
+//! Tests of the worker fleet through its interface to the leader, the workers and the state service.
 
 mod commands;
 mod heartbeats;
@@ -33,6 +33,7 @@
     has_spare_writes: true,
 };
 
+/// A holder of blocks with its configuration, its cached records and a simulated clock.
 struct Holder {
     config: Config,
     catalog: InstanceCatalog,
@@ -44,9 +45,10 @@
 }
 
 impl Holder {
-    /// Holds block `a.0` under token 4, with `m-1` and `m-2` that have shown it, and job 1.
+    /// Creates the holder of block `a.0` under token 4, with the machines `m-1` and `m-2` whose workers have confirmed
+    /// the token, and with job 1.
     fn new(job: Job) -> Self {
-        let config = Config::parse("s.toml", SETTINGS).expect("valid");
+        let config = Config::parse("s.toml", SETTINGS).expect("the settings must be valid");
         let mut catalog = InstanceCatalog::default();
         catalog.handle_response(Some(InstanceTypeList {
             types: vec![instance_type()],
@@ -79,7 +81,7 @@
         self.sync();
     }
 
-    /// Records that these machines are in the block.
+    /// Writes an inventory with these machines for the block.
     fn put_inventory(&mut self, block: &str, machines: &[&str]) {
         let entry = InventoryEntry {
             type_name: "large".into(),
@@ -170,7 +172,7 @@
         assert!(self.fleet.apply_assignments(update));
     }
 
-    /// WriteAllowance and commits what is due. Returns where the attempts are then.
+    /// Prepares and commits all due transactions. Returns the attempts that are recorded afterwards, with their machines.
     fn commit_due_writes(&mut self) -> Vec<(String, u64)> {
         self.now.monotonic += WRITE_CHECK_INTERVAL;
         while let Some((block, request)) = self.fleet.next_transaction(
@@ -181,12 +183,12 @@
             &self.catalog,
         ) {
             let StoreRequest::Commit(txn) = request else {
-                panic!("{request:?}")
+                panic!("the request must be a transaction: {request:?}")
             };
             self.revision += 1;
             for change in txn.changes {
                 let crate::store::TransactionChange::Put { key, value, .. } = change else {
-                    panic!("{change:?}")
+                    panic!("the change must be a put: {change:?}")
                 };
                 self.cache.apply(Change {
                     key,
@@ -240,7 +242,7 @@
         );
     }
 
-    /// The commands that go out without a block lease that is known to last.
+    /// Returns the commands that are prepared without a block lease that is known to be valid.
     fn commands_without_lease(&mut self) -> Vec<WorkerCommand> {
         let commands =
             self.fleet
@@ -270,7 +272,7 @@
     }
 }
 
-/// The first task of job 1.
+/// Returns the first task of job 1.
 fn first_task() -> TaskId {
     TaskId {
         job: JobId(1),
@@ -278,7 +280,7 @@
     }
 }
 
-/// An attempt of the first task of job 1.
+/// Returns an attempt of the first task of job 1.
 fn first_attempt(number: u64) -> Attempt {
     Attempt {
         task: first_task(),
--- a/src/workers/tests/placement_writes.rs
+++ b/src/workers/tests/placement_writes.rs
@@ -1,10 +1,11 @@
-//! The transactions that record what runs where.
+//! Tests of the transactions on placements.
 
 use super::*;
 
-/// A placement is committed only if none of its jobs was cancelled before, whatever our copy says.
+/// A placement must not be committed if one of its jobs was cancelled before, even if the cached records do not show
+/// that.
 #[test]
-fn a_placement_is_conditioned_on_its_jobs() {
+fn a_placement_is_conditional_on_the_versions_of_its_jobs() {
     let mut holder = Holder::new(job(1, 1.0));
     holder.assign_task(9, "m-1", 1);
     holder.now.monotonic += WRITE_CHECK_INTERVAL;
@@ -16,7 +17,7 @@
         &holder.catalog,
     );
     let Some((_, StoreRequest::Commit(txn))) = transaction else {
-        panic!("{transaction:?}")
+        panic!("a transaction must be due: {transaction:?}")
     };
     let version = holder.cache.open[&JobId(1)].version;
     assert!(
@@ -26,10 +27,10 @@
     );
 }
 
-/// Found on the bench: blocks that the leader kept sending work to went first each time, and the ends of another
-/// block's tasks were not recorded for over a minute.
+/// Found on the bench: blocks that kept getting assignments from the leader wrote first each time, and the ended tasks of
+/// another block were not recorded for over a minute.
 #[test]
-fn no_block_waits_for_others_that_have_more_to_write() {
+fn blocks_with_changes_write_in_turn() {
     let mut holder = Holder::new(Job {
         tasks: 50,
         ..job(1, 0.1)
@@ -37,7 +38,7 @@
     holder.put_inventory("a.1", &["m-3"]);
     holder.grant_block_lease("a.1", FencingToken(5));
     holder.send_heartbeat("m-3", FencingToken(5), &[]);
-    // Each round brings new work for both, but only one write can be sent.
+    // Each round brings new assignments for both blocks, but only one transaction can be sent.
     let mut written: HashMap<BlockId, usize> = HashMap::new();
     for round in 0..8 {
         for (block, machine) in [("a.0", "m-1"), ("a.1", "m-3")] {
@@ -62,14 +63,14 @@
             assert!(holder.fleet.apply_assignments(update));
         }
         holder.now.monotonic += WRITE_CHECK_INTERVAL;
-        let next = holder.fleet.next_transaction(
+        let transaction = holder.fleet.next_transaction(
             holder.now,
             &holder.config,
             SPARE_WRITES,
             &mut holder.cache,
             &holder.catalog,
         );
-        let (block, _) = next.expect("there is work");
+        let (block, _) = transaction.expect("a transaction must be due");
         let lease_version = holder.fleet.lease_version(&block);
         *written.entry(block.clone()).or_default() += 1;
         holder.revision += 1;
@@ -84,9 +85,10 @@
     assert_eq!(written.values().min(), Some(&4), "{written:?}");
 }
 
-/// Found on the bench: each end was recorded by itself as it came, and starts waited up to two seconds for a write.
+/// Found on the bench: each ended attempt was recorded by a write of its own, and placements waited up to two seconds
+/// for a write.
 #[test]
-fn ends_gather_while_writes_are_scarce() {
+fn ended_attempts_are_batched_while_there_are_no_spare_writes() {
     let mut holder = Holder::new(Job {
         tasks: 3,
         ..job(1, 0.1)
@@ -118,16 +120,16 @@
     };
     assert!(
         !has_transaction(no_spare_writes, WRITE_CHECK_INTERVAL),
-        "it has just written"
+        "the block must wait for more ended attempts after a recent write"
     );
     assert!(
         has_transaction(no_spare_writes, Duration::from_secs(1)),
-        "but not for long"
+        "the block must write again after the batch interval"
     );
 }
 
 #[test]
-fn ends_are_recorded_at_once_while_there_are_writes_in_plenty_or_starts_to_record() {
+fn ended_attempts_are_recorded_at_once_with_spare_writes_or_with_placements() {
     for has_placements in [false, true] {
         let mut holder = Holder::new(Job {
             tasks: 3,
@@ -159,8 +161,8 @@
     }
 }
 
-/// A transaction whose answer was lost can still be carried out, whatever becomes of the one after it: as long as that is
-/// so, the leader must not release its tasks again.
+/// A transaction whose response was lost can still be executed, whatever the outcome of the next one. Until that is
+/// decided, the leader must not release its tasks again.
 #[test]
 fn a_placement_of_unknown_outcome_stays_pending_when_the_next_write_is_refused() {
     let mut holder = Holder::new(job(1, 1.0));
@@ -178,13 +180,13 @@
         } = holder;
         let (block, _) = fleet
             .next_transaction(*now, config, SPARE_WRITES, cache, catalog)
-            .expect("something to write");
+            .expect("a transaction must be due");
         let lease_version = fleet.lease_version(&block);
         fleet.apply_write_outcome(*now, &block, lease_version, &outcome);
     };
     let policy = Policy::built_in(&holder.config);
     write_with_outcome(&mut holder, StoreResponse::Unknown);
-    // The leader takes the release back.
+    // The leader withdraws the assignment.
     let lease_version = holder.fleet.lease_version(&"a.0".into());
     assert!(
         holder
@@ -203,7 +205,7 @@
             .remove(0);
         assert_eq!(status.pending, [20]);
     }
-    // The next one that is carried out decides it.
+    // The next committed transaction decides the outcome.
     let revision = holder.revision + 1;
     write_with_outcome(&mut holder, StoreResponse::Committed { revision });
     let status = holder
