--- a/src/workers/block/heartbeats.rs
+++ b/src/workers/block/heartbeats.rs
@@ -64,8 +64,8 @@
         for attempt in placed {
             self.reconcile_placement(&machine, attempt, cache);
         }
-        let worker = self.workers.get(&machine);
-        if worker.is_some_and(|worker| worker.command_pending) {
+        let reporting_worker = self.workers.get(&machine);
+        if reporting_worker.is_some_and(|worker| worker.command_pending) {
             self.workers_to_command.insert(machine);
         }
     }
--- a/src/workers/block/placement_writer.rs
+++ b/src/workers/block/placement_writer.rs
@@ -20,7 +20,7 @@
 /// A committed transaction.
 #[derive(Debug)]
 pub(super) struct CommittedWrite {
-    pub(super) parts: PartsTransaction,
+    pub(super) transaction: PartsTransaction,
     pub(super) revision: u64,
 }
 
@@ -86,11 +86,11 @@
     }
 
     /// Records that a transaction is being sent. `attempts`: the numbers of the attempts that it places.
-    pub(super) fn begin(&mut self, parts: PartsTransaction, attempts: Vec<u64>) {
+    pub(super) fn begin(&mut self, transaction: PartsTransaction, attempts: Vec<u64>) {
         self.undecided_before = self.undecided.clone();
         self.undecided.attempts.extend(attempts);
-        self.undecided.parts = parts.changed().clone();
-        self.in_flight = Some(parts);
+        self.undecided.parts = transaction.changed().clone();
+        self.in_flight = Some(transaction);
         self.writer.sent();
     }
 
@@ -111,12 +111,12 @@
     ) -> Option<CommittedWrite> {
         self.writer.answered(now, outcome);
         match (outcome, self.in_flight.take()) {
-            (StoreResponse::Committed { revision }, Some(parts)) => {
+            (StoreResponse::Committed { revision }, Some(transaction)) => {
                 // The committed parts are known, so there is no need to wait until the cache shows them.
                 self.writer = Writer::Idle;
                 self.clear_undecided();
                 Some(CommittedWrite {
-                    parts,
+                    transaction,
                     revision: *revision,
                 })
             }
--- a/src/workers/block/placement_writes.rs
+++ b/src/workers/block/placement_writes.rs
@@ -139,30 +139,30 @@
         let multiple_parts = cache.format() >= PARTS_FORMAT;
         let limits = PartLimits::new(&config.state_limits, max_changes, multiple_parts);
         let (recorded, undecided) = (self.recorded.parts(), self.writer.undecided_parts());
-        let (parts, new_placements) = match PartsTransaction::split_oversized(
+        let (transaction, new_placements) = match PartsTransaction::split_oversized(
             recorded, limits, undecided,
         ) {
-            Some(parts) => {
-                info!(block = %self.id, changes = parts.changed().len(), "a value is too large: divided");
-                (parts, NewPlacements::default())
+            Some(transaction) => {
+                info!(block = %self.id, changes = transaction.changed().len(), "a value is too large: divided");
+                (transaction, NewPlacements::default())
             }
             None => {
-                let mut parts = self.prepare_ends(cache, limits);
-                let max_conditions = max_new_conditions(config, &parts);
+                let mut transaction = self.prepare_ends(cache, limits);
+                let max_conditions = max_new_conditions(config, &transaction);
                 let new_placements =
-                    self.prepare_placements(now, max_conditions, cache, catalog, &mut parts);
-                (parts, new_placements)
+                    self.prepare_placements(now, max_conditions, cache, catalog, &mut transaction);
+                (transaction, new_placements)
             }
         };
-        // The parts of a transaction of unknown outcome are in `parts` and are written again even without new changes.
-        if !parts.has_changes() {
+        // Includes the parts of transactions of unknown outcome: they are written again even without new changes.
+        if !transaction.has_changes() {
             self.drop_recorded_ends();
             return None;
         }
         let mut txn = Transaction::default().when(block_lease_key(&self.id), self.lease_version);
         txn = new_placements.add_conditions(self, cache, txn);
-        txn = parts.add_to(&self.id, self.recorded.parts(), txn);
-        self.writer.begin(parts, new_placements.attempts);
+        txn = transaction.add_to(&self.id, self.recorded.parts(), txn);
+        self.writer.begin(transaction, new_placements.attempts);
         Some(StoreRequest::Commit(txn))
     }
 
@@ -191,7 +191,7 @@
     /// Prepares the removal of attempts that are proven to have ended, and of finished tasks that are recorded elsewhere.
     fn prepare_ends(&self, cache: &WatchCache, limits: PartLimits) -> PartsTransaction {
         let undecided = self.writer.undecided_parts();
-        let mut parts = PartsTransaction::new(self.recorded.parts(), limits, undecided);
+        let mut transaction = PartsTransaction::new(self.recorded.parts(), limits, undecided);
         // A pending attempt does not fit on its machine until the ended attempts there are removed from the record.
         let target_machines: HashSet<&MachineId> = self
             .assignments
@@ -210,9 +210,9 @@
                 blocks_placement: target_machines.contains(&ended.machine),
             })
             .collect();
-        parts.remove_ended(ended);
-        parts.prune(cache);
-        parts
+        transaction.remove_ended(ended);
+        transaction.prune(cache);
+        transaction
     }
 
     /// Prepares the placement of the pending assignments that fit their machine, the size limit of the parts and the
@@ -223,7 +223,7 @@
         max_conditions: usize,
         cache: &WatchCache,
         catalog: &InstanceCatalog,
-        parts: &mut PartsTransaction,
+        transaction: &mut PartsTransaction,
     ) -> NewPlacements {
         let mut new_placements = NewPlacements::default();
         let mut unplaceable = Vec::new();
@@ -231,7 +231,7 @@
         let mut candidates = if self.assignments.pending.is_empty() {
             Vec::new()
         } else {
-            self.candidates(now, cache, catalog, &parts.merged())
+            self.candidates(now, cache, catalog, &transaction.merged())
         };
         for assignment in &self.assignments.pending {
             let attempt = assignment.attempt;
@@ -254,7 +254,7 @@
                 // Left for the next transaction.
                 continue;
             }
-            if !parts.add(&machine, attempt) {
+            if !transaction.add(&machine, attempt) {
                 continue;
             }
             let chosen = candidates.iter_mut().find(|c| c.machine == machine);
@@ -346,7 +346,7 @@
             .map(|(_, attempt)| attempt.number)
             .collect();
         self.recorded
-            .apply_commit(committed.parts, committed.revision);
+            .apply_commit(committed.transaction, committed.revision);
         self.drop_recorded_ends();
         let placed: Vec<(MachineId, Attempt)> = self
             .recorded
@@ -370,9 +370,9 @@
 }
 
 /// Returns how many conditions a transaction can use for placements, besides those on the block lease and on the parts.
-fn max_new_conditions(config: &Config, parts: &PartsTransaction) -> usize {
+fn max_new_conditions(config: &Config, transaction: &PartsTransaction) -> usize {
     (CONDITIONS_PER_CHANGE * config.state_limits.txn_ops)
-        .saturating_sub(1 + parts.max_changes())
+        .saturating_sub(1 + transaction.max_changes())
         .max(2)
 }
 
--- a/src/workers/block/recorded.rs
+++ b/src/workers/block/recorded.rs
@@ -33,8 +33,8 @@
     }
 
     /// Replaces the placements by those that a committed transaction leaves.
-    pub(super) fn apply_commit(&mut self, parts: PartsTransaction, revision: u64) {
-        self.parts = parts.into_committed(revision);
+    pub(super) fn apply_commit(&mut self, transaction: PartsTransaction, revision: u64) {
+        self.parts = transaction.into_committed(revision);
         self.placements = merged(&self.parts);
         self.version = revision;
     }
