--- a/src/workers/block/commands.rs
+++ b/src/workers/block/commands.rs
@@ -182,7 +182,7 @@
                 worker.observed(attempt).is_none()
                     && worker.launches.may_send(now, attempt)
                     && self.should_run(cache, attempt)
-                    && !self.ended.contains_key(&ended)
+                    && !self.proven_ended.contains_key(&ended)
             })
             .collect();
         let token = self.token;
--- a/src/workers/block/heartbeats.rs
+++ b/src/workers/block/heartbeats.rs
@@ -107,7 +107,7 @@
             let unwanted = !job_active || self.assignments.is_stop_requested(&attempt);
             if unwanted && worker.token >= token && !worker.launches.may_still_execute(&attempt) {
                 // The worker does not list it, and no launch of it can still be executed.
-                self.ended.insert(key, AttemptOutcome::Unfinished);
+                self.proven_ended.insert(key, AttemptOutcome::Unfinished);
             } else if worker.token >= token {
                 worker.command_pending = true;
             }
@@ -123,7 +123,7 @@
             // A previous holder can still send it commands.
             return;
         }
-        if let Entry::Vacant(entry) = self.ended.entry(key) {
+        if let Entry::Vacant(entry) = self.proven_ended.entry(key) {
             debug!(%attempt, cause = ?observed.cause, "task ended");
             worker
                 .failures
--- a/src/workers/block/mod.rs
+++ b/src/workers/block/mod.rs
@@ -7,7 +7,7 @@
 //!
 //! Invariants:
 //! - An attempt is launched only after it is recorded, and only on a worker that has confirmed the block's token.
-//! - An attempt is added to `ended` only if its end is proven: the worker, having confirmed the block's token, reports
+//! - An attempt is added to `proven_ended` only if its end is proven: the worker, having confirmed the block's token, reports
 //!   the exit, or does not list the attempt while no launch of it can still be executed; or the machine is deleted.
 //! - At most one transaction on the placements is in flight.
 
@@ -78,7 +78,7 @@
     pub(super) workers: BTreeMap<MachineId, Worker>,
     assignments: Assignments,
     /// The attempts that are proven to have ended, but not yet recorded as ended.
-    ended: BTreeMap<EndedAttempt, AttemptOutcome>,
+    proven_ended: BTreeMap<EndedAttempt, AttemptOutcome>,
     token_renewal: TokenRenewal,
     /// The number of workers whose heartbeats were overdue at the last review.
     overdue_workers: u32,
@@ -110,7 +110,7 @@
             writer: PlacementWriter::new(),
             workers: BTreeMap::new(),
             assignments: Assignments::default(),
-            ended: BTreeMap::new(),
+            proven_ended: BTreeMap::new(),
             token_renewal: TokenRenewal::default(),
             overdue_workers: 0,
             workers_to_command: BTreeSet::new(),
@@ -210,7 +210,7 @@
                 machine: id.clone(),
                 attempt,
             };
-            self.ended.entry(ended).or_insert_with(|| {
+            self.proven_ended.entry(ended).or_insert_with(|| {
                 info!(%attempt, proof = "machine deleted", "task lost");
                 AttemptOutcome::Unfinished
             });
@@ -223,7 +223,7 @@
             machine: machine.clone(),
             attempt: *attempt,
         };
-        self.ended.contains_key(&ended) || !self.recorded.contains(machine, attempt)
+        self.proven_ended.contains_key(&ended) || !self.recorded.contains(machine, attempt)
     }
 
     /// Returns the number of workers whose status may have changed.
@@ -233,7 +233,7 @@
 
     /// Returns the number of attempts that have to be placed or recorded as ended.
     pub(super) fn pending_changes(&self) -> usize {
-        self.assignments.pending.len() + self.ended.len()
+        self.assignments.pending.len() + self.proven_ended.len()
     }
 
     /// Returns, for each task that was observed to start since the last call, when its job was accepted, in ms of Unix
--- a/src/workers/block/placement_writes.rs
+++ b/src/workers/block/placement_writes.rs
@@ -108,7 +108,7 @@
                 .last_write_check
                 .is_none_or(|at| since(now, at) > PRUNE_INTERVAL);
         !self.assignments.pending.is_empty()
-            || !self.ended.is_empty()
+            || !self.proven_ended.is_empty()
             || self.has_undecided_attempts()
             || prune
     }
@@ -200,7 +200,7 @@
             .map(|assignment| &assignment.machine)
             .collect();
         let ended = self
-            .ended
+            .proven_ended
             .iter()
             .map(|(ended, outcome)| EndedPlacement {
                 machine: &ended.machine,
@@ -364,7 +364,7 @@
     /// Removes ended attempts that are no longer in the recorded placements.
     fn drop_recorded_ends(&mut self) {
         let recorded = &self.recorded;
-        self.ended
+        self.proven_ended
             .retain(|ended, _| recorded.contains(&ended.machine, &ended.attempt));
     }
 }
--- a/src/workers/block/status.rs
+++ b/src/workers/block/status.rs
@@ -65,7 +65,7 @@
             pending,
             unplaceable: self.assignments.unplaceable.clone(),
             proven_ended: self
-                .ended
+                .proven_ended
                 .keys()
                 .map(|ended| ended.attempt.number)
                 .collect(),
