--- a/src/workers/block/commands.rs
+++ b/src/workers/block/commands.rs
@@ -5,7 +5,7 @@
 
 use tracing::debug;
 
-use super::heartbeats::HeartbeatSource;
+use super::heartbeats::ReportSource;
 use super::{Block, EndedAttempt, job_is_active};
 use crate::domain::{AgentEpoch, Attempt, JobKind, MachineId, Now, TaskId};
 use crate::store::WatchCache;
@@ -230,7 +230,7 @@
             CommandOutcome::Executed(heartbeat) | CommandOutcome::Rejected(heartbeat) => {
                 if heartbeat.machine == *machine {
                     worker.liveness.record_answered_command();
-                    self.apply_heartbeat(now, heartbeat, cache, HeartbeatSource::CommandResponse);
+                    self.apply_report(now, heartbeat, cache, ReportSource::CommandResponse);
                 }
             }
             CommandOutcome::Unknown => {
--- a/src/workers/block/heartbeats.rs
+++ b/src/workers/block/heartbeats.rs
@@ -14,7 +14,7 @@
 /// How a report was received. Only a heartbeat can renew a worker's lease: a worker that answers commands but can't reach
 /// a controller loses its tasks repeatedly, so its responses do not show that it is healthy.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(in crate::workers) enum HeartbeatSource {
+pub(in crate::workers) enum ReportSource {
     /// The worker sent it as a heartbeat.
     Heartbeat,
     /// It came with the response to a direct command.
@@ -25,12 +25,12 @@
     /// Applies a worker's report. All reports are applied here.
     ///
     /// A report that is not newer than the last one is ignored, because its list of tasks is stale.
-    pub(in crate::workers) fn apply_heartbeat(
+    pub(in crate::workers) fn apply_report(
         &mut self,
         now: Now,
         heartbeat: Heartbeat,
         cache: &WatchCache,
-        source: HeartbeatSource,
+        source: ReportSource,
     ) {
         let Some(worker) = self.workers.get_mut(&heartbeat.machine) else {
             return;
@@ -45,8 +45,8 @@
         }
         worker.apply_report(&heartbeat);
         match source {
-            HeartbeatSource::Heartbeat => worker.liveness.record_heartbeat(now),
-            HeartbeatSource::CommandResponse => worker.liveness.record_response(),
+            ReportSource::Heartbeat => worker.liveness.record_heartbeat(now),
+            ReportSource::CommandResponse => worker.liveness.record_response(),
         }
         let tasks = observed_tasks(&heartbeat.tasks);
         let machine = heartbeat.machine;
--- a/src/workers/block/mod.rs
+++ b/src/workers/block/mod.rs
@@ -31,7 +31,7 @@
 use crate::store::{Versioned, WatchCache};
 use assignments::Assignments;
 pub(super) use commands::CommandChannel;
-pub(super) use heartbeats::HeartbeatSource;
+pub(super) use heartbeats::ReportSource;
 use placement_writer::PlacementWriter;
 #[cfg(test)]
 pub(super) use placement_writes::WRITE_CHECK_INTERVAL;
--- a/src/workers/mod.rs
+++ b/src/workers/mod.rs
@@ -29,7 +29,7 @@
 use crate::policy::Policy;
 use crate::store::cache::ChangedRecords;
 use crate::store::{StoreRequest, StoreResponse, WatchCache};
-use block::{Block, CommandChannel, HeartbeatSource, RecordedPlacements};
+use block::{Block, CommandChannel, RecordedPlacements, ReportSource};
 pub use messages::{CommandOutcome, DirectCommand, HeartbeatResponse, WriteAllowance};
 use misrouted::MisroutedWorkers;
 pub use misrouted::misrouted_window;
@@ -188,7 +188,7 @@
         let id = heartbeat.machine.clone();
         let placed = block.recorded.attempts_on(&id).count();
         self.items_examined += (1 + heartbeat.tasks.len() + placed) as u64;
-        block.apply_heartbeat(now, heartbeat, cache, HeartbeatSource::Heartbeat);
+        block.apply_report(now, heartbeat, cache, ReportSource::Heartbeat);
         if !block.workers.contains_key(&id) {
             return HeartbeatResponse::Unavailable;
         }
@@ -204,7 +204,7 @@
             .get(&heartbeat.machine)
             .and_then(|machine| self.blocks.get_mut(&machine.block));
         if let Some(block) = block.filter(|block| heartbeat.token <= block.token) {
-            block.apply_heartbeat(now, heartbeat, cache, HeartbeatSource::Heartbeat);
+            block.apply_report(now, heartbeat, cache, ReportSource::Heartbeat);
         }
     }
 
