--- a/src/workers/block/mod.rs
+++ b/src/workers/block/mod.rs
@@ -7,8 +7,9 @@
 //!
 //! Invariants:
 //! - An attempt is launched only after it is recorded, and only on a worker that has confirmed the block's token.
-//! - An attempt is added to `proven_ended` only if its end is proven: the worker, having confirmed the block's token, reports
-//!   the exit, or does not list the attempt while no launch of it can still be executed; or the machine is deleted.
+//! - An attempt is added to `proven_ended` only if its end is proven: the worker, having confirmed the block's token,
+//!   reports the exit, or does not list the attempt while no launch of it can still be executed; or the machine is
+//!   deleted.
 //! - At most one transaction on the placements is in flight.
 
 mod assignments;
