--- a/tests/loopback/site.rs
+++ b/tests/loopback/site.rs
@@ -11,7 +11,7 @@
 use dappleshore::http::{Client, Request};
 use dappleshore::workers::wire::TaskState;
 
-use super::machine::{LASTING, Machine, MachineEvent};
+use super::machine::{LONG_RUNNING_CLASS, Machine, MachineEvent};
 use super::processes::Controllers;
 use super::rules::{Place, Rules};
 use super::state::StateService;
@@ -144,13 +144,13 @@
                         zone: on.zone.clone(),
                         capacity_type: on.capacity_type,
                     };
-                    self.rules.starts(now, task, place);
+                    self.rules.task_started(now, task, place);
                 }
-                MachineEvent::Ended(task, done) => self.rules.ends(task, machine, done),
+                MachineEvent::Ended(task, done) => self.rules.task_ended(task, machine, done),
             }
         }
         for team in TEAMS {
-            let down = self.rules.lost(&team.into(), Duration::ZERO);
+            let down = self.rules.tasks_down(&team.into(), Duration::ZERO);
             self.most_down = self.most_down.max(down.len());
             if down.len() > self.budget {
                 let text = format!("{now:?}: {down:?} of {team} down, {} allowed", self.budget);
@@ -192,7 +192,7 @@
 
 fn service(team: &str, replicas: u32) -> Job {
     Job {
-        class: LASTING.into(),
+        class: LONG_RUNNING_CLASS.into(),
         team: team.into(),
         kind: JobKind::Service,
         priority: Priority::Production,
@@ -219,7 +219,7 @@
 
 fn submission(id: JobId, team: &str, replicas: u32) -> Vec<u8> {
     let body = cbor!({
-        "id" => id.to_string(), "docket" => LASTING, "desk" => team, "shape" => "service",
+        "id" => id.to_string(), "docket" => LONG_RUNNING_CLASS, "desk" => team, "shape" => "service",
         "precedence" => "prod", "entries" => replicas, "cpus" => 2.0, "cards" => 0.0, "ramGb" => 1.0,
         "bundle" => "img-0", "imageGb" => 1.0, "samePlace" => false, "scatter" => true, "loaner" => false,
         "expectS" => 0.0, "stampEveryS" => 0.0, "stampS" => 0.0,
--- a/tests/simulation/cluster/machines.rs
+++ b/tests/simulation/cluster/machines.rs
@@ -48,7 +48,7 @@
         self.changed = false;
         self.last_heartbeat = now;
         self.next_heartbeat = now + interval;
-        let heartbeat = self.message();
+        let heartbeat = self.build_heartbeat();
         self.heartbeat = Some((heartbeat.sequence_number, now));
         Some(heartbeat)
     }
@@ -67,13 +67,13 @@
                         zone: machine.zone.clone(),
                         capacity_type: machine.capacity_type,
                     };
-                    self.rules.starts(self.now, task, place);
+                    self.rules.task_started(self.now, task, place);
                 }
                 MachineEvent::Ended(task, done) => {
                     if done {
                         self.results.insert(task);
                     }
-                    self.rules.ends(task, id, done);
+                    self.rules.task_ended(task, id, done);
                     if done && self.rules.all_done(task.job) {
                         self.ended(task.job);
                     }
@@ -84,7 +84,7 @@
 
     /// A job's last task is done: now and then its user calls it off at that very moment.
     pub(super) fn ended(&mut self, job: JobId) {
-        if self.now >= self.calm_from || !self.rng.random_bool(self.faults.cancel_at_end) {
+        if self.now >= self.faults_end || !self.rng.random_bool(self.faults.cancel_at_end) {
             return;
         }
         self.cancel(job);
@@ -93,7 +93,7 @@
     /// A direct command arrives at a machine, or is held at a cut border.
     pub(super) fn command(&mut self, process: Process, command: DirectCommand, answer: bool) {
         let id = command.machine.0.to_string();
-        if self.faults.sabotage {
+        if self.faults.duplicate_launches {
             self.sabotage(&id, &command.body);
         }
         let zone = self.machines.get(&id).map(|machine| machine.zone.clone());
@@ -118,7 +118,7 @@
         }
         let executed = self.direct(&id, &command.body);
         if answer && let Some(machine) = self.machines.get_mut(&id) {
-            let heartbeat = machine.message();
+            let heartbeat = machine.build_heartbeat();
             let outcome = if executed {
                 CommandOutcome::Executed(heartbeat)
             } else {
@@ -140,7 +140,7 @@
         let Some(machine) = self.machines.get_mut(id) else {
             return false;
         };
-        if now < machine.deaf_until {
+        if now < machine.responses_blocked_until {
             return false;
         }
         let runs = machine.runs(now);
@@ -166,7 +166,7 @@
             &body.commands,
             &self.jobs,
             &self.results,
-            run_for(self.longer, self.apart),
+            run_for(self.extra_task_time, self.extra_time_per_index),
         );
         self.happened(id, happened);
         true
@@ -193,7 +193,7 @@
                 &body.commands,
                 &self.jobs,
                 &self.results,
-                run_for(self.longer, self.apart),
+                run_for(self.extra_task_time, self.extra_time_per_index),
             );
             self.happened(&other, happened);
         }
@@ -207,12 +207,12 @@
         let Some(machine) = self.machines.get_mut(id) else {
             return;
         };
-        if machine.notice.is_some_and(|taken| now >= taken) {
+        if machine.terminates_at.is_some_and(|taken| now >= taken) {
             return self.machine_is_taken_back(id);
         }
         if !machine.up && machine.up_at.is_some_and(|at| now >= at) {
             machine.up = true;
-            machine.lease_from = now;
+            machine.lease_renewed_at = now;
         }
         if !machine.runs(now) {
             return;
@@ -232,7 +232,7 @@
             STEP,
             &self.jobs,
             &self.results,
-            run_for(self.longer, self.apart),
+            run_for(self.extra_task_time, self.extra_time_per_index),
         ));
         machine.give_up_overdue_heartbeat(now);
         let heartbeat = machine.due_heartbeat(now, interval);
@@ -245,9 +245,9 @@
     /// The cloud takes a machine back, with whatever runs there.
     fn machine_is_taken_back(&mut self, id: &str) {
         let mut machine = self.machines.remove(id).expect("just found");
-        for what in machine.gone() {
+        for what in machine.lose_all_tasks() {
             if let MachineEvent::Ended(task, done) = what {
-                self.rules.ends(task, id, done);
+                self.rules.task_ended(task, id, done);
             }
         }
     }
@@ -256,7 +256,8 @@
     fn send_heartbeat(&mut self, id: &str, heartbeat: Heartbeat) {
         let now = self.now;
         let machine = &self.machines[id];
-        let (controller, block_heartbeats) = (machine.controller, now < machine.mute_until);
+        let (controller, block_heartbeats) =
+            (machine.controller, now < machine.heartbeats_blocked_until);
         let up = self.slots[controller].controller.is_some();
         let request = HeartbeatRequest {
             machine: id.to_owned(),
@@ -367,12 +368,12 @@
                     machine.token = orders.token;
                     machine.changed = true;
                 }
-                machine.lease_from = request.sent;
+                machine.lease_renewed_at = request.sent;
                 let happened = machine.execute(
                     &orders.commands,
                     &self.jobs,
                     &self.results,
-                    run_for(self.longer, self.apart),
+                    run_for(self.extra_task_time, self.extra_time_per_index),
                 );
                 self.happened(id, happened);
             }
--- a/tests/simulation/cluster/mod.rs
+++ b/tests/simulation/cluster/mod.rs
@@ -43,7 +43,7 @@
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap, HashMap};
 use std::time::{Duration, Instant, SystemTime};
 
-pub use cloud::BootTrouble;
+pub use cloud::BootFaults;
 use controllers::{Process, Slot};
 use faults::Fault;
 pub use faults::Faults;
@@ -55,7 +55,7 @@
 pub const CONTROLLERS: usize = 3;
 
 /// Faults cease here in most tests.
-pub const CALM_FROM: Duration = Duration::from_secs(150);
+pub const FAULTS_END: Duration = Duration::from_secs(150);
 
 const ZONES: [&str; CONTROLLERS] = ["a", "b", "c"];
 
@@ -180,7 +180,7 @@
     rng: SmallRng,
     faults: Faults,
     /// Faults stop here; what follows is for the service to recover.
-    calm_from: Duration,
+    faults_end: Duration,
     config: Config,
     pub(super) state: StateService,
     state_out_until: Duration,
@@ -206,17 +206,17 @@
     pub rented: usize,
     size: Size,
     looked_for_idle: Duration,
-    boot_trouble: Option<BootTrouble>,
+    boot_faults: Option<BootFaults>,
     /// Users ask so many times as often as they would.
-    pub asking: u32,
+    pub request_rate_factor: u32,
     /// Questions, submissions and cancellations sent so far.
-    pub questions: usize,
+    pub user_requests: usize,
     /// The machines that were up when the cloud was told to delete them.
-    pub deleted_up: usize,
+    pub running_machines_deleted: usize,
     /// Tasks that start now run for so much longer than they would.
-    pub longer: Duration,
+    pub extra_task_time: Duration,
     /// ... and each of a job so much longer than the one before it.
-    pub apart: Duration,
+    pub extra_time_per_index: Duration,
     /// The most that a message takes.
     pub latency: Duration,
     /// Reports sent until then arrive then, at whoever leads by that time.
@@ -240,7 +240,7 @@
 const LAST_TROUBLES: Duration = Duration::from_secs(60);
 
 impl SimulatedCluster {
-    pub fn new(seed: u64, faults: Faults, calm_from: Duration, size: Size) -> Self {
+    pub fn new(seed: u64, faults: Faults, faults_end: Duration, size: Size) -> Self {
         let text = include_str!("../../data/settings.toml");
         let mut config = Config::parse("settings.toml", text).expect("the sample is valid");
         for team in &mut config.teams {
@@ -252,7 +252,7 @@
         let slots = (0..CONTROLLERS)
             .map(|_| Slot::new(rng.random_range(-0.0005..0.0005)))
             .collect();
-        let mut cluster = SimulatedCluster::empty(config, rng, slots, faults, calm_from, size);
+        let mut cluster = SimulatedCluster::empty(config, rng, slots, faults, faults_end, size);
         for controller in 0..CONTROLLERS {
             let at = Duration::from_millis(cluster.rng.random_range(0..500));
             cluster.at(at, ClusterEvent::Restart { controller });
@@ -271,7 +271,7 @@
         rng: SmallRng,
         slots: Vec<Slot>,
         faults: Faults,
-        calm_from: Duration,
+        faults_end: Duration,
         size: Size,
     ) -> Self {
         let limits = config
@@ -287,7 +287,7 @@
             queue: BinaryHeap::new(),
             events: HashMap::new(),
             faults,
-            calm_from,
+            faults_end,
             state: StateService::new(config.state_limits, production::reads_record),
             state_out_until: Duration::ZERO,
             state_slow_until: Duration::ZERO,
@@ -303,19 +303,19 @@
             jobs: BTreeMap::new(),
             results: BTreeSet::new(),
             gangs: Gangs::default(),
-            rules: Rules::new(limits, config.cancel_within, calm_from + LAST_TROUBLES),
+            rules: Rules::new(limits, config.cancel_within, faults_end + LAST_TROUBLES),
             features: Features::default(),
             preemption: true,
             operators: Operators::default(),
             rented: 0,
             size,
             looked_for_idle: Duration::ZERO,
-            boot_trouble: None,
-            asking: 1,
-            deleted_up: 0,
-            questions: 0,
-            longer: Duration::ZERO,
-            apart: Duration::ZERO,
+            boot_faults: None,
+            request_rate_factor: 1,
+            running_machines_deleted: 0,
+            user_requests: 0,
+            extra_task_time: Duration::ZERO,
+            extra_time_per_index: Duration::ZERO,
             latency: Duration::from_millis(6),
             heartbeats_held_until: Duration::ZERO,
             leases_over: 0,
@@ -334,11 +334,11 @@
     pub fn upgrading(
         seed: u64,
         faults: Faults,
-        calm_from: Duration,
+        faults_end: Duration,
         size: Size,
         next: StateLimits,
     ) -> Self {
-        let mut cluster = SimulatedCluster::new(seed, faults, calm_from, size);
+        let mut cluster = SimulatedCluster::new(seed, faults, faults_end, size);
         cluster.config.next_state_limits = Some(next);
         for slot in &mut cluster.slots {
             slot.format = 0;
@@ -386,7 +386,7 @@
             }
             self.rules.check(self.now);
             self.check_disruptions();
-            if !self.rules.broken.is_empty() {
+            if !self.rules.violations.is_empty() {
                 break;
             }
         }
@@ -462,7 +462,7 @@
         for id in ids {
             self.step_machine(&id);
         }
-        let run_for = run_for(self.longer, self.apart);
+        let run_for = run_for(self.extra_task_time, self.extra_time_per_index);
         for (id, event) in self
             .gangs
             .step(self.now, STEP, &mut self.machines, &self.jobs, run_for)
--- a/tests/simulation/cluster/network.rs
+++ b/tests/simulation/cluster/network.rs
@@ -65,9 +65,9 @@
 
     /// A request on its way: sometimes held for long, sometimes its answer is lost.
     pub(super) fn delivery(&mut self) -> Delivery {
-        let calm = self.now >= self.calm_from;
+        let calm = self.now >= self.faults_end;
         let quick = self.now + self.transit();
-        if !calm && self.rng.random_bool(self.faults.held) {
+        if !calm && self.rng.random_bool(self.faults.delayed_requests) {
             let held = Duration::from_secs_f64(self.rng.random_range(1.0..60.0));
             return Delivery {
                 at: self.now + held,
@@ -76,13 +76,13 @@
         }
         Delivery {
             at: quick,
-            answered: calm || !self.rng.random_bool(self.faults.lost),
+            answered: calm || !self.rng.random_bool(self.faults.lost_responses),
         }
     }
 
     /// When a copy of a message is carried out again, if one is.
     pub(crate) fn copied(&mut self) -> Option<Duration> {
-        if self.now >= self.calm_from || !self.rng.random_bool(self.faults.copies) {
+        if self.now >= self.faults_end || !self.rng.random_bool(self.faults.copies) {
             return None;
         }
         let late = self.config.worker_lease.as_secs_f64() * 3.0;
@@ -106,17 +106,17 @@
     /// Carries out an effect of a process.
     pub(super) fn perform(&mut self, process: Process, effect: Effect) {
         match effect {
-            Effect::Store { tag, request: op } => self.send_store_request(process, tag, op),
+            Effect::Store { tag, request } => self.send_store_request(process, tag, request),
             Effect::Command {
                 command,
-                authority_until: until,
-            } => self.send_command(process, command, until),
+                authority_until,
+            } => self.send_command(process, command, authority_until),
             Effect::Cloud {
                 tag,
-                request: call,
-                authority_until: until,
+                request,
+                authority_until,
             } => {
-                self.send_cloud_request(process, tag, call, until);
+                self.send_cloud_request(process, tag, request, authority_until);
             }
             Effect::Peer { to, message } => {
                 self.send_peer_message(process.controller, &to, message)
@@ -127,10 +127,10 @@
             }
             Effect::RespondToWorker {
                 id,
-                response: answer,
-                authority_until: until,
+                response,
+                authority_until,
             } => {
-                self.respond_to_worker(process.controller, id, answer, until);
+                self.respond_to_worker(process.controller, id, response, authority_until);
             }
             Effect::RespondToHealthCheck { .. } => {}
             Effect::RespondToOperator { id, reply } => {
@@ -151,7 +151,7 @@
         if self.now < self.state_slow_until && !matches!(op, StoreRequest::Watch { .. }) {
             at += Duration::from_millis(self.rng.random_range(50..1000));
         }
-        let calm = self.now >= self.calm_from;
+        let calm = self.now >= self.faults_end;
         if matches!(op, StoreRequest::Commit(_))
             && !calm
             && self.rng.random_bool(self.faults.late_writes)
@@ -321,7 +321,8 @@
             Some(Asker::User { user, asked }) => self.user_answered(user, asked, response),
             Some(Asker::Odd { expected }) => {
                 let (Response::State { status, .. } | Response::Problem { status, .. }) = response;
-                self.rules.odd_answered(self.now, expected, *status);
+                self.rules
+                    .irregular_request_answered(self.now, expected, *status);
             }
             _ => {}
         }
@@ -347,7 +348,7 @@
         let deaf = self
             .machines
             .get(&request.machine)
-            .is_some_and(|machine| self.now < machine.deaf_until);
+            .is_some_and(|machine| self.now < machine.responses_blocked_until);
         if deaf {
             return;
         }
--- a/tests/simulation/cluster/users.rs
+++ b/tests/simulation/cluster/users.rs
@@ -192,7 +192,7 @@
             job.one_zone = false;
             job.zone = None;
         }
-        let last = self.calm_from.as_secs_f64().max(20.0);
+        let last = self.faults_end.as_secs_f64().max(20.0);
         let submit_at = Duration::from_secs_f64(rng.random_range(0.0..last));
         let cancel = service || rng.random_bool(0.15);
         let cancel_at =
@@ -220,7 +220,7 @@
         self.rules.asked(now, job);
         let told = self.rules.told_state(job);
         let asked = self.next_request(index, told);
-        let odd = now < self.calm_from && self.rng.random_bool(self.faults.odd_requests);
+        let odd = now < self.faults_end && self.rng.random_bool(self.faults.irregular_requests);
         let asked = match told {
             Some(Told::Accepted) if odd => Ask::Submit,
             Some(Told::Done) if odd => Ask::Cancel,
@@ -229,7 +229,7 @@
         if odd {
             self.send_odd(index);
         }
-        self.questions += 1;
+        self.user_requests += 1;
         let within = if asked == Ask::Poll { 2 } else { 5 };
         self.users[index].pending = Some((asked, now + Duration::from_secs(within)));
         match asked {
@@ -255,7 +255,7 @@
             }
             user.pending = None;
             let pause = if asked == Ask::Poll {
-                POLL_EVERY / self.asking
+                POLL_EVERY / self.request_rate_factor
             } else {
                 Duration::from_secs(1)
             };
@@ -362,14 +362,16 @@
         user.pending = None;
         user.next_ask = now
             + if asked == Ask::Poll {
-                POLL_EVERY / self.asking
+                POLL_EVERY / self.request_rate_factor
             } else {
                 Duration::from_secs(2)
             };
         let job = user.job;
         match response {
-            Response::State { state, .. } => self.rules.told(now, job, Some(state.status)),
-            Response::Problem { status: 404, .. } => self.rules.told(now, job, None),
+            Response::State { state, .. } => {
+                self.rules.status_reported(now, job, Some(state.status))
+            }
+            Response::Problem { status: 404, .. } => self.rules.status_reported(now, job, None),
             Response::Problem {
                 status: status @ (400 | 422),
                 ..
--- a/tests/simulation/digest.rs
+++ b/tests/simulation/digest.rs
@@ -18,7 +18,7 @@
 
 use super::cluster::{Faults, SimulatedCluster, Size, array};
 use super::gangs::submit_gangs;
-use super::machine::LASTING;
+use super::machine::LONG_RUNNING_CLASS;
 use super::rollout::NEXT;
 
 /// A 64-bit FNV-1a hash of all effects that controllers returned, in order.
@@ -49,6 +49,13 @@
         self.bytes(&number.to_le_bytes());
     }
 
+    /// Takes in several numbers, each as by itself.
+    fn numbers(&mut self, numbers: &[u64]) {
+        for number in numbers {
+            self.number(*number);
+        }
+    }
+
     /// Takes in a duration, to the nanosecond.
     fn duration(&mut self, duration: Duration) {
         self.number(u64::try_from(duration.as_nanos()).expect("centuries"));
@@ -119,32 +126,29 @@
         self.number(controller as u64);
         self.duration(now);
         match effect {
-            Effect::Store {
-                tag: _,
-                request: op,
-            } => {
+            Effect::Store { tag: _, request } => {
                 self.number(1);
-                self.request(&store::wire::request(op));
+                self.request(&store::wire::request(request));
             }
             Effect::Command {
                 command,
-                authority_until: until,
+                authority_until,
             } => {
                 self.number(2);
                 self.field(command.block.0.as_bytes());
                 self.field(command.machine.0.as_bytes());
                 self.field(command.addr.as_bytes());
                 self.field(&write(&command.body));
-                self.until(base, *until);
+                self.until(base, *authority_until);
             }
             Effect::Cloud {
                 tag: _,
-                request: call,
-                authority_until: until,
+                request,
+                authority_until,
             } => {
                 self.number(3);
-                self.request(&cloud::wire::http_request(call));
-                self.until(base, *until);
+                self.request(&cloud::wire::http_request(request));
+                self.until(base, *authority_until);
             }
             Effect::Peer { to, message } => {
                 self.number(4);
@@ -152,33 +156,27 @@
                 self.field(&write(message));
             }
             Effect::RespondToUser { id, response } => {
-                self.number(5);
-                self.number(*id);
+                self.numbers(&[5, *id]);
                 self.response(response);
             }
             Effect::RespondToWorker {
                 id,
-                response: answer,
-                authority_until: until,
+                response,
+                authority_until,
             } => {
-                self.number(6);
-                self.number(*id);
-                self.heartbeat_response(answer);
-                self.until(base, Some(*until));
+                self.numbers(&[6, *id]);
+                self.heartbeat_response(response);
+                self.until(base, Some(*authority_until));
             }
             Effect::RespondToHealthCheck { id, healthy } => {
-                self.number(7);
-                self.number(*id);
-                self.number(u64::from(*healthy));
+                self.numbers(&[7, *id, u64::from(*healthy)]);
             }
             Effect::RespondToOperator { id, reply } => {
-                self.number(8);
-                self.number(*id);
+                self.numbers(&[8, *id]);
                 self.field(&write(reply));
             }
             Effect::UnsupportedFormat { format } => {
-                self.number(9);
-                self.number(u64::from(*format));
+                self.numbers(&[9, u64::from(*format)]);
             }
         }
         // Two versions of the program can be compared by their logs: where they part is the first difference.
@@ -187,14 +185,14 @@
 }
 
 /// Until when faults happen in these clusters.
-const CALM_FROM: Duration = Duration::from_secs(120);
+const FAULTS_END: Duration = Duration::from_secs(120);
 /// Until when they are played.
 const END: Duration = Duration::from_secs(240);
 
 /// A small cluster.
 fn cluster(seed: u64, faults: Faults) -> SimulatedCluster {
     super::log_if_asked();
-    SimulatedCluster::new(seed, faults, CALM_FROM, Size::SMALL)
+    SimulatedCluster::new(seed, faults, FAULTS_END, Size::SMALL)
 }
 
 /// No faults.
@@ -210,7 +208,8 @@
 /// An upgrade from the production version under all faults, and gangs once it is through.
 fn upgraded() -> SimulatedCluster {
     super::log_if_asked();
-    let mut cluster = SimulatedCluster::upgrading(903, Faults::all(), CALM_FROM, Size::SMALL, NEXT);
+    let mut cluster =
+        SimulatedCluster::upgrading(903, Faults::all(), FAULTS_END, Size::SMALL, NEXT);
     for (controller, at) in [(1, 20), (2, 24), (0, 28)] {
         cluster.plan(Duration::from_secs(at), move |cluster| {
             cluster.upgrade(controller, Duration::from_millis(900));
@@ -244,7 +243,7 @@
                     memory_gb: 1.0,
                 },
                 spot: false,
-                ..array(LASTING, team, Priority::Production)
+                ..array(LONG_RUNNING_CLASS, team, Priority::Production)
             };
             cluster.add_job(service, None);
         }
@@ -283,9 +282,9 @@
     cluster.digest = Some(Digest::new());
     cluster.run_until(END);
     assert!(
-        cluster.rules.broken.is_empty(),
+        cluster.rules.violations.is_empty(),
         "{name}: {:?}",
-        cluster.rules.broken
+        cluster.rules.violations
     );
     let (started, rented) = (cluster.rules.started, cluster.rented);
     let (gangs, evictions) = (cluster.gangs().started, cluster.operators.evictions.len());
--- a/tests/simulation/rollout.rs
+++ b/tests/simulation/rollout.rs
@@ -6,7 +6,7 @@
 use dappleshore::config::StateLimits;
 use dappleshore::store::records::FORMAT;
 
-use super::cluster::{CALM_FROM, CONTROLLERS, Faults, SimulatedCluster, Size};
+use super::cluster::{CONTROLLERS, FAULTS_END, Faults, SimulatedCluster, Size};
 use super::gangs::submit_gangs;
 
 /// The limits that the state service has after the upgrade.
@@ -30,7 +30,7 @@
 
 fn cluster(seed: u64, faults: Faults, size: Size, rollout: &Rollout) -> SimulatedCluster {
     super::log_if_asked();
-    let mut cluster = SimulatedCluster::upgrading(seed, faults, CALM_FROM, size, NEXT);
+    let mut cluster = SimulatedCluster::upgrading(seed, faults, FAULTS_END, size, NEXT);
     for (controller, at) in rollout.order.into_iter().zip(rollout.at_s) {
         let away = rollout.away;
         cluster.plan(Duration::from_secs(at), move |cluster| {
@@ -101,8 +101,8 @@
 fn an_upgrade_rolls_through_while_controllers_crash() {
     let faults = Faults {
         crash: 15.0,
-        held: 0.02,
-        lost: 0.02,
+        delayed_requests: 0.02,
+        lost_responses: 0.02,
         copies: 0.02,
         late_writes: 0.02,
         machine_dies: 40.0,
@@ -132,9 +132,9 @@
     cluster.run_until(Duration::from_secs(399));
     assert_eq!(cluster.format(), 0);
     assert!(
-        cluster.rules.broken.is_empty(),
+        cluster.rules.violations.is_empty(),
         "{:?}",
-        cluster.rules.broken
+        cluster.rules.violations
     );
     cluster.run_until(END);
     assert_eq!(cluster.format(), FORMAT);
@@ -152,7 +152,7 @@
             fall_at_s,
         };
         let mut cluster = cluster(seed, Faults::default(), Size::GROWN, &rollout);
-        cluster.longer = Duration::from_secs(20);
+        cluster.extra_task_time = Duration::from_secs(20);
         cluster.plan(Duration::from_secs(fall_at_s + 2), |cluster| {
             cluster.state_outage(Duration::from_secs(4));
         });
@@ -163,9 +163,9 @@
         });
         cluster.run_until(Duration::from_secs(400));
         assert!(
-            cluster.rules.broken.is_empty(),
+            cluster.rules.violations.is_empty(),
             "{:?}",
-            cluster.rules.broken
+            cluster.rules.violations
         );
         assert_eq!(cluster.rules.unfinished(), [], "seed {seed}");
         assert_eq!(cluster.rules.unserved(), [] as [&str; 0], "seed {seed}");
