--- a/src/workers/block/commands.rs
+++ b/src/workers/block/commands.rs
@@ -1,11 +1,11 @@
-//! What workers are told: which tasks to launch, to stop and to forget.
+//! Prepares the commands to workers: which tasks to launch, stop and reap.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
 
 use tracing::debug;
 
-use super::heartbeats::HeartbeatSource;
+use super::heartbeats::ReportSource;
 use super::{Block, EndedAttempt, job_is_active};
 use crate::domain::{AgentEpoch, Attempt, JobKind, MachineId, Now, TaskId};
 use crate::store::WatchCache;
@@ -19,23 +19,23 @@
 /// How commands reach a worker.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(in crate::workers) enum CommandChannel {
-    /// In the response to its heartbeat. Nothing is launched that way, so that each launch has a response of its own.
+    /// In the response to its heartbeat. Launches are not sent this way, so that each launch gets a response.
     HeartbeatResponse,
-    /// In a request of ours.
+    /// In a request from this controller.
     Direct {
-        /// The worker refuses the request in any other agent epoch.
+        /// The worker rejects the request in any other agent epoch.
         agent_epoch: AgentEpoch,
-        /// Whether the block lease is known to last, so that tasks may be launched.
+        /// Whether the block lease is known to be still valid, so that tasks may be launched.
         may_launch: bool,
     },
 }
 
 impl Block {
-    /// The direct command that a worker should get now, if it can take one: with commands that should not wait for its next
-    /// heartbeat, or as a probe.
+    /// Prepares the direct command to a worker, if one is due and can be sent now: it contains the commands that should
+    /// not wait for the next heartbeat, or is a probe.
     ///
-    /// `lease_valid`: whether the block lease is known to last. `overdue_after`: the age of the last heartbeat from which on
-    /// the next one is overdue.
+    /// `lease_valid`: whether the block lease is known to be still valid. `overdue_after`: the age of the last
+    /// heartbeat after which the next one is overdue.
     pub(in crate::workers) fn direct_command(
         &mut self,
         now: Now,
@@ -47,23 +47,24 @@
         let worker = self.workers.get(&machine)?;
         let probe = lease_valid && worker.probe_due(now, overdue_after);
         if worker.command_in_flight || !(worker.command_pending || probe) {
-            // It comes back here with the response to the command in flight, or its first heartbeat.
+            // It is considered again after the outcome of the command in flight, or after its first heartbeat.
             return None;
         }
         let addr = worker.addr.clone()?;
         let channel = CommandChannel::Direct {
-            // Of a worker that has not reported yet only the address is known. If its epoch is another than the first, it
-            // says so, and executes nothing.
+            // Only the address is known of a worker that has not reported yet. If its epoch is not the first one, it
+            // rejects the command and responds with its epoch.
             agent_epoch: worker.agent_epoch.max(FIRST_AGENT_EPOCH),
             may_launch: lease_valid,
         };
-        let mut body = self.commands(now, &machine, cache, channel);
+        let mut body = self.prepare_commands(now, &machine, cache, channel);
         if !lease_valid {
-            body.commands.retain(|command| is_final(command, cache));
+            body.commands
+                .retain(|command| stops_ended_job(command, cache));
         }
         let token = self.token;
         let worker = self.workers.get_mut(&machine)?;
-        // Other commands wait until the lease is known to last again: the next review finds them.
+        // Other commands wait until the lease is known to be valid again; the next review requests them.
         worker.command_pending = !lease_valid;
         if body.commands.is_empty() && (worker.token >= token || !lease_valid) && !probe {
             return None;
@@ -80,16 +81,16 @@
         })
     }
 
-    /// All that the worker of a machine should be told now. Launches are recorded as sent.
-    pub(in crate::workers) fn commands(
+    /// Prepares all commands that the worker of a machine should get now. Launches are recorded as sent.
+    pub(in crate::workers) fn prepare_commands(
         &mut self,
         now: Now,
         machine: &MachineId,
         cache: &WatchCache,
         channel: CommandChannel,
     ) -> WorkerCommands {
-        let recorded = self.recorded.numbers_on(machine);
-        let mut commands = self.stops_and_reaps(machine, &recorded, cache);
+        let recorded = self.recorded.attempt_numbers_on(machine);
+        let mut commands = self.stop_and_reap_commands(machine, &recorded, cache);
         let agent_epoch = match channel {
             CommandChannel::HeartbeatResponse => None,
             CommandChannel::Direct {
@@ -97,7 +98,7 @@
                 may_launch,
             } => {
                 if may_launch {
-                    commands.extend(self.launches(now, machine, &recorded, cache));
+                    commands.extend(self.prepare_launches(now, machine, &recorded, cache));
                 }
                 Some(agent_epoch)
             }
@@ -109,9 +110,9 @@
         }
     }
 
-    /// Commands for the tasks that the worker reports: those that it should not run are stopped, and those that have ended
-    /// and that it need not remember are reaped.
-    fn stops_and_reaps(
+    /// Returns the commands for the tasks that the worker reports: tasks that it should not run are stopped, and ended
+    /// tasks whose entries it no longer needs are reaped.
+    fn stop_and_reap_commands(
         &self,
         machine: &MachineId,
         recorded: &BTreeMap<TaskId, u64>,
@@ -122,12 +123,12 @@
         };
         let command = |(task, observed): (&TaskId, &ObservedTask)| {
             let is_recorded = recorded.get(task) == Some(&observed.number);
-            self.stop_or_reap(worker, *task, observed, is_recorded, cache)
+            self.stop_or_reap_command(worker, *task, observed, is_recorded, cache)
         };
         worker.tasks.iter().filter_map(command).collect()
     }
 
-    fn stop_or_reap(
+    fn stop_or_reap_command(
         &self,
         worker: &Worker,
         task: TaskId,
@@ -138,7 +139,7 @@
         let attempt = observed.attempt(task);
         let wire_number = attempt.wire_number();
         if observed.state == TaskState::Exited {
-            // Reaped only once its end is recorded, and never while an old launch of it may come late.
+            // Reaped only after its end is recorded, and never while a launch of it may still arrive.
             let reap = !is_recorded && worker.may_forget(&attempt, observed.cause);
             return reap.then_some(WorkerCommand::Reap { task, wire_number });
         }
@@ -152,8 +153,9 @@
         })
     }
 
-    /// Launches of recorded attempts that the worker does not report. There are none before the worker has shown our token.
-    fn launches(
+    /// Prepares the launches of recorded attempts that the worker does not report. Returns none before the worker has
+    /// confirmed the block's token.
+    fn prepare_launches(
         &mut self,
         now: Now,
         machine: &MachineId,
@@ -180,7 +182,7 @@
                 worker.observed(attempt).is_none()
                     && worker.launches.may_send(now, attempt)
                     && self.should_run(cache, attempt)
-                    && !self.ended.contains_key(&ended)
+                    && !self.proven_ended.contains_key(&ended)
             })
             .collect();
         let token = self.token;
@@ -199,12 +201,12 @@
         commands
     }
 
-    /// Whether a recorded attempt should run.
+    /// Whether a recorded attempt should run: its job is active and the leader has not requested a stop.
     fn should_run(&self, cache: &WatchCache, attempt: &Attempt) -> bool {
-        job_is_active(cache, attempt.task.job) && !self.assignments.is_stopped(attempt)
+        job_is_active(cache, attempt.task.job) && !self.assignments.is_stop_requested(attempt)
     }
 
-    /// Applies the response to a direct command, or that there was none.
+    /// Applies the outcome of a direct command.
     pub(in crate::workers) fn apply_command_outcome(
         &mut self,
         now: Now,
@@ -228,7 +230,7 @@
             CommandOutcome::Executed(heartbeat) | CommandOutcome::Rejected(heartbeat) => {
                 if heartbeat.machine == *machine {
                     worker.liveness.record_answered_command();
-                    self.apply_heartbeat(now, heartbeat, cache, HeartbeatSource::CommandResponse);
+                    self.apply_report(now, heartbeat, cache, ReportSource::CommandResponse);
                 }
             }
             CommandOutcome::Unknown => {
@@ -239,7 +241,7 @@
     }
 }
 
-/// Records what became of the launches in a direct command that was sent under the present token and agent epoch.
+/// Records the outcomes of the launches in a direct command that was sent under the current token and agent epoch.
 fn record_launch_outcomes(
     worker: &mut Worker,
     now: Now,
@@ -264,23 +266,23 @@
     }
 }
 
-/// Whether a command only ends a task whose job is known to be cancelled or over.
-fn is_final(command: &WorkerCommand, cache: &WatchCache) -> bool {
-    let over = |job| {
+/// Whether a command stops a task whose job is known to be cancelled or to have ended.
+fn stops_ended_job(command: &WorkerCommand, cache: &WatchCache) -> bool {
+    let has_ended = |job| {
         cache.ended.contains_key(&job)
             || cache.open.contains_key(&job) && !job_is_active(cache, job)
     };
-    matches!(command, WorkerCommand::Stop { task, .. } if over(task.job))
+    matches!(command, WorkerCommand::Stop { task, .. } if has_ended(task.job))
 }
 
-/// How long a task that is stopped may take to save, in seconds.
+/// How long a stopped task may take to write its checkpoint, in seconds.
 fn grace_s(cache: &WatchCache, task: TaskId, is_recorded: bool) -> f64 {
     let job = cache
         .open
         .get(&task.job)
         .filter(|open| !open.cancelled)
         .map(|open| &open.job);
-    // What is left of a gang that has lost a task can't save any more.
+    // The remaining tasks of a gang that has lost one can't write a checkpoint.
     job.filter(|job| job.kind != JobKind::Gang)
         .filter(|job| job.checkpoint_every_s > 0.0 && is_recorded)
         .map_or(0.0, |job| job.checkpoint_s)
--- a/src/workers/tests/commands.rs
+++ b/src/workers/tests/commands.rs
@@ -1,23 +1,28 @@
-//! What workers are told, and what is not said before it is safe.
+//! Tests of the commands to workers, and of the conditions under which they are withheld.
 
 use super::*;
 
-/// In an outage no block lease is known to last, while machines go on with tasks of jobs that were cancelled before it.
+/// During an outage no block lease is known to be valid, while machines keep running tasks of jobs that were cancelled
+/// before it.
 #[test]
-fn a_cancelled_task_is_stopped_without_a_valid_lease_and_nothing_else_is_done() {
+fn without_a_valid_lease_only_tasks_of_cancelled_jobs_are_stopped() {
     let mut holder = Holder::new(job(1, 1.0));
-    holder.assignments(9, "m-1", 1);
-    holder.write();
-    assert_eq!(holder.commands_without_lease(), [], "no launch");
+    holder.assign_task(9, "m-1", 1);
+    holder.commit_due_writes();
+    assert_eq!(
+        holder.commands_without_lease(),
+        [],
+        "nothing may be launched without a valid lease"
+    );
     holder.tick();
-    let command = holder.commands().remove(0);
+    let command = holder.direct_commands().remove(0);
     let running = [(9, TaskState::Running, None)];
-    let shown = holder.message("m-1", FencingToken(4), &running);
-    holder.answer(&command, CommandOutcome::Executed(shown));
+    let report = holder.build_heartbeat("m-1", FencingToken(4), &running);
+    holder.apply_command_outcome(&command, CommandOutcome::Executed(report));
     holder.now.monotonic += REVIEW_INTERVAL;
     holder.tick();
     assert_eq!(holder.commands_without_lease(), []);
-    // What the leader wants stopped to make room, which another leader may see otherwise by now.
+    // The leader wants the attempt stopped to free resources; another leader may have decided otherwise since.
     let attempt = first_attempt(9);
     let version = holder.fleet.lease_version(&"a.0".into());
     assert!(holder.fleet.apply_assignments(AssignmentUpdate {
@@ -25,24 +30,24 @@
         ..assignment_update(version, 2, Vec::new())
     }));
     assert_eq!(holder.commands_without_lease(), []);
-    holder.cancel();
+    holder.cancel_job();
     let stop = WorkerCommand::Stop {
         task: first_task(),
         wire_number: 9,
         grace_s: 0.0,
     };
     assert_eq!(holder.commands_without_lease(), [stop]);
-    // The heartbeat is not answered, but what it says counts.
-    let gone = holder.message(
+    // The heartbeat gets no response with commands, but its report is applied.
+    let heartbeat = holder.build_heartbeat(
         "m-1",
         FencingToken(4),
         &[(9, TaskState::Exited, Some(ExitCause::Stopped))],
     );
-    let answer =
+    let response =
         holder
             .fleet
-            .handle_heartbeat(holder.now, gone, &holder.config, &holder.cache, false);
-    assert_eq!(answer, HeartbeatResponse::Unavailable);
+            .handle_heartbeat(holder.now, heartbeat, &holder.config, &holder.cache, false);
+    assert_eq!(response, HeartbeatResponse::Unavailable);
     assert!(
         holder
             .fleet
@@ -52,22 +57,22 @@
         !holder
             .fleet
             .is_proven_ended(&"a.1".into(), &"m-1".into(), &attempt),
-        "not ours to say"
+        "an end in a block of another holder must not be claimed as proven"
     );
 }
 
-/// Its launch was under way when the job was cancelled.
+/// The launch was in flight when the job was cancelled.
 #[test]
-fn a_task_that_appears_after_its_cancellation_is_stopped_at_once() {
+fn a_task_reported_after_its_job_was_cancelled_is_stopped_at_once() {
     let mut holder = Holder::new(job(1, 1.0));
-    holder.assignments(9, "m-1", 1);
-    holder.write();
-    let command = holder.commands().remove(0);
-    holder.cancel();
-    let shown = holder.message("m-1", FencingToken(4), &[(9, TaskState::Fetching, None)]);
-    holder.answer(&command, CommandOutcome::Executed(shown));
+    holder.assign_task(9, "m-1", 1);
+    holder.commit_due_writes();
+    let command = holder.direct_commands().remove(0);
+    holder.cancel_job();
+    let report = holder.build_heartbeat("m-1", FencingToken(4), &[(9, TaskState::Fetching, None)]);
+    holder.apply_command_outcome(&command, CommandOutcome::Executed(report));
     let commands: Vec<WorkerCommand> = holder
-        .commands()
+        .direct_commands()
         .into_iter()
         .flat_map(|command| command.body.commands)
         .collect();
@@ -77,7 +82,7 @@
     );
 }
 
-fn launches(commands: &[DirectCommand]) -> usize {
+fn count_launches(commands: &[DirectCommand]) -> usize {
     let commands = commands.iter().flat_map(|command| &command.body.commands);
     commands
         .filter(|command| matches!(command, WorkerCommand::Launch { .. }))
@@ -85,83 +90,95 @@
 }
 
 #[test]
-fn nothing_is_launched_before_it_is_recorded_nor_before_the_worker_has_shown_the_token() {
+fn launches_wait_until_the_attempt_is_recorded_and_the_worker_has_confirmed_the_token() {
     let mut holder = Holder::new(job(1, 1.0));
-    holder.assignments(9, "m-1", 1);
-    assert_eq!(launches(&holder.commands()), 0, "not recorded yet");
-    assert_eq!(holder.write(), [("m-1".to_owned(), 9)]);
-    assert_eq!(launches(&holder.commands()), 1);
+    holder.assign_task(9, "m-1", 1);
+    assert_eq!(
+        count_launches(&holder.direct_commands()),
+        0,
+        "an attempt must not be launched before it is recorded"
+    );
+    assert_eq!(holder.commit_due_writes(), [("m-1".to_owned(), 9)]);
+    assert_eq!(count_launches(&holder.direct_commands()), 1);
 
     let mut holder = Holder::new(job(1, 1.0));
-    holder.assignments(9, "m-1", 1);
-    holder.write();
-    holder.lease(FencingToken(6));
-    let raising = holder.commands();
+    holder.assign_task(9, "m-1", 1);
+    holder.commit_due_writes();
+    holder.grant_lease(FencingToken(6));
+    let token_commands = holder.direct_commands();
     assert!(
-        raising
+        token_commands
             .iter()
             .all(|command| command.body.token == FencingToken(6))
-            && launches(&raising) == 0
+            && count_launches(&token_commands) == 0
     );
-    let shown = holder.message("m-1", FencingToken(6), &[]);
-    let to_first = raising
+    let report = holder.build_heartbeat("m-1", FencingToken(6), &[]);
+    let command = token_commands
         .iter()
         .find(|command| &*command.machine.0 == "m-1")
-        .expect("raised")
+        .expect("a command with the new token must be sent to m-1")
         .clone();
-    holder.answer(&to_first, CommandOutcome::Executed(shown));
-    assert_eq!(launches(&holder.commands()), 1);
+    holder.apply_command_outcome(&command, CommandOutcome::Executed(report));
+    assert_eq!(count_launches(&holder.direct_commands()), 1);
 }
 
-/// Found by a seeded run with zone cuts: see `Launches::unacknowledged`.
+/// Found by a seeded simulation with partitioned zones; see `Launches::unacknowledged`.
 #[test]
-fn an_unanswered_launch_holds_back_reaping_and_the_next_attempt_until_a_new_token() {
+fn an_unanswered_launch_blocks_reaping_and_the_next_attempt_until_a_new_token() {
     let mut holder = Holder::new(job(1, 1.0));
-    holder.assignments(9, "m-1", 1);
-    holder.write();
-    let command = holder.commands().remove(0);
-    holder.answer(&command, CommandOutcome::Unknown);
+    holder.assign_task(9, "m-1", 1);
+    holder.commit_due_writes();
+    let command = holder.direct_commands().remove(0);
+    holder.apply_command_outcome(&command, CommandOutcome::Unknown);
     let failed = [(9, TaskState::Exited, Some(ExitCause::Error))];
-    holder.heartbeat("m-1", FencingToken(4), &failed);
-    assert_eq!(holder.write(), []);
+    holder.send_heartbeat("m-1", FencingToken(4), &failed);
+    assert_eq!(holder.commit_due_writes(), []);
     assert!(
-        !reaped(holder.heartbeat("m-1", FencingToken(4), &failed)),
-        "the lost launch could start it again"
+        !has_reap_command(holder.send_heartbeat("m-1", FencingToken(4), &failed)),
+        "the unanswered launch could start the attempt again"
     );
-    holder.assignments(10, "m-1", 2);
+    holder.assign_task(10, "m-1", 2);
     assert_eq!(
-        holder.write(),
+        holder.commit_due_writes(),
         [("m-2".to_owned(), 10)],
-        "away from the machine it was meant for"
+        "the next attempt must not be placed on the machine of the unanswered launch"
     );
     holder.tick();
     holder.now.monotonic += TOKEN_RENEWAL_DELAY + Duration::from_secs(1);
     holder.tick();
     let policy = Policy::built_in(&holder.config);
     assert!(holder.fleet.prepare_block_statuses(holder.now, &policy)[0].token_renewal_required);
-    holder.lease(FencingToken(6));
-    assert!(reaped(holder.heartbeat("m-1", FencingToken(6), &failed)));
+    holder.grant_lease(FencingToken(6));
+    assert!(has_reap_command(holder.send_heartbeat(
+        "m-1",
+        FencingToken(6),
+        &failed
+    )));
 }
 
-/// A launch was answered and its task stopped; then a copy of the launch comes. A worker that has been told to forget
-/// the attempt would start it again beside the next one.
+/// A launch is answered and its task stopped; then a duplicate of the launch arrives. A worker that has reaped the
+/// attempt would start it again in parallel with the next one.
 #[test]
-fn an_attempt_that_could_be_launched_by_a_copy_is_remembered_until_a_new_token() {
+fn an_attempt_that_a_duplicate_launch_could_start_is_not_reaped_until_a_new_token() {
     let mut holder = Holder::new(job(1, 1.0));
-    holder.assignments(9, "m-1", 1);
-    holder.write();
-    let command = holder.commands().remove(0);
-    let running = holder.message("m-1", FencingToken(4), &[(9, TaskState::Running, None)]);
-    holder.answer(&command, CommandOutcome::Executed(running));
+    holder.assign_task(9, "m-1", 1);
+    holder.commit_due_writes();
+    let command = holder.direct_commands().remove(0);
+    let running = holder.build_heartbeat("m-1", FencingToken(4), &[(9, TaskState::Running, None)]);
+    holder.apply_command_outcome(&command, CommandOutcome::Executed(running));
     let stopped = [(9, TaskState::Exited, Some(ExitCause::Stopped))];
-    holder.heartbeat("m-1", FencingToken(4), &stopped);
-    assert_eq!(holder.write(), []);
-    assert!(!reaped(holder.heartbeat("m-1", FencingToken(4), &stopped)));
-    holder.assignments(10, "m-1", 2);
+    holder.send_heartbeat("m-1", FencingToken(4), &stopped);
+    assert_eq!(holder.commit_due_writes(), []);
+    assert!(!has_reap_command(holder.send_heartbeat(
+        "m-1",
+        FencingToken(4),
+        &stopped
+    )));
+    holder.assign_task(10, "m-1", 2);
     assert_eq!(
-        holder.write(),
+        holder.commit_due_writes(),
         [("m-2".to_owned(), 10)],
-        "the worker keeps one attempt of a task in mind"
+        "a worker lists one attempt of a task, and still needs the entry for the earlier one"
     );
     holder.tick();
     holder.now.monotonic += TOKEN_RENEWAL_DELAY * 2;
@@ -169,61 +186,78 @@
     let policy = Policy::built_in(&holder.config);
     assert!(
         !holder.fleet.prepare_block_statuses(holder.now, &policy)[0].token_renewal_required,
-        "nothing waits for it"
+        "no token renewal is needed while no placement waits for it"
     );
-    holder.lease(FencingToken(6));
-    assert!(reaped(holder.heartbeat("m-1", FencingToken(6), &stopped)));
-    // What is done ends again at once, so it may be forgotten.
+    holder.grant_lease(FencingToken(6));
+    assert!(has_reap_command(holder.send_heartbeat(
+        "m-1",
+        FencingToken(6),
+        &stopped
+    )));
+    // A finished task that is started again ends at once, so its entry may be reaped.
     let command = holder
-        .commands()
+        .direct_commands()
         .into_iter()
         .find(|command| &*command.machine.0 == "m-2")
-        .expect("raised");
-    let running = holder.message("m-2", FencingToken(6), &[(10, TaskState::Running, None)]);
-    holder.answer(&command, CommandOutcome::Executed(running));
+        .expect("a command with the new token must be sent to m-2");
+    let running = holder.build_heartbeat("m-2", FencingToken(6), &[(10, TaskState::Running, None)]);
+    holder.apply_command_outcome(&command, CommandOutcome::Executed(running));
     let done = [(10, TaskState::Exited, Some(ExitCause::Done))];
-    holder.heartbeat("m-2", FencingToken(6), &done);
-    holder.write();
-    assert!(reaped(holder.heartbeat("m-2", FencingToken(6), &done)));
+    holder.send_heartbeat("m-2", FencingToken(6), &done);
+    holder.commit_due_writes();
+    assert!(has_reap_command(holder.send_heartbeat(
+        "m-2",
+        FencingToken(6),
+        &done
+    )));
 }
 
-/// Else every task that ever ran on a machine would be kept in mind there, and be gone through for each placement.
+/// Otherwise an entry for every task that ever ran on a machine would be kept, and examined for each placement.
 #[test]
-fn a_launch_is_forgotten_once_its_worker_has_forgotten_the_attempt() {
+fn a_launch_entry_is_removed_once_the_worker_no_longer_lists_the_attempt() {
     let mut holder = Holder::new(job(1, 1.0));
-    let remembered = |holder: &Holder| {
+    let tracked_launches = |holder: &Holder| {
         holder.fleet.blocks[&BlockId::from("a.0")].workers[&"m-1".into()]
             .launches
             .attempts_sent()
     };
-    holder.assignments(9, "m-1", 1);
-    holder.write();
-    let command = holder.commands().remove(0);
-    // Sent before the launch came.
-    holder.heartbeat("m-1", FencingToken(4), &[]);
-    assert_eq!(remembered(&holder), 1);
-    let running = holder.message("m-1", FencingToken(4), &[(9, TaskState::Running, None)]);
-    holder.answer(&command, CommandOutcome::Executed(running));
-    holder.heartbeat(
+    holder.assign_task(9, "m-1", 1);
+    holder.commit_due_writes();
+    let command = holder.direct_commands().remove(0);
+    // The worker sent this heartbeat before the launch arrived.
+    holder.send_heartbeat("m-1", FencingToken(4), &[]);
+    assert_eq!(tracked_launches(&holder), 1);
+    let running = holder.build_heartbeat("m-1", FencingToken(4), &[(9, TaskState::Running, None)]);
+    holder.apply_command_outcome(&command, CommandOutcome::Executed(running));
+    holder.send_heartbeat(
         "m-1",
         FencingToken(4),
         &[(9, TaskState::Exited, Some(ExitCause::Done))],
     );
-    holder.write();
-    assert_eq!(remembered(&holder), 1, "not reaped yet");
-    holder.heartbeat("m-1", FencingToken(4), &[]);
-    assert_eq!(remembered(&holder), 0);
+    holder.commit_due_writes();
+    assert_eq!(
+        tracked_launches(&holder),
+        1,
+        "the attempt has not been reaped yet"
+    );
+    holder.send_heartbeat("m-1", FencingToken(4), &[]);
+    assert_eq!(tracked_launches(&holder), 0);
 }
 
-/// Found on the bench: a controller that lost the state service went on answering its workers for the life of its
-/// block lease, the new holder knew none of their addresses and heard nothing, and they were given up with all on them.
+/// Found on the bench: a controller that lost the state service kept responding to its workers until its block lease
+/// expired. The new holder knew none of their addresses and received no heartbeats, and the machines were deleted with
+/// all their tasks.
 #[test]
-fn a_new_holder_raises_the_token_of_workers_that_it_was_told_of() {
+fn a_new_holder_sends_its_token_to_workers_whose_addresses_the_leader_provides() {
     let mut holder = Holder::new(job(1, 1.0));
     let policy = Policy::built_in(&holder.config);
-    holder.put(block_lease_key(&"a.0".into()), ciborium::Value::Null);
-    holder.lease(FencingToken(6));
-    assert_eq!(holder.commands(), [], "nothing is known of them");
+    holder.put_record(block_lease_key(&"a.0".into()), ciborium::Value::Null);
+    holder.grant_lease(FencingToken(6));
+    assert_eq!(
+        holder.direct_commands(),
+        [],
+        "no command can be sent without an address"
+    );
     holder.now.monotonic += policy.worker_timeout + Duration::from_secs(1);
     assert!(
         holder.fleet.prepare_block_statuses(holder.now, &policy)[0]
@@ -237,7 +271,7 @@
         addresses,
         ..assignment_update(lease_version, 1, Vec::new())
     }));
-    let command = holder.commands().remove(0);
+    let command = holder.direct_commands().remove(0);
     assert_eq!(
         (
             command.body.token,
@@ -246,55 +280,63 @@
         ),
         (FencingToken(6), Some(AgentEpoch(1)), 0)
     );
-    // Its session is another: it says so, and is asked again.
-    let mut shown = holder.message("m-1", FencingToken(4), &[]);
-    shown.agent_epoch = AgentEpoch(3);
-    holder.answer(&command, CommandOutcome::Rejected(shown));
-    let command = holder.commands().remove(0);
+    // The worker is in another epoch: it rejects the command with its epoch, and gets the command again.
+    let mut report = holder.build_heartbeat("m-1", FencingToken(4), &[]);
+    report.agent_epoch = AgentEpoch(3);
+    holder.apply_command_outcome(&command, CommandOutcome::Rejected(report));
+    let command = holder.direct_commands().remove(0);
     assert_eq!(
         (command.body.token, command.body.agent_epoch),
         (FencingToken(6), Some(AgentEpoch(3)))
     );
 }
 
-/// A controller that takes over for others has something to tell every worker at once, and each command holds a
-/// socket, for long if its worker does not answer.
+/// A controller that takes over blocks has commands for all workers at once. Each command holds a socket, and for long
+/// if its worker does not respond.
 #[test]
-fn commands_under_way_are_bounded_and_those_without_answers_leave_room_for_others() {
+fn commands_in_flight_are_bounded_and_at_most_half_go_to_workers_that_did_not_answer() {
     let mut holder = Holder::new(job(1, 1.0));
-    let most = holder.config.max_sockets / COMMAND_SOCKET_DIVISOR;
-    let names: Vec<String> = (0..most * 3).map(|n| format!("m-{n:06}")).collect();
+    let max_in_flight = holder.config.max_sockets / COMMAND_SOCKET_DIVISOR;
+    let names: Vec<String> = (0..max_in_flight * 3)
+        .map(|n| format!("m-{n:06}"))
+        .collect();
     let machines: Vec<&str> = names.iter().map(String::as_str).collect();
     holder.put_inventory("a.0", &machines);
     for name in &names {
-        holder.heartbeat(name, FencingToken(3), &[]);
+        holder.send_heartbeat(name, FencingToken(3), &[]);
     }
-    let first = holder.commands();
-    assert_eq!((first.len(), holder.commands().len()), (most, 0));
+    let first = holder.direct_commands();
+    assert_eq!(
+        (first.len(), holder.direct_commands().len()),
+        (max_in_flight, 0)
+    );
     for command in &first {
-        holder.answer(command, CommandOutcome::Unknown);
+        holder.apply_command_outcome(command, CommandOutcome::Unknown);
     }
     holder.now.monotonic += PROBE_INTERVAL * 2;
     holder.tick();
-    let again: BTreeSet<MachineId> = holder
-        .commands()
+    let commanded_again: BTreeSet<MachineId> = holder
+        .direct_commands()
         .into_iter()
         .map(|command| command.machine)
         .collect();
     let unanswered_before = first
         .iter()
-        .filter(|command| again.contains(&command.machine))
+        .filter(|command| commanded_again.contains(&command.machine))
         .count();
-    assert_eq!((again.len(), unanswered_before), (most, most / 2));
+    assert_eq!(
+        (commanded_again.len(), unanswered_before),
+        (max_in_flight, max_in_flight / 2)
+    );
 }
 
-/// Whether a response to a heartbeat tells the worker to forget a task.
-fn reaped(response: HeartbeatResponse) -> bool {
+/// Whether a response to a heartbeat contains a command to reap a task.
+fn has_reap_command(response: HeartbeatResponse) -> bool {
     match response {
         HeartbeatResponse::Commands(commands) => commands
             .commands
             .iter()
             .any(|command| matches!(command, WorkerCommand::Reap { .. })),
-        other => panic!("{other:?}"),
+        other => panic!("the response must contain commands: {other:?}"),
     }
 }
--- a/src/workers/tests/liveness.rs
+++ b/src/workers/tests/liveness.rs
@@ -1,16 +1,16 @@
-//! Which machines the leader is told are unresponsive or faulty.
+//! Tests of which machines are reported to the leader as unresponsive or faulty.
 
 use super::*;
 
-/// Reports arrive, but neither answers nor commands reach the machine: nothing more is placed there, and it is
-/// given up although it is heard all the time.
+/// Heartbeats arrive, but neither responses nor commands reach the machine. Nothing more must be placed there, and the
+/// machine must become unresponsive in spite of its heartbeats.
 #[test]
-fn a_machine_that_reports_but_does_not_answer_is_noticed() {
+fn a_machine_that_sends_heartbeats_but_answers_no_commands_becomes_unresponsive() {
     let mut holder = Holder::new(job(1, 1.0));
     let policy = Policy::built_in(&holder.config);
-    holder.assignments(9, "m-1", 1);
-    holder.write();
-    let usable = |holder: &mut Holder| {
+    holder.assign_task(9, "m-1", 1);
+    holder.commit_due_writes();
+    let health = |holder: &mut Holder| {
         let status = holder
             .fleet
             .prepare_block_statuses(holder.now, &policy)
@@ -18,40 +18,40 @@
         status
             .machines
             .iter()
-            .find(|m| &*m.machine.0 == "m-1")
-            .map(|m| (m.usable, m.unresponsive))
+            .find(|machine| &*machine.machine.0 == "m-1")
+            .map(|machine| (machine.usable, machine.unresponsive))
     };
-    assert_eq!(usable(&mut holder), Some((true, false)));
-    let command = holder.commands().remove(0);
-    holder.answer(&command, CommandOutcome::Unknown);
-    holder.heartbeat("m-1", FencingToken(4), &[]);
-    assert_eq!(usable(&mut holder), Some((false, false)));
-    let mut asked = 0;
+    assert_eq!(health(&mut holder), Some((true, false)));
+    let command = holder.direct_commands().remove(0);
+    holder.apply_command_outcome(&command, CommandOutcome::Unknown);
+    holder.send_heartbeat("m-1", FencingToken(4), &[]);
+    assert_eq!(health(&mut holder), Some((false, false)));
+    let mut probes = 0;
     for _ in 0..20 {
         holder.now.monotonic += Duration::from_secs(1);
-        holder.heartbeat("m-1", FencingToken(4), &[]);
-        holder.heartbeat("m-2", FencingToken(4), &[]);
+        holder.send_heartbeat("m-1", FencingToken(4), &[]);
+        holder.send_heartbeat("m-2", FencingToken(4), &[]);
         holder.tick();
-        for command in holder.commands() {
-            asked += 1;
-            holder.answer(&command, CommandOutcome::Unknown);
+        for command in holder.direct_commands() {
+            probes += 1;
+            holder.apply_command_outcome(&command, CommandOutcome::Unknown);
         }
     }
-    assert!(asked > 2, "asked {asked} times");
-    assert_eq!(usable(&mut holder), Some((false, true)));
-    // An answer settles it, and all is as before.
-    let shown = holder.message("m-1", FencingToken(4), &[]);
-    holder.answer(&command, CommandOutcome::Executed(shown));
-    assert_eq!(usable(&mut holder), Some((true, false)));
+    assert!(probes > 2, "{probes} probes were sent");
+    assert_eq!(health(&mut holder), Some((false, true)));
+    // A response makes the machine usable again.
+    let report = holder.build_heartbeat("m-1", FencingToken(4), &[]);
+    holder.apply_command_outcome(&command, CommandOutcome::Executed(report));
+    assert_eq!(health(&mut holder), Some((true, false)));
 }
 
-/// Found on the bench: a controller that had stood still took all its workers for silent when it went on, and
-/// machines that nothing was wrong with were deleted.
+/// Found on the bench: a controller that had been paused counted all its workers as unresponsive when it resumed, and
+/// healthy machines were deleted.
 #[test]
-fn time_in_which_a_holder_was_paused_is_no_silence_of_its_workers() {
+fn a_pause_of_the_holder_does_not_make_its_workers_unresponsive() {
     let mut holder = Holder::new(job(1, 1.0));
     let policy = Policy::built_in(&holder.config);
-    let silent = |holder: &mut Holder| {
+    let unresponsive_count = |holder: &mut Holder| {
         holder.tick();
         let status = holder
             .fleet
@@ -63,26 +63,26 @@
             .filter(|machine| machine.unresponsive)
             .count()
     };
-    let gap = policy.worker_timeout * 2;
-    holder.now.monotonic += gap;
-    holder.fleet.process_paused(gap);
-    assert_eq!(silent(&mut holder), 0);
-    holder.now.monotonic += gap;
-    assert_eq!(silent(&mut holder), 2);
+    let pause = policy.worker_timeout * 2;
+    holder.now.monotonic += pause;
+    holder.fleet.process_paused(pause);
+    assert_eq!(unresponsive_count(&mut holder), 0);
+    holder.now.monotonic += pause;
+    assert_eq!(unresponsive_count(&mut holder), 2);
 }
 
-/// Found by a search of seeds: a sight of a running task reset the count, and machines whose tasks fail after
-/// running were never given up.
+/// Found by a search over simulation seeds: a report of a running task reset the count, so machines whose tasks fail
+/// after running were never given up as faulty.
 #[test]
-fn a_machine_is_faulty_when_tasks_of_two_jobs_fail_there_though_they_ran() {
+fn failures_of_tasks_that_ran_are_counted_and_bounded_for_a_single_job() {
     let mut holder = Holder::new(job(1, 1.0));
-    holder.put(job_key(JobId(2)), encode(&JobRecord::Open(job(1, 1.0))));
+    holder.put_record(job_key(JobId(2)), encode(&JobRecord::Open(job(1, 1.0))));
     let policy = Policy::built_in(&holder.config);
     let mut errors = Vec::new();
-    for (number, of) in [(9, 1), (10, 1), (11, 1), (12, 2)] {
+    for (number, job_id) in [(9, 1), (10, 1), (11, 1), (12, 2)] {
         let attempt = Attempt {
             task: TaskId {
-                job: JobId(of),
+                job: JobId(job_id),
                 index: 0,
             },
             number,
@@ -97,12 +97,13 @@
             number,
             assignments
         )));
-        holder.write();
+        holder.commit_due_writes();
         for (state, cause) in [
             (TaskState::Running, None),
             (TaskState::Exited, Some(ExitCause::Error)),
         ] {
-            let mut heartbeat = holder.message("m-1", FencingToken(4), &[(number, state, cause)]);
+            let mut heartbeat =
+                holder.build_heartbeat("m-1", FencingToken(4), &[(number, state, cause)]);
             heartbeat.tasks[0].task = attempt.task;
             holder.fleet.handle_heartbeat(
                 holder.now,
@@ -112,7 +113,7 @@
                 true,
             );
         }
-        holder.write();
+        holder.commit_due_writes();
         errors.push(
             holder.fleet.prepare_block_statuses(holder.now, &policy)[0].machines[0]
                 .consecutive_failures,
--- a/src/workers/tests/mod.rs
+++ b/src/workers/tests/mod.rs
@@ -1,4 +1,4 @@
-//! A holder's duties, as the leader, the workers and the state service see them.
+//! Tests of the worker fleet through its interface to the leader, the workers and the state service.
 
 mod commands;
 mod heartbeats;
@@ -28,25 +28,27 @@
 
 const INCARNATION: Incarnation = Incarnation(7);
 
-const AMPLE: WriteAllowance = WriteAllowance {
+const SPARE_WRITES: WriteAllowance = WriteAllowance {
     max_changes: 16,
     has_spare_writes: true,
 };
 
+/// A holder of blocks with its configuration, its cached records and a simulated clock.
 struct Holder {
     config: Config,
     catalog: InstanceCatalog,
     cache: WatchCache,
     fleet: WorkerFleet,
     now: Now,
-    version: u64,
+    revision: u64,
     sequence_number: u64,
 }
 
 impl Holder {
-    /// Holds block `a.0` under token 4, with `m-1` and `m-2` that have shown it, and job 1.
+    /// Creates the holder of block `a.0` under token 4, with the machines `m-1` and `m-2` whose workers have confirmed
+    /// the token, and with job 1.
     fn new(job: Job) -> Self {
-        let config = Config::parse("s.toml", SETTINGS).expect("valid");
+        let config = Config::parse("s.toml", SETTINGS).expect("the settings must be valid");
         let mut catalog = InstanceCatalog::default();
         catalog.handle_response(Some(InstanceTypeList {
             types: vec![instance_type()],
@@ -58,28 +60,28 @@
             cache,
             fleet,
             now: Now::read(),
-            version: 0,
+            revision: 0,
             sequence_number: 0,
         };
         holder.put_inventory("a.0", &["m-1", "m-2"]);
-        holder.put(job_key(JobId(1)), encode(&JobRecord::Open(job)));
-        holder.lease(FencingToken(4));
-        holder.heartbeat("m-1", FencingToken(4), &[]);
-        holder.heartbeat("m-2", FencingToken(4), &[]);
+        holder.put_record(job_key(JobId(1)), encode(&JobRecord::Open(job)));
+        holder.grant_lease(FencingToken(4));
+        holder.send_heartbeat("m-1", FencingToken(4), &[]);
+        holder.send_heartbeat("m-2", FencingToken(4), &[]);
         holder
     }
 
-    fn put(&mut self, key: String, value: ciborium::Value) {
-        self.version += 1;
+    fn put_record(&mut self, key: String, value: ciborium::Value) {
+        self.revision += 1;
         self.cache.apply(Change {
             key,
-            version: self.version,
+            version: self.revision,
             value: Some(value),
         });
         self.sync();
     }
 
-    /// Records that these machines are in the block.
+    /// Writes an inventory with these machines for the block.
     fn put_inventory(&mut self, block: &str, machines: &[&str]) {
         let entry = InventoryEntry {
             type_name: "large".into(),
@@ -94,7 +96,7 @@
             zone: "a".into(),
             on: on.collect(),
         };
-        self.put(inventory_key(&block.into()), encode(&inventory));
+        self.put_record(inventory_key(&block.into()), encode(&inventory));
     }
 
     fn sync(&mut self) {
@@ -104,11 +106,11 @@
     }
 
     /// Leases block `a.0` to the holder under this token.
-    fn lease(&mut self, token: FencingToken) {
-        self.lease_block("a.0", token);
+    fn grant_lease(&mut self, token: FencingToken) {
+        self.grant_block_lease("a.0", token);
     }
 
-    fn lease_block(&mut self, block: &str, token: FencingToken) {
+    fn grant_block_lease(&mut self, block: &str, token: FencingToken) {
         let holder = self.config.name.clone();
         let lease = BlockLease {
             zone: "a".into(),
@@ -117,10 +119,10 @@
             token,
             term: Term(3),
         };
-        self.put(block_lease_key(&block.into()), encode(&lease));
+        self.put_record(block_lease_key(&block.into()), encode(&lease));
     }
 
-    fn message(
+    fn build_heartbeat(
         &mut self,
         machine: &str,
         token: FencingToken,
@@ -128,12 +130,13 @@
     ) -> Heartbeat {
         self.sequence_number += 1;
         let task = first_task();
-        let of = |(number, state, cause): &(u64, TaskState, Option<ExitCause>)| TaskStatus {
-            task,
-            wire_number: *number,
-            state: *state,
-            cause: *cause,
-        };
+        let task_status =
+            |(number, state, cause): &(u64, TaskState, Option<ExitCause>)| TaskStatus {
+                task,
+                wire_number: *number,
+                state: *state,
+                cause: *cause,
+            };
         Heartbeat {
             machine: machine.into(),
             addr: "10.1.0.1:9000".to_owned(),
@@ -144,52 +147,52 @@
             sequence_number: self.sequence_number,
             token,
             termination_notice_s: None,
-            tasks: tasks.iter().map(of).collect(),
+            tasks: tasks.iter().map(task_status).collect(),
         }
     }
 
-    fn heartbeat(
+    fn send_heartbeat(
         &mut self,
         machine: &str,
         token: FencingToken,
         tasks: &[(u64, TaskState, Option<ExitCause>)],
     ) -> HeartbeatResponse {
-        let heartbeat = self.message(machine, token, tasks);
+        let heartbeat = self.build_heartbeat(machine, token, tasks);
         self.fleet
             .handle_heartbeat(self.now, heartbeat, &self.config, &self.cache, true)
     }
 
-    fn assignments(&mut self, number: u64, machine: &str, message: u64) {
+    fn assign_task(&mut self, number: u64, machine: &str, sequence_number: u64) {
         let lease_version = self.fleet.lease_version(&"a.0".into());
         let assignments = vec![Assignment {
             attempt: first_attempt(number),
             machine: machine.into(),
         }];
-        let work = assignment_update(lease_version, message, assignments);
-        assert!(self.fleet.apply_assignments(work));
+        let update = assignment_update(lease_version, sequence_number, assignments);
+        assert!(self.fleet.apply_assignments(update));
     }
 
-    /// WriteAllowance and commits what is due. Returns where the attempts are then.
-    fn write(&mut self) -> Vec<(String, u64)> {
+    /// Prepares and commits all due transactions. Returns the attempts that are recorded afterwards, with their machines.
+    fn commit_due_writes(&mut self) -> Vec<(String, u64)> {
         self.now.monotonic += WRITE_CHECK_INTERVAL;
-        while let Some((block, op)) = self.fleet.next_transaction(
+        while let Some((block, request)) = self.fleet.next_transaction(
             self.now,
             &self.config,
-            AMPLE,
+            SPARE_WRITES,
             &mut self.cache,
             &self.catalog,
         ) {
-            let StoreRequest::Commit(txn) = op else {
-                panic!("{op:?}")
+            let StoreRequest::Commit(txn) = request else {
+                panic!("the request must be a transaction: {request:?}")
             };
-            self.version += 1;
+            self.revision += 1;
             for change in txn.changes {
                 let crate::store::TransactionChange::Put { key, value, .. } = change else {
-                    panic!("{change:?}")
+                    panic!("the change must be a put: {change:?}")
                 };
                 self.cache.apply(Change {
                     key,
-                    version: self.version,
+                    version: self.revision,
                     value: Some(value),
                 });
             }
@@ -199,7 +202,7 @@
                 &block,
                 lease_version,
                 &StoreResponse::Committed {
-                    revision: self.version,
+                    revision: self.revision,
                 },
             );
         }
@@ -215,12 +218,12 @@
         self.fleet.tick(self.now, &self.config, &policy);
     }
 
-    fn commands(&mut self) -> Vec<DirectCommand> {
+    fn direct_commands(&mut self) -> Vec<DirectCommand> {
         self.fleet
             .prepare_direct_commands(self.now, &self.config, &self.cache, true)
     }
 
-    fn answer(&mut self, command: &DirectCommand, outcome: CommandOutcome) {
+    fn apply_command_outcome(&mut self, command: &DirectCommand, outcome: CommandOutcome) {
         let (block, machine) = (command.block.clone(), command.machine.clone());
         self.fleet.apply_command_outcome(
             self.now,
@@ -232,14 +235,14 @@
         );
     }
 
-    fn cancel(&mut self) {
-        self.put(
+    fn cancel_job(&mut self) {
+        self.put_record(
             job_key(JobId(1)),
             encode(&JobRecord::Cancelled(job(1, 1.0), self.now.unix_ms())),
         );
     }
 
-    /// The commands that go out without a block lease that is known to last.
+    /// Returns the commands that are prepared without a block lease that is known to be valid.
     fn commands_without_lease(&mut self) -> Vec<WorkerCommand> {
         let commands =
             self.fleet
@@ -253,14 +256,14 @@
 
 fn assignment_update(
     lease_version: u64,
-    number: u64,
+    sequence_number: u64,
     assignments: Vec<Assignment>,
 ) -> AssignmentUpdate {
     let (stop, addresses) = (Vec::new(), Vec::new());
     AssignmentUpdate {
         block: "a.0".into(),
         lease_version,
-        sequence_number: number,
+        sequence_number,
         last_status: 0,
         assignments,
         attempts_to_stop: stop,
@@ -269,7 +272,7 @@
     }
 }
 
-/// The first task of job 1.
+/// Returns the first task of job 1.
 fn first_task() -> TaskId {
     TaskId {
         job: JobId(1),
@@ -277,7 +280,7 @@
     }
 }
 
-/// An attempt of the first task of job 1.
+/// Returns an attempt of the first task of job 1.
 fn first_attempt(number: u64) -> Attempt {
     Attempt {
         task: first_task(),
--- a/src/workers/tests/placement_writes.rs
+++ b/src/workers/tests/placement_writes.rs
@@ -1,22 +1,23 @@
-//! The transactions that record what runs where.
+//! Tests of the transactions on placements.
 
 use super::*;
 
-/// A placement is committed only if none of its jobs was cancelled before, whatever our copy says.
+/// A placement must not be committed if one of its jobs was cancelled before, even if the cached records do not show
+/// that.
 #[test]
-fn a_placement_is_conditioned_on_its_jobs() {
+fn a_placement_is_conditional_on_the_versions_of_its_jobs() {
     let mut holder = Holder::new(job(1, 1.0));
-    holder.assignments(9, "m-1", 1);
+    holder.assign_task(9, "m-1", 1);
     holder.now.monotonic += WRITE_CHECK_INTERVAL;
-    let write = holder.fleet.next_transaction(
+    let transaction = holder.fleet.next_transaction(
         holder.now,
         &holder.config,
-        AMPLE,
+        SPARE_WRITES,
         &mut holder.cache,
         &holder.catalog,
     );
-    let Some((_, StoreRequest::Commit(txn))) = write else {
-        panic!("{write:?}")
+    let Some((_, StoreRequest::Commit(txn))) = transaction else {
+        panic!("a transaction must be due: {transaction:?}")
     };
     let version = holder.cache.open[&JobId(1)].version;
     assert!(
@@ -26,18 +27,18 @@
     );
 }
 
-/// Found on the bench: blocks that the leader kept sending work to went first each time, and the ends of another
-/// block's tasks were not recorded for over a minute.
+/// Found on the bench: blocks that kept getting assignments from the leader wrote first each time, and the ended tasks of
+/// another block were not recorded for over a minute.
 #[test]
-fn no_block_waits_for_others_that_have_more_to_write() {
+fn blocks_with_changes_write_in_turn() {
     let mut holder = Holder::new(Job {
         tasks: 50,
         ..job(1, 0.1)
     });
     holder.put_inventory("a.1", &["m-3"]);
-    holder.lease_block("a.1", FencingToken(5));
-    holder.heartbeat("m-3", FencingToken(5), &[]);
-    // Each round brings new work for both, but only one write can be sent.
+    holder.grant_block_lease("a.1", FencingToken(5));
+    holder.send_heartbeat("m-3", FencingToken(5), &[]);
+    // Each round brings new assignments for both blocks, but only one transaction can be sent.
     let mut written: HashMap<BlockId, usize> = HashMap::new();
     for round in 0..8 {
         for (block, machine) in [("a.0", "m-1"), ("a.1", "m-3")] {
@@ -55,25 +56,25 @@
                 machine: machine.into(),
             }];
             let number = u64::from(round) + 1;
-            let work = AssignmentUpdate {
+            let update = AssignmentUpdate {
                 block: block.into(),
                 ..assignment_update(lease_version, number, assignments)
             };
-            assert!(holder.fleet.apply_assignments(work));
+            assert!(holder.fleet.apply_assignments(update));
         }
         holder.now.monotonic += WRITE_CHECK_INTERVAL;
-        let next = holder.fleet.next_transaction(
+        let transaction = holder.fleet.next_transaction(
             holder.now,
             &holder.config,
-            AMPLE,
+            SPARE_WRITES,
             &mut holder.cache,
             &holder.catalog,
         );
-        let (block, _) = next.expect("there is work");
+        let (block, _) = transaction.expect("a transaction must be due");
         let lease_version = holder.fleet.lease_version(&block);
         *written.entry(block.clone()).or_default() += 1;
-        holder.version += 1;
-        let revision = holder.version;
+        holder.revision += 1;
+        let revision = holder.revision;
         holder.fleet.apply_write_outcome(
             holder.now,
             &block,
@@ -84,26 +85,27 @@
     assert_eq!(written.values().min(), Some(&4), "{written:?}");
 }
 
-/// Found on the bench: each end was recorded by itself as it came, and starts waited up to two seconds for a write.
+/// Found on the bench: each ended attempt was recorded by a write of its own, and placements waited up to two seconds
+/// for a write.
 #[test]
-fn ends_gather_while_writes_are_scarce() {
+fn ended_attempts_are_batched_while_there_are_no_spare_writes() {
     let mut holder = Holder::new(Job {
         tasks: 3,
         ..job(1, 0.1)
     });
-    holder.assignments(20, "m-1", 1);
-    assert_eq!(holder.write().len(), 1);
-    holder.heartbeat(
+    holder.assign_task(20, "m-1", 1);
+    assert_eq!(holder.commit_due_writes().len(), 1);
+    holder.send_heartbeat(
         "m-1",
         FencingToken(4),
         &[(20, TaskState::Exited, Some(ExitCause::Done))],
     );
-    let scarce = WriteAllowance {
+    let no_spare_writes = WriteAllowance {
         has_spare_writes: false,
-        ..AMPLE
+        ..SPARE_WRITES
     };
-    let mut next = |writes: WriteAllowance, after: Duration| {
-        holder.now.monotonic += after;
+    let mut has_transaction = |allowance: WriteAllowance, elapsed: Duration| {
+        holder.now.monotonic += elapsed;
         let Holder {
             fleet,
             now,
@@ -113,53 +115,59 @@
             ..
         } = &mut holder;
         fleet
-            .next_transaction(*now, config, writes, cache, catalog)
+            .next_transaction(*now, config, allowance, cache, catalog)
             .is_some()
     };
-    assert!(!next(scarce, WRITE_CHECK_INTERVAL), "it has just written");
-    assert!(next(scarce, Duration::from_secs(1)), "but not for long");
+    assert!(
+        !has_transaction(no_spare_writes, WRITE_CHECK_INTERVAL),
+        "the block must wait for more ended attempts after a recent write"
+    );
+    assert!(
+        has_transaction(no_spare_writes, Duration::from_secs(1)),
+        "the block must write again after the batch interval"
+    );
 }
 
 #[test]
-fn ends_are_recorded_at_once_while_there_are_writes_in_plenty_or_starts_to_record() {
-    for starts in [false, true] {
+fn ended_attempts_are_recorded_at_once_with_spare_writes_or_with_placements() {
+    for has_placements in [false, true] {
         let mut holder = Holder::new(Job {
             tasks: 3,
             ..job(1, 0.1)
         });
-        holder.assignments(20, "m-1", 1);
-        assert_eq!(holder.write().len(), 1);
-        holder.heartbeat(
+        holder.assign_task(20, "m-1", 1);
+        assert_eq!(holder.commit_due_writes().len(), 1);
+        holder.send_heartbeat(
             "m-1",
             FencingToken(4),
             &[(20, TaskState::Exited, Some(ExitCause::Done))],
         );
-        if starts {
-            holder.assignments(21, "m-2", 2);
+        if has_placements {
+            holder.assign_task(21, "m-2", 2);
         }
         holder.now.monotonic += WRITE_CHECK_INTERVAL;
-        let writes = WriteAllowance {
-            has_spare_writes: !starts,
-            ..AMPLE
+        let allowance = WriteAllowance {
+            has_spare_writes: !has_placements,
+            ..SPARE_WRITES
         };
-        let write = holder.fleet.next_transaction(
+        let transaction = holder.fleet.next_transaction(
             holder.now,
             &holder.config,
-            writes,
+            allowance,
             &mut holder.cache,
             &holder.catalog,
         );
-        assert!(write.is_some(), "starts: {starts}");
+        assert!(transaction.is_some(), "has_placements: {has_placements}");
     }
 }
 
-/// A transaction whose answer was lost can still be carried out, whatever becomes of the one after it: as long as that is
-/// so, the leader must not release its tasks again.
+/// A transaction whose response was lost can still be executed, whatever the outcome of the next one. Until that is
+/// decided, the leader must not release its tasks again.
 #[test]
 fn a_placement_of_unknown_outcome_stays_pending_when_the_next_write_is_refused() {
     let mut holder = Holder::new(job(1, 1.0));
-    holder.assignments(20, "m-1", 1);
-    let write = |holder: &mut Holder, outcome: StoreResponse| {
+    holder.assign_task(20, "m-1", 1);
+    let write_with_outcome = |holder: &mut Holder, outcome: StoreResponse| {
         holder.now.monotonic += Duration::from_secs(1);
         holder.cache.assume_fresh(holder.now.monotonic);
         let Holder {
@@ -171,14 +179,14 @@
             ..
         } = holder;
         let (block, _) = fleet
-            .next_transaction(*now, config, AMPLE, cache, catalog)
-            .expect("something to write");
+            .next_transaction(*now, config, SPARE_WRITES, cache, catalog)
+            .expect("a transaction must be due");
         let lease_version = fleet.lease_version(&block);
         fleet.apply_write_outcome(*now, &block, lease_version, &outcome);
     };
     let policy = Policy::built_in(&holder.config);
-    write(&mut holder, StoreResponse::Unknown);
-    // The leader takes the release back.
+    write_with_outcome(&mut holder, StoreResponse::Unknown);
+    // The leader withdraws the assignment.
     let lease_version = holder.fleet.lease_version(&"a.0".into());
     assert!(
         holder
@@ -190,16 +198,16 @@
         StoreResponse::Conflict,
         StoreResponse::Refused,
     ] {
-        write(&mut holder, outcome);
+        write_with_outcome(&mut holder, outcome);
         let status = holder
             .fleet
             .prepare_block_statuses(holder.now, &policy)
             .remove(0);
         assert_eq!(status.pending, [20]);
     }
-    // The next one that is carried out decides it.
-    let revision = holder.version + 1;
-    write(&mut holder, StoreResponse::Committed { revision });
+    // The next committed transaction decides the outcome.
+    let revision = holder.revision + 1;
+    write_with_outcome(&mut holder, StoreResponse::Committed { revision });
     let status = holder
         .fleet
         .prepare_block_statuses(holder.now, &policy)
