--- a/src/client/mod.rs
+++ b/src/client/mod.rs
@@ -9,7 +9,7 @@
 use dappleshore_drain::operator::{Problem, ProblemKind, Reply, Request};
 use tracing::debug;
 
-use crate::http::{self, read, write};
+use crate::http::{self, decode_body, encode_body};
 
 /// On the address that controllers use among themselves.
 const PATH: &str = "/operate";
@@ -110,11 +110,11 @@
     ) -> Result<Reply, ExchangeError> {
         let left = deadline.saturating_duration_since(Instant::now());
         let timeout = left.min(REQUEST_TIMEOUT);
-        let request = http::Request::post(PATH.to_owned(), write(request), timeout);
+        let request = http::Request::post(PATH.to_owned(), encode_body(request), timeout);
         let reply = self.http.send(controller, request).await?;
         if reply.status != 200 {
             return Err(ExchangeError::Status(reply.status));
         }
-        Ok(read(&reply.body)?)
+        Ok(decode_body(&reply.body)?)
     }
 }
--- a/src/cloud/wire.rs
+++ b/src/cloud/wire.rs
@@ -9,7 +9,7 @@
 
 use super::{CloudRequest, CloudResponse};
 use crate::domain::{Amount, InstanceTypeName, MachineId, Resources, Zone};
-use crate::http::{Reply, Request, read, write};
+use crate::http::{Reply, Request, decode_body, encode_body};
 
 /// All instance types that the cloud has.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
@@ -171,12 +171,16 @@
 pub fn http_request(request: &CloudRequest) -> Request {
     match request {
         CloudRequest::ListInstanceTypes => Request::get("/flavors".to_owned(), RESPONSE_TIMEOUT),
-        CloudRequest::ScaleOut(scale_out) => {
-            Request::post("/machines".to_owned(), write(scale_out), RESPONSE_TIMEOUT)
-        }
-        CloudRequest::Terminate(ids) => {
-            Request::post("/machines/delete".to_owned(), write(ids), RESPONSE_TIMEOUT)
-        }
+        CloudRequest::ScaleOut(scale_out) => Request::post(
+            "/machines".to_owned(),
+            encode_body(scale_out),
+            RESPONSE_TIMEOUT,
+        ),
+        CloudRequest::Terminate(ids) => Request::post(
+            "/machines/delete".to_owned(),
+            encode_body(ids),
+            RESPONSE_TIMEOUT,
+        ),
         CloudRequest::ListMachines { after } => {
             let after = after
                 .as_ref()
@@ -198,17 +202,17 @@
     };
     match (reply.status, request) {
         (200, CloudRequest::ListInstanceTypes) => {
-            read(&reply.body).map_or(CloudResponse::Refused, CloudResponse::InstanceTypes)
+            decode_body(&reply.body).map_or(CloudResponse::Refused, CloudResponse::InstanceTypes)
         }
         (200, CloudRequest::ScaleOut(_)) => {
-            read(&reply.body).map_or(CloudResponse::Unknown, CloudResponse::ScaledOut)
+            decode_body(&reply.body).map_or(CloudResponse::Unknown, CloudResponse::ScaledOut)
         }
         (200, CloudRequest::Terminate(_)) => CloudResponse::Terminated,
         (200, CloudRequest::ListMachines { .. }) => {
-            read(&reply.body).map_or(CloudResponse::Refused, CloudResponse::Machines)
+            decode_body(&reply.body).map_or(CloudResponse::Refused, CloudResponse::Machines)
         }
         // An outage has status 503 as well, but another error text.
-        (503, CloudRequest::ScaleOut(_)) => match read::<ErrorBody>(&reply.body) {
+        (503, CloudRequest::ScaleOut(_)) => match decode_body::<ErrorBody>(&reply.body) {
             Ok(body) if body.error == "no capacity" => CloudResponse::NoCapacity,
             _ => CloudResponse::Refused,
         },
--- a/src/cloud/wire/tests.rs
+++ b/src/cloud/wire/tests.rs
@@ -31,7 +31,7 @@
     });
     let reply = |error: &str| Reply {
         status: 503,
-        body: write(&cbor!({"error" => error}).expect("valid CBOR")).into(),
+        body: encode_body(&cbor!({"error" => error}).expect("valid CBOR")).into(),
     };
     assert_eq!(
         parse_response(&scale_out, Some(&reply("no capacity"))),
--- a/src/http/mod.rs
+++ b/src/http/mod.rs
@@ -83,7 +83,7 @@
 pub struct MalformedBody(#[from] ciborium::de::Error<std::io::Error>);
 
 /// Encodes a body.
-pub fn write(value: &impl Serialize) -> Vec<u8> {
+pub fn encode_body(value: &impl Serialize) -> Vec<u8> {
     let mut bytes = Vec::new();
     // Writing our own types to memory can't fail.
     let _ = ciborium::into_writer(value, &mut bytes);
@@ -95,7 +95,7 @@
 /// # Errors
 ///
 /// The body is not CBOR, or not of the expected form.
-pub fn read<T: DeserializeOwned>(body: &[u8]) -> Result<T, MalformedBody> {
+pub fn decode_body<T: DeserializeOwned>(body: &[u8]) -> Result<T, MalformedBody> {
     ciborium::from_reader(body)
         .map_err(MalformedBody)
         .inspect_err(|error| debug!(%error, bytes = body.len(), "body could not be decoded"))
--- a/src/http/server.rs
+++ b/src/http/server.rs
@@ -17,7 +17,7 @@
 use warp::{Filter, Rejection};
 
 use super::connections::ConnectionLimiter;
-use super::{read, write};
+use super::{decode_body, encode_body};
 use crate::domain::Now;
 use crate::job_api::Response;
 use crate::peer::Message;
@@ -58,7 +58,7 @@
 }
 
 fn cbor_response(status: u16, value: &impl Serialize) -> HttpResponse {
-    let mut response = HttpResponse::new(write(value).into());
+    let mut response = HttpResponse::new(encode_body(value).into());
     *response.status_mut() =
         StatusCode::from_u16(status).unwrap_or(StatusCode::INTERNAL_SERVER_ERROR);
     let cbor = warp::http::HeaderValue::from_static("application/cbor");
@@ -201,7 +201,7 @@
     events: mpsc::Sender<IncomingRequest>,
     limiter: ConnectionLimiter,
 ) -> Result<HttpResponse, Infallible> {
-    let Ok(heartbeat) = read::<Heartbeat>(&body) else {
+    let Ok(heartbeat) = decode_body::<Heartbeat>(&body) else {
         return Ok(cbor_response(
             400,
             &ErrorBody {
@@ -264,7 +264,7 @@
     warp::path!("peer")
         .and(warp::post())
         .and(body(MAX_PEER_BODY_BYTES))
-        .map(move |body: Bytes| match read::<Message>(&body) {
+        .map(move |body: Bytes| match decode_body::<Message>(&body) {
             Ok(message) => match events.try_send(IncomingRequest::Peer(message)) {
                 Ok(()) => cbor_response(200, &"taken"),
                 Err(_) => unavailable(),
@@ -288,7 +288,7 @@
     body: Bytes,
     events: mpsc::Sender<IncomingRequest>,
 ) -> Result<HttpResponse, Infallible> {
-    let Ok(request) = read::<operator::Request>(&body) else {
+    let Ok(request) = decode_body::<operator::Request>(&body) else {
         let error = "malformed request";
         return Ok(cbor_response(400, &ErrorBody { error }));
     };
--- a/src/http/server/tests.rs
+++ b/src/http/server/tests.rs
@@ -86,7 +86,7 @@
         "berth" => "m-000231", "endpoint" => "10.1.0.232:9000", "berthKind" => "g8", "wing" => "a",
         "loaner" => true, "shift" => 1, "folio" => 88, "seal" => 41, "entries" => []
     });
-    write(&heartbeat.expect("valid"))
+    encode_body(&heartbeat.expect("valid"))
 }
 
 /// At one and a half times the fleets' machines one controller for all has more workers than sockets.
@@ -123,7 +123,7 @@
         .await;
     assert_eq!(reply.status().as_u16(), 421);
     assert_eq!(
-        read::<ciborium::Value>(reply.body()).ok(),
+        decode_body::<ciborium::Value>(reply.body()).ok(),
         cbor!({"clerk" => "node-2"}).ok()
     );
 }
--- a/src/peer/tests.rs
+++ b/src/peer/tests.rs
@@ -55,7 +55,7 @@
         blocks: (0..20).map(|number| block_status(number, 200)).collect(),
         misrouted: vec!["m-1".into()],
     };
-    let unsplit_bytes = http::write(&Message::Status(status.clone())).len();
+    let unsplit_bytes = http::encode_body(&Message::Status(status.clone())).len();
     assert!(
         unsplit_bytes > MAX_BODY_BYTES,
         "the unsplit status of {unsplit_bytes} bytes is below the limit, so the test would show nothing"
@@ -67,7 +67,7 @@
             (&message.controller, message.incarnation),
             (&status.controller, status.incarnation)
         );
-        let bytes = http::write(&Message::Status(message.clone())).len();
+        let bytes = http::encode_body(&Message::Status(message.clone())).len();
         assert!(bytes < MAX_BODY_BYTES / 2, "{bytes} bytes");
         blocks.extend(message.blocks);
     }
@@ -110,7 +110,7 @@
     let mut kinds = std::collections::BTreeSet::new();
     for (name, encoded) in messages {
         let message: Message = ciborium::from_reader(&*from_hex(&encoded)).expect(&name);
-        assert_eq!(to_hex(&http::write(&message)), encoded, "{name}");
+        assert_eq!(to_hex(&http::encode_body(&message)), encoded, "{name}");
         // Each list must be filled, so that the format of its items is tested too.
         kinds.insert(match &message {
             Message::Status(status) => {
--- a/src/service/effects.rs
+++ b/src/service/effects.rs
@@ -11,7 +11,7 @@
 use super::{EventLoop, PendingReply};
 use crate::controller::{Effect, Event};
 use crate::domain::{ControllerName, Now};
-use crate::http::{Client, Reply, Request, read, write};
+use crate::http::{Client, Reply, Request, decode_body, encode_body};
 use crate::job_api::{RequestId, Response};
 use crate::peer::Message;
 use crate::workers::wire::Heartbeat;
@@ -95,7 +95,7 @@
             close: !self.recent_commands.try_keep_alive(now),
             ..Request::post(
                 "/commands".to_owned(),
-                write(&command.body),
+                encode_body(&command.body),
                 COMMAND_TIMEOUT,
             )
         };
@@ -108,7 +108,7 @@
         let Some(addr) = self.peers.get(to).copied() else {
             return;
         };
-        let request = Request::post("/peer".to_owned(), write(message), PEER_TIMEOUT);
+        let request = Request::post("/peer".to_owned(), encode_body(message), PEER_TIMEOUT);
         let client = self.client.clone();
         // Lost messages are repeated by whoever needs them.
         tokio::spawn(async move { send(&client, addr, request).await });
@@ -154,7 +154,7 @@
     let Some(reply) = reply else {
         return CommandOutcome::Unknown;
     };
-    match (reply.status, read::<Heartbeat>(&reply.body)) {
+    match (reply.status, decode_body::<Heartbeat>(&reply.body)) {
         (200, Ok(heartbeat)) => CommandOutcome::Executed(heartbeat),
         (409, Ok(heartbeat)) => CommandOutcome::Rejected(heartbeat),
         _ => CommandOutcome::Unknown,
--- a/src/store/records/fixtures.rs
+++ b/src/store/records/fixtures.rs
@@ -37,7 +37,7 @@
 fn rewritten<T: Record>(bytes: &[u8]) -> Vec<u8> {
     let value: ciborium::Value = ciborium::from_reader(bytes).expect("CBOR");
     let record: T = value.deserialized().expect("readable");
-    http::write(&encode(&record))
+    http::encode_body(&encode(&record))
 }
 
 /// The kind of a record, with its variant if it has some, and its value after being read and written again.
--- a/src/store/wire.rs
+++ b/src/store/wire.rs
@@ -10,7 +10,7 @@
 use serde::{Deserialize, Serialize};
 
 use super::{Change, KeyValue, StoreRequest, StoreResponse, Transaction, TransactionChange};
-use crate::http::{Reply, Request, read, write};
+use crate::http::{Reply, Request, decode_body, encode_body};
 
 #[derive(Serialize)]
 struct ConditionBody<'a> {
@@ -116,7 +116,7 @@
         },
         TransactionChange::Delete { key } => ChangeBody::Remove { remove: key },
     });
-    write(&TransactionBody {
+    encode_body(&TransactionBody {
         when,
         apply: apply.collect(),
     })
@@ -152,7 +152,7 @@
         }
         StoreRequest::GrantLease { life } => Request::post(
             "/holds".to_owned(),
-            write(&GrantLeaseBody {
+            encode_body(&GrantLeaseBody {
                 life_ms: millis(*life),
             }),
             TIMEOUT,
@@ -191,11 +191,11 @@
 
 /// The answer in a reply's body. A body that can't be read says nothing of what became of the request.
 fn parse<T: DeserializeOwned + Into<StoreResponse>>(reply: &Reply) -> StoreResponse {
-    read::<T>(&reply.body).map_or(StoreResponse::Unknown, Into::into)
+    decode_body::<T>(&reply.body).map_or(StoreResponse::Unknown, Into::into)
 }
 
 fn parse_revision(reply: &Reply, response: fn(u64) -> StoreResponse) -> StoreResponse {
-    read(&reply.body).map_or(StoreResponse::Unknown, |body: RevisionBody| {
+    decode_body(&reply.body).map_or(StoreResponse::Unknown, |body: RevisionBody| {
         response(body.revision)
     })
 }
--- a/src/store/wire/tests.rs
+++ b/src/store/wire/tests.rs
@@ -5,7 +5,7 @@
 fn reply(status: u16, value: ciborium::Value) -> Reply {
     Reply {
         status,
-        body: write(&value).into(),
+        body: encode_body(&value).into(),
     }
 }
 
@@ -23,7 +23,7 @@
         ],
     };
     let request = request(&StoreRequest::Commit(txn));
-    let sent: Value = read(&request.body).expect("CBOR");
+    let sent: Value = decode_body(&request.body).expect("CBOR");
     let expected = cbor!({
         "when" => [{"k" => "a/b", "amended" => 0}],
         "apply" => [{"put" => "a/b", "value" => 3, "tenure" => 7}, {"remove" => "c/d"}]
--- a/tests/loopback/cloud.rs
+++ b/tests/loopback/cloud.rs
@@ -8,7 +8,7 @@
 use ciborium::{Value, cbor};
 use dappleshore::cloud::wire::{MachineIds, ScaleOutRequest};
 use dappleshore::domain::{AgentEpoch, CapacityType, FencingToken, Resources};
-use dappleshore::http::read;
+use dappleshore::http::decode_body;
 use warp::Filter;
 use warp::reply::Response;
 
@@ -32,7 +32,7 @@
         .and(body)
         .and(with.clone())
         .then(|body: bytes::Bytes, fleet: Arc<Mutex<Fleet>>| async move {
-            match read::<ScaleOutRequest>(&body) {
+            match decode_body::<ScaleOutRequest>(&body) {
                 Ok(request) => rent(&request, &fleet).await,
                 Err(_) => reply(400, &cbor!({"error" => "malformed"})),
             }
@@ -42,7 +42,7 @@
         .and(body)
         .and(with.clone())
         .map(|body: bytes::Bytes, fleet: Arc<Mutex<Fleet>>| {
-            let names = read::<MachineIds>(&body).map_or(Vec::new(), |names| names.machines);
+            let names = decode_body::<MachineIds>(&body).map_or(Vec::new(), |names| names.machines);
             let mut fleet = lock(&fleet);
             for name in names {
                 if let Some(machine) = fleet.machines.get_mut(&*name.0) {
--- a/tests/loopback/site.rs
+++ b/tests/loopback/site.rs
@@ -224,5 +224,5 @@
         "bundle" => "img-0", "imageGb" => 1.0, "samePlace" => false, "scatter" => true, "loaner" => false,
         "expectS" => 0.0, "stampEveryS" => 0.0, "stampS" => 0.0,
     });
-    dappleshore::http::write(&body.expect("has a form"))
+    dappleshore::http::encode_body(&body.expect("has a form"))
 }
--- a/tests/loopback/state_service.rs
+++ b/tests/loopback/state_service.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use ciborium::{Value, cbor};
-use dappleshore::http::{read, write};
+use dappleshore::http::{decode_body, encode_body};
 use dappleshore::store::{KeyValue, StoreRequest, StoreResponse, Transaction, TransactionChange};
 use serde::Deserialize;
 use warp::Filter;
@@ -108,14 +108,14 @@
 }
 
 fn commit(body: bytes::Bytes, fleet: Arc<Mutex<Fleet>>) -> Response {
-    match read::<Multi>(&body) {
+    match decode_body::<Multi>(&body) {
         Ok(multi) => execute(&fleet, &StoreRequest::Commit(transaction(multi))),
         Err(_) => reply(400, &cbor!({"error" => "malformed"})),
     }
 }
 
 fn grant_lease(body: bytes::Bytes, fleet: Arc<Mutex<Fleet>>) -> Response {
-    let life_ms = read::<NewLease>(&body).map_or(5000, |lease| lease.life_ms);
+    let life_ms = decode_body::<NewLease>(&body).map_or(5000, |lease| lease.life_ms);
     let life = Duration::from_millis(life_ms);
     execute(&fleet, &StoreRequest::GrantLease { life })
 }
@@ -203,7 +203,7 @@
 
 /// An answer with a CBOR body.
 pub fn reply(status: u16, body: &Result<Value, ciborium::value::Error>) -> Response {
-    let mut response = Response::new(write(body.as_ref().expect("has a form")).into());
+    let mut response = Response::new(encode_body(body.as_ref().expect("has a form")).into());
     *response.status_mut() = StatusCode::from_u16(status).expect("a status");
     response
 }
--- a/tests/loopback/workers.rs
+++ b/tests/loopback/workers.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use dappleshore::domain::{AgentEpoch, TaskId};
-use dappleshore::http::{Client, Request, read, write};
+use dappleshore::http::{Client, Request, decode_body, encode_body};
 use dappleshore::workers::wire::{Heartbeat, RedirectBody, WorkerCommands};
 use tokio::net::TcpListener;
 use warp::Filter;
@@ -71,12 +71,12 @@
 
 fn command(name: &str, body: &[u8], fleet: &Mutex<Fleet>) -> Response {
     let mut fleet = lock(fleet);
-    let executed = match read::<WorkerCommands>(body) {
+    let executed = match decode_body::<WorkerCommands>(body) {
         Ok(commands) => execute(&mut fleet, name, &commands),
         Err(_) => false,
     };
     let heartbeat = heartbeat(&mut fleet, name);
-    let mut response = Response::new(write(&heartbeat).into());
+    let mut response = Response::new(encode_body(&heartbeat).into());
     let status = if executed { 200 } else { 409 };
     *response.status_mut() = StatusCode::from_u16(status).expect("a status");
     response
@@ -103,7 +103,7 @@
         let agent_epoch = heartbeat.agent_epoch;
         let request = Request::post(
             "/v1/report".to_owned(),
-            write(&heartbeat),
+            encode_body(&heartbeat),
             HEARTBEAT_TIMEOUT,
         );
         let answer = client.send(addr, request).await;
@@ -115,11 +115,11 @@
                     &name,
                     agent_epoch,
                     sent,
-                    read::<WorkerCommands>(&reply.body).ok(),
+                    decode_body::<WorkerCommands>(&reply.body).ok(),
                 );
                 None
             }
-            Ok(reply) if reply.status == 421 => read::<RedirectBody>(&reply.body)
+            Ok(reply) if reply.status == 421 => decode_body::<RedirectBody>(&reply.body)
                 .ok()
                 .and_then(|redirect| redirect.holder)
                 .and_then(|holder| holder.0.trim_start_matches("node-").parse::<usize>().ok())
--- a/tests/simulation/cluster/network.rs
+++ b/tests/simulation/cluster/network.rs
@@ -293,7 +293,7 @@
         let Delivery { at, .. } = self.delivery();
         let isolate = |controller: usize| self.now < self.slots[controller].island_until;
         if self.size.jobs > Size::SMALL.jobs {
-            let bytes = dappleshore::http::write(&message).len();
+            let bytes = dappleshore::http::encode_body(&message).len();
             self.peer_bytes += bytes;
             self.largest_peer_message = self.largest_peer_message.max(bytes);
         }
--- a/tests/simulation/digest.rs
+++ b/tests/simulation/digest.rs
@@ -8,7 +8,7 @@
 use dappleshore::controller::Effect;
 use dappleshore::domain::{Job, JobKind, Priority, Resources};
 use dappleshore::features::Features;
-use dappleshore::http::{Method, write};
+use dappleshore::http::{Method, encode_body};
 use dappleshore::job_api::Response;
 use dappleshore::store::records::FORMAT;
 use dappleshore::workers::HeartbeatResponse;
@@ -87,7 +87,7 @@
         match response {
             Response::State { status, state } => {
                 self.number(u64::from(*status));
-                self.field(&write(state));
+                self.field(&encode_body(state));
             }
             Response::Problem {
                 status,
@@ -107,12 +107,12 @@
         match response {
             HeartbeatResponse::Commands(commands) => {
                 self.number(200);
-                self.field(&write(commands));
+                self.field(&encode_body(commands));
             }
             HeartbeatResponse::Redirect(holder) => {
                 self.number(421);
                 let holder = holder.clone();
-                self.field(&write(&RedirectBody { holder }));
+                self.field(&encode_body(&RedirectBody { holder }));
             }
             HeartbeatResponse::Unavailable => self.number(503),
         }
@@ -138,7 +138,7 @@
                 self.field(command.block.0.as_bytes());
                 self.field(command.machine.0.as_bytes());
                 self.field(command.addr.as_bytes());
-                self.field(&write(&command.body));
+                self.field(&encode_body(&command.body));
                 self.until(base, *authority_until);
             }
             Effect::Cloud {
@@ -153,7 +153,7 @@
             Effect::Peer { to, message } => {
                 self.number(4);
                 self.field(to.0.as_bytes());
-                self.field(&write(message));
+                self.field(&encode_body(message));
             }
             Effect::RespondToUser { id, response } => {
                 self.numbers(&[5, *id]);
@@ -173,7 +173,7 @@
             }
             Effect::RespondToOperator { id, reply } => {
                 self.numbers(&[8, *id]);
-                self.field(&write(reply));
+                self.field(&encode_body(reply));
             }
             Effect::UnsupportedFormat { format } => {
                 self.numbers(&[9, u64::from(*format)]);
