--- a/src/controller/dispatcher.rs
+++ b/src/controller/dispatcher.rs
@@ -108,7 +108,7 @@
         self.broadcast_heartbeat(now, effects);
         self.report_status(now, effects);
         let (job_api, mut context) = self.job_api_with_context();
-        for (id, response) in job_api.advance(now, &mut context) {
+        for (id, response) in job_api.resolve_pending(now, &mut context) {
             effects.push(Effect::RespondToUser { id, response });
         }
         for (tag, request) in self.cache.poll(now) {
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -156,7 +156,7 @@
             catalog: &self.catalog,
             cache: &mut self.cache,
             rate_limiter: &mut self.rate_limiter,
-            tag: StoreTag::JobApi,
+            store_tag: StoreTag::JobApi,
         };
         (&mut self.job_api, context)
     }
--- a/src/controller/store_responses.rs
+++ b/src/controller/store_responses.rs
@@ -118,8 +118,8 @@
         effects: &mut Vec<Effect>,
     ) {
         let (job_api, mut context) = self.job_api_with_context();
-        let cancelled = job_api.cancelled(id, outcome);
-        let response = job_api.committed(now, id, outcome, &mut context);
+        let cancelled = job_api.committed_cancellation(id, outcome);
+        let response = job_api.handle_store_response(now, id, outcome, &mut context);
         effects.extend(response.map(|response| Effect::RespondToUser { id, response }));
         if let Some(cancelled) = cancelled {
             self.apply_cancellations([cancelled]);
--- a/src/job_api/mod.rs
+++ b/src/job_api/mod.rs
@@ -80,15 +80,15 @@
     pub cache: &'a mut WatchCache,
     /// Queues transactions for the state service.
     pub rate_limiter: &'a mut RequestRateLimiter<Tag>,
-    /// Marks a request's transaction, so that its outcome comes back to [`JobApi::committed`].
-    pub tag: fn(RequestId) -> Tag,
+    /// Marks a request's transaction, so that its outcome comes back to [`JobApi::handle_store_response`].
+    pub store_tag: fn(RequestId) -> Tag,
 }
 
 impl<Tag> Context<'_, Tag> {
     fn queue_commit(&mut self, id: RequestId, txn: Transaction) -> Result<(), Response> {
         let commit = StoreRequest::Commit(txn);
         self.rate_limiter
-            .push(WritePriority::User, (self.tag)(id), commit)
+            .push(WritePriority::User, (self.store_tag)(id), commit)
             .map_err(|_| retry_later(429, "too many requests"))
     }
 }
@@ -248,7 +248,11 @@
     }
 
     /// The cancellation that this outcome of a request's transaction shows to be committed.
-    pub fn cancelled(&self, id: RequestId, outcome: &StoreResponse) -> Option<CancelledJob> {
+    pub fn committed_cancellation(
+        &self,
+        id: RequestId,
+        outcome: &StoreResponse,
+    ) -> Option<CancelledJob> {
         let pending = self.pending.get(&id)?;
         match (pending.operation, &pending.state, outcome) {
             (
@@ -261,7 +265,7 @@
     }
 
     /// Takes in the outcome of a request's transaction. The response, unless the request stays pending.
-    pub fn committed<Tag>(
+    pub fn handle_store_response<Tag>(
         &mut self,
         now: Now,
         id: RequestId,
@@ -301,7 +305,7 @@
     }
 
     /// Decides the requests that can be decided by now, or can't wait any longer.
-    pub fn advance<Tag>(
+    pub fn resolve_pending<Tag>(
         &mut self,
         now: Now,
         cx: &mut Context<'_, Tag>,
--- a/src/job_api/tests.rs
+++ b/src/job_api/tests.rs
@@ -66,7 +66,7 @@
             catalog: &self.catalog,
             cache: &mut self.cache,
             rate_limiter: &mut self.rate_limiter,
-            tag: |id| id,
+            store_tag: |id| id,
         };
         let response = self.job_api.submit(self.now, 1, &body(&fields), &mut cx)?;
         if let Response::Problem {
@@ -149,7 +149,7 @@
         catalog: &harness.catalog,
         cache: &mut harness.cache,
         rate_limiter: &mut harness.rate_limiter,
-        tag: |id| id,
+        store_tag: |id| id,
     };
     assert_eq!(
         harness.job_api.cancel(harness.now, 5, "j-000412", &mut cx),
@@ -158,7 +158,7 @@
     assert_eq!(
         harness
             .job_api
-            .cancelled(5, &StoreResponse::Committed { revision: 4 }),
+            .committed_cancellation(5, &StoreResponse::Committed { revision: 4 }),
         None,
         "nothing was sent yet"
     );
@@ -170,10 +170,14 @@
         StoreResponse::Conflict,
         StoreResponse::Refused,
     ] {
-        assert_eq!(harness.job_api.cancelled(5, &outcome), None, "{outcome:?}");
+        assert_eq!(
+            harness.job_api.committed_cancellation(5, &outcome),
+            None,
+            "{outcome:?}"
+        );
     }
     let told = harness
         .job_api
-        .cancelled(5, &StoreResponse::Committed { revision: 4 });
+        .committed_cancellation(5, &StoreResponse::Committed { revision: 4 });
     assert_eq!(told, Some(CancelledJob::new(id, 4, at_ms)));
 }
