--- a/src/http/server.rs
+++ b/src/http/server.rs
@@ -71,7 +71,7 @@
 fn unavailable() -> HttpResponse {
     job_response(Response::Problem {
         status: 503,
-        problem: "busy",
+        message: "busy",
         retry_after: Some(Duration::from_secs(1)),
     })
 }
@@ -81,10 +81,10 @@
         Response::State { status, state } => cbor_response(status, &state),
         Response::Problem {
             status,
-            problem,
+            message,
             retry_after,
         } => {
-            let mut response = cbor_response(status, &ErrorBody { error: problem });
+            let mut response = cbor_response(status, &ErrorBody { error: message });
             if let Some(after) = retry_after {
                 let seconds = after.as_secs().max(1).into();
                 response
--- a/src/http/server/tests.rs
+++ b/src/http/server/tests.rs
@@ -17,7 +17,7 @@
             let found = Response::State { status: 200, state };
             let wait = Response::Problem {
                 status: 503,
-                problem: "later",
+                message: "later",
                 retry_after: Some(Duration::from_secs(2)),
             };
             let _ = match incoming {
--- a/src/job_api/mod.rs
+++ b/src/job_api/mod.rs
@@ -147,7 +147,7 @@
         if delay > MAX_WRITE_DELAY {
             return Some(Response::Problem {
                 status: 429,
-                problem: "too many submissions",
+                message: "too many submissions",
                 retry_after: Some(Duration::from_secs(delay.as_secs().clamp(1, 20))),
             });
         }
--- a/src/job_api/responses.rs
+++ b/src/job_api/responses.rs
@@ -22,26 +22,26 @@
         /// The HTTP status.
         status: u16,
         /// What the body says.
-        problem: &'static str,
+        message: &'static str,
         /// When to come back; none if that is of no use.
         retry_after: Option<Duration>,
     },
 }
 
 /// The user is to ask again.
-pub(super) fn retry_later(status: u16, problem: &'static str) -> Response {
+pub(super) fn retry_later(status: u16, message: &'static str) -> Response {
     Response::Problem {
         status,
-        problem,
+        message,
         retry_after: Some(Duration::from_secs(1)),
     }
 }
 
 /// The same request will never do.
-pub(super) fn reject(status: u16, problem: &'static str) -> Response {
+pub(super) fn reject(status: u16, message: &'static str) -> Response {
     Response::Problem {
         status,
-        problem,
+        message,
         retry_after: None,
     }
 }
--- a/tests/simulation/digest.rs
+++ b/tests/simulation/digest.rs
@@ -91,11 +91,11 @@
             }
             Response::Problem {
                 status,
-                problem,
+                message,
                 retry_after,
             } => {
                 self.number(u64::from(*status));
-                self.field(problem.as_bytes());
+                self.field(message.as_bytes());
                 self.number(u64::from(retry_after.is_some()));
                 self.duration(retry_after.unwrap_or_default());
             }
