--- a/src/config/mod.rs
+++ b/src/config/mod.rs
@@ -61,10 +61,10 @@
 #[derive(Debug, Clone, PartialEq)]
 pub struct TeamLimits {
     pub name: Team,
-    pub cpus: f64,
-    pub cpus_max: f64,
-    pub gpus: f64,
-    pub gpus_max: f64,
+    pub guaranteed_cpus: f64,
+    pub max_cpus: f64,
+    pub guaranteed_gpus: f64,
+    pub max_gpus: f64,
 }
 
 /// A limit as the settings state it, in which 0 means none. Guests come without a guarantee and without a limit; taken
@@ -218,10 +218,10 @@
             }
             teams.push(TeamLimits {
                 name: team.name.as_str().into(),
-                cpus: check.amount(&field("cpus"), team.cpus)?,
-                cpus_max: limit(check.amount(&field("cpus_max"), team.cpus_max)?),
-                gpus: check.amount(&field("gpus"), team.gpus)?,
-                gpus_max: limit(check.amount(&field("gpus_max"), team.gpus_max)?),
+                guaranteed_cpus: check.amount(&field("cpus"), team.cpus)?,
+                max_cpus: limit(check.amount(&field("cpus_max"), team.cpus_max)?),
+                guaranteed_gpus: check.amount(&field("gpus"), team.gpus)?,
+                max_gpus: limit(check.amount(&field("gpus_max"), team.gpus_max)?),
             });
             if team.cpus > team.cpus_max {
                 return Err(check.wrong(&field("cpus"), "must not exceed `cpus_max`"));
--- a/src/config/tests.rs
+++ b/src/config/tests.rs
@@ -81,11 +81,11 @@
     let config = Config::parse("s.toml", &text).expect("valid");
     let guests = config.team(&"guests".into()).expect("known");
     assert_eq!(
-        (guests.cpus, guests.cpus_max, guests.gpus_max),
+        (guests.guaranteed_cpus, guests.max_cpus, guests.max_gpus),
         (0.0, f64::INFINITY, f64::INFINITY)
     );
     let red = config.team(&"red".into()).expect("known");
-    assert_eq!(red.cpus_max, 64.0);
+    assert_eq!(red.max_cpus, 64.0);
     let policy = crate::policy::Policy::built_in(&config);
     assert_eq!(policy.team_shares[&"guests".into()], 1.0);
 }
--- a/src/job_api/admission.rs
+++ b/src/job_api/admission.rs
@@ -45,6 +45,6 @@
     };
     let Resources { cpus, gpus, .. } = job.need;
     let exceeds = |need: f64, limit: f64| need * at_once > limit + ROUNDING_TOLERANCE;
-    (exceeds(cpus, limits.cpus_max) || exceeds(gpus, limits.gpus_max))
+    (exceeds(cpus, limits.max_cpus) || exceeds(gpus, limits.max_gpus))
         .then_some(UnschedulableReason::TeamLimitExceeded)
 }
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -191,10 +191,10 @@
 
 fn team_variables(team: &TeamLimits) -> Vec<(&'static str, f64)> {
     vec![
-        ("cpus", team.cpus),
-        ("cpus_max", team.cpus_max),
-        ("gpus", team.gpus),
-        ("gpus_max", team.gpus_max),
+        ("cpus", team.guaranteed_cpus),
+        ("cpus_max", team.max_cpus),
+        ("gpus", team.guaranteed_gpus),
+        ("gpus_max", team.max_gpus),
     ]
 }
 
--- a/src/scheduler/best_effort.rs
+++ b/src/scheduler/best_effort.rs
@@ -26,11 +26,11 @@
     let has_guarantee = |cpus: f64, gpus: f64| cpus > 0.0 || gpus > 0.0;
     let team_has_guarantee = config
         .team(&job.team)
-        .is_some_and(|team| has_guarantee(team.cpus, team.gpus));
+        .is_some_and(|team| has_guarantee(team.guaranteed_cpus, team.guaranteed_gpus));
     let any_has_guarantee = config
         .teams
         .iter()
-        .any(|team| has_guarantee(team.cpus, team.gpus));
+        .any(|team| has_guarantee(team.guaranteed_cpus, team.guaranteed_gpus));
     !is_urgent && !team_has_guarantee && any_has_guarantee
 }
 
--- a/src/scheduler/tests.rs
+++ b/src/scheduler/tests.rs
@@ -650,10 +650,10 @@
         let guests = Team::from("guests");
         let limits = crate::config::TeamLimits {
             name: guests.clone(),
-            cpus: 0.0,
-            cpus_max: f64::INFINITY,
-            gpus: 0.0,
-            gpus_max: f64::INFINITY,
+            guaranteed_cpus: 0.0,
+            max_cpus: f64::INFINITY,
+            guaranteed_gpus: 0.0,
+            max_gpus: f64::INFINITY,
         };
         fixture.config.teams.push(limits);
         let low = Job {
--- a/src/scheduler/usage.rs
+++ b/src/scheduler/usage.rs
@@ -64,8 +64,8 @@
         };
         let used = self.of_team(&job.team);
         let left = Resources {
-            cpus: (limits.cpus_max - used.cpus).max(0.0),
-            gpus: (limits.gpus_max - used.gpus).max(0.0),
+            cpus: (limits.max_cpus - used.cpus).max(0.0),
+            gpus: (limits.max_gpus - used.gpus).max(0.0),
             memory_gb: f64::INFINITY,
         };
         u64::from(left.count_of(&job.need))
@@ -77,8 +77,8 @@
             return false;
         };
         let used = self.of_team(&job.team);
-        used.cpus + job.need.cpus <= limits.cpus_max + ROUNDING_TOLERANCE
-            && used.gpus + job.need.gpus <= limits.gpus_max + ROUNDING_TOLERANCE
+        used.cpus + job.need.cpus <= limits.max_cpus + ROUNDING_TOLERANCE
+            && used.gpus + job.need.gpus <= limits.max_gpus + ROUNDING_TOLERANCE
     }
 
     /// Whether one more task of the job stays within its team's guarantee.
@@ -87,8 +87,8 @@
             return false;
         };
         let used = self.of_team(&job.team);
-        used.cpus + job.need.cpus <= limits.cpus + ROUNDING_TOLERANCE
-            && used.gpus + job.need.gpus <= limits.gpus + ROUNDING_TOLERANCE
+        used.cpus + job.need.cpus <= limits.guaranteed_cpus + ROUNDING_TOLERANCE
+            && used.gpus + job.need.gpus <= limits.guaranteed_gpus + ROUNDING_TOLERANCE
     }
 
     /// Whether the job's team would still use at least its guarantee without one of the job's tasks.
@@ -97,13 +97,13 @@
             return true;
         };
         let used = self.of_team(&job.team);
-        used.cpus - job.need.cpus >= limits.cpus - ROUNDING_TOLERANCE
-            && used.gpus - job.need.gpus >= limits.gpus - ROUNDING_TOLERANCE
+        used.cpus - job.need.cpus >= limits.guaranteed_cpus - ROUNDING_TOLERANCE
+            && used.gpus - job.need.gpus >= limits.guaranteed_gpus - ROUNDING_TOLERANCE
     }
 
     /// The sum of the team's CPU usage and its GPU usage, each relative to its guarantee.
     pub(super) fn ratio_to_guarantee(&self, limits: &TeamLimits) -> f64 {
         let used = self.of_team(&limits.name);
-        used.cpus / limits.cpus.max(1.0) + used.gpus / limits.gpus.max(1.0)
+        used.cpus / limits.guaranteed_cpus.max(1.0) + used.gpus / limits.guaranteed_gpus.max(1.0)
     }
 }
--- a/tests/simulation/cluster/mod.rs
+++ b/tests/simulation/cluster/mod.rs
@@ -244,8 +244,8 @@
         let text = include_str!("../../data/settings.toml");
         let mut config = Config::parse("settings.toml", text).expect("the sample is valid");
         for team in &mut config.teams {
-            team.cpus *= size.teams;
-            team.cpus_max *= size.teams;
+            team.guaranteed_cpus *= size.teams;
+            team.max_cpus *= size.teams;
         }
         config.teams.push(guests());
         let mut rng = SmallRng::seed_from_u64(seed);
@@ -277,7 +277,7 @@
         let limits = config
             .teams
             .iter()
-            .map(|team| (team.name.clone(), team.cpus_max))
+            .map(|team| (team.name.clone(), team.max_cpus))
             .collect();
         SimulatedCluster {
             now: Duration::ZERO,
--- a/tests/simulation/cluster/users.rs
+++ b/tests/simulation/cluster/users.rs
@@ -54,10 +54,10 @@
     let none = f64::INFINITY;
     TeamLimits {
         name: GUESTS.into(),
-        cpus: 0.0,
-        cpus_max: none,
-        gpus: 0.0,
-        gpus_max: none,
+        guaranteed_cpus: 0.0,
+        max_cpus: none,
+        guaranteed_gpus: 0.0,
+        max_gpus: none,
     }
 }
 
