--- a/src/block_leases/mod.rs
+++ b/src/block_leases/mod.rs
@@ -43,7 +43,7 @@
     policy: &Policy,
     cache: &WatchCache,
 ) -> BTreeMap<BlockId, Zone> {
-    let total_blocks = config.controllers() * policy.blocks_per_controller;
+    let total_blocks = config.controller_count() * policy.blocks_per_controller;
     let blocks_per_zone = total_blocks.div_ceil(zones.len().max(1)).max(1);
     let mut required: BTreeMap<BlockId, Zone> = zones
         .iter()
--- a/src/cancellation/mod.rs
+++ b/src/cancellation/mod.rs
@@ -33,9 +33,9 @@
 /// Whether machines that may still run tasks of a job cancelled at `cancelled_ms` are due for deletion.
 pub fn is_machine_deletion_due(now: Now, config: &Config, cancelled_ms: u64) -> bool {
     let delay = config
-        .cancel_within
+        .cancellation_timeout
         .saturating_sub(DELETION_MARGIN)
-        .max(config.cancel_within / 2);
+        .max(config.cancellation_timeout / 2);
     Duration::from_millis(now.unix_ms().saturating_sub(cancelled_ms)) >= delay
 }
 
--- a/src/cancellation/tests.rs
+++ b/src/cancellation/tests.rs
@@ -202,7 +202,7 @@
 #[test]
 fn machines_due_for_deletion_are_deleted_by_their_holder_or_by_any_if_it_is_unresponsive() {
     let mut fixture = Fixture::new();
-    let due = fixture.config.cancel_within - DELETION_MARGIN;
+    let due = fixture.config.cancellation_timeout - DELETION_MARGIN;
     assert_eq!(
         fixture.poll_deletion(due - Duration::from_secs(1), false),
         [] as [&str; 0],
@@ -248,7 +248,7 @@
 #[test]
 fn only_new_heartbeats_of_the_process_that_holds_the_lease_show_that_the_holder_is_alive() {
     let mut fixture = Fixture::new();
-    let due = fixture.config.cancel_within - DELETION_MARGIN;
+    let due = fixture.config.cancellation_timeout - DELETION_MARGIN;
     let lease = fixture.cache.block_leases[&BlockId::from("b.0")]
         .value
         .clone();
--- a/src/config/mod.rs
+++ b/src/config/mod.rs
@@ -38,13 +38,13 @@
     pub teams: Vec<TeamLimits>,
     pub heartbeat_interval: Duration,
     pub worker_lease: Duration,
-    pub cancel_within: Duration,
-    /// What the state service takes, as far as this process reckons with it: see [`Config::adopt_next_limits`].
+    pub cancellation_timeout: Duration,
+    /// What the state service takes, as far as this process reckons with it: see [`Config::apply_next_state_limits`].
     pub state_limits: StateLimits,
     /// What the state service will take from some unannounced moment on.
     pub next_state_limits: Option<StateLimits>,
     /// How much a block's tasks may measure together. More than one value holds, once a block may have several.
-    pub block_bytes: usize,
+    pub max_block_bytes: usize,
     pub cloud_rps: f64,
     pub list_lag: Duration,
     pub max_sockets: usize,
@@ -249,8 +249,8 @@
         }
         let workers = &file.params.workers;
         let worker_lease = check.duration("params.workers.lease_s", workers.lease_s)?;
-        let cancel_within = check.duration("params.workers.cancel_s", workers.cancel_s)?;
-        if cancel_within <= worker_lease {
+        let cancellation_timeout = check.duration("params.workers.cancel_s", workers.cancel_s)?;
+        if cancellation_timeout <= worker_lease {
             return Err(check.wrong("params.workers.cancel_s", "must exceed `lease_s`"));
         }
         let state = &file.params.state;
@@ -280,8 +280,8 @@
             teams,
             heartbeat_interval: check.duration("params.workers.report_s", workers.report_s)?,
             worker_lease,
-            cancel_within,
-            block_bytes: state_limits.value_bytes,
+            cancellation_timeout,
+            max_block_bytes: state_limits.value_bytes,
             state_limits,
             next_state_limits,
             cloud_rps: check.rate("params.cloud.rps", file.params.cloud.rps)?,
@@ -290,19 +290,19 @@
         })
     }
 
-    pub fn team(&self, name: &Team) -> Option<&TeamLimits> {
+    pub fn team_limits(&self, name: &Team) -> Option<&TeamLimits> {
         self.teams.iter().find(|team| team.name == *name)
     }
 
     /// From now on reckons with the limits to come as well as with the present ones.
-    pub fn adopt_next_limits(&mut self) {
+    pub fn apply_next_state_limits(&mut self) {
         if let Some(next) = &self.next_state_limits {
             self.state_limits = self.state_limits.min(next);
         }
     }
 
     /// How many controllers there are, this one included.
-    pub fn controllers(&self) -> usize {
+    pub fn controller_count(&self) -> usize {
         self.peers.len() + 1
     }
 }
--- a/src/config/tests.rs
+++ b/src/config/tests.rs
@@ -79,12 +79,12 @@
     let guest = "[[params.teams]]\nname = \"guests\"\ncpus = 0.0\ncpus_max = 0.0\ngpus = 0.0\ngpus_max = 0.0\n\n";
     let text = SETTINGS.replacen("[[params.teams]]", &format!("{guest}[[params.teams]]"), 1);
     let config = Config::parse("s.toml", &text).expect("valid");
-    let guests = config.team(&"guests".into()).expect("known");
+    let guests = config.team_limits(&"guests".into()).expect("known");
     assert_eq!(
         (guests.guaranteed_cpus, guests.max_cpus, guests.max_gpus),
         (0.0, f64::INFINITY, f64::INFINITY)
     );
-    let red = config.team(&"red".into()).expect("known");
+    let red = config.team_limits(&"red".into()).expect("known");
     assert_eq!(red.max_cpus, 64.0);
     let policy = crate::policy::Policy::built_in(&config);
     assert_eq!(policy.team_shares[&"guests".into()], 1.0);
@@ -94,18 +94,18 @@
 fn limits_to_come_are_reckoned_with_once_they_are_adopted() {
     let mut config = Config::parse("s.toml", SETTINGS).expect("valid");
     let today = config.state_limits;
-    config.adopt_next_limits();
+    config.apply_next_state_limits();
     assert_eq!(config.state_limits, today, "none are to come");
     let next = "txn_ops = 16\n[params.state.next]\nvalue_kb = 2.0\nwrite_rps = 15.0\nrps = 900.0";
     let text = SETTINGS.replacen("txn_ops = 16", next, 1);
     let mut config = Config::parse("s.toml", &text).expect("valid");
     assert_eq!(config.state_limits, today, "not yet");
-    config.adopt_next_limits();
+    config.apply_next_state_limits();
     let expected = StateLimits {
         value_bytes: 2048,
         write_rps: 15.0,
         ..today
     };
     assert_eq!(config.state_limits, expected, "the smaller of both");
-    assert_eq!(config.block_bytes, today.value_bytes);
+    assert_eq!(config.max_block_bytes, today.value_bytes);
 }
--- a/src/controller/dispatcher.rs
+++ b/src/controller/dispatcher.rs
@@ -147,7 +147,7 @@
             return;
         }
         self.format = self.cache.format();
-        self.config.adopt_next_limits();
+        self.config.apply_next_state_limits();
         let limits = self.config.state_limits;
         self.rate_limiter
             .set_limits(now, &limits, self.leader_state.is_some());
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -96,7 +96,8 @@
     ) -> Self {
         let mut rng = SmallRng::seed_from_u64(seed);
         let incarnation = Incarnation(rng.random::<u64>() >> 12);
-        let rate_limiter = RequestRateLimiter::new(&config.state_limits, config.controllers(), now);
+        let rate_limiter =
+            RequestRateLimiter::new(&config.state_limits, config.controller_count(), now);
         Controller {
             leadership: Leadership::new(config.name.clone(), incarnation, format),
             policy,
@@ -104,7 +105,7 @@
             operations: Operations::default(),
             incarnation,
             rng,
-            cache: WatchCache::new(&config.state_limits, config.controllers()),
+            cache: WatchCache::new(&config.state_limits, config.controller_count()),
             config,
             rate_limiter,
             block_lease_manager: BlockLeaseManager::new(),
--- a/src/features.rs
+++ b/src/features.rs
@@ -94,7 +94,7 @@
             ));
         }
         for team in features.drain.teams.keys() {
-            if config.team(&team.as_str().into()).is_none() {
+            if config.team_limits(&team.as_str().into()).is_none() {
                 let line = line_of(text, &["drain", "teams", team]);
                 let known: Vec<&str> = config.teams.iter().map(|team| &*team.name.0).collect();
                 let problem = format!("there is no team `{team}`, only {}", known.join(", "));
--- a/src/job_api/admission.rs
+++ b/src/job_api/admission.rs
@@ -33,7 +33,7 @@
     catalog: &InstanceCatalog,
     job: &Job,
 ) -> Option<UnschedulableReason> {
-    let Some(limits) = config.team(&job.team) else {
+    let Some(limits) = config.team_limits(&job.team) else {
         return Some(UnschedulableReason::UnknownTeam);
     };
     if !catalog.fits_job(job) {
--- a/src/job_api/tests.rs
+++ b/src/job_api/tests.rs
@@ -27,7 +27,7 @@
         }));
         let now = Now::read();
         let mut rate_limiter =
-            RequestRateLimiter::new(&config.state_limits, config.controllers(), now);
+            RequestRateLimiter::new(&config.state_limits, config.controller_count(), now);
         rate_limiter.record_response(now, &StoreResponse::Missing { revision: 1 });
         JobApiHarness {
             config,
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -120,7 +120,9 @@
     /// its block lease expires, and a worker keeps its tasks for one more lease. Both must be over when a cancelled
     /// task has to have ended.
     pub fn max_block_lease_duration(config: &Config) -> Duration {
-        let remaining = config.cancel_within.saturating_sub(config.worker_lease);
+        let remaining = config
+            .cancellation_timeout
+            .saturating_sub(config.worker_lease);
         remaining
             .saturating_sub(CANCELLATION_MARGIN)
             .max(remaining / 2)
@@ -175,12 +177,12 @@
     vec![
         ("report_s", config.heartbeat_interval.as_secs_f64()),
         ("lease_s", config.worker_lease.as_secs_f64()),
-        ("cancel_s", config.cancel_within.as_secs_f64()),
+        ("cancel_s", config.cancellation_timeout.as_secs_f64()),
         ("list_lag_s", config.list_lag.as_secs_f64()),
         ("state_rps", config.state_limits.rps),
         ("state_write_rps", config.state_limits.write_rps),
         ("cloud_rps", config.cloud_rps),
-        ("controllers", as_number(config.controllers())),
+        ("controllers", as_number(config.controller_count())),
         ("zones", as_number(config.zones.len())),
         (
             "longest_grant_s",
--- a/src/policy/tests.rs
+++ b/src/policy/tests.rs
@@ -8,7 +8,7 @@
 #[test]
 fn an_isolated_holders_leases_expire_before_a_cancelled_task_must_have_ended() {
     let policy = Policy::built_in(&config());
-    assert!(policy.block_lease_duration + config().worker_lease < config().cancel_within);
+    assert!(policy.block_lease_duration + config().worker_lease < config().cancellation_timeout);
     assert!(policy.block_lease_duration > Duration::from_secs(20));
     // A policy file can't exceed the limit either.
     let error = Policy::parse("p.toml", "grant_life_s = \"cancel_s\"", &config())
@@ -32,7 +32,7 @@
             .replace("cancel_s = 50.0", &format!("cancel_s = {cancel}"));
         let config = Config::parse("s.toml", &text).expect("valid settings");
         let policy = Policy::built_in(&config);
-        assert!(policy.block_lease_duration + config.worker_lease < config.cancel_within);
+        assert!(policy.block_lease_duration + config.worker_lease < config.cancellation_timeout);
     }
 }
 
--- a/src/provisioning/inventory_edits.rs
+++ b/src/provisioning/inventory_edits.rs
@@ -69,7 +69,7 @@
                 .then_some(config.state_limits.value_bytes),
             max_values: config.state_limits.txn_ops - 1,
             block_fill: BTreeMap::new(),
-            block_value_bytes: config.block_bytes as f64,
+            block_value_bytes: config.max_block_bytes as f64,
             tasks_per_machine: expected_tasks_per_machine(catalog, cache, demand),
         };
         for (block, zone) in
--- a/src/provisioning/tests.rs
+++ b/src/provisioning/tests.rs
@@ -144,7 +144,7 @@
         "its holder may still prove the task ended"
     );
     assert_eq!(
-        failed_machines(config.cancel_within - cancellation::DELETION_MARGIN),
+        failed_machines(config.cancellation_timeout - cancellation::DELETION_MARGIN),
         ["m-1"]
     );
 }
--- a/src/scheduler/best_effort.rs
+++ b/src/scheduler/best_effort.rs
@@ -25,7 +25,7 @@
     let is_urgent = matches!(job.priority, Priority::Production | Priority::High);
     let has_guarantee = |cpus: f64, gpus: f64| cpus > 0.0 || gpus > 0.0;
     let team_has_guarantee = config
-        .team(&job.team)
+        .team_limits(&job.team)
         .is_some_and(|team| has_guarantee(team.guaranteed_cpus, team.guaranteed_gpus));
     let any_has_guarantee = config
         .teams
--- a/src/scheduler/fair_share_order.rs
+++ b/src/scheduler/fair_share_order.rs
@@ -73,7 +73,7 @@
 
 /// Returns the sort key of a job, or `None` if its team is unknown.
 fn rank(job: &Job, usage: &Usage, leader: &LeaderContext<'_>) -> Option<Rank> {
-    let limits = leader.config.team(&job.team)?;
+    let limits = leader.config.team_limits(&job.team)?;
     let weight = leader
         .policy
         .team_shares
--- a/src/scheduler/mod.rs
+++ b/src/scheduler/mod.rs
@@ -448,7 +448,7 @@
         let count_slots = |(block, block_state): (&BlockId, &BlockState)| {
             let placements = cache.placements.get(block);
             let size = placements.map_or(0, |placements| placements.value.worst_case_size());
-            let slots = config.block_bytes.saturating_sub(size) / MAX_ATTEMPT_BYTES;
+            let slots = config.max_block_bytes.saturating_sub(size) / MAX_ATTEMPT_BYTES;
             (
                 block.clone(),
                 slots.saturating_sub(block_state.releases.len()),
--- a/src/scheduler/usage.rs
+++ b/src/scheduler/usage.rs
@@ -59,7 +59,7 @@
 
     /// How many more tasks of the job its team's limit allows.
     pub(super) fn tasks_within_limit(&self, config: &Config, job: &Job) -> u64 {
-        let Some(limits) = config.team(&job.team) else {
+        let Some(limits) = config.team_limits(&job.team) else {
             return 0;
         };
         let used = self.of_team(&job.team);
@@ -73,7 +73,7 @@
 
     /// Whether one more task of the job stays within its team's limit.
     pub(super) fn within_limit(&self, config: &Config, job: &Job) -> bool {
-        let Some(limits) = config.team(&job.team) else {
+        let Some(limits) = config.team_limits(&job.team) else {
             return false;
         };
         let used = self.of_team(&job.team);
@@ -83,7 +83,7 @@
 
     /// Whether one more task of the job stays within its team's guarantee.
     pub(super) fn within_guarantee(&self, config: &Config, job: &Job) -> bool {
-        let Some(limits) = config.team(&job.team) else {
+        let Some(limits) = config.team_limits(&job.team) else {
             return false;
         };
         let used = self.of_team(&job.team);
@@ -93,7 +93,7 @@
 
     /// Whether the job's team would still use at least its guarantee without one of the job's tasks.
     pub(super) fn beyond_guarantee(&self, config: &Config, job: &Job) -> bool {
-        let Some(limits) = config.team(&job.team) else {
+        let Some(limits) = config.team_limits(&job.team) else {
             return true;
         };
         let used = self.of_team(&job.team);
--- a/tests/simulation/cluster/mod.rs
+++ b/tests/simulation/cluster/mod.rs
@@ -303,7 +303,11 @@
             jobs: BTreeMap::new(),
             results: BTreeSet::new(),
             gangs: Gangs::default(),
-            rules: Rules::new(limits, config.cancel_within, faults_end + LAST_TROUBLES),
+            rules: Rules::new(
+                limits,
+                config.cancellation_timeout,
+                faults_end + LAST_TROUBLES,
+            ),
             features: Features::default(),
             preemption: true,
             operators: Operators::default(),
