--- a/src/controller/metrics_summary.rs
+++ b/src/controller/metrics_summary.rs
@@ -23,8 +23,8 @@
         let Metrics {
             accept_ms,
             start_ms,
-            step_us,
-            refused,
+            event_duration_us,
+            error_responses,
             transactions,
             ..
         } = &self.metrics;
@@ -38,9 +38,9 @@
             started = start_ms.count(),
             start_p50_ms = start_ms.quantile(0.5),
             start_p90_ms = start_ms.quantile(0.9),
-            step_p99_us = step_us.quantile(0.99),
-            step_max_us = step_us.quantile(1.0),
-            refused = refused.values().sum::<u64>(),
+            step_p99_us = event_duration_us.quantile(0.99),
+            step_max_us = event_duration_us.quantile(1.0),
+            refused = error_responses.values().sum::<u64>(),
             ?transactions,
             "metrics"
         );
--- a/src/metrics/mod.rs
+++ b/src/metrics/mod.rs
@@ -67,9 +67,9 @@
     /// From a job's acceptance to each of its tasks running, as their holder sees it.
     pub start_ms: Times,
     /// Processing of one event: a leader's round is the longest kind.
-    pub step_us: Times,
+    pub event_duration_us: Times,
     /// Responses to users that were not 200 or 201, by status.
-    pub refused: BTreeMap<u16, u64>,
+    pub error_responses: BTreeMap<u16, u64>,
     /// Transactions sent to the state service.
     pub transactions: BTreeMap<TransactionLabels, u64>,
     /// Values of the moment: queue per team, machines by state. The leader sets them.
@@ -82,8 +82,8 @@
         Metrics {
             accept_ms: Times::new(),
             start_ms: Times::new(),
-            step_us: Times::new(),
-            refused: BTreeMap::new(),
+            event_duration_us: Times::new(),
+            error_responses: BTreeMap::new(),
             transactions: BTreeMap::new(),
             gauges: BTreeMap::new(),
         }
@@ -91,13 +91,13 @@
 
     /// Records how long an event took to process.
     pub fn record_event_duration(&mut self, duration: Duration) {
-        self.step_us
+        self.event_duration_us
             .record(u64::try_from(duration.as_micros()).unwrap_or(u64::MAX));
     }
 
     /// Counts a response to a user that was not 200 or 201.
     pub fn record_refusal(&mut self, status: u16) {
-        *self.refused.entry(status).or_default() += 1;
+        *self.error_responses.entry(status).or_default() += 1;
     }
 
     /// Counts a transaction of this module.
@@ -118,7 +118,7 @@
         let times = [
             ("accept_ms", &self.accept_ms),
             ("start_ms", &self.start_ms),
-            ("step_us", &self.step_us),
+            ("step_us", &self.event_duration_us),
         ];
         for (name, times) in times {
             writeln!(formatter, "{name}_count {}", times.count())?;
@@ -127,7 +127,7 @@
                 writeln!(formatter, "{name}{{quantile=\"{label}\"}} {value}")?;
             }
         }
-        for (status, count) in &self.refused {
+        for (status, count) in &self.error_responses {
             writeln!(formatter, "refused{{status=\"{status}\"}} {count}")?;
         }
         for (TransactionLabels { module, outcome }, count) in &self.transactions {
