--- a/src/service/effects.rs
+++ b/src/service/effects.rs
@@ -46,9 +46,9 @@
             }
             Effect::Store { tag, request: op } => {
                 let sent = Now::read().monotonic;
-                let request = store::wire::request(&op);
+                let request = store::wire::http_request(&op);
                 self.exchange(&self.client, self.state, request, None, move |reply| {
-                    let outcome = store::wire::outcome(&op, reply.as_ref());
+                    let outcome = store::wire::parse_response(&op, reply.as_ref());
                     Event::StoreResponse { tag, sent, outcome }
                 });
             }
--- a/src/store/wire.rs
+++ b/src/store/wire.rs
@@ -1,7 +1,7 @@
 //! The state service's protocol: requests and answers in the spelling of PROTOCOL.
 //!
-//! The event loop turns a [`StoreRequest`] into an HTTP request with [`request`] and its reply into a [`StoreResponse`] with
-//! [`outcome`]. Nothing else in the program knows the spelling.
+//! The event loop turns a [`StoreRequest`] into an HTTP request with [`http_request`] and its reply into a [`StoreResponse`] with
+//! [`parse_response`]. Nothing else in the program knows the spelling.
 
 use std::time::Duration;
 
@@ -123,7 +123,7 @@
 }
 
 /// The HTTP request that a request is sent as.
-pub fn request(request: &StoreRequest) -> Request {
+pub fn http_request(request: &StoreRequest) -> Request {
     match request {
         StoreRequest::Get { key } => Request::get(format!("/keys/{key}"), TIMEOUT),
         StoreRequest::Range { prefix, after } => {
@@ -164,7 +164,7 @@
 }
 
 /// What the reply to a request means. None: no reply came in time.
-pub fn outcome(request: &StoreRequest, reply: Option<&Reply>) -> StoreResponse {
+pub fn parse_response(request: &StoreRequest, reply: Option<&Reply>) -> StoreResponse {
     let Some(reply) = reply else {
         return StoreResponse::Unknown;
     };
--- a/src/store/wire/tests.rs
+++ b/src/store/wire/tests.rs
@@ -22,7 +22,7 @@
             TransactionChange::Delete { key: "c/d".into() },
         ],
     };
-    let request = request(&StoreRequest::Commit(txn));
+    let request = http_request(&StoreRequest::Commit(txn));
     let sent: Value = decode_body(&request.body).expect("CBOR");
     let expected = cbor!({
         "when" => [{"k" => "a/b", "amended" => 0}],
@@ -34,27 +34,27 @@
 #[test]
 fn each_status_is_read_as_its_response() {
     let commit = StoreRequest::Commit(Transaction::default());
-    assert_eq!(outcome(&commit, None), StoreResponse::Unknown);
+    assert_eq!(parse_response(&commit, None), StoreResponse::Unknown);
     assert_eq!(
-        outcome(&commit, Some(&reply(503, Value::Null))),
+        parse_response(&commit, Some(&reply(503, Value::Null))),
         StoreResponse::Refused
     );
     assert_eq!(
-        outcome(&commit, Some(&reply(200, Value::Null))),
+        parse_response(&commit, Some(&reply(200, Value::Null))),
         StoreResponse::Unknown
     );
     let revision = cbor!({"ledgerLine" => 9}).expect("valid");
     assert_eq!(
-        outcome(&commit, Some(&reply(200, revision.clone()))),
+        parse_response(&commit, Some(&reply(200, revision.clone()))),
         StoreResponse::Committed { revision: 9 }
     );
     assert_eq!(
-        outcome(&commit, Some(&reply(409, revision.clone()))),
+        parse_response(&commit, Some(&reply(409, revision.clone()))),
         StoreResponse::Conflict
     );
     let get = StoreRequest::Get { key: "k".into() };
     assert_eq!(
-        outcome(&get, Some(&reply(404, revision))),
+        parse_response(&get, Some(&reply(404, revision))),
         StoreResponse::Missing { revision: 9 }
     );
     let watch = StoreRequest::Watch {
@@ -67,7 +67,7 @@
     let StoreResponse::WatchEvents {
         revision: 9,
         changes,
-    } = outcome(&watch, Some(&reply(200, events.expect("valid"))))
+    } = parse_response(&watch, Some(&reply(200, events.expect("valid"))))
     else {
         panic!("not events");
     };
@@ -81,7 +81,7 @@
         ("c/d", 8, &None)
     );
     assert_eq!(
-        outcome(&watch, Some(&reply(410, Value::Null))),
+        parse_response(&watch, Some(&reply(410, Value::Null))),
         StoreResponse::Compacted
     );
 }
--- a/tests/simulation/digest.rs
+++ b/tests/simulation/digest.rs
@@ -128,7 +128,7 @@
         match effect {
             Effect::Store { tag: _, request } => {
                 self.number(1);
-                self.request(&store::wire::request(request));
+                self.request(&store::wire::http_request(request));
             }
             Effect::Command {
                 command,
