--- a/src/block_leases/tests.rs
+++ b/src/block_leases/tests.rs
@@ -29,7 +29,7 @@
         catalog.handle_response(Some(InstanceTypeList {
             types: vec![instance_type()],
         }));
-        let mut cache = WatchCache::following();
+        let mut cache = WatchCache::loaded_for_tests();
         let other = config.peers[0].name.clone();
         for (version, controller) in [(1, &config.name), (2, &other)] {
             cache.apply(Change {
--- a/src/cancellation/mod.rs
+++ b/src/cancellation/mod.rs
@@ -107,7 +107,7 @@
             reaches_state_service,
             // Until the cache is loaded, an earlier process of this controller may have confirmed cancellations that
             // were not read yet.
-            lists_all_cancellations: cache.ready()
+            lists_all_cancellations: cache.is_loaded()
                 && self.unfinished.len() <= MAX_CANCELLED_JOBS_PER_HEARTBEAT,
             cancelled_jobs: self.newest_cancelled_jobs(),
             last_received: self.heartbeats.last_received(),
--- a/src/cancellation/tests.rs
+++ b/src/cancellation/tests.rs
@@ -97,7 +97,7 @@
     fn new() -> Self {
         let config = Config::parse("s.toml", SETTINGS).expect("the test settings are valid");
         let start = Now::read();
-        let mut cache = WatchCache::following();
+        let mut cache = WatchCache::loaded_for_tests();
         let peer = &config.peers[0].name;
         let mut records = RecordWriter {
             cache: &mut cache,
--- a/src/controller/dispatcher.rs
+++ b/src/controller/dispatcher.rs
@@ -172,7 +172,7 @@
         }
         self.applied_revision = self.cache.revision;
         self.plan_outdated = true;
-        if self.cache.ready() {
+        if self.cache.is_loaded() {
             let changed = self.cache.take_changed();
             self.cancellations.sync(&self.cache, &changed);
             self.worker_fleet
--- a/src/controller/health.rs
+++ b/src/controller/health.rs
@@ -61,7 +61,7 @@
     /// state service. During an outage for all controllers it stays healthy, because a load balancer takes time to
     /// add a controller again.
     pub(super) fn is_healthy(&self, now: Now) -> bool {
-        self.cache.ready() && self.catalog.is_loaded() && !self.reachability.is_isolated(now)
+        self.cache.is_loaded() && self.catalog.is_loaded() && !self.reachability.is_isolated(now)
     }
 
     /// The time until which this holder may act on the cached block leases, counted from before they were read. Fencing
--- a/src/job_api/mod.rs
+++ b/src/job_api/mod.rs
@@ -214,7 +214,7 @@
 
     /// Why nothing that needs the state service, or has to wait, can be accepted now.
     fn unavailable_response<Tag>(&self, now: Now, cx: &Context<'_, Tag>) -> Option<Response> {
-        if !cx.cache.ready() || !cx.rate_limiter.available(now) {
+        if !cx.cache.is_loaded() || !cx.rate_limiter.available(now) {
             return Some(retry_later(503, "the state service can't be reached"));
         }
         (self.pending.len() >= MAX_PENDING_REQUESTS).then(|| retry_later(429, "too many requests"))
@@ -310,14 +310,14 @@
         now: Now,
         cx: &mut Context<'_, Tag>,
     ) -> Vec<(RequestId, Response)> {
-        let available = cx.rate_limiter.available(now) && cx.cache.ready();
+        let available = cx.rate_limiter.available(now) && cx.cache.is_loaded();
         let due: Vec<RequestId> = self
             .pending
             .iter()
             .filter(|(_, pending)| match pending.state {
                 RequestState::Refreshing => {
                     !available
-                        || cx.cache.covers(pending.fresh_since)
+                        || cx.cache.is_current_as_of(pending.fresh_since)
                         || now.monotonic >= pending.deadline
                 }
                 RequestState::Committing { .. } => now.monotonic >= pending.deadline,
@@ -343,7 +343,7 @@
     ) -> Option<Response> {
         let pending = self.pending.get_mut(&id)?;
         let refreshed = matches!(pending.state, RequestState::Refreshing)
-            && cx.cache.covers(pending.fresh_since);
+            && cx.cache.is_current_as_of(pending.fresh_since);
         if !refreshed {
             return Some(retry_later(503, "the state service is slow"));
         }
@@ -379,7 +379,7 @@
     record: &JobRecord,
 ) -> Option<Response> {
     // Without a copy the job may be one that was accepted before.
-    if cx.cache.ready()
+    if cx.cache.is_loaded()
         && cx.catalog.is_loaded()
         && let Some(reason) = unschedulable_reason(cx.config, cx.catalog, job)
     {
--- a/src/job_api/responses.rs
+++ b/src/job_api/responses.rs
@@ -59,7 +59,7 @@
 
 /// The state of a job that has ended. It is final, so that any copy will do, however old.
 pub(super) fn final_state(cache: &WatchCache, job: JobId) -> Option<Response> {
-    if !cache.ready() {
+    if !cache.is_loaded() {
         return None;
     }
     let (outcome, tasks) = cache.ended.get(&job)?;
--- a/src/job_api/tests.rs
+++ b/src/job_api/tests.rs
@@ -32,7 +32,7 @@
         JobApiHarness {
             config,
             catalog,
-            cache: WatchCache::following(),
+            cache: WatchCache::loaded_for_tests(),
             rate_limiter,
             job_api: JobApi::new(),
             now,
--- a/src/leadership/election.rs
+++ b/src/leadership/election.rs
@@ -33,7 +33,7 @@
     ) {
         if let Some(held) = self.leader.held() {
             requests.extend(self.leader.keep_alive(now));
-            if self.current_term(cache).is_none() && cache.covers(held.renewed_at) {
+            if self.current_term(cache).is_none() && cache.is_current_as_of(held.renewed_at) {
                 // This process holds the lease but not the record: it lost the election, or the outcome is unknown.
                 if self.may_claim_leadership(cache) {
                     requests.push(self.claim_leadership(held.id, held.last_confirmed, cache));
@@ -43,7 +43,7 @@
             }
             return;
         }
-        if !self.leader.is_idle() || !cache.ready() || !self.may_claim_leadership(cache) {
+        if !self.leader.is_idle() || !cache.is_loaded() || !self.may_claim_leadership(cache) {
             self.election_delay = None;
             return;
         }
--- a/src/leadership/membership.rs
+++ b/src/leadership/membership.rs
@@ -14,7 +14,7 @@
         cache: &WatchCache,
     ) -> Option<(Tag, StoreRequest)> {
         if self.member.is_idle() {
-            let due = cache.ready() && self.member.may_retry(now);
+            let due = cache.is_loaded() && self.member.may_retry(now);
             return due.then(|| self.member.request_grant());
         }
         let held = self.member.held()?;
@@ -22,7 +22,7 @@
             .members
             .get(&self.controller)
             .is_some_and(|member| member.value.incarnation == self.incarnation);
-        if cache.covers(held.renewed_at) && !registered && !held.keep_alive_pending {
+        if cache.is_current_as_of(held.renewed_at) && !registered && !held.keep_alive_pending {
             let registration = self.registration_transaction(held.id, cache);
             return Some(
                 self.member
--- a/src/leadership/mod.rs
+++ b/src/leadership/mod.rs
@@ -89,7 +89,7 @@
     /// The cache may be stale. That is safe: a write conditioned on an old version of the record fails.
     pub fn current_term(&self, cache: &WatchCache) -> Option<LeaderTerm> {
         let leader = cache.leader.as_ref()?;
-        let ours = cache.ready()
+        let ours = cache.is_loaded()
             && leader.value.controller == self.controller
             && leader.value.incarnation == self.incarnation;
         ours.then_some(LeaderTerm {
@@ -167,7 +167,7 @@
                 let registration = self.registration_transaction(id, cache);
                 Some(self.member.attach_key(id, sent, registration))
             }
-            LeaseRole::Leader if self.may_claim_leadership(cache) && cache.ready() => {
+            LeaseRole::Leader if self.may_claim_leadership(cache) && cache.is_loaded() => {
                 Some(self.claim_leadership(id, sent, cache))
             }
             LeaseRole::Leader => {
--- a/src/leadership/tests.rs
+++ b/src/leadership/tests.rs
@@ -10,7 +10,7 @@
         monotonic: start.monotonic + Duration::from_millis(ms),
         ..start
     };
-    let cache = WatchCache::following();
+    let cache = WatchCache::loaded_for_tests();
     let mut leadership = Leadership::new("node-0".into(), Incarnation(1), 0);
     let respond =
         |leadership: &mut Leadership, now: Now, sent: Now, tag: Tag, outcome: StoreResponse| {
--- a/src/operations/mod.rs
+++ b/src/operations/mod.rs
@@ -126,7 +126,7 @@
         let Some(pending) = self.pending.iter_mut().find(|p| !p.request.only_reads()) else {
             return progress;
         };
-        if !cache.covers(pending.asked) {
+        if !cache.is_current_as_of(pending.asked) {
             cache.request_refresh();
             return progress;
         }
@@ -183,7 +183,7 @@
             if !pending.request.only_reads() {
                 return true;
             }
-            if !cache.covers(pending.asked) {
+            if !cache.is_current_as_of(pending.asked) {
                 fresh_wanted = true;
                 return true;
             }
--- a/src/provisioning/cloud_requests.rs
+++ b/src/provisioning/cloud_requests.rs
@@ -91,7 +91,7 @@
         demand: &Demand,
     ) -> Vec<(CloudRequestPurpose, CloudRequest)> {
         // The local copy must contain the writes of earlier leaders.
-        if !cache.covers(self.term_started_at) {
+        if !cache.is_current_as_of(self.term_started_at) {
             return Vec::new();
         }
         let mut requests = self.scale_out_requests(now, config, cache);
--- a/src/provisioning/scaling_round.rs
+++ b/src/provisioning/scaling_round.rs
@@ -99,7 +99,9 @@
             now, leader, cache, ..
         } = context;
         let too_early = |at| since(now, at) < leader.policy.scaling_interval;
-        if !cache.covers(self.term_started_at) || self.last_scaling_round.is_some_and(too_early) {
+        if !cache.is_current_as_of(self.term_started_at)
+            || self.last_scaling_round.is_some_and(too_early)
+        {
             return None;
         }
         self.last_scaling_round = Some(now.monotonic);
--- a/src/provisioning/tests.rs
+++ b/src/provisioning/tests.rs
@@ -64,7 +64,7 @@
 impl Records {
     fn new() -> Self {
         Records {
-            cache: WatchCache::following(),
+            cache: WatchCache::loaded_for_tests(),
             version: 0,
         }
     }
@@ -292,7 +292,7 @@
 fn an_unavailable_capacity_type_does_not_block_requests_for_the_other() {
     let fixture = LeaderFixture::new(config());
     let now = Now::read();
-    let cache = WatchCache::following();
+    let cache = WatchCache::loaded_for_tests();
     let leader = fixture.leader(16);
     let name = instance_type().name;
     let machines = [
--- a/src/scheduler/completion_compaction/tests.rs
+++ b/src/scheduler/completion_compaction/tests.rs
@@ -21,7 +21,7 @@
     fn new(running_ratio: f64, finished: impl IntoIterator<Item = u32>) -> Self {
         let config = Config::parse("s.toml", SETTINGS).expect("the sample settings are valid");
         let mut block = BlockFixture {
-            cache: WatchCache::following(),
+            cache: WatchCache::loaded_for_tests(),
             version: 0,
             config,
         };
--- a/src/scheduler/failures/tests.rs
+++ b/src/scheduler/failures/tests.rs
@@ -26,7 +26,7 @@
 }
 
 fn cache_with_open_jobs(jobs: &[u64]) -> WatchCache {
-    let mut cache = WatchCache::following();
+    let mut cache = WatchCache::loaded_for_tests();
     for (version, id) in (1..).zip(jobs) {
         let value = Some(encode(&JobRecord::Open(job(10, 1.0))));
         cache.apply(Change {
--- a/src/scheduler/tests.rs
+++ b/src/scheduler/tests.rs
@@ -42,7 +42,7 @@
         let mut fixture = Fixture {
             policy: Policy::built_in(&config),
             catalog,
-            cache: WatchCache::following(),
+            cache: WatchCache::loaded_for_tests(),
             now,
             version: 0,
             scheduler: Scheduler::new(now, Term(TERM)),
--- a/src/store/cache/mod.rs
+++ b/src/store/cache/mod.rs
@@ -219,7 +219,7 @@
 
     /// A copy that is whole, for tests that apply changes themselves.
     #[cfg(test)]
-    pub fn following() -> Self {
+    pub fn loaded_for_tests() -> Self {
         let limits = StateLimits {
             rps: 100.0,
             write_rps: 20.0,
@@ -233,18 +233,18 @@
 
     /// Takes the copy to hold all that was committed before this time.
     #[cfg(test)]
-    pub fn assume_fresh(&mut self, at: Instant) {
+    pub fn set_current_as_of(&mut self, at: Instant) {
         self.current_as_of = Some(at);
     }
 
     /// Whether the copy is whole (if perhaps a little old).
-    pub fn ready(&self) -> bool {
+    pub fn is_loaded(&self) -> bool {
         !matches!(self.sync.state, SyncState::Loading)
     }
 
     /// The copy holds all that was committed before this time. None if it is not whole, or not known to be that new.
     pub fn current_as_of(&self) -> Option<Instant> {
-        if self.ready() {
+        if self.is_loaded() {
             self.current_as_of
         } else {
             None
@@ -252,7 +252,7 @@
     }
 
     /// Whether the copy holds all that was committed before `asked`.
-    pub fn covers(&self, asked: Instant) -> bool {
+    pub fn is_current_as_of(&self, asked: Instant) -> bool {
         self.current_as_of().is_some_and(|current| current >= asked)
     }
 
--- a/src/store/cache/sync.rs
+++ b/src/store/cache/sync.rs
@@ -169,7 +169,7 @@
 impl WatchCache {
     /// Requests that are due.
     pub fn poll(&mut self, now: Now) -> Vec<(Tag, StoreRequest)> {
-        let barrier = if self.ready() {
+        let barrier = if self.is_loaded() {
             self.barrier.poll(now, self.sync.intervals.barrier)
         } else {
             None
@@ -362,7 +362,7 @@
     }
 
     fn settle_barrier(&mut self) {
-        if self.ready() {
+        if self.is_loaded() {
             let reached = self.barrier.reached(self.revision);
             self.current_as_of = self.current_as_of.max(reached);
         }
--- a/src/store/cache/tests.rs
+++ b/src/store/cache/tests.rs
@@ -54,9 +54,9 @@
 fn a_copy_that_is_far_behind_is_read_anew_while_the_old_one_is_still_in_use() {
     let start = Now::read();
     let at = |seconds| at(start, seconds);
-    let mut cache = WatchCache::following();
+    let mut cache = WatchCache::loaded_for_tests();
     cache.revision = 5;
-    cache.assume_fresh(start.monotonic);
+    cache.set_current_as_of(start.monotonic);
     cache.apply(put(job_key(JobId(1)), 5, &open_job()));
     let next = |cache: &mut WatchCache, now: Now| cache.poll(now).remove(0);
     let (tag, op) = next(&mut cache, at(40));
@@ -85,7 +85,7 @@
     cache.handle(at(45), tag, StoreResponse::Missing { revision: 9000 });
     let (tag, op) = next(&mut cache, at(45));
     assert!(matches!(op, StoreRequest::Range { .. }), "{op:?}");
-    assert!(cache.ready() && cache.open.contains_key(&JobId(1)));
+    assert!(cache.is_loaded() && cache.open.contains_key(&JobId(1)));
     assert_eq!(
         cache.current_as_of(),
         Some(start.monotonic),
@@ -118,7 +118,7 @@
 /// released a second time.
 #[test]
 fn a_lost_attempt_does_not_hide_the_next_attempt_of_its_task() {
-    let mut cache = WatchCache::following();
+    let mut cache = WatchCache::loaded_for_tests();
     let (first, second) = (MachineId::from("m-000014"), MachineId::from("m-000011"));
     let (inventory, block) = (inventory_key(&"a.0".into()), placements_key(&"a.0".into()));
     cache.apply(put(job_key(JobId(1)), 1, &open_job()));
@@ -155,7 +155,7 @@
 /// What a controller is told by others goes before the watch, never against it.
 #[test]
 fn a_reported_cancellation_counts_until_the_cache_has_reached_its_version() {
-    let mut cache = WatchCache::following();
+    let mut cache = WatchCache::loaded_for_tests();
     let put = |id, version| put(job_key(JobId(id)), version, &open_job());
     (1..=3).for_each(|id| cache.apply(put(id, id)));
     cache.revision = 10;
--- a/src/store/writer.rs
+++ b/src/store/writer.rs
@@ -50,7 +50,7 @@
                 *self = Writer::Idle;
             }
             Writer::Unconfirmed { since: then } | Writer::Rejected { since: then } => {
-                if !cache.covers(then) {
+                if !cache.is_current_as_of(then) {
                     cache.request_refresh();
                     return false;
                 }
@@ -66,7 +66,7 @@
                 *self = Writer::Idle;
             }
         }
-        cache.ready()
+        cache.is_loaded()
     }
 
     /// Whether the last transaction is not known to be committed.
--- a/src/store/writer/tests.rs
+++ b/src/store/writer/tests.rs
@@ -10,8 +10,8 @@
 /// Whether it may write so long after this outcome, with a copy that is always new enough.
 fn ready_after(outcome: &StoreResponse, millis: u64) -> bool {
     let start = Now::read();
-    let mut cache = WatchCache::following();
-    cache.assume_fresh(at(start, 60_000).monotonic);
+    let mut cache = WatchCache::loaded_for_tests();
+    cache.set_current_as_of(at(start, 60_000).monotonic);
     let mut writer = Writer::Idle;
     writer.sent();
     assert!(!writer.ready(start, &mut cache), "one at a time");
--- a/src/upgrade/tests.rs
+++ b/src/upgrade/tests.rs
@@ -18,7 +18,7 @@
     fn new() -> Self {
         Fixture {
             config: Config::parse("s.toml", SETTINGS).expect("the test settings are valid"),
-            cache: WatchCache::following(),
+            cache: WatchCache::loaded_for_tests(),
             version: 0,
         }
     }
--- a/src/workers/mod.rs
+++ b/src/workers/mod.rs
@@ -160,7 +160,7 @@
         cache: &WatchCache,
         lease_valid: bool,
     ) -> HeartbeatResponse {
-        if !cache.ready() {
+        if !cache.is_loaded() {
             return HeartbeatResponse::Unavailable;
         }
         if !lease_valid {
--- a/src/workers/tests/mod.rs
+++ b/src/workers/tests/mod.rs
@@ -53,7 +53,7 @@
         catalog.handle_response(Some(InstanceTypeList {
             types: vec![instance_type()],
         }));
-        let (cache, fleet) = (WatchCache::following(), WorkerFleet::new());
+        let (cache, fleet) = (WatchCache::loaded_for_tests(), WorkerFleet::new());
         let mut holder = Holder {
             config,
             catalog,
--- a/src/workers/tests/placement_writes.rs
+++ b/src/workers/tests/placement_writes.rs
@@ -169,7 +169,7 @@
     holder.assign_task(20, "m-1", 1);
     let write_with_outcome = |holder: &mut Holder, outcome: StoreResponse| {
         holder.now.monotonic += Duration::from_secs(1);
-        holder.cache.assume_fresh(holder.now.monotonic);
+        holder.cache.set_current_as_of(holder.now.monotonic);
         let Holder {
             fleet,
             now,
