--- a/src/block_leases/mod.rs
+++ b/src/block_leases/mod.rs
@@ -15,7 +15,7 @@
 use crate::domain::{BlockId, ControllerName, FencingToken, Incarnation, Now, Term, Zone, since};
 use crate::leader_context::LeaderContext;
 use crate::policy::Policy;
-use crate::store::{StoreRequest, StoreResponse, WatchCache, Writer};
+use crate::store::{StoreRequest, StoreResponse, WatchCache, WriterState};
 
 mod assignment;
 
@@ -85,7 +85,7 @@
 /// Assigns blocks to holders on the leader. Its state lasts for one term.
 #[derive(Debug)]
 pub struct BlockLeaseManager {
-    writer: Writer,
+    writer: WriterState,
     current_term: Option<CurrentTerm>,
     last_heartbeats: BTreeMap<ControllerName, LastHeartbeat>,
     /// Blocks whose holder requires a new token, with the token to replace.
@@ -97,7 +97,7 @@
     /// Creates a manager with no recorded heartbeats and no transaction in flight.
     pub fn new() -> Self {
         BlockLeaseManager {
-            writer: Writer::Idle,
+            writer: WriterState::Idle,
             current_term: None,
             last_heartbeats: BTreeMap::new(),
             token_renewals: BTreeMap::new(),
@@ -170,7 +170,7 @@
         cache: &mut WatchCache,
     ) -> Option<StoreRequest> {
         self.begin_term(now, leader.term);
-        if !self.writer.ready(now, cache) {
+        if !self.writer.can_write(now, cache) {
             return None;
         }
         let holders = self.eligible_holders(now, leader, cache);
@@ -190,7 +190,7 @@
         if assignment.is_empty() {
             return None;
         }
-        self.writer.sent();
+        self.writer.mark_sent();
         Some(StoreRequest::Commit(assignment.into_transaction()))
     }
 
@@ -207,7 +207,7 @@
         self.last_heartbeats.clear();
         self.token_renewals.clear();
         self.suspensions.clear();
-        self.writer = Writer::Unconfirmed {
+        self.writer = WriterState::Unconfirmed {
             since: now.monotonic,
         };
     }
@@ -266,7 +266,7 @@
 
     /// Handles the response to the last transaction.
     pub fn handle_store_response(&mut self, now: Now, outcome: &StoreResponse) {
-        self.writer.answered(now, outcome);
+        self.writer.record_response(now, outcome);
     }
 }
 
--- a/src/block_leases/tests.rs
+++ b/src/block_leases/tests.rs
@@ -79,7 +79,7 @@
         for _ in 0..40 {
             self.manager
                 .record_heartbeat(now, &self.other, Incarnation(1));
-            self.manager.writer = Writer::Idle;
+            self.manager.writer = WriterState::Idle;
             let Some(StoreRequest::Commit(transaction)) =
                 self.manager.poll(now, &leader, &mut self.cache)
             else {
@@ -111,7 +111,7 @@
     let mut fixture = Fixture::new();
     let other = fixture.other.clone();
     fixture.commit_leases(0);
-    fixture.manager.writer = Writer::Idle;
+    fixture.manager.writer = WriterState::Idle;
     assert!(fixture.commit_leases(1) > 0);
     fixture.suspend(10, &other);
     assert_eq!(fixture.commit_leases(10), 0);
--- a/src/operations/mod.rs
+++ b/src/operations/mod.rs
@@ -23,7 +23,7 @@
 use crate::scheduler::draining::{DrainCoordinator, machine_views};
 use crate::store::cache::{values, version_of};
 use crate::store::records::{DRAIN_FORMAT, LEADER, drain_budget_key, drain_key, encode, json_size};
-use crate::store::{StoreRequest, StoreResponse, Transaction, WatchCache, Writer};
+use crate::store::{StoreRequest, StoreResponse, Transaction, WatchCache, WriterState};
 
 /// More pending requests than this are refused at once.
 const MAX_PENDING_REQUESTS: usize = 32;
@@ -47,7 +47,7 @@
 #[derive(Debug)]
 pub struct Operations {
     pending: VecDeque<PendingRequest>,
-    writer: Writer,
+    writer: WriterState,
 }
 
 /// What requests are decided on.
@@ -71,7 +71,7 @@
     fn default() -> Self {
         Operations {
             pending: VecDeque::new(),
-            writer: Writer::Idle,
+            writer: WriterState::Idle,
         }
     }
 }
@@ -104,7 +104,7 @@
 
     /// Refers all pending requests to the controller that leads, if it is known, as this one does not.
     pub fn refer(&mut self, leader: Option<(ControllerName, String)>) -> Vec<(RequestId, Reply)> {
-        self.writer = Writer::Idle;
+        self.writer = WriterState::Idle;
         let reply = |pending: PendingRequest| {
             let reply = match &leader {
                 Some((leader, addr)) => Reply::Elsewhere {
@@ -130,7 +130,7 @@
             cache.request_refresh();
             return progress;
         }
-        if !self.writer.ready(now, cache) {
+        if !self.writer.can_write(now, cache) {
             return progress;
         }
         match changes(&pending.request, now, cx, cache) {
@@ -150,7 +150,7 @@
                         pending.uncordoned.insert(id.clone());
                     }
                 }
-                self.writer.sent();
+                self.writer.mark_sent();
                 progress.op = Some(StoreRequest::Commit(transaction(
                     cx.leader, cache, &changes,
                 )));
@@ -199,7 +199,7 @@
 
     /// Takes in the outcome of the transaction.
     pub fn written(&mut self, now: Now, outcome: &StoreResponse) {
-        self.writer.answered(now, outcome);
+        self.writer.record_response(now, outcome);
     }
 }
 
--- a/src/provisioning/mod.rs
+++ b/src/provisioning/mod.rs
@@ -37,7 +37,7 @@
 use crate::domain::{Attempt, BlockId, CapacityType, InstanceTypeName, MachineId, Now, Term, Zone};
 use crate::leader_context::LeaderContext;
 use crate::store::records::{LEADER, MachineState};
-use crate::store::{StoreRequest, StoreResponse, Transaction, WatchCache, Writer};
+use crate::store::{StoreRequest, StoreResponse, Transaction, WatchCache, WriterState};
 use cloud_rate_limiter::CloudRateLimiter;
 pub use cloud_requests::CloudRequestPurpose;
 use cloud_requests::{MachineListing, ScaleOutState, UnrecordedMachine};
@@ -56,7 +56,7 @@
 pub struct Provisioner {
     term: Term,
     term_started_at: Instant,
-    writer: Writer,
+    writer: WriterState,
     last_scaling_round: Option<Instant>,
     /// The number of the last scale-out request of this term.
     last_request_number: u64,
@@ -82,7 +82,7 @@
         Provisioner {
             term,
             term_started_at: now.monotonic,
-            writer: Writer::Unconfirmed {
+            writer: WriterState::Unconfirmed {
                 since: now.monotonic,
             },
             last_scaling_round: None,
@@ -182,7 +182,7 @@
     ) -> Option<StoreRequest> {
         self.machines
             .observe_idle(now, cache, |id| demand.occupied.contains(id));
-        if !self.writer.ready(now, cache) || !leader.catalog.is_loaded() {
+        if !self.writer.can_write(now, cache) || !leader.catalog.is_loaded() {
             return None;
         }
         let context = ProvisioningContext {
@@ -198,13 +198,13 @@
             .or_else(|| self.record_unrecorded_machines(context, &txn))
             .or_else(|| self.record_desired_states(context, &txn))
             .or_else(|| self.run_scaling_round(context, txn))?;
-        self.writer.sent();
+        self.writer.mark_sent();
         Some(StoreRequest::Commit(txn))
     }
 
     /// Handles the state service's response to the last write.
     pub fn handle_store_response(&mut self, now: Now, response: &StoreResponse) {
-        self.writer.answered(now, response);
+        self.writer.record_response(now, response);
     }
 }
 
--- a/src/scheduler/draining/mod.rs
+++ b/src/scheduler/draining/mod.rs
@@ -31,7 +31,7 @@
 use crate::provisioning::Provisioner;
 use crate::store::cache::{values, version_of};
 use crate::store::records::{LEADER, MachineState, drain_budget_key, drain_key, drain_ledger_key};
-use crate::store::{StoreRequest, StoreResponse, Transaction, Versioned, WatchCache, Writer};
+use crate::store::{StoreRequest, StoreResponse, Transaction, Versioned, WatchCache, WriterState};
 
 /// The maximum encoded size of one ledger entry.
 const MAX_LEDGER_ENTRY_BYTES: usize = 192;
@@ -43,7 +43,7 @@
 pub struct DrainCoordinator {
     settings: DrainSettings,
     planner: Planner,
-    writer: Writer,
+    writer: WriterState,
     /// The machines with capacity reserved for the replacements of evicted tasks.
     reservations: BTreeMap<TaskId, MachineId>,
     /// Tasks whose eviction is in a transaction that is not confirmed yet.
@@ -64,7 +64,7 @@
         DrainCoordinator {
             settings,
             planner: Planner::default(),
-            writer: Writer::Unconfirmed {
+            writer: WriterState::Unconfirmed {
                 since: now.monotonic,
             },
             reservations: BTreeMap::new(),
@@ -530,7 +530,7 @@
         cache: &mut WatchCache,
     ) -> Option<StoreRequest> {
         let draining = self.draining.as_mut()?;
-        if !draining.writer.ready(now, cache) {
+        if !draining.writer.can_write(now, cache) {
             return None;
         }
         draining.unconfirmed_evictions.clear();
@@ -550,14 +550,14 @@
                 _ => {}
             }
         }
-        draining.writer.sent();
+        draining.writer.mark_sent();
         Some(StoreRequest::Commit(txn))
     }
 
     /// Handles the response to the drain transaction.
     pub fn handle_drain_store_response(&mut self, now: Now, outcome: &StoreResponse) {
         if let Some(draining) = &mut self.draining {
-            draining.writer.answered(now, outcome);
+            draining.writer.record_response(now, outcome);
         }
     }
 }
--- a/src/scheduler/mod.rs
+++ b/src/scheduler/mod.rs
@@ -35,7 +35,7 @@
 use crate::placement::Candidate;
 use crate::provisioning::{Demand, MachineHealth, MachinePool, Provisioner, RunTimes};
 use crate::store::records::{JobRecord, LEADER, job_key, progress_key};
-use crate::store::{StoreRequest, StoreResponse, Transaction, WatchCache, Writer};
+use crate::store::{StoreRequest, StoreResponse, Transaction, WatchCache, WriterState};
 use best_effort::BestEffortPlacement;
 use block_state::BlockState;
 use capacity_view::CapacityView;
@@ -71,7 +71,7 @@
     update_sequence_number: u64,
     /// The state of each block whose lease is of this term.
     block_states: BTreeMap<BlockId, BlockState>,
-    writer: Writer,
+    writer: WriterState,
     /// The attempts that the records showed in the last round, by number, to detect those that have ended since.
     observed_attempts: HashMap<u64, ObservedAttempt>,
     /// The number of planning rounds.
@@ -149,7 +149,7 @@
             next_attempt: term.0 << 20,
             update_sequence_number: 0,
             block_states: BTreeMap::new(),
-            writer: Writer::Unconfirmed {
+            writer: WriterState::Unconfirmed {
                 since: now.monotonic,
             },
             observed_attempts: HashMap::new(),
@@ -550,7 +550,7 @@
     ) -> Option<StoreRequest> {
         let (config, leader_version, max_changes) =
             (leader.config, leader.record_version, leader.max_changes);
-        if !self.writer.ready(now, cache) {
+        if !self.writer.can_write(now, cache) {
             return None;
         }
         let mut txn = Transaction::default().when(LEADER, leader_version);
@@ -593,7 +593,7 @@
         if txn.changes.is_empty() {
             return None;
         }
-        self.writer.sent();
+        self.writer.mark_sent();
         Some(StoreRequest::Commit(txn))
     }
 
@@ -607,7 +607,7 @@
 
     /// Handles the state service's response to the last transaction.
     pub fn handle_store_response(&mut self, now: Now, outcome: &StoreResponse) {
-        self.writer.answered(now, outcome);
+        self.writer.record_response(now, outcome);
     }
 
     /// The term of this scheduler.
--- a/src/scheduler/tests.rs
+++ b/src/scheduler/tests.rs
@@ -172,7 +172,7 @@
             ..
         } = self;
         let leader = leader_context(config, policy, catalog);
-        scheduler.writer = Writer::Idle;
+        scheduler.writer = WriterState::Idle;
         let Some(StoreRequest::Commit(txn)) = scheduler.next_transaction(self.now, &leader, cache)
         else {
             return Vec::new();
--- a/src/store/mod.rs
+++ b/src/store/mod.rs
@@ -14,7 +14,7 @@
 
 pub use cache::{Machine, Versioned, WatchCache};
 pub use records::{Change, Record, RecordKey};
-pub use writer::Writer;
+pub use writer::WriterState;
 
 /// A request to the state service.
 #[derive(Debug, Clone, PartialEq)]
--- a/src/store/writer.rs
+++ b/src/store/writer.rs
@@ -1,6 +1,6 @@
 //! The state of one writer of records: at most one transaction at a time, and none before the outcome of the last is known.
 //!
-//! Each module that writes keeps a [`Writer`] and asks it before it prepares a transaction from the copy ([`Writer::ready`]);
+//! Each module that writes keeps a [`WriterState`] and asks it before it prepares a transaction from the copy ([`WriterState::can_write`]);
 //! it reports when the transaction is sent and what the answer was. It sends nothing itself.
 
 use std::time::{Duration, Instant};
@@ -10,7 +10,7 @@
 
 /// What is known of a writer's last transaction.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub enum Writer {
+pub enum WriterState {
     /// It is in the copy, or there was none.
     Idle,
     /// It is queued or sent.
@@ -37,24 +37,24 @@
 /// A rejected write is tried again after this long: its contents have to change first.
 const REJECTED_PAUSE: Duration = Duration::from_secs(2);
 
-impl Writer {
+impl WriterState {
     /// Whether a new transaction may be prepared from `cache`. Asks it to be brought up to the present if that is needed.
-    pub fn ready(&mut self, now: Now, cache: &mut WatchCache) -> bool {
+    pub fn can_write(&mut self, now: Now, cache: &mut WatchCache) -> bool {
         match *self {
-            Writer::Idle => {}
-            Writer::InFlight => return false,
-            Writer::AwaitingCache { revision } => {
+            WriterState::Idle => {}
+            WriterState::InFlight => return false,
+            WriterState::AwaitingCache { revision } => {
                 if cache.revision < revision {
                     return false;
                 }
-                *self = Writer::Idle;
+                *self = WriterState::Idle;
             }
-            Writer::Unconfirmed { since: then } | Writer::Rejected { since: then } => {
+            WriterState::Unconfirmed { since: then } | WriterState::Rejected { since: then } => {
                 if !cache.is_current_as_of(then) {
                     cache.request_refresh();
                     return false;
                 }
-                let rejected = matches!(self, Writer::Rejected { .. });
+                let rejected = matches!(self, WriterState::Rejected { .. });
                 let pause = if rejected {
                     REJECTED_PAUSE
                 } else {
@@ -63,7 +63,7 @@
                 if since(now, then) < pause {
                     return false;
                 }
-                *self = Writer::Idle;
+                *self = WriterState::Idle;
             }
         }
         cache.is_loaded()
@@ -71,24 +71,27 @@
 
     /// Whether the last transaction is not known to be committed.
     pub fn is_unconfirmed(&self) -> bool {
-        matches!(self, Writer::Unconfirmed { .. } | Writer::Rejected { .. })
+        matches!(
+            self,
+            WriterState::Unconfirmed { .. } | WriterState::Rejected { .. }
+        )
     }
 
     /// A transaction was queued or sent.
-    pub fn sent(&mut self) {
-        *self = Writer::InFlight;
+    pub fn mark_sent(&mut self) {
+        *self = WriterState::InFlight;
     }
 
     /// The answer to the transaction, or that none came.
-    pub fn answered(&mut self, now: Now, response: &StoreResponse) {
+    pub fn record_response(&mut self, now: Now, response: &StoreResponse) {
         *self = match response {
-            StoreResponse::Committed { revision } => Writer::AwaitingCache {
+            StoreResponse::Committed { revision } => WriterState::AwaitingCache {
                 revision: *revision,
             },
-            StoreResponse::Invalid => Writer::Rejected {
+            StoreResponse::Invalid => WriterState::Rejected {
                 since: now.monotonic,
             },
-            _ => Writer::Unconfirmed {
+            _ => WriterState::Unconfirmed {
                 since: now.monotonic,
             },
         };
--- a/src/store/writer/tests.rs
+++ b/src/store/writer/tests.rs
@@ -12,11 +12,11 @@
     let start = Now::read();
     let mut cache = WatchCache::loaded_for_tests();
     cache.set_current_as_of(at(start, 60_000).monotonic);
-    let mut writer = Writer::Idle;
-    writer.sent();
-    assert!(!writer.ready(start, &mut cache), "one at a time");
-    writer.answered(start, outcome);
-    writer.ready(at(start, millis), &mut cache)
+    let mut writer = WriterState::Idle;
+    writer.mark_sent();
+    assert!(!writer.can_write(start, &mut cache), "one at a time");
+    writer.record_response(start, outcome);
+    writer.can_write(at(start, millis), &mut cache)
 }
 
 /// A transaction that is too large was sent again five times a second, and each time cost its share of the rate.
--- a/src/upgrade/mod.rs
+++ b/src/upgrade/mod.rs
@@ -13,19 +13,19 @@
 use crate::domain::{ControllerName, Now};
 use crate::leader_context::LeaderContext;
 use crate::store::records::{FORMAT, FORMAT_KEY, FormatSwitch, LEADER, member_key};
-use crate::store::{StoreRequest, StoreResponse, Transaction, WatchCache, Writer};
+use crate::store::{StoreRequest, StoreResponse, Transaction, WatchCache, WriterState};
 
 /// The leader's state for the switch of the record format.
 #[derive(Debug)]
 pub struct Upgrade {
-    writer: Writer,
+    writer: WriterState,
 }
 
 impl Upgrade {
     /// Creates the state without a transaction in flight.
     pub fn new() -> Self {
         Upgrade {
-            writer: Writer::Idle,
+            writer: WriterState::Idle,
         }
     }
 
@@ -36,7 +36,7 @@
         leader: &LeaderContext<'_>,
         cache: &mut WatchCache,
     ) -> Option<StoreRequest> {
-        if cache.format() >= FORMAT || !self.writer.ready(now, cache) {
+        if cache.format() >= FORMAT || !self.writer.can_write(now, cache) {
             return None;
         }
         let MemberRecords { format, records } = member_records(leader.config, cache)?;
@@ -50,7 +50,7 @@
             transaction = transaction.when(member_key(&record.controller), record.version);
         }
         info!(format, "record format switch started");
-        self.writer.sent();
+        self.writer.mark_sent();
         Some(StoreRequest::Commit(
             transaction.put(FORMAT_KEY, &FormatSwitch { version: format }),
         ))
@@ -58,7 +58,7 @@
 
     /// Handles the response to the transaction.
     pub fn handle_store_response(&mut self, now: Now, outcome: &StoreResponse) {
-        self.writer.answered(now, outcome);
+        self.writer.record_response(now, outcome);
     }
 }
 
--- a/src/workers/block/placement_writer.rs
+++ b/src/workers/block/placement_writer.rs
@@ -5,7 +5,7 @@
 
 use crate::domain::Now;
 use crate::store::records::Part;
-use crate::store::{StoreResponse, WatchCache, Writer};
+use crate::store::{StoreResponse, WatchCache, WriterState};
 use crate::workers::parts::PartsTransaction;
 
 /// The changes that transactions in flight or of unknown outcome may still make.
@@ -30,7 +30,7 @@
 /// executed: the outcome of either one decides that of the other.
 #[derive(Debug)]
 pub(super) struct PlacementWriter {
-    writer: Writer,
+    writer: WriterState,
     /// The transaction in flight, with the parts as it leaves them.
     in_flight: Option<PartsTransaction>,
     undecided: UndecidedWrites,
@@ -43,7 +43,7 @@
     /// Creates a writer that has sent nothing.
     pub(super) fn new() -> Self {
         PlacementWriter {
-            writer: Writer::Idle,
+            writer: WriterState::Idle,
             in_flight: None,
             undecided: UndecidedWrites::default(),
             undecided_before: UndecidedWrites::default(),
@@ -54,9 +54,9 @@
     /// more, so nothing is undecided. If a transaction is in flight, the writer still waits for its response.
     pub(super) fn reset_after_lease_renewal(&mut self) {
         self.clear_undecided();
-        if self.writer != Writer::InFlight {
+        if self.writer != WriterState::InFlight {
             self.in_flight = None;
-            self.writer = Writer::Idle;
+            self.writer = WriterState::Idle;
         }
     }
 
@@ -67,7 +67,7 @@
 
     /// Whether a transaction may be prepared from the cache now. Requests a fresh copy of the records if one is needed.
     pub(super) fn ready(&mut self, now: Now, cache: &mut WatchCache) -> bool {
-        self.writer.ready(now, cache)
+        self.writer.can_write(now, cache)
     }
 
     /// Returns the numbers of the attempts that transactions in flight or of unknown outcome place.
@@ -91,14 +91,14 @@
         self.undecided.attempts.extend(attempts);
         self.undecided.parts = transaction.changed().clone();
         self.in_flight = Some(transaction);
-        self.writer.sent();
+        self.writer.mark_sent();
     }
 
     /// Applies the response to a transaction that was sent under an earlier version of the block lease. The records
     /// that are read next contain it if it was committed.
     pub(super) fn apply_outdated_outcome(&mut self, now: Now) {
         self.in_flight = None;
-        self.writer = Writer::Unconfirmed {
+        self.writer = WriterState::Unconfirmed {
             since: now.monotonic,
         };
     }
@@ -109,11 +109,11 @@
         now: Now,
         outcome: &StoreResponse,
     ) -> Option<CommittedWrite> {
-        self.writer.answered(now, outcome);
+        self.writer.record_response(now, outcome);
         match (outcome, self.in_flight.take()) {
             (StoreResponse::Committed { revision }, Some(transaction)) => {
                 // The committed parts are known, so there is no need to wait until the cache shows them.
-                self.writer = Writer::Idle;
+                self.writer = WriterState::Idle;
                 self.clear_undecided();
                 Some(CommittedWrite {
                     transaction,
