--- a/src/controller/dispatcher.rs
+++ b/src/controller/dispatcher.rs
@@ -11,7 +11,7 @@
 use crate::job_api::Response;
 use crate::provisioning;
 use crate::store::StoreRequest;
-use crate::store::rate_limiter::WritePriority;
+use crate::store::rate_limiter::RequestPriority;
 use crate::store::records::FORMAT;
 
 impl Controller {
@@ -98,7 +98,7 @@
         self.request_instance_catalog(now, effects);
         self.apply_record_changes(now);
         for (tag, request) in self.leadership.poll(now, &self.cache, &mut self.rng) {
-            self.push_store_request(WritePriority::Lease, StoreTag::Leadership(tag), request);
+            self.push_store_request(RequestPriority::Lease, StoreTag::Leadership(tag), request);
         }
         self.run_leader_round(now, effects);
         self.respond_to_operators(now, effects);
@@ -112,7 +112,7 @@
             effects.push(Effect::RespondToUser { id, response });
         }
         for (tag, request) in self.cache.poll(now) {
-            self.push_store_request(WritePriority::Lease, StoreTag::WatchCache(tag), request);
+            self.push_store_request(RequestPriority::Lease, StoreTag::WatchCache(tag), request);
         }
         self.send_store_requests(now, effects);
     }
@@ -120,7 +120,7 @@
     /// Queues a request to the state service, which is sent when the rate limit allows.
     pub(super) fn push_store_request(
         &mut self,
-        priority: WritePriority,
+        priority: RequestPriority,
         tag: StoreTag,
         request: StoreRequest,
     ) {
--- a/src/controller/leader_round.rs
+++ b/src/controller/leader_round.rs
@@ -23,7 +23,7 @@
 use crate::provisioning::{self, Demand, Provisioner};
 use crate::scheduler::Scheduler;
 use crate::scheduler::draining::DrainCoordinator;
-use crate::store::rate_limiter::WritePriority;
+use crate::store::rate_limiter::RequestPriority;
 use crate::store::{StoreRequest, WatchCache};
 use crate::upgrade::Upgrade;
 
@@ -114,7 +114,7 @@
 
 /// A write decided in a round.
 struct PendingWrite {
-    priority: WritePriority,
+    priority: RequestPriority,
     tag: StoreTag,
     request: StoreRequest,
 }
@@ -128,7 +128,7 @@
 }
 
 impl RoundOutput {
-    fn write(&mut self, priority: WritePriority, tag: StoreTag, request: Option<StoreRequest>) {
+    fn write(&mut self, priority: RequestPriority, tag: StoreTag, request: Option<StoreRequest>) {
         self.writes.extend(request.map(|request| PendingWrite {
             priority,
             tag,
@@ -157,7 +157,7 @@
     fn switch_record_format(&mut self) {
         let request = self.upgrade.poll(self.now, &self.context, self.cache);
         self.output
-            .write(WritePriority::Lease, StoreTag::Upgrade, request);
+            .write(RequestPriority::Lease, StoreTag::Upgrade, request);
     }
 
     /// Leases blocks to controllers. Requires the instance catalogue, which is the only source of the zones.
@@ -169,7 +169,7 @@
             .block_lease_manager
             .poll(self.now, &self.context, self.cache);
         let tag = StoreTag::BlockLeases(self.context.term);
-        self.output.write(WritePriority::Lease, tag, request);
+        self.output.write(RequestPriority::Lease, tag, request);
     }
 
     /// Whether a plan is due and the instance catalogue is loaded.
@@ -259,14 +259,14 @@
         }
         let request = scheduler.next_drain_transaction(now, &self.context, self.cache);
         let tag = StoreTag::Draining(term);
-        self.output.write(WritePriority::Placement, tag, request);
+        self.output.write(RequestPriority::Placement, tag, request);
         let request = scheduler.next_transaction(now, &self.context, self.cache);
         let tag = StoreTag::Scheduler(term);
         self.output
-            .write(WritePriority::JobCompletion, tag, request);
+            .write(RequestPriority::JobCompletion, tag, request);
         let request = provisioner.next_transaction(now, &self.context, self.cache, demand);
         let tag = StoreTag::Provisioning(term);
-        self.output.write(WritePriority::Placement, tag, request);
+        self.output.write(RequestPriority::Placement, tag, request);
     }
 
     /// Collects the assignment updates for holders.
--- a/src/controller/operator_requests.rs
+++ b/src/controller/operator_requests.rs
@@ -4,7 +4,7 @@
 use super::{Controller, Effect, StoreTag};
 use crate::domain::{ControllerName, Now};
 use crate::operations;
-use crate::store::rate_limiter::WritePriority;
+use crate::store::rate_limiter::RequestPriority;
 
 impl Controller {
     /// Responds to pending requests of operators, as far as the responses are available.
@@ -43,7 +43,7 @@
         };
         let progress = self.operations.poll(now, &context, &mut self.cache);
         if let Some(request) = progress.op {
-            self.push_store_request(WritePriority::User, StoreTag::Operations, request);
+            self.push_store_request(RequestPriority::User, StoreTag::Operations, request);
         }
         let replies = progress.replies.into_iter();
         effects.extend(replies.map(|(id, reply)| Effect::RespondToOperator { id, reply }));
--- a/src/controller/store_responses.rs
+++ b/src/controller/store_responses.rs
@@ -14,7 +14,7 @@
 use crate::peer::Message;
 use crate::provisioning;
 use crate::store::StoreResponse;
-use crate::store::rate_limiter::WritePriority;
+use crate::store::rate_limiter::RequestPriority;
 
 /// The module label under which a request's transaction is counted. None for requests that maintain leases and the
 /// cache, which are not counted.
@@ -53,7 +53,7 @@
             StoreTag::WatchCache(tag) => {
                 for (tag, request) in self.cache.handle(now, tag, outcome) {
                     let tag = StoreTag::WatchCache(tag);
-                    self.push_store_request(WritePriority::Lease, tag, request);
+                    self.push_store_request(RequestPriority::Lease, tag, request);
                 }
             }
             StoreTag::Leadership(tag) => {
@@ -62,7 +62,7 @@
                         .handle_response(now, sent, tag, &outcome, &self.cache);
                 if let Some((tag, request)) = request {
                     let tag = StoreTag::Leadership(tag);
-                    self.push_store_request(WritePriority::Lease, tag, request);
+                    self.push_store_request(RequestPriority::Lease, tag, request);
                 }
             }
             StoreTag::JobApi(id) => self.handle_job_response(now, id, &outcome, effects),
--- a/src/controller/workers.rs
+++ b/src/controller/workers.rs
@@ -3,7 +3,7 @@
 use super::{Controller, Effect, StoreTag};
 use crate::domain::Now;
 use crate::job_api::RequestId;
-use crate::store::rate_limiter::WritePriority;
+use crate::store::rate_limiter::RequestPriority;
 use crate::workers::WriteAllowance;
 use crate::workers::wire::Heartbeat;
 
@@ -45,7 +45,7 @@
     pub(super) fn write_placements(&mut self, now: Now, effects: &mut Vec<Effect>) {
         while self
             .rate_limiter
-            .can_send_now(now, WritePriority::Placement)
+            .can_send_now(now, RequestPriority::Placement)
             && let allowance = self.write_allowance(now)
             && let Some((block, request)) = self.worker_fleet.next_transaction(
                 now,
@@ -60,7 +60,7 @@
                 block,
                 lease_version,
             };
-            self.push_store_request(WritePriority::Placement, tag, request);
+            self.push_store_request(RequestPriority::Placement, tag, request);
             self.send_store_requests(now, effects);
         }
     }
--- a/src/job_api/mod.rs
+++ b/src/job_api/mod.rs
@@ -18,7 +18,7 @@
 use crate::config::Config;
 use crate::domain::{Job, JobId, JobKind, Now};
 use crate::peer::CancelledJob;
-use crate::store::rate_limiter::{RequestRateLimiter, WritePriority};
+use crate::store::rate_limiter::{RequestPriority, RequestRateLimiter};
 use crate::store::records::{JobRecord, PARTS_FORMAT, encode, job_key, json_size};
 use crate::store::{StoreRequest, StoreResponse, Transaction, WatchCache};
 use admission::unschedulable_reason;
@@ -88,7 +88,7 @@
     fn queue_commit(&mut self, id: RequestId, txn: Transaction) -> Result<(), Response> {
         let commit = StoreRequest::Commit(txn);
         self.rate_limiter
-            .push(WritePriority::User, (self.store_tag)(id), commit)
+            .push(RequestPriority::User, (self.store_tag)(id), commit)
             .map_err(|_| retry_later(429, "too many requests"))
     }
 }
--- a/src/store/rate_limiter.rs
+++ b/src/store/rate_limiter.rs
@@ -21,7 +21,7 @@
 
 /// What goes first when the rate does not suffice for all, from the highest priority to the lowest.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub enum WritePriority {
+pub enum RequestPriority {
     /// Leases and leadership: late means lost.
     Lease,
     /// What a user waits for.
@@ -151,7 +151,7 @@
     /// The tag, when the queue of this priority is full.
     pub fn push(
         &mut self,
-        priority: WritePriority,
+        priority: RequestPriority,
         tag: Tag,
         request: StoreRequest,
     ) -> Result<(), Tag> {
@@ -172,10 +172,10 @@
         // A write that is too large for now must not be overtaken for ever by smaller ones of a lower priority.
         let mut saving = false;
         for (priority, queue) in self.queues.iter_mut().enumerate() {
-            if backing_off && priority != WritePriority::Lease as usize {
+            if backing_off && priority != RequestPriority::Lease as usize {
                 break;
             }
-            let kept = if priority > WritePriority::User as usize {
+            let kept = if priority > RequestPriority::User as usize {
                 kept_for_users(&self.writes)
             } else {
                 0.0
@@ -199,7 +199,7 @@
 
     /// Whether a write of this priority would be sent at once. Writes that gather changes are prepared only then, so that
     /// each holds all that came up while the ones before it waited.
-    pub fn can_send_now(&mut self, now: Now, priority: WritePriority) -> bool {
+    pub fn can_send_now(&mut self, now: Now, priority: RequestPriority) -> bool {
         self.requests.refill(now);
         self.writes.refill(now);
         let clear = self.queues[..=priority as usize]
@@ -241,7 +241,7 @@
 
     /// How long a user's new request would wait for its write at the present rate.
     pub fn estimated_user_delay(&self) -> Duration {
-        let ahead: f64 = self.queues[..=WritePriority::User as usize]
+        let ahead: f64 = self.queues[..=RequestPriority::User as usize]
             .iter()
             .flatten()
             .map(|(_, request)| cost(request))
--- a/src/store/rate_limiter/tests.rs
+++ b/src/store/rate_limiter/tests.rs
@@ -41,18 +41,22 @@
     for n in 0..4 {
         assert!(
             rate_limiter
-                .push(WritePriority::Placement, n, write())
+                .push(RequestPriority::Placement, n, write())
                 .is_ok()
         );
     }
-    assert!(rate_limiter.push(WritePriority::User, 9, write()).is_ok());
+    assert!(rate_limiter.push(RequestPriority::User, 9, write()).is_ok());
     // 1.8 writes a second: the user's goes at once, the others when one would be left for the next user.
     assert!(rate_limiter.has_spare_writes(start));
     assert_eq!(sent(&mut rate_limiter, start), [9]);
     assert!(!rate_limiter.has_spare_writes(start));
     assert_eq!(sent(&mut rate_limiter, later(start, 400)), [] as [i32; 0]);
     assert_eq!(sent(&mut rate_limiter, later(start, 700)), [0]);
-    assert!(rate_limiter.push(WritePriority::User, 10, write()).is_ok());
+    assert!(
+        rate_limiter
+            .push(RequestPriority::User, 10, write())
+            .is_ok()
+    );
     assert_eq!(sent(&mut rate_limiter, later(start, 900)), [10]);
 }
 
@@ -64,7 +68,7 @@
     for n in 0..100 {
         assert!(
             rate_limiter
-                .push(WritePriority::Placement, n, write())
+                .push(RequestPriority::Placement, n, write())
                 .is_ok()
         );
     }
@@ -78,7 +82,7 @@
         "{in_a_second}: the rate is used all the same"
     );
     for n in 200..203 {
-        assert!(rate_limiter.push(WritePriority::User, n, write()).is_ok());
+        assert!(rate_limiter.push(RequestPriority::User, n, write()).is_ok());
     }
     assert_eq!(sent(&mut rate_limiter, later(start, 1000)), [200, 201, 202]);
 }
@@ -93,19 +97,19 @@
     );
     assert!(
         rate_limiter
-            .push(WritePriority::Placement, 1, write())
+            .push(RequestPriority::Placement, 1, write())
             .is_ok()
     );
     assert_eq!(sent(&mut rate_limiter, start), [1]);
     assert!(
         rate_limiter
-            .push(WritePriority::JobCompletion, 2, batch)
+            .push(RequestPriority::JobCompletion, 2, batch)
             .is_ok()
     );
     for n in 0..20 {
         assert!(
             rate_limiter
-                .push(WritePriority::Placement, 10 + n, write())
+                .push(RequestPriority::Placement, 10 + n, write())
                 .is_ok()
         );
     }
@@ -140,11 +144,11 @@
     let batch = (0..most).fold(Transaction::default(), |txn, n| txn.delete(n.to_string()));
     assert!(
         rate_limiter
-            .push(WritePriority::Placement, 0, StoreRequest::Commit(batch))
+            .push(RequestPriority::Placement, 0, StoreRequest::Commit(batch))
             .is_ok()
     );
     assert_eq!(rate_limiter.take_ready(start).len(), 1);
-    assert!(rate_limiter.push(WritePriority::User, 1, write()).is_ok());
+    assert!(rate_limiter.push(RequestPriority::User, 1, write()).is_ok());
     assert_eq!(rate_limiter.take_ready(start).len(), 1, "at once");
     assert_eq!(
         rate_limiter.max_deferrable_batch(1),
