--- a/src/cancellation/deletion.rs
+++ b/src/cancellation/deletion.rs
@@ -81,7 +81,7 @@
         job: JobId,
         cache: &'a WatchCache,
     ) -> impl Iterator<Item = (Attempt, &'a BlockId, &'a MachineId)> {
-        let placed = cache.placed(job).iter();
+        let placed = cache.job_placements(job).iter();
         let remaining = placed.filter(|(_, placement)| {
             cache.machines.contains_key(&placement.machine)
                 && !self.deleted_machines.contains(&placement.machine)
--- a/src/controller/events.rs
+++ b/src/controller/events.rs
@@ -21,7 +21,7 @@
 #[derive(Debug, Clone, PartialEq)]
 pub enum StoreTag {
     /// The cache of the records.
-    WatchCache(cache::Tag),
+    WatchCache(cache::RequestTag),
     /// Membership and leader election.
     Leadership(leadership::Tag),
     /// A user's request.
--- a/src/controller/peer_messages.rs
+++ b/src/controller/peer_messages.rs
@@ -141,7 +141,7 @@
             cancelled_ms,
         } in jobs
         {
-            all_stored &= self.cache.note_cancellation(job, version, cancelled_ms);
+            all_stored &= self.cache.record_cancellation(job, version, cancelled_ms);
         }
         all_stored
     }
--- a/src/controller/store_responses.rs
+++ b/src/controller/store_responses.rs
@@ -51,7 +51,7 @@
         }
         match tag {
             StoreTag::WatchCache(tag) => {
-                for (tag, request) in self.cache.handle(now, tag, outcome) {
+                for (tag, request) in self.cache.handle_response(now, tag, outcome) {
                     let tag = StoreTag::WatchCache(tag);
                     self.push_store_request(RequestPriority::Lease, tag, request);
                 }
--- a/src/controller/tests.rs
+++ b/src/controller/tests.rs
@@ -30,7 +30,7 @@
     };
     for effect in controller.handle(start, event) {
         if let Effect::Store {
-            tag: tag @ StoreTag::WatchCache(cache::Tag::Page { .. }),
+            tag: tag @ StoreTag::WatchCache(cache::RequestTag::Page { .. }),
             ..
         } = effect
         {
--- a/src/job_api/responses.rs
+++ b/src/job_api/responses.rs
@@ -72,7 +72,7 @@
 
 /// The state of a job that has not ended.
 pub(super) fn open_state(cache: &WatchCache, id: JobId, open: &OpenJob) -> Response {
-    let running = cache.placed(id).len() as u64;
+    let running = cache.job_placements(id).len() as u64;
     let status = match (open.cancelled, running) {
         (true, _) => "cancelled",
         (false, 0) => "queued",
--- a/src/operations/mod.rs
+++ b/src/operations/mod.rs
@@ -21,7 +21,7 @@
 use crate::job_api::RequestId;
 use crate::leader_context::LeaderContext;
 use crate::scheduler::draining::{DrainCoordinator, machine_views};
-use crate::store::cache::{values, version_of};
+use crate::store::cache::{version_of, without_versions};
 use crate::store::records::{DRAIN_FORMAT, LEADER, drain_budget_key, drain_key, encode, json_size};
 use crate::store::{StoreRequest, StoreResponse, Transaction, WatchCache, WriterState};
 
@@ -227,8 +227,8 @@
     let LeaderContext {
         config, catalog, ..
     } = *cx.leader;
-    let drains = values(&cache.drains);
-    let budgets = values(&cache.drain_budgets);
+    let drains = without_versions(&cache.drains);
+    let budgets = without_versions(&cache.drain_budgets);
     let machines = machine_views(cache, |_| true, |_| false, |_| false);
     let value_bytes = config.state_limits.value_bytes;
     let fits =
@@ -302,7 +302,7 @@
             return_machines,
             step,
         } => {
-            let drains = values(&cache.drains);
+            let drains = without_versions(&cache.drains);
             let asked_ms = 0;
             let scope = scope.clone();
             let record = DrainRecord::requested(scope, *purpose, *return_machines, *step, asked_ms);
--- a/src/provisioning/machine_observations.rs
+++ b/src/provisioning/machine_observations.rs
@@ -160,7 +160,7 @@
             if !cancellation::is_machine_deletion_due(now, config, open.cancelled_ms) {
                 continue;
             }
-            for ((index, number), placement) in cache.placed(*id) {
+            for ((index, number), placement) in cache.job_placements(*id) {
                 let attempt = Attempt {
                     task: TaskId {
                         job: *id,
--- a/src/scheduler/completion_compaction.rs
+++ b/src/scheduler/completion_compaction.rs
@@ -41,7 +41,7 @@
         .filter(|placements| placements.value.worst_case_size() as f64 > limit * NEARLY_FULL_RATIO)
     {
         let mut remaining = placements.value.clone();
-        cache.forget_recorded_ends(&mut remaining);
+        cache.remove_recorded_tasks(&mut remaining);
         if (remaining.done_size() as f64) < limit * min_finished_ratio {
             continue;
         }
--- a/src/scheduler/draining/fleet_view.rs
+++ b/src/scheduler/draining/fleet_view.rs
@@ -194,7 +194,7 @@
     task: TaskId,
 ) -> impl Iterator<Item = (Attempt, &MachineId)> {
     cache
-        .placed(task.job)
+        .job_placements(task.job)
         .range((task.index, 0)..=(task.index, u64::MAX))
         .filter(|(_, placement)| cache.machines.contains_key(&placement.machine))
         .map(move |((_, number), placement)| {
--- a/src/scheduler/draining/mod.rs
+++ b/src/scheduler/draining/mod.rs
@@ -29,7 +29,7 @@
 use crate::domain::{Attempt, BlockId, Job, JobKind, MachineId, Now, TaskId, Team, Zone, since};
 use crate::leader_context::LeaderContext;
 use crate::provisioning::Provisioner;
-use crate::store::cache::{values, version_of};
+use crate::store::cache::{version_of, without_versions};
 use crate::store::records::{LEADER, MachineState, drain_budget_key, drain_key, drain_ledger_key};
 use crate::store::{StoreRequest, StoreResponse, Transaction, Versioned, WatchCache, WriterState};
 
@@ -246,7 +246,7 @@
     Budgets {
         default: settings.budget,
         settings: settings.teams.iter().map(team_budget).collect(),
-        requested: values(&cache.drain_budgets),
+        requested: without_versions(&cache.drain_budgets),
     }
 }
 
@@ -321,7 +321,7 @@
     /// Counts the job's other tasks by zone: placed, released, or with reserved capacity.
     fn other_tasks_per_zone(&self, cache: &WatchCache, task: TaskId) -> BTreeMap<Zone, u32> {
         let mut tasks_per_zone: BTreeMap<Zone, u32> = BTreeMap::new();
-        let placements = cache.placed(task.job).iter();
+        let placements = cache.job_placements(task.job).iter();
         let others = placements.filter(|((index, _), _)| *index != task.index);
         for machine in others.filter_map(|(_, placement)| cache.machines.get(&placement.machine)) {
             *tasks_per_zone.entry(machine.zone.clone()).or_default() += 1;
@@ -378,8 +378,8 @@
             }
             return;
         }
-        let drains: BTreeMap<DrainId, DrainRecord> = values(&cache.drains);
-        let ledgers: BTreeMap<Team, Ledger> = values(&cache.drain_ledgers);
+        let drains: BTreeMap<DrainId, DrainRecord> = without_versions(&cache.drains);
+        let ledgers: BTreeMap<Team, Ledger> = without_versions(&cache.drain_ledgers);
         self.stop_evicted_attempts(capacity.now, cache, &ledgers);
         self.replace_evicted_tasks(capacity, cache, plan, &ledgers);
         self.run_planner(capacity, cache, plan, &drains, &ledgers);
--- a/src/scheduler/draining/replacement.rs
+++ b/src/scheduler/draining/replacement.rs
@@ -75,7 +75,7 @@
     ) {
         let subjects = ledgers.values().flat_map(|ledger| &ledger.evictions);
         for subject in subjects.map(|eviction| eviction.subject) {
-            for ((index, number), placement) in cache.placed(subject.job()) {
+            for ((index, number), placement) in cache.job_placements(subject.job()) {
                 let attempt = Attempt {
                     task: TaskId {
                         job: subject.job(),
--- a/src/scheduler/mod.rs
+++ b/src/scheduler/mod.rs
@@ -312,7 +312,7 @@
             block_state
                 .addressed_machines
                 .retain(|machine| cache.machines.contains_key(machine));
-            let placements_revision = cache.placements_known_to(block);
+            let placements_revision = cache.placements_revision(block);
             let status = block_state.status.as_ref().map(|(status, _)| status);
             block_state.releases.retain(|number, release| {
                 if live_attempts.contains_key(number) {
@@ -560,7 +560,7 @@
             }
             let tasks = open.job.tasks;
             let outcome = if open.cancelled {
-                let all_stopped = cache.placed(*id).is_empty() && !self.has_releases(*id);
+                let all_stopped = cache.job_placements(*id).is_empty() && !self.has_releases(*id);
                 all_stopped.then_some(JobOutcome::Cancelled)
             } else {
                 // The tasks of a gang complete together: if one is done, all are.
--- a/src/scheduler/waiting.rs
+++ b/src/scheduler/waiting.rs
@@ -132,7 +132,7 @@
             }
             let mut assigned_tasks = open.done.clone();
             let mut tasks_per_zone: BTreeMap<Zone, u32> = BTreeMap::new();
-            for ((index, _), placement) in cache.placed(*id) {
+            for ((index, _), placement) in cache.job_placements(*id) {
                 // Placements on a machine without a record are void.
                 if let Some(machine) = cache.machines.get(&placement.machine) {
                     assigned_tasks.insert(*index);
--- a/src/store/cache/apply.rs
+++ b/src/store/cache/apply.rs
@@ -209,7 +209,7 @@
     /// service refuses has no other way to learn of it. A copy that has reached that version and shows otherwise knows
     /// better. `at_ms` is in milliseconds since the Unix epoch. False: there is no room to keep it.
     #[must_use]
-    pub fn note_cancellation(&mut self, id: JobId, version: u64, at_ms: u64) -> bool {
+    pub fn record_cancellation(&mut self, id: JobId, version: u64, at_ms: u64) -> bool {
         let following = matches!(self.sync.state, SyncState::Following { .. });
         let shown = following && self.revision >= version;
         if shown || self.ended.contains_key(&id) {
--- a/src/store/cache/indexes.rs
+++ b/src/store/cache/indexes.rs
@@ -96,7 +96,7 @@
 
     /// Up to which revision this copy holds all changes of a block's tasks. Parts that were read while the copy was being
     /// loaded can be newer than others: until the copy has caught up, what they show is not all.
-    pub fn placements_known_to(&self, block: &BlockId) -> u64 {
+    pub fn placements_revision(&self, block: &BlockId) -> u64 {
         let version = self
             .placements
             .get(block)
@@ -110,7 +110,7 @@
     }
 
     /// Where a job's attempts are, including those on machines that are proven gone.
-    pub fn placed(&self, job: JobId) -> &JobPlacements {
+    pub fn job_placements(&self, job: JobId) -> &JobPlacements {
         self.placement_index.of_job(job)
     }
 
@@ -135,7 +135,7 @@
     }
 
     /// Removes finished tasks that are recorded elsewhere: their job has ended, or its progress holds them.
-    pub fn forget_recorded_ends(&self, placements: &mut BlockPlacements) {
+    pub fn remove_recorded_tasks(&self, placements: &mut BlockPlacements) {
         placements.done.retain(|job, done| {
             if self.ended.contains_key(job) {
                 return false;
--- a/src/store/cache/mod.rs
+++ b/src/store/cache/mod.rs
@@ -2,7 +2,7 @@
 //!
 //! It owns the copy and what follows from it: the merged parts of each block, the machines by id, the attempts by job, the
 //! open jobs with their finished tasks. The controller asks it for requests ([`WatchCache::poll`]), gives it the answers
-//! ([`WatchCache::handle`]) and applies its own commits ([`WatchCache::apply`]); every other module reads it. It does no input
+//! ([`WatchCache::handle_response`]) and applies its own commits ([`WatchCache::apply`]); every other module reads it. It does no input
 //! or output and reads no clock.
 //!
 //! Invariants: a record never goes back to an older version; a job that has ended stays ended; the copy at `revision` holds
@@ -50,7 +50,9 @@
 }
 
 /// Records without their versions.
-pub fn values<K: Ord + Clone, T: Clone>(records: &BTreeMap<K, Versioned<T>>) -> BTreeMap<K, T> {
+pub fn without_versions<K: Ord + Clone, T: Clone>(
+    records: &BTreeMap<K, Versioned<T>>,
+) -> BTreeMap<K, T> {
     let value = |(key, record): (&K, &Versioned<T>)| (key.clone(), record.value.clone());
     records.iter().map(value).collect()
 }
@@ -107,7 +109,7 @@
 
 /// Tells which request an answer belongs to.
 #[derive(Debug, Clone, PartialEq)]
-pub enum Tag {
+pub enum RequestTag {
     /// A page of all records.
     Page {
         /// The count of the load that it belongs to.
--- a/src/store/cache/read_barrier.rs
+++ b/src/store/cache/read_barrier.rs
@@ -6,7 +6,7 @@
 
 use std::time::{Duration, Instant};
 
-use super::Tag;
+use super::RequestTag;
 use crate::domain::{Now, since};
 use crate::store::StoreRequest;
 use crate::store::records::UNWRITTEN_KEY;
@@ -36,7 +36,11 @@
     }
 
     /// The request that is due. Requests are `interval` apart at least.
-    pub(super) fn poll(&mut self, now: Now, interval: Duration) -> Option<(Tag, StoreRequest)> {
+    pub(super) fn poll(
+        &mut self,
+        now: Now,
+        interval: Duration,
+    ) -> Option<(RequestTag, StoreRequest)> {
         let spaced = self
             .last_sent
             .is_none_or(|sent| since(now, sent) >= interval);
@@ -46,7 +50,7 @@
         self.wanted = false;
         self.in_flight = true;
         self.last_sent = Some(now.monotonic);
-        let tag = Tag::Barrier {
+        let tag = RequestTag::Barrier {
             sent: now.monotonic,
         };
         let key = UNWRITTEN_KEY.to_owned();
--- a/src/store/cache/sync.rs
+++ b/src/store/cache/sync.rs
@@ -1,6 +1,6 @@
 //! Loading the records and following their changes: which request is due, and what its answer does to the copy.
 //!
-//! [`WatchCache::poll`] and [`WatchCache::handle`] are called by the controller, which sends the requests under the rate
+//! [`WatchCache::poll`] and [`WatchCache::handle_response`] are called by the controller, which sends the requests under the rate
 //! limiter. One request for loading or following is in flight at a time; requests of the read barrier go beside it.
 //!
 //! The copy is loaded page by page, then followed by watches from its revision on. A copy that may be too far behind for one
@@ -11,7 +11,7 @@
 
 use tracing::{info, warn};
 
-use super::{Tag, WatchCache};
+use super::{RequestTag, WatchCache};
 use crate::config::StateLimits;
 use crate::domain::{Now, since};
 use crate::store::records::{Change, ROOT, UNWRITTEN_KEY};
@@ -125,15 +125,15 @@
         }
     }
 
-    fn start_load(&mut self) -> (Tag, StoreRequest) {
+    fn start_load(&mut self) -> (RequestTag, StoreRequest) {
         self.load += 1;
         self.request = RequestState::InFlight;
         self.page_request(None)
     }
 
     /// The page that follows a key; the first one if None.
-    fn page_request(&self, after: Option<String>) -> (Tag, StoreRequest) {
-        let tag = Tag::Page {
+    fn page_request(&self, after: Option<String>) -> (RequestTag, StoreRequest) {
+        let tag = RequestTag::Page {
             load: self.load,
             after: after.clone(),
         };
@@ -141,14 +141,17 @@
         (tag, StoreRequest::Range { prefix, after })
     }
 
-    fn lag_check(&mut self) -> (Tag, StoreRequest) {
+    fn lag_check(&mut self) -> (RequestTag, StoreRequest) {
         self.request = RequestState::InFlight;
         let key = UNWRITTEN_KEY.to_owned();
-        (Tag::LagCheck { load: self.load }, StoreRequest::Get { key })
+        (
+            RequestTag::LagCheck { load: self.load },
+            StoreRequest::Get { key },
+        )
     }
 
     /// The watch of all changes after this revision, once the last one is long enough ago.
-    fn watch(&mut self, now: Now, revision: u64) -> Option<(Tag, StoreRequest)> {
+    fn watch(&mut self, now: Now, revision: u64) -> Option<(RequestTag, StoreRequest)> {
         let spaced = self
             .watch_sent
             .is_none_or(|sent| since(now, sent) >= self.intervals.watch);
@@ -162,13 +165,13 @@
             after: revision,
             wait: WATCH_TIMEOUT,
         };
-        Some((Tag::Watch { load: self.load }, request))
+        Some((RequestTag::Watch { load: self.load }, request))
     }
 }
 
 impl WatchCache {
     /// Requests that are due.
-    pub fn poll(&mut self, now: Now) -> Vec<(Tag, StoreRequest)> {
+    pub fn poll(&mut self, now: Now) -> Vec<(RequestTag, StoreRequest)> {
         let barrier = if self.is_loaded() {
             self.barrier.poll(now, self.sync.intervals.barrier)
         } else {
@@ -177,7 +180,7 @@
         barrier.into_iter().chain(self.poll_sync(now)).collect()
     }
 
-    fn poll_sync(&mut self, now: Now) -> Option<(Tag, StoreRequest)> {
+    fn poll_sync(&mut self, now: Now) -> Option<(RequestTag, StoreRequest)> {
         if !self.sync.request.is_due(now) {
             return None;
         }
@@ -220,14 +223,14 @@
     }
 
     /// Takes in the answer to a request. Returns the requests that follow from it at once.
-    pub fn handle(
+    pub fn handle_response(
         &mut self,
         now: Now,
-        tag: Tag,
+        tag: RequestTag,
         response: StoreResponse,
-    ) -> Vec<(Tag, StoreRequest)> {
+    ) -> Vec<(RequestTag, StoreRequest)> {
         match tag {
-            Tag::Barrier { sent } => {
+            RequestTag::Barrier { sent } => {
                 let revision = match response {
                     StoreResponse::Missing { revision } => Some(revision),
                     _ => None,
@@ -236,19 +239,21 @@
                 self.settle_barrier();
                 Vec::new()
             }
-            Tag::Page { load, after } if load == self.sync.load => {
+            RequestTag::Page { load, after } if load == self.sync.load => {
                 let next = self.handle_page(now, after.is_none(), response);
                 next.into_iter().collect()
             }
-            Tag::LagCheck { load } if load == self.sync.load => {
+            RequestTag::LagCheck { load } if load == self.sync.load => {
                 self.handle_lag_check(now, &response);
                 Vec::new()
             }
-            Tag::Watch { load } if load == self.sync.load => {
+            RequestTag::Watch { load } if load == self.sync.load => {
                 self.handle_watch_response(now, response);
                 Vec::new()
             }
-            Tag::Page { .. } | Tag::LagCheck { .. } | Tag::Watch { .. } => Vec::new(),
+            RequestTag::Page { .. } | RequestTag::LagCheck { .. } | RequestTag::Watch { .. } => {
+                Vec::new()
+            }
         }
     }
 
@@ -277,7 +282,7 @@
         now: Now,
         first: bool,
         response: StoreResponse,
-    ) -> Option<(Tag, StoreRequest)> {
+    ) -> Option<(RequestTag, StoreRequest)> {
         let StoreResponse::RangePage {
             key_values,
             more,
--- a/src/store/cache/tests.rs
+++ b/src/store/cache/tests.rs
@@ -61,10 +61,13 @@
     let next = |cache: &mut WatchCache, now: Now| cache.poll(now).remove(0);
     let (tag, op) = next(&mut cache, at(40));
     assert!(
-        matches!((&tag, op), (Tag::LagCheck { .. }, StoreRequest::Get { .. })),
+        matches!(
+            (&tag, op),
+            (RequestTag::LagCheck { .. }, StoreRequest::Get { .. })
+        ),
         "how far behind?"
     );
-    cache.handle(
+    cache.handle_response(
         at(40),
         tag,
         StoreResponse::Missing {
@@ -76,13 +79,13 @@
         matches!(op, StoreRequest::Watch { after: 5, .. }),
         "near enough: {op:?}"
     );
-    cache.handle(at(44), tag, StoreResponse::Unknown);
+    cache.handle_response(at(44), tag, StoreResponse::Unknown);
     let (tag, _) = next(&mut cache, at(45));
     assert!(
-        matches!(tag, Tag::LagCheck { .. }),
+        matches!(tag, RequestTag::LagCheck { .. }),
         "the answer was too much after all, or none came"
     );
-    cache.handle(at(45), tag, StoreResponse::Missing { revision: 9000 });
+    cache.handle_response(at(45), tag, StoreResponse::Missing { revision: 9000 });
     let (tag, op) = next(&mut cache, at(45));
     assert!(matches!(op, StoreRequest::Range { .. }), "{op:?}");
     assert!(cache.is_loaded() && cache.open.contains_key(&JobId(1)));
@@ -96,7 +99,7 @@
         value: encode(&open_job()),
         version: 800,
     }];
-    cache.handle(
+    cache.handle_response(
         at(46),
         tag,
         StoreResponse::RangePage {
@@ -142,14 +145,14 @@
         .map(|attempt| attempt.number)
         .collect();
     assert_eq!(live, [8]);
-    let placed = cache.placed(JobId(1));
+    let placed = cache.job_placements(JobId(1));
     assert!(
         placed.values().any(|place| place.machine == second),
         "{placed:?}"
     );
     placements.remove(&first, attempt(7));
     cache.apply(put(block.clone(), 6, &placements));
-    assert_eq!(cache.placed(JobId(1)).len(), 1);
+    assert_eq!(cache.job_placements(JobId(1)).len(), 1);
 }
 
 /// What a controller is told by others goes before the watch, never against it.
@@ -160,17 +163,17 @@
     (1..=3).for_each(|id| cache.apply(put(id, id)));
     cache.revision = 10;
     let _ = cache.take_changed();
-    assert!(cache.note_cancellation(JobId(1), 9, 1000));
+    assert!(cache.record_cancellation(JobId(1), 9, 1000));
     assert!(
         !cache.open[&JobId(1)].cancelled,
         "the copy is newer and shows otherwise"
     );
-    assert!(cache.note_cancellation(JobId(2), 12, 1000));
-    assert!(cache.note_cancellation(JobId(2), 12, 1000));
+    assert!(cache.record_cancellation(JobId(2), 12, 1000));
+    assert!(cache.record_cancellation(JobId(2), 12, 1000));
     assert!(cache.open[&JobId(2)].cancelled && cache.open[&JobId(2)].version == 12);
     assert!(cache.has_changed() && cache.take_changed().ended.contains(&JobId(2)));
     // Of a job that is not in the copy yet.
-    assert!(cache.note_cancellation(JobId(4), 13, 1000));
+    assert!(cache.record_cancellation(JobId(4), 13, 1000));
     cache.apply(put(4, 11));
     assert!(cache.open[&JobId(4)].cancelled);
     // Pages that were read before it was committed.
@@ -195,8 +198,8 @@
     let most = 100..100 + MAX_PENDING_CANCELLATIONS as u64;
     assert!(
         most.clone()
-            .all(|id| cache.note_cancellation(JobId(id), 20, 1000))
+            .all(|id| cache.record_cancellation(JobId(id), 20, 1000))
     );
-    assert!(!cache.note_cancellation(JobId(most.end), 20, 1000));
-    assert!(cache.note_cancellation(JobId(100), 20, 1000), "a repeat");
+    assert!(!cache.record_cancellation(JobId(most.end), 20, 1000));
+    assert!(cache.record_cancellation(JobId(100), 20, 1000), "a repeat");
 }
--- a/src/workers/parts/mod.rs
+++ b/src/workers/parts/mod.rs
@@ -204,7 +204,7 @@
                 continue;
             }
             let mut pruned = part.value.clone();
-            cache.forget_recorded_ends(&mut pruned);
+            cache.remove_recorded_tasks(&mut pruned);
             if pruned != part.value {
                 part.value = pruned;
                 self.changed.insert(index);
