--- a/src/cancellation/mod.rs
+++ b/src/cancellation/mod.rs
@@ -70,7 +70,7 @@
     /// Updates the cancelled jobs and the deleted machines from the cache.
     pub fn sync(&mut self, cache: &WatchCache, changed: &ChangedRecords) {
         let cancelled = |job: &JobId| {
-            let open = cache.open.get(job).filter(|open| open.cancelled)?;
+            let open = cache.open_jobs.get(job).filter(|open| open.cancelled)?;
             let record = CancellationRecord {
                 version: open.version,
                 cancelled_ms: open.cancelled_ms,
@@ -78,9 +78,9 @@
             Some((*job, record))
         };
         if changed.all {
-            self.unfinished = cache.open.keys().filter_map(cancelled).collect();
+            self.unfinished = cache.open_jobs.keys().filter_map(cancelled).collect();
         }
-        for job in &changed.ended {
+        for job in &changed.cancelled_or_ended_jobs {
             match cancelled(job) {
                 Some((job, record)) => self.unfinished.insert(job, record),
                 None => self.unfinished.remove(job),
--- a/src/cancellation/tests.rs
+++ b/src/cancellation/tests.rs
@@ -293,7 +293,10 @@
             .collect::<Vec<_>>(),
         [JobId(1)]
     );
-    assert_eq!(listed[0].version, fixture.cache.open[&JobId(1)].version);
+    assert_eq!(
+        listed[0].version,
+        fixture.cache.open_jobs[&JobId(1)].version
+    );
     let end = encode(&JobRecord::Ended(crate::domain::JobOutcome::Cancelled, 2));
     fixture.cache.apply(Change {
         key: job_key(JobId(1)),
--- a/src/controller/metrics_summary.rs
+++ b/src/controller/metrics_summary.rs
@@ -67,12 +67,12 @@
         for (team, count) in &state.scheduler.pending_tasks {
             gauges.insert(format!("waiting{{team=\"{team}\"}}"), *count as f64);
         }
-        gauges.insert("jobs_open".to_owned(), self.cache.open.len() as f64);
-        gauges.insert("jobs_ended".to_owned(), self.cache.ended.len() as f64);
+        gauges.insert("jobs_open".to_owned(), self.cache.open_jobs.len() as f64);
+        gauges.insert("jobs_ended".to_owned(), self.cache.ended_jobs.len() as f64);
         let waiting: u64 = state.scheduler.pending_tasks.values().sum();
         info!(
-            open = self.cache.open.len(),
-            ended = self.cache.ended.len(),
+            open = self.cache.open_jobs.len(),
+            ended = self.cache.ended_jobs.len(),
             waiting,
             "jobs"
         );
--- a/src/job_api/mod.rs
+++ b/src/job_api/mod.rs
@@ -114,7 +114,7 @@
         if let Some(response) = final_state(cx.cache, job_id) {
             return Some(response);
         }
-        let known = cx.cache.open.contains_key(&job_id);
+        let known = cx.cache.open_jobs.contains_key(&job_id);
         let record = JobRecord::Open(job.clone());
         if !known && let Some(response) = invalid_job_response(cx, &job, &record) {
             return Some(response);
@@ -351,7 +351,7 @@
         if let Some(response) = final_state(cx.cache, job) {
             return Some(response);
         }
-        let Some(open) = cx.cache.open.get(&job) else {
+        let Some(open) = cx.cache.open_jobs.get(&job) else {
             // A submission conflicts only with a job that the copy then shows.
             return Some(reject(404, "no such job"));
         };
--- a/src/job_api/responses.rs
+++ b/src/job_api/responses.rs
@@ -62,7 +62,7 @@
     if !cache.is_loaded() {
         return None;
     }
-    let (outcome, tasks) = cache.ended.get(&job)?;
+    let (outcome, tasks) = cache.ended_jobs.get(&job)?;
     let (state, done) = match outcome {
         JobOutcome::Done => ("done", u64::from(*tasks)),
         JobOutcome::Cancelled => ("cancelled", 0),
--- a/src/provisioning/machine_observations.rs
+++ b/src/provisioning/machine_observations.rs
@@ -156,7 +156,7 @@
         cache: &WatchCache,
         proven_ended: impl Fn(&BlockId, &Attempt) -> bool,
     ) {
-        for (id, open) in cache.open.iter().filter(|(_, open)| open.cancelled) {
+        for (id, open) in cache.open_jobs.iter().filter(|(_, open)| open.cancelled) {
             if !cancellation::is_machine_deletion_due(now, config, open.cancelled_ms) {
                 continue;
             }
--- a/src/scheduler/completion_compaction.rs
+++ b/src/scheduler/completion_compaction.rs
@@ -74,7 +74,7 @@
 
 /// Adds the progress record of a chunk with all its finished tasks, whichever blocks they finished in.
 fn compact_chunk(cache: &WatchCache, txn: Transaction, job: JobId, chunk: u32) -> Transaction {
-    let Some(open) = cache.open.get(&job) else {
+    let Some(open) = cache.open_jobs.get(&job) else {
         return txn;
     };
     let (first, last) = (chunk * CHUNK, chunk * CHUNK + CHUNK - 1);
--- a/src/scheduler/demand.rs
+++ b/src/scheduler/demand.rs
@@ -70,7 +70,7 @@
             load.demand.occupied.insert(live.id.clone());
             for open in live
                 .attempts()
-                .filter_map(|attempt| cache.open.get(&attempt.task.job))
+                .filter_map(|attempt| cache.open_jobs.get(&attempt.task.job))
             {
                 spot_eligible_tasks.extend(load.count(capacity.leader, live.machine, open));
             }
@@ -81,7 +81,7 @@
             .flat_map(|block_state| block_state.releases.values())
         {
             load.demand.occupied.insert(release.machine.clone());
-            let Some(open) = cache.open.get(&release.attempt.task.job) else {
+            let Some(open) = cache.open_jobs.get(&release.attempt.task.job) else {
                 continue;
             };
             match cache.machines.get(&release.machine) {
--- a/src/scheduler/draining/fleet_view.rs
+++ b/src/scheduler/draining/fleet_view.rs
@@ -32,7 +32,10 @@
 impl FleetView<'_, '_> {
     /// Returns the job if it is open and not cancelled.
     fn open_job(&self, job: JobId) -> Option<&OpenJob> {
-        self.cache.open.get(&job).filter(|open| !open.cancelled)
+        self.cache
+            .open_jobs
+            .get(&job)
+            .filter(|open| !open.cancelled)
     }
 
     /// Counts the job's other tasks by zone: placed, released, or with reserved capacity.
@@ -42,7 +45,7 @@
 
     /// Reserves capacity for one task.
     fn reserve_task(&mut self, task: TaskId) -> Result<Vec<Reservation>, NoRoom> {
-        let Some(open) = self.cache.open.get(&task.job) else {
+        let Some(open) = self.cache.open_jobs.get(&task.job) else {
             return Err(NoRoom::Anywhere);
         };
         let tasks_per_zone = self.other_tasks_per_zone(task);
@@ -63,7 +66,7 @@
 
     /// Reserves capacity for all tasks of a gang, or for none.
     fn reserve_gang(&mut self, id: JobId) -> Result<Vec<Reservation>, NoRoom> {
-        let Some(open) = self.cache.open.get(&id) else {
+        let Some(open) = self.cache.open_jobs.get(&id) else {
             return Err(NoRoom::Anywhere);
         };
         let waiting_job = unplaced_waiting_job(id, open);
--- a/src/scheduler/draining/mod.rs
+++ b/src/scheduler/draining/mod.rs
@@ -198,7 +198,7 @@
                     for eviction in new_evictions(cache.drain_ledgers.get(team), ledger) {
                         let job = eviction.subject.job();
                         let checkpoint_possible = cache
-                            .open
+                            .open_jobs
                             .get(&job)
                             .is_some_and(|open| can_checkpoint(&open.job));
                         let checkpoint = if checkpoint_possible {
@@ -576,7 +576,7 @@
         }
         self.last_upkeep = Some(now.monotonic);
         let is_wanted = |task: TaskId| {
-            let open = cache.open.get(&task.job);
+            let open = cache.open_jobs.get(&task.job);
             open.is_some_and(|open| !open.cancelled && !open.done.contains(task.index))
         };
         let event: Event<'_, FleetView<'_, '_>> = Event::Idle {
--- a/src/scheduler/draining/replacement.rs
+++ b/src/scheduler/draining/replacement.rs
@@ -120,7 +120,7 @@
         draining.without_capacity.clear();
         for subject in outstanding {
             let Some(open) = cache
-                .open
+                .open_jobs
                 .get(&subject.job())
                 .filter(|open| !open.cancelled)
             else {
@@ -153,7 +153,7 @@
             return;
         };
         for task in &draining.unconfirmed_evictions {
-            let open = cache.open.get(&task.job);
+            let open = cache.open_jobs.get(&task.job);
             let machine = draining.reservations.get(task);
             if let (Some(open), Some(machine)) = (open, machine)
                 && let Some(candidate_index) = plan.find_candidate_with_capacity(machine, &open.job)
@@ -337,7 +337,7 @@
     task: TaskId,
     tasks_per_zone: &BTreeMap<Zone, u32>,
 ) {
-    let Some(open) = cache.open.get(&task.job) else {
+    let Some(open) = cache.open_jobs.get(&task.job) else {
         return;
     };
     let waiting_job = WaitingJob {
--- a/src/scheduler/failures.rs
+++ b/src/scheduler/failures.rs
@@ -86,7 +86,7 @@
 
     /// Forgets the failures of jobs that are no longer open.
     pub(super) fn retain_open_jobs(&mut self, cache: &WatchCache) {
-        self.jobs.retain(|job, _| cache.open.contains_key(job));
+        self.jobs.retain(|job, _| cache.open_jobs.contains_key(job));
     }
 
     /// Whether a job fails repeatedly: only one of its tasks is tried at a time, until one succeeds.
@@ -126,7 +126,7 @@
     /// Whether the job rather than a machine is at fault for its failures: its tasks have failed on several machines
     /// without a success since, or it was cancelled before it was complete.
     fn is_job_at_fault(&self, job: JobId, cache: &WatchCache) -> bool {
-        match cache.ended.get(&job) {
+        match cache.ended_jobs.get(&job) {
             Some((outcome, _)) => *outcome == JobOutcome::Cancelled,
             None => self
                 .jobs
--- a/src/scheduler/gangs.rs
+++ b/src/scheduler/gangs.rs
@@ -138,7 +138,7 @@
     /// Stops the remaining tasks of gangs that have lost a task.
     pub(super) fn stop_incomplete_gangs(&mut self, now: Now, cache: &WatchCache) {
         for (id, gang) in self.assigned_gangs(cache) {
-            let Some(open) = cache.open.get(&id).filter(|open| !open.cancelled) else {
+            let Some(open) = cache.open_jobs.get(&id).filter(|open| !open.cancelled) else {
                 continue;
             };
             let summary = GangTaskSummary {
--- a/src/scheduler/mod.rs
+++ b/src/scheduler/mod.rs
@@ -332,7 +332,7 @@
                 .retain(|attempt, _| live_attempts.contains_key(&attempt.number));
             for release in block_state.releases.values_mut() {
                 let job_open = cache
-                    .open
+                    .open_jobs
                     .get(&release.attempt.task.job)
                     .is_some_and(|open| !open.cancelled);
                 let unplaceable = status
@@ -355,7 +355,10 @@
         ended_attempts: Vec<(u64, ObservedAttempt)>,
     ) {
         for (number, ObservedAttempt { task, machine, .. }) in ended_attempts {
-            let open = cache.open.get(&task.job).filter(|open| !open.cancelled);
+            let open = cache
+                .open_jobs
+                .get(&task.job)
+                .filter(|open| !open.cancelled);
             let done = open.is_some_and(|open| open.done.contains(task.index));
             if done {
                 self.failures.record_success(task.job);
@@ -400,7 +403,7 @@
             let unfinished = live
                 .attempts()
                 .filter(|attempt| !ended.contains(&attempt.number));
-            for open in unfinished.filter_map(|attempt| cache.open.get(&attempt.task.job)) {
+            for open in unfinished.filter_map(|attempt| cache.open_jobs.get(&attempt.task.job)) {
                 allocated.add(&open.job.need);
             }
         }
@@ -409,7 +412,7 @@
             .values()
             .flat_map(|block_state| block_state.releases.values())
         {
-            if let Some(open) = cache.open.get(&release.attempt.task.job) {
+            if let Some(open) = cache.open_jobs.get(&release.attempt.task.job) {
                 allocated
                     .entry(&release.machine)
                     .or_default()
@@ -464,7 +467,7 @@
             .block_states
             .values()
             .flat_map(|block_state| block_state.stop_requests.keys());
-        for open in stop_requests.filter_map(|attempt| cache.open.get(&attempt.task.job)) {
+        for open in stop_requests.filter_map(|attempt| cache.open_jobs.get(&attempt.task.job)) {
             remaining.remove(&open.job);
         }
         remaining
@@ -554,7 +557,7 @@
             return None;
         }
         let mut txn = Transaction::default().when(LEADER, leader_version);
-        for (id, open) in &cache.open {
+        for (id, open) in &cache.open_jobs {
             if txn.changes.len() >= max_changes {
                 break;
             }
@@ -581,7 +584,7 @@
             if txn.changes.len() >= max_changes {
                 break;
             }
-            if cache.ended.contains_key(job) {
+            if cache.ended_jobs.contains_key(job) {
                 txn = txn
                     .when(progress_key(*job, *chunk), progress.version)
                     .delete(progress_key(*job, *chunk));
--- a/src/scheduler/preemption.rs
+++ b/src/scheduler/preemption.rs
@@ -170,7 +170,7 @@
             .flat_map(|live| live.attempts().map(move |attempt| (live, attempt)))
         {
             let Some(open) = cache
-                .open
+                .open_jobs
                 .get(&attempt.task.job)
                 .filter(|open| !open.cancelled)
             else {
--- a/src/scheduler/waiting.rs
+++ b/src/scheduler/waiting.rs
@@ -121,7 +121,7 @@
             *placed_counts.entry(attempt.task.job).or_default() += 1;
         }
         let mut waiting_jobs = Vec::new();
-        for (id, open) in &cache.open {
+        for (id, open) in &cache.open_jobs {
             if open.cancelled || self.failures.is_backing_off(now, *id) {
                 continue;
             }
--- a/src/store/cache/apply.rs
+++ b/src/store/cache/apply.rs
@@ -53,9 +53,10 @@
 
     fn apply_progress(&mut self, job: JobId, chunk: u32, change: Change) {
         set_in(&mut self.progress, (job, chunk), change);
-        if let (Some(open), Some(progress)) =
-            (self.open.get_mut(&job), self.progress.get(&(job, chunk)))
-        {
+        if let (Some(open), Some(progress)) = (
+            self.open_jobs.get_mut(&job),
+            self.progress.get(&(job, chunk)),
+        ) {
             open.done.merge(&progress.value.done);
         }
     }
@@ -140,7 +141,7 @@
         };
         let new = new.value.done.iter();
         for (job, done) in new.filter(|(job, done)| old.done.get(job) != Some(*done)) {
-            if let Some(open) = self.open.get_mut(job) {
+            if let Some(open) = self.open_jobs.get_mut(job) {
                 open.done.merge(done);
             }
         }
@@ -152,9 +153,9 @@
             Some(JobRecord::Open(job)) => (job, None),
             Some(JobRecord::Cancelled(job, at_ms)) => (job, Some(at_ms)),
             Some(JobRecord::Ended(outcome, tasks)) => {
-                self.open.remove(&id);
-                self.ended.insert(id, (outcome, tasks));
-                self.changed.ended.insert(id);
+                self.open_jobs.remove(&id);
+                self.ended_jobs.insert(id, (outcome, tasks));
+                self.changed.cancelled_or_ended_jobs.insert(id);
                 return;
             }
             None => {
@@ -163,10 +164,10 @@
             }
         };
         // A final state is final: an older copy of the record can't bring the job back.
-        if self.ended.contains_key(&id) {
+        if self.ended_jobs.contains_key(&id) {
             return;
         }
-        let Some(open) = self.open.get_mut(&id) else {
+        let Some(open) = self.open_jobs.get_mut(&id) else {
             let open = OpenJob {
                 job,
                 version,
@@ -174,7 +175,7 @@
                 cancelled_ms: cancelled_ms.unwrap_or(0),
                 done: self.finished_tasks(id),
             };
-            self.open.insert(id, open);
+            self.open_jobs.insert(id, open);
             self.apply_cancellation(id);
             return;
         };
@@ -183,7 +184,7 @@
             open.cancelled = cancelled_ms.is_some();
             open.cancelled_ms = cancelled_ms.unwrap_or(0);
             if open.cancelled {
-                self.changed.ended.insert(id);
+                self.changed.cancelled_or_ended_jobs.insert(id);
             }
         }
     }
@@ -212,7 +213,7 @@
     pub fn record_cancellation(&mut self, id: JobId, version: u64, at_ms: u64) -> bool {
         let following = matches!(self.sync.state, SyncState::Following { .. });
         let shown = following && self.revision >= version;
-        if shown || self.ended.contains_key(&id) {
+        if shown || self.ended_jobs.contains_key(&id) {
             return true;
         }
         let kept = self
@@ -225,7 +226,8 @@
     }
 
     fn apply_cancellation(&mut self, id: JobId) {
-        let (Some(open), Some(cancellation)) = (self.open.get_mut(&id), self.cancellations.get(id))
+        let (Some(open), Some(cancellation)) =
+            (self.open_jobs.get_mut(&id), self.cancellations.get(id))
         else {
             return;
         };
@@ -233,7 +235,7 @@
             open.version = cancellation.version;
             open.cancelled = true;
             open.cancelled_ms = cancellation.at_ms;
-            self.changed.ended.insert(id);
+            self.changed.cancelled_or_ended_jobs.insert(id);
         }
     }
 }
--- a/src/store/cache/indexes.rs
+++ b/src/store/cache/indexes.rs
@@ -137,7 +137,7 @@
     /// Removes finished tasks that are recorded elsewhere: their job has ended, or its progress holds them.
     pub fn remove_recorded_tasks(&self, placements: &mut BlockPlacements) {
         placements.done.retain(|job, done| {
-            if self.ended.contains_key(job) {
+            if self.ended_jobs.contains_key(job) {
                 return false;
             }
             if self
--- a/src/store/cache/mod.rs
+++ b/src/store/cache/mod.rs
@@ -104,7 +104,7 @@
     /// Machines that have changed or are gone.
     pub machines: BTreeSet<MachineId>,
     /// Jobs that were cancelled or have ended.
-    pub ended: BTreeSet<JobId>,
+    pub cancelled_or_ended_jobs: BTreeSet<JobId>,
 }
 
 /// Tells which request an answer belongs to.
@@ -165,9 +165,9 @@
     /// Rental requests that may have been sent.
     pub pending_rentals: BTreeMap<InstanceTypeName, Versioned<PendingRental>>,
     /// Jobs that have not ended.
-    pub open: BTreeMap<JobId, OpenJob>,
+    pub open_jobs: BTreeMap<JobId, OpenJob>,
     /// Jobs that have ended, with their count of tasks.
-    pub ended: HashMap<JobId, (JobOutcome, u32)>,
+    pub ended_jobs: HashMap<JobId, (JobOutcome, u32)>,
     /// The finished tasks of large jobs, by chunk.
     pub progress: BTreeMap<(JobId, u32), Versioned<Progress>>,
     /// What operators want of machines.
@@ -205,8 +205,8 @@
             inventory_parts: BTreeMap::new(),
             machines: BTreeMap::new(),
             pending_rentals: BTreeMap::new(),
-            open: BTreeMap::new(),
-            ended: HashMap::new(),
+            open_jobs: BTreeMap::new(),
+            ended_jobs: HashMap::new(),
             progress: BTreeMap::new(),
             drains: BTreeMap::new(),
             drain_budgets: BTreeMap::new(),
--- a/src/store/cache/sync.rs
+++ b/src/store/cache/sync.rs
@@ -331,8 +331,8 @@
         self.sync.watch_sent = None;
         info!(
             revision = self.revision,
-            open = self.open.len(),
-            ended = self.ended.len(),
+            open = self.open_jobs.len(),
+            ended = self.ended_jobs.len(),
             "watch cache loaded"
         );
     }
--- a/src/store/cache/tests.rs
+++ b/src/store/cache/tests.rs
@@ -88,7 +88,7 @@
     cache.handle_response(at(45), tag, StoreResponse::Missing { revision: 9000 });
     let (tag, op) = next(&mut cache, at(45));
     assert!(matches!(op, StoreRequest::Range { .. }), "{op:?}");
-    assert!(cache.is_loaded() && cache.open.contains_key(&JobId(1)));
+    assert!(cache.is_loaded() && cache.open_jobs.contains_key(&JobId(1)));
     assert_eq!(
         cache.current_as_of(),
         Some(start.monotonic),
@@ -108,7 +108,7 @@
             revision: 9000,
         },
     );
-    assert!(!cache.open.contains_key(&JobId(1)) && cache.open.contains_key(&JobId(2)));
+    assert!(!cache.open_jobs.contains_key(&JobId(1)) && cache.open_jobs.contains_key(&JobId(2)));
     assert!(cache.take_changed().all);
     let (_, op) = next(&mut cache, at(46));
     assert!(
@@ -165,24 +165,30 @@
     let _ = cache.take_changed();
     assert!(cache.record_cancellation(JobId(1), 9, 1000));
     assert!(
-        !cache.open[&JobId(1)].cancelled,
+        !cache.open_jobs[&JobId(1)].cancelled,
         "the copy is newer and shows otherwise"
     );
     assert!(cache.record_cancellation(JobId(2), 12, 1000));
     assert!(cache.record_cancellation(JobId(2), 12, 1000));
-    assert!(cache.open[&JobId(2)].cancelled && cache.open[&JobId(2)].version == 12);
-    assert!(cache.has_changed() && cache.take_changed().ended.contains(&JobId(2)));
+    assert!(cache.open_jobs[&JobId(2)].cancelled && cache.open_jobs[&JobId(2)].version == 12);
+    assert!(
+        cache.has_changed()
+            && cache
+                .take_changed()
+                .cancelled_or_ended_jobs
+                .contains(&JobId(2))
+    );
     // Of a job that is not in the copy yet.
     assert!(cache.record_cancellation(JobId(4), 13, 1000));
     cache.apply(put(4, 11));
-    assert!(cache.open[&JobId(4)].cancelled);
+    assert!(cache.open_jobs[&JobId(4)].cancelled);
     // Pages that were read before it was committed.
     cache.clear();
     (2..=4).for_each(|id| cache.apply(put(id, id)));
     assert!(
-        cache.open[&JobId(2)].cancelled
-            && cache.open[&JobId(4)].cancelled
-            && !cache.open[&JobId(3)].cancelled
+        cache.open_jobs[&JobId(2)].cancelled
+            && cache.open_jobs[&JobId(4)].cancelled
+            && !cache.open_jobs[&JobId(3)].cancelled
     );
     cache.sync.state = SyncState::Following { maybe_stale: false };
     let events = StoreResponse::WatchEvents {
--- a/src/workers/block/commands.rs
+++ b/src/workers/block/commands.rs
@@ -269,8 +269,8 @@
 /// Whether a command stops a task whose job is known to be cancelled or to have ended.
 fn stops_ended_job(command: &WorkerCommand, cache: &WatchCache) -> bool {
     let has_ended = |job| {
-        cache.ended.contains_key(&job)
-            || cache.open.contains_key(&job) && !job_is_active(cache, job)
+        cache.ended_jobs.contains_key(&job)
+            || cache.open_jobs.contains_key(&job) && !job_is_active(cache, job)
     };
     matches!(command, WorkerCommand::Stop { task, .. } if has_ended(task.job))
 }
@@ -278,7 +278,7 @@
 /// How long a stopped task may take to write its checkpoint, in seconds.
 fn grace_s(cache: &WatchCache, task: TaskId, is_recorded: bool) -> f64 {
     let job = cache
-        .open
+        .open_jobs
         .get(&task.job)
         .filter(|open| !open.cancelled)
         .map(|open| &open.job);
--- a/src/workers/block/heartbeats.rs
+++ b/src/workers/block/heartbeats.rs
@@ -86,7 +86,7 @@
             let started = observed.state == TaskState::Running
                 && previous_state != Some(TaskState::Running)
                 && worker.launches.has_state(&observed.attempt(*task));
-            if started && let Some(open) = cache.open.get(&task.job) {
+            if started && let Some(open) = cache.open_jobs.get(&task.job) {
                 self.started_accepted_ms.push(open.job.accepted_ms);
             }
         }
--- a/src/workers/block/mod.rs
+++ b/src/workers/block/mod.rs
@@ -299,5 +299,8 @@
 
 /// Whether a job is neither cancelled nor ended, so that its tasks should run.
 pub(super) fn job_is_active(cache: &WatchCache, job: JobId) -> bool {
-    cache.open.get(&job).is_some_and(|open| !open.cancelled)
+    cache
+        .open_jobs
+        .get(&job)
+        .is_some_and(|open| !open.cancelled)
 }
--- a/src/workers/block/placement_writes.rs
+++ b/src/workers/block/placement_writes.rs
@@ -206,7 +206,7 @@
                 machine: &ended.machine,
                 attempt: ended.attempt,
                 done: *outcome == AttemptOutcome::Done
-                    && cache.open.contains_key(&ended.attempt.task.job),
+                    && cache.open_jobs.contains_key(&ended.attempt.task.job),
                 blocks_placement: target_machines.contains(&ended.machine),
             })
             .collect();
@@ -317,7 +317,7 @@
             }
             let mut used = Resources::default();
             let placed = placements.on.get(id).into_iter().flatten();
-            for open in placed.filter_map(|placed| cache.open.get(&placed.0.task.job)) {
+            for open in placed.filter_map(|placed| cache.open_jobs.get(&placed.0.task.job)) {
                 used.add(&open.job.need);
             }
             let images = worker.images.iter().cloned().collect();
@@ -379,7 +379,7 @@
 /// Returns the job of a task, if it is active and the task is not finished.
 fn unfinished_job(cache: &WatchCache, task: TaskId) -> Option<&OpenJob> {
     cache
-        .open
+        .open_jobs
         .get(&task.job)
         .filter(|open| !open.cancelled && !open.done.contains(task.index))
 }
--- a/src/workers/mod.rs
+++ b/src/workers/mod.rs
@@ -128,7 +128,7 @@
 
     /// Requests commands to workers that still run tasks of ended jobs, so that the tasks are stopped at once.
     fn request_stops(&mut self, cache: &WatchCache, changed: &ChangedRecords) {
-        for job in &changed.ended {
+        for job in &changed.cancelled_or_ended_jobs {
             for ((index, _), placement) in cache.job_placements(*job) {
                 let task = TaskId {
                     job: *job,
--- a/src/workers/tests/placement_writes.rs
+++ b/src/workers/tests/placement_writes.rs
@@ -19,7 +19,7 @@
     let Some((_, StoreRequest::Commit(txn))) = transaction else {
         panic!("a transaction must be due: {transaction:?}")
     };
-    let version = holder.cache.open[&JobId(1)].version;
+    let version = holder.cache.open_jobs[&JobId(1)].version;
     assert!(
         txn.conditions.contains(&(job_key(JobId(1)), version)),
         "{:?}",
--- a/src/workers/worker/mod.rs
+++ b/src/workers/worker/mod.rs
@@ -140,7 +140,7 @@
                 observed.state,
                 TaskState::Running | TaskState::Checkpointing | TaskState::Waiting
             );
-            if has_image && let Some(open) = cache.open.get(&task.job) {
+            if has_image && let Some(open) = cache.open_jobs.get(&task.job) {
                 self.images.insert(open.job.image.clone());
             }
         }
