--- a/src/cancellation/tests.rs
+++ b/src/cancellation/tests.rs
@@ -71,7 +71,7 @@
 ) {
     let mut inventory = MachineInventory {
         zone: "a".into(),
-        on: BTreeMap::new(),
+        machines: BTreeMap::new(),
     };
     let mut placements = BlockPlacements::default();
     for (machine, job) in machines {
@@ -81,7 +81,7 @@
             state: MachineState::InService,
             rented_s: 0,
         };
-        inventory.on.insert((*machine).into(), entry);
+        inventory.machines.insert((*machine).into(), entry);
         let task = TaskId {
             job: JobId(*job),
             index,
--- a/src/provisioning/inventory_edits.rs
+++ b/src/provisioning/inventory_edits.rs
@@ -78,7 +78,7 @@
             let fill = cache.inventories.get(&block).map_or(0.0, |inventory| {
                 inventory
                     .value
-                    .on
+                    .machines
                     .iter()
                     .map(|(id, entry)| edits.fill_share(id, entry))
                     .sum()
@@ -156,7 +156,7 @@
             .entry(block.clone())
             .or_default() += share;
         self.inventory_mut(&block, part, zone)
-            .on
+            .machines
             .insert(id.clone(), entry);
         true
     }
@@ -231,7 +231,7 @@
     /// machine is not recorded.
     pub(super) fn set_state(&mut self, id: &MachineId, state: MachineState) -> bool {
         self.edit(id, |inventory| {
-            if let Some(entry) = inventory.on.get_mut(id) {
+            if let Some(entry) = inventory.machines.get_mut(id) {
                 entry.state = state;
             }
         })
@@ -245,10 +245,10 @@
         let oversized_inventory = &parts.get(&oversized_part)?.value;
         let is_in_other_part = |id: &MachineId| {
             let mut others = parts.iter().filter(|(part, _)| **part != oversized_part);
-            others.any(|(_, part)| part.value.on.contains_key(id))
+            others.any(|(_, part)| part.value.machines.contains_key(id))
         };
         let mut remaining: Vec<(&MachineId, &InventoryEntry)> = oversized_inventory
-            .on
+            .machines
             .iter()
             .filter(|(id, _)| !is_in_other_part(id))
             .collect();
@@ -267,7 +267,9 @@
                 });
             }
             let (id, entry) = ((*id).clone(), (*entry).clone());
-            self.inventory_mut(&block, part, &zone).on.insert(id, entry);
+            self.inventory_mut(&block, part, &zone)
+                .machines
+                .insert(id, entry);
             remaining.pop();
         }
         Some(Division {
--- a/src/provisioning/inventory_writes.rs
+++ b/src/provisioning/inventory_writes.rs
@@ -87,7 +87,7 @@
         let mut edits = context.batched_edits();
         for machine in machines {
             edits.edit(machine, |inventory| {
-                inventory.on.remove(machine);
+                inventory.machines.remove(machine);
             });
         }
         edits.has_edits().then(|| edits.apply(txn.clone()))
--- a/src/provisioning/machine_observations.rs
+++ b/src/provisioning/machine_observations.rs
@@ -259,7 +259,7 @@
     let block = cache.machines.get(id).map(|machine| &machine.block);
     block
         .and_then(|block| cache.placements.get(block))
-        .is_some_and(|placements| placements.value.on.contains_key(id))
+        .is_some_and(|placements| placements.value.attempts_by_machine.contains_key(id))
 }
 
 /// Returns the zones that are more likely isolated than failed: most of their machines are unusable, but this does not
--- a/src/provisioning/tests.rs
+++ b/src/provisioning/tests.rs
@@ -94,7 +94,7 @@
     let block = block_leases::block_id(&"a".into(), 0);
     let inventory = MachineInventory {
         zone: "a".into(),
-        on: ["m-1", "m-2"]
+        machines: ["m-1", "m-2"]
             .map(|id| (id.into(), entry(CapacityType::Spot, 0)))
             .into(),
     };
@@ -167,7 +167,7 @@
             };
             let inventory = MachineInventory {
                 zone: zone.into(),
-                on: (0..6).map(machine).collect(),
+                machines: (0..6).map(machine).collect(),
             };
             let key = inventory_key(&block_leases::block_id(&zone.into(), 0));
             records.set(key, Some(encode(&inventory)));
@@ -354,7 +354,7 @@
     };
     let inventory = MachineInventory {
         zone: "a".into(),
-        on: (0..600).map(machine).collect(),
+        machines: (0..600).map(machine).collect(),
     };
     records.set(inventory_key(&block), Some(encode(&inventory)));
     let next_division = |cache: &WatchCache| {
--- a/src/scheduler/block_state.rs
+++ b/src/scheduler/block_state.rs
@@ -124,7 +124,7 @@
         inventory: Option<&MachineInventory>,
     ) {
         let Some(inventory) =
-            inventory.filter(|inventory| inventory.on.len() > self.addressed_machines.len())
+            inventory.filter(|inventory| inventory.machines.len() > self.addressed_machines.len())
         else {
             return;
         };
@@ -133,7 +133,7 @@
             return;
         }
         for id in inventory
-            .on
+            .machines
             .keys()
             .filter(|id| !self.addressed_machines.contains(*id))
             .cloned()
--- a/src/scheduler/tests.rs
+++ b/src/scheduler/tests.rs
@@ -86,7 +86,7 @@
             inventory_key(&"a.0".into()),
             encode(&MachineInventory {
                 zone: "a".into(),
-                on,
+                machines: on,
             }),
         );
     }
--- a/src/store/cache/apply.rs
+++ b/src/store/cache/apply.rs
@@ -75,8 +75,8 @@
     /// Brings the machines by id up to date with a block's inventory, which was `old` before.
     fn index_machines(&mut self, block: &BlockId, old: Option<&MachineInventory>) {
         let new = self.inventories.get(block).map(|new| &new.value);
-        for id in old.iter().flat_map(|old| old.on.keys()) {
-            let kept = new.is_some_and(|new| new.on.contains_key(id));
+        for id in old.iter().flat_map(|old| old.machines.keys()) {
+            let kept = new.is_some_and(|new| new.machines.contains_key(id));
             let here = self
                 .machines
                 .get(id)
@@ -90,8 +90,8 @@
         let Some(new) = new else {
             return;
         };
-        for (id, entry) in &new.on {
-            let known = old.and_then(|old| old.on.get(id));
+        for (id, entry) in &new.machines {
+            let known = old.and_then(|old| old.machines.get(id));
             if known == Some(entry) && self.machines.contains_key(id) {
                 continue;
             }
@@ -290,9 +290,9 @@
     second: &'a BlockPlacements,
 ) -> impl Iterator<Item = (&'a MachineId, &'a AttemptEncoding)> {
     let changed = first
-        .on
+        .attempts_by_machine
         .iter()
-        .map(|(machine, list)| (machine, list, second.on.get(machine)))
+        .map(|(machine, list)| (machine, list, second.attempts_by_machine.get(machine)))
         .filter(|(_, list, other)| *other != Some(*list));
     changed.flat_map(|(machine, list, other)| {
         list.iter()
--- a/src/store/cache/indexes.rs
+++ b/src/store/cache/indexes.rs
@@ -85,7 +85,7 @@
     /// The part of the block's inventory that a machine is in: the last one, if it is being moved.
     pub fn inventory_part_of(&self, block: &BlockId, machine: &MachineId) -> Option<Part> {
         let mut parts = self.inventory_parts(block)?.iter().rev();
-        let (part, _) = parts.find(|(_, part)| part.value.on.contains_key(machine))?;
+        let (part, _) = parts.find(|(_, part)| part.value.machines.contains_key(machine))?;
         Some(*part)
     }
 
@@ -120,7 +120,7 @@
         self.placements.iter().flat_map(move |(block, placements)| {
             placements
                 .value
-                .on
+                .attempts_by_machine
                 .iter()
                 .filter_map(move |(id, attempts)| {
                     let machine = self.machines.get(id)?;
--- a/src/store/cache/tests.rs
+++ b/src/store/cache/tests.rs
@@ -41,7 +41,7 @@
     };
     MachineInventory {
         zone: "a".into(),
-        on: machines
+        machines: machines
             .iter()
             .map(|machine| ((*machine).clone(), entry()))
             .collect(),
--- a/src/store/records/fixtures.rs
+++ b/src/store/records/fixtures.rs
@@ -161,7 +161,7 @@
     for (capacity_type, state) in variants {
         let mut machines = inventories
             .iter()
-            .flat_map(|inventory| inventory.on.values());
+            .flat_map(|inventory| inventory.machines.values());
         assert!(
             machines
                 .any(|machine| (machine.capacity_type, machine.state) == (capacity_type, state)),
--- a/src/store/records/inventory.rs
+++ b/src/store/records/inventory.rs
@@ -25,7 +25,7 @@
     /// The zone of all machines of the block.
     pub zone: Zone,
     /// The machines.
-    pub on: BTreeMap<MachineId, InventoryEntry>,
+    pub machines: BTreeMap<MachineId, InventoryEntry>,
 }
 
 /// Whether a machine takes tasks, and what becomes of it.
@@ -75,7 +75,7 @@
     fn from(inventory: MachineInventory) -> Self {
         let mut types: Vec<InstanceTypeName> = Vec::new();
         let mut on = BTreeMap::new();
-        for (id, machine) in inventory.on {
+        for (id, machine) in inventory.machines {
             let index = types
                 .iter()
                 .position(|known| *known == machine.type_name)
@@ -113,13 +113,13 @@
     type Error = MalformedMachine;
 
     fn try_from(encoding: InventoryEncoding) -> Result<Self, Self::Error> {
-        let mut on = BTreeMap::new();
+        let mut machines = BTreeMap::new();
         for (id, entry) in encoding.on {
-            on.insert(id, parse_entry(&entry, &encoding.types)?);
+            machines.insert(id, parse_entry(&entry, &encoding.types)?);
         }
         Ok(MachineInventory {
             zone: encoding.zone,
-            on,
+            machines,
         })
     }
 }
@@ -174,26 +174,29 @@
     pub fn new(zone: Zone) -> Self {
         MachineInventory {
             zone,
-            on: BTreeMap::new(),
+            machines: BTreeMap::new(),
         }
     }
 
     /// The most bytes that this value can measure.
     pub fn size(&self) -> usize {
-        let types: BTreeSet<&InstanceTypeName> =
-            self.on.values().map(|entry| &entry.type_name).collect();
+        let types: BTreeSet<&InstanceTypeName> = self
+            .machines
+            .values()
+            .map(|entry| &entry.type_name)
+            .collect();
         let types: usize = types
             .iter()
             .map(|name| name.0.len() + TYPE_OVERHEAD_BYTES)
             .sum();
-        let machines: usize = self.on.iter().map(|(id, entry)| entry.size(id)).sum();
+        let machines: usize = self.machines.iter().map(|(id, entry)| entry.size(id)).sum();
         ENVELOPE_BYTES + self.zone.0.len() + types + machines
     }
 
     /// Takes in the machines of another part.
     pub fn merge(&mut self, part: &MachineInventory) {
-        let machines = part.on.iter();
-        self.on
+        let machines = part.machines.iter();
+        self.machines
             .extend(machines.map(|(id, entry)| (id.clone(), entry.clone())));
     }
 }
--- a/src/store/records/placements.rs
+++ b/src/store/records/placements.rs
@@ -30,7 +30,7 @@
 pub struct BlockPlacements {
     /// The attempts on each machine. A machine without attempts has no entry.
     #[serde(rename = "on")]
-    pub on: BTreeMap<MachineId, Vec<AttemptEncoding>>,
+    pub attempts_by_machine: BTreeMap<MachineId, Vec<AttemptEncoding>>,
     /// The finished tasks of each job.
     #[serde(rename = "done")]
     pub done: BTreeMap<JobId, Ranges>,
@@ -39,15 +39,15 @@
 impl BlockPlacements {
     /// All attempts with their machines.
     pub fn attempts(&self) -> impl Iterator<Item = (&MachineId, Attempt)> {
-        self.on
+        self.attempts_by_machine
             .iter()
             .flat_map(|(machine, list)| list.iter().map(move |placed| (machine, placed.0)))
     }
 
     /// Takes in another part. An attempt that both have counts once.
     pub fn merge(&mut self, part: &BlockPlacements) {
-        for (machine, list) in &part.on {
-            let known = self.on.entry(machine.clone()).or_default();
+        for (machine, list) in &part.attempts_by_machine {
+            let known = self.attempts_by_machine.entry(machine.clone()).or_default();
             for placed in list {
                 if !known.contains(placed) {
                     known.push(*placed);
@@ -61,13 +61,13 @@
 
     /// Whether it holds neither attempts nor finished tasks.
     pub fn is_empty(&self) -> bool {
-        self.on.is_empty() && self.done.is_empty()
+        self.attempts_by_machine.is_empty() && self.done.is_empty()
     }
 
     /// Adds an attempt. Returns by how many bytes the value may have grown.
     pub fn add(&mut self, machine: &MachineId, attempt: Attempt) -> usize {
         let placed = AttemptEncoding(attempt);
-        let list = self.on.entry(machine.clone()).or_default();
+        let list = self.attempts_by_machine.entry(machine.clone()).or_default();
         let entry = if list.is_empty() {
             machine.0.len() + MACHINE_OVERHEAD_BYTES
         } else {
@@ -79,14 +79,14 @@
 
     /// Removes an attempt. False: it was not there.
     pub fn remove(&mut self, machine: &MachineId, attempt: Attempt) -> bool {
-        let Some(list) = self.on.get_mut(machine) else {
+        let Some(list) = self.attempts_by_machine.get_mut(machine) else {
             return false;
         };
         let before = list.len();
         list.retain(|placed| placed.0 != attempt);
         let removed = list.len() != before;
         if list.is_empty() {
-            self.on.remove(machine);
+            self.attempts_by_machine.remove(machine);
         }
         removed
     }
@@ -110,7 +110,7 @@
     /// The most bytes that this value can measure.
     pub fn size(&self) -> usize {
         let on: usize = self
-            .on
+            .attempts_by_machine
             .iter()
             .map(|(machine, list)| {
                 machine.0.len()
--- a/src/store/records/tests.rs
+++ b/src/store/records/tests.rs
@@ -122,7 +122,7 @@
             rented_s,
         };
         inventory
-            .on
+            .machines
             .insert(format!("m-{n:06}").as_str().into(), entry);
     }
     let value = encode(&inventory);
@@ -133,7 +133,7 @@
     let names = 100;
     let size: usize = names
         + inventory
-            .on
+            .machines
             .iter()
             .map(|(id, entry)| entry.size(id))
             .sum::<usize>();
--- a/src/workers/block/mod.rs
+++ b/src/workers/block/mod.rs
@@ -184,7 +184,7 @@
             .chain(
                 inventory
                     .iter()
-                    .flat_map(|inventory| inventory.value.on.keys()),
+                    .flat_map(|inventory| inventory.value.machines.keys()),
             )
             .cloned()
             .collect();
--- a/src/workers/block/placement_writes.rs
+++ b/src/workers/block/placement_writes.rs
@@ -316,7 +316,7 @@
                 continue;
             }
             let mut used = Resources::default();
-            let placed = placements.on.get(id).into_iter().flatten();
+            let placed = placements.attempts_by_machine.get(id).into_iter().flatten();
             for open in placed.filter_map(|placed| cache.open_jobs.get(&placed.0.task.job)) {
                 used.add(&open.job.need);
             }
--- a/src/workers/block/recorded.rs
+++ b/src/workers/block/recorded.rs
@@ -56,7 +56,7 @@
 
     /// Returns the machines that have attempts.
     pub(super) fn machines(&self) -> impl Iterator<Item = &MachineId> {
-        self.placements.on.keys()
+        self.placements.attempts_by_machine.keys()
     }
 
     /// Returns the attempts on a machine, in the order in which they are recorded.
@@ -64,7 +64,7 @@
         &self,
         machine: &MachineId,
     ) -> impl Iterator<Item = Attempt> {
-        let list = self.placements.on.get(machine);
+        let list = self.placements.attempts_by_machine.get(machine);
         list.into_iter().flatten().map(|placed| placed.0)
     }
 
--- a/src/workers/parts/mod.rs
+++ b/src/workers/parts/mod.rs
@@ -290,14 +290,14 @@
 
 fn contains_attempt(placements: &BlockPlacements, machine: &MachineId, attempt: Attempt) -> bool {
     placements
-        .on
+        .attempts_by_machine
         .get(machine)
         .is_some_and(|list| list.contains(&AttemptEncoding(attempt)))
 }
 
 /// Returns by how many bytes one more attempt may enlarge a part, including the record of its finished task.
 fn worst_case_growth(placements: &BlockPlacements, machine: &MachineId, attempt: Attempt) -> usize {
-    let entry = if placements.on.contains_key(machine) {
+    let entry = if placements.attempts_by_machine.contains_key(machine) {
         0
     } else {
         machine.0.len() + 8
--- a/src/workers/parts/split.rs
+++ b/src/workers/parts/split.rs
@@ -65,7 +65,7 @@
 
 /// Removes the entries that the other part contains as well.
 fn subtract(placements: &mut BlockPlacements, other: &BlockPlacements) {
-    for (machine, list) in &other.on {
+    for (machine, list) in &other.attempts_by_machine {
         for placed in list {
             placements.remove(machine, placed.0);
         }
@@ -84,14 +84,14 @@
 /// Removes and returns attempts, then finished tasks, up to this total size, but at least one entry.
 fn take_entries(placements: &mut BlockPlacements, max_bytes: usize) -> BlockPlacements {
     let mut taken = BlockPlacements::default();
-    while let Some((machine, list)) = placements.on.pop_first() {
+    while let Some((machine, list)) = placements.attempts_by_machine.pop_first() {
         let mut rest = list;
         while let Some(placed) = rest.pop() {
             if taken.worst_case_size() + worst_case_growth(&taken, &machine, placed.0) > max_bytes
                 && !taken.is_empty()
             {
                 rest.push(placed);
-                placements.on.insert(machine, rest);
+                placements.attempts_by_machine.insert(machine, rest);
                 return taken;
             }
             taken.add(&machine, placed.0);
--- a/src/workers/tests/mod.rs
+++ b/src/workers/tests/mod.rs
@@ -94,7 +94,7 @@
             .map(|machine| ((*machine).into(), entry.clone()));
         let inventory = MachineInventory {
             zone: "a".into(),
-            on: on.collect(),
+            machines: on.collect(),
         };
         self.put_record(inventory_key(&block.into()), encode(&inventory));
     }
