--- a/src/scheduler/completion_compaction.rs
+++ b/src/scheduler/completion_compaction.rs
@@ -10,7 +10,9 @@
 
 use crate::config::Config;
 use crate::domain::JobId;
-use crate::store::records::{BlockPlacements, CHUNK, PARTS_FORMAT, Progress, Ranges, progress_key};
+use crate::store::records::{
+    BlockPlacements, CHUNK, PARTS_FORMAT, Progress, TaskRanges, progress_key,
+};
 use crate::store::{Transaction, WatchCache};
 
 /// Finished tasks of a block are compacted when the worst-case size of its value exceeds this part of the size limit
@@ -58,7 +60,7 @@
 /// The chunks of progress that a block's finished tasks belong to. Jobs whose finished tasks take the most space come
 /// first, since compacting them frees the most.
 fn chunks_by_finished_size(placements: &BlockPlacements) -> Vec<(JobId, u32)> {
-    let mut finished_by_job: Vec<(&JobId, &Ranges)> = placements.done.iter().collect();
+    let mut finished_by_job: Vec<(&JobId, &TaskRanges)> = placements.done.iter().collect();
     finished_by_job.sort_by_key(|(_, done)| Reverse(done.size()));
     let mut chunks = Vec::new();
     for (job, done) in finished_by_job {
--- a/src/scheduler/draining/fleet_view.rs
+++ b/src/scheduler/draining/fleet_view.rs
@@ -14,7 +14,7 @@
 use crate::domain::{Attempt, Job, JobId, JobKind, MachineId, TaskId, Zone};
 use crate::store::WatchCache;
 use crate::store::cache::OpenJob;
-use crate::store::records::Ranges;
+use crate::store::records::TaskRanges;
 
 /// The fleet and the free capacity of the current plan, as the drain planner accesses them.
 pub(super) struct FleetView<'a, 'v> {
@@ -132,7 +132,7 @@
         id,
         open,
         pending_tasks: u64::from(open.job.tasks),
-        assigned_tasks: Ranges::default(),
+        assigned_tasks: TaskRanges::default(),
         tasks_per_zone: BTreeMap::new(),
         first_task_overdue: false,
         waited: Duration::ZERO,
--- a/src/scheduler/waiting.rs
+++ b/src/scheduler/waiting.rs
@@ -11,7 +11,7 @@
 use crate::leader_context::LeaderContext;
 use crate::store::WatchCache;
 use crate::store::cache::OpenJob;
-use crate::store::records::Ranges;
+use crate::store::records::TaskRanges;
 
 /// A job without any assigned task that has waited this long gets its first task before older jobs of its team and
 /// priority get more tasks. Otherwise, under heavy overload, large jobs would not begin for many minutes.
@@ -60,7 +60,7 @@
     /// The number of tasks that are neither done, placed nor released.
     pub(super) pending_tasks: u64,
     /// The indexes of tasks that are done, placed or released.
-    pub(super) assigned_tasks: Ranges,
+    pub(super) assigned_tasks: TaskRanges,
     /// The number of placed and released tasks by zone.
     pub(super) tasks_per_zone: BTreeMap<Zone, u32>,
     /// No task was assigned within [`FIRST_TASK_OVERDUE_AFTER`], so one is released before other work of the team.
--- a/src/store/cache/apply.rs
+++ b/src/store/cache/apply.rs
@@ -12,7 +12,7 @@
 use crate::domain::{BlockId, JobId, MachineId, Zone};
 use crate::store::records::{
     AttemptEncoding, BlockPlacements, Change, InventoryEntry, JobRecord, MachineInventory, Part,
-    Ranges, Record, RecordKey,
+    Record, RecordKey, TaskRanges,
 };
 
 impl WatchCache {
@@ -190,8 +190,8 @@
     }
 
     /// The finished tasks of a job that the placements of all blocks and its progress show.
-    fn finished_tasks(&self, id: JobId) -> Ranges {
-        let mut finished = Ranges::default();
+    fn finished_tasks(&self, id: JobId) -> TaskRanges {
+        let mut finished = TaskRanges::default();
         let in_blocks = self
             .placements
             .values()
--- a/src/store/cache/mod.rs
+++ b/src/store/cache/mod.rs
@@ -25,7 +25,7 @@
 use self::sync::{PollIntervals, SyncState, Synchronizer};
 use super::records::{
     BlockLease, BlockPlacements, FormatSwitch, Leader, MachineInventory, MachineState, Member,
-    Part, PendingRental, Progress, Ranges, Token,
+    Part, PendingRental, Progress, TaskRanges, Token,
 };
 use crate::config::StateLimits;
 use crate::domain::{
@@ -73,7 +73,7 @@
     /// was not.
     pub cancelled_ms: u64,
     /// Finished tasks, whether recorded in the job's progress already or not. Only ever grows.
-    pub done: Ranges,
+    pub done: TaskRanges,
 }
 
 /// A machine as its block's inventory has it.
--- a/src/store/records/jobs.rs
+++ b/src/store/records/jobs.rs
@@ -7,7 +7,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use super::{Ranges, encode, json_size};
+use super::{TaskRanges, encode, json_size};
 use crate::domain::{Job, JobOutcome};
 
 /// A job: what was asked for while tasks of it may be somewhere, only its end afterwards.
@@ -48,7 +48,7 @@
 #[derive(Debug, Clone, PartialEq, Default, Serialize, Deserialize)]
 pub struct Progress {
     /// The numbers of the finished tasks.
-    pub done: Ranges,
+    pub done: TaskRanges,
 }
 
 /// Tasks in one chunk of a job's progress: even with every second task done, `0,2,4,...` stays below the
--- a/src/store/records/mod.rs
+++ b/src/store/records/mod.rs
@@ -30,7 +30,7 @@
 pub use membership::{Leader, Member, Token};
 pub use placements::{AttemptEncoding, BlockPlacements, done_entry_size};
 pub use size::json_size;
-pub use task_ranges::Ranges;
+pub use task_ranges::TaskRanges;
 
 /// Something that is stored as one value.
 pub trait Record: Serialize + DeserializeOwned {}
--- a/src/store/records/placements.rs
+++ b/src/store/records/placements.rs
@@ -9,7 +9,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use super::Ranges;
+use super::TaskRanges;
 use super::size::digits;
 use crate::domain::{Attempt, JobId, MachineId, TaskId};
 
@@ -33,7 +33,7 @@
     pub attempts_by_machine: BTreeMap<MachineId, Vec<AttemptEncoding>>,
     /// The finished tasks of each job.
     #[serde(rename = "done")]
-    pub done: BTreeMap<JobId, Ranges>,
+    pub done: BTreeMap<JobId, TaskRanges>,
 }
 
 impl BlockPlacements {
--- a/src/store/records/task_ranges.rs
+++ b/src/store/records/task_ranges.rs
@@ -1,6 +1,6 @@
 //! Sets of task numbers, kept and stored as ranges.
 //!
-//! Used for finished tasks in placements, progress and the cache. Ranges that touch are kept as one.
+//! Used for finished tasks in placements, progress and the cache. Adjacent ranges are kept as one.
 
 use std::fmt::Write as _;
 use std::num::ParseIntError;
@@ -13,9 +13,9 @@
 
 /// A set of task numbers, stored as `0-4,7`.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
-pub struct Ranges(pub RangeInclusiveSet<u32>);
+pub struct TaskRanges(pub RangeInclusiveSet<u32>);
 
-impl Ranges {
+impl TaskRanges {
     /// Adds a number.
     pub fn insert(&mut self, index: u32) {
         self.0.insert(index..=index);
@@ -40,7 +40,7 @@
     }
 
     /// Adds the numbers of another set.
-    pub fn merge(&mut self, other: &Ranges) {
+    pub fn merge(&mut self, other: &TaskRanges) {
         for range in other.0.iter() {
             self.0.insert(range.clone());
         }
@@ -61,7 +61,7 @@
     }
 }
 
-impl Serialize for Ranges {
+impl Serialize for TaskRanges {
     fn serialize<S: serde::Serializer>(&self, serializer: S) -> Result<S::Ok, S::Error> {
         let mut text = String::new();
         for range in self.0.iter() {
@@ -76,7 +76,7 @@
     }
 }
 
-impl<'de> Deserialize<'de> for Ranges {
+impl<'de> Deserialize<'de> for TaskRanges {
     fn deserialize<D: serde::Deserializer<'de>>(deserializer: D) -> Result<Self, D::Error> {
         let text = String::deserialize(deserializer)?;
         text.parse().map_err(serde::de::Error::custom)
@@ -85,7 +85,7 @@
 
 /// What is wrong with the text of a set of task numbers.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
-pub enum MalformedRanges {
+pub enum TaskRangesError {
     /// One of its numbers is none.
     #[error("malformed number in ranges: {0}")]
     Number(#[from] ParseIntError),
@@ -99,16 +99,16 @@
     },
 }
 
-impl FromStr for Ranges {
-    type Err = MalformedRanges;
+impl FromStr for TaskRanges {
+    type Err = TaskRangesError;
 
-    fn from_str(text: &str) -> Result<Self, MalformedRanges> {
-        let mut ranges = Ranges::default();
+    fn from_str(text: &str) -> Result<Self, TaskRangesError> {
+        let mut ranges = TaskRanges::default();
         for piece in text.split(',').filter(|piece| !piece.is_empty()) {
             let (start, end) = piece.split_once('-').unwrap_or((piece, piece));
             let (start, end) = (start.parse()?, end.parse()?);
             if start > end {
-                return Err(MalformedRanges::Reversed { start, end });
+                return Err(TaskRangesError::Reversed { start, end });
             }
             ranges.0.insert(start..=end);
         }
--- a/src/store/records/tests.rs
+++ b/src/store/records/tests.rs
@@ -3,13 +3,13 @@
 use ciborium::cbor;
 
 use super::inventory::{InventoryEncoding, MalformedMachine};
-use super::task_ranges::MalformedRanges;
+use super::task_ranges::TaskRangesError;
 use super::*;
 use crate::domain::{Attempt, BlockId, CapacityType, Incarnation, Job, JobId, MachineId, TaskId};
 
 #[test]
 fn ranges_come_back_from_their_text() {
-    let mut ranges = Ranges::default();
+    let mut ranges = TaskRanges::default();
     for index in [0, 1, 2, 7, 9] {
         ranges.insert(index);
     }
@@ -20,12 +20,12 @@
     assert_eq!(ranges.first_gap(10), Some(3));
     assert_eq!(ranges.first_gap(3), None);
     assert_eq!(
-        "4-2".parse::<Ranges>(),
-        Err(MalformedRanges::Reversed { start: 4, end: 2 })
+        "4-2".parse::<TaskRanges>(),
+        Err(TaskRangesError::Reversed { start: 4, end: 2 })
     );
 }
 
-fn encode_text(ranges: &Ranges) -> String {
+fn encode_text(ranges: &TaskRanges) -> String {
     match ciborium::Value::serialized(ranges) {
         Ok(ciborium::Value::Text(text)) => text,
         other => panic!("{other:?}"),
@@ -34,7 +34,7 @@
 
 #[test]
 fn a_full_chunk_of_progress_fits_the_smallest_value() {
-    let mut worst = Ranges::default();
+    let mut worst = TaskRanges::default();
     for index in (99_488..100_000).step_by(2) {
         worst.insert(index);
     }
--- a/src/workers/parts/split.rs
+++ b/src/workers/parts/split.rs
@@ -5,7 +5,7 @@
 use super::{PartLimits, PartsTransaction, SIZE_MARGIN_BYTES, empty_part, worst_case_growth};
 use crate::domain::JobId;
 use crate::store::cache::Parts;
-use crate::store::records::{BlockPlacements, Part, Ranges, done_entry_size};
+use crate::store::records::{BlockPlacements, Part, TaskRanges, done_entry_size};
 
 /// The fraction of the size limit to which parts are filled when a value is split. The rest is for records of tasks that
 /// finish there.
@@ -107,12 +107,12 @@
     taken: &mut BlockPlacements,
     max_bytes: usize,
 ) {
-    let jobs: BTreeMap<JobId, Ranges> = std::mem::take(&mut placements.done);
+    let jobs: BTreeMap<JobId, TaskRanges> = std::mem::take(&mut placements.done);
     let mut size = taken.worst_case_size();
     for (job, done) in jobs {
         size += done_entry_size(job);
         for range in done.0.iter() {
-            let single_range = Ranges([range.clone()].into_iter().collect());
+            let single_range = TaskRanges([range.clone()].into_iter().collect());
             size += single_range.size();
             let target = if size + SIZE_MARGIN_BYTES > max_bytes && !taken.is_empty() {
                 &mut placements.done
