--- a/src/block_leases/assignment.rs
+++ b/src/block_leases/assignment.rs
@@ -7,7 +7,7 @@
 use crate::domain::{BlockId, ControllerName, FencingToken, Incarnation, Zone};
 use crate::leader_context::LeaderContext;
 use crate::store::cache::Versioned;
-use crate::store::records::{BlockLease, LEADER, TOKEN, Token, block_lease_key};
+use crate::store::records::{BlockLease, LEADER_KEY, TOKEN_KEY, TokenCounter, block_lease_key};
 use crate::store::{Transaction, WatchCache};
 
 /// A lease to write, conditioned on the version of its current record, 0 if there is none.
@@ -207,13 +207,13 @@
             ..
         } = *self.leader;
         self.changes.truncate(config.state_limits.txn_ops - 1);
-        let mut transaction = Transaction::default().when(LEADER, leader_version);
+        let mut transaction = Transaction::default().when(LEADER_KEY, leader_version);
         if self.last_token > self.cache.last_token() {
             let token = self.cache.token.as_ref();
             let token_version = token.map_or(0, |token| token.version);
-            transaction = transaction.when(TOKEN, token_version).put(
-                TOKEN,
-                &Token {
+            transaction = transaction.when(TOKEN_KEY, token_version).put(
+                TOKEN_KEY,
+                &TokenCounter {
                     last: self.last_token,
                 },
             );
--- a/src/controller/dispatcher.rs
+++ b/src/controller/dispatcher.rs
@@ -12,7 +12,7 @@
 use crate::provisioning;
 use crate::store::StoreRequest;
 use crate::store::rate_limiter::RequestPriority;
-use crate::store::records::FORMAT;
+use crate::store::records::NEWEST_FORMAT;
 
 impl Controller {
     /// Handles an event and returns the effects to perform.
@@ -90,7 +90,7 @@
     /// Runs all steps that may be due in the current state.
     fn advance(&mut self, now: Now, effects: &mut Vec<Effect>) {
         let format = self.cache.format();
-        if format > FORMAT {
+        if format > NEWEST_FORMAT {
             effects.push(Effect::UnsupportedFormat { format });
             return;
         }
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -23,7 +23,7 @@
 use crate::policy::Policy;
 use crate::store::WatchCache;
 use crate::store::rate_limiter::RequestRateLimiter;
-use crate::store::records::FORMAT;
+use crate::store::records::NEWEST_FORMAT;
 use crate::upgrade::Upgrade;
 use crate::workers::WorkerFleet;
 
@@ -82,7 +82,7 @@
 impl Controller {
     /// Creates a controller of this version. `seed` determines the incarnation and all random choices.
     pub fn new(config: Config, policy: Policy, seed: u64, now: Now) -> Self {
-        Controller::with_record_format(FORMAT, config, policy, seed, now)
+        Controller::with_record_format(NEWEST_FORMAT, config, policy, seed, now)
     }
 
     /// Creates a controller that registers as supporting record formats up to `format`: 0 for the production version,
--- a/src/leadership/election.rs
+++ b/src/leadership/election.rs
@@ -8,7 +8,7 @@
 
 use super::{Leadership, Tag};
 use crate::domain::{Now, Term, since};
-use crate::store::records::{LEADER, Leader, TOKEN, Token};
+use crate::store::records::{LEADER_KEY, Leader, TOKEN_KEY, TokenCounter};
 use crate::store::{StoreRequest, Transaction, WatchCache};
 
 /// Upper bound of a candidate's random delay in milliseconds, so that candidates do not all start at once.
@@ -83,10 +83,10 @@
         let leader_version = cache.leader.as_ref().map_or(0, |leader| leader.version);
         let token_version = cache.token.as_ref().map_or(0, |token| token.version);
         let transaction = Transaction::default()
-            .when(LEADER, leader_version)
-            .when(TOKEN, token_version)
-            .put_with_lease(LEADER, &record, Some(lease))
-            .put(TOKEN, &Token { last: term });
+            .when(LEADER_KEY, leader_version)
+            .when(TOKEN_KEY, token_version)
+            .put_with_lease(LEADER_KEY, &record, Some(lease))
+            .put(TOKEN_KEY, &TokenCounter { last: term });
         self.leader.attach_key(lease, last_confirmed, transaction)
     }
 }
--- a/src/operations/mod.rs
+++ b/src/operations/mod.rs
@@ -22,7 +22,9 @@
 use crate::leader_context::LeaderContext;
 use crate::scheduler::draining::{DrainCoordinator, machine_views};
 use crate::store::cache::{version_of, without_versions};
-use crate::store::records::{DRAIN_FORMAT, LEADER, drain_budget_key, drain_key, encode, json_size};
+use crate::store::records::{
+    DRAIN_FORMAT, LEADER_KEY, drain_budget_key, drain_key, encode, json_size,
+};
 use crate::store::{StoreRequest, StoreResponse, Transaction, WatchCache, WriterState};
 
 /// More pending requests than this are refused at once.
@@ -271,7 +273,7 @@
 }
 
 fn transaction(leader: &LeaderContext<'_>, cache: &WatchCache, changes: &[Change]) -> Transaction {
-    let mut txn = Transaction::default().when(LEADER, leader.record_version);
+    let mut txn = Transaction::default().when(LEADER_KEY, leader.record_version);
     for change in changes {
         let (key, version) = match change {
             Change::PutDrain(id, _) | Change::DeleteDrain(id) => {
--- a/src/provisioning/mod.rs
+++ b/src/provisioning/mod.rs
@@ -36,7 +36,7 @@
 
 use crate::domain::{Attempt, BlockId, CapacityType, InstanceTypeName, MachineId, Now, Term, Zone};
 use crate::leader_context::LeaderContext;
-use crate::store::records::{LEADER, MachineState};
+use crate::store::records::{LEADER_KEY, MachineState};
 use crate::store::{StoreRequest, StoreResponse, Transaction, WatchCache, WriterState};
 use cloud_rate_limiter::CloudRateLimiter;
 pub use cloud_requests::CloudRequestPurpose;
@@ -191,7 +191,7 @@
             cache,
             demand,
         };
-        let txn = Transaction::default().when(LEADER, leader.record_version);
+        let txn = Transaction::default().when(LEADER_KEY, leader.record_version);
         let txn = divide_inventory(leader, context.cache, demand, &txn)
             .or_else(|| self.record_fulfilled_scale_out(context, &txn))
             .or_else(|| self.record_terminations(context, &txn))
--- a/src/provisioning/tests.rs
+++ b/src/provisioning/tests.rs
@@ -12,8 +12,8 @@
 use crate::placement::tests::job;
 use crate::policy::Policy;
 use crate::store::records::{
-    BlockPlacements, FORMAT, FORMAT_KEY, FormatSwitch, InventoryEntry, JobRecord, MachineInventory,
-    PendingRental, encode, inventory_key, job_key, json_size, placements_key,
+    BlockPlacements, FORMAT_KEY, FormatSwitch, InventoryEntry, JobRecord, MachineInventory,
+    NEWEST_FORMAT, PendingRental, encode, inventory_key, job_key, json_size, placements_key,
 };
 use crate::store::{Change, TransactionChange};
 
@@ -365,7 +365,9 @@
         None,
         "no division before the format is enabled"
     );
-    let switch = FormatSwitch { version: FORMAT };
+    let switch = FormatSwitch {
+        version: NEWEST_FORMAT,
+    };
     records.set(FORMAT_KEY.to_owned(), Some(encode(&switch)));
     let mut steps = 0;
     while let Some(txn) = next_division(&records.cache) {
--- a/src/scheduler/completion_compaction.rs
+++ b/src/scheduler/completion_compaction.rs
@@ -11,7 +11,7 @@
 use crate::config::Config;
 use crate::domain::JobId;
 use crate::store::records::{
-    BlockPlacements, CHUNK, PARTS_FORMAT, Progress, TaskRanges, progress_key,
+    BlockPlacements, PARTS_FORMAT, Progress, TASKS_PER_PROGRESS_CHUNK, TaskRanges, progress_key,
 };
 use crate::store::{Transaction, WatchCache};
 
@@ -67,7 +67,10 @@
         let job_chunks: BTreeSet<u32> = done
             .0
             .iter()
-            .flat_map(|range| (range.start() / CHUNK)..=(range.end() / CHUNK))
+            .flat_map(|range| {
+                (range.start() / TASKS_PER_PROGRESS_CHUNK)
+                    ..=(range.end() / TASKS_PER_PROGRESS_CHUNK)
+            })
             .collect();
         chunks.extend(job_chunks.into_iter().map(|chunk| (*job, chunk)));
     }
@@ -79,7 +82,10 @@
     let Some(open) = cache.open_jobs.get(&job) else {
         return txn;
     };
-    let (first, last) = (chunk * CHUNK, chunk * CHUNK + CHUNK - 1);
+    let (first, last) = (
+        chunk * TASKS_PER_PROGRESS_CHUNK,
+        chunk * TASKS_PER_PROGRESS_CHUNK + TASKS_PER_PROGRESS_CHUNK - 1,
+    );
     let mut progress = Progress::default();
     for range in open.done.0.overlapping(&(first..=last)) {
         progress
--- a/src/scheduler/completion_compaction/tests.rs
+++ b/src/scheduler/completion_compaction/tests.rs
@@ -103,7 +103,7 @@
     for chunk in 0..2 {
         let mut progress = Progress::default();
         even_indexes(300)
-            .filter(|index| index / CHUNK == chunk)
+            .filter(|index| index / TASKS_PER_PROGRESS_CHUNK == chunk)
             .for_each(|index| progress.done.insert(index));
         block.put(progress_key(JOB, chunk), encode(&progress));
     }
--- a/src/scheduler/draining/mod.rs
+++ b/src/scheduler/draining/mod.rs
@@ -30,7 +30,9 @@
 use crate::leader_context::LeaderContext;
 use crate::provisioning::Provisioner;
 use crate::store::cache::{version_of, without_versions};
-use crate::store::records::{LEADER, MachineState, drain_budget_key, drain_key, drain_ledger_key};
+use crate::store::records::{
+    LEADER_KEY, MachineState, drain_budget_key, drain_key, drain_ledger_key,
+};
 use crate::store::{StoreRequest, StoreResponse, Transaction, Versioned, WatchCache, WriterState};
 
 /// The maximum encoded size of one ledger entry.
@@ -140,7 +142,7 @@
         leader: &LeaderContext<'_>,
         cache: &WatchCache,
     ) -> Option<Transaction> {
-        let mut txn = Transaction::default().when(LEADER, leader.record_version);
+        let mut txn = Transaction::default().when(LEADER_KEY, leader.record_version);
         let mut evicting_drains: BTreeSet<&DrainId> = BTreeSet::new();
         let max_changes = leader.max_changes.max(1);
         let upkeep_due = self
--- a/src/scheduler/mod.rs
+++ b/src/scheduler/mod.rs
@@ -34,7 +34,7 @@
 use crate::peer::{BlockStatus, MachineStatus};
 use crate::placement::Candidate;
 use crate::provisioning::{Demand, MachineHealth, MachinePool, Provisioner, RunTimes};
-use crate::store::records::{JobRecord, LEADER, job_key, progress_key};
+use crate::store::records::{JobRecord, LEADER_KEY, job_key, progress_key};
 use crate::store::{StoreRequest, StoreResponse, Transaction, WatchCache, WriterState};
 use best_effort::BestEffortPlacement;
 use block_state::BlockState;
@@ -556,7 +556,7 @@
         if !self.writer.can_write(now, cache) {
             return None;
         }
-        let mut txn = Transaction::default().when(LEADER, leader_version);
+        let mut txn = Transaction::default().when(LEADER_KEY, leader_version);
         for (id, open) in &cache.open_jobs {
             if txn.changes.len() >= max_changes {
                 break;
--- a/src/service/mod.rs
+++ b/src/service/mod.rs
@@ -26,7 +26,7 @@
 use crate::http::server::{IncomingRequest, MAX_QUEUED_REQUESTS, peer_routes, public_routes};
 use crate::job_api::{RequestId, Response};
 use crate::policy::Policy;
-use crate::store::records::FORMAT;
+use crate::store::records::NEWEST_FORMAT;
 use crate::workers::{COMMAND_SOCKET_DIVISOR, HeartbeatResponse};
 use sockets::{ConnectionLimits, IDLE_TIMEOUT, RecentCommands, WORKER_IDLE_TIMEOUT};
 
@@ -48,7 +48,7 @@
     },
     /// The stored records are of a format that a newer version has written.
     #[error(
-        "the records are in format {format}, newer than this version's {FORMAT}: start a newer version"
+        "the records are in format {format}, newer than this version's {NEWEST_FORMAT}: start a newer version"
     )]
     UnsupportedFormat {
         /// The format of the records.
--- a/src/store/cache/indexes.rs
+++ b/src/store/cache/indexes.rs
@@ -8,7 +8,7 @@
 use super::{Machine, Parts, Versioned, WatchCache};
 use crate::domain::{Attempt, BlockId, JobId, MachineId};
 use crate::store::records::{
-    AttemptEncoding, BlockPlacements, CHUNK, MachineInventory, Part, TaskRanges,
+    AttemptEncoding, BlockPlacements, MachineInventory, Part, TASKS_PER_PROGRESS_CHUNK, TaskRanges,
 };
 
 /// Where an attempt is placed.
@@ -156,7 +156,7 @@
     fn not_recorded(&self, job: JobId, done: &TaskRanges) -> TaskRanges {
         let mut left = TaskRanges::default();
         for index in done.0.iter().flat_map(Clone::clone) {
-            let progress = self.progress.get(&(job, index / CHUNK));
+            let progress = self.progress.get(&(job, index / TASKS_PER_PROGRESS_CHUNK));
             if !progress.is_some_and(|progress| progress.value.done.contains(index)) {
                 left.insert(index);
             }
--- a/src/store/cache/mod.rs
+++ b/src/store/cache/mod.rs
@@ -25,7 +25,7 @@
 use self::sync::{PollIntervals, SyncState, Synchronizer};
 use super::records::{
     BlockLease, BlockPlacements, FormatSwitch, Leader, MachineInventory, MachineState, Member,
-    Part, PendingRental, Progress, TaskRanges, Token,
+    Part, PendingRental, Progress, TaskRanges, TokenCounter,
 };
 use crate::config::StateLimits;
 use crate::domain::{
@@ -148,7 +148,7 @@
     /// Who leads.
     pub leader: Option<Versioned<Leader>>,
     /// The counter that fencing tokens and terms are taken from.
-    pub token: Option<Versioned<Token>>,
+    pub token: Option<Versioned<TokenCounter>>,
     /// The controllers that are up.
     pub members: BTreeMap<ControllerName, Versioned<Member>>,
     /// Which controller holds each block.
--- a/src/store/records/fixtures.rs
+++ b/src/store/records/fixtures.rs
@@ -44,7 +44,7 @@
 fn kind(key: &str, bytes: &[u8]) -> (&'static str, Vec<u8>) {
     match RecordKey::of(key).expect("one of ours") {
         RecordKey::Leader => ("leader", rewritten::<Leader>(bytes)),
-        RecordKey::Token => ("token", rewritten::<Token>(bytes)),
+        RecordKey::Token => ("token", rewritten::<TokenCounter>(bytes)),
         RecordKey::Member(_) => ("member", rewritten::<Member>(bytes)),
         RecordKey::BlockLease(_) => ("grant", rewritten::<BlockLease>(bytes)),
         RecordKey::Format => ("format", rewritten::<FormatSwitch>(bytes)),
@@ -115,8 +115,8 @@
     let (block, team) = (BlockId::from("a.0"), Team::from("red"));
     let id: DrainId = "disk".parse().expect("an id");
     let keys = [
-        LEADER.to_owned(),
-        TOKEN.to_owned(),
+        LEADER_KEY.to_owned(),
+        TOKEN_KEY.to_owned(),
         FORMAT_KEY.to_owned(),
         member_key(&"node-0".into()),
         block_lease_key(&block),
--- a/src/store/records/formats.rs
+++ b/src/store/records/formats.rs
@@ -12,7 +12,7 @@
 /// From this format on machines may be cordoned, and there are drains, their evictions and their budgets.
 pub const DRAIN_FORMAT: u32 = 2;
 /// The newest format that this program reads and writes. It writes in it once it is switched on.
-pub const FORMAT: u32 = DRAIN_FORMAT;
+pub const NEWEST_FORMAT: u32 = DRAIN_FORMAT;
 
 /// The format that is switched on: written once for all controllers, when all of them know it, and never taken back.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
--- a/src/store/records/jobs.rs
+++ b/src/store/records/jobs.rs
@@ -53,4 +53,4 @@
 
 /// Tasks in one chunk of a job's progress: even with every second task done, `0,2,4,...` stays below the
 /// smallest value size.
-pub const CHUNK: u32 = 512;
+pub const TASKS_PER_PROGRESS_CHUNK: u32 = 512;
--- a/src/store/records/keys.rs
+++ b/src/store/records/keys.rs
@@ -9,9 +9,9 @@
 /// The prefix of all keys of this service, so that one watch sees all of them.
 pub const ROOT: &str = "dappleshore/";
 /// The key of [`Leader`](super::Leader).
-pub const LEADER: &str = "dappleshore/leader";
-/// The key of [`Token`](super::Token).
-pub const TOKEN: &str = "dappleshore/token";
+pub const LEADER_KEY: &str = "dappleshore/leader";
+/// The key of [`TokenCounter`](super::TokenCounter).
+pub const TOKEN_KEY: &str = "dappleshore/token";
 /// Never written: reading it tells the current revision.
 pub const UNWRITTEN_KEY: &str = "dappleshore/nowhere";
 
@@ -130,8 +130,8 @@
     pub fn of(key: &str) -> Option<Self> {
         let name = key.strip_prefix(ROOT)?;
         match name.split_once('/') {
-            None if key == LEADER => Some(RecordKey::Leader),
-            None if key == TOKEN => Some(RecordKey::Token),
+            None if key == LEADER_KEY => Some(RecordKey::Leader),
+            None if key == TOKEN_KEY => Some(RecordKey::Token),
             None if key == FORMAT_KEY => Some(RecordKey::Format),
             None => None,
             Some(("node", rest)) => Some(RecordKey::Member(rest.into())),
--- a/src/store/records/membership.rs
+++ b/src/store/records/membership.rs
@@ -23,7 +23,7 @@
 
 /// The rising counter that tokens and terms are taken from.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
-pub struct Token {
+pub struct TokenCounter {
     /// The number that was taken last.
     pub last: u64,
 }
--- a/src/store/records/mod.rs
+++ b/src/store/records/mod.rs
@@ -19,15 +19,16 @@
 use serde::de::DeserializeOwned;
 
 pub use block_leases::BlockLease;
-pub use formats::{DRAIN_FORMAT, FORMAT, FormatSwitch, PARTS_FORMAT};
+pub use formats::{DRAIN_FORMAT, FormatSwitch, NEWEST_FORMAT, PARTS_FORMAT};
 pub use inventory::{InventoryEntry, MachineInventory, MachineState, PendingRental};
-pub use jobs::{CHUNK, JobRecord, Progress};
+pub use jobs::{JobRecord, Progress, TASKS_PER_PROGRESS_CHUNK};
 pub use keys::{
-    FIRST_PART, FORMAT_KEY, LEADER, Part, ROOT, RecordKey, TOKEN, UNWRITTEN_KEY, block_lease_key,
-    drain_budget_key, drain_key, drain_ledger_key, inventory_key, inventory_part_key, job_key,
-    member_key, pending_rental_key, placements_key, placements_part_key, progress_key,
+    FIRST_PART, FORMAT_KEY, LEADER_KEY, Part, ROOT, RecordKey, TOKEN_KEY, UNWRITTEN_KEY,
+    block_lease_key, drain_budget_key, drain_key, drain_ledger_key, inventory_key,
+    inventory_part_key, job_key, member_key, pending_rental_key, placements_key,
+    placements_part_key, progress_key,
 };
-pub use membership::{Leader, Member, Token};
+pub use membership::{Leader, Member, TokenCounter};
 pub use placements::{AttemptEncoding, BlockPlacements, done_entry_size};
 pub use size::json_size;
 pub use task_ranges::TaskRanges;
@@ -45,7 +46,7 @@
 }
 records!(
     Leader,
-    Token,
+    TokenCounter,
     Member,
     FormatSwitch,
     BlockLease,
--- a/src/store/records/tests.rs
+++ b/src/store/records/tests.rs
@@ -184,7 +184,7 @@
     for (key, value) in production() {
         let same = match RecordKey::of(&key) {
             Some(RecordKey::Leader) => comes_back::<Leader>(&value),
-            Some(RecordKey::Token) => comes_back::<Token>(&value),
+            Some(RecordKey::Token) => comes_back::<TokenCounter>(&value),
             Some(RecordKey::Member(_)) => comes_back::<Member>(&value),
             Some(RecordKey::BlockLease(_)) => comes_back::<BlockLease>(&value),
             Some(RecordKey::BlockPlacements(_, FIRST_PART)) => {
@@ -231,7 +231,7 @@
     );
     let value = encode(&Member {
         incarnation: Incarnation(7),
-        format: FORMAT,
+        format: NEWEST_FORMAT,
     });
     assert_eq!(value, cbor!({"boot" => 7, "format" => 2}).expect("valid"));
 }
--- a/src/upgrade/mod.rs
+++ b/src/upgrade/mod.rs
@@ -12,7 +12,7 @@
 use crate::config::Config;
 use crate::domain::{ControllerName, Now};
 use crate::leader_context::LeaderContext;
-use crate::store::records::{FORMAT, FORMAT_KEY, FormatSwitch, LEADER, member_key};
+use crate::store::records::{FORMAT_KEY, FormatSwitch, LEADER_KEY, NEWEST_FORMAT, member_key};
 use crate::store::{StoreRequest, StoreResponse, Transaction, WatchCache, WriterState};
 
 /// The leader's state for the switch of the record format.
@@ -36,7 +36,7 @@
         leader: &LeaderContext<'_>,
         cache: &mut WatchCache,
     ) -> Option<StoreRequest> {
-        if cache.format() >= FORMAT || !self.writer.can_write(now, cache) {
+        if cache.format() >= NEWEST_FORMAT || !self.writer.can_write(now, cache) {
             return None;
         }
         let MemberRecords { format, records } = member_records(leader.config, cache)?;
@@ -44,7 +44,7 @@
             return None;
         }
         let mut transaction = Transaction::default()
-            .when(LEADER, leader.record_version)
+            .when(LEADER_KEY, leader.record_version)
             .when(FORMAT_KEY, cache.format_version());
         for record in records {
             transaction = transaction.when(member_key(&record.controller), record.version);
@@ -85,7 +85,7 @@
 fn member_records(config: &Config, cache: &WatchCache) -> Option<MemberRecords> {
     let peers = config.peers.iter().map(|peer| &peer.name);
     let mut members = MemberRecords {
-        format: FORMAT,
+        format: NEWEST_FORMAT,
         records: Vec::new(),
     };
     for controller in peers.chain([&config.name]) {
--- a/src/upgrade/tests.rs
+++ b/src/upgrade/tests.rs
@@ -57,8 +57,8 @@
 fn the_format_is_switched_on_once_every_controller_supports_it() {
     let mut fixture = Fixture::new();
     let mut upgrade = Upgrade::new();
-    fixture.put_member("node-0", FORMAT);
-    fixture.put_member("node-1", FORMAT);
+    fixture.put_member("node-0", NEWEST_FORMAT);
+    fixture.put_member("node-1", NEWEST_FORMAT);
     assert_eq!(fixture.poll(&mut upgrade), None, "node-2 is not a member");
     fixture.put_member("node-2", 0);
     assert_eq!(
@@ -66,7 +66,7 @@
         None,
         "node-2 still runs the production version"
     );
-    fixture.put_member("node-2", FORMAT);
+    fixture.put_member("node-2", NEWEST_FORMAT);
     let transaction = fixture
         .poll(&mut upgrade)
         .expect("all controllers support the format");
@@ -96,16 +96,18 @@
 fn the_switch_is_neither_reverted_nor_written_again() {
     let mut fixture = Fixture::new();
     for controller in ["node-0", "node-1", "node-2"] {
-        fixture.put_member(controller, FORMAT);
+        fixture.put_member(controller, NEWEST_FORMAT);
     }
     fixture.version += 1;
     fixture.cache.apply(Change {
         key: FORMAT_KEY.to_owned(),
         version: fixture.version,
-        value: Some(encode(&FormatSwitch { version: FORMAT })),
+        value: Some(encode(&FormatSwitch {
+            version: NEWEST_FORMAT,
+        })),
     });
     fixture.put_member("node-2", 0);
-    assert_eq!(fixture.cache.format(), FORMAT);
+    assert_eq!(fixture.cache.format(), NEWEST_FORMAT);
     assert_eq!(fixture.poll(&mut Upgrade::new()), None);
 }
 
@@ -113,9 +115,9 @@
 fn the_newest_format_that_all_controllers_support_is_switched_on() {
     let mut fixture = Fixture::new();
     for (controller, format) in [
-        ("node-0", FORMAT),
+        ("node-0", NEWEST_FORMAT),
         ("node-1", PARTS_FORMAT),
-        ("node-2", FORMAT),
+        ("node-2", NEWEST_FORMAT),
     ] {
         fixture.put_member(controller, format);
     }
@@ -130,9 +132,9 @@
         .poll(&mut Upgrade::new())
         .expect("all controllers support the format");
     assert_eq!(written_format(transaction), Some(PARTS_FORMAT));
-    fixture.put_member("node-1", FORMAT);
+    fixture.put_member("node-1", NEWEST_FORMAT);
     let transaction = fixture
         .poll(&mut Upgrade::new())
         .expect("all controllers support the format");
-    assert_eq!(written_format(transaction), Some(FORMAT));
+    assert_eq!(written_format(transaction), Some(NEWEST_FORMAT));
 }
--- a/tests/simulation/cluster/controllers.rs
+++ b/tests/simulation/cluster/controllers.rs
@@ -34,7 +34,7 @@
         Slot {
             controller: None,
             incarnation: Incarnation(0),
-            format: FORMAT,
+            format: NEWEST_FORMAT,
             next_request: 0,
             waiting: HashMap::new(),
             drift,
@@ -75,7 +75,7 @@
 impl SimulatedCluster {
     /// Ends a controller, which comes back with the new version.
     pub fn upgrade(&mut self, controller: usize, back_after: Duration) {
-        self.slots[controller].format = FORMAT;
+        self.slots[controller].format = NEWEST_FORMAT;
         self.end_controller(controller, back_after);
     }
 
--- a/tests/simulation/cluster/mod.rs
+++ b/tests/simulation/cluster/mod.rs
@@ -32,7 +32,7 @@
 use dappleshore::peer::Message;
 use dappleshore::policy::Policy;
 use dappleshore::provisioning::CloudRequestPurpose;
-use dappleshore::store::records::{FORMAT, MachineState};
+use dappleshore::store::records::{MachineState, NEWEST_FORMAT};
 use dappleshore::store::{StoreRequest, StoreResponse};
 use dappleshore::workers::wire::{Heartbeat, TaskState, WorkerCommands};
 use dappleshore::workers::{CommandOutcome, DirectCommand, HeartbeatResponse};
--- a/tests/simulation/digest.rs
+++ b/tests/simulation/digest.rs
@@ -10,7 +10,7 @@
 use dappleshore::features::Features;
 use dappleshore::http::{Method, encode_body};
 use dappleshore::job_api::Response;
-use dappleshore::store::records::FORMAT;
+use dappleshore::store::records::NEWEST_FORMAT;
 use dappleshore::workers::HeartbeatResponse;
 use dappleshore::workers::wire::RedirectBody;
 use dappleshore::{cloud, store};
@@ -294,7 +294,7 @@
          {format}, last token {token}"
     );
     assert!(
-        started > 150 && rented > 20 && format == FORMAT,
+        started > 150 && rented > 20 && format == NEWEST_FORMAT,
         "{name}: {started} tasks started, {rented} machines rented, format {format}"
     );
     cluster.digest.expect("set above")
--- a/tests/simulation/rollout.rs
+++ b/tests/simulation/rollout.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use dappleshore::config::StateLimits;
-use dappleshore::store::records::FORMAT;
+use dappleshore::store::records::NEWEST_FORMAT;
 
 use super::cluster::{CONTROLLERS, FAULTS_END, Faults, SimulatedCluster, Size};
 use super::gangs::submit_gangs;
@@ -40,7 +40,7 @@
     cluster.plan(Duration::from_secs(rollout.fall_at_s), |cluster| {
         assert_eq!(
             cluster.format(),
-            FORMAT,
+            NEWEST_FORMAT,
             "switched on before the limits fall"
         );
         cluster.lower_state_limits(NEXT);
@@ -137,7 +137,7 @@
         cluster.rules.violations
     );
     cluster.run_until(END);
-    assert_eq!(cluster.format(), FORMAT);
+    assert_eq!(cluster.format(), NEWEST_FORMAT);
     cluster.check_end(720);
 }
 
--- a/tests/simulation/state.rs
+++ b/tests/simulation/state.rs
@@ -5,7 +5,9 @@
 
 use ciborium::Value;
 use dappleshore::config::StateLimits;
-use dappleshore::store::records::{FORMAT_KEY, FormatSwitch, LEADER, Leader, TOKEN, Token};
+use dappleshore::store::records::{
+    FORMAT_KEY, FormatSwitch, LEADER_KEY, Leader, TOKEN_KEY, TokenCounter,
+};
 use dappleshore::store::{Change, KeyValue, StoreRequest, StoreResponse, Transaction};
 use dappleshore_drain::{Eviction, Ledger};
 
@@ -117,7 +119,7 @@
     }
 
     pub fn leader(&self) -> Option<Leader> {
-        self.keys.get(LEADER)?.value.deserialized().ok()
+        self.keys.get(LEADER_KEY)?.value.deserialized().ok()
     }
 
     /// What is stored stays readable, whatever its size.
@@ -151,8 +153,8 @@
     pub fn last_token(&self) -> u64 {
         let token = self
             .keys
-            .get(TOKEN)
-            .and_then(|key| key.value.deserialized::<Token>().ok());
+            .get(TOKEN_KEY)
+            .and_then(|key| key.value.deserialized::<TokenCounter>().ok());
         token.map_or(0, |token| token.last)
     }
 
