--- a/src/block_leases/assignment.rs
+++ b/src/block_leases/assignment.rs
@@ -207,11 +207,11 @@
             ..
         } = *self.leader;
         self.changes.truncate(config.state_limits.txn_ops - 1);
-        let mut transaction = Transaction::default().when(LEADER_KEY, leader_version);
+        let mut transaction = Transaction::default().require_version(LEADER_KEY, leader_version);
         if self.last_token > self.cache.last_token() {
             let token = self.cache.token.as_ref();
             let token_version = token.map_or(0, |token| token.version);
-            transaction = transaction.when(TOKEN_KEY, token_version).put(
+            transaction = transaction.require_version(TOKEN_KEY, token_version).put(
                 TOKEN_KEY,
                 &TokenCounter {
                     last: self.last_token,
@@ -226,7 +226,7 @@
         {
             info!(%block, holder = %lease.holder, token = %lease.token, %term, "block lease written");
             transaction = transaction
-                .when(block_lease_key(block), *version)
+                .require_version(block_lease_key(block), *version)
                 .put(block_lease_key(block), lease);
         }
         transaction
--- a/src/job_api/mod.rs
+++ b/src/job_api/mod.rs
@@ -152,7 +152,7 @@
             });
         }
         let txn = Transaction::default()
-            .when(job_key(job), 0)
+            .require_version(job_key(job), 0)
             .put(job_key(job), record);
         if let Err(response) = cx.queue_commit(id, txn.clone()) {
             return Some(response);
@@ -362,7 +362,7 @@
         let value_bytes = cx.config.state_limits.value_bytes;
         let record = JobRecord::cancelled(&open.job, at_ms, value_bytes);
         let txn = Transaction::default()
-            .when(job_key(job), open.version)
+            .require_version(job_key(job), open.version)
             .put(job_key(job), &record);
         pending.state = RequestState::Committing {
             txn: txn.clone(),
--- a/src/leadership/election.rs
+++ b/src/leadership/election.rs
@@ -83,8 +83,8 @@
         let leader_version = cache.leader.as_ref().map_or(0, |leader| leader.version);
         let token_version = cache.token.as_ref().map_or(0, |token| token.version);
         let transaction = Transaction::default()
-            .when(LEADER_KEY, leader_version)
-            .when(TOKEN_KEY, token_version)
+            .require_version(LEADER_KEY, leader_version)
+            .require_version(TOKEN_KEY, token_version)
             .put_with_lease(LEADER_KEY, &record, Some(lease))
             .put(TOKEN_KEY, &TokenCounter { last: term });
         self.leader.attach_key(lease, last_confirmed, transaction)
--- a/src/leadership/membership.rs
+++ b/src/leadership/membership.rs
@@ -44,7 +44,7 @@
         let key = member_key(&self.controller);
         let old = cache.members.get(&self.controller);
         Transaction::default()
-            .when(key.clone(), old.map_or(0, |old| old.version))
+            .require_version(key.clone(), old.map_or(0, |old| old.version))
             .put_with_lease(key, &record, Some(lease))
     }
 }
--- a/src/operations/mod.rs
+++ b/src/operations/mod.rs
@@ -273,7 +273,7 @@
 }
 
 fn transaction(leader: &LeaderContext<'_>, cache: &WatchCache, changes: &[Change]) -> Transaction {
-    let mut txn = Transaction::default().when(LEADER_KEY, leader.record_version);
+    let mut txn = Transaction::default().require_version(LEADER_KEY, leader.record_version);
     for change in changes {
         let (key, version) = match change {
             Change::PutDrain(id, _) | Change::DeleteDrain(id) => {
@@ -284,7 +284,7 @@
                 version_of(cache.drain_budgets.get(team)),
             ),
         };
-        txn = txn.when(key.clone(), version);
+        txn = txn.require_version(key.clone(), version);
         txn = match change {
             Change::PutDrain(_, record) => txn.put(key, record),
             Change::PutBudget(_, budget) => txn.put(key, budget),
--- a/src/provisioning/inventory_edits.rs
+++ b/src/provisioning/inventory_edits.rs
@@ -292,7 +292,7 @@
                 .and_then(|parts| parts.get(part));
             let key = inventory_part_key(block, *part);
             txn = txn
-                .when(
+                .require_version(
                     key.clone(),
                     recorded.map_or(0, |inventory| inventory.version),
                 )
--- a/src/provisioning/inventory_writes.rs
+++ b/src/provisioning/inventory_writes.rs
@@ -69,7 +69,13 @@
             edits.add(&pending_rental.zone, machine, entry, 1);
         }
         let key = pending_rental_key(name);
-        Some(edits.apply(txn.clone().when(key.clone(), *version).delete(key)))
+        Some(
+            edits.apply(
+                txn.clone()
+                    .require_version(key.clone(), *version)
+                    .delete(key),
+            ),
+        )
     }
 
     /// Removes terminated machines from their inventories.
@@ -189,7 +195,7 @@
         let recorded = parts.and_then(|parts| parts.get(&part));
         let key = inventory_part_key(&division.block, part);
         txn = txn
-            .when(key.clone(), recorded.map_or(0, |part| part.version))
+            .require_version(key.clone(), recorded.map_or(0, |part| part.version))
             .delete(key);
     }
     Some(txn)
--- a/src/provisioning/mod.rs
+++ b/src/provisioning/mod.rs
@@ -191,7 +191,7 @@
             cache,
             demand,
         };
-        let txn = Transaction::default().when(LEADER_KEY, leader.record_version);
+        let txn = Transaction::default().require_version(LEADER_KEY, leader.record_version);
         let txn = divide_inventory(leader, context.cache, demand, &txn)
             .or_else(|| self.record_fulfilled_scale_out(context, &txn))
             .or_else(|| self.record_terminations(context, &txn))
--- a/src/provisioning/scaling_round.rs
+++ b/src/provisioning/scaling_round.rs
@@ -128,7 +128,9 @@
                 .and_then(|shortage| self.request_scale_out(context, instance_type, shortage))
             {
                 let key = pending_rental_key(&instance_type.name);
-                txn = txn.when(key.clone(), 0).put(key, &pending_rental);
+                txn = txn
+                    .require_version(key.clone(), 0)
+                    .put(key, &pending_rental);
                 scale_out_requested = true;
             }
         }
--- a/src/scheduler/completion_compaction.rs
+++ b/src/scheduler/completion_compaction.rs
@@ -99,7 +99,7 @@
     if recorded || txn.conditions.iter().any(|(known, _)| *known == key) {
         return txn;
     }
-    txn.when(key.clone(), old.map_or(0, |old| old.version))
+    txn.require_version(key.clone(), old.map_or(0, |old| old.version))
         .put(key, &progress)
 }
 
--- a/src/scheduler/draining/mod.rs
+++ b/src/scheduler/draining/mod.rs
@@ -142,7 +142,7 @@
         leader: &LeaderContext<'_>,
         cache: &WatchCache,
     ) -> Option<Transaction> {
-        let mut txn = Transaction::default().when(LEADER_KEY, leader.record_version);
+        let mut txn = Transaction::default().require_version(LEADER_KEY, leader.record_version);
         let mut evicting_drains: BTreeSet<&DrainId> = BTreeSet::new();
         let max_changes = leader.max_changes.max(1);
         let upkeep_due = self
@@ -161,10 +161,12 @@
                     }
                     evicting_drains.extend(added.iter().map(|eviction| &eviction.drain));
                     let key = drain_ledger_key(team);
-                    txn = txn.when(key.clone(), version_of(stored)).when(
-                        drain_budget_key(team),
-                        version_of(cache.drain_budgets.get(team)),
-                    );
+                    txn = txn
+                        .require_version(key.clone(), version_of(stored))
+                        .require_version(
+                            drain_budget_key(team),
+                            version_of(cache.drain_budgets.get(team)),
+                        );
                     // Empty ledgers are not deleted: after a deletion, a transaction prepared before the ledger was
                     // created could still commit, and spend budget that has been spent since.
                     txn = txn.put(key, ledger);
@@ -173,7 +175,7 @@
                     let key = drain_key(id);
                     evicting_drains.remove(id);
                     txn = txn
-                        .when(key.clone(), version_of(cache.drains.get(id)))
+                        .require_version(key.clone(), version_of(cache.drains.get(id)))
                         .put(key, record);
                 }
                 Effect::Cordon(_)
@@ -186,7 +188,7 @@
         for id in evicting_drains {
             let key = drain_key(id);
             if !txn.conditions.iter().any(|(known, _)| *known == key) {
-                txn = txn.when(key, version_of(cache.drains.get(id)));
+                txn = txn.require_version(key, version_of(cache.drains.get(id)));
             }
         }
         (!txn.changes.is_empty()).then_some(txn)
--- a/src/scheduler/mod.rs
+++ b/src/scheduler/mod.rs
@@ -556,7 +556,7 @@
         if !self.writer.can_write(now, cache) {
             return None;
         }
-        let mut txn = Transaction::default().when(LEADER_KEY, leader_version);
+        let mut txn = Transaction::default().require_version(LEADER_KEY, leader_version);
         for (id, open) in &cache.open_jobs {
             if txn.changes.len() >= max_changes {
                 break;
@@ -577,7 +577,7 @@
             let Some(outcome) = outcome else { continue };
             debug!(job = %id, ?outcome, tasks, "job ended");
             txn = txn
-                .when(job_key(*id), open.version)
+                .require_version(job_key(*id), open.version)
                 .put(job_key(*id), &JobRecord::Ended(outcome, tasks));
         }
         for ((job, chunk), progress) in &cache.progress {
@@ -586,7 +586,7 @@
             }
             if cache.ended_jobs.contains_key(job) {
                 txn = txn
-                    .when(progress_key(*job, *chunk), progress.version)
+                    .require_version(progress_key(*job, *chunk), progress.version)
                     .delete(progress_key(*job, *chunk));
             }
         }
--- a/src/store/mod.rs
+++ b/src/store/mod.rs
@@ -84,7 +84,7 @@
 
 impl Transaction {
     /// Conditions the transaction on a key's version; 0: it must not exist.
-    pub fn when(mut self, key: impl Into<String>, version: u64) -> Self {
+    pub fn require_version(mut self, key: impl Into<String>, version: u64) -> Self {
         self.conditions.push((key.into(), version));
         self
     }
--- a/src/upgrade/mod.rs
+++ b/src/upgrade/mod.rs
@@ -44,10 +44,11 @@
             return None;
         }
         let mut transaction = Transaction::default()
-            .when(LEADER_KEY, leader.record_version)
-            .when(FORMAT_KEY, cache.format_version());
+            .require_version(LEADER_KEY, leader.record_version)
+            .require_version(FORMAT_KEY, cache.format_version());
         for record in records {
-            transaction = transaction.when(member_key(&record.controller), record.version);
+            transaction =
+                transaction.require_version(member_key(&record.controller), record.version);
         }
         info!(format, "record format switch started");
         self.writer.mark_sent();
--- a/src/workers/block/placement_writes.rs
+++ b/src/workers/block/placement_writes.rs
@@ -73,10 +73,10 @@
                 .inventory_parts(&block.id)
                 .and_then(|parts| parts.get(part));
             let version = version.map_or(0, |part| part.version);
-            txn = txn.when(inventory_part_key(&block.id, *part), version);
+            txn = txn.require_version(inventory_part_key(&block.id, *part), version);
         }
         for (job, version) in &self.jobs {
-            txn = txn.when(job_key(*job), *version);
+            txn = txn.require_version(job_key(*job), *version);
         }
         txn
     }
@@ -159,7 +159,8 @@
             self.drop_recorded_ends();
             return None;
         }
-        let mut txn = Transaction::default().when(block_lease_key(&self.id), self.lease_version);
+        let mut txn =
+            Transaction::default().require_version(block_lease_key(&self.id), self.lease_version);
         txn = new_placements.add_conditions(self, cache, txn);
         txn = transaction.add_to(&self.id, self.recorded.parts(), txn);
         self.writer.begin(transaction, new_placements.attempts);
--- a/src/workers/parts/mod.rs
+++ b/src/workers/parts/mod.rs
@@ -261,7 +261,7 @@
     ) -> Transaction {
         for index in &self.changed {
             let key = placements_part_key(block, *index);
-            txn = txn.when(key.clone(), old.get(index).map_or(0, |part| part.version));
+            txn = txn.require_version(key.clone(), old.get(index).map_or(0, |part| part.version));
             txn = match self.parts.get(index) {
                 Some(part) => txn.put(key, &part.value),
                 None => txn.delete(key),
