--- a/crates/domain/src/resources.rs
+++ b/crates/domain/src/resources.rs
@@ -32,14 +32,14 @@
     }
 
     /// Subtracts other resources from these.
-    pub fn take(&mut self, other: &Resources) {
+    pub fn subtract(&mut self, other: &Resources) {
         self.cpus -= other.cpus;
         self.gpus -= other.gpus;
         self.memory_gb -= other.memory_gb;
     }
 
     /// These resources so many times.
-    pub fn times(&self, count: f64) -> Resources {
+    pub fn scaled(&self, count: f64) -> Resources {
         Resources {
             cpus: self.cpus * count,
             gpus: self.gpus * count,
@@ -48,7 +48,7 @@
     }
 
     /// How many tasks of `need` an empty machine of this size holds.
-    pub fn count_of(&self, need: &Resources) -> u32 {
+    pub fn max_tasks(&self, need: &Resources) -> u32 {
         let of = |have: f64, need: f64| {
             if need <= SLACK {
                 f64::INFINITY
@@ -64,7 +64,7 @@
     }
 
     /// What is left of a machine of size `self`, summed over its resources: each counts 1 when all of it is.
-    pub fn left_over(&self, left: &Resources) -> f64 {
+    pub fn free_share(&self, left: &Resources) -> f64 {
         let of = |have: f64, left: f64| if have <= SLACK { 0.0 } else { left / have };
         of(self.cpus, left.cpus) + of(self.gpus, left.gpus) + of(self.memory_gb, left.memory_gb)
     }
--- a/crates/domain/src/tests.rs
+++ b/crates/domain/src/tests.rs
@@ -41,7 +41,7 @@
         memory_gb: 128.0,
     };
     assert_eq!(
-        machine.count_of(&Resources {
+        machine.max_tasks(&Resources {
             cpus: 8.0,
             gpus: 0.0,
             memory_gb: 27.0
@@ -49,7 +49,7 @@
         4
     );
     assert_eq!(
-        machine.count_of(&Resources {
+        machine.max_tasks(&Resources {
             cpus: 1.0,
             gpus: 0.0,
             memory_gb: 64.0
@@ -57,7 +57,7 @@
         2
     );
     assert_eq!(
-        machine.count_of(&Resources {
+        machine.max_tasks(&Resources {
             cpus: 1.0,
             gpus: 1.0,
             memory_gb: 1.0
@@ -74,7 +74,7 @@
     };
     for _ in 0..3 {
         assert!(free.fits(&tenth));
-        free.take(&tenth);
+        free.subtract(&tenth);
     }
     assert!(!free.fits(&tenth));
 }
--- a/src/placement/mod.rs
+++ b/src/placement/mod.rs
@@ -46,7 +46,7 @@
     ) -> Self {
         let size = instance_type.resources();
         let mut free = size;
-        free.take(used);
+        free.subtract(used);
         Candidate {
             machine: id.clone(),
             type_name: machine.type_name.clone(),
@@ -165,7 +165,7 @@
 fn rank(candidate: &Candidate, job: &Job) -> Rank {
     let cached = candidate.images.contains(&job.image);
     let mut remaining = candidate.free;
-    remaining.take(&job.need);
+    remaining.subtract(&job.need);
     Rank {
         fetch_s: if cached {
             0.0
@@ -174,7 +174,7 @@
         },
         // Jobs that may run on spot machines leave the on-demand ones to jobs that may not.
         wastes_on_demand: job.spot && !candidate.capacity_type.is_spot(),
-        left_over: candidate.size.left_over(&remaining),
+        left_over: candidate.size.free_share(&remaining),
     }
 }
 
--- a/src/provisioning/inventory_edits.rs
+++ b/src/provisioning/inventory_edits.rs
@@ -324,7 +324,7 @@
         let max_tasks = demand
             .smallest_task
             .map_or(DEFAULT_TASKS_PER_MACHINE, |need| {
-                f64::from(instance_type.resources().count_of(&need))
+                f64::from(instance_type.resources().max_tasks(&need))
             });
         let estimate = observed
             .get(&instance_type.name)
--- a/src/scheduler/best_effort.rs
+++ b/src/scheduler/best_effort.rs
@@ -48,7 +48,7 @@
 /// Returns the price of the share of a machine that a task of the job takes, or `None` if the task does not fit or is not
 /// allowed there.
 fn task_price(job: &Job, instance_type: &InstanceType, capacity_type: CapacityType) -> Option<f64> {
-    let tasks_per_machine = instance_type.resources().count_of(&job.need);
+    let tasks_per_machine = instance_type.resources().max_tasks(&job.need);
     let is_allowed = tasks_per_machine > 0
         && job.allows_type(&instance_type.name)
         && job.allows_capacity_type(capacity_type);
@@ -153,7 +153,7 @@
         .map(|candidate| {
             // Rounded to thousandths, so that equal amounts compare as equal in spite of rounding errors.
             let free_thousandths =
-                (candidate.size.left_over(&candidate.free).max(0.0) * 1000.0).round() as u64;
+                (candidate.size.free_share(&candidate.free).max(0.0) * 1000.0).round() as u64;
             (Reverse(free_thousandths), &candidate.machine)
         })
         .collect();
--- a/src/scheduler/capacity_view.rs
+++ b/src/scheduler/capacity_view.rs
@@ -94,7 +94,7 @@
             .all()
             .filter(|instance_type| job.allows_type(&instance_type.name))
         {
-            let tasks_per_machine = instance_type.resources().count_of(&job.need);
+            let tasks_per_machine = instance_type.resources().max_tasks(&job.need);
             if tasks_per_machine == 0 {
                 continue;
             }
--- a/src/scheduler/demand.rs
+++ b/src/scheduler/demand.rs
@@ -43,7 +43,7 @@
     ) -> Option<SpotEligibleTask<'v>> {
         self.usage.add(&open.job);
         let instance_type = leader.catalog.get(&machine.type_name)?;
-        let share = 1.0 / f64::from(instance_type.resources().count_of(&open.job.need).max(1));
+        let share = 1.0 / f64::from(instance_type.resources().max_tasks(&open.job.need).max(1));
         let pool = MachinePool::new(machine.type_name.clone(), machine.capacity_type);
         if !is_best_effort(leader.config, &open.job) {
             *self.guaranteed_demand.entry(pool.clone()).or_default() += share;
--- a/src/scheduler/draining/fleet_view.rs
+++ b/src/scheduler/draining/fleet_view.rs
@@ -113,7 +113,7 @@
     };
     let obtainable = capacity.leader.catalog.all().any(|instance_type| {
         let fits = job.allows_type(&instance_type.name)
-            && instance_type.resources().count_of(&job.need) > 0;
+            && instance_type.resources().max_tasks(&job.need) > 0;
         fits && instance_type
             .zones
             .iter()
--- a/src/scheduler/draining/replacement.rs
+++ b/src/scheduler/draining/replacement.rs
@@ -49,7 +49,7 @@
         need: &Resources,
     ) {
         let candidate = &mut self.candidates[candidate_index];
-        candidate.free.take(need);
+        candidate.free.subtract(need);
         let block = cache.machines.get(&candidate.machine).map(|m| &m.block);
         if let Some(slots) = block.and_then(|block| self.block_slots.get_mut(block)) {
             *slots = slots.saturating_sub(1);
--- a/src/scheduler/gangs.rs
+++ b/src/scheduler/gangs.rs
@@ -107,7 +107,7 @@
             if reserves_capacity {
                 plan.gang_capacity_reserved = true;
                 for index in gang_capacity.candidate_indexes {
-                    plan.candidates[index].free.take(&job.need);
+                    plan.candidates[index].free.subtract(&job.need);
                 }
             }
             return 0;
@@ -307,7 +307,7 @@
         let remaining = job.tasks - candidate_indexes.len() as u32;
         let count = candidate
             .free
-            .count_of(&job.need)
+            .max_tasks(&job.need)
             .min(remaining)
             .min(job.zone_limit() - *zone_tasks)
             .min(u32::try_from(*free_slots).unwrap_or(u32::MAX));
--- a/src/scheduler/mod.rs
+++ b/src/scheduler/mod.rs
@@ -117,7 +117,7 @@
     /// Allocates a machine's resources and a slot of its block to a released task.
     fn allocate(&mut self, index: usize, block: &BlockId, job: &Job) {
         let candidate = &mut self.candidates[index];
-        candidate.free.take(&job.need);
+        candidate.free.subtract(&job.need);
         if let Some(slots) = self.block_slots.get_mut(block) {
             *slots = slots.saturating_sub(1);
         }
@@ -133,7 +133,7 @@
         let candidate = &self.candidates[index];
         self.usage.add(job);
         self.usage_after_stops.add(job);
-        let tasks_per_machine = f64::from(candidate.size.count_of(&job.need).max(1));
+        let tasks_per_machine = f64::from(candidate.size.max_tasks(&job.need).max(1));
         let pool = MachinePool::new(candidate.type_name.clone(), candidate.capacity_type);
         self.demand.add(pool, 1.0 / tasks_per_machine);
         self.demand.occupied.insert(candidate.machine.clone());
--- a/src/scheduler/usage.rs
+++ b/src/scheduler/usage.rs
@@ -24,7 +24,7 @@
 
     /// Adds `count` tasks of the job.
     pub(super) fn add_tasks(&mut self, job: &Job, count: f64) {
-        let need = job.need.times(count);
+        let need = job.need.scaled(count);
         self.teams.entry(job.team.clone()).or_default().add(&need);
         self.classes
             .entry((job.team.clone(), job.class.clone()))
@@ -37,11 +37,11 @@
         self.teams
             .entry(job.team.clone())
             .or_default()
-            .take(&job.need);
+            .subtract(&job.need);
         self.classes
             .entry((job.team.clone(), job.class.clone()))
             .or_default()
-            .take(&job.need);
+            .subtract(&job.need);
     }
 
     /// The resources that the team uses.
@@ -68,7 +68,7 @@
             gpus: (limits.max_gpus - used.gpus).max(0.0),
             memory_gb: f64::INFINITY,
         };
-        u64::from(left.count_of(&job.need))
+        u64::from(left.max_tasks(&job.need))
     }
 
     /// Whether one more task of the job stays within its team's limit.
--- a/src/workers/block/placement_writes.rs
+++ b/src/workers/block/placement_writes.rs
@@ -260,7 +260,7 @@
             }
             let chosen = candidates.iter_mut().find(|c| c.machine == machine);
             if let Some(candidate) = chosen {
-                candidate.free.take(&open.job.need);
+                candidate.free.subtract(&open.job.need);
             }
             new_placements.add(attempt, open.version, inventory_part);
         }
--- a/tests/simulation/cluster/checks.rs
+++ b/tests/simulation/cluster/checks.rs
@@ -112,7 +112,7 @@
                 && job.allows_capacity_type(machine.capacity_type);
             if allowed {
                 let zone = job.one_zone.then_some(&machine.zone);
-                *zones.entry(zone).or_default() += room.count_of(&job.need);
+                *zones.entry(zone).or_default() += room.max_tasks(&job.need);
             }
         }
         zones.values().any(|count| *count >= job.tasks)
--- a/tests/simulation/machine.rs
+++ b/tests/simulation/machine.rs
@@ -125,7 +125,7 @@
             if t.state != TaskState::Exited
                 && let Some(job) = jobs.get(&task.job)
             {
-                free.take(&job.need);
+                free.subtract(&job.need);
             }
         }
         free
