--- a/crates/drain/src/disruption.rs
+++ b/crates/drain/src/disruption.rs
@@ -10,7 +10,7 @@
 
 use crate::budget::Budgets;
 use crate::fleet::Fleet;
-use crate::ledger::{Eviction, Ledger, Subject};
+use crate::ledger::{Eviction, EvictionTarget, Ledger};
 
 /// What is known of disruptions beyond what is recorded.
 #[derive(Debug, Default)]
@@ -18,7 +18,7 @@
     /// Tasks lost by no decision of a drain, with the attempt that was lost.
     lost: BTreeMap<TaskId, u64>,
     /// Recorded evictions whose replacement was seen to run.
-    replaced: BTreeSet<Subject>,
+    replaced: BTreeSet<EvictionTarget>,
     /// Recorded losses that were seen to run again.
     recovered: BTreeSet<TaskId>,
 }
@@ -51,14 +51,14 @@
         }
         self.lost
             .retain(|task, lost| !is_restored(fleet, *task, |attempt| attempt.number == *lost));
-        let recorded: BTreeSet<Subject> = evictions(ledgers).map(|e| e.subject).collect();
-        self.replaced.retain(|subject| recorded.contains(subject));
-        for subject in recorded {
-            if subject
+        let recorded: BTreeSet<EvictionTarget> = evictions(ledgers).map(|e| e.target).collect();
+        self.replaced.retain(|target| recorded.contains(target));
+        for target in recorded {
+            if target
                 .tasks()
-                .all(|task| is_restored(fleet, task, |attempt| subject.covers(attempt)))
+                .all(|task| is_restored(fleet, task, |attempt| target.includes(attempt)))
             {
-                self.replaced.insert(subject);
+                self.replaced.insert(target);
             }
         }
         let recorded: BTreeSet<TaskId> = ledgers.values().flat_map(|l| &l.lost).copied().collect();
@@ -72,7 +72,7 @@
 
     /// Whether an eviction's replacement has not been seen to run yet.
     pub fn is_outstanding(&self, eviction: &Eviction) -> bool {
-        !self.replaced.contains(&eviction.subject)
+        !self.replaced.contains(&eviction.target)
     }
 
     /// Recorded evictions whose replacements were not seen to run yet.
@@ -147,7 +147,7 @@
             }
         }
         for eviction in tracker.outstanding(ledgers) {
-            for task in eviction.subject.tasks() {
+            for task in eviction.target.tasks() {
                 count.disrupt(fleet, task);
             }
         }
@@ -209,10 +209,10 @@
         &self,
         fleet: &impl Fleet,
         budgets: &Budgets,
-        subject: &Subject,
+        target: &EvictionTarget,
     ) -> Option<Exceeded> {
-        let job = fleet.job(subject.job())?;
-        let more = subject
+        let job = fleet.job(target.job())?;
+        let more = target
             .tasks()
             .filter(|task| !self.disrupted.contains(task))
             .count() as u64;
--- a/crates/drain/src/fleet.rs
+++ b/crates/drain/src/fleet.rs
@@ -8,7 +8,7 @@
     Attempt, BlockId, InstanceTypeName, JobId, MachineId, TaskId, Team, Zone,
 };
 
-use crate::ledger::Subject;
+use crate::ledger::EvictionTarget;
 use crate::scope::Membership;
 
 /// Whether a machine takes new tasks.
@@ -105,7 +105,7 @@
     /// # Errors
     ///
     /// Why there is none for at least one of them. Then nothing is reserved.
-    fn reserve(&mut self, subject: &Subject) -> Result<Vec<Reservation>, NoRoom>;
+    fn reserve(&mut self, target: &EvictionTarget) -> Result<Vec<Reservation>, NoRoom>;
 }
 
 /// Room that is kept for a task on a machine.
--- a/crates/drain/src/ledger.rs
+++ b/crates/drain/src/ledger.rs
@@ -9,7 +9,7 @@
 
 /// What is evicted: a task, or a gang as a whole.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub enum Subject {
+pub enum EvictionTarget {
     /// One attempt of a task.
     #[serde(rename = "t")]
     Task(Attempt),
@@ -25,20 +25,20 @@
     },
 }
 
-impl Subject {
+impl EvictionTarget {
     /// The job that it belongs to.
     pub fn job(&self) -> JobId {
         match self {
-            Subject::Task(attempt) => attempt.task.job,
-            Subject::Gang { job, .. } => *job,
+            EvictionTarget::Task(attempt) => attempt.task.job,
+            EvictionTarget::Gang { job, .. } => *job,
         }
     }
 
     /// Whether this attempt is to be stopped.
-    pub fn covers(&self, attempt: &Attempt) -> bool {
+    pub fn includes(&self, attempt: &Attempt) -> bool {
         match self {
-            Subject::Task(evicted) => evicted == attempt,
-            Subject::Gang { job, start, .. } => {
+            EvictionTarget::Task(evicted) => evicted == attempt,
+            EvictionTarget::Gang { job, start, .. } => {
                 attempt.task.job == *job && attempt.gang_start() == Some(*start)
             }
         }
@@ -47,8 +47,8 @@
     /// The tasks that have to run again.
     pub fn tasks(&self) -> impl Iterator<Item = TaskId> + use<> {
         let (job, indices) = match *self {
-            Subject::Task(Attempt { task, .. }) => (task.job, task.index..task.index + 1),
-            Subject::Gang { job, tasks, .. } => (job, 0..tasks),
+            EvictionTarget::Task(Attempt { task, .. }) => (task.job, task.index..task.index + 1),
+            EvictionTarget::Gang { job, tasks, .. } => (job, 0..tasks),
         };
         indices.map(move |index| TaskId { job, index })
     }
@@ -59,7 +59,7 @@
 pub struct Eviction {
     /// What is moved.
     #[serde(rename = "s")]
-    pub subject: Subject,
+    pub target: EvictionTarget,
     /// The drain that it is for.
     #[serde(rename = "d")]
     pub drain: DrainId,
--- a/crates/drain/src/lib.rs
+++ b/crates/drain/src/lib.rs
@@ -20,7 +20,7 @@
 pub use budget::{Budgets, Limit, TeamBudget};
 pub use fleet::{Fleet, JobFacts, MachineView};
 pub use id::DrainId;
-pub use ledger::{Eviction, Ledger, Subject};
+pub use ledger::{Eviction, EvictionTarget, Ledger};
 pub use planner::{Effect, Planner};
 pub use record::{DrainRecord, HaltReason, Phase, Purpose};
 pub use scope::Scope;
--- a/crates/drain/src/planner/evictions.rs
+++ b/crates/drain/src/planner/evictions.rs
@@ -10,7 +10,7 @@
 use crate::disruption::Exceeded;
 use crate::fleet::{Fleet, MachineView, NoRoom};
 use crate::id::DrainId;
-use crate::ledger::{Eviction, Subject};
+use crate::ledger::{Eviction, EvictionTarget};
 use crate::record::{DrainRecord, Phase};
 
 /// A task that has to be moved and has no room elsewhere.
@@ -72,8 +72,8 @@
             if emptying.len() >= step && !emptying.contains(&machine.id) {
                 break;
             }
-            for subject in self.subjects(machine) {
-                match self.try_evict(id, record, machine, subject) {
+            for target in self.targets(machine) {
+                match self.try_evict(id, record, machine, target) {
                     Ok(Decision::Evicted) => {
                         round.decided += 1;
                         emptying.insert(&machine.id);
@@ -92,16 +92,16 @@
     }
 
     /// What has to be moved off a machine: a gang counts once.
-    fn subjects(&self, machine: &MachineView) -> BTreeSet<Subject> {
-        let subject = |attempt: &Attempt| {
+    fn targets(&self, machine: &MachineView) -> BTreeSet<EvictionTarget> {
+        let target = |attempt: &Attempt| {
             let job = self.fleet.job(attempt.task.job)?;
             match (job.gang_tasks, attempt.gang_start()) {
-                (Some(tasks), Some(start)) => Some(Subject::Gang {
+                (Some(tasks), Some(start)) => Some(EvictionTarget::Gang {
                     job: attempt.task.job,
                     start,
                     tasks,
                 }),
-                _ => Some(Subject::Task(*attempt)),
+                _ => Some(EvictionTarget::Task(*attempt)),
             }
         };
         let moved =
@@ -110,7 +110,7 @@
             .tasks
             .iter()
             .filter(moved)
-            .filter_map(subject)
+            .filter_map(target)
             .collect()
     }
 
@@ -119,7 +119,7 @@
         let recorded = self.records.ledgers.values().flat_map(|l| &l.evictions);
         let decided = self.evictions.values().flatten();
         let mut all = recorded.chain(decided);
-        all.any(|eviction| eviction.subject.covers(attempt))
+        all.any(|eviction| eviction.target.includes(attempt))
     }
 
     /// Evicts a task or a gang, if its budget allows it and there is room for it elsewhere.
@@ -128,22 +128,22 @@
         id: &DrainId,
         record: &DrainRecord,
         machine: &MachineView,
-        subject: Subject,
+        target: EvictionTarget,
     ) -> Result<Decision, EvictionError> {
-        let Some(job) = self.fleet.job(subject.job()) else {
+        let Some(job) = self.fleet.job(target.job()) else {
             return Ok(Decision::Deferred);
         };
         let exceeded = self
             .disruptions
-            .exceeded(&*self.fleet, self.records.budgets, &subject);
+            .exceeded(&*self.fleet, self.records.budgets, &target);
         if let Some(exceeded) = exceeded {
             return Err(EvictionError::Budget(exceeded));
         }
         if !self.ledger_has_room(&job.team) {
             return Ok(Decision::Deferred);
         }
-        let first = subject.tasks().next();
-        let reservations = match (self.fleet.reserve(&subject), first) {
+        let first = target.tasks().next();
+        let reservations = match (self.fleet.reserve(&target), first) {
             (Ok(reservations), _) => reservations,
             (Err(reason), Some(task)) => {
                 return Err(EvictionError::NoRoom(MissingRoom { task, reason }));
@@ -153,11 +153,11 @@
         if record.phase != Phase::Active {
             return Ok(Decision::Deferred);
         }
-        for task in subject.tasks() {
+        for task in target.tasks() {
             self.disruptions.disrupt(&*self.fleet, task);
         }
         let eviction = Eviction {
-            subject,
+            target,
             drain: id.clone(),
             machine: machine.id.clone(),
             at_ms: self.now.unix_ms(),
--- a/crates/drain/src/planner/mod.rs
+++ b/crates/drain/src/planner/mod.rs
@@ -148,7 +148,7 @@
     /// Tasks of which the planner needs to know whether they run.
     pub fn watched(&self, ledgers: &BTreeMap<Team, Ledger>) -> BTreeSet<TaskId> {
         let evicted = self.tracker.outstanding(ledgers);
-        let mut watched: BTreeSet<TaskId> = evicted.flat_map(|e| e.subject.tasks()).collect();
+        let mut watched: BTreeSet<TaskId> = evicted.flat_map(|e| e.target.tasks()).collect();
         watched.extend(self.tracker.lost(ledgers));
         watched
     }
@@ -290,7 +290,7 @@
             }
             return State::Halted(reason.clone());
         }
-        let mut evicted = outstanding.iter().flat_map(|e| e.subject.tasks());
+        let mut evicted = outstanding.iter().flat_map(|e| e.target.tasks());
         let stranded = evicted.find_map(|task| Some((task, pass.fleet.lacks_room(task)?)));
         if let Some((task, reason)) = stranded {
             return State::Replacing { task, reason };
--- a/crates/drain/src/planner/pass.rs
+++ b/crates/drain/src/planner/pass.rs
@@ -105,7 +105,7 @@
         let timeout_ms =
             u64::try_from(self.bounds.replacement_timeout.as_millis()).unwrap_or(u64::MAX);
         outstanding.iter().find_map(|eviction| {
-            let task = eviction.subject.tasks().next()?;
+            let task = eviction.target.tasks().next()?;
             if self.fleet.keeps_failing(task.job) {
                 return Some(HaltReason::ReplacementFails { task });
             }
--- a/crates/drain/tests/planner.rs
+++ b/crates/drain/tests/planner.rs
@@ -8,8 +8,8 @@
     Bounds, Event, NoRoom, Records, Reservation, ServiceState, State,
 };
 use dappleshore_drain::{
-    Budgets, DrainId, DrainRecord, Effect, Fleet, HaltReason, JobFacts, Ledger, Limit, MachineView,
-    Phase, Planner, Purpose, Scope, Subject,
+    Budgets, DrainId, DrainRecord, Effect, EvictionTarget, Fleet, HaltReason, JobFacts, Ledger,
+    Limit, MachineView, Phase, Planner, Purpose, Scope,
 };
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
@@ -190,14 +190,14 @@
     /// Evicted tasks stop; tasks that are nowhere start where there is room, and run a moment later.
     fn step(&mut self) {
         self.passed += Duration::from_secs(1);
-        let evictions: Vec<Subject> = self
+        let evictions: Vec<EvictionTarget> = self
             .ledgers
             .values()
             .flat_map(|ledger| &ledger.evictions)
-            .map(|eviction| eviction.subject)
+            .map(|eviction| eviction.target)
             .collect();
         for machine in &mut self.machines {
-            let stopped = |attempt: &Attempt| evictions.iter().any(|e| e.covers(attempt));
+            let stopped = |attempt: &Attempt| evictions.iter().any(|e| e.includes(attempt));
             machine.tasks.retain(|attempt| !stopped(attempt));
         }
         if !self.starts {
@@ -306,9 +306,9 @@
         None
     }
 
-    fn reserve(&mut self, subject: &Subject) -> Result<Vec<Reservation>, NoRoom> {
+    fn reserve(&mut self, target: &EvictionTarget) -> Result<Vec<Reservation>, NoRoom> {
         let mut reservations = Vec::new();
-        for task in subject.tasks() {
+        for task in target.tasks() {
             let open = |m: &&mut MachineView| {
                 m.state == ServiceState::InService && m.usable && m.tasks.len() < ROOM
             };
--- a/src/scheduler/draining/fleet_view.rs
+++ b/src/scheduler/draining/fleet_view.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use dappleshore_drain::planner::{NoRoom, Reservation};
-use dappleshore_drain::{Fleet, JobFacts, MachineView, Subject};
+use dappleshore_drain::{EvictionTarget, Fleet, JobFacts, MachineView};
 
 use super::super::capacity_view::CapacityView;
 use super::super::gangs::find_gang_capacity;
@@ -183,10 +183,10 @@
         draining.without_capacity.get(&task).copied()
     }
 
-    fn reserve(&mut self, subject: &Subject) -> Result<Vec<Reservation>, NoRoom> {
-        match subject {
-            Subject::Task(attempt) => self.reserve_task(attempt.task),
-            Subject::Gang { job, .. } => self.reserve_gang(*job),
+    fn reserve(&mut self, target: &EvictionTarget) -> Result<Vec<Reservation>, NoRoom> {
+        match target {
+            EvictionTarget::Task(attempt) => self.reserve_task(attempt.task),
+            EvictionTarget::Gang { job, .. } => self.reserve_gang(*job),
         }
     }
 }
--- a/src/scheduler/draining/mod.rs
+++ b/src/scheduler/draining/mod.rs
@@ -200,7 +200,7 @@
             match effect {
                 Effect::WriteLedger { team, ledger } => {
                     for eviction in new_evictions(cache.drain_ledgers.get(team), ledger) {
-                        let job = eviction.subject.job();
+                        let job = eviction.target.job();
                         let checkpoint_possible = cache
                             .open_jobs
                             .get(&job)
@@ -210,7 +210,7 @@
                         } else {
                             "not available"
                         };
-                        info!(drain = %eviction.drain, %team, %job, subject = ?eviction.subject, machine = %eviction.machine, checkpoint, "recording eviction");
+                        info!(drain = %eviction.drain, %team, %job, evicted = ?eviction.target, machine = %eviction.machine, checkpoint, "recording eviction");
                     }
                 }
                 Effect::WriteRecord { id, record } => {
--- a/src/scheduler/draining/replacement.rs
+++ b/src/scheduler/draining/replacement.rs
@@ -4,7 +4,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use dappleshore_drain::planner::NoRoom;
-use dappleshore_drain::{Ledger, Subject};
+use dappleshore_drain::{EvictionTarget, Ledger};
 use tracing::info;
 
 use super::super::capacity_view::CapacityView;
@@ -73,12 +73,12 @@
         cache: &WatchCache,
         ledgers: &BTreeMap<Team, Ledger>,
     ) {
-        let subjects = ledgers.values().flat_map(|ledger| &ledger.evictions);
-        for subject in subjects.map(|eviction| eviction.subject) {
-            for ((index, number), placement) in cache.job_placements(subject.job()) {
+        let targets = ledgers.values().flat_map(|ledger| &ledger.evictions);
+        for target in targets.map(|eviction| eviction.target) {
+            for ((index, number), placement) in cache.job_placements(target.job()) {
                 let attempt = Attempt {
                     task: TaskId {
-                        job: subject.job(),
+                        job: target.job(),
                         index: *index,
                     },
                     number: *number,
@@ -86,7 +86,7 @@
                 let Some(block_state) = self.block_states.get_mut(&placement.block) else {
                     continue;
                 };
-                if subject.covers(&attempt) && !block_state.stop_requests.contains_key(&attempt) {
+                if target.includes(&attempt) && !block_state.stop_requests.contains_key(&attempt) {
                     block_state.stop_requests.insert(attempt, now.monotonic);
                     block_state.update_pending = true;
                 }
@@ -106,31 +106,34 @@
         let Some(draining) = &mut self.draining else {
             return;
         };
-        let outstanding: Vec<Subject> = draining
+        let outstanding: Vec<EvictionTarget> = draining
             .planner
             .outstanding(ledgers)
             .into_iter()
-            .map(|eviction| eviction.subject)
+            .map(|eviction| eviction.target)
             .collect();
-        let evicted_tasks: BTreeSet<TaskId> = outstanding.iter().flat_map(Subject::tasks).collect();
+        let evicted_tasks: BTreeSet<TaskId> =
+            outstanding.iter().flat_map(EvictionTarget::tasks).collect();
         let unconfirmed_evictions = &draining.unconfirmed_evictions;
         draining
             .reservations
             .retain(|task, _| evicted_tasks.contains(task) || unconfirmed_evictions.contains(task));
         draining.without_capacity.clear();
-        for subject in outstanding {
+        for target in outstanding {
             let Some(open) = cache
                 .open_jobs
-                .get(&subject.job())
+                .get(&target.job())
                 .filter(|open| !open.cancelled)
             else {
                 continue;
             };
-            match subject {
-                Subject::Task(attempt) => {
+            match target {
+                EvictionTarget::Task(attempt) => {
                     self.replace_task(capacity, cache, plan, open, attempt);
                 }
-                Subject::Gang { job, .. } => self.replace_gang(capacity, cache, plan, open, job),
+                EvictionTarget::Gang { job, .. } => {
+                    self.replace_gang(capacity, cache, plan, open, job)
+                }
             }
         }
         self.reserve_for_unconfirmed_evictions(cache, plan);
--- a/src/store/records/fixtures.rs
+++ b/src/store/records/fixtures.rs
@@ -197,7 +197,7 @@
     let subjects: BTreeSet<String> = ledgers
         .iter()
         .flat_map(|ledger| &ledger.evictions)
-        .map(|eviction| ciborium::Value::serialized(&eviction.subject).expect("has a form"))
+        .map(|eviction| ciborium::Value::serialized(&eviction.target).expect("has a form"))
         .map(spelled)
         .collect();
     assert_eq!(subjects, ["g", "t"].map(String::from).into());
--- a/tests/simulation/drains.rs
+++ b/tests/simulation/drains.rs
@@ -248,7 +248,7 @@
     );
     let moved = |cluster: &SimulatedCluster| {
         let mut evictions = cluster.operators.evictions.iter();
-        evictions.any(|eviction| eviction.subject.tasks().count() > 1)
+        evictions.any(|eviction| eviction.target.tasks().count() > 1)
     };
     assert!(!moved(&cluster));
     cluster.operators.allowed.insert("red".into(), 4);
@@ -540,7 +540,7 @@
 #[test]
 fn losses_count_against_the_budget() {
     with_trouble(855, |cluster, eviction| {
-        let job = eviction.subject.job();
+        let job = eviction.target.job();
         let machines = cluster.rules.machines_of(job);
         let other = machines
             .into_iter()
--- a/tests/simulation/operators.rs
+++ b/tests/simulation/operators.rs
@@ -6,7 +6,7 @@
 
 use dappleshore::domain::{TaskId, Team};
 use dappleshore_drain::operator::{DrainStatus, ProblemKind, Reply, Request};
-use dappleshore_drain::{DrainId, Eviction, Limit, Purpose, Scope, Subject};
+use dappleshore_drain::{DrainId, Eviction, EvictionTarget, Limit, Purpose, Scope};
 
 use super::cluster::{CONTROLLERS, SimulatedCluster};
 
@@ -40,7 +40,7 @@
     pub check: Check,
     /// What each team's budget comes to.
     pub allowed: BTreeMap<Team, u64>,
-    evicted: BTreeMap<Subject, Duration>,
+    evicted: BTreeMap<EvictionTarget, Duration>,
     /// All evictions recorded so far.
     pub evictions: Vec<Eviction>,
     /// Called at the next recorded evictions, one each.
@@ -150,7 +150,7 @@
     pub(super) fn check_evictions(&mut self) {
         for eviction in std::mem::take(&mut self.state.recorded_evictions) {
             tracing::debug!(at = self.now.as_secs_f64(), ?eviction, "recorded");
-            self.operators.evicted.insert(eviction.subject, self.now);
+            self.operators.evicted.insert(eviction.target, self.now);
             self.check_eviction(&eviction);
             self.operators.evictions.push(eviction.clone());
             if !self.operators.on_eviction.is_empty() {
@@ -161,7 +161,7 @@
     }
 
     fn check_eviction(&mut self, eviction: &Eviction) {
-        let Some(team) = self.rules.team_of(eviction.subject.job()) else {
+        let Some(team) = self.rules.team_of(eviction.target.job()) else {
             return;
         };
         let allowed = self.operators.allowed.get(&team).copied();
