--- a/crates/drain/src/fleet.rs
+++ b/crates/drain/src/fleet.rs
@@ -73,11 +73,11 @@
 
 /// Why a task finds no room elsewhere.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum NoRoom {
+pub enum NoCapacity {
     /// No machine has room for it yet.
-    Yet,
+    NotYet,
     /// All places where it may go are being drained, or none is known.
-    Anywhere,
+    NoAllowedPlacement,
 }
 
 /// What the planner observes: the leader's copy of the records, with what heartbeats show.
@@ -99,13 +99,13 @@
     /// Whether a job's tasks fail again and again.
     fn keeps_failing(&self, job: JobId) -> bool;
     /// Why a task that was evicted already has no room kept for it, if it has none.
-    fn lacks_room(&self, task: TaskId) -> Option<NoRoom>;
+    fn missing_capacity(&self, task: TaskId) -> Option<NoCapacity>;
     /// Reserves room elsewhere for all tasks that are to be moved.
     ///
     /// # Errors
     ///
     /// Why there is none for at least one of them. Then nothing is reserved.
-    fn reserve(&mut self, target: &EvictionTarget) -> Result<Vec<Reservation>, NoRoom>;
+    fn reserve(&mut self, target: &EvictionTarget) -> Result<Vec<Reservation>, NoCapacity>;
 }
 
 /// Room that is kept for a task on a machine.
--- a/crates/drain/src/operator.rs
+++ b/crates/drain/src/operator.rs
@@ -8,7 +8,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::budget::Limit;
-use crate::fleet::NoRoom;
+use crate::fleet::NoCapacity;
 use crate::id::DrainId;
 use crate::planner::{Progress, State};
 use crate::record::{DrainRecord, Purpose};
@@ -224,11 +224,11 @@
             }
             State::Replacing {
                 task,
-                reason: NoRoom::Yet,
+                reason: NoCapacity::NotYet,
             } => Some(format!("no machine has room for {task} yet")),
             State::Replacing {
                 task,
-                reason: NoRoom::Anywhere,
+                reason: NoCapacity::NoAllowedPlacement,
             } => Some(format!("all places where {task} may go are being drained")),
             State::Halted(reason) => Some(reason.to_string()),
             _ => None,
--- a/crates/drain/src/planner/evictions.rs
+++ b/crates/drain/src/planner/evictions.rs
@@ -8,7 +8,7 @@
 use super::pass::Pass;
 use crate::budget::Limit;
 use crate::disruption::Exceeded;
-use crate::fleet::{Fleet, MachineView, NoRoom};
+use crate::fleet::{Fleet, MachineView, NoCapacity};
 use crate::id::DrainId;
 use crate::ledger::{Eviction, EvictionTarget};
 use crate::record::{DrainRecord, Phase};
@@ -16,7 +16,7 @@
 /// A task that has to be moved and has no room elsewhere.
 pub(super) struct MissingRoom {
     pub task: TaskId,
-    pub reason: NoRoom,
+    pub reason: NoCapacity,
 }
 
 /// What a pass has decided for one drain, and the first of each kind of obstacle that kept it from more.
@@ -37,7 +37,7 @@
 /// Why a task or a gang can't be evicted now.
 enum EvictionError {
     Budget(Exceeded),
-    NoRoom(MissingRoom),
+    NoCapacity(MissingRoom),
 }
 
 impl<F: Fleet> Pass<'_, F> {
@@ -82,7 +82,7 @@
                     Err(EvictionError::Budget(exceeded)) => {
                         round.exceeded.get_or_insert(exceeded);
                     }
-                    Err(EvictionError::NoRoom(missing)) => {
+                    Err(EvictionError::NoCapacity(missing)) => {
                         round.missing_room.get_or_insert(missing);
                     }
                 }
@@ -146,7 +146,7 @@
         let reservations = match (self.fleet.reserve(&target), first) {
             (Ok(reservations), _) => reservations,
             (Err(reason), Some(task)) => {
-                return Err(EvictionError::NoRoom(MissingRoom { task, reason }));
+                return Err(EvictionError::NoCapacity(MissingRoom { task, reason }));
             }
             (Err(_), None) => return Ok(Decision::Deferred),
         };
--- a/crates/drain/src/planner/mod.rs
+++ b/crates/drain/src/planner/mod.rs
@@ -23,7 +23,7 @@
 use evictions::{EvictionRound, MissingRoom};
 use pass::Pass;
 
-pub use crate::fleet::{MachineView, NoRoom, Reservation, ServiceState};
+pub use crate::fleet::{MachineView, NoCapacity, Reservation, ServiceState};
 pub use progress::{Progress, State};
 
 /// The stored records.
@@ -43,7 +43,7 @@
     /// Machines that a drain empties at a time, unless its record says otherwise.
     pub step: Limit,
     /// A drain that finds no room for this long is halted.
-    pub room_timeout: Duration,
+    pub capacity_timeout: Duration,
     /// A drain is halted when an evicted task does not run again within this.
     pub replacement_timeout: Duration,
     /// Entries that a ledger's value has room for.
@@ -265,7 +265,7 @@
         let waits_for_room = match round.missing_room {
             Some(MissingRoom {
                 task,
-                reason: NoRoom::Yet,
+                reason: NoCapacity::NotYet,
             }) if round.decided == 0 => Some(task),
             _ => None,
         };
@@ -275,8 +275,8 @@
                     .blocked_since
                     .entry(id.clone())
                     .or_insert(pass.now.monotonic);
-                if since(pass.now, began) >= pass.bounds.room_timeout {
-                    return pass.halt(id, record, HaltReason::NoRoom { task });
+                if since(pass.now, began) >= pass.bounds.capacity_timeout {
+                    return pass.halt(id, record, HaltReason::NoCapacity { task });
                 }
             }
             None => {
@@ -291,7 +291,7 @@
             return State::Halted(reason.clone());
         }
         let mut evicted = outstanding.iter().flat_map(|e| e.target.tasks());
-        let stranded = evicted.find_map(|task| Some((task, pass.fleet.lacks_room(task)?)));
+        let stranded = evicted.find_map(|task| Some((task, pass.fleet.missing_capacity(task)?)));
         if let Some((task, reason)) = stranded {
             return State::Replacing { task, reason };
         }
--- a/crates/drain/src/planner/progress.rs
+++ b/crates/drain/src/planner/progress.rs
@@ -3,7 +3,7 @@
 use dappleshore_domain::TaskId;
 
 use crate::disruption::Exceeded;
-use crate::fleet::NoRoom;
+use crate::fleet::NoCapacity;
 use crate::record::HaltReason;
 
 /// What a drain is doing or waiting for.
@@ -18,7 +18,7 @@
         /// The first task that has no room.
         task: TaskId,
         /// Why it has none.
-        reason: NoRoom,
+        reason: NoCapacity,
     },
     /// Tasks were told to stop, and their replacements do not run yet.
     Evicting,
--- a/crates/drain/src/record.rs
+++ b/crates/drain/src/record.rs
@@ -32,7 +32,7 @@
 pub enum HaltReason {
     /// No machine had room for a task that must be moved, for too long.
     #[serde(rename = "no_room")]
-    NoRoom {
+    NoCapacity {
         /// The task.
         task: TaskId,
     },
@@ -53,7 +53,7 @@
 impl fmt::Display for HaltReason {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            HaltReason::NoRoom { task } => {
+            HaltReason::NoCapacity { task } => {
                 write!(f, "no machine became ready with room for {task}")
             }
             HaltReason::ReplacementNotRunning { task } => {
--- a/crates/drain/tests/planner.rs
+++ b/crates/drain/tests/planner.rs
@@ -5,7 +5,7 @@
 
 use dappleshore_domain::{Attempt, JobId, MachineId, Now, TaskId, Team};
 use dappleshore_drain::planner::{
-    Bounds, Event, NoRoom, Records, Reservation, ServiceState, State,
+    Bounds, Event, NoCapacity, Records, Reservation, ServiceState, State,
 };
 use dappleshore_drain::{
     Budgets, DrainId, DrainRecord, Effect, EvictionTarget, Fleet, HaltReason, JobFacts, Ledger,
@@ -76,7 +76,7 @@
             },
             bounds: Bounds {
                 step: Limit::Count(1),
-                room_timeout: Duration::from_secs(60),
+                capacity_timeout: Duration::from_secs(60),
                 replacement_timeout: Duration::from_secs(60),
                 ledger_entries: 10,
                 ledgers_at_once: 2,
@@ -302,17 +302,21 @@
         self.failing.contains(&job)
     }
 
-    fn lacks_room(&self, _: TaskId) -> Option<NoRoom> {
+    fn missing_capacity(&self, _: TaskId) -> Option<NoCapacity> {
         None
     }
 
-    fn reserve(&mut self, target: &EvictionTarget) -> Result<Vec<Reservation>, NoRoom> {
+    fn reserve(&mut self, target: &EvictionTarget) -> Result<Vec<Reservation>, NoCapacity> {
         let mut reservations = Vec::new();
         for task in target.tasks() {
             let open = |m: &&mut MachineView| {
                 m.state == ServiceState::InService && m.usable && m.tasks.len() < ROOM
             };
-            let machine = self.machines.iter_mut().find(open).ok_or(NoRoom::Yet)?;
+            let machine = self
+                .machines
+                .iter_mut()
+                .find(open)
+                .ok_or(NoCapacity::NotYet)?;
             machine.tasks.push(Attempt { task, number: 0 });
             let machine = machine.id.clone();
             reservations.push(Reservation { task, machine });
--- a/src/scheduler/draining/fleet_view.rs
+++ b/src/scheduler/draining/fleet_view.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, HashSet};
 use std::time::Duration;
 
-use dappleshore_drain::planner::{NoRoom, Reservation};
+use dappleshore_drain::planner::{NoCapacity, Reservation};
 use dappleshore_drain::{EvictionTarget, Fleet, JobFacts, MachineView};
 
 use super::super::capacity_view::CapacityView;
@@ -44,9 +44,9 @@
     }
 
     /// Reserves capacity for one task.
-    fn reserve_task(&mut self, task: TaskId) -> Result<Vec<Reservation>, NoRoom> {
+    fn reserve_task(&mut self, task: TaskId) -> Result<Vec<Reservation>, NoCapacity> {
         let Some(open) = self.cache.open_jobs.get(&task.job) else {
-            return Err(NoRoom::Anywhere);
+            return Err(NoCapacity::NoAllowedPlacement);
         };
         let tasks_per_zone = self.other_tasks_per_zone(task);
         match self
@@ -56,7 +56,7 @@
             Some(machine) => Ok(vec![Reservation { task, machine }]),
             None => {
                 let reason = shortage_reason(self.capacity, &open.job, &tasks_per_zone);
-                if reason == NoRoom::Yet {
+                if reason == NoCapacity::NotYet {
                     self.unplaced.push(task);
                 }
                 Err(reason)
@@ -65,9 +65,9 @@
     }
 
     /// Reserves capacity for all tasks of a gang, or for none.
-    fn reserve_gang(&mut self, id: JobId) -> Result<Vec<Reservation>, NoRoom> {
+    fn reserve_gang(&mut self, id: JobId) -> Result<Vec<Reservation>, NoCapacity> {
         let Some(open) = self.cache.open_jobs.get(&id) else {
-            return Err(NoRoom::Anywhere);
+            return Err(NoCapacity::NoAllowedPlacement);
         };
         let waiting_job = unplaced_waiting_job(id, open);
         let block_of = |machine: &MachineId| Some(self.cache.machines.get(machine)?.block.clone());
@@ -79,13 +79,15 @@
             block_of,
         );
         if !gang_capacity.is_complete {
-            if shortage_reason(self.capacity, &open.job, &BTreeMap::new()) == NoRoom::Anywhere {
-                return Err(NoRoom::Anywhere);
+            if shortage_reason(self.capacity, &open.job, &BTreeMap::new())
+                == NoCapacity::NoAllowedPlacement
+            {
+                return Err(NoCapacity::NoAllowedPlacement);
             }
             let unplaced = gang_capacity.candidate_indexes.len() as u32..open.job.tasks;
             self.unplaced
                 .extend(unplaced.map(|index| TaskId { job: id, index }));
-            return Err(NoRoom::Yet);
+            return Err(NoCapacity::NotYet);
         }
         let mut reservations = Vec::new();
         for (index, candidate_index) in (0..).zip(gang_capacity.candidate_indexes) {
@@ -105,7 +107,7 @@
     capacity: &CapacityView<'_>,
     job: &Job,
     tasks_per_zone: &BTreeMap<Zone, u32>,
-) -> NoRoom {
+) -> NoCapacity {
     let can_rent = |instance_type: &InstanceType, zone: &Zone| {
         job.allows_zone(zone)
             && allows_task_in_zone(job, tasks_per_zone, zone)
@@ -120,9 +122,9 @@
             .any(|zone| can_rent(instance_type, zone))
     });
     if obtainable {
-        NoRoom::Yet
+        NoCapacity::NotYet
     } else {
-        NoRoom::Anywhere
+        NoCapacity::NoAllowedPlacement
     }
 }
 
@@ -178,12 +180,12 @@
         self.scheduler.failures.keeps_failing(job)
     }
 
-    fn lacks_room(&self, task: TaskId) -> Option<NoRoom> {
+    fn missing_capacity(&self, task: TaskId) -> Option<NoCapacity> {
         let draining = self.scheduler.draining.as_ref()?;
         draining.without_capacity.get(&task).copied()
     }
 
-    fn reserve(&mut self, target: &EvictionTarget) -> Result<Vec<Reservation>, NoRoom> {
+    fn reserve(&mut self, target: &EvictionTarget) -> Result<Vec<Reservation>, NoCapacity> {
         match target {
             EvictionTarget::Task(attempt) => self.reserve_task(attempt.task),
             EvictionTarget::Gang { job, .. } => self.reserve_gang(*job),
--- a/src/scheduler/draining/mod.rs
+++ b/src/scheduler/draining/mod.rs
@@ -13,7 +13,7 @@
 
 use dappleshore_drain::disruption::Disruptions;
 use dappleshore_drain::planner::{
-    Bounds, Event, NoRoom, Progress, Records, Reservation, ServiceState,
+    Bounds, Event, NoCapacity, Progress, Records, Reservation, ServiceState,
 };
 use dappleshore_drain::settings::TeamSettings;
 use dappleshore_drain::{
@@ -51,7 +51,7 @@
     /// Tasks whose eviction is in a transaction that is not confirmed yet.
     unconfirmed_evictions: BTreeSet<TaskId>,
     /// Evicted tasks without capacity for a replacement, and the reason.
-    without_capacity: BTreeMap<TaskId, NoRoom>,
+    without_capacity: BTreeMap<TaskId, NoCapacity>,
     /// The effects that the latest planner run returned, to be recorded.
     planned_effects: Vec<Effect>,
     /// When ledgers were last written, or losses last cleaned up without any drain.
@@ -424,7 +424,7 @@
         let limits = &leader.config.state_limits;
         let bounds = Bounds {
             step: settings.step,
-            room_timeout: settings.room_timeout_s.duration(),
+            capacity_timeout: settings.room_timeout_s.duration(),
             replacement_timeout: settings.replacement_timeout_s.duration(),
             ledger_entries: (limits.value_bytes / MAX_LEDGER_ENTRY_BYTES).max(1),
             ledgers_at_once: (leader.max_changes / 2).max(1),
--- a/src/scheduler/draining/replacement.rs
+++ b/src/scheduler/draining/replacement.rs
@@ -3,7 +3,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use dappleshore_drain::planner::NoRoom;
+use dappleshore_drain::planner::NoCapacity;
 use dappleshore_drain::{EvictionTarget, Ledger};
 use tracing::info;
 
@@ -138,7 +138,7 @@
         }
         self.reserve_for_unconfirmed_evictions(cache, plan);
         let without_capacity = self.draining.iter().flat_map(|d| &d.without_capacity);
-        let unplaced = without_capacity.filter(|(_, reason)| **reason == NoRoom::Yet);
+        let unplaced = without_capacity.filter(|(_, reason)| **reason == NoCapacity::NotYet);
         for (task, _) in unplaced {
             add_unplaced_demand(
                 capacity,
