--- a/crates/drain/src/disruption.rs
+++ b/crates/drain/src/disruption.rs
@@ -45,8 +45,8 @@
     /// Takes in what runs again.
     pub fn observe(&mut self, ledgers: &BTreeMap<Team, Ledger>, fleet: &impl Fleet) {
         // Noted, and so recorded, before they are proven gone: a new leader could not tell that they were there.
-        let given_up = fleet.machines().iter().filter(|machine| machine.given_up);
-        for attempt in given_up.flat_map(|machine| &machine.tasks) {
+        let failed = fleet.machines().iter().filter(|machine| machine.failed);
+        for attempt in failed.flat_map(|machine| &machine.tasks) {
             self.note_lost(*attempt);
         }
         self.lost
@@ -97,7 +97,7 @@
 
 /// Whether a task has ended, or another attempt than the old one runs.
 fn is_restored(fleet: &impl Fleet, task: TaskId, is_old: impl Fn(&Attempt) -> bool) -> bool {
-    let runs = |attempt: &Attempt| !is_old(attempt) && fleet.runs(attempt);
+    let runs = |attempt: &Attempt| !is_old(attempt) && fleet.is_running(attempt);
     fleet.job(task.job).is_none() || fleet.is_done(task) || fleet.attempts(task).iter().any(runs)
 }
 
--- a/crates/drain/src/fleet.rs
+++ b/crates/drain/src/fleet.rs
@@ -38,11 +38,11 @@
     /// Its heartbeats arrive, its worker acknowledges commands, and it is not being deleted.
     pub usable: bool,
     /// It is given up: its tasks are lost once the cloud has deleted it.
-    pub given_up: bool,
+    pub failed: bool,
     /// Tasks that are not proven gone.
     pub tasks: Vec<Attempt>,
     /// Tasks were released to it that the holder of its block may still place.
-    pub expects_tasks: bool,
+    pub has_pending_releases: bool,
 }
 
 impl MachineView {
@@ -56,13 +56,13 @@
     }
 
     pub(crate) fn is_empty(&self) -> bool {
-        self.tasks.is_empty() && !self.expects_tasks
+        self.tasks.is_empty() && !self.has_pending_releases
     }
 }
 
 /// What the planner needs to know of a job.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct JobFacts {
+pub struct JobView {
     /// Whose budget its disruptions count against.
     pub team: Team,
     /// The class of its tasks, which may have a budget of its own.
@@ -87,13 +87,13 @@
     /// All machines.
     fn machines(&self) -> &[MachineView];
     /// The job. None: it has ended or is cancelled.
-    fn job(&self, job: JobId) -> Option<JobFacts>;
+    fn job(&self, job: JobId) -> Option<JobView>;
     /// Whether a task has ended successfully.
     fn is_done(&self, task: TaskId) -> bool;
     /// The task's attempts that are not proven gone.
     fn attempts(&self, task: TaskId) -> Vec<Attempt>;
     /// Whether an attempt was seen to run, on a machine that is usable.
-    fn runs(&self, attempt: &Attempt) -> bool;
+    fn is_running(&self, attempt: &Attempt) -> bool;
     /// Whether an attempt is told to stop for another reason.
     fn is_stopping(&self, attempt: &Attempt) -> bool;
     /// Whether a job's tasks fail again and again.
--- a/crates/drain/src/lib.rs
+++ b/crates/drain/src/lib.rs
@@ -18,7 +18,7 @@
 pub mod settings;
 
 pub use budget::{Budgets, Limit, TeamBudget};
-pub use fleet::{Fleet, JobFacts, MachineView};
+pub use fleet::{Fleet, JobView, MachineView};
 pub use id::DrainId;
 pub use ledger::{Eviction, EvictionTarget, Ledger};
 pub use planner::{Effect, Planner};
--- a/crates/drain/tests/planner.rs
+++ b/crates/drain/tests/planner.rs
@@ -8,7 +8,7 @@
     Bounds, Event, NoCapacity, Records, Reservation, ServiceState, State,
 };
 use dappleshore_drain::{
-    Budgets, DrainId, DrainRecord, Effect, EvictionTarget, Fleet, HaltReason, JobFacts, Ledger,
+    Budgets, DrainId, DrainRecord, Effect, EvictionTarget, Fleet, HaltReason, JobView, Ledger,
     Limit, MachineView, Phase, Planner, Purpose, Scope,
 };
 use rand::rngs::SmallRng;
@@ -22,7 +22,7 @@
     start: Instant,
     passed: Duration,
     machines: Vec<MachineView>,
-    jobs: BTreeMap<JobId, JobFacts>,
+    jobs: BTreeMap<JobId, JobView>,
     running: BTreeSet<u64>,
     failing: BTreeSet<JobId>,
     drains: BTreeMap<DrainId, DrainRecord>,
@@ -53,9 +53,9 @@
             zone: zone.into(),
             state: ServiceState::InService,
             usable: true,
-            given_up: false,
+            failed: false,
             tasks: Vec::new(),
-            expects_tasks: false,
+            has_pending_releases: false,
         };
         let mut world = World {
             start: Instant::now(),
@@ -92,7 +92,7 @@
     }
 
     fn add_job(&mut self, job: JobId, name: &str, tasks: u32, gang: Option<u64>) {
-        let facts = JobFacts {
+        let facts = JobView {
             team: team(name),
             class: "lookup".into(),
             gang_tasks: gang.map(|_| tasks),
@@ -263,7 +263,7 @@
 /// What the planner sees.
 struct View<'a> {
     machines: Vec<MachineView>,
-    jobs: &'a BTreeMap<JobId, JobFacts>,
+    jobs: &'a BTreeMap<JobId, JobView>,
     running: &'a BTreeSet<u64>,
     failing: &'a BTreeSet<JobId>,
 }
@@ -273,7 +273,7 @@
         &self.machines
     }
 
-    fn job(&self, job: JobId) -> Option<JobFacts> {
+    fn job(&self, job: JobId) -> Option<JobView> {
         self.jobs.get(&job).cloned()
     }
 
@@ -288,7 +288,7 @@
             .collect()
     }
 
-    fn runs(&self, attempt: &Attempt) -> bool {
+    fn is_running(&self, attempt: &Attempt) -> bool {
         let well = self.machines.iter().filter(|machine| machine.usable);
         let there = well.flat_map(|m| &m.tasks).any(|a| a == attempt);
         there && self.running.contains(&attempt.number)
@@ -409,7 +409,7 @@
     world.drain("disk", Scope::Zone("a".into()));
     world.look(true);
     let lost = world.machine("a-000");
-    (lost.usable, lost.given_up) = (false, true);
+    (lost.usable, lost.failed) = (false, true);
     let tasks: Vec<TaskId> = lost.tasks.iter().map(|attempt| attempt.task).collect();
     world.look(true);
     assert_eq!(world.ledgers[&team("red")].lost, tasks);
--- a/crates/drain/tests/requests.rs
+++ b/crates/drain/tests/requests.rs
@@ -48,9 +48,9 @@
                 zone: if n < 2 { "a".into() } else { "b".into() },
                 state: ServiceState::InService,
                 usable: true,
-                given_up: false,
+                failed: false,
                 tasks: Vec::new(),
-                expects_tasks: false,
+                has_pending_releases: false,
             })
             .collect();
         let known = Known {
--- a/src/scheduler/draining/fleet_view.rs
+++ b/src/scheduler/draining/fleet_view.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use dappleshore_drain::planner::{NoCapacity, Reservation};
-use dappleshore_drain::{EvictionTarget, Fleet, JobFacts, MachineView};
+use dappleshore_drain::{EvictionTarget, Fleet, JobView, MachineView};
 
 use super::super::capacity_view::CapacityView;
 use super::super::gangs::find_gang_capacity;
@@ -147,10 +147,10 @@
         &self.machines
     }
 
-    fn job(&self, job: JobId) -> Option<JobFacts> {
+    fn job(&self, job: JobId) -> Option<JobView> {
         let open = self.open_job(job)?;
         let is_gang = open.job.kind == JobKind::Gang;
-        Some(JobFacts {
+        Some(JobView {
             team: open.job.team.clone(),
             class: open.job.class.clone(),
             gang_tasks: is_gang.then_some(open.job.tasks),
@@ -168,7 +168,7 @@
             .collect()
     }
 
-    fn runs(&self, attempt: &Attempt) -> bool {
+    fn is_running(&self, attempt: &Attempt) -> bool {
         self.running.contains(&attempt.number)
     }
 
--- a/src/scheduler/draining/mod.rs
+++ b/src/scheduler/draining/mod.rs
@@ -258,8 +258,8 @@
 pub fn machine_views(
     cache: &WatchCache,
     usable: impl Fn(&MachineId) -> bool,
-    given_up: impl Fn(&MachineId) -> bool,
-    expects_tasks: impl Fn(&MachineId) -> bool,
+    failed: impl Fn(&MachineId) -> bool,
+    has_pending_releases: impl Fn(&MachineId) -> bool,
 ) -> Vec<MachineView> {
     let mut machines: BTreeMap<&MachineId, MachineView> = BTreeMap::new();
     for (id, machine) in &cache.machines {
@@ -275,9 +275,9 @@
             zone: machine.zone.clone(),
             state,
             usable: usable(id),
-            given_up: given_up(id),
+            failed: failed(id),
             tasks: Vec::new(),
-            expects_tasks: expects_tasks(id),
+            has_pending_releases: has_pending_releases(id),
         };
         machines.insert(id, view);
     }
