--- a/crates/drain/src/planner/evictions.rs
+++ b/crates/drain/src/planner/evictions.rs
@@ -43,7 +43,7 @@
 impl<F: Fleet> Pass<'_, F> {
     /// How many machines of a drain may be emptied at a time.
     fn step(&self, record: &DrainRecord, machines: usize) -> usize {
-        let step = match record.step.unwrap_or(self.bounds.step) {
+        let step = match record.step.unwrap_or(self.limits.step) {
             Limit::Count(count) => count as usize,
             Limit::Share { basis_points } => (machines * basis_points as usize).div_ceil(10_000),
         };
@@ -176,7 +176,7 @@
             .ledgers
             .get(team)
             .map_or(0, |l| l.evictions.len());
-        let open = decided > 0 || self.evictions.len() < self.bounds.ledgers_at_once;
-        open && recorded + decided < self.bounds.ledger_entries
+        let open = decided > 0 || self.evictions.len() < self.limits.max_ledgers_per_transaction;
+        open && recorded + decided < self.limits.max_ledger_entries
     }
 }
--- a/crates/drain/src/planner/ledgers.rs
+++ b/crates/drain/src/planner/ledgers.rs
@@ -44,11 +44,11 @@
                 .evictions
                 .extend(self.evictions.get(team).cloned().unwrap_or_default());
             let left = self
-                .bounds
-                .ledger_entries
+                .limits
+                .max_ledger_entries
                 .saturating_sub(ledger.evictions.len());
             ledger.lost.truncate(left);
-            if ledger != old && written < self.bounds.ledgers_at_once {
+            if ledger != old && written < self.limits.max_ledgers_per_transaction {
                 written += 1;
                 let team = team.clone();
                 effects.push(Effect::WriteLedger { team, ledger });
--- a/crates/drain/src/planner/mod.rs
+++ b/crates/drain/src/planner/mod.rs
@@ -39,7 +39,7 @@
 
 /// The limits of one pass, and the timeouts.
 #[derive(Debug, Clone, Copy)]
-pub struct Bounds {
+pub struct PlannerLimits {
     /// Machines that a drain empties at a time, unless its record says otherwise.
     pub step: Limit,
     /// A drain that finds no room for this long is halted.
@@ -47,9 +47,9 @@
     /// A drain is halted when an evicted task does not run again within this.
     pub replacement_timeout: Duration,
     /// Entries that a ledger's value has room for.
-    pub ledger_entries: usize,
+    pub max_ledger_entries: usize,
     /// Ledgers that one transaction may change.
-    pub ledgers_at_once: usize,
+    pub max_ledgers_per_transaction: usize,
 }
 
 /// What the leader is to do.
@@ -93,7 +93,7 @@
         /// The stored records.
         records: Records<'a>,
         /// The limits of this pass.
-        bounds: Bounds,
+        limits: PlannerLimits,
         /// The fleet.
         fleet: &'a mut F,
     },
@@ -124,9 +124,9 @@
             }
             Event::Observed {
                 records,
-                bounds,
+                limits,
                 fleet,
-            } => self.observe(now, records, bounds, fleet),
+            } => self.observe(now, records, limits, fleet),
         }
     }
 
@@ -157,7 +157,7 @@
         &mut self,
         now: Now,
         records: Records<'_>,
-        bounds: Bounds,
+        limits: PlannerLimits,
         fleet: &mut F,
     ) -> Vec<Effect> {
         self.tracker.observe(records.ledgers, fleet);
@@ -169,7 +169,7 @@
         let mut pass = Pass {
             now,
             records,
-            bounds,
+            limits,
             fleet,
             disruptions,
             evictions: BTreeMap::new(),
@@ -275,7 +275,7 @@
                     .blocked_since
                     .entry(id.clone())
                     .or_insert(pass.now.monotonic);
-                if since(pass.now, began) >= pass.bounds.capacity_timeout {
+                if since(pass.now, began) >= pass.limits.capacity_timeout {
                     return pass.halt(id, record, HaltReason::NoCapacity { task });
                 }
             }
--- a/crates/drain/src/planner/pass.rs
+++ b/crates/drain/src/planner/pass.rs
@@ -4,7 +4,7 @@
 
 use dappleshore_domain::{Now, Team};
 
-use super::{Bounds, Effect, Records, State};
+use super::{Effect, PlannerLimits, Records, State};
 use crate::disruption::Disruptions;
 use crate::fleet::{Fleet, MachineView, ServiceState};
 use crate::id::DrainId;
@@ -15,7 +15,7 @@
 pub(super) struct Pass<'a, F> {
     pub now: Now,
     pub records: Records<'a>,
-    pub bounds: Bounds,
+    pub limits: PlannerLimits,
     pub fleet: &'a mut F,
     /// As observed, with those that this pass has decided.
     pub disruptions: Disruptions,
@@ -103,7 +103,7 @@
         outstanding: &[&Eviction],
     ) -> Option<HaltReason> {
         let timeout_ms =
-            u64::try_from(self.bounds.replacement_timeout.as_millis()).unwrap_or(u64::MAX);
+            u64::try_from(self.limits.replacement_timeout.as_millis()).unwrap_or(u64::MAX);
         outstanding.iter().find_map(|eviction| {
             let task = eviction.target.tasks().next()?;
             if self.fleet.keeps_failing(task.job) {
--- a/crates/drain/tests/planner.rs
+++ b/crates/drain/tests/planner.rs
@@ -5,7 +5,7 @@
 
 use dappleshore_domain::{Attempt, JobId, MachineId, Now, TaskId, Team};
 use dappleshore_drain::planner::{
-    Bounds, Event, NoCapacity, Records, Reservation, ServiceState, State,
+    Event, NoCapacity, PlannerLimits, Records, Reservation, ServiceState, State,
 };
 use dappleshore_drain::{
     Budgets, DrainId, DrainRecord, Effect, EvictionTarget, Fleet, HaltReason, JobView, Ledger,
@@ -28,7 +28,7 @@
     drains: BTreeMap<DrainId, DrainRecord>,
     ledgers: BTreeMap<Team, Ledger>,
     budgets: Budgets,
-    bounds: Bounds,
+    limits: PlannerLimits,
     planner: Planner,
     next_attempt: u64,
     /// Replacements start only while this is so.
@@ -74,12 +74,12 @@
                 settings: BTreeMap::new(),
                 requested: BTreeMap::new(),
             },
-            bounds: Bounds {
+            limits: PlannerLimits {
                 step: Limit::Count(1),
                 capacity_timeout: Duration::from_secs(60),
                 replacement_timeout: Duration::from_secs(60),
-                ledger_entries: 10,
-                ledgers_at_once: 2,
+                max_ledger_entries: 10,
+                max_ledgers_per_transaction: 2,
             },
             planner: Planner::default(),
             next_attempt: 0,
@@ -154,7 +154,7 @@
                 ledgers: &self.ledgers,
                 budgets: &self.budgets,
             },
-            bounds: self.bounds,
+            limits: self.limits,
             fleet: &mut fleet,
         };
         let effects = self.planner.handle(now, event);
@@ -497,8 +497,8 @@
 #[test]
 fn no_more_machines_are_emptied_at_a_time_than_the_step() {
     let mut world = World::new(6, 6, Limit::Count(100));
-    world.bounds.step = Limit::Count(2);
-    world.bounds.ledger_entries = 100;
+    world.limits.step = Limit::Count(2);
+    world.limits.max_ledger_entries = 100;
     world.drain("disk", Scope::Zone("a".into()));
     world.look(true);
     world.look(true);
@@ -514,8 +514,8 @@
 #[test]
 fn a_full_ledger_takes_no_more() {
     let mut world = World::new(6, 6, Limit::Count(100));
-    world.bounds.step = Limit::Count(100);
-    world.bounds.ledger_entries = 2;
+    world.limits.step = Limit::Count(100);
+    world.limits.max_ledger_entries = 2;
     world.drain("disk", Scope::Zone("a".into()));
     world.look(true);
     world.look(true);
--- a/src/scheduler/draining/mod.rs
+++ b/src/scheduler/draining/mod.rs
@@ -13,7 +13,7 @@
 
 use dappleshore_drain::disruption::Disruptions;
 use dappleshore_drain::planner::{
-    Bounds, Event, NoCapacity, Progress, Records, Reservation, ServiceState,
+    Event, NoCapacity, PlannerLimits, Progress, Records, Reservation, ServiceState,
 };
 use dappleshore_drain::settings::TeamSettings;
 use dappleshore_drain::{
@@ -422,12 +422,12 @@
         let running = self.running_attempts(capacity.now, cache, &usable);
         let leader = capacity.leader;
         let limits = &leader.config.state_limits;
-        let bounds = Bounds {
+        let planner_limits = PlannerLimits {
             step: settings.step,
             capacity_timeout: settings.room_timeout_s.duration(),
             replacement_timeout: settings.replacement_timeout_s.duration(),
-            ledger_entries: (limits.value_bytes / MAX_LEDGER_ENTRY_BYTES).max(1),
-            ledgers_at_once: (leader.max_changes / 2).max(1),
+            max_ledger_entries: (limits.value_bytes / MAX_LEDGER_ENTRY_BYTES).max(1),
+            max_ledgers_per_transaction: (leader.max_changes / 2).max(1),
         };
         // Capacity that the planner reserves lasts for this plan only; the returned effects hold the reservations.
         let mut fleet = FleetView {
@@ -445,7 +445,7 @@
                 ledgers,
                 budgets: &budgets,
             },
-            bounds,
+            limits: planner_limits,
             fleet: &mut fleet,
         };
         let planned_effects = planner.handle(capacity.now, event);
