--- a/crates/drain/src/disruption.rs
+++ b/crates/drain/src/disruption.rs
@@ -36,8 +36,8 @@
     }
 
     /// Forgets losses of tasks that are not wanted any more.
-    pub fn forget_unless(&mut self, is_wanted: impl Fn(TaskId) -> bool) {
-        self.lost.retain(|task, _| is_wanted(*task));
+    pub fn forget_unless(&mut self, is_needed: impl Fn(TaskId) -> bool) {
+        self.lost.retain(|task, _| is_needed(*task));
         self.replaced.clear();
         self.recovered.clear();
     }
--- a/crates/drain/src/operator.rs
+++ b/crates/drain/src/operator.rs
@@ -10,7 +10,7 @@
 use crate::budget::Limit;
 use crate::fleet::NoCapacity;
 use crate::id::DrainId;
-use crate::planner::{Progress, State};
+use crate::planner::{DrainProgress, DrainState};
 use crate::record::{DrainRecord, Purpose};
 use crate::scope::Scope;
 
@@ -196,25 +196,25 @@
     }
 }
 
-impl State {
+impl DrainState {
     /// Its name.
     pub fn name(&self) -> StateName {
         match self {
-            State::Requested => StateName::Requested,
-            State::WaitingForBudget(_) => StateName::WaitingForBudget,
-            State::Replacing { .. } => StateName::Replacing,
-            State::Evicting => StateName::Evicting,
-            State::Empty => StateName::Empty,
-            State::Halted(_) => StateName::Halted,
-            State::Cancelled => StateName::Cancelled,
-            State::Done => StateName::Done,
+            DrainState::Requested => StateName::Requested,
+            DrainState::WaitingForBudget(_) => StateName::WaitingForBudget,
+            DrainState::Replacing { .. } => StateName::Replacing,
+            DrainState::Evicting => StateName::Evicting,
+            DrainState::Empty => StateName::Empty,
+            DrainState::Halted(_) => StateName::Halted,
+            DrainState::Cancelled => StateName::Cancelled,
+            DrainState::Done => StateName::Done,
         }
     }
 
     /// What it waits for, for people.
     pub fn reason(&self) -> Option<String> {
         match self {
-            State::WaitingForBudget(exceeded) => {
+            DrainState::WaitingForBudget(exceeded) => {
                 let class = exceeded.class.as_ref();
                 let class = class.map_or(String::new(), |class| format!(", class {class}"));
                 Some(format!(
@@ -222,15 +222,15 @@
                     exceeded.team, exceeded.disrupted, exceeded.more, exceeded.allowed
                 ))
             }
-            State::Replacing {
+            DrainState::Replacing {
                 task,
                 reason: NoCapacity::NotYet,
             } => Some(format!("no machine has room for {task} yet")),
-            State::Replacing {
+            DrainState::Replacing {
                 task,
                 reason: NoCapacity::NoAllowedPlacement,
             } => Some(format!("all places where {task} may go are being drained")),
-            State::Halted(reason) => Some(reason.to_string()),
+            DrainState::Halted(reason) => Some(reason.to_string()),
             _ => None,
         }
     }
@@ -238,9 +238,9 @@
 
 impl DrainStatus {
     /// What is shown of a record. `progress`: how far it is, if the leader has looked already.
-    pub fn new(id: &DrainId, record: &DrainRecord, progress: Option<&Progress>) -> Self {
-        let unknown = Progress {
-            state: State::Requested,
+    pub fn new(id: &DrainId, record: &DrainRecord, progress: Option<&DrainProgress>) -> Self {
+        let unknown = DrainProgress {
+            state: DrainState::Requested,
             machines: 0,
             empty: 0,
             tasks_left: 0,
@@ -248,7 +248,7 @@
         };
         let progress = progress.unwrap_or(&unknown);
         let waiting_for = match &progress.state {
-            State::WaitingForBudget(exceeded) => Some(exceeded.team.to_string()),
+            DrainState::WaitingForBudget(exceeded) => Some(exceeded.team.to_string()),
             _ => None,
         };
         let purpose = match record.purpose {
--- a/crates/drain/src/planner/mod.rs
+++ b/crates/drain/src/planner/mod.rs
@@ -24,7 +24,7 @@
 use pass::Pass;
 
 pub use crate::fleet::{MachineView, NoCapacity, Reservation, ServiceState};
-pub use progress::{Progress, State};
+pub use progress::{DrainProgress, DrainState};
 
 /// The stored records.
 #[derive(Debug, Clone, Copy)]
@@ -82,11 +82,11 @@
 /// What the planner is told.
 pub enum Event<'a, F> {
     /// A task's attempt has gone, neither done nor stopped.
-    Lost(Attempt),
+    AttemptLost(Attempt),
     /// Nothing is to be drained.
-    Idle {
+    NoActiveDrains {
         /// Whether a task is still to run: losses of others are forgotten.
-        is_wanted: &'a dyn Fn(TaskId) -> bool,
+        is_needed: &'a dyn Fn(TaskId) -> bool,
     },
     /// What the fleet and the records show now.
     Observed {
@@ -105,7 +105,7 @@
     tracker: Tracker,
     /// Since when a drain has found no room.
     blocked_since: BTreeMap<DrainId, Instant>,
-    progress: BTreeMap<DrainId, Progress>,
+    progress: BTreeMap<DrainId, DrainProgress>,
     disruptions: Disruptions,
 }
 
@@ -113,12 +113,12 @@
     /// Takes in an event and decides what follows.
     pub fn handle<F: Fleet>(&mut self, now: Now, event: Event<'_, F>) -> Vec<Effect> {
         match event {
-            Event::Lost(attempt) => {
+            Event::AttemptLost(attempt) => {
                 self.tracker.note_lost(attempt);
                 Vec::new()
             }
-            Event::Idle { is_wanted } => {
-                self.tracker.forget_unless(is_wanted);
+            Event::NoActiveDrains { is_needed } => {
+                self.tracker.forget_unless(is_needed);
                 self.progress.clear();
                 Vec::new()
             }
@@ -131,7 +131,7 @@
     }
 
     /// How far each drain was at the latest observation.
-    pub fn progress(&self) -> &BTreeMap<DrainId, Progress> {
+    pub fn progress(&self) -> &BTreeMap<DrainId, DrainProgress> {
         &self.progress
     }
 
@@ -146,7 +146,7 @@
     }
 
     /// Tasks of which the planner needs to know whether they run.
-    pub fn watched(&self, ledgers: &BTreeMap<Team, Ledger>) -> BTreeSet<TaskId> {
+    pub fn tasks_to_observe(&self, ledgers: &BTreeMap<Team, Ledger>) -> BTreeSet<TaskId> {
         let evicted = self.tracker.outstanding(ledgers);
         let mut watched: BTreeSet<TaskId> = evicted.flat_map(|e| e.target.tasks()).collect();
         watched.extend(self.tracker.lost(ledgers));
@@ -193,23 +193,23 @@
         pass: &mut Pass<'_, F>,
         id: &DrainId,
         record: &DrainRecord,
-    ) -> Progress {
+    ) -> DrainProgress {
         let machines = pass.machines_of(record);
         let outstanding: Vec<&Eviction> = self
             .tracker
             .outstanding(pass.records.ledgers)
             .filter(|eviction| eviction.drain == *id)
             .collect();
-        let mut progress = Progress {
-            state: State::Requested,
+        let mut progress = DrainProgress {
+            state: DrainState::Requested,
             machines: machines.len(),
             empty: machines.iter().filter(|machine| machine.is_empty()).count(),
             tasks_left: machines.iter().map(|machine| machine.tasks.len()).sum(),
             outstanding: outstanding.len(),
         };
         progress.state = match &record.phase {
-            Phase::Cancelled | Phase::Uncordoned => State::Cancelled,
-            Phase::Done => State::Done,
+            Phase::Cancelled | Phase::Uncordoned => DrainState::Cancelled,
+            Phase::Done => DrainState::Done,
             Phase::Active | Phase::Halted { .. } => {
                 self.advance_under_way(pass, id, record, &machines, &outstanding)
             }
@@ -224,23 +224,23 @@
         record: &DrainRecord,
         machines: &[MachineView],
         outstanding: &[&Eviction],
-    ) -> State {
+    ) -> DrainState {
         let cordoned = machines
             .iter()
             .all(|machine| machine.state != ServiceState::InService);
         if !cordoned {
-            return State::Requested;
+            return DrainState::Requested;
         }
         if record.purpose == Purpose::Cordon {
             pass.set_phase(id, record, Phase::Done);
-            return State::Done;
+            return DrainState::Done;
         }
         pass.return_empty(record, machines);
         if machines.iter().all(MachineView::is_empty) {
             self.blocked_since.remove(id);
             if pass.is_over(record, machines, outstanding) {
                 pass.set_phase(id, record, Phase::Done);
-                return State::Done;
+                return DrainState::Done;
             }
         }
         if let Some(reason) = pass.failed_replacement(record, outstanding) {
@@ -248,7 +248,7 @@
         }
         if machines.iter().all(MachineView::is_empty) {
             pass.resume_if_halted(id, record);
-            return State::Empty;
+            return DrainState::Empty;
         }
         self.evict_next(pass, id, record, machines, outstanding)
     }
@@ -260,7 +260,7 @@
         record: &DrainRecord,
         machines: &[MachineView],
         outstanding: &[&Eviction],
-    ) -> State {
+    ) -> DrainState {
         let round = pass.evict(id, record, machines, outstanding);
         let waits_for_room = match round.missing_room {
             Some(MissingRoom {
@@ -288,25 +288,25 @@
             if waits_for_room.is_none() {
                 pass.resume_if_halted(id, record);
             }
-            return State::Halted(reason.clone());
+            return DrainState::Halted(reason.clone());
         }
         let mut evicted = outstanding.iter().flat_map(|e| e.target.tasks());
         let stranded = evicted.find_map(|task| Some((task, pass.fleet.missing_capacity(task)?)));
         if let Some((task, reason)) = stranded {
-            return State::Replacing { task, reason };
+            return DrainState::Replacing { task, reason };
         }
         match round {
-            _ if round.decided > 0 || !outstanding.is_empty() => State::Evicting,
+            _ if round.decided > 0 || !outstanding.is_empty() => DrainState::Evicting,
             EvictionRound {
                 exceeded: Some(exceeded),
                 ..
-            } => State::WaitingForBudget(exceeded),
+            } => DrainState::WaitingForBudget(exceeded),
             EvictionRound {
                 missing_room: Some(MissingRoom { task, reason }),
                 ..
-            } => State::Replacing { task, reason },
+            } => DrainState::Replacing { task, reason },
             // What is left goes by itself: its jobs have ended.
-            EvictionRound { .. } => State::Evicting,
+            EvictionRound { .. } => DrainState::Evicting,
         }
     }
 }
--- a/crates/drain/src/planner/pass.rs
+++ b/crates/drain/src/planner/pass.rs
@@ -4,7 +4,7 @@
 
 use dappleshore_domain::{Now, Team};
 
-use super::{Effect, PlannerLimits, Records, State};
+use super::{DrainState, Effect, PlannerLimits, Records};
 use crate::disruption::Disruptions;
 use crate::fleet::{Fleet, MachineView, ServiceState};
 use crate::id::DrainId;
@@ -83,12 +83,17 @@
     }
 
     /// Halts an active drain.
-    pub(super) fn halt(&mut self, id: &DrainId, record: &DrainRecord, reason: HaltReason) -> State {
+    pub(super) fn halt(
+        &mut self,
+        id: &DrainId,
+        record: &DrainRecord,
+        reason: HaltReason,
+    ) -> DrainState {
         if record.phase == Phase::Active {
             let reason = reason.clone();
             self.set_phase(id, record, Phase::Halted { reason });
         }
-        State::Halted(reason)
+        DrainState::Halted(reason)
     }
 
     /// Lets a halted drain go on.
--- a/crates/drain/src/planner/progress.rs
+++ b/crates/drain/src/planner/progress.rs
@@ -8,7 +8,7 @@
 
 /// What a drain is doing or waiting for.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum State {
+pub enum DrainState {
     /// Its machines are being cordoned.
     Requested,
     /// The next task of this team may not be disrupted now.
@@ -34,9 +34,9 @@
 
 /// How far a drain is.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Progress {
+pub struct DrainProgress {
     /// What it is doing or waiting for.
-    pub state: State,
+    pub state: DrainState,
     /// Machines that it holds.
     pub machines: usize,
     /// Those of them without tasks.
--- a/crates/drain/tests/planner.rs
+++ b/crates/drain/tests/planner.rs
@@ -5,7 +5,7 @@
 
 use dappleshore_domain::{Attempt, JobId, MachineId, Now, TaskId, Team};
 use dappleshore_drain::planner::{
-    Event, NoCapacity, PlannerLimits, Records, Reservation, ServiceState, State,
+    DrainState, Event, NoCapacity, PlannerLimits, Records, Reservation, ServiceState,
 };
 use dappleshore_drain::{
     Budgets, DrainId, DrainRecord, Effect, EvictionTarget, Fleet, HaltReason, JobView, Ledger,
@@ -250,7 +250,7 @@
         tasks.filter(|task| !runs(*task)).count()
     }
 
-    fn state(&self, name: &str) -> &State {
+    fn state(&self, name: &str) -> &DrainState {
         &self.planner.progress()[&id(name)].state
     }
 
@@ -364,7 +364,7 @@
                 );
             }
         }
-        assert_eq!(world.state("disk"), &State::Done, "seed {seed}");
+        assert_eq!(world.state("disk"), &DrainState::Done, "seed {seed}");
         let left = world.machines.iter().filter(|m| *m.zone.0 == *"a");
         assert!(left.into_iter().all(|m| m.tasks.is_empty()), "seed {seed}");
     }
@@ -379,7 +379,7 @@
         world.look(true);
         assert_eq!(evictions(&world.look(true)), 0);
         match world.state("disk") {
-            State::WaitingForBudget(exceeded) => assert_eq!(exceeded.allowed, 0),
+            DrainState::WaitingForBudget(exceeded) => assert_eq!(exceeded.allowed, 0),
             state => panic!("{state:?}"),
         }
     }
@@ -471,7 +471,7 @@
         world.step();
         world.look(true);
     }
-    assert_eq!(world.state("disk"), &State::Done);
+    assert_eq!(world.state("disk"), &DrainState::Done);
 }
 
 #[test]
@@ -482,14 +482,14 @@
     world.look(true);
     world.failing = [JobId(1), JobId(2)].into();
     world.look(true);
-    let expected = State::Halted(HaltReason::ReplacementFails {
+    let expected = DrainState::Halted(HaltReason::ReplacementFails {
         task: TaskId {
             job: JobId(2),
             index: 0,
         },
     });
     assert!(
-        matches!(world.state("disk"), State::Halted(_)),
+        matches!(world.state("disk"), DrainState::Halted(_)),
         "{expected:?}"
     );
 }
@@ -533,14 +533,14 @@
     let mut world = World::new(6, 6, Limit::Count(1));
     let lost = world.machine("a-000").tasks.clone();
     for attempt in &lost {
-        let event = Event::<View<'_>>::Lost(*attempt);
+        let event = Event::<View<'_>>::AttemptLost(*attempt);
         world.planner.handle(world.now(), event);
     }
     let kept = lost[0].task;
-    let event: Event<'_, View<'_>> = Event::Idle {
-        is_wanted: &|task| task == kept,
+    let event: Event<'_, View<'_>> = Event::NoActiveDrains {
+        is_needed: &|task| task == kept,
     };
     world.planner.handle(world.now(), event);
-    let watched = world.planner.watched(&world.ledgers);
+    let watched = world.planner.tasks_to_observe(&world.ledgers);
     assert_eq!(watched, BTreeSet::from([kept]));
 }
--- a/src/scheduler/draining/mod.rs
+++ b/src/scheduler/draining/mod.rs
@@ -13,7 +13,7 @@
 
 use dappleshore_drain::disruption::Disruptions;
 use dappleshore_drain::planner::{
-    Event, NoCapacity, PlannerLimits, Progress, Records, Reservation, ServiceState,
+    DrainProgress, Event, NoCapacity, PlannerLimits, Records, Reservation, ServiceState,
 };
 use dappleshore_drain::settings::TeamSettings;
 use dappleshore_drain::{
@@ -84,7 +84,7 @@
     }
 
     /// Returns the progress of each drain.
-    pub fn progress(&self) -> &BTreeMap<DrainId, Progress> {
+    pub fn progress(&self) -> &BTreeMap<DrainId, DrainProgress> {
         self.planner.progress()
     }
 
@@ -311,7 +311,7 @@
             return;
         }
         if let Some(draining) = &mut self.draining {
-            let event = Event::<FleetView<'_, '_>>::Lost(attempt);
+            let event = Event::<FleetView<'_, '_>>::AttemptLost(attempt);
             draining.planner.handle(now, event);
         }
     }
@@ -509,7 +509,7 @@
             return;
         };
         let mut watched_by_block: HashMap<&BlockId, Vec<u64>> = HashMap::new();
-        for task in draining.planner.watched(ledgers) {
+        for task in draining.planner.tasks_to_observe(ledgers) {
             for (attempt, machine) in placed_attempts(cache, task) {
                 if let Some(machine) = cache.machines.get(machine) {
                     let of_block = watched_by_block.entry(&machine.block).or_default();
@@ -579,12 +579,12 @@
             return;
         }
         self.last_upkeep = Some(now.monotonic);
-        let is_wanted = |task: TaskId| {
+        let is_needed = |task: TaskId| {
             let open = cache.open_jobs.get(&task.job);
             open.is_some_and(|open| !open.cancelled && !open.done.contains(task.index))
         };
-        let event: Event<'_, FleetView<'_, '_>> = Event::Idle {
-            is_wanted: &is_wanted,
+        let event: Event<'_, FleetView<'_, '_>> = Event::NoActiveDrains {
+            is_needed: &is_needed,
         };
         self.planner.handle(now, event);
     }
