--- a/crates/drain/src/budget.rs
+++ b/crates/drain/src/budget.rs
@@ -36,7 +36,7 @@
 
 impl Limit {
     /// What it comes to of so many.
-    pub fn of(self, all: u64) -> u64 {
+    pub fn resolve(self, all: u64) -> u64 {
         match self {
             Limit::Count(count) => u64::from(count),
             Limit::Share { basis_points } => {
@@ -120,7 +120,7 @@
 
 impl Budgets {
     /// The limit for all tasks of a team.
-    pub fn of_team(&self, team: &Team) -> Limit {
+    pub fn team_limit(&self, team: &Team) -> Limit {
         let limit = |budgets: &BTreeMap<Team, TeamBudget>| {
             budgets.get(team).and_then(|budget| budget.limit)
         };
@@ -130,7 +130,7 @@
     }
 
     /// The limit for the team's tasks of a class, if there is one of its own.
-    pub fn of_class(&self, team: &Team, class: &str) -> Option<Limit> {
+    pub fn class_limit(&self, team: &Team, class: &str) -> Option<Limit> {
         let limit = |budgets: &BTreeMap<Team, TeamBudget>| {
             let budget = budgets.get(team)?;
             budget.classes.get(class).copied()
--- a/crates/drain/src/disruption.rs
+++ b/crates/drain/src/disruption.rs
@@ -194,12 +194,12 @@
     }
 
     /// What a team has.
-    pub fn of_team(&self, team: &Team) -> Count {
+    pub fn team_count(&self, team: &Team) -> Count {
         self.teams.get(team).copied().unwrap_or_default()
     }
 
     /// What a team has of a class.
-    pub fn of_class(&self, team: &Team, class: &Arc<str>) -> Count {
+    pub fn class_count(&self, team: &Team, class: &Arc<str>) -> Count {
         let key = (team.clone(), class.clone());
         self.classes.get(&key).copied().unwrap_or_default()
     }
@@ -219,24 +219,24 @@
         // Also for tasks that count as disrupted already, since their machine does not answer: it may come back, and
         // then they run.
         let within = |count: Count, allowed: u64| count.disrupted + more <= allowed;
-        let of_team = self.of_team(&job.team);
-        let allowed = budgets.of_team(&job.team).of(of_team.tasks);
-        if !within(of_team, allowed) {
+        let team_count = self.team_count(&job.team);
+        let allowed = budgets.team_limit(&job.team).resolve(team_count.tasks);
+        if !within(team_count, allowed) {
             return Some(Exceeded {
                 team: job.team,
                 class: None,
-                disrupted: of_team.disrupted,
+                disrupted: team_count.disrupted,
                 more,
                 allowed,
             });
         }
-        let limit = budgets.of_class(&job.team, &job.class)?;
-        let of_class = self.of_class(&job.team, &job.class);
-        let allowed = limit.of(of_class.tasks);
-        (!within(of_class, allowed)).then_some(Exceeded {
+        let limit = budgets.class_limit(&job.team, &job.class)?;
+        let class_count = self.class_count(&job.team, &job.class);
+        let allowed = limit.resolve(class_count.tasks);
+        (!within(class_count, allowed)).then_some(Exceeded {
             team: job.team,
             class: Some(job.class),
-            disrupted: of_class.disrupted,
+            disrupted: class_count.disrupted,
             more,
             allowed,
         })
--- a/crates/drain/src/requests.rs
+++ b/crates/drain/src/requests.rs
@@ -120,7 +120,7 @@
         )));
     }
     check_scope(&record.scope, known)?;
-    if record.step.is_some_and(|step| step.of(u64::MAX) == 0) {
+    if record.step.is_some_and(|step| step.resolve(u64::MAX) == 0) {
         return Err(invalid(
             "a step of 0 would never empty a machine".to_owned(),
         ));
--- a/crates/drain/tests/planner.rs
+++ b/crates/drain/tests/planner.rs
@@ -398,7 +398,11 @@
         "blue's, which are elsewhere"
     );
     assert_eq!(
-        world.planner.disruptions().of_team(&team("red")).disrupted,
+        world
+            .planner
+            .disruptions()
+            .team_count(&team("red"))
+            .disrupted,
         3
     );
 }
@@ -439,7 +443,11 @@
         assert_eq!(evicted, usize::from(moved), "budget {budget}");
         if moved {
             assert_eq!(
-                world.planner.disruptions().of_team(&team("red")).disrupted,
+                world
+                    .planner
+                    .disruptions()
+                    .team_count(&team("red"))
+                    .disrupted,
                 4
             );
         }
--- a/crates/drain/tests/requests.rs
+++ b/crates/drain/tests/requests.rs
@@ -240,7 +240,7 @@
         ("12.5%", 1),
     ] {
         let limit: Limit = text.parse().expect("a limit");
-        assert_eq!(limit.of(9), of_nine, "{text}");
+        assert_eq!(limit.resolve(9), of_nine, "{text}");
         assert_eq!(limit.to_string(), text);
     }
     for wrong in ["", "-1", "1.5", "101%", "-1%", "%", "x", "NaN%"] {
--- a/src/operations/mod.rs
+++ b/src/operations/mod.rs
@@ -350,11 +350,11 @@
     let budgets = draining.budgets(cache);
     let mut statuses = Vec::new();
     for team in cx.leader.config.teams.iter().map(|team| &team.name) {
-        let limit = budgets.of_team(team);
+        let limit = budgets.team_limit(team);
         let stated = |by: &BTreeMap<Team, TeamBudget>| {
             by.get(team).is_some_and(|budget| budget.limit.is_some())
         };
-        let count = draining.disruptions().of_team(team);
+        let count = draining.disruptions().team_count(team);
         let status =
             |class: Option<String>,
              limit: Limit,
@@ -364,7 +364,7 @@
                 class,
                 limit,
                 source: source.to_owned(),
-                allowed: limit.of(count.tasks),
+                allowed: limit.resolve(count.tasks),
                 disrupted: count.disrupted,
                 tasks: count.tasks,
             };
@@ -381,12 +381,12 @@
         };
         let requested = of(&budgets.requested);
         for class in requested.union(&of(&budgets.settings)) {
-            let Some(limit) = budgets.of_class(team, class) else {
+            let Some(limit) = budgets.class_limit(team, class) else {
                 continue;
             };
             let count = draining
                 .disruptions()
-                .of_class(team, &class.as_str().into());
+                .class_count(team, &class.as_str().into());
             let source = source(requested.contains(class), true);
             statuses.push(status(Some(class.clone()), limit, source, count));
         }
--- a/src/scheduler/draining/mod.rs
+++ b/src/scheduler/draining/mod.rs
@@ -118,7 +118,7 @@
         }
         let budgets = self.budgets(cache);
         for (team, count) in self.disruptions().teams() {
-            let allowed = budgets.of_team(team).of(count.tasks);
+            let allowed = budgets.team_limit(team).resolve(count.tasks);
             let disrupted = count.disrupted as f64;
             gauges.insert(format!("drain_disrupted{{team=\"{team}\"}}"), disrupted);
             gauges.insert(format!("drain_budget{{team=\"{team}\"}}"), allowed as f64);
