--- a/crates/drain/src/record.rs
+++ b/crates/drain/src/record.rs
@@ -136,7 +136,7 @@
     }
 
     /// Whether it keeps its machines out of service.
-    pub fn holds(&self) -> bool {
+    pub fn is_in_effect(&self) -> bool {
         !matches!(self.phase, Phase::Cancelled | Phase::Uncordoned)
     }
 
@@ -147,7 +147,7 @@
 
     /// Whether a machine is kept out of service by it.
     pub fn holds_machine(&self, machine: Membership<'_>) -> bool {
-        self.holds() && !self.except.contains(machine.id) && self.scope.contains(machine)
+        self.is_in_effect() && !self.except.contains(machine.id) && self.scope.contains(machine)
     }
 
     /// Whether it asks for the same.
--- a/crates/drain/src/requests.rs
+++ b/crates/drain/src/requests.rs
@@ -142,7 +142,7 @@
     let holding = known
         .drains
         .values()
-        .filter(|record| record.holds())
+        .filter(|record| record.is_in_effect())
         .count();
     if holding >= MOST_HOLDING {
         return Err(refused(format!(
@@ -163,7 +163,12 @@
 
 /// An ended record that makes room for another one.
 fn oldest_ended(known: &Known<'_>) -> Option<DrainId> {
-    let ended = || known.drains.iter().filter(|(_, record)| !record.holds());
+    let ended = || {
+        known
+            .drains
+            .iter()
+            .filter(|(_, record)| !record.is_in_effect())
+    };
     if ended().count() < MOST_ENDED {
         return None;
     }
@@ -239,7 +244,11 @@
 fn uncordon(scope: &Scope, known: &Known<'_>) -> Result<Vec<Change>, Problem> {
     check_scope(scope, known)?;
     let mut changes = Vec::new();
-    for (id, record) in known.drains.iter().filter(|(_, record)| record.holds()) {
+    for (id, record) in known
+        .drains
+        .iter()
+        .filter(|(_, record)| record.is_in_effect())
+    {
         let shared = machines_of_both(scope, record, known.machines);
         let whole = covers(scope, &record.scope);
         if shared.is_empty() && !whole {
--- a/crates/drain/src/scope.rs
+++ b/crates/drain/src/scope.rs
@@ -51,7 +51,7 @@
     }
 
     /// Whether every machine of this type in this zone would be meant, so that none should be rented there.
-    pub fn closes(&self, type_name: &InstanceTypeName, zone: &Zone) -> bool {
+    pub fn covers_type_in_zone(&self, type_name: &InstanceTypeName, zone: &Zone) -> bool {
         match self {
             Scope::Machines(_) | Scope::Block(_) => false,
             Scope::Type(closed) => closed == type_name,
--- a/crates/drain/tests/requests.rs
+++ b/crates/drain/tests/requests.rs
@@ -147,7 +147,7 @@
     assert_eq!(site.ask(&one), Ok(0));
     let record = &site.drains[&id("zone")];
     assert_eq!(record.except, BTreeSet::from([MachineId::from("m-0")]));
-    assert!(record.holds());
+    assert!(record.is_in_effect());
     let second = Request::Uncordon {
         scope: machines(&["m-1"]),
     };
@@ -157,7 +157,7 @@
         "no room for it"
     );
     assert_eq!(site.ask(&Request::Uncordon { scope: zone("a") }), Ok(1));
-    assert!(!site.drains[&id("zone")].holds());
+    assert!(!site.drains[&id("zone")].is_in_effect());
     site.ask(&start("busy", zone("b"), Purpose::Drain))
         .expect("taken");
     let busy = Request::Uncordon { scope: zone("b") };
--- a/src/provisioning/mod.rs
+++ b/src/provisioning/mod.rs
@@ -125,12 +125,15 @@
     pub fn is_drained(&self, type_name: &InstanceTypeName, zone: &Zone) -> bool {
         self.drained_scopes
             .iter()
-            .any(|scope| scope.closes(type_name, zone))
+            .any(|scope| scope.covers_type_in_zone(type_name, zone))
     }
 
     /// Updates the drained scopes from the drain records.
     pub fn update_drained_scopes(&mut self, cache: &WatchCache) {
-        let active_drains = cache.drains.values().filter(|record| record.value.holds());
+        let active_drains = cache
+            .drains
+            .values()
+            .filter(|record| record.value.is_in_effect());
         self.drained_scopes = active_drains
             .map(|record| record.value.scope.clone())
             .collect();
