--- a/crates/drain/src/operator.rs
+++ b/crates/drain/src/operator.rs
@@ -90,7 +90,8 @@
         records: Vec<DrainId>,
     },
     /// Another controller leads.
-    Elsewhere {
+    #[serde(rename = "Elsewhere")]
+    NotLeader {
         /// Its name.
         leader: ControllerName,
         /// Its address for operators' requests.
--- a/src/cli/show.rs
+++ b/src/cli/show.rs
@@ -27,7 +27,7 @@
                 Shown::Uncordoned(records.iter().map(ToString::to_string).collect())
             }
             Reply::Problem(problem) => Shown::Problem(problem.clone()),
-            Reply::Elsewhere { leader, .. } => Shown::Problem(Problem::new(
+            Reply::NotLeader { leader, .. } => Shown::Problem(Problem::new(
                 dappleshore_drain::operator::ProblemKind::Unavailable,
                 format!("{leader} leads"),
             )),
--- a/src/client/mod.rs
+++ b/src/client/mod.rs
@@ -61,7 +61,7 @@
                         last = problem;
                     }
                     Ok(Reply::Problem(problem)) => return Err(problem),
-                    Ok(Reply::Elsewhere { leader, .. }) => {
+                    Ok(Reply::NotLeader { leader, .. }) => {
                         let message = format!("{leader} leads, but does not answer");
                         last = Problem::new(ProblemKind::Unavailable, message);
                     }
@@ -93,7 +93,7 @@
         deadline: Instant,
     ) -> Result<Reply, ExchangeError> {
         let reply = self.exchange(controller, request, deadline).await?;
-        if let Reply::Elsewhere { addr, .. } = &reply
+        if let Reply::NotLeader { addr, .. } = &reply
             && let Ok(leader) = addr.parse()
             && let Ok(answer) = self.exchange(leader, request, deadline).await
         {
--- a/src/operations/mod.rs
+++ b/src/operations/mod.rs
@@ -109,7 +109,7 @@
         self.writer = WriterState::Idle;
         let reply = |pending: PendingRequest| {
             let reply = match &leader {
-                Some((leader, addr)) => Reply::Elsewhere {
+                Some((leader, addr)) => Reply::NotLeader {
                     leader: leader.clone(),
                     addr: addr.clone(),
                 },
--- a/tests/simulation/operators.rs
+++ b/tests/simulation/operators.rs
@@ -96,7 +96,7 @@
         let now = self.now;
         let asked = &mut self.operators.asked[number];
         match &reply {
-            Reply::Elsewhere { leader, .. } => {
+            Reply::NotLeader { leader, .. } => {
                 asked.controller = leader.0.trim_start_matches("node-").parse().unwrap_or(0);
                 asked.next = now + RETRY / 10;
                 return;
