--- a/src/controller/dispatcher.rs
+++ b/src/controller/dispatcher.rs
@@ -57,7 +57,7 @@
                 healthy: self.is_healthy(now),
             }),
             Event::OperatorRequest { id, request } => {
-                let reply = self.operations.ask(now, id, request);
+                let reply = self.operations.add_request(now, id, request);
                 effects.extend(reply.map(|reply| Effect::RespondToOperator { id, reply }));
             }
             Event::Heartbeat { id, heartbeat } => {
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -19,7 +19,7 @@
 use crate::job_api::{self, JobApi};
 use crate::leadership::Leadership;
 use crate::metrics::Metrics;
-use crate::operations::Operations;
+use crate::operations::OperatorRequests;
 use crate::policy::Policy;
 use crate::store::WatchCache;
 use crate::store::rate_limiter::RequestRateLimiter;
@@ -47,7 +47,7 @@
     config: Config,
     policy: Policy,
     features: Features,
-    operations: Operations,
+    operations: OperatorRequests,
     incarnation: Incarnation,
     rng: SmallRng,
     cache: WatchCache,
@@ -102,7 +102,7 @@
             leadership: Leadership::new(config.name.clone(), incarnation, format),
             policy,
             features: Features::default(),
-            operations: Operations::default(),
+            operations: OperatorRequests::default(),
             incarnation,
             rng,
             cache: WatchCache::new(&config.state_limits, config.controller_count()),
--- a/src/controller/operator_requests.rs
+++ b/src/controller/operator_requests.rs
@@ -18,7 +18,7 @@
             .current_term(&self.cache)
             .filter(|_| authority_until.is_some_and(|until| now.monotonic < until));
         let (Some(leader), Some(state)) = (leader, &self.leader_state) else {
-            let replies = self.operations.refer(self.remote_leader());
+            let replies = self.operations.redirect_all(self.remote_leader());
             effects.extend(
                 replies
                     .into_iter()
@@ -41,11 +41,11 @@
             leader: &leader,
             draining: state.scheduler.draining(),
         };
-        let progress = self.operations.poll(now, &context, &mut self.cache);
-        if let Some(request) = progress.op {
+        let result = self.operations.poll(now, &context, &mut self.cache);
+        if let Some(request) = result.request {
             self.push_store_request(RequestPriority::User, StoreTag::Operations, request);
         }
-        let replies = progress.replies.into_iter();
+        let replies = result.replies.into_iter();
         effects.extend(replies.map(|(id, reply)| Effect::RespondToOperator { id, reply }));
     }
 
--- a/src/controller/store_responses.rs
+++ b/src/controller/store_responses.rs
@@ -89,7 +89,7 @@
                     state.scheduler.handle_drain_store_response(now, &outcome);
                 }
             }
-            StoreTag::Operations => self.operations.written(now, &outcome),
+            StoreTag::Operations => self.operations.handle_store_response(now, &outcome),
             StoreTag::Block {
                 block,
                 lease_version,
--- a/src/operations/mod.rs
+++ b/src/operations/mod.rs
@@ -47,7 +47,7 @@
 
 /// Requests that are not answered yet.
 #[derive(Debug)]
-pub struct Operations {
+pub struct OperatorRequests {
     pending: VecDeque<PendingRequest>,
     writer: WriterState,
 }
@@ -62,16 +62,16 @@
 
 /// What a poll has come to.
 #[derive(Default)]
-pub struct Progress {
+pub struct PollResult {
     /// The replies that are decided.
     pub replies: Vec<(RequestId, Reply)>,
     /// A transaction to send.
-    pub op: Option<StoreRequest>,
+    pub request: Option<StoreRequest>,
 }
 
-impl Default for Operations {
+impl Default for OperatorRequests {
     fn default() -> Self {
-        Operations {
+        OperatorRequests {
             pending: VecDeque::new(),
             writer: WriterState::Idle,
         }
@@ -83,9 +83,9 @@
     Reply::Problem(Problem::new(ProblemKind::Unavailable, message))
 }
 
-impl Operations {
+impl OperatorRequests {
     /// Adds a request. The reply, if there are too many already.
-    pub fn ask(&mut self, now: Now, id: RequestId, request: Request) -> Option<Reply> {
+    pub fn add_request(&mut self, now: Now, id: RequestId, request: Request) -> Option<Reply> {
         if self.pending.len() >= MAX_PENDING_REQUESTS {
             return Some(unavailable("too many requests are waiting"));
         }
@@ -105,7 +105,10 @@
     }
 
     /// Refers all pending requests to the controller that leads, if it is known, as this one does not.
-    pub fn refer(&mut self, leader: Option<(ControllerName, String)>) -> Vec<(RequestId, Reply)> {
+    pub fn redirect_all(
+        &mut self,
+        leader: Option<(ControllerName, String)>,
+    ) -> Vec<(RequestId, Reply)> {
         self.writer = WriterState::Idle;
         let reply = |pending: PendingRequest| {
             let reply = match &leader {
@@ -121,25 +124,25 @@
     }
 
     /// Decides what can be decided, and makes the transaction that the first request with changes needs.
-    pub fn poll(&mut self, now: Now, cx: &Context<'_>, cache: &mut WatchCache) -> Progress {
-        let mut progress = Progress::default();
-        self.answer_overdue(now, &mut progress);
-        self.answer_reads(cx, cache, &mut progress);
+    pub fn poll(&mut self, now: Now, cx: &Context<'_>, cache: &mut WatchCache) -> PollResult {
+        let mut result = PollResult::default();
+        self.answer_overdue(now, &mut result);
+        self.answer_reads(cx, cache, &mut result);
         let Some(pending) = self.pending.iter_mut().find(|p| !p.request.only_reads()) else {
-            return progress;
+            return result;
         };
         if !cache.is_current_as_of(pending.asked) {
             cache.request_refresh();
-            return progress;
+            return result;
         }
         if !self.writer.can_write(now, cache) {
-            return progress;
+            return result;
         }
         match changes(&pending.request, now, cx, cache) {
-            Err(problem) => progress.replies.push((pending.id, Reply::Problem(problem))),
+            Err(problem) => result.replies.push((pending.id, Reply::Problem(problem))),
             Ok(changes) if changes.is_empty() => {
                 let reply = final_reply(pending, cx, cache);
-                progress.replies.push((pending.id, reply));
+                result.replies.push((pending.id, reply));
             }
             Ok(changes) => {
                 info!(request = ?pending.request, "operators' request");
@@ -153,18 +156,18 @@
                     }
                 }
                 self.writer.mark_sent();
-                progress.op = Some(StoreRequest::Commit(transaction(
+                result.request = Some(StoreRequest::Commit(transaction(
                     cx.leader, cache, &changes,
                 )));
             }
         }
-        let answered: BTreeSet<RequestId> = progress.replies.iter().map(|(id, _)| *id).collect();
+        let answered: BTreeSet<RequestId> = result.replies.iter().map(|(id, _)| *id).collect();
         self.pending
             .retain(|pending| !answered.contains(&pending.id));
-        progress
+        result
     }
 
-    fn answer_overdue(&mut self, now: Now, progress: &mut Progress) {
+    fn answer_overdue(&mut self, now: Now, result: &mut PollResult) {
         self.pending.retain(|pending| {
             let overdue = since(now, pending.asked) >= ANSWER_WITHIN;
             if overdue {
@@ -173,13 +176,13 @@
                 } else {
                     "the state service does not answer"
                 };
-                progress.replies.push((pending.id, unavailable(message)));
+                result.replies.push((pending.id, unavailable(message)));
             }
             !overdue
         });
     }
 
-    fn answer_reads(&mut self, cx: &Context<'_>, cache: &mut WatchCache, progress: &mut Progress) {
+    fn answer_reads(&mut self, cx: &Context<'_>, cache: &mut WatchCache, result: &mut PollResult) {
         let mut fresh_wanted = false;
         self.pending.retain(|pending| {
             if !pending.request.only_reads() {
@@ -189,7 +192,7 @@
                 fresh_wanted = true;
                 return true;
             }
-            progress
+            result
                 .replies
                 .push((pending.id, read_reply(&pending.request, cx, cache)));
             false
@@ -200,7 +203,7 @@
     }
 
     /// Takes in the outcome of the transaction.
-    pub fn written(&mut self, now: Now, outcome: &StoreResponse) {
+    pub fn handle_store_response(&mut self, now: Now, outcome: &StoreResponse) {
         self.writer.record_response(now, outcome);
     }
 }
