--- a/src/cli/mod.rs
+++ b/src/cli/mod.rs
@@ -24,7 +24,7 @@
 
 /// The files that a controller goes by.
 #[derive(clap::Args)]
-pub struct Files {
+pub struct ConfigFiles {
     /// The settings file (TOML) that the platform hands over.
     #[arg(long, value_name = "FILE")]
     pub config: PathBuf,
@@ -40,9 +40,9 @@
 #[derive(Subcommand)]
 pub enum Command {
     /// Run a controller until it is killed.
-    Serve(Files),
+    Serve(ConfigFiles),
     /// Check a settings file, and policy and features under it, and say what is wrong.
-    Check(Files),
+    Check(ConfigFiles),
     /// Keep new tasks off machines.
     Cordon(operate::CordonArgs),
     /// Empty machines step by step, within the teams' disruption budgets.
@@ -58,7 +58,7 @@
 /// Exit codes beside those of success and failure.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Exit {
-    Wrong = 2,
+    InvalidInput = 2,
     NotFound = 3,
     Refused = 4,
     Unavailable = 5,
--- a/src/cli/operate.rs
+++ b/src/cli/operate.rs
@@ -316,7 +316,7 @@
 /// The exit code for a problem.
 pub fn exit_of(kind: ProblemKind) -> Exit {
     match kind {
-        ProblemKind::Invalid => Exit::Wrong,
+        ProblemKind::Invalid => Exit::InvalidInput,
         ProblemKind::NotFound => Exit::NotFound,
         ProblemKind::Refused => Exit::Refused,
         ProblemKind::Unavailable => Exit::Unavailable,
--- a/src/main.rs
+++ b/src/main.rs
@@ -6,7 +6,7 @@
 
 use clap::Parser;
 use dappleshore::cli::operate::Operation;
-use dappleshore::cli::{Cli, Command, Exit, Files};
+use dappleshore::cli::{Cli, Command, ConfigFiles, Exit};
 use dappleshore::config::Config;
 use dappleshore::features::{Features, Found};
 use dappleshore::policy::Policy;
@@ -32,17 +32,17 @@
     found: Found,
 }
 
-fn with_files(files: &Files, run: impl FnOnce(Loaded) -> ExitCode) -> ExitCode {
+fn with_files(files: &ConfigFiles, run: impl FnOnce(Loaded) -> ExitCode) -> ExitCode {
     match load(files) {
         Ok(loaded) => run(loaded),
         Err(problem) => {
             eprintln!("{problem}");
-            Exit::Wrong.into()
+            Exit::InvalidInput.into()
         }
     }
 }
 
-fn load(files: &Files) -> Result<Loaded, Box<dyn std::error::Error>> {
+fn load(files: &ConfigFiles) -> Result<Loaded, Box<dyn std::error::Error>> {
     let config = Config::load(&files.config)?;
     let policy = match &files.policy {
         Some(path) => Policy::load(path, &config)?,
@@ -56,7 +56,7 @@
     })
 }
 
-fn report(files: &Files, loaded: &Loaded) -> ExitCode {
+fn report(files: &ConfigFiles, loaded: &Loaded) -> ExitCode {
     let policy = files.policy.as_deref();
     let features = loaded.found.path.as_deref();
     let paths: [Option<&Path>; 3] = [Some(&files.config), policy, features];
@@ -116,7 +116,7 @@
         Ok(operation) => operation,
         Err(problem) => {
             eprintln!("{problem}");
-            return Exit::Wrong.into();
+            return Exit::InvalidInput.into();
         }
     };
     match runtime() {
