--- a/tests/simulation/cluster/checks.rs
+++ b/tests/simulation/cluster/checks.rs
@@ -81,7 +81,8 @@
                 continue;
             }
             if job.kind == JobKind::Gang {
-                let alone = all == 0 && self.gang_fits(job, &free) && self.rules.team_has_room(id);
+                let alone =
+                    all == 0 && self.gang_fits(job, &free) && self.rules.team_has_capacity(id);
                 beside.extend(alone.then_some(id));
                 continue;
             }
@@ -94,7 +95,7 @@
                     && (!job.one_zone || here == all)
                     && room.fits(&job.need)
             };
-            if self.rules.team_has_room(id)
+            if self.rules.team_has_capacity(id)
                 && free.iter().any(|(machine, room)| fits(machine, room))
             {
                 beside.insert(id);
@@ -121,7 +122,7 @@
     pub fn jobs_told(&self) -> usize {
         self.users
             .iter()
-            .filter(|user| self.rules.told_state(user.job).is_some())
+            .filter(|user| self.rules.reported_status(user.job).is_some())
             .count()
     }
 
--- a/tests/simulation/cluster/mod.rs
+++ b/tests/simulation/cluster/mod.rs
@@ -15,7 +15,7 @@
 use super::machine::{BROKEN, Machine, MachineEvent};
 use super::operators::Operators;
 use super::production;
-use super::rules::{Place, Rules, Told};
+use super::rules::{Place, ReportedStatus, Rules};
 use super::state::StateService;
 use dappleshore::cloud::wire::{
     InstanceType, InstanceTypeList, ListedMachine, ListedState, MachineIds, MachineList,
--- a/tests/simulation/cluster/users.rs
+++ b/tests/simulation/cluster/users.rs
@@ -218,12 +218,12 @@
         let now = self.now;
         let job = self.users[index].job;
         self.rules.asked(now, job);
-        let told = self.rules.told_state(job);
+        let told = self.rules.reported_status(job);
         let asked = self.next_request(index, told);
         let odd = now < self.faults_end && self.rng.random_bool(self.faults.irregular_requests);
         let asked = match told {
-            Some(Told::Accepted) if odd => Ask::Submit,
-            Some(Told::Done) if odd => Ask::Cancel,
+            Some(ReportedStatus::Accepted) if odd => Ask::Submit,
+            Some(ReportedStatus::Done) if odd => Ask::Cancel,
             _ => asked,
         };
         if odd {
@@ -235,7 +235,7 @@
         match asked {
             Ask::Submit => self.rules.submitted(job, self.jobs[&job].clone()),
             // What is done stays done, whoever calls it off.
-            Ask::Cancel if told == Some(Told::Done) => {}
+            Ask::Cancel if told == Some(ReportedStatus::Done) => {}
             Ask::Cancel => self.rules.cancel_asked(job),
             Ask::Poll => {}
         }
@@ -265,13 +265,13 @@
     }
 
     /// What a user asks next, by what it was told last.
-    fn next_request(&mut self, index: usize, told: Option<Told>) -> Ask {
+    fn next_request(&mut self, index: usize, told: Option<ReportedStatus>) -> Ask {
         let user = &self.users[index];
         let cancel = user.cancel_at.is_some_and(|at| self.now >= at);
         match told {
             None => Ask::Submit,
-            Some(Told::Accepted) if cancel => Ask::Cancel,
-            Some(Told::Accepted) => Ask::Poll,
+            Some(ReportedStatus::Accepted) if cancel => Ask::Cancel,
+            Some(ReportedStatus::Accepted) => Ask::Poll,
             // Asked about again, and submitted again, long after.
             Some(_) if user.again && self.rng.random_bool(0.3) => Ask::Submit,
             Some(_) => Ask::Poll,
@@ -464,7 +464,7 @@
     /// Up to so many accepted jobs that run.
     pub fn running_jobs(&self, count: usize) -> Vec<JobId> {
         let running = |job: &JobId| {
-            self.rules.told_state(*job) == Some(Told::Accepted)
+            self.rules.reported_status(*job) == Some(ReportedStatus::Accepted)
                 && !self.rules.machines_of(*job).is_empty()
         };
         self.users
--- a/tests/simulation/rules.rs
+++ b/tests/simulation/rules.rs
@@ -8,7 +8,7 @@
 };
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Told {
+pub enum ReportedStatus {
     Accepted,
     Done,
     Cancelled,
@@ -25,34 +25,34 @@
 #[derive(Debug)]
 struct JobHistory {
     job: Job,
-    told: Option<Told>,
+    reported: Option<ReportedStatus>,
     cancel_asked: bool,
-    cancel_told: Option<Duration>,
+    cancelled_at: Option<Duration>,
     done: BTreeSet<u32>,
-    on: BTreeMap<u32, Vec<Place>>,
-    accepted: Option<Duration>,
+    placements: BTreeMap<u32, Vec<Place>>,
+    accepted_at: Option<Duration>,
     /// When its first task started.
-    began: Option<Duration>,
+    first_started_at: Option<Duration>,
     /// How often any of its tasks started.
-    starts: usize,
+    start_count: usize,
     /// When each task started last.
-    last_start: BTreeMap<u32, Duration>,
+    last_started: BTreeMap<u32, Duration>,
     /// Tasks that have started, are not done and are on no machine, and since when.
-    lost: BTreeMap<u32, Duration>,
+    down_since: BTreeMap<u32, Duration>,
     /// Since when its user's questions have gone unanswered.
-    unanswered: Option<Duration>,
+    unanswered_since: Option<Duration>,
     /// Since when it has waited beside a machine with room.
-    beside_room: Option<Duration>,
+    waiting_despite_capacity_since: Option<Duration>,
 }
 
 /// Troubles over, a job with no question answered for this long is forgotten.
-const ANSWER_WITHIN: Duration = Duration::from_secs(75);
+const MAX_UNANSWERED: Duration = Duration::from_secs(75);
 /// Troubles over, no job waits this long while a machine that fits has room and its team is under its limit.
-const USED_WITHIN: Duration = Duration::from_secs(90);
+const MAX_WAIT_DESPITE_CAPACITY: Duration = Duration::from_secs(90);
 /// The largest jobs begin within this.
-const BEGIN_WITHIN: Duration = Duration::from_secs(240);
+const MAX_START_DELAY: Duration = Duration::from_secs(240);
 
-fn size(job: &Job) -> f64 {
+fn total_cpus(job: &Job) -> f64 {
     job.need.cpus * f64::from(job.tasks)
 }
 
@@ -62,7 +62,7 @@
     limits: BTreeMap<Team, f64>,
     cancel_within: Duration,
     /// From here on there are no troubles, and every question must get an answer soon.
-    calm: Duration,
+    faults_over_at: Duration,
     pub started: usize,
     /// Starts after a confirmed cancellation: the task, and how long after.
     pub starts_after_cancellation: Vec<(TaskId, Duration)>,
@@ -74,12 +74,16 @@
 }
 
 impl Rules {
-    pub fn new(limits: BTreeMap<Team, f64>, cancel_within: Duration, calm: Duration) -> Self {
+    pub fn new(
+        limits: BTreeMap<Team, f64>,
+        cancel_within: Duration,
+        faults_over_at: Duration,
+    ) -> Self {
         Rules {
             jobs: BTreeMap::new(),
             limits,
             cancel_within,
-            calm,
+            faults_over_at,
             started: 0,
             starts_after_cancellation: Vec::new(),
             violations: Vec::new(),
@@ -91,106 +95,108 @@
     /// Tasks of a team that have started and are nowhere now, and that have been nowhere for so long. A gang counts
     /// whole.
     pub fn tasks_down(&self, team: &Team, longer_than: Duration) -> BTreeSet<TaskId> {
-        let mut lost = BTreeSet::new();
-        let of_team = |known: &&JobHistory| known.job.team == *team && !known.cancel_asked;
-        let jobs = self.jobs.iter().filter(|(_, known)| of_team(known));
-        for (id, known) in jobs {
-            let long = |at: &&Duration| self.now.saturating_sub(**at) >= longer_than;
+        let mut down = BTreeSet::new();
+        let of_team = |history: &&JobHistory| history.job.team == *team && !history.cancel_asked;
+        let jobs = self.jobs.iter().filter(|(_, history)| of_team(history));
+        for (id, history) in jobs {
+            let long_enough = |at: &&Duration| self.now.saturating_sub(**at) >= longer_than;
             let task = |index: u32| TaskId { job: *id, index };
-            let gone = known.lost.iter().filter(|(_, at)| long(at));
-            let mut gone: BTreeSet<TaskId> = gone.map(|(index, _)| task(*index)).collect();
-            if known.job.kind == JobKind::Gang && !gone.is_empty() {
-                gone = (0..known.job.tasks).map(task).collect();
+            let down_tasks = history.down_since.iter().filter(|(_, at)| long_enough(at));
+            let mut down_of_job: BTreeSet<TaskId> =
+                down_tasks.map(|(index, _)| task(*index)).collect();
+            if history.job.kind == JobKind::Gang && !down_of_job.is_empty() {
+                down_of_job = (0..history.job.tasks).map(task).collect();
             }
-            lost.extend(gone);
+            down.extend(down_of_job);
         }
-        lost
+        down
     }
 
     /// Tasks of a class that run.
     pub fn on_machines(&self, team: &Team, class: &str) -> usize {
-        let of = |known: &&JobHistory| known.job.team == *team && *known.job.class == *class;
+        let matches =
+            |history: &&JobHistory| history.job.team == *team && *history.job.class == *class;
         self.jobs
             .values()
-            .filter(of)
-            .map(|known| known.on.len())
+            .filter(matches)
+            .map(|history| history.placements.len())
             .sum()
     }
 
     /// Whether a task has started since, is done, or is not wanted any more.
     pub fn restored(&self, task: TaskId, since: Duration) -> bool {
-        let Some(known) = self.jobs.get(&task.job) else {
+        let Some(history) = self.jobs.get(&task.job) else {
             return true;
         };
-        let started = known.last_start.get(&task.index);
-        known.cancel_asked
-            || known.done.contains(&task.index)
+        let started = history.last_started.get(&task.index);
+        history.cancel_asked
+            || history.done.contains(&task.index)
             || started.is_some_and(|at| *at > since)
     }
 
     /// The team of a job.
     pub fn team_of(&self, job: JobId) -> Option<Team> {
-        self.jobs.get(&job).map(|known| known.job.team.clone())
+        self.jobs.get(&job).map(|history| history.job.team.clone())
     }
 
-    fn break_rule(&mut self, now: Duration, text: String) {
+    fn record_violation(&mut self, now: Duration, violation: String) {
         self.violations
-            .push(format!("{:.3} {text}", now.as_secs_f64()));
+            .push(format!("{:.3} {violation}", now.as_secs_f64()));
     }
 
     pub fn submitted(&mut self, id: JobId, job: Job) {
         self.jobs.entry(id).or_insert(JobHistory {
             job,
-            told: None,
+            reported: None,
             cancel_asked: false,
-            cancel_told: None,
+            cancelled_at: None,
             done: BTreeSet::new(),
-            on: BTreeMap::new(),
-            accepted: None,
-            began: None,
-            starts: 0,
-            last_start: BTreeMap::new(),
-            lost: BTreeMap::new(),
-            unanswered: None,
-            beside_room: None,
+            placements: BTreeMap::new(),
+            accepted_at: None,
+            first_started_at: None,
+            start_count: 0,
+            last_started: BTreeMap::new(),
+            down_since: BTreeMap::new(),
+            unanswered_since: None,
+            waiting_despite_capacity_since: None,
         });
     }
 
     pub fn cancel_asked(&mut self, id: JobId) {
-        if let Some(known) = self.jobs.get_mut(&id) {
-            known.cancel_asked = true;
+        if let Some(history) = self.jobs.get_mut(&id) {
+            history.cancel_asked = true;
         }
     }
 
     /// A task has its image and is on its machine.
     pub fn task_started(&mut self, now: Duration, task: TaskId, place: Place) {
         self.started += 1;
-        if let Some(known) = self.jobs.get_mut(&task.job) {
-            known.began.get_or_insert(now);
-            known.starts += 1;
-            known.last_start.insert(task.index, now);
-            let lost = known.lost.remove(&task.index);
+        if let Some(history) = self.jobs.get_mut(&task.job) {
+            history.first_started_at.get_or_insert(now);
+            history.start_count += 1;
+            history.last_started.insert(task.index, now);
+            let down_since = history.down_since.remove(&task.index);
             self.down_times
-                .extend(lost.map(|at| now.saturating_sub(at)));
+                .extend(down_since.map(|since| now.saturating_sub(since)));
         }
-        let cancelled = self.jobs.get(&task.job).and_then(|known| known.cancel_told);
+        let cancelled_at = self.jobs.get(&task.job).and_then(|job| job.cancelled_at);
         self.starts_after_cancellation
-            .extend(cancelled.map(|told| (task, now - told)));
-        let Some(known) = self.jobs.get(&task.job) else {
-            return self.break_rule(
+            .extend(cancelled_at.map(|confirmed| (task, now - confirmed)));
+        let Some(history) = self.jobs.get(&task.job) else {
+            return self.record_violation(
                 now,
                 format!("invented: {task} starts but was never submitted"),
             );
         };
-        let mut wrong = Vec::new();
-        if known.on.contains_key(&task.index) {
-            wrong.push(format!(
+        let mut violations = Vec::new();
+        if history.placements.contains_key(&task.index) {
+            violations.push(format!(
                 "ran_twice: {task} starts on {} and is on {:?}",
-                place.machine, known.on[&task.index]
+                place.machine, history.placements[&task.index]
             ));
         }
-        let job = &known.job;
-        let others = || known.on.values().flatten();
+        let job = &history.job;
+        let others = || history.placements.values().flatten();
         let in_zone = others().filter(|other| other.zone == place.zone).count() as u32;
         let elsewhere = others().any(|other| other.zone != place.zone);
         if !job.allows_type(&place.type_name)
@@ -199,22 +205,22 @@
             || in_zone + 1 > job.zone_limit()
             || (job.one_zone && elsewhere)
         {
-            wrong.push(format!("wrong_place: {task} starts on {place:?}"));
+            violations.push(format!("wrong_place: {task} starts on {place:?}"));
         }
-        if known
-            .cancel_told
-            .is_some_and(|told| now > told + self.cancel_within)
+        if history
+            .cancelled_at
+            .is_some_and(|confirmed| now > confirmed + self.cancel_within)
         {
-            wrong.push(format!("ran_cancelled: {task} starts on {}", place.machine));
+            violations.push(format!("ran_cancelled: {task} starts on {}", place.machine));
         }
-        for text in wrong {
-            self.break_rule(now, text);
+        for violation in violations {
+            self.record_violation(now, violation);
         }
         let team = self.jobs[&task.job].job.team.clone();
         self.jobs
             .get_mut(&task.job)
-            .expect("known")
-            .on
+            .expect("looked up above")
+            .placements
             .entry(task.index)
             .or_default()
             .push(place);
@@ -223,38 +229,44 @@
 
     fn check_limit(&mut self, now: Duration, team: &Team) {
         let mut used = Resources::default();
-        for known in self.jobs.values().filter(|known| known.job.team == *team) {
-            for _ in known.on.values().flatten() {
-                used.add(&known.job.need);
+        for history in self
+            .jobs
+            .values()
+            .filter(|history| history.job.team == *team)
+        {
+            for _ in history.placements.values().flatten() {
+                used.add(&history.job.need);
             }
         }
         if used.cpus > self.limits[team] + 1e-6 {
-            self.break_rule(now, format!("quota: {team} uses {}", used.cpus));
+            self.record_violation(now, format!("quota: {team} uses {}", used.cpus));
         }
     }
 
     pub fn task_ended(&mut self, task: TaskId, machine: &str, done: bool) {
-        let Some(known) = self.jobs.get_mut(&task.job) else {
+        let Some(history) = self.jobs.get_mut(&task.job) else {
             return;
         };
-        if let Some(placements) = known.on.get_mut(&task.index) {
+        if let Some(placements) = history.placements.get_mut(&task.index) {
             placements.retain(|place| place.machine != machine);
             if placements.is_empty() {
-                known.on.remove(&task.index);
+                history.placements.remove(&task.index);
             }
         }
         if done {
-            known.done.insert(task.index);
-            known.lost.remove(&task.index);
-        } else if !known.on.contains_key(&task.index) && !known.done.contains(&task.index) {
-            known.lost.insert(task.index, self.now);
+            history.done.insert(task.index);
+            history.down_since.remove(&task.index);
+        } else if !history.placements.contains_key(&task.index)
+            && !history.done.contains(&task.index)
+        {
+            history.down_since.insert(task.index, self.now);
         }
     }
 
     /// A user asks about a job.
     pub fn asked(&mut self, now: Duration, id: JobId) {
-        if let Some(known) = self.jobs.get_mut(&id) {
-            known.unanswered.get_or_insert(now);
+        if let Some(history) = self.jobs.get_mut(&id) {
+            history.unanswered_since.get_or_insert(now);
         }
     }
 
@@ -264,59 +276,71 @@
     pub fn unserved(&self) -> Vec<String> {
         let mut groups: BTreeMap<String, (usize, usize)> = BTreeMap::new();
         let mut classes: BTreeMap<&str, Vec<&JobHistory>> = BTreeMap::new();
-        for known in self.jobs.values().filter(|known| known.accepted.is_some()) {
-            let early = |told: Duration| known.accepted.is_some_and(|at| told < at + BEGIN_WITHIN);
-            let cancelled = known.began.is_none() && known.cancel_told.is_some_and(early);
+        for history in self
+            .jobs
+            .values()
+            .filter(|history| history.accepted_at.is_some())
+        {
+            let early = |confirmed: Duration| {
+                history
+                    .accepted_at
+                    .is_some_and(|at| confirmed < at + MAX_START_DELAY)
+            };
+            let cancelled =
+                history.first_started_at.is_none() && history.cancelled_at.is_some_and(early);
             if cancelled {
                 continue;
             }
-            let all = known.done.len() == known.job.tasks as usize;
-            let served = all
-                || known.began.is_some()
-                    && (known.job.kind == JobKind::Service || known.cancel_asked);
+            let all_done = history.done.len() == history.job.tasks as usize;
+            let served = all_done
+                || history.first_started_at.is_some()
+                    && (history.job.kind == JobKind::Service || history.cancel_asked);
             for group in [
-                format!("class {}", known.job.class),
-                format!("team {}", known.job.team),
+                format!("class {}", history.job.class),
+                format!("team {}", history.job.team),
             ] {
-                let (of, count) = groups.entry(group).or_default();
-                *of += 1;
-                *count += usize::from(served);
+                let (total, served_count) = groups.entry(group).or_default();
+                *total += 1;
+                *served_count += usize::from(served);
             }
-            classes.entry(&known.job.class).or_default().push(known);
+            classes.entry(&history.job.class).or_default().push(history);
         }
         for (class, mut jobs) in classes {
-            jobs.sort_by(|a, b| size(&b.job).total_cmp(&size(&a.job)));
+            jobs.sort_by(|a, b| total_cpus(&b.job).total_cmp(&total_cpus(&a.job)));
             jobs.truncate(jobs.len().div_ceil(10));
-            let in_time = |known: &&&JobHistory| match (known.accepted, known.began) {
-                (Some(accepted), Some(began)) => began <= accepted + BEGIN_WITHIN,
-                _ => false,
-            };
-            let begun = jobs.iter().filter(in_time).count();
-            groups.insert(format!("largest of {class}"), (jobs.len(), begun));
+            let in_time =
+                |history: &&&JobHistory| match (history.accepted_at, history.first_started_at) {
+                    (Some(accepted), Some(first_started_at)) => {
+                        first_started_at <= accepted + MAX_START_DELAY
+                    }
+                    _ => false,
+                };
+            let started_in_time = jobs.iter().filter(in_time).count();
+            groups.insert(format!("largest of {class}"), (jobs.len(), started_in_time));
         }
         groups
             .into_iter()
-            .filter(|(_, (of, count))| count * 2 < *of)
-            .map(|(group, (of, count))| format!("{group}: {count} of {of}"))
+            .filter(|(_, (total, served_count))| served_count * 2 < *total)
+            .map(|(group, (total, served_count))| format!("{group}: {served_count} of {total}"))
             .collect()
     }
 
     /// Called after each step.
     pub fn check(&mut self, now: Duration) {
-        let calm = self.calm;
-        let silent = |known: &JobHistory| {
-            known
-                .unanswered
-                .is_some_and(|at| now > at.max(calm) + ANSWER_WITHIN)
+        let faults_over_at = self.faults_over_at;
+        let is_unanswered = |history: &JobHistory| {
+            history
+                .unanswered_since
+                .is_some_and(|at| now > at.max(faults_over_at) + MAX_UNANSWERED)
         };
-        let unheard: Vec<JobId> = self
+        let unanswered: Vec<JobId> = self
             .jobs
             .iter()
-            .filter(|(_, k)| k.told.is_some() && silent(k))
+            .filter(|(_, history)| history.reported.is_some() && is_unanswered(history))
             .map(|(id, _)| *id)
             .collect();
-        for id in unheard {
-            self.break_rule(
+        for id in unanswered {
+            self.record_violation(
                 now,
                 format!("forgotten: no question about {id} was answered for long"),
             );
@@ -325,55 +349,65 @@
         let late: Vec<JobId> = self
             .jobs
             .iter()
-            .filter(|(_, known)| {
-                known.cancel_told.is_some_and(|told| now > told + within) && !known.on.is_empty()
+            .filter(|(_, history)| {
+                history
+                    .cancelled_at
+                    .is_some_and(|confirmed| now > confirmed + within)
+                    && !history.placements.is_empty()
             })
             .map(|(id, _)| *id)
             .collect();
         for id in late {
-            self.break_rule(
+            self.record_violation(
                 now,
-                format!("ran_cancelled: {id} is still on {:?}", self.jobs[&id].on),
+                format!(
+                    "ran_cancelled: {id} is still on {:?}",
+                    self.jobs[&id].placements
+                ),
             );
         }
     }
 
     /// A user is answered. `status` None: 404.
     pub fn status_reported(&mut self, now: Duration, id: JobId, status: Option<&str>) {
-        let Some(known) = self.jobs.get_mut(&id) else {
+        let Some(history) = self.jobs.get_mut(&id) else {
             if status.is_some() {
-                self.break_rule(now, format!("invented: {id} is {status:?}"));
+                self.record_violation(now, format!("invented: {id} is {status:?}"));
             }
             return;
         };
-        let before = known.told;
-        let all_done = known.done.len() == known.job.tasks as usize;
+        let before = history.reported;
+        let all_done = history.done.len() == history.job.tasks as usize;
         let new = match status {
             None => {
                 if before.is_some() {
-                    self.break_rule(now, format!("forgotten: {id} was {before:?}"));
+                    self.record_violation(now, format!("forgotten: {id} was {before:?}"));
                 }
                 return;
             }
-            Some("done") => Told::Done,
-            Some("cancelled") => Told::Cancelled,
-            Some(_) => Told::Accepted,
+            Some("done") => ReportedStatus::Done,
+            Some("cancelled") => ReportedStatus::Cancelled,
+            Some(_) => ReportedStatus::Accepted,
         };
-        known.told = Some(new);
-        known.unanswered = None;
-        known.accepted.get_or_insert(now);
-        let cancel_asked = known.cancel_asked;
-        if new == Told::Cancelled && known.cancel_told.is_none() {
-            known.cancel_told = Some(now);
+        history.reported = Some(new);
+        history.unanswered_since = None;
+        history.accepted_at.get_or_insert(now);
+        let cancel_asked = history.cancel_asked;
+        if new == ReportedStatus::Cancelled && history.cancelled_at.is_none() {
+            history.cancelled_at = Some(now);
         }
-        if new == Told::Done && !all_done {
-            self.break_rule(now, format!("not_done: {id} is called done"));
+        if new == ReportedStatus::Done && !all_done {
+            self.record_violation(now, format!("not_done: {id} is called done"));
         }
-        if matches!(before, Some(Told::Done | Told::Cancelled)) && before != Some(new) {
-            self.break_rule(now, format!("went_back: {id} was {before:?}, is {new:?}"));
+        if matches!(
+            before,
+            Some(ReportedStatus::Done | ReportedStatus::Cancelled)
+        ) && before != Some(new)
+        {
+            self.record_violation(now, format!("went_back: {id} was {before:?}, is {new:?}"));
         }
-        if new == Told::Cancelled && !cancel_asked {
-            self.break_rule(
+        if new == ReportedStatus::Cancelled && !cancel_asked {
+            self.record_violation(
                 now,
                 format!("went_back: {id} is called cancelled, its user never asked"),
             );
@@ -381,8 +415,12 @@
     }
 
     pub fn refused(&mut self, now: Duration, id: JobId, status: u16) {
-        if self.jobs.get(&id).is_some_and(|known| known.told.is_some()) {
-            self.break_rule(
+        if self
+            .jobs
+            .get(&id)
+            .is_some_and(|history| history.reported.is_some())
+        {
+            self.record_violation(
                 now,
                 format!("forgotten: {id} is answered {status} after it was accepted"),
             );
@@ -392,7 +430,7 @@
     /// What was sent should have been refused with this status: by a controller that can decide, and at once.
     pub fn irregular_request_answered(&mut self, now: Duration, expected: u16, status: u16) {
         if ![expected, 429, 503].contains(&status) {
-            self.break_rule(
+            self.record_violation(
                 now,
                 format!("odd: a request is answered {status} instead of {expected}"),
             );
@@ -401,10 +439,12 @@
 
     /// Accepted jobs with tasks to do.
     pub fn waiting(&self) -> Vec<JobId> {
-        let waits = |known: &JobHistory| known.told == Some(Told::Accepted) && !known.cancel_asked;
+        let is_waiting = |history: &JobHistory| {
+            history.reported == Some(ReportedStatus::Accepted) && !history.cancel_asked
+        };
         self.jobs
             .iter()
-            .filter(|(_, known)| waits(known))
+            .filter(|(_, history)| is_waiting(history))
             .map(|(id, _)| *id)
             .collect()
     }
@@ -412,63 +452,64 @@
     pub fn done(&self, id: JobId) -> u32 {
         self.jobs
             .get(&id)
-            .map_or(0, |known| known.done.len() as u32)
+            .map_or(0, |history| history.done.len() as u32)
     }
 
     pub fn all_done(&self, id: JobId) -> bool {
         self.jobs
             .get(&id)
-            .is_some_and(|known| known.done.len() == known.job.tasks as usize)
+            .is_some_and(|history| history.done.len() == history.job.tasks as usize)
     }
 
-    pub fn team_has_room(&self, id: JobId) -> bool {
-        let Some(job) = self.jobs.get(&id).map(|known| &known.job) else {
+    pub fn team_has_capacity(&self, id: JobId) -> bool {
+        let Some(job) = self.jobs.get(&id).map(|history| &history.job) else {
             return false;
         };
         let of_team = self
             .jobs
             .values()
-            .filter(|known| known.job.team == job.team);
+            .filter(|history| history.job.team == job.team);
         let used: f64 = of_team
-            .map(|known| known.job.need.cpus * known.on.len() as f64)
+            .map(|history| history.job.need.cpus * history.placements.len() as f64)
             .sum();
         used + job.need.cpus <= self.limits[&job.team]
     }
 
     /// The jobs that wait beside room now.
     pub fn record_waiting_despite_capacity(&mut self, now: Duration, jobs: BTreeSet<JobId>) {
-        let calm = self.calm;
+        let faults_over_at = self.faults_over_at;
         let mut late = Vec::new();
-        for (id, known) in &mut self.jobs {
-            known.beside_room = if jobs.contains(id) {
-                known.beside_room.or(Some(now))
+        for (id, history) in &mut self.jobs {
+            history.waiting_despite_capacity_since = if jobs.contains(id) {
+                history.waiting_despite_capacity_since.or(Some(now))
             } else {
                 None
             };
-            if known
-                .beside_room
-                .is_some_and(|at| now > at.max(calm) + USED_WITHIN)
+            if history
+                .waiting_despite_capacity_since
+                .is_some_and(|at| now > at.max(faults_over_at) + MAX_WAIT_DESPITE_CAPACITY)
             {
                 late.push(*id);
             }
         }
         for id in late {
-            self.break_rule(
+            self.record_violation(
                 now,
                 format!("idle: {id} has waited for long beside a machine with room"),
             );
         }
     }
 
-    pub fn told_state(&self, id: JobId) -> Option<Told> {
-        self.jobs.get(&id).and_then(|known| known.told)
+    pub fn reported_status(&self, id: JobId) -> Option<ReportedStatus> {
+        self.jobs.get(&id).and_then(|history| history.reported)
     }
 
     pub fn unfinished(&self) -> Vec<JobId> {
-        let open = |known: &&JobHistory| matches!(known.told, Some(Told::Accepted));
+        let is_open =
+            |history: &&JobHistory| matches!(history.reported, Some(ReportedStatus::Accepted));
         self.jobs
             .iter()
-            .filter(|(_, known)| open(known))
+            .filter(|(_, history)| is_open(history))
             .map(|(id, _)| *id)
             .collect()
     }
@@ -477,7 +518,7 @@
     pub fn is_cancelled(&self, id: JobId) -> bool {
         self.jobs
             .get(&id)
-            .is_some_and(|known| known.cancel_told.is_some())
+            .is_some_and(|history| history.cancelled_at.is_some())
     }
 
     /// Where a job's tasks are.
@@ -486,13 +527,13 @@
             .jobs
             .get(&id)
             .into_iter()
-            .flat_map(|known| known.on.values().flatten());
+            .flat_map(|history| history.placements.values().flatten());
         placements.map(|place| place.machine.clone()).collect()
     }
 
     /// How often tasks of a job have started.
     pub fn starts_of(&self, id: JobId) -> usize {
-        self.jobs.get(&id).map_or(0, |known| known.starts)
+        self.jobs.get(&id).map_or(0, |history| history.start_count)
     }
 
     /// How often tasks of a class have started.
@@ -500,8 +541,8 @@
         let of_class = self
             .jobs
             .values()
-            .filter(|known| *known.job.class == *class);
-        of_class.map(|known| known.starts).sum()
+            .filter(|history| *history.job.class == *class);
+        of_class.map(|history| history.start_count).sum()
     }
 
     /// From acceptance to the first start, of each job of a class that began.
@@ -509,16 +550,22 @@
         let of_class = self
             .jobs
             .values()
-            .filter(|known| *known.job.class == *class);
+            .filter(|history| *history.job.class == *class);
         of_class
-            .filter_map(|known| Some(known.began?.saturating_sub(known.accepted?)))
+            .filter_map(|history| {
+                Some(
+                    history
+                        .first_started_at?
+                        .saturating_sub(history.accepted_at?),
+                )
+            })
             .collect()
     }
 
     pub fn running(&self) -> usize {
         self.jobs
             .values()
-            .map(|known| known.on.values().flatten().count())
+            .map(|history| history.placements.values().flatten().count())
             .sum()
     }
 }
