--- a/tests/simulation/rules.rs
+++ b/tests/simulation/rules.rs
@@ -1,4 +1,5 @@
-//! The rules of PROTOCOL, checked from outside: by what runs on machines and by what users are told.
+//! Checks the rules of PROTOCOL from outside the controllers: by the tasks that run on machines and by the responses
+//! that users receive.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -7,13 +8,16 @@
     CapacityType, InstanceTypeName, Job, JobId, JobKind, Resources, TaskId, Team, Zone,
 };
 
+/// The last status of a job that a user received.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ReportedStatus {
+    /// Any status but `done` and `cancelled`.
     Accepted,
     Done,
     Cancelled,
 }
 
+/// Where a task runs.
 #[derive(Debug)]
 pub struct Place {
     pub machine: String,
@@ -22,54 +26,64 @@
     pub capacity_type: CapacityType,
 }
 
+/// A submitted job and everything observed of it.
 #[derive(Debug)]
 struct JobHistory {
     job: Job,
     reported: Option<ReportedStatus>,
     cancel_asked: bool,
+    /// When its cancellation was confirmed to its user.
     cancelled_at: Option<Duration>,
+    /// The indexes of the tasks that are done.
     done: BTreeSet<u32>,
+    /// Where each task runs, by its index.
     placements: BTreeMap<u32, Vec<Place>>,
+    /// When its user first received a status.
     accepted_at: Option<Duration>,
-    /// When its first task started.
+    /// When its first task first started.
     first_started_at: Option<Duration>,
-    /// How often any of its tasks started.
+    /// Number of starts of all its tasks, restarts included.
     start_count: usize,
-    /// When each task started last.
+    /// When each task last started.
     last_started: BTreeMap<u32, Duration>,
-    /// Tasks that have started, are not done and are on no machine, and since when.
+    /// Tasks that have started, are not done and run on no machine, with the time since when.
     down_since: BTreeMap<u32, Duration>,
-    /// Since when its user's questions have gone unanswered.
+    /// When its user sent the first request that has not been answered.
     unanswered_since: Option<Duration>,
-    /// Since when it has waited beside a machine with room.
+    /// Since when it has waited although a suitable machine has capacity.
     waiting_despite_capacity_since: Option<Duration>,
 }
 
-/// Troubles over, a job with no question answered for this long is forgotten.
+/// After the faults, a job counts as forgotten if no request about it is answered for this long.
 const MAX_UNANSWERED: Duration = Duration::from_secs(75);
-/// Troubles over, no job waits this long while a machine that fits has room and its team is under its limit.
+/// After the faults, no job may wait this long while a suitable machine has capacity and its team is below its limit.
 const MAX_WAIT_DESPITE_CAPACITY: Duration = Duration::from_secs(90);
-/// The largest jobs begin within this.
+/// The largest jobs have to start within this time after they were accepted.
 const MAX_START_DELAY: Duration = Duration::from_secs(240);
 
 fn total_cpus(job: &Job) -> f64 {
     job.need.cpus * f64::from(job.tasks)
 }
 
+/// Records what happens in a cluster and the rules that it violates.
 #[derive(Debug)]
 pub struct Rules {
     jobs: BTreeMap<JobId, JobHistory>,
+    /// The CPU limit of each team.
     limits: BTreeMap<Team, f64>,
+    /// How long tasks may run after their job's cancellation was confirmed.
     cancel_within: Duration,
-    /// From here on there are no troubles, and every question must get an answer soon.
+    /// From this time on no fault lasts, and every request has to be answered within `MAX_UNANSWERED`.
     faults_over_at: Duration,
+    /// Number of task starts.
     pub started: usize,
-    /// Starts after a confirmed cancellation: the task, and how long after.
+    /// Starts after a confirmed cancellation: the task, and the time since the confirmation.
     pub starts_after_cancellation: Vec<(TaskId, Duration)>,
+    /// Each with its time and the name of the rule first.
     pub violations: Vec<String>,
-    /// The time of what is being told.
+    /// The time of the event that is being recorded.
     pub now: Duration,
-    /// How long tasks were nowhere before they started again.
+    /// How long tasks were down before they started again.
     pub down_times: Vec<Duration>,
 }
 
@@ -92,8 +106,8 @@
         }
     }
 
-    /// Tasks of a team that have started and are nowhere now, and that have been nowhere for so long. A gang counts
-    /// whole.
+    /// The tasks of a team that have started, run nowhere now and have been down for at least `longer_than`. If a task
+    /// of a gang is down, all tasks of the gang count.
     pub fn tasks_down(&self, team: &Team, longer_than: Duration) -> BTreeSet<TaskId> {
         let mut down = BTreeSet::new();
         let of_team = |history: &&JobHistory| history.job.team == *team && !history.cancel_asked;
@@ -112,7 +126,7 @@
         down
     }
 
-    /// Tasks of a class that run.
+    /// Number of running tasks of a team and class.
     pub fn on_machines(&self, team: &Team, class: &str) -> usize {
         let matches =
             |history: &&JobHistory| history.job.team == *team && *history.job.class == *class;
@@ -123,7 +137,7 @@
             .sum()
     }
 
-    /// Whether a task has started since, is done, or is not wanted any more.
+    /// Whether a task has started after this time, is done, or belongs to a job that its user cancelled.
     pub fn restored(&self, task: TaskId, since: Duration) -> bool {
         let Some(history) = self.jobs.get(&task.job) else {
             return true;
@@ -168,7 +182,7 @@
         }
     }
 
-    /// A task has its image and is on its machine.
+    /// Records that a task has fetched its image and started on a machine.
     pub fn task_started(&mut self, now: Duration, task: TaskId, place: Place) {
         self.started += 1;
         if let Some(history) = self.jobs.get_mut(&task.job) {
@@ -185,13 +199,13 @@
         let Some(history) = self.jobs.get(&task.job) else {
             return self.record_violation(
                 now,
-                format!("invented: {task} starts but was never submitted"),
+                format!("invented: task {task} started but its job was never submitted"),
             );
         };
         let mut violations = Vec::new();
         if history.placements.contains_key(&task.index) {
             violations.push(format!(
-                "ran_twice: {task} starts on {} and is on {:?}",
+                "ran_twice: task {task} started on {} while it runs on {:?}",
                 place.machine, history.placements[&task.index]
             ));
         }
@@ -205,13 +219,18 @@
             || in_zone + 1 > job.zone_limit()
             || (job.one_zone && elsewhere)
         {
-            violations.push(format!("wrong_place: {task} starts on {place:?}"));
+            violations.push(format!(
+                "wrong_place: task {task} is not allowed on {place:?}"
+            ));
         }
         if history
             .cancelled_at
             .is_some_and(|confirmed| now > confirmed + self.cancel_within)
         {
-            violations.push(format!("ran_cancelled: {task} starts on {}", place.machine));
+            violations.push(format!(
+                "ran_cancelled: task {task} of a cancelled job started on {}",
+                place.machine
+            ));
         }
         for violation in violations {
             self.record_violation(now, violation);
@@ -227,6 +246,7 @@
         self.check_limit(now, &team);
     }
 
+    /// Checks that the tasks of a team that run are within its limit.
     fn check_limit(&mut self, now: Duration, team: &Team) {
         let mut used = Resources::default();
         for history in self
@@ -239,10 +259,11 @@
             }
         }
         if used.cpus > self.limits[team] + 1e-6 {
-            self.record_violation(now, format!("quota: {team} uses {}", used.cpus));
+            self.record_violation(now, format!("quota: team {team} uses {} CPUs", used.cpus));
         }
     }
 
+    /// Records that a task has left a machine. `done`: it has completed.
     pub fn task_ended(&mut self, task: TaskId, machine: &str, done: bool) {
         let Some(history) = self.jobs.get_mut(&task.job) else {
             return;
@@ -263,16 +284,16 @@
         }
     }
 
-    /// A user asks about a job.
+    /// Records that a user has sent a request about a job.
     pub fn asked(&mut self, now: Duration, id: JobId) {
         if let Some(history) = self.jobs.get_mut(&id) {
             history.unanswered_since.get_or_insert(now);
         }
     }
 
-    /// Classes, teams and largest jobs of a class of which less than half was served, or begun in time. A job is
-    /// served when it is done, or for a service when all its tasks have started; what its user cancelled before it
-    /// was accepted for long is left out.
+    /// Classes and teams of which less than half of the jobs were served, and classes of which less than half of the
+    /// largest jobs started in time. A job counts as served when it is done, and a service or a cancelled job also when
+    /// it has started. Jobs that were cancelled within `MAX_START_DELAY` before they started are left out.
     pub fn unserved(&self) -> Vec<String> {
         let mut groups: BTreeMap<String, (usize, usize)> = BTreeMap::new();
         let mut classes: BTreeMap<&str, Vec<&JobHistory>> = BTreeMap::new();
@@ -325,7 +346,7 @@
             .collect()
     }
 
-    /// Called after each step.
+    /// Checks the rules that depend on the time. Called after each event.
     pub fn check(&mut self, now: Duration) {
         let faults_over_at = self.faults_over_at;
         let is_unanswered = |history: &JobHistory| {
@@ -342,7 +363,7 @@
         for id in unanswered {
             self.record_violation(
                 now,
-                format!("forgotten: no question about {id} was answered for long"),
+                format!("forgotten: no request about job {id} was answered within the limit"),
             );
         }
         let within = self.cancel_within;
@@ -361,18 +382,21 @@
             self.record_violation(
                 now,
                 format!(
-                    "ran_cancelled: {id} is still on {:?}",
+                    "ran_cancelled: cancelled job {id} still runs on {:?}",
                     self.jobs[&id].placements
                 ),
             );
         }
     }
 
-    /// A user is answered. `status` None: 404.
+    /// Records the status in a response to a user. `None`: the response was 404.
     pub fn status_reported(&mut self, now: Duration, id: JobId, status: Option<&str>) {
         let Some(history) = self.jobs.get_mut(&id) else {
             if status.is_some() {
-                self.record_violation(now, format!("invented: {id} is {status:?}"));
+                self.record_violation(
+                    now,
+                    format!("invented: job {id} is reported as {status:?} but was never submitted"),
+                );
             }
             return;
         };
@@ -381,7 +405,10 @@
         let new = match status {
             None => {
                 if before.is_some() {
-                    self.record_violation(now, format!("forgotten: {id} was {before:?}"));
+                    self.record_violation(
+                        now,
+                        format!("forgotten: job {id} is reported as unknown after {before:?}"),
+                    );
                 }
                 return;
             }
@@ -397,23 +424,32 @@
             history.cancelled_at = Some(now);
         }
         if new == ReportedStatus::Done && !all_done {
-            self.record_violation(now, format!("not_done: {id} is called done"));
+            self.record_violation(
+                now,
+                format!("not_done: job {id} is reported as done before all its tasks are"),
+            );
         }
         if matches!(
             before,
             Some(ReportedStatus::Done | ReportedStatus::Cancelled)
         ) && before != Some(new)
         {
-            self.record_violation(now, format!("went_back: {id} was {before:?}, is {new:?}"));
+            self.record_violation(
+                now,
+                format!("went_back: job {id} is reported as {new:?} after {before:?}"),
+            );
         }
         if new == ReportedStatus::Cancelled && !cancel_asked {
             self.record_violation(
                 now,
-                format!("went_back: {id} is called cancelled, its user never asked"),
+                format!(
+                    "went_back: job {id} is reported as cancelled, which its user never requested"
+                ),
             );
         }
     }
 
+    /// Records that a user's request about a job was answered with an error status.
     pub fn refused(&mut self, now: Duration, id: JobId, status: u16) {
         if self
             .jobs
@@ -422,22 +458,25 @@
         {
             self.record_violation(
                 now,
-                format!("forgotten: {id} is answered {status} after it was accepted"),
+                format!(
+                    "forgotten: a request about job {id} is answered {status} after it was accepted"
+                ),
             );
         }
     }
 
-    /// What was sent should have been refused with this status: by a controller that can decide, and at once.
+    /// Records the status of the response to an invalid job. It has to be `expected`, or 429 or 503 from a controller
+    /// that can't decide yet.
     pub fn irregular_request_answered(&mut self, now: Duration, expected: u16, status: u16) {
         if ![expected, 429, 503].contains(&status) {
             self.record_violation(
                 now,
-                format!("odd: a request is answered {status} instead of {expected}"),
+                format!("odd: an invalid job is answered {status} instead of {expected}"),
             );
         }
     }
 
-    /// Accepted jobs with tasks to do.
+    /// Jobs that are accepted, not done and not cancelled by their users.
     pub fn waiting(&self) -> Vec<JobId> {
         let is_waiting = |history: &JobHistory| {
             history.reported == Some(ReportedStatus::Accepted) && !history.cancel_asked
@@ -449,6 +488,7 @@
             .collect()
     }
 
+    /// Number of tasks of a job that are done.
     pub fn done(&self, id: JobId) -> u32 {
         self.jobs
             .get(&id)
@@ -461,6 +501,7 @@
             .is_some_and(|history| history.done.len() == history.job.tasks as usize)
     }
 
+    /// Whether one more task of this job keeps its team within the limit.
     pub fn team_has_capacity(&self, id: JobId) -> bool {
         let Some(job) = self.jobs.get(&id).map(|history| &history.job) else {
             return false;
@@ -475,7 +516,7 @@
         used + job.need.cpus <= self.limits[&job.team]
     }
 
-    /// The jobs that wait beside room now.
+    /// Records the jobs that wait now although a suitable machine has capacity.
     pub fn record_waiting_despite_capacity(&mut self, now: Duration, jobs: BTreeSet<JobId>) {
         let faults_over_at = self.faults_over_at;
         let mut late = Vec::new();
@@ -495,15 +536,19 @@
         for id in late {
             self.record_violation(
                 now,
-                format!("idle: {id} has waited for long beside a machine with room"),
+                format!(
+                    "idle: job {id} has waited too long although a suitable machine has capacity"
+                ),
             );
         }
     }
 
+    /// The last status of a job that its user received.
     pub fn reported_status(&self, id: JobId) -> Option<ReportedStatus> {
         self.jobs.get(&id).and_then(|history| history.reported)
     }
 
+    /// Jobs that were accepted and not reported as done or cancelled.
     pub fn unfinished(&self) -> Vec<JobId> {
         let is_open =
             |history: &&JobHistory| matches!(history.reported, Some(ReportedStatus::Accepted));
@@ -514,14 +559,14 @@
             .collect()
     }
 
-    /// Whether its user was told that it is cancelled.
+    /// Whether the cancellation of a job was confirmed to its user.
     pub fn is_cancelled(&self, id: JobId) -> bool {
         self.jobs
             .get(&id)
             .is_some_and(|history| history.cancelled_at.is_some())
     }
 
-    /// Where a job's tasks are.
+    /// The machines on which tasks of a job run.
     pub fn machines_of(&self, id: JobId) -> BTreeSet<String> {
         let placements = self
             .jobs
@@ -531,12 +576,12 @@
         placements.map(|place| place.machine.clone()).collect()
     }
 
-    /// How often tasks of a job have started.
+    /// Number of starts of a job's tasks.
     pub fn starts_of(&self, id: JobId) -> usize {
         self.jobs.get(&id).map_or(0, |history| history.start_count)
     }
 
-    /// How often tasks of a class have started.
+    /// Number of starts of the tasks of a class.
     pub fn starts_of_class(&self, class: &str) -> usize {
         let of_class = self
             .jobs
@@ -545,7 +590,7 @@
         of_class.map(|history| history.start_count).sum()
     }
 
-    /// From acceptance to the first start, of each job of a class that began.
+    /// The time from acceptance to the first start, for each job of a class that has started.
     pub fn waits_of(&self, class: &str) -> Vec<Duration> {
         let of_class = self
             .jobs
@@ -562,6 +607,7 @@
             .collect()
     }
 
+    /// Number of running tasks of all jobs.
     pub fn running(&self) -> usize {
         self.jobs
             .values()
