--- a/tests/simulation/cluster/checks.rs
+++ b/tests/simulation/cluster/checks.rs
@@ -55,7 +55,7 @@
         for machine in self
             .machines
             .values()
-            .filter(|machine| machine.settled(self.now) && !out_of_service.contains(&machine.id))
+            .filter(|machine| machine.is_ready(self.now) && !out_of_service.contains(&machine.id))
         {
             free.push((machine, machine.free(&self.jobs)));
         }
--- a/tests/simulation/cluster/controllers.rs
+++ b/tests/simulation/cluster/controllers.rs
@@ -154,7 +154,7 @@
         sort_hashed(&mut effects);
         if let Some(digest) = &mut self.digest {
             for effect in &effects {
-                digest.effect(controller, self.now, self.base, effect);
+                digest.add_effect(controller, self.now, self.base, effect);
             }
         }
         effects
--- a/tests/simulation/cluster/faults.rs
+++ b/tests/simulation/cluster/faults.rs
@@ -167,7 +167,7 @@
     pub fn state_outage(&mut self, how_long: Duration) {
         let until = self.now + how_long;
         self.state_out_until = self.state_out_until.max(until);
-        self.state.outage_over(until);
+        self.state.renew_leases_after_outage(until);
     }
 
     pub fn pause(&mut self, controller: usize, how_long: Duration) {
--- a/tests/simulation/cluster/mod.rs
+++ b/tests/simulation/cluster/mod.rs
@@ -12,7 +12,7 @@
 
 use super::digest::Digest;
 use super::gangs::Gangs;
-use super::machine::{BROKEN, Machine, MachineEvent};
+use super::machine::{FAILING_CLASS, Machine, MachineEvent};
 use super::operators::Operators;
 use super::production;
 use super::rules::{Place, ReportedStatus, Rules};
@@ -288,7 +288,7 @@
             events: HashMap::new(),
             faults,
             faults_end,
-            state: StateService::new(config.state_limits, production::reads_record),
+            state: StateService::new(config.state_limits, production::can_read_record),
             state_out_until: Duration::ZERO,
             state_slow_until: Duration::ZERO,
             cloud_out_until: Duration::ZERO,
--- a/tests/simulation/cluster/network.rs
+++ b/tests/simulation/cluster/network.rs
@@ -287,7 +287,7 @@
     fn send_peer_message(&mut self, from: usize, to: &ControllerName, message: Message) {
         if self.state.format() == 0 {
             let value = ciborium::Value::serialized(&message).expect("has a form");
-            assert!(production::reads_message(&value), "{message:?}");
+            assert!(production::can_read_message(&value), "{message:?}");
         }
         let controller = controller_index(to).unwrap_or(0);
         let Delivery { at, .. } = self.delivery();
--- a/tests/simulation/cluster/users.rs
+++ b/tests/simulation/cluster/users.rs
@@ -407,7 +407,7 @@
     pub fn add_broken_job(&mut self, tasks: u32, cancel_after: Duration) -> JobId {
         let job = Job {
             tasks,
-            ..array(BROKEN, "red", Priority::Standard)
+            ..array(FAILING_CLASS, "red", Priority::Standard)
         };
         self.add_job(job, Some(self.now + cancel_after))
     }
--- a/tests/simulation/digest.rs
+++ b/tests/simulation/digest.rs
@@ -38,145 +38,145 @@
     }
 
     /// Takes in bytes, and nothing to tell where they end.
-    fn bytes(&mut self, bytes: &[u8]) {
+    fn add_bytes(&mut self, bytes: &[u8]) {
         for byte in bytes {
             self.hash = (self.hash ^ u64::from(*byte)).wrapping_mul(0x0000_0100_0000_01b3);
         }
     }
 
     /// Takes in a number.
-    fn number(&mut self, number: u64) {
-        self.bytes(&number.to_le_bytes());
+    fn add_number(&mut self, number: u64) {
+        self.add_bytes(&number.to_le_bytes());
     }
 
     /// Takes in several numbers, each as by itself.
-    fn numbers(&mut self, numbers: &[u64]) {
+    fn add_numbers(&mut self, numbers: &[u64]) {
         for number in numbers {
-            self.number(*number);
+            self.add_number(*number);
         }
     }
 
     /// Takes in a duration, to the nanosecond.
-    fn duration(&mut self, duration: Duration) {
-        self.number(u64::try_from(duration.as_nanos()).expect("centuries"));
+    fn add_duration(&mut self, duration: Duration) {
+        self.add_number(u64::try_from(duration.as_nanos()).expect("centuries"));
     }
 
     /// Takes in bytes after their length, so that neighbours can't run into each other.
-    fn field(&mut self, bytes: &[u8]) {
-        self.number(bytes.len() as u64);
-        self.bytes(bytes);
+    fn add_field(&mut self, bytes: &[u8]) {
+        self.add_number(bytes.len() as u64);
+        self.add_bytes(bytes);
     }
 
     /// Takes in a request as it is sent.
-    fn request(&mut self, request: &dappleshore::http::Request) {
-        self.number(u64::from(request.method == Method::Post));
-        self.field(request.path.as_bytes());
-        self.field(&request.body);
+    fn add_request(&mut self, request: &dappleshore::http::Request) {
+        self.add_number(u64::from(request.method == Method::Post));
+        self.add_field(request.path.as_bytes());
+        self.add_field(&request.body);
     }
 
     /// Takes in the end of an authority, by the controllers' monotonic clock.
-    fn until(&mut self, base: Instant, until: Option<Instant>) {
-        self.number(u64::from(until.is_some()));
+    fn add_authority_end(&mut self, base: Instant, until: Option<Instant>) {
+        self.add_number(u64::from(until.is_some()));
         if let Some(until) = until {
-            self.duration(until.saturating_duration_since(base));
+            self.add_duration(until.saturating_duration_since(base));
         }
     }
 
     /// Takes in a response to a user.
-    fn response(&mut self, response: &Response) {
+    fn add_response(&mut self, response: &Response) {
         match response {
             Response::State { status, state } => {
-                self.number(u64::from(*status));
-                self.field(&write(state));
+                self.add_number(u64::from(*status));
+                self.add_field(&write(state));
             }
             Response::Problem {
                 status,
                 problem,
                 retry_after,
             } => {
-                self.number(u64::from(*status));
-                self.field(problem.as_bytes());
-                self.number(u64::from(retry_after.is_some()));
-                self.duration(retry_after.unwrap_or_default());
+                self.add_number(u64::from(*status));
+                self.add_field(problem.as_bytes());
+                self.add_number(u64::from(retry_after.is_some()));
+                self.add_duration(retry_after.unwrap_or_default());
             }
         }
     }
 
     /// Takes in a response to a worker's heartbeat.
-    fn heartbeat_response(&mut self, response: &HeartbeatResponse) {
+    fn add_heartbeat_response(&mut self, response: &HeartbeatResponse) {
         match response {
             HeartbeatResponse::Commands(commands) => {
-                self.number(200);
-                self.field(&write(commands));
+                self.add_number(200);
+                self.add_field(&write(commands));
             }
             HeartbeatResponse::Redirect(holder) => {
-                self.number(421);
+                self.add_number(421);
                 let holder = holder.clone();
-                self.field(&write(&RedirectBody { holder }));
+                self.add_field(&write(&RedirectBody { holder }));
             }
-            HeartbeatResponse::Unavailable => self.number(503),
+            HeartbeatResponse::Unavailable => self.add_number(503),
         }
     }
 
     /// Takes in one effect. All that depends on the names in the program is here.
     ///
     /// `now`: simulated time. `base`: the beginning of the cluster by the controllers' monotonic clock.
-    pub fn effect(&mut self, controller: usize, now: Duration, base: Instant, effect: &Effect) {
+    pub fn add_effect(&mut self, controller: usize, now: Duration, base: Instant, effect: &Effect) {
         self.effects += 1;
-        self.number(controller as u64);
-        self.duration(now);
+        self.add_number(controller as u64);
+        self.add_duration(now);
         match effect {
             Effect::Store { tag: _, request } => {
-                self.number(1);
-                self.request(&store::wire::request(request));
+                self.add_number(1);
+                self.add_request(&store::wire::request(request));
             }
             Effect::Command {
                 command,
                 authority_until,
             } => {
-                self.number(2);
-                self.field(command.block.0.as_bytes());
-                self.field(command.machine.0.as_bytes());
-                self.field(command.addr.as_bytes());
-                self.field(&write(&command.body));
-                self.until(base, *authority_until);
+                self.add_number(2);
+                self.add_field(command.block.0.as_bytes());
+                self.add_field(command.machine.0.as_bytes());
+                self.add_field(command.addr.as_bytes());
+                self.add_field(&write(&command.body));
+                self.add_authority_end(base, *authority_until);
             }
             Effect::Cloud {
                 tag: _,
                 request,
                 authority_until,
             } => {
-                self.number(3);
-                self.request(&cloud::wire::http_request(request));
-                self.until(base, *authority_until);
+                self.add_number(3);
+                self.add_request(&cloud::wire::http_request(request));
+                self.add_authority_end(base, *authority_until);
             }
             Effect::Peer { to, message } => {
-                self.number(4);
-                self.field(to.0.as_bytes());
-                self.field(&write(message));
+                self.add_number(4);
+                self.add_field(to.0.as_bytes());
+                self.add_field(&write(message));
             }
             Effect::RespondToUser { id, response } => {
-                self.numbers(&[5, *id]);
-                self.response(response);
+                self.add_numbers(&[5, *id]);
+                self.add_response(response);
             }
             Effect::RespondToWorker {
                 id,
                 response,
                 authority_until,
             } => {
-                self.numbers(&[6, *id]);
-                self.heartbeat_response(response);
-                self.until(base, Some(*authority_until));
+                self.add_numbers(&[6, *id]);
+                self.add_heartbeat_response(response);
+                self.add_authority_end(base, Some(*authority_until));
             }
             Effect::RespondToHealthCheck { id, healthy } => {
-                self.numbers(&[7, *id, u64::from(*healthy)]);
+                self.add_numbers(&[7, *id, u64::from(*healthy)]);
             }
             Effect::RespondToOperator { id, reply } => {
-                self.numbers(&[8, *id]);
-                self.field(&write(reply));
+                self.add_numbers(&[8, *id]);
+                self.add_field(&write(reply));
             }
             Effect::UnsupportedFormat { format } => {
-                self.numbers(&[9, u64::from(*format)]);
+                self.add_numbers(&[9, u64::from(*format)]);
             }
         }
         // Two versions of the program can be compared by their logs: where they part is the first difference.
@@ -196,17 +196,17 @@
 }
 
 /// No faults.
-fn quiet() -> SimulatedCluster {
+fn without_faults() -> SimulatedCluster {
     cluster(901, Faults::default())
 }
 
 /// All faults.
-fn troubled() -> SimulatedCluster {
+fn with_all_faults() -> SimulatedCluster {
     cluster(902, Faults::all())
 }
 
 /// An upgrade from the production version under all faults, and gangs once it is through.
-fn upgraded() -> SimulatedCluster {
+fn rolling_upgrade() -> SimulatedCluster {
     super::log_if_asked();
     let mut cluster =
         SimulatedCluster::upgrading(903, Faults::all(), FAULTS_END, Size::SMALL, NEXT);
@@ -220,7 +220,7 @@
 }
 
 /// A zone is drained while each team has a service there, and the leader ends meanwhile.
-fn drained() -> SimulatedCluster {
+fn two_drains() -> SimulatedCluster {
     let mut cluster = cluster(904, Faults::default());
     cluster.preemption = false;
     cluster.unbind_jobs();
@@ -263,7 +263,7 @@
 }
 
 /// Gangs while machines and controllers fail.
-fn with_gangs() -> SimulatedCluster {
+fn gangs_with_faults() -> SimulatedCluster {
     let faults = Faults {
         machine_dies: 12.0,
         machine_hangs: 10.0,
@@ -278,7 +278,7 @@
 }
 
 /// Plays a cluster to its end and returns its digest. It must have done enough for that to show something.
-fn play(name: &str, mut cluster: SimulatedCluster) -> Digest {
+fn run(name: &str, mut cluster: SimulatedCluster) -> Digest {
     cluster.digest = Some(Digest::new());
     cluster.run_until(END);
     assert!(
@@ -321,35 +321,35 @@
 #[test]
 fn the_same_seeds_give_the_same_decisions() {
     let cases = [
-        case("no faults", quiet, 0xf089_2250_0135_d36d, 7273),
-        case("all faults", troubled, 0x7cc4_27ca_e401_441f, 7574),
+        case("no faults", without_faults, 0xf089_2250_0135_d36d, 7273),
+        case("all faults", with_all_faults, 0x7cc4_27ca_e401_441f, 7574),
         case(
             "upgrade and gangs, all faults",
-            upgraded,
+            rolling_upgrade,
             0x77bd_3d36_e897_b936,
             9122,
         ),
-        case("drains", drained, 0x5c1a_ffff_f179_2e7c, 12_265),
+        case("drains", two_drains, 0x5c1a_ffff_f179_2e7c, 12_265),
         case(
             "gangs, machines and controllers fail",
-            with_gangs,
+            gangs_with_faults,
             0xe4b2_7fb4_8f56_087b,
             9014,
         ),
     ];
-    let mut different = Vec::new();
+    let mut differences = Vec::new();
     for case in cases {
-        let (expected, seen) = (case.expected, play(case.name, (case.cluster)()));
-        if seen != expected {
-            different.push(format!(
+        let (expected, actual) = (case.expected, run(case.name, (case.cluster)()));
+        if actual != expected {
+            differences.push(format!(
                 "{}: expected 0x{:016x} of {} effects, got 0x{:016x} of {}",
-                case.name, expected.hash, expected.effects, seen.hash, seen.effects
+                case.name, expected.hash, expected.effects, actual.hash, actual.effects
             ));
         }
     }
     assert!(
-        different.is_empty(),
+        differences.is_empty(),
         "controllers decide otherwise than before:\n{}",
-        different.join("\n")
+        differences.join("\n")
     );
 }
--- a/tests/simulation/machine.rs
+++ b/tests/simulation/machine.rs
@@ -64,15 +64,15 @@
 }
 
 /// A gang's task that waits for the others gives up after this long.
-pub const GANG_WAIT: Duration = Duration::from_secs(30);
+pub const GANG_START_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// The class of jobs whose tasks fail on every machine.
-pub const BROKEN: &str = "broken";
+pub const FAILING_CLASS: &str = "broken";
 
 /// The class of services that run until they are cancelled. (Others here end, so that days have ends.)
 pub const LONG_RUNNING_CLASS: &str = "lookup";
 
-const FETCH: Duration = Duration::from_secs(2);
+const IMAGE_FETCH_TIME: Duration = Duration::from_secs(2);
 
 impl Machine {
     pub fn runs(&self, now: Duration) -> bool {
@@ -101,18 +101,18 @@
             tasks: self
                 .tasks
                 .iter()
-                .map(|(task, t)| TaskStatus {
+                .map(|(task, entry)| TaskStatus {
                     task: *task,
-                    wire_number: t.number,
-                    state: t.state,
-                    cause: t.cause,
+                    wire_number: entry.number,
+                    state: entry.state,
+                    cause: entry.cause,
                 })
                 .collect(),
         }
     }
 
     /// Up for a while, fit for tasks, and not being taken away.
-    pub fn settled(&self, now: Duration) -> bool {
+    pub fn is_ready(&self, now: Duration) -> bool {
         let up = self
             .up_at
             .is_some_and(|at| now > at + Duration::from_secs(10));
@@ -121,8 +121,8 @@
 
     pub fn free(&self, jobs: &BTreeMap<JobId, Job>) -> Resources {
         let mut free = self.size;
-        for (task, t) in &self.tasks {
-            if t.state != TaskState::Exited
+        for (task, entry) in &self.tasks {
+            if entry.state != TaskState::Exited
                 && let Some(job) = jobs.get(&task.job)
             {
                 free.take(&job.need);
@@ -139,21 +139,21 @@
         results: &BTreeSet<TaskId>,
         run_for: impl Fn(TaskId) -> Duration,
     ) -> Vec<MachineEvent> {
-        let mut happened = Vec::new();
+        let mut events = Vec::new();
         for command in commands {
             match command {
                 WorkerCommand::Launch { task, wire_number } => {
-                    happened.extend(self.launch(*task, *wire_number, jobs, results, &run_for));
+                    events.extend(self.launch(*task, *wire_number, jobs, results, &run_for));
                 }
                 WorkerCommand::Stop {
                     task, wire_number, ..
                 } => {
-                    happened.extend(self.stop(*task, *wire_number));
+                    events.extend(self.stop(*task, *wire_number));
                 }
                 WorkerCommand::Reap { task, wire_number } => self.reap(*task, *wire_number),
             }
         }
-        happened
+        events
     }
 
     /// Starts an attempt, unless the worker knows it already or another attempt of the task is there.
@@ -166,40 +166,44 @@
         run_for: &impl Fn(TaskId) -> Duration,
     ) -> Vec<MachineEvent> {
         let free = self.free(jobs);
-        let known = self.tasks.get(&task);
-        if known.is_some_and(|known| known.number == number) {
+        let existing = self.tasks.get(&task);
+        if existing.is_some_and(|entry| entry.number == number) {
             return Vec::new();
         }
         self.changed = true;
-        if known.is_some_and(|known| known.state != TaskState::Exited) {
+        if existing.is_some_and(|entry| entry.state != TaskState::Exited) {
             // The protocol's heartbeat has one entry for each task and attempt; the refusal is not shown here, since the
             // attempt that is there goes on.
             return Vec::new();
         }
-        let refused = |cause| Task {
+        let rejected = |cause| Task {
             number,
             state: TaskState::Exited,
             cause: Some(cause),
             left: Duration::ZERO,
         };
         let Some(job) = jobs.get(&task.job) else {
-            self.tasks.insert(task, refused(ExitCause::UnknownTask));
+            self.tasks.insert(task, rejected(ExitCause::UnknownTask));
             return Vec::new();
         };
         if !free.fits(&job.need) {
-            self.tasks.insert(task, refused(ExitCause::NoRoom));
+            self.tasks.insert(task, rejected(ExitCause::NoRoom));
             return Vec::new();
         }
         let cached = self.images.contains(&*job.image.0);
-        let fetching = Task {
+        let entry = Task {
             number,
             state: TaskState::Fetching,
             cause: None,
-            left: if cached { Duration::ZERO } else { FETCH },
+            left: if cached {
+                Duration::ZERO
+            } else {
+                IMAGE_FETCH_TIME
+            },
         };
-        self.tasks.insert(task, fetching);
+        self.tasks.insert(task, entry);
         if cached {
-            return self.has_image(task, jobs, results, run_for);
+            return self.start_with_image(task, jobs, results, run_for);
         }
         Vec::new()
     }
@@ -210,22 +214,22 @@
         if entry.number != number || entry.state == TaskState::Exited {
             return None;
         }
-        let ran = matches!(entry.state, TaskState::Running | TaskState::Waiting);
+        let was_started = matches!(entry.state, TaskState::Running | TaskState::Waiting);
         entry.state = TaskState::Exited;
         entry.cause = Some(ExitCause::Stopped);
         self.changed = true;
-        ran.then_some(MachineEvent::Ended(task, false))
+        was_started.then_some(MachineEvent::Ended(task, false))
     }
 
     /// Forgets an attempt that has exited.
     fn reap(&mut self, task: TaskId, number: u64) {
-        let exited = |entry: &Task| entry.number == number && entry.state == TaskState::Exited;
-        if self.tasks.get(&task).is_some_and(exited) {
+        let has_exited = |entry: &Task| entry.number == number && entry.state == TaskState::Exited;
+        if self.tasks.get(&task).is_some_and(has_exited) {
             self.tasks.remove(&task);
         }
     }
 
-    fn has_image(
+    fn start_with_image(
         &mut self,
         task: TaskId,
         jobs: &BTreeMap<JobId, Job>,
@@ -233,20 +237,20 @@
         run_for: &impl Fn(TaskId) -> Duration,
     ) -> Vec<MachineEvent> {
         self.changed = true;
-        let Some(t) = self.tasks.get_mut(&task) else {
+        let Some(entry) = self.tasks.get_mut(&task) else {
             return Vec::new();
         };
         if results.contains(&task) {
-            t.state = TaskState::Exited;
-            t.cause = Some(ExitCause::Done);
+            entry.state = TaskState::Exited;
+            entry.cause = Some(ExitCause::Done);
             return vec![];
         }
         if is_gang(jobs, task) {
-            t.state = TaskState::Waiting;
-            t.left = GANG_WAIT;
+            entry.state = TaskState::Waiting;
+            entry.left = GANG_START_TIMEOUT;
         } else {
-            t.state = TaskState::Running;
-            t.left = run_for(task);
+            entry.state = TaskState::Running;
+            entry.left = run_for(task);
         }
         vec![MachineEvent::Started(task)]
     }
@@ -254,50 +258,52 @@
     /// Time passes for the tasks.
     pub fn progress(
         &mut self,
-        passed: Duration,
+        elapsed: Duration,
         jobs: &BTreeMap<JobId, Job>,
         results: &BTreeSet<TaskId>,
         run_for: impl Fn(TaskId) -> Duration,
     ) -> Vec<MachineEvent> {
-        let mut happened = Vec::new();
+        let mut events = Vec::new();
         let due: Vec<TaskId> = self
             .tasks
             .iter_mut()
             // The tasks of a gang run together: see `gangs`.
-            .filter(|(task, t)| {
-                t.state == TaskState::Fetching
-                    || (t.state == TaskState::Running
+            .filter(|(task, entry)| {
+                entry.state == TaskState::Fetching
+                    || (entry.state == TaskState::Running
                         && !is_gang(jobs, **task)
-                        && !is_lasting(jobs, **task))
+                        && !is_long_running(jobs, **task))
             })
-            .filter_map(|(task, t)| {
-                t.left = t.left.saturating_sub(passed);
-                t.left.is_zero().then_some(*task)
+            .filter_map(|(task, entry)| {
+                entry.left = entry.left.saturating_sub(elapsed);
+                entry.left.is_zero().then_some(*task)
             })
             .collect();
         for task in due {
-            let Some(t) = self.tasks.get_mut(&task) else {
+            let Some(entry) = self.tasks.get_mut(&task) else {
                 continue;
             };
-            if t.state == TaskState::Fetching {
+            if entry.state == TaskState::Fetching {
                 if let Some(job) = jobs.get(&task.job) {
                     self.images.insert(job.image.0.to_string());
                 }
-                happened.extend(self.has_image(task, jobs, results, &run_for));
+                events.extend(self.start_with_image(task, jobs, results, &run_for));
             } else {
-                t.state = TaskState::Exited;
-                let broken = jobs.get(&task.job).is_some_and(|job| *job.class == *BROKEN);
-                let failed = self.faulty || broken;
-                t.cause = Some(if failed {
+                entry.state = TaskState::Exited;
+                let always_fails = jobs
+                    .get(&task.job)
+                    .is_some_and(|job| *job.class == *FAILING_CLASS);
+                let failed = self.faulty || always_fails;
+                entry.cause = Some(if failed {
                     ExitCause::Error
                 } else {
                     ExitCause::Done
                 });
                 self.changed = true;
-                happened.push(MachineEvent::Ended(task, !failed));
+                events.push(MachineEvent::Ended(task, !failed));
             }
         }
-        happened
+        events
     }
 
     /// Kills everything if the lease is over.
@@ -322,13 +328,13 @@
         let tasks = std::mem::take(&mut self.tasks);
         tasks
             .into_iter()
-            .filter(|(_, t)| matches!(t.state, TaskState::Running | TaskState::Waiting))
+            .filter(|(_, entry)| matches!(entry.state, TaskState::Running | TaskState::Waiting))
             .map(|(task, _)| MachineEvent::Ended(task, false))
             .collect()
     }
 }
 
-fn is_lasting(jobs: &BTreeMap<JobId, Job>, task: TaskId) -> bool {
+fn is_long_running(jobs: &BTreeMap<JobId, Job>, task: TaskId) -> bool {
     jobs.get(&task.job)
         .is_some_and(|job| *job.class == *LONG_RUNNING_CLASS)
 }
--- a/tests/simulation/state.rs
+++ b/tests/simulation/state.rs
@@ -9,24 +9,24 @@
 use dappleshore::store::{Change, KeyValue, StoreRequest, StoreResponse, Transaction};
 use dappleshore_drain::{Eviction, Ledger};
 
-struct Key {
+struct Entry {
     value: Value,
     version: u64,
     lease: Option<u64>,
 }
 
 pub struct StateService {
-    keys: BTreeMap<String, Key>,
-    log: Vec<Change>,
+    keys: BTreeMap<String, Entry>,
+    change_log: Vec<Change>,
     pub revision: u64,
     leases: BTreeMap<u64, (Duration, Duration)>,
     next_lease: u64,
     limits: StateLimits,
-    requests: (f64, Duration),
-    writes: (f64, Duration),
+    request_tokens: (f64, Duration),
+    write_tokens: (f64, Duration),
     pub refused: usize,
     /// The limits were lowered: what is above them is refused, not a mistake of the test's.
-    lowered: bool,
+    limits_lowered: bool,
     /// Transactions refused as too large.
     pub too_large: usize,
     pub largest: usize,
@@ -36,60 +36,60 @@
     /// Evictions that were recorded and not yet looked at.
     pub recorded_evictions: Vec<Eviction>,
     /// Whether the production version reads a record.
-    production_reads: fn(&str, &Value) -> bool,
+    readable_by_production: fn(&str, &Value) -> bool,
 }
 
-fn bucket(slot: &mut (f64, Duration), now: Duration, rate: f64, cost: f64) -> bool {
-    slot.0 = (slot.0 + (now - slot.1).as_secs_f64() * rate).min(rate);
-    slot.1 = now;
-    if slot.0 < cost {
+fn take_tokens(bucket: &mut (f64, Duration), now: Duration, rate: f64, count: f64) -> bool {
+    bucket.0 = (bucket.0 + (now - bucket.1).as_secs_f64() * rate).min(rate);
+    bucket.1 = now;
+    if bucket.0 < count {
         return false;
     }
-    slot.0 -= cost;
+    bucket.0 -= count;
     true
 }
 
 impl StateService {
-    pub fn new(limits: StateLimits, production_reads: fn(&str, &Value) -> bool) -> Self {
+    pub fn new(limits: StateLimits, readable_by_production: fn(&str, &Value) -> bool) -> Self {
         StateService {
             keys: BTreeMap::new(),
-            log: Vec::new(),
+            change_log: Vec::new(),
             revision: 0,
             leases: BTreeMap::new(),
             next_lease: 0,
-            requests: (limits.rps, Duration::ZERO),
-            writes: (limits.write_rps, Duration::ZERO),
+            request_tokens: (limits.rps, Duration::ZERO),
+            write_tokens: (limits.write_rps, Duration::ZERO),
             limits,
             refused: 0,
-            lowered: false,
+            limits_lowered: false,
             too_large: 0,
             largest: 0,
             changes: 0,
             reads: 0,
             recorded_evictions: Vec::new(),
-            production_reads,
+            readable_by_production,
         }
     }
 
     /// Notes the evictions that a ledger's new value has and its old one had not.
-    fn note_evictions(&mut self, key: &str, value: Option<&Value>) {
+    fn record_evictions(&mut self, key: &str, value: Option<&Value>) {
         if !key.starts_with("dappleshore/drain_ledger/") {
             return;
         }
-        let read = |value: &Value| value.deserialized::<Ledger>().expect("a ledger");
-        let old = self.keys.get(key).map(|key| read(&key.value));
-        let known = old.unwrap_or_default().evictions;
-        let new = value.map(read).unwrap_or_default().evictions;
+        let ledger = |value: &Value| value.deserialized::<Ledger>().expect("a ledger");
+        let old_ledger = self.keys.get(key).map(|entry| ledger(&entry.value));
+        let old = old_ledger.unwrap_or_default().evictions;
+        let new = value.map(ledger).unwrap_or_default().evictions;
         self.recorded_evictions
-            .extend(new.into_iter().filter(|eviction| !known.contains(eviction)));
+            .extend(new.into_iter().filter(|eviction| !old.contains(eviction)));
     }
 
-    fn change(&mut self, key: &str, value: Option<Value>, lease: Option<u64>) {
+    fn apply_change(&mut self, key: &str, value: Option<Value>, lease: Option<u64>) {
         let version = self.revision;
-        self.note_evictions(key, value.as_ref());
+        self.record_evictions(key, value.as_ref());
         let readable = value
             .as_ref()
-            .is_none_or(|value| (self.production_reads)(key, value));
+            .is_none_or(|value| (self.readable_by_production)(key, value));
         assert!(
             readable || self.format() > 0,
             "production can't read {key}: {value:?}"
@@ -98,7 +98,7 @@
             Some(value) => {
                 self.keys.insert(
                     key.to_owned(),
-                    Key {
+                    Entry {
                         value,
                         version,
                         lease,
@@ -109,7 +109,7 @@
                 self.keys.remove(key);
             }
         }
-        self.log.push(Change {
+        self.change_log.push(Change {
             key: key.to_owned(),
             version,
             value,
@@ -123,12 +123,12 @@
     /// What is stored stays readable, whatever its size.
     pub fn lower_limits(&mut self, limits: StateLimits) {
         self.limits = limits;
-        self.lowered = true;
+        self.limits_lowered = true;
     }
 
     pub fn format(&self) -> u32 {
         let record = self.keys.get(FORMAT_KEY);
-        let switch = record.and_then(|key| key.value.deserialized::<FormatSwitch>().ok());
+        let switch = record.and_then(|entry| entry.value.deserialized::<FormatSwitch>().ok());
         switch.map_or(0, |switch| switch.version)
     }
 
@@ -140,42 +140,42 @@
             .count()
     }
 
-    fn above_limits(&self, txn: &Transaction) -> bool {
+    fn exceeds_limits(&self, transaction: &Transaction) -> bool {
         use dappleshore::store::TransactionChange::Put;
-        let large = |change: &dappleshore::store::TransactionChange| matches!(change, Put { value, .. } if json_size(value) > self.limits.value_bytes);
-        txn.changes.len() > self.limits.txn_ops
-            || txn.conditions.len() > 4 * self.limits.txn_ops
-            || txn.changes.iter().any(large)
+        let is_too_large = |change: &dappleshore::store::TransactionChange| matches!(change, Put { value, .. } if json_size(value) > self.limits.value_bytes);
+        transaction.changes.len() > self.limits.txn_ops
+            || transaction.conditions.len() > 4 * self.limits.txn_ops
+            || transaction.changes.iter().any(is_too_large)
     }
 
     pub fn last_token(&self) -> u64 {
         let token = self
             .keys
             .get(TOKEN)
-            .and_then(|key| key.value.deserialized::<Token>().ok());
+            .and_then(|entry| entry.value.deserialized::<Token>().ok());
         token.map_or(0, |token| token.last)
     }
 
     /// Ends leases that were not extended. Returns whether anything changed.
     pub fn expire(&mut self, now: Duration) -> bool {
-        let gone: Vec<u64> = self
+        let expired: Vec<u64> = self
             .leases
             .iter()
             .filter(|(_, (_, until))| *until <= now)
             .map(|(id, _)| *id)
             .collect();
         let mut changed = false;
-        for id in gone {
+        for id in expired {
             self.leases.remove(&id);
             let keys: Vec<String> = self
                 .keys
                 .iter()
-                .filter(|(_, key)| key.lease == Some(id))
+                .filter(|(_, entry)| entry.lease == Some(id))
                 .map(|(name, _)| name.clone())
                 .collect();
             for key in keys {
                 self.revision += 1;
-                self.change(&key, None, None);
+                self.apply_change(&key, None, None);
                 changed = true;
             }
         }
@@ -183,15 +183,17 @@
     }
 
     /// After an outage every lease has its full time again.
-    pub fn outage_over(&mut self, now: Duration) {
+    pub fn renew_leases_after_outage(&mut self, now: Duration) {
         for (life, until) in self.leases.values_mut() {
             *until = now + *life;
         }
     }
 
     pub fn changes_after(&self, prefix: &str, after: u64) -> Vec<Change> {
-        let from = self.log.partition_point(|change| change.version <= after);
-        self.log[from..]
+        let first = self
+            .change_log
+            .partition_point(|change| change.version <= after);
+        self.change_log[first..]
             .iter()
             .filter(|change| change.key.starts_with(prefix))
             .cloned()
@@ -199,36 +201,36 @@
     }
 
     /// Any request but a watch.
-    pub fn serve(&mut self, now: Duration, op: &StoreRequest) -> StoreResponse {
+    pub fn serve(&mut self, now: Duration, request: &StoreRequest) -> StoreResponse {
         self.expire(now);
         self.reads += usize::from(matches!(
-            op,
+            request,
             StoreRequest::Get { .. } | StoreRequest::Range { .. }
         ));
-        if !bucket(&mut self.requests, now, self.limits.rps, 1.0) {
+        if !take_tokens(&mut self.request_tokens, now, self.limits.rps, 1.0) {
             self.refused += 1;
             return StoreResponse::Refused;
         }
-        match op {
+        match request {
             StoreRequest::Get { key } => match self.keys.get(key) {
-                Some(found) => StoreResponse::Value {
-                    value: found.value.clone(),
-                    version: found.version,
+                Some(entry) => StoreResponse::Value {
+                    value: entry.value.clone(),
+                    version: entry.version,
                 },
                 None => StoreResponse::Missing {
                     revision: self.revision,
                 },
             },
             StoreRequest::Range { prefix, after } => {
-                let from = after.clone().unwrap_or_default();
+                let start = after.clone().unwrap_or_default();
                 let mut key_values: Vec<KeyValue> = self
                     .keys
-                    .range(from.clone()..)
-                    .filter(|(key, _)| key.starts_with(prefix) && **key > from)
-                    .map(|(key, found)| KeyValue {
+                    .range(start.clone()..)
+                    .filter(|(key, _)| key.starts_with(prefix) && **key > start)
+                    .map(|(key, entry)| KeyValue {
                         key: key.clone(),
-                        value: found.value.clone(),
-                        version: found.version,
+                        value: entry.value.clone(),
+                        version: entry.version,
                     })
                     .collect();
                 // Small pages, so that reading in pages is tried.
@@ -240,7 +242,7 @@
                     revision: self.revision,
                 }
             }
-            StoreRequest::Commit(txn) => self.commit(now, txn),
+            StoreRequest::Commit(transaction) => self.commit(now, transaction),
             StoreRequest::GrantLease { life } => {
                 self.next_lease += 1;
                 self.leases.insert(self.next_lease, (*life, now + *life));
@@ -259,53 +261,58 @@
         }
     }
 
-    fn commit(&mut self, now: Duration, txn: &Transaction) -> StoreResponse {
+    fn commit(&mut self, now: Duration, transaction: &Transaction) -> StoreResponse {
         use dappleshore::store::TransactionChange::{Delete, Put};
-        let cost = txn.changes.len();
-        if self.lowered && self.above_limits(txn) {
+        let change_count = transaction.changes.len();
+        if self.limits_lowered && self.exceeds_limits(transaction) {
             self.too_large += 1;
             return StoreResponse::Invalid;
         }
         assert!(
-            cost <= self.limits.txn_ops,
-            "too many changes in a transaction: {cost}"
+            change_count <= self.limits.txn_ops,
+            "too many changes in a transaction: {change_count}"
         );
         assert!(
-            txn.conditions.len() <= 4 * self.limits.txn_ops,
+            transaction.conditions.len() <= 4 * self.limits.txn_ops,
             "too many conditions"
         );
-        if !bucket(&mut self.writes, now, self.limits.write_rps, cost as f64) {
+        if !take_tokens(
+            &mut self.write_tokens,
+            now,
+            self.limits.write_rps,
+            change_count as f64,
+        ) {
             self.refused += 1;
             return StoreResponse::Refused;
         }
-        let version = |key: &String| self.keys.get(key).map_or(0, |found| found.version);
-        if txn
+        let version = |key: &String| self.keys.get(key).map_or(0, |entry| entry.version);
+        if transaction
             .conditions
             .iter()
             .any(|(key, expected)| version(key) != *expected)
         {
             return StoreResponse::Conflict;
         }
-        let unknown_hold =
+        let is_unknown =
             |lease: &Option<u64>| lease.is_some_and(|id| !self.leases.contains_key(&id));
-        if txn
+        if transaction
             .changes
             .iter()
-            .any(|change| matches!(change, Put { lease, .. } if unknown_hold(lease)))
+            .any(|change| matches!(change, Put { lease, .. } if is_unknown(lease)))
         {
             return StoreResponse::Invalid;
         }
         self.revision += 1;
-        self.changes += cost;
-        for change in &txn.changes {
+        self.changes += change_count;
+        for change in &transaction.changes {
             match change {
                 Put { key, value, lease } => {
                     let size = json_size(value);
                     assert!(size <= self.limits.value_bytes, "{key} is {size} bytes");
                     self.largest = self.largest.max(size);
-                    self.change(key, Some(value.clone()), *lease);
+                    self.apply_change(key, Some(value.clone()), *lease);
                 }
-                Delete { key } => self.change(key, None, None),
+                Delete { key } => self.apply_change(key, None, None),
             }
         }
         StoreResponse::Committed {
