--- a/tests/simulation/digest.rs
+++ b/tests/simulation/digest.rs
@@ -1,5 +1,5 @@
-//! A digest of everything that controllers decide in a simulated cluster. A change that is not meant to alter decisions,
-//! such as a renaming or a move, must leave it as it was.
+//! A digest of all decisions of the controllers in a simulated cluster. Changes that are not meant to alter decisions,
+//! such as renames and moves, have to leave it unchanged.
 //!
 //! Contents are hashed in the form in which they are sent, never by the names of types or fields in the program.
 
@@ -37,44 +37,47 @@
         }
     }
 
-    /// Takes in bytes, and nothing to tell where they end.
+    /// Adds bytes, without their length.
     fn add_bytes(&mut self, bytes: &[u8]) {
         for byte in bytes {
             self.hash = (self.hash ^ u64::from(*byte)).wrapping_mul(0x0000_0100_0000_01b3);
         }
     }
 
-    /// Takes in a number.
+    /// Adds a number.
     fn add_number(&mut self, number: u64) {
         self.add_bytes(&number.to_le_bytes());
     }
 
-    /// Takes in several numbers, each as by itself.
+    /// Adds numbers one by one.
     fn add_numbers(&mut self, numbers: &[u64]) {
         for number in numbers {
             self.add_number(*number);
         }
     }
 
-    /// Takes in a duration, to the nanosecond.
+    /// Adds a duration in nanoseconds.
     fn add_duration(&mut self, duration: Duration) {
-        self.add_number(u64::try_from(duration.as_nanos()).expect("centuries"));
+        self.add_number(
+            u64::try_from(duration.as_nanos())
+                .expect("the duration fits in 64 bits of nanoseconds"),
+        );
     }
 
-    /// Takes in bytes after their length, so that neighbours can't run into each other.
+    /// Adds the length of some bytes and then the bytes, so that two fields can't be confused with one.
     fn add_field(&mut self, bytes: &[u8]) {
         self.add_number(bytes.len() as u64);
         self.add_bytes(bytes);
     }
 
-    /// Takes in a request as it is sent.
+    /// Adds an HTTP request in the form in which it is sent.
     fn add_request(&mut self, request: &dappleshore::http::Request) {
         self.add_number(u64::from(request.method == Method::Post));
         self.add_field(request.path.as_bytes());
         self.add_field(&request.body);
     }
 
-    /// Takes in the end of an authority, by the controllers' monotonic clock.
+    /// Adds the end of an authority, by the controllers' monotonic clock.
     fn add_authority_end(&mut self, base: Instant, until: Option<Instant>) {
         self.add_number(u64::from(until.is_some()));
         if let Some(until) = until {
@@ -82,7 +85,7 @@
         }
     }
 
-    /// Takes in a response to a user.
+    /// Adds a response to a user.
     fn add_response(&mut self, response: &Response) {
         match response {
             Response::State { status, state } => {
@@ -102,7 +105,7 @@
         }
     }
 
-    /// Takes in a response to a worker's heartbeat.
+    /// Adds a response to a worker's heartbeat.
     fn add_heartbeat_response(&mut self, response: &HeartbeatResponse) {
         match response {
             HeartbeatResponse::Commands(commands) => {
@@ -118,9 +121,9 @@
         }
     }
 
-    /// Takes in one effect. All that depends on the names in the program is here.
+    /// Adds an effect. Only this function depends on the names of effects in the program.
     ///
-    /// `now`: simulated time. `base`: the beginning of the cluster by the controllers' monotonic clock.
+    /// `now`: the simulated time. `base`: the start of the cluster by the controllers' monotonic clock.
     pub fn add_effect(&mut self, controller: usize, now: Duration, base: Instant, effect: &Effect) {
         self.effects += 1;
         self.add_number(controller as u64);
@@ -179,33 +182,34 @@
                 self.add_numbers(&[9, u64::from(*format)]);
             }
         }
-        // Two versions of the program can be compared by their logs: where they part is the first difference.
+        // The logs of two versions of the program can be compared: the first line that differs shows the first
+        // different decision.
         tracing::trace!(target: "digest", controller, ?now, ?effect, "{:016x}", self.hash);
     }
 }
 
-/// Until when faults happen in these clusters.
+/// When the random faults of these clusters end.
 const FAULTS_END: Duration = Duration::from_secs(120);
-/// Until when they are played.
+/// When the runs of these clusters end.
 const END: Duration = Duration::from_secs(240);
 
-/// A small cluster.
+/// A small cluster with these faults.
 fn cluster(seed: u64, faults: Faults) -> SimulatedCluster {
     super::log_if_asked();
     SimulatedCluster::new(seed, faults, FAULTS_END, Size::SMALL)
 }
 
-/// No faults.
+/// A cluster without faults.
 fn without_faults() -> SimulatedCluster {
     cluster(901, Faults::default())
 }
 
-/// All faults.
+/// A cluster with all faults.
 fn with_all_faults() -> SimulatedCluster {
     cluster(902, Faults::all())
 }
 
-/// An upgrade from the production version under all faults, and gangs once it is through.
+/// A cluster that is upgraded from the production version under all faults and then receives gangs.
 fn rolling_upgrade() -> SimulatedCluster {
     super::log_if_asked();
     let mut cluster =
@@ -219,7 +223,8 @@
     cluster
 }
 
-/// A zone is drained while each team has a service there, and the leader ends meanwhile.
+/// A cluster in which two zones are drained while each team has a service there, and the leader is restarted in
+/// between.
 fn two_drains() -> SimulatedCluster {
     let mut cluster = cluster(904, Faults::default());
     cluster.preemption = false;
@@ -256,13 +261,13 @@
         });
     }
     cluster.plan(Duration::from_secs(70), |cluster| {
-        let leader = cluster.leader().expect("led by now");
+        let leader = cluster.leader().expect("a controller leads by then");
         cluster.end_controller(leader, Duration::from_secs(5));
     });
     cluster
 }
 
-/// Gangs while machines and controllers fail.
+/// A cluster with gangs in which machines and controllers fail.
 fn gangs_with_faults() -> SimulatedCluster {
     let faults = Faults {
         machine_dies: 12.0,
@@ -277,7 +282,8 @@
     cluster
 }
 
-/// Plays a cluster to its end and returns its digest. It must have done enough for that to show something.
+/// Runs a cluster to its end and returns its digest. Enough tasks have to start and enough machines have to be rented
+/// for the digest to be meaningful.
 fn run(name: &str, mut cluster: SimulatedCluster) -> Digest {
     cluster.digest = Some(Digest::new());
     cluster.run_until(END);
@@ -297,17 +303,17 @@
         started > 150 && rented > 20 && format == FORMAT,
         "{name}: {started} tasks started, {rented} machines rented, format {format}"
     );
-    cluster.digest.expect("set above")
+    cluster.digest.expect("the digest was set above")
 }
 
-/// A cluster and what is expected of it.
+/// A cluster and its expected digest.
 struct Case {
     name: &'static str,
     cluster: fn() -> SimulatedCluster,
     expected: Digest,
 }
 
-/// A cluster whose controllers return so many effects with this hash.
+/// A case whose controllers return this number of effects with this hash.
 fn case(name: &'static str, cluster: fn() -> SimulatedCluster, hash: u64, effects: u64) -> Case {
     let expected = Digest { hash, effects };
     Case {
@@ -317,7 +323,8 @@
     }
 }
 
-/// The expected digests stand here. Only a commit that is meant to change decisions may change them, and says so.
+/// Guards against unintended changes of decisions. Only a commit that is meant to change decisions may change the
+/// expected digests, and has to say so.
 #[test]
 fn the_same_seeds_give_the_same_decisions() {
     let cases = [
@@ -349,7 +356,7 @@
     }
     assert!(
         differences.is_empty(),
-        "controllers decide otherwise than before:\n{}",
+        "decisions of the controllers have changed:\n{}",
         differences.join("\n")
     );
 }
--- a/tests/simulation/machine.rs
+++ b/tests/simulation/machine.rs
@@ -1,4 +1,4 @@
-//! Stand-ins for a machine with its worker, by their published protocol.
+//! A simulated machine and its worker, which follow the published protocol.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -11,15 +11,18 @@
     ExitCause, Heartbeat, TaskState, TaskStatus, WorkerCommand, WorkerCommands,
 };
 
+/// An attempt of a task in a worker's list.
 #[derive(Debug)]
 pub struct Task {
+    /// The number of the attempt.
     pub number: u64,
     pub state: TaskState,
     pub cause: Option<ExitCause>,
-    /// Progress still to be made before the next change of state.
+    /// The time left until the next change of state.
     pub left: Duration,
 }
 
+/// A machine, its worker and the faults that affect it.
 #[derive(Debug)]
 pub struct Machine {
     pub id: String,
@@ -27,58 +30,71 @@
     pub zone: Zone,
     pub capacity_type: CapacityType,
     pub size: Resources,
+    /// When it was rented.
     pub rented: Duration,
-    /// None: never comes up.
+    /// When it has booted. `None`: never.
     pub up_at: Option<Duration>,
     pub up: bool,
+    /// It has failed for good.
     pub dead: bool,
     pub hung_until: Option<Duration>,
-    /// Until then its heartbeats arrive, but answers and commands don't reach it.
+    /// Until then its heartbeats arrive, but responses and commands don't reach it.
     pub responses_blocked_until: Duration,
-    /// Until then it reaches no controller.
+    /// Until then its heartbeats reach no controller, while commands reach it.
     pub heartbeats_blocked_until: Duration,
+    /// When the cloud takes it back, once it has given notice.
     pub terminates_at: Option<Duration>,
+    /// Tasks that complete on it fail instead.
     pub faulty: bool,
     pub agent_epoch: AgentEpoch,
     pub sequence_number: u64,
+    /// The highest fencing token that it has received.
     pub token: FencingToken,
-    /// When the last answered heartbeat was sent, or the session began.
+    /// When the last answered heartbeat was sent, or when the agent epoch began.
     pub lease_renewed_at: Duration,
     pub tasks: BTreeMap<TaskId, Task>,
+    /// Images in its cache.
     pub images: BTreeSet<String>,
+    /// The controller that it sends heartbeats to.
     pub controller: usize,
-    /// The heartbeat in flight: its number and when it was sent.
+    /// The heartbeat in flight: its sequence number and when it was sent.
     pub heartbeat: Option<(u64, Duration)>,
     pub next_heartbeat: Duration,
     pub last_heartbeat: Duration,
+    /// Its state has changed since the last heartbeat.
     pub changed: bool,
-    /// What came while it hung.
+    /// Commands that arrived while it hung.
     pub backlog: Vec<WorkerCommands>,
 }
 
-/// What a machine's doings mean to the rules.
+/// An event on a machine that the rules record.
 #[derive(Debug, PartialEq)]
 pub enum MachineEvent {
     Started(TaskId),
+    /// Whether the task has completed.
     Ended(TaskId, bool),
 }
 
-/// A gang's task that waits for the others gives up after this long.
+/// A task of a gang waits this long for the others, then it fails.
 pub const GANG_START_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// The class of jobs whose tasks fail on every machine.
 pub const FAILING_CLASS: &str = "broken";
 
-/// The class of services that run until they are cancelled. (Others here end, so that days have ends.)
+/// The class of services that run until they are cancelled. Services of other classes end by themselves in the
+/// simulation, so that its runs come to an end.
 pub const LONG_RUNNING_CLASS: &str = "lookup";
 
+/// How long a worker takes to fetch an image.
 const IMAGE_FETCH_TIME: Duration = Duration::from_secs(2);
 
 impl Machine {
+    /// Whether its worker runs: it is up, has not failed and does not hang.
     pub fn runs(&self, now: Duration) -> bool {
         self.up && !self.dead && self.hung_until.is_none_or(|until| now >= until)
     }
 
+    /// The address of its worker.
     pub fn addr(&self) -> String {
         format!(
             "10.1.0.1:{}",
@@ -86,6 +102,7 @@
         )
     }
 
+    /// The next heartbeat of its worker. Each has a new sequence number.
     pub fn build_heartbeat(&mut self) -> Heartbeat {
         self.sequence_number += 1;
         Heartbeat {
@@ -111,7 +128,7 @@
         }
     }
 
-    /// Up for a while, fit for tasks, and not being taken away.
+    /// Whether it has been up for at least 10 s, is not faulty and is not being taken back.
     pub fn is_ready(&self, now: Duration) -> bool {
         let up = self
             .up_at
@@ -119,6 +136,7 @@
         up && self.runs(now) && self.terminates_at.is_none() && !self.faulty
     }
 
+    /// The resources that its tasks leave free.
     pub fn free(&self, jobs: &BTreeMap<JobId, Job>) -> Resources {
         let mut free = self.size;
         for (task, entry) in &self.tasks {
@@ -131,7 +149,7 @@
         free
     }
 
-    /// Executes commands in command.
+    /// Executes commands in their order.
     pub fn execute(
         &mut self,
         commands: &[WorkerCommand],
@@ -156,7 +174,7 @@
         events
     }
 
-    /// Starts an attempt, unless the worker knows it already or another attempt of the task is there.
+    /// Starts an attempt, unless the worker already lists it or has another attempt of the task that has not exited.
     fn launch(
         &mut self,
         task: TaskId,
@@ -172,8 +190,8 @@
         }
         self.changed = true;
         if existing.is_some_and(|entry| entry.state != TaskState::Exited) {
-            // The protocol's heartbeat has one entry for each task and attempt; the refusal is not shown here, since the
-            // attempt that is there goes on.
+            // In the protocol, a heartbeat has an entry for each task and attempt. The rejection is not listed here,
+            // since the other attempt goes on.
             return Vec::new();
         }
         let rejected = |cause| Task {
@@ -221,7 +239,7 @@
         was_started.then_some(MachineEvent::Ended(task, false))
     }
 
-    /// Forgets an attempt that has exited.
+    /// Removes an attempt that has exited.
     fn reap(&mut self, task: TaskId, number: u64) {
         let has_exited = |entry: &Task| entry.number == number && entry.state == TaskState::Exited;
         if self.tasks.get(&task).is_some_and(has_exited) {
@@ -229,6 +247,7 @@
         }
     }
 
+    /// Starts a task whose image is in the cache. A task that has a result exits as done.
     fn start_with_image(
         &mut self,
         task: TaskId,
@@ -255,7 +274,7 @@
         vec![MachineEvent::Started(task)]
     }
 
-    /// Time passes for the tasks.
+    /// Advances the tasks by the elapsed time: images are fetched, tasks complete or fail.
     pub fn progress(
         &mut self,
         elapsed: Duration,
@@ -267,7 +286,7 @@
         let due: Vec<TaskId> = self
             .tasks
             .iter_mut()
-            // The tasks of a gang run together: see `gangs`.
+            // Tasks of gangs are advanced together, in `gangs`.
             .filter(|(task, entry)| {
                 entry.state == TaskState::Fetching
                     || (entry.state == TaskState::Running
@@ -306,7 +325,7 @@
         events
     }
 
-    /// Kills everything if the lease is over.
+    /// Restarts the worker and ends its tasks if its lease has expired.
     pub fn check_lease(&mut self, now: Duration, lease: Duration) -> Vec<MachineEvent> {
         if now <= self.lease_renewed_at + lease {
             return Vec::new();
@@ -314,7 +333,7 @@
         self.restart(now)
     }
 
-    /// Off and on again: its tasks are gone and it goes on with the next session.
+    /// Restarts the worker: its tasks are lost and the next agent epoch begins.
     pub fn restart(&mut self, now: Duration) -> Vec<MachineEvent> {
         self.agent_epoch.0 += 1;
         self.lease_renewed_at = now;
@@ -323,7 +342,7 @@
         self.lose_all_tasks()
     }
 
-    /// All tasks are gone.
+    /// Removes all tasks. Returns the end of each that ran.
     pub fn lose_all_tasks(&mut self) -> Vec<MachineEvent> {
         let tasks = std::mem::take(&mut self.tasks);
         tasks
--- a/tests/simulation/production.rs
+++ b/tests/simulation/production.rs
@@ -1,5 +1,5 @@
-//! The schema of the production version (commit 134d869), written down once more: what its processes read. As there,
-//! unknown fields are ignored, while unknown variants and missing fields are errors.
+//! A second copy of the schema of the production version (commit 134d869): the records and messages that its processes
+//! can read. As in that version, unknown fields are ignored, while unknown variants and missing fields are errors.
 
 use std::collections::BTreeMap;
 
@@ -11,7 +11,7 @@
     ($($name:ident { $($field:ident $(as $spelling:literal)?: $kind:ty),* $(,)? })*) => {
         $(
             #[derive(Deserialize)]
-            #[allow(dead_code, reason = "only whether it can be read matters")]
+            #[allow(dead_code, reason = "only read to check that it can be")]
             struct $name { $($(#[serde(rename = $spelling)])? $field: $kind),* }
         )*
     };
@@ -86,7 +86,7 @@
 }
 
 #[derive(Deserialize)]
-#[allow(dead_code, reason = "only whether it can be read matters")]
+#[allow(dead_code, reason = "only read to check that it can be")]
 enum JobRecord {
     #[serde(rename = "o")]
     Open(Job),
@@ -105,7 +105,7 @@
 }
 
 #[derive(Deserialize)]
-#[allow(dead_code, reason = "only whether it can be read matters")]
+#[allow(dead_code, reason = "only read to check that it can be")]
 enum Message {
     Status(ControllerStatus),
     Alive(ControllerHeartbeat),
@@ -117,7 +117,7 @@
     value.deserialized::<T>().is_ok()
 }
 
-/// Whether production reads what is stored under this key. Keys that it does not know are as good as absent to it.
+/// Whether the production version can read the record under this key. It ignores keys that it does not know.
 pub fn can_read_record(key: &str, value: &Value) -> bool {
     let Some(name) = key.strip_prefix("dappleshore/") else {
         return true;
@@ -136,7 +136,7 @@
     }
 }
 
-/// An attempt as `412/3:17`.
+/// Whether all attempts have the form `JOB/INDEX:NUMBER`, as in `412/3:17`.
 fn can_read_attempts(value: &Value) -> bool {
     let Ok(placements) = value.deserialized::<BlockPlacements>() else {
         return false;
@@ -148,7 +148,7 @@
     placements.on.values().flatten().all(well_formed)
 }
 
-/// Whether production reads what a controller says to another.
+/// Whether the production version can read a message between controllers.
 pub fn can_read_message(value: &Value) -> bool {
     can_read::<Message>(value)
 }
@@ -156,14 +156,15 @@
 #[test]
 fn the_schema_reads_what_production_wrote_and_nothing_newer() {
     let sample = include_bytes!("../data/production.cbor");
-    let rows: Vec<(String, Value)> = ciborium::from_reader(sample.as_slice()).expect("readable");
+    let rows: Vec<(String, Value)> =
+        ciborium::from_reader(sample.as_slice()).expect("the sample is CBOR");
     for (key, value) in &rows {
         let readable = if key.starts_with("message ") {
             can_read_message(value)
         } else {
             can_read_record(key, value)
         };
-        assert!(readable, "{key}");
+        assert!(readable, "{key} can't be read");
     }
     let gang = super::gangs::gang(2, 1.0, true);
     let record = dappleshore::store::records::JobRecord::Open(gang);
--- a/tests/simulation/state.rs
+++ b/tests/simulation/state.rs
@@ -1,4 +1,4 @@
-//! A stand-in for the state service, by its published protocol.
+//! A simulated state service that follows the published protocol.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -9,36 +9,47 @@
 use dappleshore::store::{Change, KeyValue, StoreRequest, StoreResponse, Transaction};
 use dappleshore_drain::{Eviction, Ledger};
 
+/// The value stored under a key.
 struct Entry {
     value: Value,
+    /// The revision of its last change.
     version: u64,
+    /// The lease with which it is removed.
     lease: Option<u64>,
 }
 
+/// The stored keys and leases, and counts of the requests.
 pub struct StateService {
     keys: BTreeMap<String, Entry>,
+    /// All changes, in the order of their revisions.
     change_log: Vec<Change>,
     pub revision: u64,
+    /// The duration of each lease and when it expires.
     leases: BTreeMap<u64, (Duration, Duration)>,
     next_lease: u64,
     limits: StateLimits,
+    /// Token buckets for requests and for changes: the tokens left, and when they were counted.
     request_tokens: (f64, Duration),
     write_tokens: (f64, Duration),
+    /// Requests refused by the rate limits.
     pub refused: usize,
-    /// The limits were lowered: what is above them is refused, not a mistake of the test's.
+    /// The limits were lowered: a transaction above them is refused. Before that it fails the test.
     limits_lowered: bool,
     /// Transactions refused as too large.
     pub too_large: usize,
+    /// The size of the largest written value, in bytes.
     pub largest: usize,
+    /// Changes that were committed.
     pub changes: usize,
-    /// Requests that only read.
+    /// Requests for a key or a page of keys.
     pub reads: usize,
-    /// Evictions that were recorded and not yet looked at.
+    /// Evictions that were recorded and not yet checked.
     pub recorded_evictions: Vec<Eviction>,
-    /// Whether the production version reads a record.
+    /// Whether the production version can read a record.
     readable_by_production: fn(&str, &Value) -> bool,
 }
 
+/// Takes tokens from a bucket that holds those of one second. False if too few are left.
 fn take_tokens(bucket: &mut (f64, Duration), now: Duration, rate: f64, count: f64) -> bool {
     bucket.0 = (bucket.0 + (now - bucket.1).as_secs_f64() * rate).min(rate);
     bucket.1 = now;
@@ -71,12 +82,16 @@
         }
     }
 
-    /// Notes the evictions that a ledger's new value has and its old one had not.
+    /// Records the evictions that are in a ledger's new value and not in its old one.
     fn record_evictions(&mut self, key: &str, value: Option<&Value>) {
         if !key.starts_with("dappleshore/drain_ledger/") {
             return;
         }
-        let ledger = |value: &Value| value.deserialized::<Ledger>().expect("a ledger");
+        let ledger = |value: &Value| {
+            value
+                .deserialized::<Ledger>()
+                .expect("the value is a ledger")
+        };
         let old_ledger = self.keys.get(key).map(|entry| ledger(&entry.value));
         let old = old_ledger.unwrap_or_default().evictions;
         let new = value.map(ledger).unwrap_or_default().evictions;
@@ -84,6 +99,7 @@
             .extend(new.into_iter().filter(|eviction| !old.contains(eviction)));
     }
 
+    /// Writes or removes a key at the current revision. `None` removes it.
     fn apply_change(&mut self, key: &str, value: Option<Value>, lease: Option<u64>) {
         let version = self.revision;
         self.record_evictions(key, value.as_ref());
@@ -92,7 +108,7 @@
             .is_none_or(|value| (self.readable_by_production)(key, value));
         assert!(
             readable || self.format() > 0,
-            "production can't read {key}: {value:?}"
+            "the production version can't read {key}: {value:?}"
         );
         match value.clone() {
             Some(value) => {
@@ -116,23 +132,25 @@
         });
     }
 
+    /// The recorded leader.
     pub fn leader(&self) -> Option<Leader> {
         self.keys.get(LEADER)?.value.deserialized().ok()
     }
 
-    /// What is stored stays readable, whatever its size.
+    /// Lowers the limits for requests. Stored values stay readable, whatever their size.
     pub fn lower_limits(&mut self, limits: StateLimits) {
         self.limits = limits;
         self.limits_lowered = true;
     }
 
+    /// The record format that is switched on. 0: that of the production version.
     pub fn format(&self) -> u32 {
         let record = self.keys.get(FORMAT_KEY);
         let switch = record.and_then(|entry| entry.value.deserialized::<FormatSwitch>().ok());
         switch.map_or(0, |switch| switch.version)
     }
 
-    /// Values that are not the first part of their record.
+    /// Number of stored values that are not the first part of their record.
     pub fn divided_values(&self) -> usize {
         self.keys
             .keys()
@@ -140,6 +158,7 @@
             .count()
     }
 
+    /// Whether a transaction has too many changes or conditions, or a value that is too large.
     fn exceeds_limits(&self, transaction: &Transaction) -> bool {
         use dappleshore::store::TransactionChange::Put;
         let is_too_large = |change: &dappleshore::store::TransactionChange| matches!(change, Put { value, .. } if json_size(value) > self.limits.value_bytes);
@@ -148,6 +167,7 @@
             || transaction.changes.iter().any(is_too_large)
     }
 
+    /// The last fencing token that was recorded.
     pub fn last_token(&self) -> u64 {
         let token = self
             .keys
@@ -156,7 +176,7 @@
         token.map_or(0, |token| token.last)
     }
 
-    /// Ends leases that were not extended. Returns whether anything changed.
+    /// Removes expired leases and their keys. Returns whether a key was removed.
     pub fn expire(&mut self, now: Duration) -> bool {
         let expired: Vec<u64> = self
             .leases
@@ -182,13 +202,14 @@
         changed
     }
 
-    /// After an outage every lease has its full time again.
+    /// Restarts every lease with its full duration when an outage is over.
     pub fn renew_leases_after_outage(&mut self, now: Duration) {
         for (life, until) in self.leases.values_mut() {
             *until = now + *life;
         }
     }
 
+    /// The changes under a prefix after a revision.
     pub fn changes_after(&self, prefix: &str, after: u64) -> Vec<Change> {
         let first = self
             .change_log
@@ -200,7 +221,7 @@
             .collect()
     }
 
-    /// Any request but a watch.
+    /// Handles any request but a watch.
     pub fn serve(&mut self, now: Duration, request: &StoreRequest) -> StoreResponse {
         self.expire(now);
         self.reads += usize::from(matches!(
@@ -233,7 +254,7 @@
                         version: entry.version,
                     })
                     .collect();
-                // Small pages, so that reading in pages is tried.
+                // Small pages, so that clients have to read several.
                 let more = key_values.len() > 20;
                 key_values.truncate(20);
                 StoreResponse::RangePage {
@@ -257,10 +278,13 @@
                 }
                 None => StoreResponse::LeaseExpired,
             },
-            StoreRequest::Watch { .. } => unreachable!("watches are served by the world"),
+            StoreRequest::Watch { .. } => {
+                unreachable!("watches are handled by the simulated cluster")
+            }
         }
     }
 
+    /// Commits a transaction if its conditions hold.
     fn commit(&mut self, now: Duration, transaction: &Transaction) -> StoreResponse {
         use dappleshore::store::TransactionChange::{Delete, Put};
         let change_count = transaction.changes.len();
@@ -270,11 +294,11 @@
         }
         assert!(
             change_count <= self.limits.txn_ops,
-            "too many changes in a transaction: {change_count}"
+            "a transaction has {change_count} changes, above the limit"
         );
         assert!(
             transaction.conditions.len() <= 4 * self.limits.txn_ops,
-            "too many conditions"
+            "a transaction has more than four conditions for each allowed change"
         );
         if !take_tokens(
             &mut self.write_tokens,
@@ -308,7 +332,10 @@
             match change {
                 Put { key, value, lease } => {
                     let size = json_size(value);
-                    assert!(size <= self.limits.value_bytes, "{key} is {size} bytes");
+                    assert!(
+                        size <= self.limits.value_bytes,
+                        "the value of {key} has {size} bytes, above the limit"
+                    );
                     self.largest = self.largest.max(size);
                     self.apply_change(key, Some(value.clone()), *lease);
                 }
@@ -321,6 +348,7 @@
     }
 }
 
+/// The approximate size of a value in JSON, in bytes.
 fn json_size(value: &Value) -> usize {
     match value {
         Value::Text(text) => text.len() + 2,
