--- a/tests/simulation/cluster/checks.rs
+++ b/tests/simulation/cluster/checks.rs
@@ -26,14 +26,14 @@
             "seed {seed}: tasks of jobs that are over"
         );
         assert_eq!(
-            self.listed(),
+            self.tasks_listed(),
             0,
             "seed {seed}: workers list tasks of jobs that are over"
         );
         assert!(
-            self.jobs_told() > 20,
+            self.jobs_reported() > 20,
             "seed {seed}: {} jobs accepted",
-            self.jobs_told()
+            self.jobs_reported()
         );
         assert_eq!(self.rules.unserved(), [] as [&str; 0], "seed {seed}");
     }
@@ -49,77 +49,81 @@
     }
 
     /// Jobs that wait while a machine that fits has room and their team is under its limit.
-    pub(super) fn look_for_idle_room(&mut self) {
-        let out_of_service = self.cordoned();
+    pub(super) fn check_idle_capacity(&mut self) {
+        let cordoned = self.cordoned();
         let mut free: Vec<(&Machine, Resources)> = Vec::new();
         for machine in self
             .machines
             .values()
-            .filter(|machine| machine.is_ready(self.now) && !out_of_service.contains(&machine.id))
+            .filter(|machine| machine.is_ready(self.now) && !cordoned.contains(&machine.id))
         {
             free.push((machine, machine.free(&self.jobs)));
         }
-        let mut beside = BTreeSet::new();
+        let mut waiting = BTreeSet::new();
         for id in self.rules.waiting() {
             let Some(job) = self.jobs.get(&id) else {
                 continue;
             };
-            let mut listed: BTreeMap<&Zone, u32> = BTreeMap::new();
+            let mut listed_by_zone: BTreeMap<&Zone, u32> = BTreeMap::new();
             for machine in self.machines.values() {
                 let of_job = TaskId { job: id, index: 0 }..=TaskId {
                     job: id,
                     index: u32::MAX,
                 };
-                let there = machine
+                let listed_here = machine
                     .tasks
                     .range(of_job)
-                    .filter(|(_, t)| t.state != TaskState::Exited);
-                *listed.entry(&machine.zone).or_default() += there.count() as u32;
+                    .filter(|(_, entry)| entry.state != TaskState::Exited);
+                *listed_by_zone.entry(&machine.zone).or_default() += listed_here.count() as u32;
             }
-            let all: u32 = listed.values().sum();
-            if all + self.rules.done(id) >= job.tasks {
+            let listed_total: u32 = listed_by_zone.values().sum();
+            if listed_total + self.rules.done(id) >= job.tasks {
                 continue;
             }
             if job.kind == JobKind::Gang {
-                let alone =
-                    all == 0 && self.gang_fits(job, &free) && self.rules.team_has_capacity(id);
-                beside.extend(alone.then_some(id));
+                let could_start = listed_total == 0
+                    && self.gang_fits(job, &free)
+                    && self.rules.team_has_capacity(id);
+                waiting.extend(could_start.then_some(id));
                 continue;
             }
-            let fits = |machine: &Machine, room: &Resources| {
-                let here = listed.get(&machine.zone).copied().unwrap_or(0);
+            let fits = |machine: &Machine, resources: &Resources| {
+                let here = listed_by_zone.get(&machine.zone).copied().unwrap_or(0);
                 job.allows_type(&machine.type_name)
                     && job.allows_zone(&machine.zone)
                     && job.allows_capacity_type(machine.capacity_type)
                     && here < job.zone_limit()
-                    && (!job.one_zone || here == all)
-                    && room.fits(&job.need)
+                    && (!job.one_zone || here == listed_total)
+                    && resources.fits(&job.need)
             };
             if self.rules.team_has_capacity(id)
-                && free.iter().any(|(machine, room)| fits(machine, room))
+                && free
+                    .iter()
+                    .any(|(machine, resources)| fits(machine, resources))
             {
-                beside.insert(id);
+                waiting.insert(id);
             }
         }
-        self.rules.record_waiting_despite_capacity(self.now, beside);
+        self.rules
+            .record_waiting_despite_capacity(self.now, waiting);
     }
 
     /// Whether there is room for all tasks of a gang at once.
     pub(super) fn gang_fits(&self, job: &Job, free: &[(&Machine, Resources)]) -> bool {
         let mut zones: BTreeMap<Option<&Zone>, u32> = BTreeMap::new();
-        for (machine, room) in free {
-            let allowed = job.allows_type(&machine.type_name)
+        for (machine, resources) in free {
+            let is_allowed = job.allows_type(&machine.type_name)
                 && job.allows_zone(&machine.zone)
                 && job.allows_capacity_type(machine.capacity_type);
-            if allowed {
+            if is_allowed {
                 let zone = job.one_zone.then_some(&machine.zone);
-                *zones.entry(zone).or_default() += room.count_of(&job.need);
+                *zones.entry(zone).or_default() += resources.count_of(&job.need);
             }
         }
         zones.values().any(|count| *count >= job.tasks)
     }
 
-    pub fn jobs_told(&self) -> usize {
+    pub fn jobs_reported(&self) -> usize {
         self.users
             .iter()
             .filter(|user| self.rules.reported_status(user.job).is_some())
@@ -127,13 +131,14 @@
     }
 
     /// Tasks that workers still list as there.
-    pub fn listed(&self) -> usize {
-        let there = |m: &Machine| {
-            m.tasks
+    pub fn tasks_listed(&self) -> usize {
+        let listed = |machine: &Machine| {
+            machine
+                .tasks
                 .values()
-                .filter(|t| t.state != TaskState::Exited)
+                .filter(|entry| entry.state != TaskState::Exited)
                 .count()
         };
-        self.machines.values().map(there).sum()
+        self.machines.values().map(listed).sum()
     }
 }
--- a/tests/simulation/cluster/cloud.rs
+++ b/tests/simulation/cluster/cloud.rs
@@ -40,11 +40,11 @@
 
 impl SimulatedCluster {
     /// Carries out a request to the cloud.
-    pub(super) fn cloud(&mut self, call: &CloudRequest) -> CloudResponse {
-        if self.now < self.cloud_out_until {
+    pub(super) fn handle_cloud_request(&mut self, request: &CloudRequest) -> CloudResponse {
+        if self.now < self.cloud_unavailable_until {
             return CloudResponse::Refused;
         }
-        match call {
+        match request {
             CloudRequest::ListInstanceTypes => CloudResponse::InstanceTypes(instance_types()),
             CloudRequest::ScaleOut(request) => self.rent_machines(request),
             CloudRequest::Terminate(names) => {
@@ -62,26 +62,26 @@
         let machine_names = |names: &[String]| MachineIds {
             machines: names.iter().map(|name| name.as_str().into()).collect(),
         };
-        if let Some(names) = self.requests.get(&request.request) {
+        if let Some(names) = self.rental_requests.get(&request.request) {
             return CloudResponse::ScaledOut(machine_names(names));
         }
         let capacity_type = CapacityType::from_spot(request.spot);
-        let alike = |machine: &&Machine| {
+        let is_same_kind = |machine: &&Machine| {
             machine.type_name == request.type_name
                 && machine.zone == request.zone
                 && machine.capacity_type == capacity_type
         };
         let stock = self.size.stock[usize::from(&*request.type_name.0 != "small")];
-        let left = stock.saturating_sub(self.machines.values().filter(alike).count());
-        let count = left.min(request.count as usize);
+        let available = stock.saturating_sub(self.machines.values().filter(is_same_kind).count());
+        let count = available.min(request.count as usize);
         if count == 0 {
             return CloudResponse::NoCapacity;
         }
         let names: Vec<String> = (0..count)
-            .map(|_| self.rent(&request.type_name.0, &request.zone.0, capacity_type))
+            .map(|_| self.rent_machine(&request.type_name.0, &request.zone.0, capacity_type))
             .collect();
         let rented = machine_names(&names);
-        self.requests.insert(request.request.clone(), names);
+        self.rental_requests.insert(request.request.clone(), names);
         CloudResponse::ScaledOut(rented)
     }
 
@@ -91,8 +91,8 @@
                 continue;
             };
             self.running_machines_deleted += usize::from(machine.runs(self.now));
-            for what in machine.lose_all_tasks() {
-                if let MachineEvent::Ended(task, done) = what {
+            for event in machine.lose_all_tasks() {
+                if let MachineEvent::Ended(task, done) = event {
                     self.rules.task_ended(task, &name.0, done);
                 }
             }
@@ -126,7 +126,7 @@
     }
 
     /// Rents one machine, which may never come up.
-    fn rent(&mut self, type_name: &str, zone: &str, capacity_type: CapacityType) -> String {
+    fn rent_machine(&mut self, type_name: &str, zone: &str, capacity_type: CapacityType) -> String {
         self.rented += 1;
         self.most_machines = self.most_machines.max(self.machines.len() + 1);
         self.next_machine += 1;
@@ -138,8 +138,8 @@
             failure_rate: 0.03,
             slowdown: 1.0,
         });
-        let boot = Duration::from_secs_f64(self.rng.random_range(0.5..10.0) * slowdown);
-        let never = self.rng.random_bool(failure_rate);
+        let boot_time = Duration::from_secs_f64(self.rng.random_range(0.5..10.0) * slowdown);
+        let never_boots = self.rng.random_bool(failure_rate);
         let faulty =
             self.now < self.faults_end && self.rng.random_bool(self.faults.faulty_machines);
         let cpus = if type_name == "small" { 4.0 } else { 16.0 };
@@ -154,7 +154,7 @@
                 memory_gb: cpus * 4.0,
             },
             rented: self.now,
-            up_at: (!never).then(|| self.now + boot),
+            up_at: (!never_boots).then(|| self.now + boot_time),
             up: false,
             dead: false,
             hung_until: None,
@@ -165,12 +165,12 @@
             agent_epoch: AgentEpoch(1),
             sequence_number: 0,
             token: FencingToken(0),
-            lease_renewed_at: self.now + boot,
+            lease_renewed_at: self.now + boot_time,
             tasks: BTreeMap::new(),
             images: BTreeSet::new(),
             controller: self.rng.random_range(0..CONTROLLERS),
             heartbeat: None,
-            next_heartbeat: self.now + boot,
+            next_heartbeat: self.now + boot_time,
             last_heartbeat: Duration::ZERO,
             changed: false,
             backlog: Vec::new(),
--- a/tests/simulation/cluster/controllers.rs
+++ b/tests/simulation/cluster/controllers.rs
@@ -17,31 +17,31 @@
     /// The newest format that its version knows.
     pub(super) format: u32,
     pub(super) next_request: u64,
-    pub(super) waiting: HashMap<u64, Asker>,
+    pub(super) pending_requests: HashMap<u64, Requester>,
     /// Drift of its monotonic clock.
-    pub(super) drift: f64,
-    pub(super) cut_until: Duration,
+    pub(super) clock_drift: f64,
+    pub(super) state_cut_until: Duration,
     /// Until then it hears no peers either.
-    pub(super) island_until: Duration,
+    pub(super) isolated_until: Duration,
     pub(super) paused_until: Duration,
     /// Commands that it waits for an answer to: each holds a socket.
-    pub(super) commands: usize,
+    pub(super) pending_commands: usize,
 }
 
 impl Slot {
     /// No process yet. `drift`: of its monotonic clock, as a part of the time.
-    pub(super) fn new(drift: f64) -> Self {
+    pub(super) fn new(clock_drift: f64) -> Self {
         Slot {
             controller: None,
             incarnation: Incarnation(0),
             format: FORMAT,
             next_request: 0,
-            waiting: HashMap::new(),
-            drift,
-            cut_until: Duration::ZERO,
-            island_until: Duration::ZERO,
+            pending_requests: HashMap::new(),
+            clock_drift,
+            state_cut_until: Duration::ZERO,
+            isolated_until: Duration::ZERO,
             paused_until: Duration::ZERO,
-            commands: 0,
+            pending_commands: 0,
         }
     }
 
@@ -85,11 +85,11 @@
     }
 
     pub(super) fn clock(&self, controller: usize) -> Now {
-        let monotonic = self.now.mul_f64(1.0 + self.slots[controller].drift);
-        let off = Duration::from_millis(300 * controller as u64);
+        let monotonic = self.now.mul_f64(1.0 + self.slots[controller].clock_drift);
+        let skew = Duration::from_millis(300 * controller as u64);
         Now {
-            monotonic: self.base + monotonic,
-            wall: self.wall + self.now + off,
+            monotonic: self.monotonic_start + monotonic,
+            wall: self.wall_start + self.now + skew,
         }
     }
 
@@ -101,7 +101,7 @@
         }
     }
 
-    pub(super) fn alive(&self, process: Process) -> bool {
+    pub(super) fn is_running(&self, process: Process) -> bool {
         self.process(process.controller) == process
             && self.slots[process.controller].controller.is_some()
     }
@@ -113,54 +113,54 @@
         if self.now < paused_until {
             return self.deliver_at(paused_until, process, event);
         }
-        for effect in self.effects(controller, event) {
+        for effect in self.collect_effects(controller, event) {
             self.perform(process, effect);
         }
     }
 
     /// A process looks at its clock.
     pub(super) fn tick(&mut self, process: Process) {
-        if !self.alive(process) {
+        if !self.is_running(process) {
             return;
         }
         let paused_until = self.slots[process.controller].paused_until;
         if self.now < paused_until {
-            return self.at(paused_until, ClusterEvent::Tick { process });
+            return self.schedule(paused_until, ClusterEvent::Tick { process });
         }
         self.handle(process.controller, Event::Tick);
-        self.at(self.now + TICK, ClusterEvent::Tick { process });
+        self.schedule(self.now + TICK, ClusterEvent::Tick { process });
     }
 
     /// A process goes on after a pause and does what it had decided before.
     pub(super) fn resume(&mut self, process: Process, effects: Vec<Effect>) {
-        if self.alive(process) {
+        if self.is_running(process) {
             for effect in effects {
                 self.perform(process, effect);
             }
         }
     }
 
-    pub(super) fn effects(&mut self, controller: usize, event: Event) -> Vec<Effect> {
+    pub(super) fn collect_effects(&mut self, controller: usize, event: Event) -> Vec<Effect> {
         let now = self.clock(controller);
         let slot = &mut self.slots[controller];
-        slot.commands -= usize::from(matches!(event, Event::CommandCompleted { .. }));
-        let Some(machine) = &mut slot.controller else {
+        slot.pending_commands -= usize::from(matches!(event, Event::CommandCompleted { .. }));
+        let Some(running) = &mut slot.controller else {
             return Vec::new();
         };
         let at = self.now.as_secs_f64();
         self.events_handled += 1;
         let mut effects =
-            tracing::info_span!("node", controller, at).in_scope(|| machine.handle(now, event));
+            tracing::info_span!("node", controller, at).in_scope(|| running.handle(now, event));
         sort_hashed(&mut effects);
         if let Some(digest) = &mut self.digest {
             for effect in &effects {
-                digest.add_effect(controller, self.now, self.base, effect);
+                digest.add_effect(controller, self.now, self.monotonic_start, effect);
             }
         }
         effects
     }
 
-    pub(super) fn start(&mut self, controller: usize) {
+    pub(super) fn start_controller(&mut self, controller: usize) {
         if self.slots[controller].controller.is_some() {
             return;
         }
@@ -173,15 +173,15 @@
         let slot = &mut self.slots[controller];
         slot.incarnation.0 += 1;
         slot.paused_until = Duration::ZERO;
-        slot.commands = 0;
-        slot.waiting.clear();
+        slot.pending_commands = 0;
+        slot.pending_requests.clear();
         let features = self.features.clone();
         slot.controller = Some(
             Controller::with_record_format(slot.format, config, policy, seed, now)
                 .with_features(features),
         );
         let process = self.process(controller);
-        self.soon(ClusterEvent::Tick { process });
+        self.schedule_soon(ClusterEvent::Tick { process });
     }
 
     /// The settings of one controller.
@@ -204,8 +204,8 @@
 
     pub(super) fn crash(&mut self, controller: usize) {
         // Now and then restarted at once.
-        let after = if self.rng.random_bool(0.3) { 0.1 } else { 5.0 };
-        self.end_controller(controller, Duration::from_secs_f64(after));
+        let back_after_s = if self.rng.random_bool(0.3) { 0.1 } else { 5.0 };
+        self.end_controller(controller, Duration::from_secs_f64(back_after_s));
     }
 
     /// The controller that the state service has as the leader.
@@ -216,8 +216,8 @@
     /// Ends a controller, which is started again after this long.
     pub fn end_controller(&mut self, controller: usize, back_after: Duration) {
         self.slots[controller].controller = None;
-        self.slots[controller].waiting.clear();
-        self.at(self.now + back_after, ClusterEvent::Restart { controller });
+        self.slots[controller].pending_requests.clear();
+        self.schedule(self.now + back_after, ClusterEvent::Restart { controller });
     }
 
     /// Machines and tasks that all controllers have looked at, and the plans that they made.
--- a/tests/simulation/cluster/faults.rs
+++ b/tests/simulation/cluster/faults.rs
@@ -56,20 +56,20 @@
         vec![
             (Fault::Crash, self.crash),
             (Fault::CrashAll, self.crash_all),
-            (Fault::Outage, self.outage),
-            (Fault::CutOne, self.cut_one),
+            (Fault::StateOutage, self.outage),
+            (Fault::StateCut, self.cut_one),
             (Fault::MachineDies, self.machine_dies),
             (Fault::MachineHangs, self.machine_hangs),
-            (Fault::SpotTaken, self.spot_taken),
+            (Fault::SpotReclaimed, self.spot_taken),
             (Fault::CloudOutage, self.cloud_outage),
             (Fault::PeersCut, self.peers_cut),
             (Fault::ZoneCut, self.zone_cut),
-            (Fault::MachineDeaf, self.responses_blocked),
+            (Fault::ResponsesBlocked, self.responses_blocked),
             (Fault::MachineRestarts, self.machine_restarts),
-            (Fault::Island, self.isolate),
+            (Fault::Isolation, self.isolate),
             (Fault::Pause, self.pause),
             (Fault::MassLoss, self.mass_loss),
-            (Fault::MachineMute, self.heartbeats_blocked),
+            (Fault::HeartbeatsBlocked, self.heartbeats_blocked),
             (Fault::StateSlow, self.state_slow),
         ]
     }
@@ -109,42 +109,42 @@
 pub(super) enum Fault {
     Crash,
     CrashAll,
-    Outage,
-    CutOne,
+    StateOutage,
+    StateCut,
     MachineDies,
     MachineHangs,
-    SpotTaken,
+    SpotReclaimed,
     CloudOutage,
     PeersCut,
     ZoneCut,
-    MachineDeaf,
+    ResponsesBlocked,
     MachineRestarts,
-    Island,
+    Isolation,
     Pause,
     MassLoss,
-    MachineMute,
+    HeartbeatsBlocked,
     StateSlow,
 }
 
 /// Some time from one second to `most`, in seconds.
-fn up_to(rng: &mut SmallRng, most: f64) -> Duration {
-    Duration::from_secs_f64(rng.random_range(1.0..most))
+fn random_duration(rng: &mut SmallRng, max_s: f64) -> Duration {
+    Duration::from_secs_f64(rng.random_range(1.0..max_s))
 }
 
 impl SimulatedCluster {
     /// Schedules the random faults of this cluster, at the times of Poisson processes.
     pub(super) fn schedule_faults(&mut self) {
-        for (fault, mean) in self.faults.mean_times() {
-            if mean <= 0.0 {
+        for (fault, mean_s) in self.faults.mean_times() {
+            if mean_s <= 0.0 {
                 continue;
             }
             let mut at = 0.0;
             loop {
-                at += -mean * (1.0 - self.rng.random::<f64>()).ln();
+                at += -mean_s * (1.0 - self.rng.random::<f64>()).ln();
                 if Duration::from_secs_f64(at) >= self.faults_end {
                     break;
                 }
-                self.at(Duration::from_secs_f64(at), ClusterEvent::Fault(fault));
+                self.schedule(Duration::from_secs_f64(at), ClusterEvent::Fault(fault));
             }
         }
     }
@@ -154,48 +154,48 @@
     }
 
     /// The state service refuses this controller alone.
-    pub fn cut_state(&mut self, controller: usize, how_long: Duration) {
-        self.slots[controller].cut_until = self.now + how_long;
+    pub fn cut_state(&mut self, controller: usize, duration: Duration) {
+        self.slots[controller].state_cut_until = self.now + duration;
     }
 
     /// It loses the state service and the other controllers, not its workers and users.
-    pub fn isolate(&mut self, controller: usize, how_long: Duration) {
-        self.cut_state(controller, how_long);
-        self.slots[controller].island_until = self.now + how_long;
+    pub fn isolate(&mut self, controller: usize, duration: Duration) {
+        self.cut_state(controller, duration);
+        self.slots[controller].isolated_until = self.now + duration;
     }
 
-    pub fn state_outage(&mut self, how_long: Duration) {
-        let until = self.now + how_long;
-        self.state_out_until = self.state_out_until.max(until);
+    pub fn state_outage(&mut self, duration: Duration) {
+        let until = self.now + duration;
+        self.state_unavailable_until = self.state_unavailable_until.max(until);
         self.state.renew_leases_after_outage(until);
     }
 
-    pub fn pause(&mut self, controller: usize, how_long: Duration) {
+    pub fn pause(&mut self, controller: usize, duration: Duration) {
         if self.now < self.slots[controller].paused_until {
             return;
         }
-        let until = self.now + how_long;
+        let until = self.now + duration;
         // It has just decided what to do, and does it when it goes on.
-        let effects = self.effects(controller, Event::Tick);
+        let effects = self.collect_effects(controller, Event::Tick);
         self.slots[controller].paused_until = until;
         let process = self.process(controller);
-        self.at(until, ClusterEvent::Resume { process, effects });
+        self.schedule(until, ClusterEvent::Resume { process, effects });
     }
 
-    pub fn hang(&mut self, machine: &str, how_long: Duration) {
+    pub fn hang(&mut self, machine: &str, duration: Duration) {
         if let Some(machine) = self.machines.get_mut(machine) {
-            machine.hung_until = Some(self.now + how_long);
+            machine.hung_until = Some(self.now + duration);
         }
     }
 
     /// Reports on their way from now on arrive when this is over, at whoever leads by then.
-    pub fn hold_heartbeats(&mut self, how_long: Duration) {
-        self.heartbeats_held_until = self.now + how_long;
+    pub fn hold_heartbeats(&mut self, duration: Duration) {
+        self.heartbeats_delayed_until = self.now + duration;
     }
 
     /// Everything that crosses the zone's border is held for so long.
-    pub fn cut_zone(&mut self, zone: &str, how_long: Duration) {
-        self.zone_cut = (zone.into(), self.now + how_long);
+    pub fn cut_zone(&mut self, zone: &str, duration: Duration) {
+        self.zone_partition = (zone.into(), self.now + duration);
     }
 
     pub fn kill(&mut self, machine: &str) {
@@ -203,16 +203,16 @@
             return;
         };
         found.dead = true;
-        let happened = found.lose_all_tasks();
-        self.happened(machine, happened);
+        let events = found.lose_all_tasks();
+        self.record_machine_events(machine, events);
     }
 
     /// Off and on again within a moment.
     pub fn restart_machine(&mut self, machine: &str) {
         let now = self.now;
         if let Some(found) = self.machines.get_mut(machine) {
-            let happened = found.restart(now);
-            self.happened(machine, happened);
+            let events = found.restart(now);
+            self.record_machine_events(machine, events);
         }
     }
 
@@ -225,75 +225,81 @@
     }
 
     /// Answers and commands don't reach it.
-    pub fn block_responses(&mut self, machine: &str, how_long: Duration) {
+    pub fn block_responses(&mut self, machine: &str, duration: Duration) {
         if let Some(machine) = self.machines.get_mut(machine) {
-            machine.responses_blocked_until = self.now + how_long;
+            machine.responses_blocked_until = self.now + duration;
         }
     }
 
     /// Machines that are rented from now on boot like this.
-    pub fn set_boot_faults(&mut self, trouble: Option<BootFaults>) {
-        self.boot_faults = trouble;
+    pub fn set_boot_faults(&mut self, boot_faults: Option<BootFaults>) {
+        self.boot_faults = boot_faults;
     }
 
     /// It reaches no controller, while direct commands reach it.
-    pub fn block_heartbeats(&mut self, machine: &str, how_long: Duration) {
+    pub fn block_heartbeats(&mut self, machine: &str, duration: Duration) {
         if let Some(machine) = self.machines.get_mut(machine) {
-            machine.heartbeats_blocked_until = self.now + how_long;
+            machine.heartbeats_blocked_until = self.now + duration;
         }
     }
 
     /// A random fault happens.
-    pub(super) fn fault(&mut self, fault: Fault) {
+    pub(super) fn apply_fault(&mut self, fault: Fault) {
         match fault {
             Fault::Crash => {
                 let controller = self.rng.random_range(0..CONTROLLERS);
                 self.crash(controller);
             }
             Fault::CrashAll => (0..CONTROLLERS).for_each(|controller| self.crash(controller)),
-            Fault::Outage => {
-                let how_long = up_to(&mut self.rng, 35.0);
-                self.state_outage(how_long);
+            Fault::StateOutage => {
+                let duration = random_duration(&mut self.rng, 35.0);
+                self.state_outage(duration);
             }
-            Fault::CutOne => {
+            Fault::StateCut => {
                 let controller = self.rng.random_range(0..CONTROLLERS);
-                let how_long = up_to(&mut self.rng, 40.0);
-                self.cut_state(controller, how_long);
+                let duration = random_duration(&mut self.rng, 40.0);
+                self.cut_state(controller, duration);
             }
-            Fault::Island => {
+            Fault::Isolation => {
                 let controller = self.rng.random_range(0..CONTROLLERS);
-                let how_long = up_to(&mut self.rng, 60.0);
-                self.isolate(controller, how_long);
+                let duration = random_duration(&mut self.rng, 60.0);
+                self.isolate(controller, duration);
             }
             Fault::Pause => {
                 let controller = self.rng.random_range(0..CONTROLLERS);
-                let how_long = up_to(&mut self.rng, 45.0);
-                self.pause(controller, how_long);
+                let duration = random_duration(&mut self.rng, 45.0);
+                self.pause(controller, duration);
             }
             Fault::MassLoss => {
                 let kind = [
                     Fault::MachineDies,
                     Fault::MachineHangs,
-                    Fault::MachineDeaf,
-                    Fault::SpotTaken,
+                    Fault::ResponsesBlocked,
+                    Fault::SpotReclaimed,
                 ][self.rng.random_range(0..4)];
                 let up = self.machines.values().filter(|m| m.up && !m.dead).count();
                 for _ in 0..up / 3 {
-                    self.fault(kind);
+                    self.apply_fault(kind);
                 }
             }
-            Fault::StateSlow => self.state_slow_until = self.now + up_to(&mut self.rng, 30.0),
-            Fault::CloudOutage => self.cloud_out_until = self.now + up_to(&mut self.rng, 30.0),
+            Fault::StateSlow => {
+                self.state_slow_until = self.now + random_duration(&mut self.rng, 30.0)
+            }
+            Fault::CloudOutage => {
+                self.cloud_unavailable_until = self.now + random_duration(&mut self.rng, 30.0)
+            }
             Fault::ZoneCut => {
                 let zone = Zone::from(ZONES[self.rng.random_range(0..CONTROLLERS)]);
-                self.zone_cut = (zone, self.now + up_to(&mut self.rng, 60.0));
+                self.zone_partition = (zone, self.now + random_duration(&mut self.rng, 60.0));
+            }
+            Fault::PeersCut => {
+                self.peers_cut_until = self.now + random_duration(&mut self.rng, 20.0)
             }
-            Fault::PeersCut => self.peers_cut_until = self.now + up_to(&mut self.rng, 20.0),
             Fault::MachineDies
             | Fault::MachineHangs
-            | Fault::SpotTaken
-            | Fault::MachineDeaf
-            | Fault::MachineMute
+            | Fault::SpotReclaimed
+            | Fault::ResponsesBlocked
+            | Fault::HeartbeatsBlocked
             | Fault::MachineRestarts => {
                 self.machine_fault(fault);
             }
@@ -302,23 +308,23 @@
 
     /// Something happens to some machine that is up.
     fn machine_fault(&mut self, fault: Fault) {
-        let spot = fault == Fault::SpotTaken;
-        let fits = |machine: &&Machine| {
+        let spot = fault == Fault::SpotReclaimed;
+        let is_candidate = |machine: &&Machine| {
             machine.up && !machine.dead && (!spot || machine.capacity_type.is_spot())
         };
-        let machines = self.machines.values().filter(fits);
+        let machines = self.machines.values().filter(is_candidate);
         let ids: Vec<String> = machines.map(|machine| machine.id.clone()).collect();
         if ids.is_empty() {
             return;
         }
         let id = ids[self.rng.random_range(0..ids.len())].clone();
-        let how_long = up_to(&mut self.rng, 60.0);
+        let duration = random_duration(&mut self.rng, 60.0);
         let notice = Duration::from_secs(if self.rng.random_bool(0.5) { 5 } else { 0 });
         match fault {
             Fault::MachineDies => self.kill(&id),
-            Fault::MachineHangs => self.hang(&id, how_long),
-            Fault::MachineDeaf => self.block_responses(&id, how_long),
-            Fault::MachineMute => self.block_heartbeats(&id, how_long),
+            Fault::MachineHangs => self.hang(&id, duration),
+            Fault::ResponsesBlocked => self.block_responses(&id, duration),
+            Fault::HeartbeatsBlocked => self.block_heartbeats(&id, duration),
             Fault::MachineRestarts => self.restart_machine(&id),
             _ => self.recall(&id, notice),
         }
--- a/tests/simulation/cluster/machines.rs
+++ b/tests/simulation/cluster/machines.rs
@@ -2,12 +2,15 @@
 
 use super::controllers::Process;
 use super::network::{Delivery, controller_index};
-use super::users::{Asker, HeartbeatRequest};
+use super::users::{HeartbeatRequest, Requester};
 use super::*;
 
 pub(super) const HEARTBEAT_TIMEOUT: Duration = Duration::from_secs(4);
 
-pub(super) fn run_for(longer: Duration, apart: Duration) -> impl Fn(TaskId) -> Duration {
+pub(super) fn run_time(
+    extra_task_time: Duration,
+    extra_time_per_index: Duration,
+) -> impl Fn(TaskId) -> Duration {
     move |task| {
         Duration::from_millis(1500 + (task.job.0 * 31 + u64::from(task.index) * 977) % 9000)
             + if task.job.0.is_multiple_of(3) {
@@ -15,8 +18,8 @@
             } else {
                 Duration::ZERO
             }
-            + longer
-            + apart * task.index
+            + extra_task_time
+            + extra_time_per_index * task.index
     }
 }
 
@@ -40,8 +43,8 @@
 
     /// The heartbeat to be sent now, if one is due.
     fn due_heartbeat(&mut self, now: Duration, interval: Duration) -> Option<Heartbeat> {
-        let rested = now >= self.last_heartbeat + HEARTBEAT_SPACING;
-        let due = now >= self.next_heartbeat || (self.changed && rested);
+        let spacing_elapsed = now >= self.last_heartbeat + HEARTBEAT_SPACING;
+        let due = now >= self.next_heartbeat || (self.changed && spacing_elapsed);
         if self.heartbeat.is_some() || !due {
             return None;
         }
@@ -55,9 +58,9 @@
 }
 
 impl SimulatedCluster {
-    pub(super) fn happened(&mut self, id: &str, happened: Vec<MachineEvent>) {
-        for what in happened {
-            match what {
+    pub(super) fn record_machine_events(&mut self, id: &str, events: Vec<MachineEvent>) {
+        for event in events {
+            match event {
                 MachineEvent::Started(task) => {
                     let machine = &self.machines[id];
                     tracing::debug!(at = self.now.as_secs_f64(), %task, machine = id, "starts");
@@ -71,11 +74,11 @@
                 }
                 MachineEvent::Ended(task, done) => {
                     if done {
-                        self.results.insert(task);
+                        self.task_results.insert(task);
                     }
                     self.rules.task_ended(task, id, done);
                     if done && self.rules.all_done(task.job) {
-                        self.ended(task.job);
+                        self.job_completed(task.job);
                     }
                 }
             }
@@ -83,41 +86,46 @@
     }
 
     /// A job's last task is done: now and then its user calls it off at that very moment.
-    pub(super) fn ended(&mut self, job: JobId) {
+    pub(super) fn job_completed(&mut self, job: JobId) {
         if self.now >= self.faults_end || !self.rng.random_bool(self.faults.cancel_at_end) {
             return;
         }
-        self.cancel(job);
+        self.cancel_job(job);
     }
 
     /// A direct command arrives at a machine, or is held at a cut border.
-    pub(super) fn command(&mut self, process: Process, command: DirectCommand, answer: bool) {
+    pub(super) fn command_arrives(
+        &mut self,
+        process: Process,
+        command: DirectCommand,
+        response_arrives: bool,
+    ) {
         let id = command.machine.0.to_string();
         if self.faults.duplicate_launches {
-            self.sabotage(&id, &command.body);
+            self.launch_on_second_machine(&id, &command.body);
         }
         let zone = self.machines.get(&id).map(|machine| machine.zone.clone());
-        let held_until = zone.and_then(|zone| self.cut(process.controller, Some(&zone)));
+        let held_until = zone.and_then(|zone| self.partition_end(process.controller, Some(&zone)));
         if let Some(until) = held_until {
-            if answer {
+            if response_arrives {
                 self.command_times_out(process, &command);
             }
-            let late = until + Duration::from_millis(self.rng.random_range(1..50));
-            let held = ClusterEvent::Command {
+            let arrival = until + Duration::from_millis(self.rng.random_range(1..50));
+            let delayed = ClusterEvent::Command {
                 process,
                 command,
-                answer: false,
+                response_arrives: false,
             };
-            return self.at(late, held);
+            return self.schedule(arrival, delayed);
         }
-        if !self.takes_command(&id, &command.body) {
-            if answer {
+        if !self.accepts_command(&id, &command.body) {
+            if response_arrives {
                 self.command_times_out(process, &command);
             }
             return;
         }
-        let executed = self.direct(&id, &command.body);
-        if answer && let Some(machine) = self.machines.get_mut(&id) {
+        let executed = self.execute_direct_commands(&id, &command.body);
+        if response_arrives && let Some(machine) = self.machines.get_mut(&id) {
             let heartbeat = machine.build_heartbeat();
             let outcome = if executed {
                 CommandOutcome::Executed(heartbeat)
@@ -135,7 +143,7 @@
     }
 
     /// Whether a machine is there and takes a command now. One that hangs takes it when it goes on.
-    fn takes_command(&mut self, id: &str, body: &WorkerCommands) -> bool {
+    fn accepts_command(&mut self, id: &str, commands: &WorkerCommands) -> bool {
         let now = self.now;
         let Some(machine) = self.machines.get_mut(id) else {
             return false;
@@ -145,57 +153,57 @@
         }
         let runs = machine.runs(now);
         if !runs && machine.hung_until.is_some() && !machine.dead {
-            machine.backlog.push(body.clone());
+            machine.backlog.push(commands.clone());
         }
         runs
     }
 
     /// A direct command at a machine that runs. False: token or session did not match.
-    pub(super) fn direct(&mut self, id: &str, body: &WorkerCommands) -> bool {
+    pub(super) fn execute_direct_commands(&mut self, id: &str, commands: &WorkerCommands) -> bool {
         let Some(machine) = self.machines.get_mut(id) else {
             return false;
         };
-        if body.token < machine.token || body.agent_epoch != Some(machine.agent_epoch) {
+        if commands.token < machine.token || commands.agent_epoch != Some(machine.agent_epoch) {
             return false;
         }
-        if body.token > machine.token {
-            machine.token = body.token;
+        if commands.token > machine.token {
+            machine.token = commands.token;
             machine.changed = true;
         }
-        let happened = machine.execute(
-            &body.commands,
+        let events = machine.execute(
+            &commands.commands,
             &self.jobs,
-            &self.results,
-            run_for(self.extra_task_time, self.extra_time_per_index),
+            &self.task_results,
+            run_time(self.extra_task_time, self.extra_time_per_index),
         );
-        self.happened(id, happened);
+        self.record_machine_events(id, events);
         true
     }
 
     /// Breaks the first rule on purpose: whatever one machine is told, another executes as well.
-    pub(super) fn sabotage(&mut self, id: &str, body: &WorkerCommands) {
-        let Some(meant) = self.machines.get(id) else {
+    pub(super) fn launch_on_second_machine(&mut self, id: &str, commands: &WorkerCommands) {
+        let Some(target) = self.machines.get(id) else {
             return;
         };
         // Alike in all else, so that it is the first rule that breaks.
-        let alike = |m: &Machine| {
-            (&m.type_name, &m.zone, m.capacity_type)
-                == (&meant.type_name, &meant.zone, meant.capacity_type)
+        let is_similar = |machine: &Machine| {
+            (&machine.type_name, &machine.zone, machine.capacity_type)
+                == (&target.type_name, &target.zone, target.capacity_type)
         };
         let other = self
             .machines
             .iter()
-            .find(|(other, machine)| *other != id && machine.runs(self.now) && alike(machine))
+            .find(|(other, machine)| *other != id && machine.runs(self.now) && is_similar(machine))
             .map(|(id, _)| id.clone());
         if let Some(other) = other {
             let machine = self.machines.get_mut(&other).expect("just found");
-            let happened = machine.execute(
-                &body.commands,
+            let events = machine.execute(
+                &commands.commands,
                 &self.jobs,
-                &self.results,
-                run_for(self.extra_task_time, self.extra_time_per_index),
+                &self.task_results,
+                run_time(self.extra_task_time, self.extra_time_per_index),
             );
-            self.happened(&other, happened);
+            self.record_machine_events(&other, events);
         }
     }
 
@@ -207,8 +215,11 @@
         let Some(machine) = self.machines.get_mut(id) else {
             return;
         };
-        if machine.terminates_at.is_some_and(|taken| now >= taken) {
-            return self.machine_is_taken_back(id);
+        if machine
+            .terminates_at
+            .is_some_and(|terminates_at| now >= terminates_at)
+        {
+            return self.reclaim_machine(id);
         }
         if !machine.up && machine.up_at.is_some_and(|at| now >= at) {
             machine.up = true;
@@ -218,35 +229,35 @@
             return;
         }
         let agent_epoch = machine.agent_epoch;
-        let mut happened = machine.check_lease(now, self.config.worker_lease);
+        let mut events = machine.check_lease(now, self.config.worker_lease);
         self.leases_over += usize::from(machine.agent_epoch != agent_epoch);
         if machine.hung_until.take().is_some() {
             let backlog = std::mem::take(&mut machine.backlog);
-            self.happened(id, happened);
-            for body in backlog {
-                self.direct(id, &body);
+            self.record_machine_events(id, events);
+            for commands in backlog {
+                self.execute_direct_commands(id, &commands);
             }
             return;
         }
-        happened.extend(machine.progress(
+        events.extend(machine.progress(
             STEP,
             &self.jobs,
-            &self.results,
-            run_for(self.extra_task_time, self.extra_time_per_index),
+            &self.task_results,
+            run_time(self.extra_task_time, self.extra_time_per_index),
         ));
         machine.give_up_overdue_heartbeat(now);
         let heartbeat = machine.due_heartbeat(now, interval);
-        self.happened(id, happened);
+        self.record_machine_events(id, events);
         if let Some(heartbeat) = heartbeat {
             self.send_heartbeat(id, heartbeat);
         }
     }
 
     /// The cloud takes a machine back, with whatever runs there.
-    fn machine_is_taken_back(&mut self, id: &str) {
+    fn reclaim_machine(&mut self, id: &str) {
         let mut machine = self.machines.remove(id).expect("just found");
-        for what in machine.lose_all_tasks() {
-            if let MachineEvent::Ended(task, done) = what {
+        for event in machine.lose_all_tasks() {
+            if let MachineEvent::Ended(task, done) = event {
                 self.rules.task_ended(task, id, done);
             }
         }
@@ -256,9 +267,9 @@
     fn send_heartbeat(&mut self, id: &str, heartbeat: Heartbeat) {
         let now = self.now;
         let machine = &self.machines[id];
-        let (controller, block_heartbeats) =
+        let (controller, heartbeats_blocked) =
             (machine.controller, now < machine.heartbeats_blocked_until);
-        let up = self.slots[controller].controller.is_some();
+        let controller_is_up = self.slots[controller].controller.is_some();
         let request = HeartbeatRequest {
             machine: id.to_owned(),
             agent_epoch: heartbeat.agent_epoch,
@@ -266,34 +277,34 @@
             sent: now,
         };
         let heartbeat = Box::new(heartbeat);
-        if let Some(late) = self.copied() {
-            let copy = ClusterEvent::Copy {
+        if let Some(duplicate_at) = self.draw_duplicate_time() {
+            let duplicate = ClusterEvent::DuplicateHeartbeat {
                 controller: self.rng.random_range(0..CONTROLLERS),
                 heartbeat: heartbeat.clone(),
             };
-            self.at(late, copy);
+            self.schedule(duplicate_at, duplicate);
         }
-        if now < self.heartbeats_held_until {
-            self.plan(self.heartbeats_held_until, move |cluster| {
+        if now < self.heartbeats_delayed_until {
+            self.plan(self.heartbeats_delayed_until, move |cluster| {
                 if let Some(controller) = cluster.leader() {
-                    cluster.dispatch(ClusterEvent::Copy {
+                    cluster.dispatch(ClusterEvent::DuplicateHeartbeat {
                         controller,
                         heartbeat,
                     });
                 }
             });
-        } else if up && !block_heartbeats {
+        } else if controller_is_up && !heartbeats_blocked {
             let Delivery { at, .. } = self.delivery();
             let heartbeat = ClusterEvent::Heartbeat {
                 controller,
                 heartbeat,
             };
-            self.at(at, heartbeat);
+            self.schedule(at, heartbeat);
         } else {
-            self.soon(ClusterEvent::Answered {
+            self.schedule_soon(ClusterEvent::HeartbeatAnswered {
                 request,
                 controller,
-                answer: None,
+                response: None,
             });
         }
     }
@@ -310,45 +321,45 @@
             return;
         };
         let sent = machine.heartbeat.map_or(self.now, |(_, sent)| sent);
-        if let Some(until) = self.cut(controller, Some(&machine.zone)) {
-            let held = ClusterEvent::Heartbeat {
+        if let Some(until) = self.partition_end(controller, Some(&machine.zone)) {
+            let delayed = ClusterEvent::Heartbeat {
                 controller,
                 heartbeat,
             };
-            return self.at(until, held);
+            return self.schedule(until, delayed);
         }
         let slot = &mut self.slots[controller];
         if slot.controller.is_none() {
             return;
         }
         let id = slot.new_request();
-        let asker = Asker::Worker(HeartbeatRequest {
+        let requester = Requester::Worker(HeartbeatRequest {
             machine: heartbeat.machine.0.to_string(),
             agent_epoch: heartbeat.agent_epoch,
             sequence_number: heartbeat.sequence_number,
             sent,
         });
-        slot.waiting.insert(id, asker);
+        slot.pending_requests.insert(id, requester);
         let heartbeat = *heartbeat;
         self.handle(controller, Event::Heartbeat { id, heartbeat });
     }
 
-    pub(super) fn answered(
+    pub(super) fn heartbeat_answered(
         &mut self,
         request: &HeartbeatRequest,
         controller: usize,
-        answer: Option<HeartbeatResponse>,
+        response: Option<HeartbeatResponse>,
     ) {
         let now = self.now;
         let id = request.machine.as_str();
         let Some(machine) = self.machines.get_mut(id) else {
             return;
         };
-        let waited_for = machine.agent_epoch == request.agent_epoch
+        let is_expected = machine.agent_epoch == request.agent_epoch
             && machine
                 .heartbeat
                 .is_some_and(|(number, _)| number == request.sequence_number);
-        if !waited_for || now > request.sent + HEARTBEAT_TIMEOUT || !machine.runs(now) {
+        if !is_expected || now > request.sent + HEARTBEAT_TIMEOUT || !machine.runs(now) {
             return;
         }
         machine.heartbeat = None;
@@ -356,26 +367,26 @@
             at = now.as_secs_f64(),
             machine = id,
             controller,
-            ?answer,
+            ?response,
             "hears"
         );
-        match answer {
-            Some(HeartbeatResponse::Commands(orders)) => {
-                if orders.token < machine.token {
+        match response {
+            Some(HeartbeatResponse::Commands(commands)) => {
+                if commands.token < machine.token {
                     return;
                 }
-                if orders.token > machine.token {
-                    machine.token = orders.token;
+                if commands.token > machine.token {
+                    machine.token = commands.token;
                     machine.changed = true;
                 }
                 machine.lease_renewed_at = request.sent;
-                let happened = machine.execute(
-                    &orders.commands,
+                let events = machine.execute(
+                    &commands.commands,
                     &self.jobs,
-                    &self.results,
-                    run_for(self.extra_task_time, self.extra_time_per_index),
+                    &self.task_results,
+                    run_time(self.extra_task_time, self.extra_time_per_index),
                 );
-                self.happened(id, happened);
+                self.record_machine_events(id, events);
             }
             Some(HeartbeatResponse::Redirect(Some(holder))) => {
                 let target = controller_index(&holder).unwrap_or(0);
@@ -396,11 +407,13 @@
 
     /// The machines that are up, in a zone or all.
     pub fn up(&self, zone: Option<&str>) -> Vec<String> {
-        let here = |m: &&Machine| m.up && !m.dead && zone.is_none_or(|zone| *m.zone.0 == *zone);
+        let is_up = |machine: &&Machine| {
+            machine.up && !machine.dead && zone.is_none_or(|zone| *machine.zone.0 == *zone)
+        };
         self.machines
             .values()
-            .filter(here)
-            .map(|m| m.id.clone())
+            .filter(is_up)
+            .map(|machine| machine.id.clone())
             .collect()
     }
 }
--- a/tests/simulation/cluster/mod.rs
+++ b/tests/simulation/cluster/mod.rs
@@ -47,10 +47,10 @@
 use controllers::{Process, Slot};
 use faults::Fault;
 pub use faults::Faults;
-use machines::run_for;
+use machines::run_time;
 use store_requests::Watcher;
-use users::{Asker, HeartbeatRequest, User, guests};
 pub use users::{GUESTS, array};
+use users::{HeartbeatRequest, Requester, User, guest_team};
 
 pub const CONTROLLERS: usize = 3;
 
@@ -76,42 +76,42 @@
         process: Process,
         tag: StoreTag,
         sent: Instant,
-        op: StoreRequest,
-        answer: bool,
+        request: StoreRequest,
+        response_arrives: bool,
     },
-    Watch {
+    CheckWatch {
         id: u64,
     },
     Deliver {
         process: Process,
         event: Box<Event>,
     },
-    Peer {
+    PeerMessage {
         controller: usize,
         message: Message,
     },
     Command {
         process: Process,
         command: DirectCommand,
-        answer: bool,
+        response_arrives: bool,
     },
     Cloud {
         process: Process,
         tag: CloudRequestPurpose,
-        call: CloudRequest,
-        answer: bool,
+        request: CloudRequest,
+        response_arrives: bool,
     },
     Heartbeat {
         controller: usize,
         heartbeat: Box<Heartbeat>,
     },
     /// A late copy: whoever sent the heartbeat no longer waits for its answer.
-    Copy {
+    DuplicateHeartbeat {
         controller: usize,
         heartbeat: Box<Heartbeat>,
     },
     /// What a user or an operator asked before, once more.
-    Repeat {
+    DuplicateRequest {
         controller: usize,
         event: Box<Event>,
     },
@@ -120,10 +120,10 @@
         process: Process,
         effects: Vec<Effect>,
     },
-    Answered {
+    HeartbeatAnswered {
         request: HeartbeatRequest,
         controller: usize,
-        answer: Option<HeartbeatResponse>,
+        response: Option<HeartbeatResponse>,
     },
     Fault(Fault),
     /// What a test has planned for this moment.
@@ -172,9 +172,9 @@
 
 pub struct SimulatedCluster {
     pub(super) now: Duration,
-    base: Instant,
-    wall: SystemTime,
-    order: u64,
+    monotonic_start: Instant,
+    wall_start: SystemTime,
+    event_sequence: u64,
     queue: BinaryHeap<Reverse<(Duration, u64, usize)>>,
     events: HashMap<usize, ClusterEvent>,
     rng: SmallRng,
@@ -183,19 +183,19 @@
     faults_end: Duration,
     config: Config,
     pub(super) state: StateService,
-    state_out_until: Duration,
+    state_unavailable_until: Duration,
     state_slow_until: Duration,
-    cloud_out_until: Duration,
+    cloud_unavailable_until: Duration,
     peers_cut_until: Duration,
-    zone_cut: (Zone, Duration),
+    zone_partition: (Zone, Duration),
     watchers: BTreeMap<u64, Watcher>,
     slots: Vec<Slot>,
     pub(super) machines: BTreeMap<String, Machine>,
     next_machine: u32,
-    requests: BTreeMap<String, Vec<String>>,
+    rental_requests: BTreeMap<String, Vec<String>>,
     users: Vec<User>,
     jobs: BTreeMap<JobId, Job>,
-    results: BTreeSet<TaskId>,
+    task_results: BTreeSet<TaskId>,
     gangs: Gangs,
     pub rules: Rules,
     /// What operators have switched on.
@@ -205,7 +205,7 @@
     pub operators: Operators,
     pub rented: usize,
     size: Size,
-    looked_for_idle: Duration,
+    last_idle_check: Duration,
     boot_faults: Option<BootFaults>,
     /// Users ask so many times as often as they would.
     pub request_rate_factor: u32,
@@ -220,7 +220,7 @@
     /// The most that a message takes.
     pub latency: Duration,
     /// Reports sent until then arrive then, at whoever leads by that time.
-    heartbeats_held_until: Duration,
+    heartbeats_delayed_until: Duration,
     /// Leases that ran out on machines that were up.
     pub leases_over: usize,
     pub events_handled: u64,
@@ -234,10 +234,10 @@
 }
 
 /// How often it is looked for jobs that wait beside room.
-const IDLE_EVERY: Duration = Duration::from_secs(2);
+const IDLE_CHECK_INTERVAL: Duration = Duration::from_secs(2);
 
 /// Cuts, hangs and held messages last for up to a minute after the last fault.
-const LAST_TROUBLES: Duration = Duration::from_secs(60);
+const LONGEST_FAULT: Duration = Duration::from_secs(60);
 
 impl SimulatedCluster {
     pub fn new(seed: u64, faults: Faults, faults_end: Duration, size: Size) -> Self {
@@ -247,7 +247,7 @@
             team.cpus *= size.teams;
             team.cpus_max *= size.teams;
         }
-        config.teams.push(guests());
+        config.teams.push(guest_team());
         let mut rng = SmallRng::seed_from_u64(seed);
         let slots = (0..CONTROLLERS)
             .map(|_| Slot::new(rng.random_range(-0.0005..0.0005)))
@@ -255,9 +255,9 @@
         let mut cluster = SimulatedCluster::empty(config, rng, slots, faults, faults_end, size);
         for controller in 0..CONTROLLERS {
             let at = Duration::from_millis(cluster.rng.random_range(0..500));
-            cluster.at(at, ClusterEvent::Restart { controller });
+            cluster.schedule(at, ClusterEvent::Restart { controller });
         }
-        cluster.at(STEP, ClusterEvent::Step);
+        cluster.schedule(STEP, ClusterEvent::Step);
         cluster.schedule_faults();
         for n in 0..size.jobs {
             cluster.add_user(n);
@@ -281,35 +281,35 @@
             .collect();
         SimulatedCluster {
             now: Duration::ZERO,
-            base: Instant::now(),
-            wall: SystemTime::UNIX_EPOCH + Duration::from_secs(1_800_000_000),
-            order: 0,
+            monotonic_start: Instant::now(),
+            wall_start: SystemTime::UNIX_EPOCH + Duration::from_secs(1_800_000_000),
+            event_sequence: 0,
             queue: BinaryHeap::new(),
             events: HashMap::new(),
             faults,
             faults_end,
             state: StateService::new(config.state_limits, production::can_read_record),
-            state_out_until: Duration::ZERO,
+            state_unavailable_until: Duration::ZERO,
             state_slow_until: Duration::ZERO,
-            cloud_out_until: Duration::ZERO,
+            cloud_unavailable_until: Duration::ZERO,
             peers_cut_until: Duration::ZERO,
-            zone_cut: (Zone::from("a"), Duration::ZERO),
+            zone_partition: (Zone::from("a"), Duration::ZERO),
             watchers: BTreeMap::new(),
             slots,
             machines: BTreeMap::new(),
             next_machine: 0,
-            requests: BTreeMap::new(),
+            rental_requests: BTreeMap::new(),
             users: Vec::new(),
             jobs: BTreeMap::new(),
-            results: BTreeSet::new(),
+            task_results: BTreeSet::new(),
             gangs: Gangs::default(),
-            rules: Rules::new(limits, config.cancel_within, faults_end + LAST_TROUBLES),
+            rules: Rules::new(limits, config.cancel_within, faults_end + LONGEST_FAULT),
             features: Features::default(),
             preemption: true,
             operators: Operators::default(),
             rented: 0,
             size,
-            looked_for_idle: Duration::ZERO,
+            last_idle_check: Duration::ZERO,
             boot_faults: None,
             request_rate_factor: 1,
             running_machines_deleted: 0,
@@ -317,7 +317,7 @@
             extra_task_time: Duration::ZERO,
             extra_time_per_index: Duration::ZERO,
             latency: Duration::from_millis(6),
-            heartbeats_held_until: Duration::ZERO,
+            heartbeats_delayed_until: Duration::ZERO,
             leases_over: 0,
             events_handled: 0,
             digest: None,
@@ -346,11 +346,11 @@
         cluster
     }
 
-    fn at(&mut self, at: Duration, event: ClusterEvent) {
-        self.order += 1;
-        let key = self.order as usize;
+    fn schedule(&mut self, at: Duration, event: ClusterEvent) {
+        self.event_sequence += 1;
+        let key = self.event_sequence as usize;
         self.events.insert(key, event);
-        self.queue.push(Reverse((at, self.order, key)));
+        self.queue.push(Reverse((at, self.event_sequence, key)));
     }
 
     /// A request of an operator is on its way to a controller that is up.
@@ -360,14 +360,18 @@
             return;
         }
         let id = slot.new_request();
-        slot.waiting.insert(id, Asker::Operator(operator));
+        slot.pending_requests
+            .insert(id, Requester::Operator(operator));
         let process = self.process(controller);
-        let copied = self.copied();
+        let duplicate_time = self.draw_duplicate_time();
         let changes = matches!(request, Request::Start { .. } | Request::Cancel { .. });
-        if changes && let Some(late) = copied {
+        if changes && let Some(duplicate_at) = duplicate_time {
             let request = request.clone();
             let event = Box::new(Event::OperatorRequest { id: 0, request });
-            self.at(late, ClusterEvent::Repeat { controller, event });
+            self.schedule(
+                duplicate_at,
+                ClusterEvent::DuplicateRequest { controller, event },
+            );
         }
         self.deliver_soon(process, Event::OperatorRequest { id, request });
     }
@@ -396,41 +400,41 @@
     fn dispatch(&mut self, event: ClusterEvent) {
         match event {
             ClusterEvent::Tick { process } => self.tick(process),
-            ClusterEvent::Restart { controller } => self.start(controller),
+            ClusterEvent::Restart { controller } => self.start_controller(controller),
             ClusterEvent::Step => {
                 self.step();
-                self.at(self.now + STEP, ClusterEvent::Step);
+                self.schedule(self.now + STEP, ClusterEvent::Step);
             }
             ClusterEvent::Store {
                 process,
                 tag,
                 sent,
-                op,
-                answer,
-            } => self.store(process, tag, sent, op, answer),
-            ClusterEvent::Watch { id } => self.watch_over(id),
+                request,
+                response_arrives,
+            } => self.store_request_arrives(process, tag, sent, request, response_arrives),
+            ClusterEvent::CheckWatch { id } => self.check_watch(id),
             ClusterEvent::Deliver { process, event } => {
-                if self.alive(process) {
+                if self.is_running(process) {
                     self.handle(process.controller, *event);
                 }
             }
-            ClusterEvent::Peer {
+            ClusterEvent::PeerMessage {
                 controller,
                 message,
             } => self.peer_message_arrives(controller, message),
             ClusterEvent::Command {
                 process,
                 command,
-                answer,
-            } => self.command(process, command, answer),
+                response_arrives,
+            } => self.command_arrives(process, command, response_arrives),
             ClusterEvent::Cloud {
                 process,
                 tag,
-                call,
-                answer,
+                request,
+                response_arrives,
             } => {
-                let outcome = self.cloud(&call);
-                if answer {
+                let outcome = self.handle_cloud_request(&request);
+                if response_arrives {
                     self.deliver_soon(process, Event::CloudResponse { tag, outcome });
                 }
             }
@@ -438,49 +442,51 @@
                 controller,
                 heartbeat,
             } => self.heartbeat_arrives(controller, heartbeat),
-            ClusterEvent::Copy {
+            ClusterEvent::DuplicateHeartbeat {
                 controller,
                 heartbeat,
             } => self.heartbeat_copy_arrives(controller, *heartbeat),
-            ClusterEvent::Answered {
+            ClusterEvent::HeartbeatAnswered {
                 request,
                 controller,
-                answer,
-            } => self.answered(&request, controller, answer),
-            ClusterEvent::Repeat { controller, event } => self.handle(controller, *event),
+                response,
+            } => self.heartbeat_answered(&request, controller, response),
+            ClusterEvent::DuplicateRequest { controller, event } => self.handle(controller, *event),
             ClusterEvent::Resume { process, effects } => self.resume(process, effects),
-            ClusterEvent::Fault(fault) => self.fault(fault),
-            ClusterEvent::Planned(act) => act(self),
+            ClusterEvent::Fault(fault) => self.apply_fault(fault),
+            ClusterEvent::Planned(action) => action(self),
         }
     }
 
     fn step(&mut self) {
-        if self.now >= self.state_out_until && self.state.expire(self.now) {
+        if self.now >= self.state_unavailable_until && self.state.expire(self.now) {
             self.wake_watchers();
         }
         let ids: Vec<String> = self.machines.keys().cloned().collect();
         for id in ids {
             self.step_machine(&id);
         }
-        let run_for = run_for(self.extra_task_time, self.extra_time_per_index);
+        let run_for = run_time(self.extra_task_time, self.extra_time_per_index);
         for (id, event) in self
             .gangs
             .step(self.now, STEP, &mut self.machines, &self.jobs, run_for)
         {
-            self.happened(&id, vec![event]);
+            self.record_machine_events(&id, vec![event]);
         }
         for user in 0..self.users.len() {
             self.step_user(user);
         }
         self.step_operators();
-        if self.size.jobs <= Size::SMALL.jobs && self.now >= self.looked_for_idle + IDLE_EVERY {
-            self.looked_for_idle = self.now;
-            self.look_for_idle_room();
+        if self.size.jobs <= Size::SMALL.jobs
+            && self.now >= self.last_idle_check + IDLE_CHECK_INTERVAL
+        {
+            self.last_idle_check = self.now;
+            self.check_idle_capacity();
         }
     }
 
     /// Does something at a set time, for meetings that random faults would seldom bring about.
-    pub fn plan(&mut self, at: Duration, act: impl FnOnce(&mut SimulatedCluster) + 'static) {
-        self.at(at, ClusterEvent::Planned(Box::new(act)));
+    pub fn plan(&mut self, at: Duration, action: impl FnOnce(&mut SimulatedCluster) + 'static) {
+        self.schedule(at, ClusterEvent::Planned(Box::new(action)));
     }
 }
--- a/tests/simulation/cluster/network.rs
+++ b/tests/simulation/cluster/network.rs
@@ -14,7 +14,7 @@
 use rand::Rng;
 
 use super::controllers::Process;
-use super::users::Asker;
+use super::users::Requester;
 use super::{ClusterEvent, SimulatedCluster, Size, ZONES};
 use crate::production;
 
@@ -35,71 +35,71 @@
 /// When a message arrives, and whether the sender hears of it.
 pub(super) struct Delivery {
     pub(super) at: Duration,
-    pub(super) answered: bool,
+    pub(super) response_arrives: bool,
 }
 
 impl SimulatedCluster {
     /// How long a message takes.
-    fn transit(&mut self) -> Duration {
-        let most = u64::try_from(self.latency.as_micros()).expect("short");
-        Duration::from_micros(self.rng.random_range(500..most))
+    fn network_delay(&mut self) -> Duration {
+        let max_micros = u64::try_from(self.latency.as_micros()).expect("short");
+        Duration::from_micros(self.rng.random_range(500..max_micros))
     }
 
     /// Schedules an event after the time that a message takes.
-    pub(super) fn soon(&mut self, event: ClusterEvent) {
-        let at = self.now + self.transit();
-        self.at(at, event);
+    pub(super) fn schedule_soon(&mut self, event: ClusterEvent) {
+        let at = self.now + self.network_delay();
+        self.schedule(at, event);
     }
 
     /// Schedules an event for a process, which gets it unless it has ended by then.
     pub(super) fn deliver_at(&mut self, at: Duration, process: Process, event: Event) {
         let event = Box::new(event);
-        self.at(at, ClusterEvent::Deliver { process, event });
+        self.schedule(at, ClusterEvent::Deliver { process, event });
     }
 
     /// The same after the time that a message takes.
     pub(super) fn deliver_soon(&mut self, process: Process, event: Event) {
         let event = Box::new(event);
-        self.soon(ClusterEvent::Deliver { process, event });
+        self.schedule_soon(ClusterEvent::Deliver { process, event });
     }
 
     /// A request on its way: sometimes held for long, sometimes its answer is lost.
     pub(super) fn delivery(&mut self) -> Delivery {
-        let calm = self.now >= self.faults_end;
-        let quick = self.now + self.transit();
-        if !calm && self.rng.random_bool(self.faults.delayed_requests) {
-            let held = Duration::from_secs_f64(self.rng.random_range(1.0..60.0));
+        let faults_over = self.now >= self.faults_end;
+        let arrival = self.now + self.network_delay();
+        if !faults_over && self.rng.random_bool(self.faults.delayed_requests) {
+            let delay = Duration::from_secs_f64(self.rng.random_range(1.0..60.0));
             return Delivery {
-                at: self.now + held,
-                answered: false,
+                at: self.now + delay,
+                response_arrives: false,
             };
         }
         Delivery {
-            at: quick,
-            answered: calm || !self.rng.random_bool(self.faults.lost_responses),
+            at: arrival,
+            response_arrives: faults_over || !self.rng.random_bool(self.faults.lost_responses),
         }
     }
 
     /// When a copy of a message is carried out again, if one is.
-    pub(crate) fn copied(&mut self) -> Option<Duration> {
+    pub(crate) fn draw_duplicate_time(&mut self) -> Option<Duration> {
         if self.now >= self.faults_end || !self.rng.random_bool(self.faults.copies) {
             return None;
         }
-        let late = self.config.worker_lease.as_secs_f64() * 3.0;
-        Some(self.now + Duration::from_secs_f64(self.rng.random_range(1.0..late)))
+        let max_delay_s = self.config.worker_lease.as_secs_f64() * 3.0;
+        Some(self.now + Duration::from_secs_f64(self.rng.random_range(1.0..max_delay_s)))
     }
 
     /// Whether the state service refuses this controller.
-    pub(super) fn state_out(&self, controller: usize) -> bool {
-        self.now < self.state_out_until || self.now < self.slots[controller].cut_until
+    pub(super) fn state_unavailable(&self, controller: usize) -> bool {
+        self.now < self.state_unavailable_until || self.now < self.slots[controller].state_cut_until
     }
 
     /// When the cut between a controller and a place is over, if there is one. None: the state service and the
     /// cloud, which are in no zone.
-    pub(super) fn cut(&self, controller: usize, zone: Option<&Zone>) -> Option<Duration> {
-        let (cut, until) = &self.zone_cut;
-        let inside = *ZONES[controller] == *cut.0;
-        let crosses = inside != zone.is_some_and(|zone| zone == cut);
+    pub(super) fn partition_end(&self, controller: usize, zone: Option<&Zone>) -> Option<Duration> {
+        let (partitioned, until) = &self.zone_partition;
+        let inside = *ZONES[controller] == *partitioned.0;
+        let crosses = inside != zone.is_some_and(|zone| zone == partitioned);
         (crosses && self.now < *until).then_some(*until)
     }
 
@@ -134,59 +134,59 @@
             }
             Effect::RespondToHealthCheck { .. } => {}
             Effect::RespondToOperator { id, reply } => {
-                let waiting = &mut self.slots[process.controller].waiting;
-                if let Some(Asker::Operator(operator)) = waiting.remove(&id) {
+                let pending_requests = &mut self.slots[process.controller].pending_requests;
+                if let Some(Requester::Operator(operator)) = pending_requests.remove(&id) {
                     self.operator_answered(operator, process.controller, reply);
                 }
             }
         }
     }
 
-    fn send_store_request(&mut self, process: Process, tag: StoreTag, op: StoreRequest) {
+    fn send_store_request(&mut self, process: Process, tag: StoreTag, request: StoreRequest) {
         let sent = self.clock(process.controller).monotonic;
         let Delivery {
             mut at,
-            mut answered,
+            mut response_arrives,
         } = self.delivery();
-        if self.now < self.state_slow_until && !matches!(op, StoreRequest::Watch { .. }) {
+        if self.now < self.state_slow_until && !matches!(request, StoreRequest::Watch { .. }) {
             at += Duration::from_millis(self.rng.random_range(50..1000));
         }
-        let calm = self.now >= self.faults_end;
-        if matches!(op, StoreRequest::Commit(_))
-            && !calm
+        let faults_over = self.now >= self.faults_end;
+        if matches!(request, StoreRequest::Commit(_))
+            && !faults_over
             && self.rng.random_bool(self.faults.late_writes)
         {
             at = self.now + Duration::from_secs_f64(self.rng.random_range(2.0..12.0));
-            answered = false;
+            response_arrives = false;
         }
-        if !answered {
+        if !response_arrives {
             self.store_request_times_out(process, tag.clone(), sent);
         }
         let repeatable = matches!(
-            op,
+            request,
             StoreRequest::Commit(_)
                 | StoreRequest::GrantLease { .. }
                 | StoreRequest::KeepAliveLease { .. }
         );
-        let copied = self.copied();
-        if repeatable && let Some(late) = copied {
-            let copy = ClusterEvent::Store {
+        let duplicate_time = self.draw_duplicate_time();
+        if repeatable && let Some(duplicate_at) = duplicate_time {
+            let duplicate = ClusterEvent::Store {
                 process,
                 tag: tag.clone(),
                 sent,
-                op: op.clone(),
-                answer: false,
+                request: request.clone(),
+                response_arrives: false,
             };
-            self.at(late, copy);
+            self.schedule(duplicate_at, duplicate);
         }
-        let request = ClusterEvent::Store {
+        let event = ClusterEvent::Store {
             process,
             tag,
             sent,
-            op,
-            answer: answered,
+            request,
+            response_arrives,
         };
-        self.at(at, request);
+        self.schedule(at, event);
     }
 
     /// The process hears nothing of a request to the state service.
@@ -205,35 +205,43 @@
     }
 
     /// Whether a process looks at its clock and finds that its authority has ended.
-    fn authority_over(&self, process: Process, until: Option<Instant>) -> bool {
-        until.is_some_and(|until| self.clock(process.controller).monotonic >= until)
+    fn authority_expired(&self, process: Process, authority_until: Option<Instant>) -> bool {
+        authority_until.is_some_and(|until| self.clock(process.controller).monotonic >= until)
     }
 
-    fn send_command(&mut self, process: Process, command: DirectCommand, until: Option<Instant>) {
+    fn send_command(
+        &mut self,
+        process: Process,
+        command: DirectCommand,
+        authority_until: Option<Instant>,
+    ) {
         let slot = &mut self.slots[process.controller];
-        slot.commands += 1;
-        self.most_commands = self.most_commands.max(slot.commands);
-        if self.authority_over(process, until) {
+        slot.pending_commands += 1;
+        self.most_commands = self.most_commands.max(slot.pending_commands);
+        if self.authority_expired(process, authority_until) {
             return self.command_times_out(process, &command);
         }
-        let Delivery { at, answered } = self.delivery();
-        if !answered {
+        let Delivery {
+            at,
+            response_arrives,
+        } = self.delivery();
+        if !response_arrives {
             self.command_times_out(process, &command);
         }
-        if let Some(late) = self.copied() {
-            let copy = ClusterEvent::Command {
+        if let Some(duplicate_at) = self.draw_duplicate_time() {
+            let duplicate = ClusterEvent::Command {
                 process,
                 command: command.clone(),
-                answer: false,
+                response_arrives: false,
             };
-            self.at(late, copy);
+            self.schedule(duplicate_at, duplicate);
         }
-        let command = ClusterEvent::Command {
+        let event = ClusterEvent::Command {
             process,
             command,
-            answer: answered,
+            response_arrives,
         };
-        self.at(at, command);
+        self.schedule(at, event);
     }
 
     /// The process hears nothing of a command.
@@ -251,37 +259,40 @@
         &mut self,
         process: Process,
         tag: CloudRequestPurpose,
-        call: CloudRequest,
-        until: Option<Instant>,
+        request: CloudRequest,
+        authority_until: Option<Instant>,
     ) {
         let unknown = Event::CloudResponse {
             tag: tag.clone(),
             outcome: CloudResponse::Unknown,
         };
-        if self.authority_over(process, until) {
+        if self.authority_expired(process, authority_until) {
             return self.deliver_soon(process, unknown);
         }
-        let Delivery { at, answered } = self.delivery();
-        if !answered {
+        let Delivery {
+            at,
+            response_arrives,
+        } = self.delivery();
+        if !response_arrives {
             self.deliver_at(self.now + CLOUD_TIMEOUT, process, unknown);
         }
         let at = at + CLOUD_LATENCY;
-        if let Some(late) = self.copied() {
-            let copy = ClusterEvent::Cloud {
+        if let Some(duplicate_at) = self.draw_duplicate_time() {
+            let duplicate = ClusterEvent::Cloud {
                 process,
                 tag: tag.clone(),
-                call: call.clone(),
-                answer: false,
+                request: request.clone(),
+                response_arrives: false,
             };
-            self.at(late, copy);
+            self.schedule(duplicate_at, duplicate);
         }
-        let request = ClusterEvent::Cloud {
+        let event = ClusterEvent::Cloud {
             process,
             tag,
-            call,
-            answer: answered,
+            request,
+            response_arrives,
         };
-        self.at(at, request);
+        self.schedule(at, event);
     }
 
     fn send_peer_message(&mut self, from: usize, to: &ControllerName, message: Message) {
@@ -291,25 +302,25 @@
         }
         let controller = controller_index(to).unwrap_or(0);
         let Delivery { at, .. } = self.delivery();
-        let isolate = |controller: usize| self.now < self.slots[controller].island_until;
+        let is_isolated = |controller: usize| self.now < self.slots[controller].isolated_until;
         if self.size.jobs > Size::SMALL.jobs {
             let bytes = dappleshore::http::write(&message).len();
             self.peer_bytes += bytes;
             self.largest_peer_message = self.largest_peer_message.max(bytes);
         }
-        if self.now < self.peers_cut_until || isolate(from) || isolate(controller) {
+        if self.now < self.peers_cut_until || is_isolated(from) || is_isolated(controller) {
             return;
         }
-        if let Some(late) = self.copied() {
-            let copy = ClusterEvent::Peer {
+        if let Some(duplicate_at) = self.draw_duplicate_time() {
+            let duplicate = ClusterEvent::PeerMessage {
                 controller,
                 message: message.clone(),
             };
-            self.at(late, copy);
+            self.schedule(duplicate_at, duplicate);
         }
-        self.at(
+        self.schedule(
             at,
-            ClusterEvent::Peer {
+            ClusterEvent::PeerMessage {
                 controller,
                 message,
             },
@@ -317,9 +328,11 @@
     }
 
     fn respond_to_user(&mut self, controller: usize, id: u64, response: &Response) {
-        match self.slots[controller].waiting.remove(&id) {
-            Some(Asker::User { user, asked }) => self.user_answered(user, asked, response),
-            Some(Asker::Odd { expected }) => {
+        match self.slots[controller].pending_requests.remove(&id) {
+            Some(Requester::User { user, request }) => {
+                self.user_response_arrives(user, request, response)
+            }
+            Some(Requester::InvalidJob { expected }) => {
                 let (Response::State { status, .. } | Response::Problem { status, .. }) = response;
                 self.rules
                     .irregular_request_answered(self.now, expected, *status);
@@ -333,33 +346,37 @@
         controller: usize,
         id: u64,
         response: HeartbeatResponse,
-        until: Instant,
+        authority_until: Instant,
     ) {
-        let over = self.clock(controller).monotonic >= until
+        let expired = self.clock(controller).monotonic >= authority_until
             && matches!(response, HeartbeatResponse::Commands(_));
-        let response = if over {
+        let response = if expired {
             HeartbeatResponse::Unavailable
         } else {
             response
         };
-        let Some(Asker::Worker(request)) = self.slots[controller].waiting.remove(&id) else {
+        let Some(Requester::Worker(request)) = self.slots[controller].pending_requests.remove(&id)
+        else {
             return;
         };
-        let deaf = self
+        let responses_blocked = self
             .machines
             .get(&request.machine)
             .is_some_and(|machine| self.now < machine.responses_blocked_until);
-        if deaf {
+        if responses_blocked {
             return;
         }
-        let Delivery { at, answered } = self.delivery();
-        if answered {
-            let answered = ClusterEvent::Answered {
+        let Delivery {
+            at,
+            response_arrives,
+        } = self.delivery();
+        if response_arrives {
+            let event = ClusterEvent::HeartbeatAnswered {
                 request,
                 controller,
-                answer: Some(response),
+                response: Some(response),
             };
-            self.at(at, answered);
+            self.schedule(at, event);
         }
     }
 
@@ -371,12 +388,12 @@
             Message::AssignmentUpdates(_) | Message::Cancelled(_) => None,
         };
         let zone = from.map(|from| Zone::from(ZONES[from]));
-        if let Some(until) = zone.and_then(|zone| self.cut(controller, Some(&zone))) {
-            let held = ClusterEvent::Peer {
+        if let Some(until) = zone.and_then(|zone| self.partition_end(controller, Some(&zone))) {
+            let delayed = ClusterEvent::PeerMessage {
                 controller,
                 message,
             };
-            return self.at(until, held);
+            return self.schedule(until, delayed);
         }
         self.handle(controller, Event::Peer(message));
     }
--- a/tests/simulation/cluster/store_requests.rs
+++ b/tests/simulation/cluster/store_requests.rs
@@ -18,43 +18,43 @@
         self.state.format()
     }
 
-    pub(super) fn store(
+    pub(super) fn store_request_arrives(
         &mut self,
         process: Process,
         tag: StoreTag,
         sent: Instant,
-        op: StoreRequest,
-        answer: bool,
+        request: StoreRequest,
+        response_arrives: bool,
     ) {
-        if let Some(until) = self.cut(process.controller, None) {
-            if answer {
+        if let Some(until) = self.partition_end(process.controller, None) {
+            if response_arrives {
                 self.store_request_times_out(process, tag.clone(), sent);
             }
-            let late = until + Duration::from_millis(self.rng.random_range(1..50));
-            self.at(
-                late,
+            let arrival = until + Duration::from_millis(self.rng.random_range(1..50));
+            self.schedule(
+                arrival,
                 ClusterEvent::Store {
                     process,
                     tag,
                     sent,
-                    op,
-                    answer: false,
+                    request,
+                    response_arrives: false,
                 },
             );
             return;
         }
-        let out = self.state_out(process.controller);
+        let unavailable = self.state_unavailable(process.controller);
         if let StoreRequest::Watch {
             prefix,
             after,
             wait,
-        } = &op
+        } = &request
         {
-            if !answer {
+            if !response_arrives {
                 return;
             }
-            self.order += 1;
-            let id = self.order;
+            self.event_sequence += 1;
+            let id = self.event_sequence;
             let until = self.now + *wait;
             let watcher = Watcher {
                 process,
@@ -65,20 +65,20 @@
                 until,
             };
             self.watchers.insert(id, watcher);
-            self.at(until, ClusterEvent::Watch { id });
+            self.schedule(until, ClusterEvent::CheckWatch { id });
             self.wake_watchers();
             return;
         }
-        let outcome = if out {
+        let outcome = if unavailable {
             StoreResponse::Refused
         } else {
-            self.state.serve(self.now, &op)
+            self.state.serve(self.now, &request)
         };
         self.check_evictions();
         if matches!(outcome, StoreResponse::Committed { .. }) {
             self.wake_watchers();
         }
-        if answer {
+        if response_arrives {
             self.deliver_soon(process, Event::StoreResponse { tag, sent, outcome });
         }
     }
@@ -87,22 +87,25 @@
         let ready: Vec<u64> = self
             .watchers
             .iter()
-            .filter(|(_, w)| {
-                !self.state_out(w.process.controller)
-                    && !self.state.changes_after(&w.prefix, w.after).is_empty()
+            .filter(|(_, watcher)| {
+                !self.state_unavailable(watcher.process.controller)
+                    && !self
+                        .state
+                        .changes_after(&watcher.prefix, watcher.after)
+                        .is_empty()
             })
             .map(|(id, _)| *id)
             .collect();
         for id in ready {
-            self.watch_over(id);
+            self.check_watch(id);
         }
     }
 
-    pub(super) fn watch_over(&mut self, id: u64) {
+    pub(super) fn check_watch(&mut self, id: u64) {
         let Some(watcher) = self.watchers.get(&id) else {
             return;
         };
-        if self.state_out(watcher.process.controller) {
+        if self.state_unavailable(watcher.process.controller) {
             // Open watches wait.
             let later = self.now + Duration::from_millis(500);
             if self.now > watcher.until + Duration::from_secs(2) {
@@ -114,7 +117,7 @@
                 };
                 self.deliver_soon(watcher.process, event);
             } else {
-                self.at(later, ClusterEvent::Watch { id });
+                self.schedule(later, ClusterEvent::CheckWatch { id });
             }
             return;
         }
--- a/tests/simulation/cluster/users.rs
+++ b/tests/simulation/cluster/users.rs
@@ -3,13 +3,13 @@
 use super::*;
 
 #[derive(Clone)]
-pub(super) enum Asker {
+pub(super) enum Requester {
     User {
         user: usize,
-        asked: Ask,
+        request: RequestKind,
     },
     /// Whoever sent a job that is to be answered with this status, unless the controller can't decide yet.
-    Odd {
+    InvalidJob {
         expected: u16,
     },
     /// A worker, by its heartbeat.
@@ -29,7 +29,7 @@
 
 /// What a user wants of its job.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub(super) enum Ask {
+pub(super) enum RequestKind {
     Submit,
     Poll,
     Cancel,
@@ -40,24 +40,24 @@
     pub(super) body: Vec<u8>,
     pub(super) submit_at: Duration,
     pub(super) cancel_at: Option<Duration>,
-    pub(super) next_ask: Duration,
-    pub(super) pending: Option<(Ask, Duration)>,
-    pub(super) again: bool,
+    pub(super) next_request_at: Duration,
+    pub(super) pending: Option<(RequestKind, Duration)>,
+    pub(super) resubmits: bool,
 }
 
-pub(super) const POLL_EVERY: Duration = Duration::from_secs(5);
+pub(super) const POLL_INTERVAL: Duration = Duration::from_secs(5);
 
 /// A team without a guarantee and without a limit.
 pub const GUESTS: &str = "guests";
 
-pub(super) fn guests() -> TeamLimits {
-    let none = f64::INFINITY;
+pub(super) fn guest_team() -> TeamLimits {
+    let unlimited = f64::INFINITY;
     TeamLimits {
         name: GUESTS.into(),
         cpus: 0.0,
-        cpus_max: none,
+        cpus_max: unlimited,
         gpus: 0.0,
-        gpus_max: none,
+        gpus_max: unlimited,
     }
 }
 
@@ -89,7 +89,7 @@
     }
 }
 
-pub(super) fn body_of(id: JobId, job: &Job) -> Vec<u8> {
+pub(super) fn encode_submission(id: JobId, job: &Job) -> Vec<u8> {
     use ciborium::Value;
     let kind = match job.kind {
         JobKind::Service => "service",
@@ -192,135 +192,145 @@
             job.one_zone = false;
             job.zone = None;
         }
-        let last = self.faults_end.as_secs_f64().max(20.0);
-        let submit_at = Duration::from_secs_f64(rng.random_range(0.0..last));
-        let cancel = service || rng.random_bool(0.15);
+        let last_submit_s = self.faults_end.as_secs_f64().max(20.0);
+        let submit_at = Duration::from_secs_f64(rng.random_range(0.0..last_submit_s));
+        let will_cancel = service || rng.random_bool(0.15);
         let cancel_at =
-            cancel.then(|| submit_at + Duration::from_secs_f64(rng.random_range(0.5..70.0)));
-        let body = body_of(id, &job);
+            will_cancel.then(|| submit_at + Duration::from_secs_f64(rng.random_range(0.5..70.0)));
+        let body = encode_submission(id, &job);
         self.jobs.insert(id, job);
         self.users.push(User {
             job: id,
             body,
             submit_at,
             cancel_at,
-            next_ask: submit_at,
+            next_request_at: submit_at,
             pending: None,
-            again: rng.random_bool(0.3),
+            resubmits: rng.random_bool(0.3),
         });
     }
 
     /// One step of a user: it asks about its job if it is time to.
     pub(super) fn step_user(&mut self, index: usize) {
-        if !self.user_asks_now(index) {
+        if !self.is_request_due(index) {
             return;
         }
         let now = self.now;
         let job = self.users[index].job;
         self.rules.asked(now, job);
-        let told = self.rules.reported_status(job);
-        let asked = self.next_request(index, told);
-        let odd = now < self.faults_end && self.rng.random_bool(self.faults.irregular_requests);
-        let asked = match told {
-            Some(ReportedStatus::Accepted) if odd => Ask::Submit,
-            Some(ReportedStatus::Done) if odd => Ask::Cancel,
-            _ => asked,
+        let reported = self.rules.reported_status(job);
+        let request = self.choose_request(index, reported);
+        let irregular =
+            now < self.faults_end && self.rng.random_bool(self.faults.irregular_requests);
+        let request = match reported {
+            Some(ReportedStatus::Accepted) if irregular => RequestKind::Submit,
+            Some(ReportedStatus::Done) if irregular => RequestKind::Cancel,
+            _ => request,
         };
-        if odd {
-            self.send_odd(index);
+        if irregular {
+            self.send_invalid_job(index);
         }
         self.user_requests += 1;
-        let within = if asked == Ask::Poll { 2 } else { 5 };
-        self.users[index].pending = Some((asked, now + Duration::from_secs(within)));
-        match asked {
-            Ask::Submit => self.rules.submitted(job, self.jobs[&job].clone()),
+        let timeout_s = if request == RequestKind::Poll { 2 } else { 5 };
+        self.users[index].pending = Some((request, now + Duration::from_secs(timeout_s)));
+        match request {
+            RequestKind::Submit => self.rules.submitted(job, self.jobs[&job].clone()),
             // What is done stays done, whoever calls it off.
-            Ask::Cancel if told == Some(ReportedStatus::Done) => {}
-            Ask::Cancel => self.rules.cancel_asked(job),
-            Ask::Poll => {}
+            RequestKind::Cancel if reported == Some(ReportedStatus::Done) => {}
+            RequestKind::Cancel => self.rules.cancel_asked(job),
+            RequestKind::Poll => {}
         }
-        self.send_user_request(index, asked);
+        self.send_user_request(index, request);
     }
 
     /// Whether a user asks now: it has nothing to wait for, and its pause is over.
-    fn user_asks_now(&mut self, index: usize) -> bool {
+    fn is_request_due(&mut self, index: usize) -> bool {
         let now = self.now;
         let user = &mut self.users[index];
         if now < user.submit_at {
             return false;
         }
-        if let Some((asked, deadline)) = user.pending {
+        if let Some((request, deadline)) = user.pending {
             if now < deadline {
                 return false;
             }
             user.pending = None;
-            let pause = if asked == Ask::Poll {
-                POLL_EVERY / self.request_rate_factor
+            let pause = if request == RequestKind::Poll {
+                POLL_INTERVAL / self.request_rate_factor
             } else {
                 Duration::from_secs(1)
             };
-            user.next_ask = now + pause;
+            user.next_request_at = now + pause;
         }
-        now >= user.next_ask
+        now >= user.next_request_at
     }
 
     /// What a user asks next, by what it was told last.
-    fn next_request(&mut self, index: usize, told: Option<ReportedStatus>) -> Ask {
+    fn choose_request(&mut self, index: usize, reported: Option<ReportedStatus>) -> RequestKind {
         let user = &self.users[index];
-        let cancel = user.cancel_at.is_some_and(|at| self.now >= at);
-        match told {
-            None => Ask::Submit,
-            Some(ReportedStatus::Accepted) if cancel => Ask::Cancel,
-            Some(ReportedStatus::Accepted) => Ask::Poll,
+        let cancel_due = user.cancel_at.is_some_and(|at| self.now >= at);
+        match reported {
+            None => RequestKind::Submit,
+            Some(ReportedStatus::Accepted) if cancel_due => RequestKind::Cancel,
+            Some(ReportedStatus::Accepted) => RequestKind::Poll,
             // Asked about again, and submitted again, long after.
-            Some(_) if user.again && self.rng.random_bool(0.3) => Ask::Submit,
-            Some(_) => Ask::Poll,
+            Some(_) if user.resubmits && self.rng.random_bool(0.3) => RequestKind::Submit,
+            Some(_) => RequestKind::Poll,
         }
     }
 
     /// The event of a user's request at a controller.
-    fn user_event(&self, index: usize, asked: Ask, id: u64) -> Event {
+    fn request_event(&self, index: usize, request: RequestKind, id: u64) -> Event {
         let user = &self.users[index];
         let job = user.job.to_string();
-        match asked {
-            Ask::Submit => Event::Submit {
+        match request {
+            RequestKind::Submit => Event::Submit {
                 id,
                 body: user.body.clone(),
             },
-            Ask::Poll => Event::Poll { id, job },
-            Ask::Cancel => Event::Cancel { id, job },
+            RequestKind::Poll => Event::Poll { id, job },
+            RequestKind::Cancel => Event::Cancel { id, job },
         }
     }
 
     /// A user's request on its way to a controller that is up.
-    fn send_user_request(&mut self, index: usize, asked: Ask) {
-        let up: Vec<usize> = (0..CONTROLLERS)
+    fn send_user_request(&mut self, index: usize, request: RequestKind) {
+        let running: Vec<usize> = (0..CONTROLLERS)
             .filter(|controller| self.slots[*controller].controller.is_some())
             .collect();
-        if up.is_empty() {
+        if running.is_empty() {
             return;
         }
-        let controller = up[self.rng.random_range(0..up.len())];
+        let controller = running[self.rng.random_range(0..running.len())];
         let slot = &mut self.slots[controller];
         let id = slot.new_request();
-        slot.waiting.insert(id, Asker::User { user: index, asked });
+        slot.pending_requests.insert(
+            id,
+            Requester::User {
+                user: index,
+                request,
+            },
+        );
         let process = self.process(controller);
-        if let Some(late) = self.copied() {
+        if let Some(duplicate_at) = self.draw_duplicate_time() {
             // To any controller, whoever is there by then; nobody waits for the answer.
             let controller = self.rng.random_range(0..CONTROLLERS);
-            if asked != Ask::Poll {
-                let event = Box::new(self.user_event(index, asked, 0));
-                self.at(late, ClusterEvent::Repeat { controller, event });
+            if request != RequestKind::Poll {
+                let event = Box::new(self.request_event(index, request, 0));
+                self.schedule(
+                    duplicate_at,
+                    ClusterEvent::DuplicateRequest { controller, event },
+                );
             }
         }
-        let event = self.user_event(index, asked, id);
+        let event = self.request_event(index, request, id);
         self.deliver_soon(process, event);
     }
 
     /// A job that can't run or lacks a field, under a name that nobody uses.
-    fn send_odd(&mut self, index: usize) {
+    fn send_invalid_job(&mut self, index: usize) {
         let job = self.jobs[&self.users[index].job].clone();
-        let id = JobId(500_000 + self.order);
+        let id = JobId(500_000 + self.event_sequence);
         let with_cpus = |cpus: f64| Job {
             need: Resources { cpus, ..job.need },
             ..job.clone()
@@ -331,12 +341,12 @@
                     team: "nobody".into(),
                     ..job.clone()
                 };
-                (body_of(id, &unknown_team), 422)
+                (encode_submission(id, &unknown_team), 422)
             }
-            1 => (body_of(id, &with_cpus(17.0)), 422),
-            2 => (body_of(id, &with_cpus(-1.0)), 400),
+            1 => (encode_submission(id, &with_cpus(17.0)), 422),
+            2 => (encode_submission(id, &with_cpus(-1.0)), 400),
             _ => {
-                let mut body = body_of(id, &job);
+                let mut body = encode_submission(id, &job);
                 body.truncate(body.len() / 2);
                 (body, 400)
             }
@@ -347,22 +357,28 @@
             return;
         }
         let id = slot.new_request();
-        slot.waiting.insert(id, Asker::Odd { expected });
+        slot.pending_requests
+            .insert(id, Requester::InvalidJob { expected });
         let process = self.process(controller);
         self.deliver_soon(process, Event::Submit { id, body });
     }
 
-    pub(super) fn user_answered(&mut self, index: usize, asked: Ask, response: &Response) {
+    pub(super) fn user_response_arrives(
+        &mut self,
+        index: usize,
+        request: RequestKind,
+        response: &Response,
+    ) {
         let now = self.now;
         let user = &mut self.users[index];
-        if user.pending.is_none_or(|(pending, _)| pending != asked) {
+        if user.pending.is_none_or(|(pending, _)| pending != request) {
             // Too late: the user no longer listens.
             return;
         }
         user.pending = None;
-        user.next_ask = now
-            + if asked == Ask::Poll {
-                POLL_EVERY / self.request_rate_factor
+        user.next_request_at = now
+            + if request == RequestKind::Poll {
+                POLL_INTERVAL / self.request_rate_factor
             } else {
                 Duration::from_secs(2)
             };
@@ -381,8 +397,8 @@
                     retry_after.is_some(),
                     "a refusal that does not say when to come back"
                 );
-                if asked != Ask::Poll {
-                    self.users[index].next_ask =
+                if request != RequestKind::Poll {
+                    self.users[index].next_request_at =
                         now + retry_after.unwrap_or_default().max(Duration::from_secs(1));
                 }
             }
@@ -414,7 +430,7 @@
 
     pub fn add_job(&mut self, job: Job, cancel_at: Option<Duration>) -> JobId {
         let id = JobId(900_000 + self.users.len() as u64);
-        let body = body_of(id, &job);
+        let body = encode_submission(id, &job);
         self.jobs.insert(id, job);
         let now = self.now;
         self.users.push(User {
@@ -422,9 +438,9 @@
             body,
             submit_at: now,
             cancel_at,
-            next_ask: now,
+            next_request_at: now,
             pending: None,
-            again: false,
+            resubmits: false,
         });
         id
     }
@@ -440,7 +456,7 @@
             if let Some(job) = self.jobs.get_mut(&user.job) {
                 job.one_zone = false;
                 job.zone = None;
-                user.body = body_of(user.job, job);
+                user.body = encode_submission(user.job, job);
             }
         }
     }
@@ -457,20 +473,20 @@
             };
             job.one_zone = n.is_multiple_of(2);
             job.zone = (!job.one_zone).then(|| ZONES[n % CONTROLLERS].into());
-            user.body = body_of(user.job, job);
+            user.body = encode_submission(user.job, job);
         }
     }
 
     /// Up to so many accepted jobs that run.
     pub fn running_jobs(&self, count: usize) -> Vec<JobId> {
-        let running = |job: &JobId| {
+        let is_running = |job: &JobId| {
             self.rules.reported_status(*job) == Some(ReportedStatus::Accepted)
                 && !self.rules.machines_of(*job).is_empty()
         };
         self.users
             .iter()
             .map(|user| user.job)
-            .filter(running)
+            .filter(is_running)
             .take(count)
             .collect()
     }
@@ -479,16 +495,16 @@
     pub fn cancel_now(&mut self, count: usize) -> Vec<JobId> {
         let jobs = self.running_jobs(count);
         for job in &jobs {
-            self.cancel(*job);
+            self.cancel_job(*job);
         }
         jobs
     }
 
-    pub(super) fn cancel(&mut self, job: JobId) {
+    pub(super) fn cancel_job(&mut self, job: JobId) {
         let now = self.now;
         if let Some(user) = self.users.iter_mut().find(|user| user.job == job) {
             user.cancel_at = Some(now);
-            user.next_ask = now;
+            user.next_request_at = now;
             user.pending = None;
         }
     }
