--- a/tests/simulation/cluster/checks.rs
+++ b/tests/simulation/cluster/checks.rs
@@ -1,9 +1,11 @@
-//! What is checked of the simulated cluster beyond the rules: nothing left undone, no job waiting beside room.
+//! Checks of the simulated cluster beyond the rules: accepted jobs are finished, and no job waits although a suitable
+//! machine has capacity.
 
 use super::*;
 
 impl SimulatedCluster {
-    /// Every rule kept, and nothing that was accepted left undone once faults have ceased.
+    /// Checks at the end of a run that no rule was violated, all accepted jobs are finished and enough work was done
+    /// for the run to be meaningful.
     pub fn check_end(&self, seed: u64) {
         assert!(
             self.rules.violations.is_empty(),
@@ -12,33 +14,33 @@
         );
         assert!(
             self.rules.started > 50,
-            "seed {seed}: only {} tasks started",
+            "seed {seed}: only {} tasks were started",
             self.rules.started
         );
         let unfinished = self.rules.unfinished();
         assert!(
             unfinished.is_empty(),
-            "seed {seed}: accepted and neither done nor cancelled: {unfinished:?}"
+            "seed {seed}: jobs were accepted and are neither done nor cancelled: {unfinished:?}"
         );
         assert_eq!(
             self.rules.running(),
             0,
-            "seed {seed}: tasks of jobs that are over"
+            "seed {seed}: tasks of finished jobs still run"
         );
         assert_eq!(
             self.tasks_listed(),
             0,
-            "seed {seed}: workers list tasks of jobs that are over"
+            "seed {seed}: workers still list tasks of finished jobs"
         );
         assert!(
             self.jobs_reported() > 20,
-            "seed {seed}: {} jobs accepted",
+            "seed {seed}: only {} jobs were accepted",
             self.jobs_reported()
         );
         assert_eq!(self.rules.unserved(), [] as [&str; 0], "seed {seed}");
     }
 
-    /// Machines that operators keep tasks off, by what a controller knows of their requests.
+    /// The cordoned machines, according to the records that a controller has.
     pub(super) fn cordoned(&self) -> BTreeSet<String> {
         let machines = self
             .any_cache()
@@ -48,7 +50,7 @@
         cordoned.map(|(id, _)| id.0.to_string()).collect()
     }
 
-    /// Jobs that wait while a machine that fits has room and their team is under its limit.
+    /// Records the jobs that wait although a suitable machine has capacity and their team is below its limit.
     pub(super) fn check_idle_capacity(&mut self) {
         let cordoned = self.cordoned();
         let mut free: Vec<(&Machine, Resources)> = Vec::new();
@@ -108,7 +110,7 @@
             .record_waiting_despite_capacity(self.now, waiting);
     }
 
-    /// Whether there is room for all tasks of a gang at once.
+    /// Whether these machines have capacity for all tasks of a gang at once.
     pub(super) fn gang_fits(&self, job: &Job, free: &[(&Machine, Resources)]) -> bool {
         let mut zones: BTreeMap<Option<&Zone>, u32> = BTreeMap::new();
         for (machine, resources) in free {
@@ -123,6 +125,7 @@
         zones.values().any(|count| *count >= job.tasks)
     }
 
+    /// Number of jobs whose user has received a status.
     pub fn jobs_reported(&self) -> usize {
         self.users
             .iter()
@@ -130,7 +133,7 @@
             .count()
     }
 
-    /// Tasks that workers still list as there.
+    /// Number of tasks that workers list and that have not exited.
     pub fn tasks_listed(&self) -> usize {
         let listed = |machine: &Machine| {
             machine
--- a/tests/simulation/cluster/cloud.rs
+++ b/tests/simulation/cluster/cloud.rs
@@ -1,19 +1,20 @@
-//! The simulated cloud: instance types, rentals, deletions and listings.
+//! The simulated cloud: instance types, rentals, deletions and lists of machines.
 
 use dappleshore::cloud::wire::ScaleOutRequest;
 use dappleshore::domain::MachineId;
 
 use super::*;
 
-/// How machines boot that are rented while this lasts.
+/// How machines boot that are rented while these faults last.
 #[derive(Debug, Clone, Copy)]
 pub struct BootFaults {
-    /// The part of them that never comes up.
+    /// The share of machines that never boot.
     pub failure_rate: f64,
-    /// How many times as long as usual the others take.
+    /// How many times as long as usual the others take to boot.
     pub slowdown: f64,
 }
 
+/// The instance types of the cloud: one small and one large.
 pub(super) fn instance_types() -> InstanceTypeList {
     let instance_type = |name: &str, cpus: f64, price: f64| InstanceType {
         name: name.into(),
@@ -35,11 +36,11 @@
     }
 }
 
-/// How long a machine is rented before the list shows it.
+/// How long after its rental a machine is missing from the list.
 const LIST_LAG: Duration = Duration::from_secs(8);
 
 impl SimulatedCluster {
-    /// Carries out a request to the cloud.
+    /// Handles a request to the cloud. Refuses it in an outage.
     pub(super) fn handle_cloud_request(&mut self, request: &CloudRequest) -> CloudResponse {
         if self.now < self.cloud_unavailable_until {
             return CloudResponse::Refused;
@@ -57,7 +58,8 @@
         }
     }
 
-    /// Rents as many machines as there are left. The same request again gets the same machines.
+    /// Rents up to the requested number of machines, as far as the zone has them. A repeated request returns the same
+    /// machines.
     fn rent_machines(&mut self, request: &ScaleOutRequest) -> CloudResponse {
         let machine_names = |names: &[String]| MachineIds {
             machines: names.iter().map(|name| name.as_str().into()).collect(),
@@ -85,6 +87,7 @@
         CloudResponse::ScaledOut(rented)
     }
 
+    /// Deletes machines, which ends their tasks.
     fn delete_machines(&mut self, names: &MachineIds) {
         for name in &names.machines {
             let Some(mut machine) = self.machines.remove(&*name.0) else {
@@ -99,7 +102,7 @@
         }
     }
 
-    /// The machines after this one, without those that the list does not show yet.
+    /// The machines after this one that were rented at least `LIST_LAG` ago.
     fn list_machines(&self, after: &Option<MachineId>) -> MachineList {
         let after = after.as_ref().map_or("", |id| &*id.0);
         let machines = self
@@ -125,7 +128,7 @@
         }
     }
 
-    /// Rents one machine, which may never come up.
+    /// Rents one machine, which may never boot.
     fn rent_machine(&mut self, type_name: &str, zone: &str, capacity_type: CapacityType) -> String {
         self.rented += 1;
         self.most_machines = self.most_machines.max(self.machines.len() + 1);
--- a/tests/simulation/cluster/controllers.rs
+++ b/tests/simulation/cluster/controllers.rs
@@ -1,35 +1,38 @@
-//! The controllers of the simulated cluster as processes: started, ended, paused, and handed their events.
+//! The processes of the controllers in the simulated cluster: starts, ends, pauses and the delivery of events.
 
 use super::network::controller_index;
 use super::*;
 
-/// One life of a controller: what was sent to it is lost once it has ended.
+/// A process of a controller. Events that are addressed to it are lost once it has ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) struct Process {
     pub(super) controller: usize,
     pub(super) incarnation: Incarnation,
 }
 
-/// A controller's place in the cluster, whether its process runs or not.
+/// The state of a controller in the simulation, whether its process runs or not.
 pub(super) struct Slot {
     pub(super) controller: Option<Controller>,
     pub(super) incarnation: Incarnation,
-    /// The newest format that its version knows.
+    /// The newest record format that its version supports.
     pub(super) format: u32,
     pub(super) next_request: u64,
+    /// Requests that the controller has not answered, by id.
     pub(super) pending_requests: HashMap<u64, Requester>,
-    /// Drift of its monotonic clock.
+    /// The drift of its monotonic clock, as a fraction of the elapsed time.
     pub(super) clock_drift: f64,
+    /// Until then the state service refuses its requests.
     pub(super) state_cut_until: Duration,
-    /// Until then it hears no peers either.
+    /// Until then it exchanges no messages with other controllers.
     pub(super) isolated_until: Duration,
+    /// Until then its process is paused.
     pub(super) paused_until: Duration,
-    /// Commands that it waits for an answer to: each holds a socket.
+    /// Direct commands without an outcome. Each holds a socket.
     pub(super) pending_commands: usize,
 }
 
 impl Slot {
-    /// No process yet. `drift`: of its monotonic clock, as a part of the time.
+    /// A slot without a process.
     pub(super) fn new(clock_drift: f64) -> Self {
         Slot {
             controller: None,
@@ -52,8 +55,8 @@
     }
 }
 
-/// Controllers list misrouted machines, and the addresses of workers, in the order of a hash map, which differs from process
-/// to process. Whoever reads these lists takes them for sets, so that they are put in order here.
+/// Sorts the lists of misrouted machines and of worker addresses. Controllers send them in the order of a hash map,
+/// which differs between processes; their readers treat them as sets.
 pub(super) fn sort_hashed(effects: &mut [Effect]) {
     for effect in effects {
         match effect {
@@ -73,17 +76,18 @@
 }
 
 impl SimulatedCluster {
-    /// Ends a controller, which comes back with the new version.
+    /// Ends a controller's process and restarts it with the new version.
     pub fn upgrade(&mut self, controller: usize, back_after: Duration) {
         self.slots[controller].format = FORMAT;
         self.end_controller(controller, back_after);
     }
 
-    /// Some controller, by chance.
+    /// A random controller.
     pub(crate) fn any_controller(&mut self) -> usize {
         self.rng.random_range(0..CONTROLLERS)
     }
 
+    /// The clocks of a controller: the monotonic one drifts, the wall clock has a constant skew.
     pub(super) fn clock(&self, controller: usize) -> Now {
         let monotonic = self.now.mul_f64(1.0 + self.slots[controller].clock_drift);
         let skew = Duration::from_millis(300 * controller as u64);
@@ -93,7 +97,7 @@
         }
     }
 
-    /// The present process of a controller, or the last one.
+    /// The current process of a controller, or its last one.
     pub(super) fn process(&self, controller: usize) -> Process {
         Process {
             controller,
@@ -101,12 +105,14 @@
         }
     }
 
+    /// Whether this process has not ended.
     pub(super) fn is_running(&self, process: Process) -> bool {
         self.process(process.controller) == process
             && self.slots[process.controller].controller.is_some()
     }
 
-    /// Hands an event to whichever process of the controller there is, when it is not paused.
+    /// Hands an event to the current process of a controller and carries out the effects. If the process is paused, it
+    /// gets the event at the end of the pause.
     pub(super) fn handle(&mut self, controller: usize, event: Event) {
         let process = self.process(controller);
         let paused_until = self.slots[controller].paused_until;
@@ -118,7 +124,7 @@
         }
     }
 
-    /// A process looks at its clock.
+    /// Sends `Event::Tick` to a process and schedules the next one.
     pub(super) fn tick(&mut self, process: Process) {
         if !self.is_running(process) {
             return;
@@ -131,7 +137,7 @@
         self.schedule(self.now + TICK, ClusterEvent::Tick { process });
     }
 
-    /// A process goes on after a pause and does what it had decided before.
+    /// Carries out the effects that a process had returned before its pause.
     pub(super) fn resume(&mut self, process: Process, effects: Vec<Effect>) {
         if self.is_running(process) {
             for effect in effects {
@@ -140,6 +146,7 @@
         }
     }
 
+    /// Lets a controller handle an event and returns its effects.
     pub(super) fn collect_effects(&mut self, controller: usize, event: Event) -> Vec<Effect> {
         let now = self.clock(controller);
         let slot = &mut self.slots[controller];
@@ -160,6 +167,7 @@
         effects
     }
 
+    /// Starts a new process of a controller, if none runs.
     pub(super) fn start_controller(&mut self, controller: usize) {
         if self.slots[controller].controller.is_some() {
             return;
@@ -202,25 +210,25 @@
         config
     }
 
+    /// Ends a controller's process. It is restarted after 5 s, or at times almost at once.
     pub(super) fn crash(&mut self, controller: usize) {
-        // Now and then restarted at once.
         let back_after_s = if self.rng.random_bool(0.3) { 0.1 } else { 5.0 };
         self.end_controller(controller, Duration::from_secs_f64(back_after_s));
     }
 
-    /// The controller that the state service has as the leader.
+    /// The controller that is the leader according to the state service.
     pub fn leader(&self) -> Option<usize> {
         controller_index(&self.state.leader()?.controller)
     }
 
-    /// Ends a controller, which is started again after this long.
+    /// Ends a controller's process and restarts it after this time.
     pub fn end_controller(&mut self, controller: usize, back_after: Duration) {
         self.slots[controller].controller = None;
         self.slots[controller].pending_requests.clear();
         self.schedule(self.now + back_after, ClusterEvent::Restart { controller });
     }
 
-    /// Machines and tasks that all controllers have looked at, and the plans that they made.
+    /// Number of machines and tasks that the running controllers have examined, and of plans that they have made.
     pub fn looked(&self) -> (u64, u64) {
         let all = self
             .slots
@@ -230,7 +238,7 @@
         all.fold((0, 0), |sum, one| (sum.0 + one.0, sum.1 + one.1))
     }
 
-    /// The records as some controller knows them.
+    /// The watch cache of a running controller.
     pub fn any_cache(&self) -> Option<&dappleshore::store::WatchCache> {
         let mut controllers = self
             .slots
--- a/tests/simulation/cluster/faults.rs
+++ b/tests/simulation/cluster/faults.rs
@@ -1,57 +1,64 @@
-//! What goes wrong in the simulated cluster: random faults by their rates, and faults that a test brings about itself.
+//! Faults in the simulated cluster: random ones by their rates, and methods with which tests cause faults themselves.
 
 use super::*;
 
-/// What can go wrong, and how often.
+/// The kinds of random faults and their rates.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Faults {
-    /// Of all messages: the answer is lost.
+    /// Share of requests whose response is lost.
     pub lost_responses: f64,
-    /// Of all requests: held for up to a minute and executed then, while the sender hears nothing.
+    /// Share of requests that are executed up to a minute late and whose sender gets no response.
     pub delayed_requests: f64,
-    /// Mean time between faults of each kind; none if zero.
+    /// Mean time in seconds between two crashes of a controller. 0: none. The same holds for the other kinds of faults,
+    /// unless noted.
     pub crash: f64,
+    /// All controllers crash at once.
     pub crash_all: f64,
+    /// The state service refuses all requests.
     pub outage: f64,
+    /// The state service refuses the requests of one controller.
     pub cut_one: f64,
     pub machine_dies: f64,
     pub machine_hangs: f64,
+    /// The cloud takes a spot machine back.
     pub spot_taken: f64,
     pub cloud_outage: f64,
+    /// Messages between controllers are lost.
     pub peers_cut: f64,
-    /// A zone is cut off: what crosses its border is held and delivered when the cut is over.
+    /// A zone is cut off: messages across its border are delivered when the partition ends.
     pub zone_cut: f64,
+    /// Share of machines on which tasks fail.
     pub faulty_machines: f64,
-    /// A machine's heartbeats arrive, but answers and commands don't reach it for up to a minute.
+    /// A machine's heartbeats arrive, but responses and commands don't reach it for up to a minute.
     pub responses_blocked: f64,
-    /// A machine is off and on again within a moment.
+    /// A machine restarts at once.
     pub machine_restarts: f64,
-    /// Of all heartbeats: a copy comes up to three leases later, to any controller. Of everything else that was carried
-    /// out (commands, rentals, deletions, transactions, what users ask and controllers say): it is carried out again.
+    /// Share of messages of which a copy arrives up to three worker leases later: heartbeats, at any controller;
+    /// commands, cloud requests, transactions, requests of users and operators, and messages between controllers.
     pub copies: f64,
-    /// A controller stands still for up to 45 s, in the middle of something, while its clocks run on.
+    /// A controller pauses for up to 45 s between a decision and its effects, while its clocks go on.
     pub pause: f64,
-    /// A third of the machines that are up die, hang, hear nothing or are taken in the same moment.
+    /// A third of the machines that are up die, hang, receive nothing or are taken back at the same time.
     pub mass_loss: f64,
     /// A controller loses the state service and its peers, but not its workers.
     pub isolate: f64,
-    /// Of all transactions: no answer comes, and it is carried out 2 to 12 s later, after newer ones.
+    /// Share of transactions that get no response and are executed 2 to 12 s later, after newer ones.
     pub late_writes: f64,
     /// A machine reaches no controller for up to a minute, while direct commands reach it.
     pub heartbeats_blocked: f64,
-    /// The state service takes up to a second for each request, for up to half a minute.
+    /// The state service takes up to a second longer for each request, for up to half a minute.
     pub state_slow: f64,
-    /// Of all jobs that end: called off at the moment of the end.
+    /// Share of jobs that are cancelled at the moment when their last task completes.
     pub cancel_at_end: f64,
-    /// Of all questions: an unfinished job is submitted again, one that is done is called off, or a job is sent that fits
-    /// no machine or lacks a field.
+    /// Share of user requests that are irregular: an unfinished job is submitted again or one that is done is
+    /// cancelled. An invalid job is sent with each.
     pub irregular_requests: f64,
-    /// A launch is also executed by another machine: breaks a rule on purpose.
+    /// Each direct command is also executed by a second machine, which violates a rule on purpose.
     pub duplicate_launches: bool,
 }
 
 impl Faults {
-    /// The mean time in seconds between two faults of a kind; none if zero.
+    /// The mean time in seconds between two faults of each kind. 0: none.
     fn mean_times(&self) -> Vec<(Fault, f64)> {
         vec![
             (Fault::Crash, self.crash),
@@ -74,6 +81,7 @@
         ]
     }
 
+    /// All kinds of faults but `duplicate_launches`.
     pub fn all() -> Self {
         Faults {
             lost_responses: 0.01,
@@ -105,6 +113,7 @@
     }
 }
 
+/// A kind of random fault.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(super) enum Fault {
     Crash,
@@ -126,13 +135,13 @@
     StateSlow,
 }
 
-/// Some time from one second to `most`, in seconds.
+/// A random duration from 1 s to `max_s`.
 fn random_duration(rng: &mut SmallRng, max_s: f64) -> Duration {
     Duration::from_secs_f64(rng.random_range(1.0..max_s))
 }
 
 impl SimulatedCluster {
-    /// Schedules the random faults of this cluster, at the times of Poisson processes.
+    /// Schedules the random faults. Those of each kind form a Poisson process.
     pub(super) fn schedule_faults(&mut self) {
         for (fault, mean_s) in self.faults.mean_times() {
             if mean_s <= 0.0 {
@@ -149,55 +158,61 @@
         }
     }
 
+    /// Lowers the limits of the state service.
     pub fn lower_state_limits(&mut self, limits: StateLimits) {
         self.state.lower_limits(limits);
     }
 
-    /// The state service refuses this controller alone.
+    /// Makes the state service refuse the requests of this controller.
     pub fn cut_state(&mut self, controller: usize, duration: Duration) {
         self.slots[controller].state_cut_until = self.now + duration;
     }
 
-    /// It loses the state service and the other controllers, not its workers and users.
+    /// Cuts a controller off from the state service and the other controllers, not from its workers and users.
     pub fn isolate(&mut self, controller: usize, duration: Duration) {
         self.cut_state(controller, duration);
         self.slots[controller].isolated_until = self.now + duration;
     }
 
+    /// Makes the state service refuse all requests.
     pub fn state_outage(&mut self, duration: Duration) {
         let until = self.now + duration;
         self.state_unavailable_until = self.state_unavailable_until.max(until);
         self.state.renew_leases_after_outage(until);
     }
 
+    /// Pauses a controller's process, unless it is paused already.
     pub fn pause(&mut self, controller: usize, duration: Duration) {
         if self.now < self.slots[controller].paused_until {
             return;
         }
         let until = self.now + duration;
-        // It has just decided what to do, and does it when it goes on.
+        // The process has just returned effects. They are carried out at the end of the pause.
         let effects = self.collect_effects(controller, Event::Tick);
         self.slots[controller].paused_until = until;
         let process = self.process(controller);
         self.schedule(until, ClusterEvent::Resume { process, effects });
     }
 
+    /// Makes a machine hang.
     pub fn hang(&mut self, machine: &str, duration: Duration) {
         if let Some(machine) = self.machines.get_mut(machine) {
             machine.hung_until = Some(self.now + duration);
         }
     }
 
-    /// Reports on their way from now on arrive when this is over, at whoever leads by then.
+    /// Delays heartbeats that are sent from now on. They arrive at the end of this time, at the controller that leads
+    /// then.
     pub fn hold_heartbeats(&mut self, duration: Duration) {
         self.heartbeats_delayed_until = self.now + duration;
     }
 
-    /// Everything that crosses the zone's border is held for so long.
+    /// Cuts a zone off: messages across its border are delayed until the partition ends.
     pub fn cut_zone(&mut self, zone: &str, duration: Duration) {
         self.zone_partition = (zone.into(), self.now + duration);
     }
 
+    /// Makes a machine fail for good.
     pub fn kill(&mut self, machine: &str) {
         let Some(found) = self.machines.get_mut(machine) else {
             return;
@@ -207,7 +222,7 @@
         self.record_machine_events(machine, events);
     }
 
-    /// Off and on again within a moment.
+    /// Restarts a machine at once.
     pub fn restart_machine(&mut self, machine: &str) {
         let now = self.now;
         if let Some(found) = self.machines.get_mut(machine) {
@@ -216,7 +231,7 @@
         }
     }
 
-    /// The cloud takes it away after this long, and says so.
+    /// Makes the cloud give notice that it takes a machine back after this time.
     pub fn recall(&mut self, machine: &str, notice: Duration) {
         if let Some(found) = self.machines.get_mut(machine) {
             found.terminates_at = Some(self.now + notice);
@@ -224,26 +239,26 @@
         }
     }
 
-    /// Answers and commands don't reach it.
+    /// Blocks responses and commands to a machine.
     pub fn block_responses(&mut self, machine: &str, duration: Duration) {
         if let Some(machine) = self.machines.get_mut(machine) {
             machine.responses_blocked_until = self.now + duration;
         }
     }
 
-    /// Machines that are rented from now on boot like this.
+    /// Sets the faults of machines that are rented from now on.
     pub fn set_boot_faults(&mut self, boot_faults: Option<BootFaults>) {
         self.boot_faults = boot_faults;
     }
 
-    /// It reaches no controller, while direct commands reach it.
+    /// Blocks the heartbeats of a machine, while direct commands reach it.
     pub fn block_heartbeats(&mut self, machine: &str, duration: Duration) {
         if let Some(machine) = self.machines.get_mut(machine) {
             machine.heartbeats_blocked_until = self.now + duration;
         }
     }
 
-    /// A random fault happens.
+    /// Causes a random fault.
     pub(super) fn apply_fault(&mut self, fault: Fault) {
         match fault {
             Fault::Crash => {
@@ -306,7 +321,7 @@
         }
     }
 
-    /// Something happens to some machine that is up.
+    /// Causes a fault of a random machine that is up.
     fn machine_fault(&mut self, fault: Fault) {
         let spot = fault == Fault::SpotReclaimed;
         let is_candidate = |machine: &&Machine| {
--- a/tests/simulation/cluster/machines.rs
+++ b/tests/simulation/cluster/machines.rs
@@ -1,12 +1,15 @@
-//! The machines of the simulated cluster: their workers' heartbeats, the commands that reach them, what their tasks do.
+//! The machines of the simulated cluster: the heartbeats of their workers, the commands that they receive and the
+//! events of their tasks.
 
 use super::controllers::Process;
 use super::network::{Delivery, controller_index};
 use super::users::{HeartbeatRequest, Requester};
 use super::*;
 
+/// How long a worker waits for the response to a heartbeat.
 pub(super) const HEARTBEAT_TIMEOUT: Duration = Duration::from_secs(4);
 
+/// The run time of each task, which follows from its id.
 pub(super) fn run_time(
     extra_task_time: Duration,
     extra_time_per_index: Duration,
@@ -23,13 +26,13 @@
     }
 }
 
-/// The least time between two heartbeats of a worker.
+/// The shortest time between two heartbeats of a worker.
 const HEARTBEAT_SPACING: Duration = Duration::from_millis(500);
-/// How long a worker waits after a heartbeat without an answer, before it tries another controller.
+/// How long a worker waits after a heartbeat without a response before it tries another controller.
 const HEARTBEAT_RETRY: Duration = Duration::from_secs(1);
 
 impl Machine {
-    /// A heartbeat that was not answered in time: the next goes to another controller.
+    /// Gives up a heartbeat that was not answered in time. The next one goes to another controller.
     fn give_up_overdue_heartbeat(&mut self, now: Duration) {
         let overdue = self
             .heartbeat
@@ -41,7 +44,7 @@
         }
     }
 
-    /// The heartbeat to be sent now, if one is due.
+    /// Returns the heartbeat to send now, if one is due.
     fn due_heartbeat(&mut self, now: Duration, interval: Duration) -> Option<Heartbeat> {
         let spacing_elapsed = now >= self.last_heartbeat + HEARTBEAT_SPACING;
         let due = now >= self.next_heartbeat || (self.changed && spacing_elapsed);
@@ -58,12 +61,13 @@
 }
 
 impl SimulatedCluster {
+    /// Records the events of a machine's tasks in the rules.
     pub(super) fn record_machine_events(&mut self, id: &str, events: Vec<MachineEvent>) {
         for event in events {
             match event {
                 MachineEvent::Started(task) => {
                     let machine = &self.machines[id];
-                    tracing::debug!(at = self.now.as_secs_f64(), %task, machine = id, "starts");
+                    tracing::debug!(at = self.now.as_secs_f64(), %task, machine = id, "task started");
                     let place = Place {
                         machine: id.to_owned(),
                         type_name: machine.type_name.clone(),
@@ -85,7 +89,7 @@
         }
     }
 
-    /// A job's last task is done: now and then its user calls it off at that very moment.
+    /// Called when a job's last task completes. At times its user cancels it at the same moment.
     pub(super) fn job_completed(&mut self, job: JobId) {
         if self.now >= self.faults_end || !self.rng.random_bool(self.faults.cancel_at_end) {
             return;
@@ -93,7 +97,7 @@
         self.cancel_job(job);
     }
 
-    /// A direct command arrives at a machine, or is held at a cut border.
+    /// Delivers a direct command to a machine, or delays it until a partition ends.
     pub(super) fn command_arrives(
         &mut self,
         process: Process,
@@ -142,7 +146,7 @@
         }
     }
 
-    /// Whether a machine is there and takes a command now. One that hangs takes it when it goes on.
+    /// Whether a machine executes a command now. A machine that hangs executes it when it continues.
     fn accepts_command(&mut self, id: &str, commands: &WorkerCommands) -> bool {
         let now = self.now;
         let Some(machine) = self.machines.get_mut(id) else {
@@ -158,7 +162,8 @@
         runs
     }
 
-    /// A direct command at a machine that runs. False: token or session did not match.
+    /// Executes direct commands on a running machine. False: the fencing token is too low or the agent epoch does not
+    /// match.
     pub(super) fn execute_direct_commands(&mut self, id: &str, commands: &WorkerCommands) -> bool {
         let Some(machine) = self.machines.get_mut(id) else {
             return false;
@@ -180,12 +185,12 @@
         true
     }
 
-    /// Breaks the first rule on purpose: whatever one machine is told, another executes as well.
+    /// Executes the commands for one machine on a second one too, which violates the rule `ran_twice` on purpose.
     pub(super) fn launch_on_second_machine(&mut self, id: &str, commands: &WorkerCommands) {
         let Some(target) = self.machines.get(id) else {
             return;
         };
-        // Alike in all else, so that it is the first rule that breaks.
+        // The second machine has the same type, zone and capacity type, so that no other rule is violated first.
         let is_similar = |machine: &Machine| {
             (&machine.type_name, &machine.zone, machine.capacity_type)
                 == (&target.type_name, &target.zone, target.capacity_type)
@@ -196,7 +201,10 @@
             .find(|(other, machine)| *other != id && machine.runs(self.now) && is_similar(machine))
             .map(|(id, _)| id.clone());
         if let Some(other) = other {
-            let machine = self.machines.get_mut(&other).expect("just found");
+            let machine = self
+                .machines
+                .get_mut(&other)
+                .expect("the machine was found above");
             let events = machine.execute(
                 &commands.commands,
                 &self.jobs,
@@ -207,7 +215,7 @@
         }
     }
 
-    /// One step of a machine: it comes up, is taken back, hangs or goes on, and sends heartbeats.
+    /// Advances a machine by one step: it boots, is taken back or continues after a hang, and sends heartbeats.
     pub(super) fn step_machine(&mut self, id: &str) {
         let now = self.now;
         let heartbeat_interval = self.config.heartbeat_interval;
@@ -253,9 +261,9 @@
         }
     }
 
-    /// The cloud takes a machine back, with whatever runs there.
+    /// Makes the cloud take a machine back, which ends its tasks.
     fn reclaim_machine(&mut self, id: &str) {
-        let mut machine = self.machines.remove(id).expect("just found");
+        let mut machine = self.machines.remove(id).expect("the machine exists");
         for event in machine.lose_all_tasks() {
             if let MachineEvent::Ended(task, done) = event {
                 self.rules.task_ended(task, id, done);
@@ -263,7 +271,7 @@
         }
     }
 
-    /// A heartbeat on its way to the controller that its worker talks to.
+    /// Sends a heartbeat to the controller that the worker has chosen.
     fn send_heartbeat(&mut self, id: &str, heartbeat: Heartbeat) {
         let now = self.now;
         let machine = &self.machines[id];
@@ -309,13 +317,13 @@
         }
     }
 
-    /// A late copy of a heartbeat arrives: nobody waits for its response.
+    /// Delivers a delayed or copied heartbeat, whose response nobody waits for.
     pub(super) fn heartbeat_copy_arrives(&mut self, controller: usize, heartbeat: Heartbeat) {
         let id = self.slots[controller].new_request();
         self.handle(controller, Event::Heartbeat { id, heartbeat });
     }
 
-    /// A heartbeat arrives at a controller, or is held at a cut border.
+    /// Delivers a heartbeat to a controller, or delays it until a partition ends.
     pub(super) fn heartbeat_arrives(&mut self, controller: usize, heartbeat: Box<Heartbeat>) {
         let Some(machine) = self.machines.get(&*heartbeat.machine.0) else {
             return;
@@ -344,6 +352,7 @@
         self.handle(controller, Event::Heartbeat { id, heartbeat });
     }
 
+    /// Delivers the response to a heartbeat. `None`: the controller could not be reached.
     pub(super) fn heartbeat_answered(
         &mut self,
         request: &HeartbeatRequest,
@@ -368,7 +377,7 @@
             machine = id,
             controller,
             ?response,
-            "hears"
+            "heartbeat answered"
         );
         match response {
             Some(HeartbeatResponse::Commands(commands)) => {
@@ -405,7 +414,7 @@
         }
     }
 
-    /// The machines that are up, in a zone or all.
+    /// The machines that are up, in a zone or in all.
     pub fn up(&self, zone: Option<&str>) -> Vec<String> {
         let is_up = |machine: &&Machine| {
             machine.up && !machine.dead && zone.is_none_or(|zone| *machine.zone.0 == *zone)
--- a/tests/simulation/cluster/mod.rs
+++ b/tests/simulation/cluster/mod.rs
@@ -1,5 +1,5 @@
-//! A simulated cluster around real controllers: state service, cloud, machines and users as stand-ins, a network
-//! that loses and holds messages, and faults at random times. Everything follows from a seed.
+//! A simulated cluster around real controllers: it simulates the state service, the cloud, machines and users, a
+//! network that loses and delays messages, and faults at random times. A run is determined by its seed.
 
 mod checks;
 mod cloud;
@@ -52,18 +52,21 @@
 pub use users::{GUESTS, array};
 use users::{HeartbeatRequest, Requester, User, guest_team};
 
+/// Number of controllers, one in each zone.
 pub const CONTROLLERS: usize = 3;
 
-/// Faults cease here in most tests.
+/// When random faults end in most tests.
 pub const FAULTS_END: Duration = Duration::from_secs(150);
 
 const ZONES: [&str; CONTROLLERS] = ["a", "b", "c"];
 
+/// How often a controller gets `Event::Tick`.
 const TICK: Duration = Duration::from_millis(50);
 
-/// Machines and users move in steps of this.
+/// The time between two steps of machines and users.
 const STEP: Duration = Duration::from_millis(100);
 
+/// An event that is scheduled in the simulation.
 enum ClusterEvent {
     Tick {
         process: Process,
@@ -105,17 +108,17 @@
         controller: usize,
         heartbeat: Box<Heartbeat>,
     },
-    /// A late copy: whoever sent the heartbeat no longer waits for its answer.
+    /// A delayed heartbeat or a copy of one. Its sender no longer waits for the response.
     DuplicateHeartbeat {
         controller: usize,
         heartbeat: Box<Heartbeat>,
     },
-    /// What a user or an operator asked before, once more.
+    /// A copy of an earlier request of a user or an operator.
     DuplicateRequest {
         controller: usize,
         event: Box<Event>,
     },
-    /// What a controller had decided when it stood still, done now that it goes on.
+    /// The end of a controller's pause: it carries out the effects that it had returned just before.
     Resume {
         process: Process,
         effects: Vec<Effect>,
@@ -126,19 +129,20 @@
         response: Option<HeartbeatResponse>,
     },
     Fault(Fault),
-    /// What a test has planned for this moment.
+    /// An action that a test has planned.
     Planned(Box<dyn FnOnce(&mut SimulatedCluster)>),
 }
 
-/// How much there is of everything.
+/// The numbers of jobs, machines and tasks, and the size of teams.
 #[derive(Debug, Clone, Copy)]
 pub struct Size {
+    /// Number of random users. Each has one job.
     pub jobs: usize,
-    /// Machines of the small and the large type that each zone has, of each capacity type.
+    /// Machines of the small and the large type that a zone has of each capacity type.
     pub stock: [usize; 2],
-    /// Tasks of a large array.
+    /// Upper bound of the number of tasks of an array.
     pub tasks: u32,
-    /// The teams' guarantees and limits, as multiples of the sample's.
+    /// Factor of the guarantees and limits in the sample settings.
     pub teams: f64,
 }
 
@@ -170,16 +174,20 @@
     };
 }
 
+/// The state of a simulation.
 pub struct SimulatedCluster {
     pub(super) now: Duration,
+    /// The monotonic and the wall clock at the start.
     monotonic_start: Instant,
     wall_start: SystemTime,
+    /// Number of the last scheduled event or watch. Orders events of the same time.
     event_sequence: u64,
+    /// Time, sequence number and key in `events` of each scheduled event.
     queue: BinaryHeap<Reverse<(Duration, u64, usize)>>,
     events: HashMap<usize, ClusterEvent>,
     rng: SmallRng,
     faults: Faults,
-    /// Faults stop here; what follows is for the service to recover.
+    /// When random faults end. After that the controllers have to recover.
     faults_end: Duration,
     config: Config,
     pub(super) state: StateService,
@@ -187,62 +195,72 @@
     state_slow_until: Duration,
     cloud_unavailable_until: Duration,
     peers_cut_until: Duration,
+    /// A zone that is cut off, and until when.
     zone_partition: (Zone, Duration),
     watchers: BTreeMap<u64, Watcher>,
     slots: Vec<Slot>,
     pub(super) machines: BTreeMap<String, Machine>,
     next_machine: u32,
+    /// The machines that each rental request got, by its id.
     rental_requests: BTreeMap<String, Vec<String>>,
     users: Vec<User>,
     jobs: BTreeMap<JobId, Job>,
+    /// Tasks that have completed.
     task_results: BTreeSet<TaskId>,
     gangs: Gangs,
     pub rules: Rules,
-    /// What operators have switched on.
+    /// The features file of controllers that start from now on.
     pub features: Features,
-    /// Whether tasks are stopped for others.
+    /// Whether tasks may be preempted.
     pub preemption: bool,
     pub operators: Operators,
+    /// Machines rented so far.
     pub rented: usize,
     size: Size,
     last_idle_check: Duration,
     boot_faults: Option<BootFaults>,
-    /// Users ask so many times as often as they would.
+    /// Factor by which users poll more often than usual.
     pub request_rate_factor: u32,
-    /// Questions, submissions and cancellations sent so far.
+    /// Polls, submissions and cancellations sent so far.
     pub user_requests: usize,
-    /// The machines that were up when the cloud was told to delete them.
+    /// Machines whose worker ran when the cloud deleted them.
     pub running_machines_deleted: usize,
-    /// Tasks that start now run for so much longer than they would.
+    /// Added to the run time of tasks that start from now on.
     pub extra_task_time: Duration,
-    /// ... and each of a job so much longer than the one before it.
+    /// Also added for each task of a job, multiplied by its index.
     pub extra_time_per_index: Duration,
-    /// The most that a message takes.
+    /// The longest time that a message takes when it is not delayed by a fault.
     pub latency: Duration,
-    /// Reports sent until then arrive then, at whoever leads by that time.
+    /// Heartbeats that are sent before this time arrive at this time, at the controller that leads then.
     heartbeats_delayed_until: Duration,
-    /// Leases that ran out on machines that were up.
+    /// Worker leases that expired on running machines.
     pub leases_over: usize,
+    /// Events that controllers have handled.
     pub events_handled: u64,
-    /// What controllers have decided since a test has set this.
+    /// Digest of the controllers' effects, if a test has set it.
     pub digest: Option<Digest>,
-    /// What controllers said to each other, as it goes over the wire.
+    /// Size of all messages between controllers, in bytes on the wire. Not counted at `Size::SMALL`.
     pub peer_bytes: usize,
+    /// Size of the largest of these messages in bytes.
     pub largest_peer_message: usize,
+    /// The most machines that existed at a time.
     pub most_machines: usize,
+    /// The most direct commands of one controller that were in flight at a time.
     pub most_commands: usize,
 }
 
-/// How often it is looked for jobs that wait beside room.
+/// How often the cluster is checked for jobs that wait although a suitable machine has capacity.
 const IDLE_CHECK_INTERVAL: Duration = Duration::from_secs(2);
 
-/// Cuts, hangs and held messages last for up to a minute after the last fault.
+/// Partitions, hangs and delayed messages last for up to a minute after the last fault.
 const LONGEST_FAULT: Duration = Duration::from_secs(60);
 
 impl SimulatedCluster {
+    /// A cluster with random users and faults.
     pub fn new(seed: u64, faults: Faults, faults_end: Duration, size: Size) -> Self {
         let text = include_str!("../../data/settings.toml");
-        let mut config = Config::parse("settings.toml", text).expect("the sample is valid");
+        let mut config =
+            Config::parse("settings.toml", text).expect("the sample settings are valid");
         for team in &mut config.teams {
             team.cpus *= size.teams;
             team.cpus_max *= size.teams;
@@ -265,7 +283,7 @@
         cluster
     }
 
-    /// A cluster in which nothing is scheduled to happen yet.
+    /// A cluster without scheduled events.
     fn empty(
         config: Config,
         rng: SmallRng,
@@ -330,7 +348,8 @@
         }
     }
 
-    /// All controllers are of the production version at first, and know of smaller limits to come.
+    /// A cluster whose controllers all start with the production version and whose settings announce the next limits of
+    /// the state service.
     pub fn upgrading(
         seed: u64,
         faults: Faults,
@@ -346,6 +365,7 @@
         cluster
     }
 
+    /// Schedules an event. Events of the same time happen in the order in which they were scheduled.
     fn schedule(&mut self, at: Duration, event: ClusterEvent) {
         self.event_sequence += 1;
         let key = self.event_sequence as usize;
@@ -353,7 +373,7 @@
         self.queue.push(Reverse((at, self.event_sequence, key)));
     }
 
-    /// A request of an operator is on its way to a controller that is up.
+    /// Sends a request of an operator to a controller, if it is up.
     pub(super) fn send_operation(&mut self, operator: usize, controller: usize, request: Request) {
         let slot = &mut self.slots[controller];
         if slot.controller.is_none() {
@@ -376,8 +396,10 @@
         self.deliver_soon(process, Event::OperatorRequest { id, request });
     }
 
+    /// Runs the simulation until this time or until a rule is violated.
     pub fn run_until(&mut self, end: Duration) {
-        // Only looked at: what comes later is for the next call. Taken out, it was lost, a controller's clock now and then.
+        // Events after `end` stay in the queue for the next call. When they were removed here, they were lost, at times
+        // the ticks of a controller among them.
         while let Some(Reverse((at, _, key))) = self.queue.peek().copied() {
             if at > end {
                 break;
@@ -396,7 +418,7 @@
         }
     }
 
-    /// Lets an event happen.
+    /// Handles an event.
     fn dispatch(&mut self, event: ClusterEvent) {
         match event {
             ClusterEvent::Tick { process } => self.tick(process),
@@ -458,6 +480,7 @@
         }
     }
 
+    /// Advances leases, machines, gangs, users and operators by one step.
     fn step(&mut self) {
         if self.now >= self.state_unavailable_until && self.state.expire(self.now) {
             self.wake_watchers();
@@ -485,7 +508,7 @@
         }
     }
 
-    /// Does something at a set time, for meetings that random faults would seldom bring about.
+    /// Schedules an action, for combinations of faults that random faults would seldom produce.
     pub fn plan(&mut self, at: Duration, action: impl FnOnce(&mut SimulatedCluster) + 'static) {
         self.schedule(at, ClusterEvent::Planned(Box::new(action)));
     }
--- a/tests/simulation/cluster/network.rs
+++ b/tests/simulation/cluster/network.rs
@@ -1,5 +1,5 @@
-//! The network between the parts of the simulated cluster: delays, losses, late copies, cuts; and the way of each of a
-//! controller's effects to whom it is meant for.
+//! The network of the simulated cluster: delays, losses, late copies and partitions. Delivers the effects of
+//! controllers to their recipients.
 
 use std::time::{Duration, Instant};
 
@@ -18,30 +18,31 @@
 use super::{ClusterEvent, SimulatedCluster, Size, ZONES};
 use crate::production;
 
-/// How long a controller waits for the state service.
+/// How long a controller waits for a response of the state service.
 pub(super) const STORE_TIMEOUT: Duration = Duration::from_millis(1500);
-/// How long a controller waits for a worker.
+/// How long a controller waits for the response of a worker to a direct command.
 const COMMAND_TIMEOUT: Duration = Duration::from_secs(3);
-/// How long a controller waits for the cloud.
+/// How long a controller waits for a response of the cloud.
 const CLOUD_TIMEOUT: Duration = Duration::from_secs(5);
 /// How long the cloud takes for a request.
 const CLOUD_LATENCY: Duration = Duration::from_millis(150);
 
-/// The index of a controller from its name.
+/// The index of a controller by its name.
 pub(super) fn controller_index(name: &ControllerName) -> Option<usize> {
     name.0.trim_start_matches("node-").parse().ok()
 }
 
-/// When a message arrives, and whether the sender hears of it.
+/// When a request arrives, and whether its response reaches the sender.
 pub(super) struct Delivery {
     pub(super) at: Duration,
     pub(super) response_arrives: bool,
 }
 
 impl SimulatedCluster {
-    /// How long a message takes.
+    /// A random time that a message takes.
     fn network_delay(&mut self) -> Duration {
-        let max_micros = u64::try_from(self.latency.as_micros()).expect("short");
+        let max_micros = u64::try_from(self.latency.as_micros())
+            .expect("the latency fits in 64 bits of microseconds");
         Duration::from_micros(self.rng.random_range(500..max_micros))
     }
 
@@ -51,19 +52,20 @@
         self.schedule(at, event);
     }
 
-    /// Schedules an event for a process, which gets it unless it has ended by then.
+    /// Schedules an event for a process. It is lost if the process has ended by then.
     pub(super) fn deliver_at(&mut self, at: Duration, process: Process, event: Event) {
         let event = Box::new(event);
         self.schedule(at, ClusterEvent::Deliver { process, event });
     }
 
-    /// The same after the time that a message takes.
+    /// Schedules an event for a process after the time that a message takes.
     pub(super) fn deliver_soon(&mut self, process: Process, event: Event) {
         let event = Box::new(event);
         self.schedule_soon(ClusterEvent::Deliver { process, event });
     }
 
-    /// A request on its way: sometimes held for long, sometimes its answer is lost.
+    /// Draws when a request arrives and whether its response does. Faults delay some requests by up to a minute and
+    /// lose some responses.
     pub(super) fn delivery(&mut self) -> Delivery {
         let faults_over = self.now >= self.faults_end;
         let arrival = self.now + self.network_delay();
@@ -80,7 +82,7 @@
         }
     }
 
-    /// When a copy of a message is carried out again, if one is.
+    /// Draws when a copy of a message arrives, if there is one.
     pub(crate) fn draw_duplicate_time(&mut self) -> Option<Duration> {
         if self.now >= self.faults_end || !self.rng.random_bool(self.faults.copies) {
             return None;
@@ -89,13 +91,13 @@
         Some(self.now + Duration::from_secs_f64(self.rng.random_range(1.0..max_delay_s)))
     }
 
-    /// Whether the state service refuses this controller.
+    /// Whether the state service refuses the requests of this controller.
     pub(super) fn state_unavailable(&self, controller: usize) -> bool {
         self.now < self.state_unavailable_until || self.now < self.slots[controller].state_cut_until
     }
 
-    /// When the cut between a controller and a place is over, if there is one. None: the state service and the
-    /// cloud, which are in no zone.
+    /// When the partition between a controller and a zone ends, if there is one. `zone` is `None` for the state service
+    /// and the cloud, which are in no zone.
     pub(super) fn partition_end(&self, controller: usize, zone: Option<&Zone>) -> Option<Duration> {
         let (partitioned, until) = &self.zone_partition;
         let inside = *ZONES[controller] == *partitioned.0;
@@ -121,7 +123,9 @@
             Effect::Peer { to, message } => {
                 self.send_peer_message(process.controller, &to, message)
             }
-            Effect::UnsupportedFormat { format } => panic!("format {format} is not known"),
+            Effect::UnsupportedFormat { format } => {
+                panic!("the controller does not support record format {format}")
+            }
             Effect::RespondToUser { id, response } => {
                 self.respond_to_user(process.controller, id, &response);
             }
@@ -189,7 +193,7 @@
         self.schedule(at, event);
     }
 
-    /// The process hears nothing of a request to the state service.
+    /// Lets a process time out on a request to the state service.
     pub(super) fn store_request_times_out(
         &mut self,
         process: Process,
@@ -204,7 +208,7 @@
         self.deliver_at(self.now + STORE_TIMEOUT, process, unknown);
     }
 
-    /// Whether a process looks at its clock and finds that its authority has ended.
+    /// Whether the authority for an effect has ended by the clock of its controller.
     fn authority_expired(&self, process: Process, authority_until: Option<Instant>) -> bool {
         authority_until.is_some_and(|until| self.clock(process.controller).monotonic >= until)
     }
@@ -244,7 +248,7 @@
         self.schedule(at, event);
     }
 
-    /// The process hears nothing of a command.
+    /// Lets a process time out on a direct command.
     pub(super) fn command_times_out(&mut self, process: Process, command: &DirectCommand) {
         let unknown = Event::CommandCompleted {
             block: command.block.clone(),
@@ -297,7 +301,7 @@
 
     fn send_peer_message(&mut self, from: usize, to: &ControllerName, message: Message) {
         if self.state.format() == 0 {
-            let value = ciborium::Value::serialized(&message).expect("has a form");
+            let value = ciborium::Value::serialized(&message).expect("the message can be encoded");
             assert!(production::can_read_message(&value), "{message:?}");
         }
         let controller = controller_index(to).unwrap_or(0);
@@ -380,7 +384,7 @@
         }
     }
 
-    /// A message from another controller arrives at whichever process is there, or is held at a cut border.
+    /// Delivers a message from another controller to the current process, or delays it until a partition ends.
     pub(super) fn peer_message_arrives(&mut self, controller: usize, message: Message) {
         let from = match &message {
             Message::Status(status) => controller_index(&status.controller),
--- a/tests/simulation/cluster/store_requests.rs
+++ b/tests/simulation/cluster/store_requests.rs
@@ -1,8 +1,9 @@
-//! Requests to the simulated state service, watches included.
+//! Requests to the simulated state service, including watches.
 
 use super::controllers::Process;
 use super::*;
 
+/// An open watch of a controller.
 pub(super) struct Watcher {
     pub(super) process: Process,
     pub(super) tag: StoreTag,
@@ -13,11 +14,12 @@
 }
 
 impl SimulatedCluster {
-    /// The format that is switched on.
+    /// The record format that is switched on.
     pub fn format(&self) -> u32 {
         self.state.format()
     }
 
+    /// Delivers a request to the state service, or delays it until a partition ends.
     pub(super) fn store_request_arrives(
         &mut self,
         process: Process,
@@ -83,6 +85,7 @@
         }
     }
 
+    /// Answers the open watches that have changes to return.
     pub(super) fn wake_watchers(&mut self) {
         let ready: Vec<u64> = self
             .watchers
@@ -101,15 +104,19 @@
         }
     }
 
+    /// Answers an open watch. While the state service is unavailable it stays open, and it times out 2 s after its end.
     pub(super) fn check_watch(&mut self, id: u64) {
         let Some(watcher) = self.watchers.get(&id) else {
             return;
         };
         if self.state_unavailable(watcher.process.controller) {
-            // Open watches wait.
+            // Open watches stay open during an outage.
             let later = self.now + Duration::from_millis(500);
             if self.now > watcher.until + Duration::from_secs(2) {
-                let watcher = self.watchers.remove(&id).expect("looked up");
+                let watcher = self
+                    .watchers
+                    .remove(&id)
+                    .expect("the watch was looked up above");
                 let event = Event::StoreResponse {
                     tag: watcher.tag,
                     sent: watcher.sent,
@@ -121,7 +128,10 @@
             }
             return;
         }
-        let watcher = self.watchers.remove(&id).expect("looked up");
+        let watcher = self
+            .watchers
+            .remove(&id)
+            .expect("the watch was looked up above");
         let changes = self.state.changes_after(&watcher.prefix, watcher.after);
         let outcome = StoreResponse::WatchEvents {
             revision: self.state.revision,
@@ -135,11 +145,12 @@
         self.deliver_soon(watcher.process, event);
     }
 
-    /// The highest token given out so far.
+    /// The highest fencing token issued so far.
     pub fn last_token(&self) -> u64 {
         self.state.last_token()
     }
 
+    /// The simulated state service.
     pub fn state(&self) -> &StateService {
         &self.state
     }
--- a/tests/simulation/cluster/users.rs
+++ b/tests/simulation/cluster/users.rs
@@ -1,24 +1,22 @@
-//! The users of the simulated cluster: the jobs that they submit, poll and cancel.
+//! The users of the simulated cluster, who submit, poll and cancel jobs.
 
 use super::*;
 
+/// The sender of a request to a controller.
 #[derive(Clone)]
 pub(super) enum Requester {
-    User {
-        user: usize,
-        request: RequestKind,
-    },
-    /// Whoever sent a job that is to be answered with this status, unless the controller can't decide yet.
-    InvalidJob {
-        expected: u16,
-    },
-    /// A worker, by its heartbeat.
+    /// A user, by index.
+    User { user: usize, request: RequestKind },
+    /// A user who sent an invalid job, with the status that the response must have unless the controller can't decide
+    /// yet.
+    InvalidJob { expected: u16 },
+    /// A worker, by the heartbeat that it sent.
     Worker(HeartbeatRequest),
-    /// An operator, by number.
+    /// An operator, by the number of the request.
     Operator(usize),
 }
 
-/// A heartbeat that waits for its response.
+/// A heartbeat that has not been answered.
 #[derive(Debug, Clone)]
 pub(super) struct HeartbeatRequest {
     pub(super) machine: String,
@@ -27,7 +25,7 @@
     pub(super) sent: Duration,
 }
 
-/// What a user wants of its job.
+/// What a user requests for its job.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(super) enum RequestKind {
     Submit,
@@ -35,21 +33,26 @@
     Cancel,
 }
 
+/// A user and its only job.
 pub(super) struct User {
     pub(super) job: JobId,
     pub(super) body: Vec<u8>,
     pub(super) submit_at: Duration,
     pub(super) cancel_at: Option<Duration>,
     pub(super) next_request_at: Duration,
+    /// The request without a response and when it times out.
     pub(super) pending: Option<(RequestKind, Duration)>,
+    /// Whether it at times submits the job again after the job has ended.
     pub(super) resubmits: bool,
 }
 
+/// The time between two polls of a user.
 pub(super) const POLL_INTERVAL: Duration = Duration::from_secs(5);
 
 /// A team without a guarantee and without a limit.
 pub const GUESTS: &str = "guests";
 
+/// The settings of `GUESTS`.
 pub(super) fn guest_team() -> TeamLimits {
     let unlimited = f64::INFINITY;
     TeamLimits {
@@ -61,7 +64,7 @@
     }
 }
 
-/// An array that may go anywhere.
+/// An array of one task that is allowed on all machines.
 pub fn array(class: &str, team: &str, priority: Priority) -> Job {
     Job {
         class: class.into(),
@@ -89,6 +92,7 @@
     }
 }
 
+/// The body of the request that submits a job.
 pub(super) fn encode_submission(id: JobId, job: &Job) -> Vec<u8> {
     use ciborium::Value;
     let kind = match job.kind {
@@ -136,22 +140,24 @@
         .map(|(key, value)| (key.into(), value))
         .collect();
     let mut bytes = Vec::new();
-    ciborium::into_writer(&Value::Map(map), &mut bytes).expect("to memory");
+    ciborium::into_writer(&Value::Map(map), &mut bytes).expect("writing to memory can't fail");
     bytes
 }
 
 impl SimulatedCluster {
+    /// The state of all gangs.
     pub fn gangs(&self) -> &Gangs {
         &self.gangs
     }
 
-    /// A user submits a gang now.
+    /// Adds a user who submits a gang now.
     pub fn add_gang(&mut self, job: Job) -> JobId {
         self.add_job(job, None)
     }
 
+    /// Adds a user with a random job, submitted at a random time.
     pub(super) fn add_user(&mut self, n: usize) {
-        // Ids come in no order.
+        // The ids don't follow the order of submission.
         let id = JobId(n as u64 * 37 % 1000 + 1000 * (1 + n as u64 / 1000));
         let rng = &mut self.rng;
         let service = rng.random_bool(0.3);
@@ -188,7 +194,7 @@
         };
         let mut job = job;
         if job.spread {
-            // Both at once, or in one given zone, could never be met.
+            // Spread tasks can't all run in one zone, so that this combination could never be satisfied.
             job.one_zone = false;
             job.zone = None;
         }
@@ -210,7 +216,7 @@
         });
     }
 
-    /// One step of a user: it asks about its job if it is time to.
+    /// Advances a user by one step: it sends a request if one is due.
     pub(super) fn step_user(&mut self, index: usize) {
         if !self.is_request_due(index) {
             return;
@@ -235,7 +241,7 @@
         self.users[index].pending = Some((request, now + Duration::from_secs(timeout_s)));
         match request {
             RequestKind::Submit => self.rules.submitted(job, self.jobs[&job].clone()),
-            // What is done stays done, whoever calls it off.
+            // A job that is done stays done when it is cancelled.
             RequestKind::Cancel if reported == Some(ReportedStatus::Done) => {}
             RequestKind::Cancel => self.rules.cancel_asked(job),
             RequestKind::Poll => {}
@@ -243,7 +249,7 @@
         self.send_user_request(index, request);
     }
 
-    /// Whether a user asks now: it has nothing to wait for, and its pause is over.
+    /// Whether a user sends a request now: no response is pending and its pause has ended.
     fn is_request_due(&mut self, index: usize) -> bool {
         let now = self.now;
         let user = &mut self.users[index];
@@ -265,7 +271,7 @@
         now >= user.next_request_at
     }
 
-    /// What a user asks next, by what it was told last.
+    /// Chooses the next request of a user by the last status that it received.
     fn choose_request(&mut self, index: usize, reported: Option<ReportedStatus>) -> RequestKind {
         let user = &self.users[index];
         let cancel_due = user.cancel_at.is_some_and(|at| self.now >= at);
@@ -273,13 +279,13 @@
             None => RequestKind::Submit,
             Some(ReportedStatus::Accepted) if cancel_due => RequestKind::Cancel,
             Some(ReportedStatus::Accepted) => RequestKind::Poll,
-            // Asked about again, and submitted again, long after.
+            // Some jobs are submitted again long after their end.
             Some(_) if user.resubmits && self.rng.random_bool(0.3) => RequestKind::Submit,
             Some(_) => RequestKind::Poll,
         }
     }
 
-    /// The event of a user's request at a controller.
+    /// The event that a user's request causes at a controller.
     fn request_event(&self, index: usize, request: RequestKind, id: u64) -> Event {
         let user = &self.users[index];
         let job = user.job.to_string();
@@ -293,7 +299,7 @@
         }
     }
 
-    /// A user's request on its way to a controller that is up.
+    /// Sends a user's request to a random controller that is up, if there is one.
     fn send_user_request(&mut self, index: usize, request: RequestKind) {
         let running: Vec<usize> = (0..CONTROLLERS)
             .filter(|controller| self.slots[*controller].controller.is_some())
@@ -313,7 +319,7 @@
         );
         let process = self.process(controller);
         if let Some(duplicate_at) = self.draw_duplicate_time() {
-            // To any controller, whoever is there by then; nobody waits for the answer.
+            // The copy goes to any controller and its current process. Nobody waits for the response.
             let controller = self.rng.random_range(0..CONTROLLERS);
             if request != RequestKind::Poll {
                 let event = Box::new(self.request_event(index, request, 0));
@@ -327,7 +333,7 @@
         self.deliver_soon(process, event);
     }
 
-    /// A job that can't run or lacks a field, under a name that nobody uses.
+    /// Submits a job that can't run or whose body is malformed, under an unused id.
     fn send_invalid_job(&mut self, index: usize) {
         let job = self.jobs[&self.users[index].job].clone();
         let id = JobId(500_000 + self.event_sequence);
@@ -363,6 +369,7 @@
         self.deliver_soon(process, Event::Submit { id, body });
     }
 
+    /// Delivers the response to a user's request.
     pub(super) fn user_response_arrives(
         &mut self,
         index: usize,
@@ -372,7 +379,7 @@
         let now = self.now;
         let user = &mut self.users[index];
         if user.pending.is_none_or(|(pending, _)| pending != request) {
-            // Too late: the user no longer listens.
+            // The request has timed out.
             return;
         }
         user.pending = None;
@@ -393,10 +400,7 @@
                 ..
             } => self.rules.refused(now, job, *status),
             Response::Problem { retry_after, .. } => {
-                assert!(
-                    retry_after.is_some(),
-                    "a refusal that does not say when to come back"
-                );
+                assert!(retry_after.is_some(), "a refusal has no Retry-After");
                 if request != RequestKind::Poll {
                     self.users[index].next_request_at =
                         now + retry_after.unwrap_or_default().max(Duration::from_secs(1));
@@ -405,7 +409,7 @@
         }
     }
 
-    /// A user of the team without a guarantee submits an array now.
+    /// Adds a user of the team `GUESTS` who submits an array now.
     pub fn add_guests_job(&mut self, tasks: u32, cpus: f64) -> JobId {
         let job = Job {
             tasks,
@@ -419,7 +423,7 @@
         self.add_job(job, None)
     }
 
-    /// A user submits an array with a mistake now, which fails on every machine, and calls it off after this long.
+    /// Adds a user who now submits an array whose tasks fail on every machine and cancels it after this time.
     pub fn add_broken_job(&mut self, tasks: u32, cancel_after: Duration) -> JobId {
         let job = Job {
             tasks,
@@ -428,6 +432,7 @@
         self.add_job(job, Some(self.now + cancel_after))
     }
 
+    /// Adds a user who submits this job now and cancels it at this time.
     pub fn add_job(&mut self, job: Job, cancel_at: Option<Duration>) -> JobId {
         let id = JobId(900_000 + self.users.len() as u64);
         let body = encode_submission(id, &job);
@@ -445,12 +450,12 @@
         id
     }
 
-    /// What a user has submitted or will submit.
+    /// A job that a user has submitted or will submit.
     pub fn job(&self, id: JobId) -> &Job {
         &self.jobs[&id]
     }
 
-    /// No job is bound to a zone.
+    /// Removes the zone constraints of all jobs.
     pub fn unbind_jobs(&mut self) {
         for user in &mut self.users {
             if let Some(job) = self.jobs.get_mut(&user.job) {
@@ -461,7 +466,7 @@
         }
     }
 
-    /// All arrays are bound to one zone: every other one to a given zone.
+    /// Binds all arrays to one zone. Every other one is bound to a given zone, the rest may choose.
     pub fn bind_jobs(&mut self) {
         for (n, user) in self.users.iter_mut().enumerate() {
             let Some(job) = self
@@ -477,7 +482,7 @@
         }
     }
 
-    /// Up to so many accepted jobs that run.
+    /// Up to `count` accepted jobs with running tasks.
     pub fn running_jobs(&self, count: usize) -> Vec<JobId> {
         let is_running = |job: &JobId| {
             self.rules.reported_status(*job) == Some(ReportedStatus::Accepted)
@@ -491,7 +496,7 @@
             .collect()
     }
 
-    /// Users call off up to so many jobs that run. Returns the jobs.
+    /// Makes users cancel up to `count` jobs with running tasks. Returns the jobs.
     pub fn cancel_now(&mut self, count: usize) -> Vec<JobId> {
         let jobs = self.running_jobs(count);
         for job in &jobs {
@@ -500,6 +505,7 @@
         jobs
     }
 
+    /// Makes a user cancel its job now.
     pub(super) fn cancel_job(&mut self, job: JobId) {
         let now = self.now;
         if let Some(user) = self.users.iter_mut().find(|user| user.job == job) {
