--- a/src/block_leases/assignment.rs
+++ b/src/block_leases/assignment.rs
@@ -1,4 +1,4 @@
-//! Which controller gets which block, and the transaction that says so.
+//! The assignment of blocks to holders, and the transaction that writes the leases.
 
 use std::collections::BTreeMap;
 
@@ -10,28 +10,28 @@
 use crate::store::records::{BlockLease, LEADER, TOKEN, Token, block_lease_key};
 use crate::store::{Transaction, WatchCache};
 
-/// A lease to be written in place of its record of this version, 0 for none.
+/// A lease to write, conditioned on the version of its current record, 0 if there is none.
 struct LeaseChange {
     block: BlockId,
     version: u64,
     lease: BlockLease,
 }
 
-/// The leases to be written at one time.
+/// The lease changes of one transaction.
 pub(super) struct LeaseAssignment<'a> {
     leader: &'a LeaderContext<'a>,
     cache: &'a WatchCache,
-    /// Controllers that may hold blocks, by name.
+    /// Controllers that may hold blocks, ordered by name.
     holders: Vec<ControllerName>,
-    /// How many blocks each of them holds.
+    /// The number of blocks that each of them holds.
     lease_counts: BTreeMap<ControllerName, usize>,
-    /// The highest token that was given out.
+    /// The highest token issued so far.
     last_token: u64,
     changes: Vec<LeaseChange>,
 }
 
 impl<'a> LeaseAssignment<'a> {
-    /// No changes yet.
+    /// Creates an assignment without changes.
     pub(super) fn new(
         leader: &'a LeaderContext<'a>,
         cache: &'a WatchCache,
@@ -56,41 +56,46 @@
         }
     }
 
-    /// Whether nothing is to be written.
+    /// Whether there are no changes to write.
     pub(super) fn is_empty(&self) -> bool {
         self.changes.is_empty()
     }
 
-    /// Leases a block anew if its holder is gone, if the leader has changed, or if its holder wants a new token in place of
-    /// `renewal`.
-    pub(super) fn assign(&mut self, block: &BlockId, zone: &Zone, renewal: Option<&FencingToken>) {
+    /// Writes a new lease of the block if its holder is not valid any more, if the leader has changed, or if its holder
+    /// requires a new token in place of `token_to_replace`.
+    pub(super) fn assign(
+        &mut self,
+        block: &BlockId,
+        zone: &Zone,
+        token_to_replace: Option<&FencingToken>,
+    ) {
         let old = self.cache.block_leases.get(block);
-        let kept = old.filter(|old| self.holder_lasts(&old.value));
-        if let Some(old) = kept
-            && renewal != Some(&old.value.token)
+        let retained = old.filter(|old| self.is_valid_holder(&old.value));
+        if let Some(old) = retained
+            && token_to_replace != Some(&old.value.token)
         {
-            self.confirm(block, old);
+            self.renew_for_term(block, old);
             return;
         }
-        let holder = match kept {
+        let holder = match retained {
             Some(old) => Some(old.value.holder.clone()),
             None => self.choose_holder(zone),
         };
         let Some(holder) = holder else {
             return;
         };
-        let Some(incarnation) = self.incarnation_of(&holder) else {
+        let Some(incarnation) = self.member_incarnation(&holder) else {
             return;
         };
         if let Some(count) = self.lease_counts.get_mut(&holder) {
             *count += 1;
         }
         let version = old.map_or(0, |old| old.version);
-        self.lease(block.clone(), version, zone.clone(), holder, incarnation);
+        self.add_lease(block.clone(), version, zone.clone(), holder, incarnation);
     }
 
-    /// WriteAllowance a lease that stays as it is for the present term.
-    fn confirm(&mut self, block: &BlockId, old: &Versioned<BlockLease>) {
+    /// Rewrites a lease with the current term if it is from an earlier one. Its holder and token stay.
+    fn renew_for_term(&mut self, block: &BlockId, old: &Versioned<BlockLease>) {
         let term = self.leader.term;
         if old.value.term != term {
             self.changes.push(LeaseChange {
@@ -104,39 +109,39 @@
         }
     }
 
-    /// Moves one block from the controller with the most to the one with the fewest, if they differ by two or more: so a
-    /// controller that came back gets blocks again.
-    pub(super) fn rebalance(&mut self, required: &BTreeMap<BlockId, Zone>) -> Option<()> {
-        let (idle, fewest) = self.lease_counts.iter().min_by_key(|(_, count)| **count)?;
-        let (busy, most) = self.lease_counts.iter().max_by_key(|(_, count)| **count)?;
+    /// Moves one block from the controller with the most blocks to the controller with the fewest if they differ by
+    /// two or more, so that a controller that has come back gets blocks again.
+    pub(super) fn rebalance(&mut self, required_blocks: &BTreeMap<BlockId, Zone>) -> Option<()> {
+        let (least_loaded, fewest) = self.lease_counts.iter().min_by_key(|(_, count)| **count)?;
+        let (most_loaded, most) = self.lease_counts.iter().max_by_key(|(_, count)| **count)?;
         if *most < fewest + 2 {
             return None;
         }
         let config = self.leader.config;
-        let (block, _) = required
+        let (block, _) = required_blocks
             .iter()
             .filter(|(block, _)| {
                 self.cache
                     .block_leases
                     .get(*block)
-                    .is_some_and(|lease| lease.value.holder == *busy)
+                    .is_some_and(|lease| lease.value.holder == *most_loaded)
             })
             .max_by_key(|(_, zone)| {
                 config
                     .peers
                     .iter()
-                    .any(|peer| peer.name == *idle && peer.zone == **zone)
+                    .any(|peer| peer.name == *least_loaded && peer.zone == **zone)
             })?;
         let lease = self.cache.block_leases.get(block)?;
-        let (holder, version) = (idle.clone(), lease.version);
-        let incarnation = self.incarnation_of(&holder)?;
+        let (holder, version) = (least_loaded.clone(), lease.version);
+        let incarnation = self.member_incarnation(&holder)?;
         let zone = lease.value.zone.clone();
-        self.lease(block.clone(), version, zone, holder, incarnation);
+        self.add_lease(block.clone(), version, zone, holder, incarnation);
         Some(())
     }
 
     /// Adds a lease with a new token.
-    fn lease(
+    fn add_lease(
         &mut self,
         block: BlockId,
         version: u64,
@@ -159,14 +164,14 @@
         });
     }
 
-    /// Whether the process that holds the lease is up and may hold blocks.
-    fn holder_lasts(&self, lease: &BlockLease) -> bool {
+    /// Whether the process that holds the lease is a member and may hold blocks.
+    fn is_valid_holder(&self, lease: &BlockLease) -> bool {
         self.holders.contains(&lease.holder)
-            && self.incarnation_of(&lease.holder) == Some(lease.incarnation)
+            && self.member_incarnation(&lease.holder) == Some(lease.incarnation)
     }
 
-    /// A controller in the block's zone, since a cut between zones then leaves them together; among equals the one that
-    /// holds the fewest blocks.
+    /// Chooses a controller in the block's zone if possible, since it still reaches the machines during a partition
+    /// between zones; among equals, the controller with the fewest blocks.
     fn choose_holder(&self, zone: &Zone) -> Option<ControllerName> {
         let cost = |controller: &&ControllerName| {
             (
@@ -177,7 +182,7 @@
         self.holders.iter().min_by_key(cost).cloned()
     }
 
-    fn incarnation_of(&self, controller: &ControllerName) -> Option<Incarnation> {
+    fn member_incarnation(&self, controller: &ControllerName) -> Option<Incarnation> {
         let member = self.cache.members.get(controller)?;
         Some(member.value.incarnation)
     }
@@ -193,7 +198,7 @@
             .map(|peer| &peer.zone)
     }
 
-    /// The transaction with as many of the changes as it may have, conditioned on this leader's record.
+    /// Returns a transaction with as many changes as the state service allows, conditioned on this leader's record.
     pub(super) fn into_transaction(mut self) -> Transaction {
         let LeaderContext {
             config,
--- a/src/leadership/key_lease.rs
+++ b/src/leadership/key_lease.rs
@@ -1,7 +1,7 @@
-//! A lease of the state service and the record that is attached to it: asked for, attached, kept alive, lost.
+//! The state machine of one lease in the state service and the record attached to it.
 //!
-//! The service's outcomes change it here only. What the record says, and when a lease should be asked for, is for the
-//! member registration and the leader election to decide.
+//! Only this module changes the state on responses of the state service. Member registration and leader election decide
+//! when to request a lease and what the record contains.
 
 use std::time::{Duration, Instant};
 
@@ -9,35 +9,37 @@
 use crate::domain::{Now, since};
 use crate::store::{StoreRequest, StoreResponse, Transaction};
 
-/// After a failure it is asked again no sooner than this.
+/// The minimum time between a failure and the next lease request.
 const RETRY_INTERVAL: Duration = Duration::from_millis(500);
 
-/// A lease whose record is attached, as far as is known.
+/// A lease whose record is attached, or may be: the outcome of the transaction can be unknown.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(super) struct HeldLease {
     pub(super) id: u64,
-    /// When the request was sent that last extended it; the next one is due a quarter of its life later.
-    pub(super) renewed: Instant,
-    /// When the last request was sent that is known to have opened or extended it.
+    /// The start of the renewal interval: the next keep-alive is due a quarter of the TTL later.
+    pub(super) renewed_at: Instant,
+    /// When the last request was sent that is known to have granted or extended the lease.
     pub(super) last_confirmed: Instant,
-    /// Whether a request to extend it is under way.
-    pub(super) renewing: bool,
+    /// Whether a keep-alive request is in flight.
+    pub(super) keep_alive_pending: bool,
 }
 
+/// The state of a lease as far as this process knows.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(super) enum LeaseState {
-    NotHeld,
-    /// Asked for, not granted yet.
+    /// Neither held nor requested.
+    Idle,
+    /// Requested, not granted yet.
     Requested,
-    /// Granted, and the record's transaction is under way.
+    /// Granted; the transaction that writes the record is in flight.
     AttachingKey {
-        /// When it was asked for: it does not end before its life from then is over.
+        /// When the lease was requested: it does not expire before its TTL from then has passed.
         last_confirmed: Instant,
     },
     Held(HeldLease),
 }
 
-/// The lease of one role.
+/// The lease of one role, with its state and retry time.
 #[derive(Debug)]
 pub(super) struct KeyLease {
     role: LeaseRole,
@@ -51,16 +53,16 @@
         KeyLease {
             role,
             ttl,
-            state: LeaseState::NotHeld,
+            state: LeaseState::Idle,
             retry_at: None,
         }
     }
 
-    pub(super) fn is_released(&self) -> bool {
-        self.state == LeaseState::NotHeld
+    pub(super) fn is_idle(&self) -> bool {
+        self.state == LeaseState::Idle
     }
 
-    /// The lease if its record is attached, as far as is known.
+    /// Returns the lease if its record is attached, or may be.
     pub(super) fn held(&self) -> Option<HeldLease> {
         match self.state {
             LeaseState::Held(held) => Some(held),
@@ -68,20 +70,20 @@
         }
     }
 
-    /// Whether the pause after the last failure is over.
+    /// Whether the retry delay after the last failure has passed.
     pub(super) fn may_retry(&self, now: Now) -> bool {
         self.retry_at.is_none_or(|at| now.monotonic >= at)
     }
 
-    /// Asks for a lease.
-    pub(super) fn request(&mut self) -> (Tag, StoreRequest) {
+    /// Requests a new lease.
+    pub(super) fn request_grant(&mut self) -> (Tag, StoreRequest) {
         self.state = LeaseState::Requested;
         let request = StoreRequest::GrantLease { life: self.ttl };
         (Tag::GrantLease(self.role), request)
     }
 
-    /// Attaches the record that the transaction writes.
-    pub(super) fn attach(
+    /// Attaches the record to the granted lease by the transaction that writes it.
+    pub(super) fn attach_key(
         &mut self,
         id: u64,
         last_confirmed: Instant,
@@ -92,32 +94,32 @@
         (Tag::AttachKey(self.role, id), request)
     }
 
-    /// Extends the lease when that is due.
+    /// Returns a keep-alive request when one is due.
     pub(super) fn keep_alive(&mut self, now: Now) -> Option<(Tag, StoreRequest)> {
         let LeaseState::Held(held) = &mut self.state else {
             return None;
         };
-        if held.renewing || since(now, held.renewed) < self.ttl / 4 {
+        if held.keep_alive_pending || since(now, held.renewed_at) < self.ttl / 4 {
             return None;
         }
-        held.renewing = true;
+        held.keep_alive_pending = true;
         let request = StoreRequest::KeepAliveLease { id: held.id };
         Some((Tag::KeepAlive(self.role, held.id), request))
     }
 
-    /// Leaves the lease to run out.
-    pub(super) fn release(&mut self) {
-        self.state = LeaseState::NotHeld;
+    /// Stops renewing the lease, so that it expires.
+    pub(super) fn abandon(&mut self) {
+        self.state = LeaseState::Idle;
     }
 
-    /// Leaves the lease, and asks for none for a while.
-    pub(super) fn fail(&mut self, now: Now) {
-        self.state = LeaseState::NotHeld;
+    /// Abandons the lease and delays the next request by [`RETRY_INTERVAL`].
+    pub(super) fn record_failure(&mut self, now: Now) {
+        self.state = LeaseState::Idle;
         self.retry_at = Some(now.monotonic + RETRY_INTERVAL);
     }
 
-    /// The transaction that attaches the record was answered.
-    pub(super) fn handle_attach(
+    /// Handles the response to the transaction that attaches the record.
+    pub(super) fn handle_attach_response(
         &mut self,
         now: Now,
         sent: Instant,
@@ -129,21 +131,22 @@
             _ => sent,
         };
         match outcome {
-            // Unknown may mean committed: the lease is kept until the local copy shows what became of it.
+            // An unknown outcome may be a commit: the lease is kept until the cache shows whether the record was
+            // written.
             StoreResponse::Committed { .. } | StoreResponse::Unknown => {
                 self.state = LeaseState::Held(HeldLease {
                     id,
-                    renewed: now.monotonic,
+                    renewed_at: now.monotonic,
                     last_confirmed,
-                    renewing: false,
+                    keep_alive_pending: false,
                 });
             }
-            _ => self.fail(now),
+            _ => self.record_failure(now),
         }
     }
 
-    /// The request to extend the lease was answered.
-    pub(super) fn handle_keep_alive(
+    /// Handles the response to a keep-alive request.
+    pub(super) fn handle_keep_alive_response(
         &mut self,
         now: Now,
         sent: Instant,
@@ -156,17 +159,17 @@
         if held.id != id {
             return;
         }
-        held.renewing = false;
+        held.keep_alive_pending = false;
         match outcome {
-            StoreResponse::LeaseExpired | StoreResponse::Invalid => self.release(),
+            StoreResponse::LeaseExpired | StoreResponse::Invalid => self.abandon(),
             StoreResponse::LeaseGranted { .. } => {
-                held.renewed = sent;
+                held.renewed_at = sent;
                 held.last_confirmed = sent;
             }
-            // Asked again soon, not at once.
+            // Retries after a short delay instead of immediately: half of the retry interval for the leader lease.
             _ => {
-                let soon = now.monotonic - LEADER_LEASE_TTL / 4 + RETRY_INTERVAL / 2;
-                held.renewed = held.renewed.max(soon);
+                let retry_base = now.monotonic - LEADER_LEASE_TTL / 4 + RETRY_INTERVAL / 2;
+                held.renewed_at = held.renewed_at.max(retry_base);
             }
         }
     }
--- a/src/workers/block/status.rs
+++ b/src/workers/block/status.rs
@@ -1,4 +1,4 @@
-//! What the leader is told of a block.
+//! Prepares the status messages of a block for the leader.
 
 use super::Block;
 use super::TOKEN_RENEWAL_DELAY;
@@ -8,8 +8,8 @@
 use crate::workers::wire::TaskState;
 use crate::workers::worker::{ReportedStatus, Worker};
 
-/// The numbers of the block's status messages. The leader names the last one that it has received, so that the status of a
-/// machine is repeated until it has.
+/// The sequence numbers of the block's status messages. The leader acknowledges the last one that it has received, and
+/// the status of a machine is repeated until then.
 #[derive(Debug, Default)]
 pub(super) struct StatusSequence {
     last_sent: u64,
@@ -17,33 +17,37 @@
 }
 
 impl StatusSequence {
-    /// The number of the next message.
+    /// Returns the sequence number of the next message.
     fn next(&mut self) -> u64 {
         self.last_sent += 1;
         self.last_sent
     }
 
-    /// Notes the last message that the leader has received.
-    pub(super) fn acknowledge(&mut self, number: u64) {
-        self.last_acknowledged = self.last_acknowledged.max(number);
+    /// Records the last message that the leader has received.
+    pub(super) fn acknowledge(&mut self, sequence_number: u64) {
+        self.last_acknowledged = self.last_acknowledged.max(sequence_number);
     }
 
-    /// Whether the leader has received the message of this number, or a later one.
-    fn is_acknowledged(&self, number: u64) -> bool {
-        number <= self.last_acknowledged
+    /// Whether the leader has received the message with this sequence number, or a later one.
+    fn is_acknowledged(&self, sequence_number: u64) -> bool {
+        sequence_number <= self.last_acknowledged
     }
 }
 
 impl Block {
-    /// The next status message. Machines are in it until the leader has acknowledged what is said of them.
+    /// Prepares the next status message. It includes each machine whose last status the leader has not acknowledged.
     pub(in crate::workers) fn status(&mut self, now: Now, policy: &Policy) -> BlockStatus {
-        let number = self.status_sequence.next();
-        self.update_reported_statuses(now, policy, number);
+        let sequence_number = self.status_sequence.next();
+        self.update_reported_statuses(now, policy, sequence_number);
         let unacknowledged = |worker: &Worker| {
             worker
                 .reported_status
                 .as_ref()
-                .filter(|reported| !self.status_sequence.is_acknowledged(reported.number))
+                .filter(|reported| {
+                    !self
+                        .status_sequence
+                        .is_acknowledged(reported.sequence_number)
+                })
                 .map(|reported| reported.status.clone())
         };
         let mut pending: Vec<u64> = self
@@ -61,7 +65,7 @@
             pending,
             unplaceable: self.assignments.unplaceable.clone(),
             proven_ended: self
-                .ended
+                .proven_ended
                 .keys()
                 .map(|ended| ended.attempt.number)
                 .collect(),
@@ -76,14 +80,14 @@
                 .filter(|worker| worker.addr.is_some())
                 .count() as u32,
             overdue_workers: self.overdue_workers,
-            sequence_number: number,
+            sequence_number,
             machines: self.workers.values().filter_map(unacknowledged).collect(),
-            running: self.watched_running(),
+            running: self.running_watched_attempts(),
         }
     }
 
-    /// Takes the status of the workers that have changed into the message of this number.
-    fn update_reported_statuses(&mut self, now: Now, policy: &Policy, number: u64) {
+    /// Adds the changed statuses of workers to the message with this sequence number.
+    fn update_reported_statuses(&mut self, now: Now, policy: &Policy, sequence_number: u64) {
         for id in std::mem::take(&mut self.workers_to_report) {
             let Some(worker) = self.workers.get_mut(&id) else {
                 continue;
@@ -94,13 +98,16 @@
                 .as_ref()
                 .is_some_and(|reported| reported.status == status);
             if !unchanged {
-                worker.reported_status = Some(ReportedStatus { status, number });
+                worker.reported_status = Some(ReportedStatus {
+                    status,
+                    sequence_number,
+                });
             }
         }
     }
 
-    /// The numbers of the watched attempts that their workers report as running.
-    fn watched_running(&self) -> Vec<u64> {
+    /// Returns the numbers of the watched attempts that their workers report as running.
+    fn running_watched_attempts(&self) -> Vec<u64> {
         if !self.assignments.any_watched() {
             return Vec::new();
         }
@@ -114,7 +121,7 @@
     }
 }
 
-/// What the leader is to know of a machine.
+/// Returns the status of a machine for the leader.
 fn machine_status(
     now: Now,
     machine: MachineId,
@@ -124,7 +131,7 @@
 ) -> MachineStatus {
     MachineStatus {
         machine,
-        usable: worker.usable(now, token),
+        usable: worker.is_usable(now, token),
         has_reported: worker.liveness.has_reported(),
         unresponsive: worker.is_unresponsive(now, policy),
         termination_notice: worker.termination_notice,
