--- a/tests/simulation/production.rs
+++ b/tests/simulation/production.rs
@@ -154,7 +154,7 @@
 }
 
 #[test]
-fn the_schema_reads_what_production_wrote_and_nothing_newer() {
+fn the_schema_reads_production_data_and_rejects_newer_forms() {
     let sample = include_bytes!("../data/production.cbor");
     let rows: Vec<(String, Value)> =
         ciborium::from_reader(sample.as_slice()).expect("the sample is CBOR");
--- a/tests/simulation/rules.rs
+++ b/tests/simulation/rules.rs
@@ -31,6 +31,7 @@
 struct JobHistory {
     job: Job,
     reported: Option<ReportedStatus>,
+    /// Its user has sent a request to cancel it.
     cancel_asked: bool,
     /// When its cancellation was confirmed to its user.
     cancelled_at: Option<Duration>,
@@ -158,6 +159,7 @@
             .push(format!("{:.3} {violation}", now.as_secs_f64()));
     }
 
+    /// Records that a user has sent a job.
     pub fn submitted(&mut self, id: JobId, job: Job) {
         self.jobs.entry(id).or_insert(JobHistory {
             job,
@@ -176,6 +178,7 @@
         });
     }
 
+    /// Records that a user has sent a request to cancel a job.
     pub fn cancel_asked(&mut self, id: JobId) {
         if let Some(history) = self.jobs.get_mut(&id) {
             history.cancel_asked = true;
@@ -238,7 +241,7 @@
         let team = self.jobs[&task.job].job.team.clone();
         self.jobs
             .get_mut(&task.job)
-            .expect("looked up above")
+            .expect("the job was looked up above")
             .placements
             .entry(task.index)
             .or_default()
@@ -495,6 +498,7 @@
             .map_or(0, |history| history.done.len() as u32)
     }
 
+    /// Whether all tasks of a job are done.
     pub fn all_done(&self, id: JobId) -> bool {
         self.jobs
             .get(&id)
