--- a/crates/drain/src/planner/mod.rs
+++ b/crates/drain/src/planner/mod.rs
@@ -23,8 +23,8 @@
 use evictions::{EvictionRound, MissingRoom};
 use pass::Pass;
 
-pub use crate::fleet::{MachineView, NoRoom, Reservation, ServiceState};
-pub use progress::{Progress, State};
+pub use crate::fleet::{MachineView, NoCapacity, Reservation, ServiceState};
+pub use progress::{DrainProgress, DrainState};
 
 /// The stored records.
 #[derive(Debug, Clone, Copy)]
@@ -39,17 +39,17 @@
 
 /// The limits of one pass, and the timeouts.
 #[derive(Debug, Clone, Copy)]
-pub struct Bounds {
+pub struct PlannerLimits {
     /// Machines that a drain empties at a time, unless its record says otherwise.
     pub step: Limit,
     /// A drain that finds no room for this long is halted.
-    pub room_timeout: Duration,
+    pub capacity_timeout: Duration,
     /// A drain is halted when an evicted task does not run again within this.
     pub replacement_timeout: Duration,
     /// Entries that a ledger's value has room for.
-    pub ledger_entries: usize,
+    pub max_ledger_entries: usize,
     /// Ledgers that one transaction may change.
-    pub ledgers_at_once: usize,
+    pub max_ledgers_per_transaction: usize,
 }
 
 /// What the leader is to do.
@@ -82,18 +82,18 @@
 /// What the planner is told.
 pub enum Event<'a, F> {
     /// A task's attempt has gone, neither done nor stopped.
-    Lost(Attempt),
+    AttemptLost(Attempt),
     /// Nothing is to be drained.
-    Idle {
+    NoActiveDrains {
         /// Whether a task is still to run: losses of others are forgotten.
-        is_wanted: &'a dyn Fn(TaskId) -> bool,
+        is_needed: &'a dyn Fn(TaskId) -> bool,
     },
     /// What the fleet and the records show now.
     Observed {
         /// The stored records.
         records: Records<'a>,
         /// The limits of this pass.
-        bounds: Bounds,
+        limits: PlannerLimits,
         /// The fleet.
         fleet: &'a mut F,
     },
@@ -105,7 +105,7 @@
     tracker: Tracker,
     /// Since when a drain has found no room.
     blocked_since: BTreeMap<DrainId, Instant>,
-    progress: BTreeMap<DrainId, Progress>,
+    progress: BTreeMap<DrainId, DrainProgress>,
     disruptions: Disruptions,
 }
 
@@ -113,25 +113,25 @@
     /// Takes in an event and decides what follows.
     pub fn handle<F: Fleet>(&mut self, now: Now, event: Event<'_, F>) -> Vec<Effect> {
         match event {
-            Event::Lost(attempt) => {
+            Event::AttemptLost(attempt) => {
                 self.tracker.note_lost(attempt);
                 Vec::new()
             }
-            Event::Idle { is_wanted } => {
-                self.tracker.forget_unless(is_wanted);
+            Event::NoActiveDrains { is_needed } => {
+                self.tracker.forget_unless(is_needed);
                 self.progress.clear();
                 Vec::new()
             }
             Event::Observed {
                 records,
-                bounds,
+                limits,
                 fleet,
-            } => self.observe(now, records, bounds, fleet),
+            } => self.observe(now, records, limits, fleet),
         }
     }
 
     /// How far each drain was at the latest observation.
-    pub fn progress(&self) -> &BTreeMap<DrainId, Progress> {
+    pub fn progress(&self) -> &BTreeMap<DrainId, DrainProgress> {
         &self.progress
     }
 
@@ -146,9 +146,9 @@
     }
 
     /// Tasks of which the planner needs to know whether they run.
-    pub fn watched(&self, ledgers: &BTreeMap<Team, Ledger>) -> BTreeSet<TaskId> {
+    pub fn tasks_to_observe(&self, ledgers: &BTreeMap<Team, Ledger>) -> BTreeSet<TaskId> {
         let evicted = self.tracker.outstanding(ledgers);
-        let mut watched: BTreeSet<TaskId> = evicted.flat_map(|e| e.subject.tasks()).collect();
+        let mut watched: BTreeSet<TaskId> = evicted.flat_map(|e| e.target.tasks()).collect();
         watched.extend(self.tracker.lost(ledgers));
         watched
     }
@@ -157,7 +157,7 @@
         &mut self,
         now: Now,
         records: Records<'_>,
-        bounds: Bounds,
+        limits: PlannerLimits,
         fleet: &mut F,
     ) -> Vec<Effect> {
         self.tracker.observe(records.ledgers, fleet);
@@ -169,7 +169,7 @@
         let mut pass = Pass {
             now,
             records,
-            bounds,
+            limits,
             fleet,
             disruptions,
             evictions: BTreeMap::new(),
@@ -193,23 +193,23 @@
         pass: &mut Pass<'_, F>,
         id: &DrainId,
         record: &DrainRecord,
-    ) -> Progress {
+    ) -> DrainProgress {
         let machines = pass.machines_of(record);
         let outstanding: Vec<&Eviction> = self
             .tracker
             .outstanding(pass.records.ledgers)
             .filter(|eviction| eviction.drain == *id)
             .collect();
-        let mut progress = Progress {
-            state: State::Requested,
+        let mut progress = DrainProgress {
+            state: DrainState::Requested,
             machines: machines.len(),
             empty: machines.iter().filter(|machine| machine.is_empty()).count(),
             tasks_left: machines.iter().map(|machine| machine.tasks.len()).sum(),
             outstanding: outstanding.len(),
         };
         progress.state = match &record.phase {
-            Phase::Cancelled | Phase::Uncordoned => State::Cancelled,
-            Phase::Done => State::Done,
+            Phase::Cancelled | Phase::Uncordoned => DrainState::Cancelled,
+            Phase::Done => DrainState::Done,
             Phase::Active | Phase::Halted { .. } => {
                 self.advance_under_way(pass, id, record, &machines, &outstanding)
             }
@@ -224,23 +224,23 @@
         record: &DrainRecord,
         machines: &[MachineView],
         outstanding: &[&Eviction],
-    ) -> State {
+    ) -> DrainState {
         let cordoned = machines
             .iter()
             .all(|machine| machine.state != ServiceState::InService);
         if !cordoned {
-            return State::Requested;
+            return DrainState::Requested;
         }
         if record.purpose == Purpose::Cordon {
             pass.set_phase(id, record, Phase::Done);
-            return State::Done;
+            return DrainState::Done;
         }
         pass.return_empty(record, machines);
         if machines.iter().all(MachineView::is_empty) {
             self.blocked_since.remove(id);
             if pass.is_over(record, machines, outstanding) {
                 pass.set_phase(id, record, Phase::Done);
-                return State::Done;
+                return DrainState::Done;
             }
         }
         if let Some(reason) = pass.failed_replacement(record, outstanding) {
@@ -248,7 +248,7 @@
         }
         if machines.iter().all(MachineView::is_empty) {
             pass.resume_if_halted(id, record);
-            return State::Empty;
+            return DrainState::Empty;
         }
         self.evict_next(pass, id, record, machines, outstanding)
     }
@@ -260,12 +260,12 @@
         record: &DrainRecord,
         machines: &[MachineView],
         outstanding: &[&Eviction],
-    ) -> State {
+    ) -> DrainState {
         let round = pass.evict(id, record, machines, outstanding);
         let waits_for_room = match round.missing_room {
             Some(MissingRoom {
                 task,
-                reason: NoRoom::Yet,
+                reason: NoCapacity::NotYet,
             }) if round.decided == 0 => Some(task),
             _ => None,
         };
@@ -275,8 +275,8 @@
                     .blocked_since
                     .entry(id.clone())
                     .or_insert(pass.now.monotonic);
-                if since(pass.now, began) >= pass.bounds.room_timeout {
-                    return pass.halt(id, record, HaltReason::NoRoom { task });
+                if since(pass.now, began) >= pass.limits.capacity_timeout {
+                    return pass.halt(id, record, HaltReason::NoCapacity { task });
                 }
             }
             None => {
@@ -288,25 +288,25 @@
             if waits_for_room.is_none() {
                 pass.resume_if_halted(id, record);
             }
-            return State::Halted(reason.clone());
+            return DrainState::Halted(reason.clone());
         }
-        let mut evicted = outstanding.iter().flat_map(|e| e.subject.tasks());
-        let stranded = evicted.find_map(|task| Some((task, pass.fleet.lacks_room(task)?)));
+        let mut evicted = outstanding.iter().flat_map(|e| e.target.tasks());
+        let stranded = evicted.find_map(|task| Some((task, pass.fleet.missing_capacity(task)?)));
         if let Some((task, reason)) = stranded {
-            return State::Replacing { task, reason };
+            return DrainState::Replacing { task, reason };
         }
         match round {
-            _ if round.decided > 0 || !outstanding.is_empty() => State::Evicting,
+            _ if round.decided > 0 || !outstanding.is_empty() => DrainState::Evicting,
             EvictionRound {
                 exceeded: Some(exceeded),
                 ..
-            } => State::WaitingForBudget(exceeded),
+            } => DrainState::WaitingForBudget(exceeded),
             EvictionRound {
                 missing_room: Some(MissingRoom { task, reason }),
                 ..
-            } => State::Replacing { task, reason },
+            } => DrainState::Replacing { task, reason },
             // What is left goes by itself: its jobs have ended.
-            EvictionRound { .. } => State::Evicting,
+            EvictionRound { .. } => DrainState::Evicting,
         }
     }
 }
--- a/crates/drain/src/planner/progress.rs
+++ b/crates/drain/src/planner/progress.rs
@@ -3,12 +3,12 @@
 use dappleshore_domain::TaskId;
 
 use crate::disruption::Exceeded;
-use crate::fleet::NoRoom;
+use crate::fleet::NoCapacity;
 use crate::record::HaltReason;
 
 /// What a drain is doing or waiting for.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum State {
+pub enum DrainState {
     /// Its machines are being cordoned.
     Requested,
     /// The next task of this team may not be disrupted now.
@@ -18,7 +18,7 @@
         /// The first task that has no room.
         task: TaskId,
         /// Why it has none.
-        reason: NoRoom,
+        reason: NoCapacity,
     },
     /// Tasks were told to stop, and their replacements do not run yet.
     Evicting,
@@ -34,9 +34,9 @@
 
 /// How far a drain is.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Progress {
+pub struct DrainProgress {
     /// What it is doing or waiting for.
-    pub state: State,
+    pub state: DrainState,
     /// Machines that it holds.
     pub machines: usize,
     /// Those of them without tasks.
--- a/src/cancellation/mod.rs
+++ b/src/cancellation/mod.rs
@@ -33,9 +33,9 @@
 /// Whether machines that may still run tasks of a job cancelled at `cancelled_ms` are due for deletion.
 pub fn is_machine_deletion_due(now: Now, config: &Config, cancelled_ms: u64) -> bool {
     let delay = config
-        .cancel_within
+        .cancellation_timeout
         .saturating_sub(DELETION_MARGIN)
-        .max(config.cancel_within / 2);
+        .max(config.cancellation_timeout / 2);
     Duration::from_millis(now.unix_ms().saturating_sub(cancelled_ms)) >= delay
 }
 
@@ -70,7 +70,7 @@
     /// Updates the cancelled jobs and the deleted machines from the cache.
     pub fn sync(&mut self, cache: &WatchCache, changed: &ChangedRecords) {
         let cancelled = |job: &JobId| {
-            let open = cache.open.get(job).filter(|open| open.cancelled)?;
+            let open = cache.open_jobs.get(job).filter(|open| open.cancelled)?;
             let record = CancellationRecord {
                 version: open.version,
                 cancelled_ms: open.cancelled_ms,
@@ -78,9 +78,9 @@
             Some((*job, record))
         };
         if changed.all {
-            self.unfinished = cache.open.keys().filter_map(cancelled).collect();
+            self.unfinished = cache.open_jobs.keys().filter_map(cancelled).collect();
         }
-        for job in &changed.ended {
+        for job in &changed.cancelled_or_ended_jobs {
             match cancelled(job) {
                 Some((job, record)) => self.unfinished.insert(job, record),
                 None => self.unfinished.remove(job),
@@ -107,7 +107,7 @@
             reaches_state_service,
             // Until the cache is loaded, an earlier process of this controller may have confirmed cancellations that
             // were not read yet.
-            lists_all_cancellations: cache.ready()
+            lists_all_cancellations: cache.is_loaded()
                 && self.unfinished.len() <= MAX_CANCELLED_JOBS_PER_HEARTBEAT,
             cancelled_jobs: self.newest_cancelled_jobs(),
             last_received: self.heartbeats.last_received(),
--- a/src/cancellation/tests.rs
+++ b/src/cancellation/tests.rs
@@ -71,7 +71,7 @@
 ) {
     let mut inventory = MachineInventory {
         zone: "a".into(),
-        on: BTreeMap::new(),
+        machines: BTreeMap::new(),
     };
     let mut placements = BlockPlacements::default();
     for (machine, job) in machines {
@@ -81,7 +81,7 @@
             state: MachineState::InService,
             rented_s: 0,
         };
-        inventory.on.insert((*machine).into(), entry);
+        inventory.machines.insert((*machine).into(), entry);
         let task = TaskId {
             job: JobId(*job),
             index,
@@ -97,7 +97,7 @@
     fn new() -> Self {
         let config = Config::parse("s.toml", SETTINGS).expect("the test settings are valid");
         let start = Now::read();
-        let mut cache = WatchCache::following();
+        let mut cache = WatchCache::loaded_for_tests();
         let peer = &config.peers[0].name;
         let mut records = RecordWriter {
             cache: &mut cache,
@@ -202,7 +202,7 @@
 #[test]
 fn machines_due_for_deletion_are_deleted_by_their_holder_or_by_any_if_it_is_unresponsive() {
     let mut fixture = Fixture::new();
-    let due = fixture.config.cancel_within - DELETION_MARGIN;
+    let due = fixture.config.cancellation_timeout - DELETION_MARGIN;
     assert_eq!(
         fixture.poll_deletion(due - Duration::from_secs(1), false),
         [] as [&str; 0],
@@ -248,7 +248,7 @@
 #[test]
 fn only_new_heartbeats_of_the_process_that_holds_the_lease_show_that_the_holder_is_alive() {
     let mut fixture = Fixture::new();
-    let due = fixture.config.cancel_within - DELETION_MARGIN;
+    let due = fixture.config.cancellation_timeout - DELETION_MARGIN;
     let lease = fixture.cache.block_leases[&BlockId::from("b.0")]
         .value
         .clone();
@@ -293,7 +293,10 @@
             .collect::<Vec<_>>(),
         [JobId(1)]
     );
-    assert_eq!(listed[0].version, fixture.cache.open[&JobId(1)].version);
+    assert_eq!(
+        listed[0].version,
+        fixture.cache.open_jobs[&JobId(1)].version
+    );
     let end = encode(&JobRecord::Ended(crate::domain::JobOutcome::Cancelled, 2));
     fixture.cache.apply(Change {
         key: job_key(JobId(1)),
--- a/src/client/mod.rs
+++ b/src/client/mod.rs
@@ -9,7 +9,7 @@
 use dappleshore_drain::operator::{Problem, ProblemKind, Reply, Request};
 use tracing::debug;
 
-use crate::http::{self, read, write};
+use crate::http::{self, decode_body, encode_body};
 
 /// On the address that controllers use among themselves.
 const PATH: &str = "/operate";
@@ -61,7 +61,7 @@
                         last = problem;
                     }
                     Ok(Reply::Problem(problem)) => return Err(problem),
-                    Ok(Reply::Elsewhere { leader, .. }) => {
+                    Ok(Reply::NotLeader { leader, .. }) => {
                         let message = format!("{leader} leads, but does not answer");
                         last = Problem::new(ProblemKind::Unavailable, message);
                     }
@@ -93,7 +93,7 @@
         deadline: Instant,
     ) -> Result<Reply, ExchangeError> {
         let reply = self.exchange(controller, request, deadline).await?;
-        if let Reply::Elsewhere { addr, .. } = &reply
+        if let Reply::NotLeader { addr, .. } = &reply
             && let Ok(leader) = addr.parse()
             && let Ok(answer) = self.exchange(leader, request, deadline).await
         {
@@ -110,11 +110,11 @@
     ) -> Result<Reply, ExchangeError> {
         let left = deadline.saturating_duration_since(Instant::now());
         let timeout = left.min(REQUEST_TIMEOUT);
-        let request = http::Request::post(PATH.to_owned(), write(request), timeout);
+        let request = http::Request::post(PATH.to_owned(), encode_body(request), timeout);
         let reply = self.http.send(controller, request).await?;
         if reply.status != 200 {
             return Err(ExchangeError::Status(reply.status));
         }
-        Ok(read(&reply.body)?)
+        Ok(decode_body(&reply.body)?)
     }
 }
--- a/src/controller/dispatcher.rs
+++ b/src/controller/dispatcher.rs
@@ -11,8 +11,8 @@
 use crate::job_api::Response;
 use crate::provisioning;
 use crate::store::StoreRequest;
-use crate::store::rate_limiter::WritePriority;
-use crate::store::records::FORMAT;
+use crate::store::rate_limiter::RequestPriority;
+use crate::store::records::NEWEST_FORMAT;
 
 impl Controller {
     /// Handles an event and returns the effects to perform.
@@ -57,7 +57,7 @@
                 healthy: self.is_healthy(now),
             }),
             Event::OperatorRequest { id, request } => {
-                let reply = self.operations.ask(now, id, request);
+                let reply = self.operations.add_request(now, id, request);
                 effects.extend(reply.map(|reply| Effect::RespondToOperator { id, reply }));
             }
             Event::Heartbeat { id, heartbeat } => {
@@ -90,7 +90,7 @@
     /// Runs all steps that may be due in the current state.
     fn advance(&mut self, now: Now, effects: &mut Vec<Effect>) {
         let format = self.cache.format();
-        if format > FORMAT {
+        if format > NEWEST_FORMAT {
             effects.push(Effect::UnsupportedFormat { format });
             return;
         }
@@ -98,7 +98,7 @@
         self.request_instance_catalog(now, effects);
         self.apply_record_changes(now);
         for (tag, request) in self.leadership.poll(now, &self.cache, &mut self.rng) {
-            self.push_store_request(WritePriority::Lease, StoreTag::Leadership(tag), request);
+            self.push_store_request(RequestPriority::Lease, StoreTag::Leadership(tag), request);
         }
         self.run_leader_round(now, effects);
         self.respond_to_operators(now, effects);
@@ -108,11 +108,11 @@
         self.broadcast_heartbeat(now, effects);
         self.report_status(now, effects);
         let (job_api, mut context) = self.job_api_with_context();
-        for (id, response) in job_api.advance(now, &mut context) {
+        for (id, response) in job_api.resolve_pending(now, &mut context) {
             effects.push(Effect::RespondToUser { id, response });
         }
         for (tag, request) in self.cache.poll(now) {
-            self.push_store_request(WritePriority::Lease, StoreTag::WatchCache(tag), request);
+            self.push_store_request(RequestPriority::Lease, StoreTag::WatchCache(tag), request);
         }
         self.send_store_requests(now, effects);
     }
@@ -120,7 +120,7 @@
     /// Queues a request to the state service, which is sent when the rate limit allows.
     pub(super) fn push_store_request(
         &mut self,
-        priority: WritePriority,
+        priority: RequestPriority,
         tag: StoreTag,
         request: StoreRequest,
     ) {
@@ -147,7 +147,7 @@
             return;
         }
         self.format = self.cache.format();
-        self.config.adopt_next_limits();
+        self.config.apply_next_state_limits();
         let limits = self.config.state_limits;
         self.rate_limiter
             .set_limits(now, &limits, self.leader_state.is_some());
@@ -172,7 +172,7 @@
         }
         self.applied_revision = self.cache.revision;
         self.plan_outdated = true;
-        if self.cache.ready() {
+        if self.cache.is_loaded() {
             let changed = self.cache.take_changed();
             self.cancellations.sync(&self.cache, &changed);
             self.worker_fleet
--- a/src/controller/metrics_summary.rs
+++ b/src/controller/metrics_summary.rs
@@ -23,8 +23,8 @@
         let Metrics {
             accept_ms,
             start_ms,
-            step_us,
-            refused,
+            event_duration_us,
+            error_responses,
             transactions,
             ..
         } = &self.metrics;
@@ -38,9 +38,9 @@
             started = start_ms.count(),
             start_p50_ms = start_ms.quantile(0.5),
             start_p90_ms = start_ms.quantile(0.9),
-            step_p99_us = step_us.quantile(0.99),
-            step_max_us = step_us.quantile(1.0),
-            refused = refused.values().sum::<u64>(),
+            step_p99_us = event_duration_us.quantile(0.99),
+            step_max_us = event_duration_us.quantile(1.0),
+            refused = error_responses.values().sum::<u64>(),
             ?transactions,
             "metrics"
         );
@@ -67,12 +67,12 @@
         for (team, count) in &state.scheduler.pending_tasks {
             gauges.insert(format!("waiting{{team=\"{team}\"}}"), *count as f64);
         }
-        gauges.insert("jobs_open".to_owned(), self.cache.open.len() as f64);
-        gauges.insert("jobs_ended".to_owned(), self.cache.ended.len() as f64);
+        gauges.insert("jobs_open".to_owned(), self.cache.open_jobs.len() as f64);
+        gauges.insert("jobs_ended".to_owned(), self.cache.ended_jobs.len() as f64);
         let waiting: u64 = state.scheduler.pending_tasks.values().sum();
         info!(
-            open = self.cache.open.len(),
-            ended = self.cache.ended.len(),
+            open = self.cache.open_jobs.len(),
+            ended = self.cache.ended_jobs.len(),
             waiting,
             "jobs"
         );
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -19,11 +19,11 @@
 use crate::job_api::{self, JobApi};
 use crate::leadership::Leadership;
 use crate::metrics::Metrics;
-use crate::operations::Operations;
+use crate::operations::OperatorRequests;
 use crate::policy::Policy;
 use crate::store::WatchCache;
 use crate::store::rate_limiter::RequestRateLimiter;
-use crate::store::records::FORMAT;
+use crate::store::records::NEWEST_FORMAT;
 use crate::upgrade::Upgrade;
 use crate::workers::WorkerFleet;
 
@@ -47,7 +47,7 @@
     config: Config,
     policy: Policy,
     features: Features,
-    operations: Operations,
+    operations: OperatorRequests,
     incarnation: Incarnation,
     rng: SmallRng,
     cache: WatchCache,
@@ -82,7 +82,7 @@
 impl Controller {
     /// Creates a controller of this version. `seed` determines the incarnation and all random choices.
     pub fn new(config: Config, policy: Policy, seed: u64, now: Now) -> Self {
-        Controller::with_record_format(FORMAT, config, policy, seed, now)
+        Controller::with_record_format(NEWEST_FORMAT, config, policy, seed, now)
     }
 
     /// Creates a controller that registers as supporting record formats up to `format`: 0 for the production version,
@@ -96,15 +96,16 @@
     ) -> Self {
         let mut rng = SmallRng::seed_from_u64(seed);
         let incarnation = Incarnation(rng.random::<u64>() >> 12);
-        let rate_limiter = RequestRateLimiter::new(&config.state_limits, config.controllers(), now);
+        let rate_limiter =
+            RequestRateLimiter::new(&config.state_limits, config.controller_count(), now);
         Controller {
             leadership: Leadership::new(config.name.clone(), incarnation, format),
             policy,
             features: Features::default(),
-            operations: Operations::default(),
+            operations: OperatorRequests::default(),
             incarnation,
             rng,
-            cache: WatchCache::new(&config.state_limits, config.controllers()),
+            cache: WatchCache::new(&config.state_limits, config.controller_count()),
             config,
             rate_limiter,
             block_lease_manager: BlockLeaseManager::new(),
@@ -156,7 +157,7 @@
             catalog: &self.catalog,
             cache: &mut self.cache,
             rate_limiter: &mut self.rate_limiter,
-            tag: StoreTag::JobApi,
+            store_tag: StoreTag::JobApi,
         };
         (&mut self.job_api, context)
     }
--- a/src/controller/store_responses.rs
+++ b/src/controller/store_responses.rs
@@ -14,7 +14,7 @@
 use crate::peer::Message;
 use crate::provisioning;
 use crate::store::StoreResponse;
-use crate::store::rate_limiter::WritePriority;
+use crate::store::rate_limiter::RequestPriority;
 
 /// The module label under which a request's transaction is counted. None for requests that maintain leases and the
 /// cache, which are not counted.
@@ -51,9 +51,9 @@
         }
         match tag {
             StoreTag::WatchCache(tag) => {
-                for (tag, request) in self.cache.handle(now, tag, outcome) {
+                for (tag, request) in self.cache.handle_response(now, tag, outcome) {
                     let tag = StoreTag::WatchCache(tag);
-                    self.push_store_request(WritePriority::Lease, tag, request);
+                    self.push_store_request(RequestPriority::Lease, tag, request);
                 }
             }
             StoreTag::Leadership(tag) => {
@@ -62,7 +62,7 @@
                         .handle_response(now, sent, tag, &outcome, &self.cache);
                 if let Some((tag, request)) = request {
                     let tag = StoreTag::Leadership(tag);
-                    self.push_store_request(WritePriority::Lease, tag, request);
+                    self.push_store_request(RequestPriority::Lease, tag, request);
                 }
             }
             StoreTag::JobApi(id) => self.handle_job_response(now, id, &outcome, effects),
@@ -89,7 +89,7 @@
                     state.scheduler.handle_drain_store_response(now, &outcome);
                 }
             }
-            StoreTag::Operations => self.operations.written(now, &outcome),
+            StoreTag::Operations => self.operations.handle_store_response(now, &outcome),
             StoreTag::Block {
                 block,
                 lease_version,
@@ -118,8 +118,8 @@
         effects: &mut Vec<Effect>,
     ) {
         let (job_api, mut context) = self.job_api_with_context();
-        let cancelled = job_api.cancelled(id, outcome);
-        let response = job_api.committed(now, id, outcome, &mut context);
+        let cancelled = job_api.committed_cancellation(id, outcome);
+        let response = job_api.handle_store_response(now, id, outcome, &mut context);
         effects.extend(response.map(|response| Effect::RespondToUser { id, response }));
         if let Some(cancelled) = cancelled {
             self.apply_cancellations([cancelled]);
--- a/src/job_api/mod.rs
+++ b/src/job_api/mod.rs
@@ -18,7 +18,7 @@
 use crate::config::Config;
 use crate::domain::{Job, JobId, JobKind, Now};
 use crate::peer::CancelledJob;
-use crate::store::rate_limiter::{RequestRateLimiter, WritePriority};
+use crate::store::rate_limiter::{RequestPriority, RequestRateLimiter};
 use crate::store::records::{JobRecord, PARTS_FORMAT, encode, job_key, json_size};
 use crate::store::{StoreRequest, StoreResponse, Transaction, WatchCache};
 use admission::unschedulable_reason;
@@ -80,15 +80,15 @@
     pub cache: &'a mut WatchCache,
     /// Queues transactions for the state service.
     pub rate_limiter: &'a mut RequestRateLimiter<Tag>,
-    /// Marks a request's transaction, so that its outcome comes back to [`JobApi::committed`].
-    pub tag: fn(RequestId) -> Tag,
+    /// Marks a request's transaction, so that its outcome comes back to [`JobApi::handle_store_response`].
+    pub store_tag: fn(RequestId) -> Tag,
 }
 
 impl<Tag> Context<'_, Tag> {
     fn queue_commit(&mut self, id: RequestId, txn: Transaction) -> Result<(), Response> {
         let commit = StoreRequest::Commit(txn);
         self.rate_limiter
-            .push(WritePriority::User, (self.tag)(id), commit)
+            .push(RequestPriority::User, (self.store_tag)(id), commit)
             .map_err(|_| retry_later(429, "too many requests"))
     }
 }
@@ -114,7 +114,7 @@
         if let Some(response) = final_state(cx.cache, job_id) {
             return Some(response);
         }
-        let known = cx.cache.open.contains_key(&job_id);
+        let known = cx.cache.open_jobs.contains_key(&job_id);
         let record = JobRecord::Open(job.clone());
         if !known && let Some(response) = invalid_job_response(cx, &job, &record) {
             return Some(response);
@@ -147,12 +147,12 @@
         if delay > MAX_WRITE_DELAY {
             return Some(Response::Problem {
                 status: 429,
-                problem: "too many submissions",
+                message: "too many submissions",
                 retry_after: Some(Duration::from_secs(delay.as_secs().clamp(1, 20))),
             });
         }
         let txn = Transaction::default()
-            .when(job_key(job), 0)
+            .require_version(job_key(job), 0)
             .put(job_key(job), record);
         if let Err(response) = cx.queue_commit(id, txn.clone()) {
             return Some(response);
@@ -214,7 +214,7 @@
 
     /// Why nothing that needs the state service, or has to wait, can be accepted now.
     fn unavailable_response<Tag>(&self, now: Now, cx: &Context<'_, Tag>) -> Option<Response> {
-        if !cx.cache.ready() || !cx.rate_limiter.available(now) {
+        if !cx.cache.is_loaded() || !cx.rate_limiter.available(now) {
             return Some(retry_later(503, "the state service can't be reached"));
         }
         (self.pending.len() >= MAX_PENDING_REQUESTS).then(|| retry_later(429, "too many requests"))
@@ -248,7 +248,11 @@
     }
 
     /// The cancellation that this outcome of a request's transaction shows to be committed.
-    pub fn cancelled(&self, id: RequestId, outcome: &StoreResponse) -> Option<CancelledJob> {
+    pub fn committed_cancellation(
+        &self,
+        id: RequestId,
+        outcome: &StoreResponse,
+    ) -> Option<CancelledJob> {
         let pending = self.pending.get(&id)?;
         match (pending.operation, &pending.state, outcome) {
             (
@@ -261,7 +265,7 @@
     }
 
     /// Takes in the outcome of a request's transaction. The response, unless the request stays pending.
-    pub fn committed<Tag>(
+    pub fn handle_store_response<Tag>(
         &mut self,
         now: Now,
         id: RequestId,
@@ -301,19 +305,19 @@
     }
 
     /// Decides the requests that can be decided by now, or can't wait any longer.
-    pub fn advance<Tag>(
+    pub fn resolve_pending<Tag>(
         &mut self,
         now: Now,
         cx: &mut Context<'_, Tag>,
     ) -> Vec<(RequestId, Response)> {
-        let available = cx.rate_limiter.available(now) && cx.cache.ready();
+        let available = cx.rate_limiter.available(now) && cx.cache.is_loaded();
         let due: Vec<RequestId> = self
             .pending
             .iter()
             .filter(|(_, pending)| match pending.state {
                 RequestState::Refreshing => {
                     !available
-                        || cx.cache.covers(pending.fresh_since)
+                        || cx.cache.is_current_as_of(pending.fresh_since)
                         || now.monotonic >= pending.deadline
                 }
                 RequestState::Committing { .. } => now.monotonic >= pending.deadline,
@@ -339,7 +343,7 @@
     ) -> Option<Response> {
         let pending = self.pending.get_mut(&id)?;
         let refreshed = matches!(pending.state, RequestState::Refreshing)
-            && cx.cache.covers(pending.fresh_since);
+            && cx.cache.is_current_as_of(pending.fresh_since);
         if !refreshed {
             return Some(retry_later(503, "the state service is slow"));
         }
@@ -347,7 +351,7 @@
         if let Some(response) = final_state(cx.cache, job) {
             return Some(response);
         }
-        let Some(open) = cx.cache.open.get(&job) else {
+        let Some(open) = cx.cache.open_jobs.get(&job) else {
             // A submission conflicts only with a job that the copy then shows.
             return Some(reject(404, "no such job"));
         };
@@ -358,7 +362,7 @@
         let value_bytes = cx.config.state_limits.value_bytes;
         let record = JobRecord::cancelled(&open.job, at_ms, value_bytes);
         let txn = Transaction::default()
-            .when(job_key(job), open.version)
+            .require_version(job_key(job), open.version)
             .put(job_key(job), &record);
         pending.state = RequestState::Committing {
             txn: txn.clone(),
@@ -375,7 +379,7 @@
     record: &JobRecord,
 ) -> Option<Response> {
     // Without a copy the job may be one that was accepted before.
-    if cx.cache.ready()
+    if cx.cache.is_loaded()
         && cx.catalog.is_loaded()
         && let Some(reason) = unschedulable_reason(cx.config, cx.catalog, job)
     {
--- a/src/job_api/responses.rs
+++ b/src/job_api/responses.rs
@@ -22,26 +22,26 @@
         /// The HTTP status.
         status: u16,
         /// What the body says.
-        problem: &'static str,
+        message: &'static str,
         /// When to come back; none if that is of no use.
         retry_after: Option<Duration>,
     },
 }
 
 /// The user is to ask again.
-pub(super) fn retry_later(status: u16, problem: &'static str) -> Response {
+pub(super) fn retry_later(status: u16, message: &'static str) -> Response {
     Response::Problem {
         status,
-        problem,
+        message,
         retry_after: Some(Duration::from_secs(1)),
     }
 }
 
 /// The same request will never do.
-pub(super) fn reject(status: u16, problem: &'static str) -> Response {
+pub(super) fn reject(status: u16, message: &'static str) -> Response {
     Response::Problem {
         status,
-        problem,
+        message,
         retry_after: None,
     }
 }
@@ -59,10 +59,10 @@
 
 /// The state of a job that has ended. It is final, so that any copy will do, however old.
 pub(super) fn final_state(cache: &WatchCache, job: JobId) -> Option<Response> {
-    if !cache.ready() {
+    if !cache.is_loaded() {
         return None;
     }
-    let (outcome, tasks) = cache.ended.get(&job)?;
+    let (outcome, tasks) = cache.ended_jobs.get(&job)?;
     let (state, done) = match outcome {
         JobOutcome::Done => ("done", u64::from(*tasks)),
         JobOutcome::Cancelled => ("cancelled", 0),
@@ -72,7 +72,7 @@
 
 /// The state of a job that has not ended.
 pub(super) fn open_state(cache: &WatchCache, id: JobId, open: &OpenJob) -> Response {
-    let running = cache.placed(id).len() as u64;
+    let running = cache.job_placements(id).len() as u64;
     let status = match (open.cancelled, running) {
         (true, _) => "cancelled",
         (false, 0) => "queued",
--- a/src/leadership/election.rs
+++ b/src/leadership/election.rs
@@ -8,7 +8,7 @@
 
 use super::{Leadership, Tag};
 use crate::domain::{Now, Term, since};
-use crate::store::records::{LEADER, Leader, TOKEN, Token};
+use crate::store::records::{LEADER_KEY, Leader, TOKEN_KEY, TokenCounter};
 use crate::store::{StoreRequest, Transaction, WatchCache};
 
 /// Upper bound of a candidate's random delay in milliseconds, so that candidates do not all start at once.
@@ -33,7 +33,7 @@
     ) {
         if let Some(held) = self.leader.held() {
             requests.extend(self.leader.keep_alive(now));
-            if self.current_term(cache).is_none() && cache.covers(held.renewed_at) {
+            if self.current_term(cache).is_none() && cache.is_current_as_of(held.renewed_at) {
                 // This process holds the lease but not the record: it lost the election, or the outcome is unknown.
                 if self.may_claim_leadership(cache) {
                     requests.push(self.claim_leadership(held.id, held.last_confirmed, cache));
@@ -43,7 +43,7 @@
             }
             return;
         }
-        if !self.leader.is_idle() || !cache.ready() || !self.may_claim_leadership(cache) {
+        if !self.leader.is_idle() || !cache.is_loaded() || !self.may_claim_leadership(cache) {
             self.election_delay = None;
             return;
         }
@@ -83,10 +83,10 @@
         let leader_version = cache.leader.as_ref().map_or(0, |leader| leader.version);
         let token_version = cache.token.as_ref().map_or(0, |token| token.version);
         let transaction = Transaction::default()
-            .when(LEADER, leader_version)
-            .when(TOKEN, token_version)
-            .put_with_lease(LEADER, &record, Some(lease))
-            .put(TOKEN, &Token { last: term });
+            .require_version(LEADER_KEY, leader_version)
+            .require_version(TOKEN_KEY, token_version)
+            .put_with_lease(LEADER_KEY, &record, Some(lease))
+            .put(TOKEN_KEY, &TokenCounter { last: term });
         self.leader.attach_key(lease, last_confirmed, transaction)
     }
 }
--- a/src/operations/mod.rs
+++ b/src/operations/mod.rs
@@ -21,9 +21,11 @@
 use crate::job_api::RequestId;
 use crate::leader_context::LeaderContext;
 use crate::scheduler::draining::{DrainCoordinator, machine_views};
-use crate::store::cache::{values, version_of};
-use crate::store::records::{DRAIN_FORMAT, LEADER, drain_budget_key, drain_key, encode, json_size};
-use crate::store::{StoreRequest, StoreResponse, Transaction, WatchCache, Writer};
+use crate::store::cache::{version_of, without_versions};
+use crate::store::records::{
+    DRAIN_FORMAT, LEADER_KEY, drain_budget_key, drain_key, encode, json_size,
+};
+use crate::store::{StoreRequest, StoreResponse, Transaction, WatchCache, WriterState};
 
 /// More pending requests than this are refused at once.
 const MAX_PENDING_REQUESTS: usize = 32;
@@ -45,9 +47,9 @@
 
 /// Requests that are not answered yet.
 #[derive(Debug)]
-pub struct Operations {
+pub struct OperatorRequests {
     pending: VecDeque<PendingRequest>,
-    writer: Writer,
+    writer: WriterState,
 }
 
 /// What requests are decided on.
@@ -60,18 +62,18 @@
 
 /// What a poll has come to.
 #[derive(Default)]
-pub struct Progress {
+pub struct PollResult {
     /// The replies that are decided.
     pub replies: Vec<(RequestId, Reply)>,
     /// A transaction to send.
-    pub op: Option<StoreRequest>,
+    pub request: Option<StoreRequest>,
 }
 
-impl Default for Operations {
+impl Default for OperatorRequests {
     fn default() -> Self {
-        Operations {
+        OperatorRequests {
             pending: VecDeque::new(),
-            writer: Writer::Idle,
+            writer: WriterState::Idle,
         }
     }
 }
@@ -81,9 +83,9 @@
     Reply::Problem(Problem::new(ProblemKind::Unavailable, message))
 }
 
-impl Operations {
+impl OperatorRequests {
     /// Adds a request. The reply, if there are too many already.
-    pub fn ask(&mut self, now: Now, id: RequestId, request: Request) -> Option<Reply> {
+    pub fn add_request(&mut self, now: Now, id: RequestId, request: Request) -> Option<Reply> {
         if self.pending.len() >= MAX_PENDING_REQUESTS {
             return Some(unavailable("too many requests are waiting"));
         }
@@ -103,11 +105,14 @@
     }
 
     /// Refers all pending requests to the controller that leads, if it is known, as this one does not.
-    pub fn refer(&mut self, leader: Option<(ControllerName, String)>) -> Vec<(RequestId, Reply)> {
-        self.writer = Writer::Idle;
+    pub fn redirect_all(
+        &mut self,
+        leader: Option<(ControllerName, String)>,
+    ) -> Vec<(RequestId, Reply)> {
+        self.writer = WriterState::Idle;
         let reply = |pending: PendingRequest| {
             let reply = match &leader {
-                Some((leader, addr)) => Reply::Elsewhere {
+                Some((leader, addr)) => Reply::NotLeader {
                     leader: leader.clone(),
                     addr: addr.clone(),
                 },
@@ -119,25 +124,25 @@
     }
 
     /// Decides what can be decided, and makes the transaction that the first request with changes needs.
-    pub fn poll(&mut self, now: Now, cx: &Context<'_>, cache: &mut WatchCache) -> Progress {
-        let mut progress = Progress::default();
-        self.answer_overdue(now, &mut progress);
-        self.answer_reads(cx, cache, &mut progress);
+    pub fn poll(&mut self, now: Now, cx: &Context<'_>, cache: &mut WatchCache) -> PollResult {
+        let mut result = PollResult::default();
+        self.answer_overdue(now, &mut result);
+        self.answer_reads(cx, cache, &mut result);
         let Some(pending) = self.pending.iter_mut().find(|p| !p.request.only_reads()) else {
-            return progress;
+            return result;
         };
-        if !cache.covers(pending.asked) {
+        if !cache.is_current_as_of(pending.asked) {
             cache.request_refresh();
-            return progress;
+            return result;
         }
-        if !self.writer.ready(now, cache) {
-            return progress;
+        if !self.writer.can_write(now, cache) {
+            return result;
         }
         match changes(&pending.request, now, cx, cache) {
-            Err(problem) => progress.replies.push((pending.id, Reply::Problem(problem))),
+            Err(problem) => result.replies.push((pending.id, Reply::Problem(problem))),
             Ok(changes) if changes.is_empty() => {
                 let reply = final_reply(pending, cx, cache);
-                progress.replies.push((pending.id, reply));
+                result.replies.push((pending.id, reply));
             }
             Ok(changes) => {
                 info!(request = ?pending.request, "operators' request");
@@ -150,19 +155,19 @@
                         pending.uncordoned.insert(id.clone());
                     }
                 }
-                self.writer.sent();
-                progress.op = Some(StoreRequest::Commit(transaction(
+                self.writer.mark_sent();
+                result.request = Some(StoreRequest::Commit(transaction(
                     cx.leader, cache, &changes,
                 )));
             }
         }
-        let answered: BTreeSet<RequestId> = progress.replies.iter().map(|(id, _)| *id).collect();
+        let answered: BTreeSet<RequestId> = result.replies.iter().map(|(id, _)| *id).collect();
         self.pending
             .retain(|pending| !answered.contains(&pending.id));
-        progress
+        result
     }
 
-    fn answer_overdue(&mut self, now: Now, progress: &mut Progress) {
+    fn answer_overdue(&mut self, now: Now, result: &mut PollResult) {
         self.pending.retain(|pending| {
             let overdue = since(now, pending.asked) >= ANSWER_WITHIN;
             if overdue {
@@ -171,23 +176,23 @@
                 } else {
                     "the state service does not answer"
                 };
-                progress.replies.push((pending.id, unavailable(message)));
+                result.replies.push((pending.id, unavailable(message)));
             }
             !overdue
         });
     }
 
-    fn answer_reads(&mut self, cx: &Context<'_>, cache: &mut WatchCache, progress: &mut Progress) {
+    fn answer_reads(&mut self, cx: &Context<'_>, cache: &mut WatchCache, result: &mut PollResult) {
         let mut fresh_wanted = false;
         self.pending.retain(|pending| {
             if !pending.request.only_reads() {
                 return true;
             }
-            if !cache.covers(pending.asked) {
+            if !cache.is_current_as_of(pending.asked) {
                 fresh_wanted = true;
                 return true;
             }
-            progress
+            result
                 .replies
                 .push((pending.id, read_reply(&pending.request, cx, cache)));
             false
@@ -198,8 +203,8 @@
     }
 
     /// Takes in the outcome of the transaction.
-    pub fn written(&mut self, now: Now, outcome: &StoreResponse) {
-        self.writer.answered(now, outcome);
+    pub fn handle_store_response(&mut self, now: Now, outcome: &StoreResponse) {
+        self.writer.record_response(now, outcome);
     }
 }
 
@@ -227,8 +232,8 @@
     let LeaderContext {
         config, catalog, ..
     } = *cx.leader;
-    let drains = values(&cache.drains);
-    let budgets = values(&cache.drain_budgets);
+    let drains = without_versions(&cache.drains);
+    let budgets = without_versions(&cache.drain_budgets);
     let machines = machine_views(cache, |_| true, |_| false, |_| false);
     let value_bytes = config.state_limits.value_bytes;
     let fits =
@@ -271,7 +276,7 @@
 }
 
 fn transaction(leader: &LeaderContext<'_>, cache: &WatchCache, changes: &[Change]) -> Transaction {
-    let mut txn = Transaction::default().when(LEADER, leader.record_version);
+    let mut txn = Transaction::default().require_version(LEADER_KEY, leader.record_version);
     for change in changes {
         let (key, version) = match change {
             Change::PutDrain(id, _) | Change::DeleteDrain(id) => {
@@ -282,7 +287,7 @@
                 version_of(cache.drain_budgets.get(team)),
             ),
         };
-        txn = txn.when(key.clone(), version);
+        txn = txn.require_version(key.clone(), version);
         txn = match change {
             Change::PutDrain(_, record) => txn.put(key, record),
             Change::PutBudget(_, budget) => txn.put(key, budget),
@@ -302,7 +307,7 @@
             return_machines,
             step,
         } => {
-            let drains = values(&cache.drains);
+            let drains = without_versions(&cache.drains);
             let asked_ms = 0;
             let scope = scope.clone();
             let record = DrainRecord::requested(scope, *purpose, *return_machines, *step, asked_ms);
@@ -348,11 +353,11 @@
     let budgets = draining.budgets(cache);
     let mut statuses = Vec::new();
     for team in cx.leader.config.teams.iter().map(|team| &team.name) {
-        let limit = budgets.of_team(team);
+        let limit = budgets.team_limit(team);
         let stated = |by: &BTreeMap<Team, TeamBudget>| {
             by.get(team).is_some_and(|budget| budget.limit.is_some())
         };
-        let count = draining.disruptions().of_team(team);
+        let count = draining.disruptions().team_count(team);
         let status =
             |class: Option<String>,
              limit: Limit,
@@ -362,7 +367,7 @@
                 class,
                 limit,
                 source: source.to_owned(),
-                allowed: limit.of(count.tasks),
+                allowed: limit.resolve(count.tasks),
                 disrupted: count.disrupted,
                 tasks: count.tasks,
             };
@@ -379,12 +384,12 @@
         };
         let requested = of(&budgets.requested);
         for class in requested.union(&of(&budgets.settings)) {
-            let Some(limit) = budgets.of_class(team, class) else {
+            let Some(limit) = budgets.class_limit(team, class) else {
                 continue;
             };
             let count = draining
                 .disruptions()
-                .of_class(team, &class.as_str().into());
+                .class_count(team, &class.as_str().into());
             let source = source(requested.contains(class), true);
             statuses.push(status(Some(class.clone()), limit, source, count));
         }
--- a/src/provisioning/machine_observations.rs
+++ b/src/provisioning/machine_observations.rs
@@ -156,11 +156,11 @@
         cache: &WatchCache,
         proven_ended: impl Fn(&BlockId, &Attempt) -> bool,
     ) {
-        for (id, open) in cache.open.iter().filter(|(_, open)| open.cancelled) {
+        for (id, open) in cache.open_jobs.iter().filter(|(_, open)| open.cancelled) {
             if !cancellation::is_machine_deletion_due(now, config, open.cancelled_ms) {
                 continue;
             }
-            for ((index, number), placement) in cache.placed(*id) {
+            for ((index, number), placement) in cache.job_placements(*id) {
                 let attempt = Attempt {
                     task: TaskId {
                         job: *id,
@@ -259,7 +259,7 @@
     let block = cache.machines.get(id).map(|machine| &machine.block);
     block
         .and_then(|block| cache.placements.get(block))
-        .is_some_and(|placements| placements.value.on.contains_key(id))
+        .is_some_and(|placements| placements.value.attempts_by_machine.contains_key(id))
 }
 
 /// Returns the zones that are more likely isolated than failed: most of their machines are unusable, but this does not
--- a/src/provisioning/scaling_round.rs
+++ b/src/provisioning/scaling_round.rs
@@ -99,7 +99,9 @@
             now, leader, cache, ..
         } = context;
         let too_early = |at| since(now, at) < leader.policy.scaling_interval;
-        if !cache.covers(self.term_started_at) || self.last_scaling_round.is_some_and(too_early) {
+        if !cache.is_current_as_of(self.term_started_at)
+            || self.last_scaling_round.is_some_and(too_early)
+        {
             return None;
         }
         self.last_scaling_round = Some(now.monotonic);
@@ -126,7 +128,9 @@
                 .and_then(|shortage| self.request_scale_out(context, instance_type, shortage))
             {
                 let key = pending_rental_key(&instance_type.name);
-                txn = txn.when(key.clone(), 0).put(key, &pending_rental);
+                txn = txn
+                    .require_version(key.clone(), 0)
+                    .put(key, &pending_rental);
                 scale_out_requested = true;
             }
         }
--- a/src/provisioning/tests.rs
+++ b/src/provisioning/tests.rs
@@ -12,8 +12,8 @@
 use crate::placement::tests::job;
 use crate::policy::Policy;
 use crate::store::records::{
-    BlockPlacements, FORMAT, FORMAT_KEY, FormatSwitch, InventoryEntry, JobRecord, MachineInventory,
-    PendingRental, encode, inventory_key, job_key, json_size, placements_key,
+    BlockPlacements, FORMAT_KEY, FormatSwitch, InventoryEntry, JobRecord, MachineInventory,
+    NEWEST_FORMAT, PendingRental, encode, inventory_key, job_key, json_size, placements_key,
 };
 use crate::store::{Change, TransactionChange};
 
@@ -64,7 +64,7 @@
 impl Records {
     fn new() -> Self {
         Records {
-            cache: WatchCache::following(),
+            cache: WatchCache::loaded_for_tests(),
             version: 0,
         }
     }
@@ -94,7 +94,7 @@
     let block = block_leases::block_id(&"a".into(), 0);
     let inventory = MachineInventory {
         zone: "a".into(),
-        on: ["m-1", "m-2"]
+        machines: ["m-1", "m-2"]
             .map(|id| (id.into(), entry(CapacityType::Spot, 0)))
             .into(),
     };
@@ -144,7 +144,7 @@
         "its holder may still prove the task ended"
     );
     assert_eq!(
-        failed_machines(config.cancel_within - cancellation::DELETION_MARGIN),
+        failed_machines(config.cancellation_timeout - cancellation::DELETION_MARGIN),
         ["m-1"]
     );
 }
@@ -167,7 +167,7 @@
             };
             let inventory = MachineInventory {
                 zone: zone.into(),
-                on: (0..6).map(machine).collect(),
+                machines: (0..6).map(machine).collect(),
             };
             let key = inventory_key(&block_leases::block_id(&zone.into(), 0));
             records.set(key, Some(encode(&inventory)));
@@ -292,7 +292,7 @@
 fn an_unavailable_capacity_type_does_not_block_requests_for_the_other() {
     let fixture = LeaderFixture::new(config());
     let now = Now::read();
-    let cache = WatchCache::following();
+    let cache = WatchCache::loaded_for_tests();
     let leader = fixture.leader(16);
     let name = instance_type().name;
     let machines = [
@@ -354,7 +354,7 @@
     };
     let inventory = MachineInventory {
         zone: "a".into(),
-        on: (0..600).map(machine).collect(),
+        machines: (0..600).map(machine).collect(),
     };
     records.set(inventory_key(&block), Some(encode(&inventory)));
     let next_division = |cache: &WatchCache| {
@@ -365,7 +365,9 @@
         None,
         "no division before the format is enabled"
     );
-    let switch = FormatSwitch { version: FORMAT };
+    let switch = FormatSwitch {
+        version: NEWEST_FORMAT,
+    };
     records.set(FORMAT_KEY.to_owned(), Some(encode(&switch)));
     let mut steps = 0;
     while let Some(txn) = next_division(&records.cache) {
--- a/src/scheduler/completion_compaction.rs
+++ b/src/scheduler/completion_compaction.rs
@@ -10,7 +10,9 @@
 
 use crate::config::Config;
 use crate::domain::JobId;
-use crate::store::records::{BlockPlacements, CHUNK, PARTS_FORMAT, Progress, Ranges, progress_key};
+use crate::store::records::{
+    BlockPlacements, PARTS_FORMAT, Progress, TASKS_PER_PROGRESS_CHUNK, TaskRanges, progress_key,
+};
 use crate::store::{Transaction, WatchCache};
 
 /// Finished tasks of a block are compacted when the worst-case size of its value exceeds this part of the size limit
@@ -41,7 +43,7 @@
         .filter(|placements| placements.value.worst_case_size() as f64 > limit * NEARLY_FULL_RATIO)
     {
         let mut remaining = placements.value.clone();
-        cache.forget_recorded_ends(&mut remaining);
+        cache.remove_recorded_tasks(&mut remaining);
         if (remaining.done_size() as f64) < limit * min_finished_ratio {
             continue;
         }
@@ -58,14 +60,17 @@
 /// The chunks of progress that a block's finished tasks belong to. Jobs whose finished tasks take the most space come
 /// first, since compacting them frees the most.
 fn chunks_by_finished_size(placements: &BlockPlacements) -> Vec<(JobId, u32)> {
-    let mut finished_by_job: Vec<(&JobId, &Ranges)> = placements.done.iter().collect();
+    let mut finished_by_job: Vec<(&JobId, &TaskRanges)> = placements.done.iter().collect();
     finished_by_job.sort_by_key(|(_, done)| Reverse(done.size()));
     let mut chunks = Vec::new();
     for (job, done) in finished_by_job {
         let job_chunks: BTreeSet<u32> = done
             .0
             .iter()
-            .flat_map(|range| (range.start() / CHUNK)..=(range.end() / CHUNK))
+            .flat_map(|range| {
+                (range.start() / TASKS_PER_PROGRESS_CHUNK)
+                    ..=(range.end() / TASKS_PER_PROGRESS_CHUNK)
+            })
             .collect();
         chunks.extend(job_chunks.into_iter().map(|chunk| (*job, chunk)));
     }
@@ -74,10 +79,13 @@
 
 /// Adds the progress record of a chunk with all its finished tasks, whichever blocks they finished in.
 fn compact_chunk(cache: &WatchCache, txn: Transaction, job: JobId, chunk: u32) -> Transaction {
-    let Some(open) = cache.open.get(&job) else {
+    let Some(open) = cache.open_jobs.get(&job) else {
         return txn;
     };
-    let (first, last) = (chunk * CHUNK, chunk * CHUNK + CHUNK - 1);
+    let (first, last) = (
+        chunk * TASKS_PER_PROGRESS_CHUNK,
+        chunk * TASKS_PER_PROGRESS_CHUNK + TASKS_PER_PROGRESS_CHUNK - 1,
+    );
     let mut progress = Progress::default();
     for range in open.done.0.overlapping(&(first..=last)) {
         progress
@@ -91,7 +99,7 @@
     if recorded || txn.conditions.iter().any(|(known, _)| *known == key) {
         return txn;
     }
-    txn.when(key.clone(), old.map_or(0, |old| old.version))
+    txn.require_version(key.clone(), old.map_or(0, |old| old.version))
         .put(key, &progress)
 }
 
--- a/src/scheduler/completion_compaction/tests.rs
+++ b/src/scheduler/completion_compaction/tests.rs
@@ -21,7 +21,7 @@
     fn new(running_ratio: f64, finished: impl IntoIterator<Item = u32>) -> Self {
         let config = Config::parse("s.toml", SETTINGS).expect("the sample settings are valid");
         let mut block = BlockFixture {
-            cache: WatchCache::following(),
+            cache: WatchCache::loaded_for_tests(),
             version: 0,
             config,
         };
@@ -103,7 +103,7 @@
     for chunk in 0..2 {
         let mut progress = Progress::default();
         even_indexes(300)
-            .filter(|index| index / CHUNK == chunk)
+            .filter(|index| index / TASKS_PER_PROGRESS_CHUNK == chunk)
             .for_each(|index| progress.done.insert(index));
         block.put(progress_key(JOB, chunk), encode(&progress));
     }
--- a/src/scheduler/demand.rs
+++ b/src/scheduler/demand.rs
@@ -43,7 +43,7 @@
     ) -> Option<SpotEligibleTask<'v>> {
         self.usage.add(&open.job);
         let instance_type = leader.catalog.get(&machine.type_name)?;
-        let share = 1.0 / f64::from(instance_type.resources().count_of(&open.job.need).max(1));
+        let share = 1.0 / f64::from(instance_type.resources().max_tasks(&open.job.need).max(1));
         let pool = MachinePool::new(machine.type_name.clone(), machine.capacity_type);
         if !is_best_effort(leader.config, &open.job) {
             *self.guaranteed_demand.entry(pool.clone()).or_default() += share;
@@ -70,7 +70,7 @@
             load.demand.occupied.insert(live.id.clone());
             for open in live
                 .attempts()
-                .filter_map(|attempt| cache.open.get(&attempt.task.job))
+                .filter_map(|attempt| cache.open_jobs.get(&attempt.task.job))
             {
                 spot_eligible_tasks.extend(load.count(capacity.leader, live.machine, open));
             }
@@ -81,7 +81,7 @@
             .flat_map(|block_state| block_state.releases.values())
         {
             load.demand.occupied.insert(release.machine.clone());
-            let Some(open) = cache.open.get(&release.attempt.task.job) else {
+            let Some(open) = cache.open_jobs.get(&release.attempt.task.job) else {
                 continue;
             };
             match cache.machines.get(&release.machine) {
--- a/src/scheduler/draining/fleet_view.rs
+++ b/src/scheduler/draining/fleet_view.rs
@@ -3,8 +3,8 @@
 use std::collections::{BTreeMap, HashSet};
 use std::time::Duration;
 
-use dappleshore_drain::planner::{NoRoom, Reservation};
-use dappleshore_drain::{Fleet, JobFacts, MachineView, Subject};
+use dappleshore_drain::planner::{NoCapacity, Reservation};
+use dappleshore_drain::{EvictionTarget, Fleet, JobView, MachineView};
 
 use super::super::capacity_view::CapacityView;
 use super::super::gangs::find_gang_capacity;
@@ -14,7 +14,7 @@
 use crate::domain::{Attempt, Job, JobId, JobKind, MachineId, TaskId, Zone};
 use crate::store::WatchCache;
 use crate::store::cache::OpenJob;
-use crate::store::records::Ranges;
+use crate::store::records::TaskRanges;
 
 /// The fleet and the free capacity of the current plan, as the drain planner accesses them.
 pub(super) struct FleetView<'a, 'v> {
@@ -32,7 +32,10 @@
 impl FleetView<'_, '_> {
     /// Returns the job if it is open and not cancelled.
     fn open_job(&self, job: JobId) -> Option<&OpenJob> {
-        self.cache.open.get(&job).filter(|open| !open.cancelled)
+        self.cache
+            .open_jobs
+            .get(&job)
+            .filter(|open| !open.cancelled)
     }
 
     /// Counts the job's other tasks by zone: placed, released, or with reserved capacity.
@@ -41,9 +44,9 @@
     }
 
     /// Reserves capacity for one task.
-    fn reserve_task(&mut self, task: TaskId) -> Result<Vec<Reservation>, NoRoom> {
-        let Some(open) = self.cache.open.get(&task.job) else {
-            return Err(NoRoom::Anywhere);
+    fn reserve_task(&mut self, task: TaskId) -> Result<Vec<Reservation>, NoCapacity> {
+        let Some(open) = self.cache.open_jobs.get(&task.job) else {
+            return Err(NoCapacity::NoAllowedPlacement);
         };
         let tasks_per_zone = self.other_tasks_per_zone(task);
         match self
@@ -53,7 +56,7 @@
             Some(machine) => Ok(vec![Reservation { task, machine }]),
             None => {
                 let reason = shortage_reason(self.capacity, &open.job, &tasks_per_zone);
-                if reason == NoRoom::Yet {
+                if reason == NoCapacity::NotYet {
                     self.unplaced.push(task);
                 }
                 Err(reason)
@@ -62,9 +65,9 @@
     }
 
     /// Reserves capacity for all tasks of a gang, or for none.
-    fn reserve_gang(&mut self, id: JobId) -> Result<Vec<Reservation>, NoRoom> {
-        let Some(open) = self.cache.open.get(&id) else {
-            return Err(NoRoom::Anywhere);
+    fn reserve_gang(&mut self, id: JobId) -> Result<Vec<Reservation>, NoCapacity> {
+        let Some(open) = self.cache.open_jobs.get(&id) else {
+            return Err(NoCapacity::NoAllowedPlacement);
         };
         let waiting_job = unplaced_waiting_job(id, open);
         let block_of = |machine: &MachineId| Some(self.cache.machines.get(machine)?.block.clone());
@@ -76,13 +79,15 @@
             block_of,
         );
         if !gang_capacity.is_complete {
-            if shortage_reason(self.capacity, &open.job, &BTreeMap::new()) == NoRoom::Anywhere {
-                return Err(NoRoom::Anywhere);
+            if shortage_reason(self.capacity, &open.job, &BTreeMap::new())
+                == NoCapacity::NoAllowedPlacement
+            {
+                return Err(NoCapacity::NoAllowedPlacement);
             }
             let unplaced = gang_capacity.candidate_indexes.len() as u32..open.job.tasks;
             self.unplaced
                 .extend(unplaced.map(|index| TaskId { job: id, index }));
-            return Err(NoRoom::Yet);
+            return Err(NoCapacity::NotYet);
         }
         let mut reservations = Vec::new();
         for (index, candidate_index) in (0..).zip(gang_capacity.candidate_indexes) {
@@ -102,7 +107,7 @@
     capacity: &CapacityView<'_>,
     job: &Job,
     tasks_per_zone: &BTreeMap<Zone, u32>,
-) -> NoRoom {
+) -> NoCapacity {
     let can_rent = |instance_type: &InstanceType, zone: &Zone| {
         job.allows_zone(zone)
             && allows_task_in_zone(job, tasks_per_zone, zone)
@@ -110,16 +115,16 @@
     };
     let obtainable = capacity.leader.catalog.all().any(|instance_type| {
         let fits = job.allows_type(&instance_type.name)
-            && instance_type.resources().count_of(&job.need) > 0;
+            && instance_type.resources().max_tasks(&job.need) > 0;
         fits && instance_type
             .zones
             .iter()
             .any(|zone| can_rent(instance_type, zone))
     });
     if obtainable {
-        NoRoom::Yet
+        NoCapacity::NotYet
     } else {
-        NoRoom::Anywhere
+        NoCapacity::NoAllowedPlacement
     }
 }
 
@@ -129,7 +134,7 @@
         id,
         open,
         pending_tasks: u64::from(open.job.tasks),
-        assigned_tasks: Ranges::default(),
+        assigned_tasks: TaskRanges::default(),
         tasks_per_zone: BTreeMap::new(),
         first_task_overdue: false,
         waited: Duration::ZERO,
@@ -142,10 +147,10 @@
         &self.machines
     }
 
-    fn job(&self, job: JobId) -> Option<JobFacts> {
+    fn job(&self, job: JobId) -> Option<JobView> {
         let open = self.open_job(job)?;
         let is_gang = open.job.kind == JobKind::Gang;
-        Some(JobFacts {
+        Some(JobView {
             team: open.job.team.clone(),
             class: open.job.class.clone(),
             gang_tasks: is_gang.then_some(open.job.tasks),
@@ -163,7 +168,7 @@
             .collect()
     }
 
-    fn runs(&self, attempt: &Attempt) -> bool {
+    fn is_running(&self, attempt: &Attempt) -> bool {
         self.running.contains(&attempt.number)
     }
 
@@ -175,15 +180,15 @@
         self.scheduler.failures.keeps_failing(job)
     }
 
-    fn lacks_room(&self, task: TaskId) -> Option<NoRoom> {
+    fn missing_capacity(&self, task: TaskId) -> Option<NoCapacity> {
         let draining = self.scheduler.draining.as_ref()?;
         draining.without_capacity.get(&task).copied()
     }
 
-    fn reserve(&mut self, subject: &Subject) -> Result<Vec<Reservation>, NoRoom> {
-        match subject {
-            Subject::Task(attempt) => self.reserve_task(attempt.task),
-            Subject::Gang { job, .. } => self.reserve_gang(*job),
+    fn reserve(&mut self, target: &EvictionTarget) -> Result<Vec<Reservation>, NoCapacity> {
+        match target {
+            EvictionTarget::Task(attempt) => self.reserve_task(attempt.task),
+            EvictionTarget::Gang { job, .. } => self.reserve_gang(*job),
         }
     }
 }
@@ -194,7 +199,7 @@
     task: TaskId,
 ) -> impl Iterator<Item = (Attempt, &MachineId)> {
     cache
-        .placed(task.job)
+        .job_placements(task.job)
         .range((task.index, 0)..=(task.index, u64::MAX))
         .filter(|(_, placement)| cache.machines.contains_key(&placement.machine))
         .map(move |((_, number), placement)| {
--- a/src/scheduler/draining/mod.rs
+++ b/src/scheduler/draining/mod.rs
@@ -13,7 +13,7 @@
 
 use dappleshore_drain::disruption::Disruptions;
 use dappleshore_drain::planner::{
-    Bounds, Event, NoRoom, Progress, Records, Reservation, ServiceState,
+    DrainProgress, Event, NoCapacity, PlannerLimits, Records, Reservation, ServiceState,
 };
 use dappleshore_drain::settings::TeamSettings;
 use dappleshore_drain::{
@@ -29,9 +29,11 @@
 use crate::domain::{Attempt, BlockId, Job, JobKind, MachineId, Now, TaskId, Team, Zone, since};
 use crate::leader_context::LeaderContext;
 use crate::provisioning::Provisioner;
-use crate::store::cache::{values, version_of};
-use crate::store::records::{LEADER, MachineState, drain_budget_key, drain_key, drain_ledger_key};
-use crate::store::{StoreRequest, StoreResponse, Transaction, Versioned, WatchCache, Writer};
+use crate::store::cache::{version_of, without_versions};
+use crate::store::records::{
+    LEADER_KEY, MachineState, drain_budget_key, drain_key, drain_ledger_key,
+};
+use crate::store::{StoreRequest, StoreResponse, Transaction, Versioned, WatchCache, WriterState};
 
 /// The maximum encoded size of one ledger entry.
 const MAX_LEDGER_ENTRY_BYTES: usize = 192;
@@ -43,13 +45,13 @@
 pub struct DrainCoordinator {
     settings: DrainSettings,
     planner: Planner,
-    writer: Writer,
+    writer: WriterState,
     /// The machines with capacity reserved for the replacements of evicted tasks.
     reservations: BTreeMap<TaskId, MachineId>,
     /// Tasks whose eviction is in a transaction that is not confirmed yet.
     unconfirmed_evictions: BTreeSet<TaskId>,
     /// Evicted tasks without capacity for a replacement, and the reason.
-    without_capacity: BTreeMap<TaskId, NoRoom>,
+    without_capacity: BTreeMap<TaskId, NoCapacity>,
     /// The effects that the latest planner run returned, to be recorded.
     planned_effects: Vec<Effect>,
     /// When ledgers were last written, or losses last cleaned up without any drain.
@@ -64,7 +66,7 @@
         DrainCoordinator {
             settings,
             planner: Planner::default(),
-            writer: Writer::Unconfirmed {
+            writer: WriterState::Unconfirmed {
                 since: now.monotonic,
             },
             reservations: BTreeMap::new(),
@@ -82,7 +84,7 @@
     }
 
     /// Returns the progress of each drain.
-    pub fn progress(&self) -> &BTreeMap<DrainId, Progress> {
+    pub fn progress(&self) -> &BTreeMap<DrainId, DrainProgress> {
         self.planner.progress()
     }
 
@@ -116,7 +118,7 @@
         }
         let budgets = self.budgets(cache);
         for (team, count) in self.disruptions().teams() {
-            let allowed = budgets.of_team(team).of(count.tasks);
+            let allowed = budgets.team_limit(team).resolve(count.tasks);
             let disrupted = count.disrupted as f64;
             gauges.insert(format!("drain_disrupted{{team=\"{team}\"}}"), disrupted);
             gauges.insert(format!("drain_budget{{team=\"{team}\"}}"), allowed as f64);
@@ -140,7 +142,7 @@
         leader: &LeaderContext<'_>,
         cache: &WatchCache,
     ) -> Option<Transaction> {
-        let mut txn = Transaction::default().when(LEADER, leader.record_version);
+        let mut txn = Transaction::default().require_version(LEADER_KEY, leader.record_version);
         let mut evicting_drains: BTreeSet<&DrainId> = BTreeSet::new();
         let max_changes = leader.max_changes.max(1);
         let upkeep_due = self
@@ -159,10 +161,12 @@
                     }
                     evicting_drains.extend(added.iter().map(|eviction| &eviction.drain));
                     let key = drain_ledger_key(team);
-                    txn = txn.when(key.clone(), version_of(stored)).when(
-                        drain_budget_key(team),
-                        version_of(cache.drain_budgets.get(team)),
-                    );
+                    txn = txn
+                        .require_version(key.clone(), version_of(stored))
+                        .require_version(
+                            drain_budget_key(team),
+                            version_of(cache.drain_budgets.get(team)),
+                        );
                     // Empty ledgers are not deleted: after a deletion, a transaction prepared before the ledger was
                     // created could still commit, and spend budget that has been spent since.
                     txn = txn.put(key, ledger);
@@ -171,7 +175,7 @@
                     let key = drain_key(id);
                     evicting_drains.remove(id);
                     txn = txn
-                        .when(key.clone(), version_of(cache.drains.get(id)))
+                        .require_version(key.clone(), version_of(cache.drains.get(id)))
                         .put(key, record);
                 }
                 Effect::Cordon(_)
@@ -184,7 +188,7 @@
         for id in evicting_drains {
             let key = drain_key(id);
             if !txn.conditions.iter().any(|(known, _)| *known == key) {
-                txn = txn.when(key, version_of(cache.drains.get(id)));
+                txn = txn.require_version(key, version_of(cache.drains.get(id)));
             }
         }
         (!txn.changes.is_empty()).then_some(txn)
@@ -196,9 +200,9 @@
             match effect {
                 Effect::WriteLedger { team, ledger } => {
                     for eviction in new_evictions(cache.drain_ledgers.get(team), ledger) {
-                        let job = eviction.subject.job();
+                        let job = eviction.target.job();
                         let checkpoint_possible = cache
-                            .open
+                            .open_jobs
                             .get(&job)
                             .is_some_and(|open| can_checkpoint(&open.job));
                         let checkpoint = if checkpoint_possible {
@@ -206,7 +210,7 @@
                         } else {
                             "not available"
                         };
-                        info!(drain = %eviction.drain, %team, %job, subject = ?eviction.subject, machine = %eviction.machine, checkpoint, "recording eviction");
+                        info!(drain = %eviction.drain, %team, %job, evicted = ?eviction.target, machine = %eviction.machine, checkpoint, "recording eviction");
                     }
                 }
                 Effect::WriteRecord { id, record } => {
@@ -246,7 +250,7 @@
     Budgets {
         default: settings.budget,
         settings: settings.teams.iter().map(team_budget).collect(),
-        requested: values(&cache.drain_budgets),
+        requested: without_versions(&cache.drain_budgets),
     }
 }
 
@@ -254,8 +258,8 @@
 pub fn machine_views(
     cache: &WatchCache,
     usable: impl Fn(&MachineId) -> bool,
-    given_up: impl Fn(&MachineId) -> bool,
-    expects_tasks: impl Fn(&MachineId) -> bool,
+    failed: impl Fn(&MachineId) -> bool,
+    has_pending_releases: impl Fn(&MachineId) -> bool,
 ) -> Vec<MachineView> {
     let mut machines: BTreeMap<&MachineId, MachineView> = BTreeMap::new();
     for (id, machine) in &cache.machines {
@@ -271,9 +275,9 @@
             zone: machine.zone.clone(),
             state,
             usable: usable(id),
-            given_up: given_up(id),
+            failed: failed(id),
             tasks: Vec::new(),
-            expects_tasks: expects_tasks(id),
+            has_pending_releases: has_pending_releases(id),
         };
         machines.insert(id, view);
     }
@@ -307,7 +311,7 @@
             return;
         }
         if let Some(draining) = &mut self.draining {
-            let event = Event::<FleetView<'_, '_>>::Lost(attempt);
+            let event = Event::<FleetView<'_, '_>>::AttemptLost(attempt);
             draining.planner.handle(now, event);
         }
     }
@@ -321,7 +325,7 @@
     /// Counts the job's other tasks by zone: placed, released, or with reserved capacity.
     fn other_tasks_per_zone(&self, cache: &WatchCache, task: TaskId) -> BTreeMap<Zone, u32> {
         let mut tasks_per_zone: BTreeMap<Zone, u32> = BTreeMap::new();
-        let placements = cache.placed(task.job).iter();
+        let placements = cache.job_placements(task.job).iter();
         let others = placements.filter(|((index, _), _)| *index != task.index);
         for machine in others.filter_map(|(_, placement)| cache.machines.get(&placement.machine)) {
             *tasks_per_zone.entry(machine.zone.clone()).or_default() += 1;
@@ -378,8 +382,8 @@
             }
             return;
         }
-        let drains: BTreeMap<DrainId, DrainRecord> = values(&cache.drains);
-        let ledgers: BTreeMap<Team, Ledger> = values(&cache.drain_ledgers);
+        let drains: BTreeMap<DrainId, DrainRecord> = without_versions(&cache.drains);
+        let ledgers: BTreeMap<Team, Ledger> = without_versions(&cache.drain_ledgers);
         self.stop_evicted_attempts(capacity.now, cache, &ledgers);
         self.replace_evicted_tasks(capacity, cache, plan, &ledgers);
         self.run_planner(capacity, cache, plan, &drains, &ledgers);
@@ -418,12 +422,12 @@
         let running = self.running_attempts(capacity.now, cache, &usable);
         let leader = capacity.leader;
         let limits = &leader.config.state_limits;
-        let bounds = Bounds {
+        let planner_limits = PlannerLimits {
             step: settings.step,
-            room_timeout: settings.room_timeout_s.duration(),
+            capacity_timeout: settings.room_timeout_s.duration(),
             replacement_timeout: settings.replacement_timeout_s.duration(),
-            ledger_entries: (limits.value_bytes / MAX_LEDGER_ENTRY_BYTES).max(1),
-            ledgers_at_once: (leader.max_changes / 2).max(1),
+            max_ledger_entries: (limits.value_bytes / MAX_LEDGER_ENTRY_BYTES).max(1),
+            max_ledgers_per_transaction: (leader.max_changes / 2).max(1),
         };
         // Capacity that the planner reserves lasts for this plan only; the returned effects hold the reservations.
         let mut fleet = FleetView {
@@ -441,7 +445,7 @@
                 ledgers,
                 budgets: &budgets,
             },
-            bounds,
+            limits: planner_limits,
             fleet: &mut fleet,
         };
         let planned_effects = planner.handle(capacity.now, event);
@@ -505,7 +509,7 @@
             return;
         };
         let mut watched_by_block: HashMap<&BlockId, Vec<u64>> = HashMap::new();
-        for task in draining.planner.watched(ledgers) {
+        for task in draining.planner.tasks_to_observe(ledgers) {
             for (attempt, machine) in placed_attempts(cache, task) {
                 if let Some(machine) = cache.machines.get(machine) {
                     let of_block = watched_by_block.entry(&machine.block).or_default();
@@ -530,7 +534,7 @@
         cache: &mut WatchCache,
     ) -> Option<StoreRequest> {
         let draining = self.draining.as_mut()?;
-        if !draining.writer.ready(now, cache) {
+        if !draining.writer.can_write(now, cache) {
             return None;
         }
         draining.unconfirmed_evictions.clear();
@@ -550,14 +554,14 @@
                 _ => {}
             }
         }
-        draining.writer.sent();
+        draining.writer.mark_sent();
         Some(StoreRequest::Commit(txn))
     }
 
     /// Handles the response to the drain transaction.
     pub fn handle_drain_store_response(&mut self, now: Now, outcome: &StoreResponse) {
         if let Some(draining) = &mut self.draining {
-            draining.writer.answered(now, outcome);
+            draining.writer.record_response(now, outcome);
         }
     }
 }
@@ -575,12 +579,12 @@
             return;
         }
         self.last_upkeep = Some(now.monotonic);
-        let is_wanted = |task: TaskId| {
-            let open = cache.open.get(&task.job);
+        let is_needed = |task: TaskId| {
+            let open = cache.open_jobs.get(&task.job);
             open.is_some_and(|open| !open.cancelled && !open.done.contains(task.index))
         };
-        let event: Event<'_, FleetView<'_, '_>> = Event::Idle {
-            is_wanted: &is_wanted,
+        let event: Event<'_, FleetView<'_, '_>> = Event::NoActiveDrains {
+            is_needed: &is_needed,
         };
         self.planner.handle(now, event);
     }
--- a/src/scheduler/draining/replacement.rs
+++ b/src/scheduler/draining/replacement.rs
@@ -3,8 +3,8 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use dappleshore_drain::planner::NoRoom;
-use dappleshore_drain::{Ledger, Subject};
+use dappleshore_drain::planner::NoCapacity;
+use dappleshore_drain::{EvictionTarget, Ledger};
 use tracing::info;
 
 use super::super::capacity_view::CapacityView;
@@ -49,7 +49,7 @@
         need: &Resources,
     ) {
         let candidate = &mut self.candidates[candidate_index];
-        candidate.free.take(need);
+        candidate.free.subtract(need);
         let block = cache.machines.get(&candidate.machine).map(|m| &m.block);
         if let Some(slots) = block.and_then(|block| self.block_slots.get_mut(block)) {
             *slots = slots.saturating_sub(1);
@@ -73,12 +73,12 @@
         cache: &WatchCache,
         ledgers: &BTreeMap<Team, Ledger>,
     ) {
-        let subjects = ledgers.values().flat_map(|ledger| &ledger.evictions);
-        for subject in subjects.map(|eviction| eviction.subject) {
-            for ((index, number), placement) in cache.placed(subject.job()) {
+        let targets = ledgers.values().flat_map(|ledger| &ledger.evictions);
+        for target in targets.map(|eviction| eviction.target) {
+            for ((index, number), placement) in cache.job_placements(target.job()) {
                 let attempt = Attempt {
                     task: TaskId {
-                        job: subject.job(),
+                        job: target.job(),
                         index: *index,
                     },
                     number: *number,
@@ -86,7 +86,7 @@
                 let Some(block_state) = self.block_states.get_mut(&placement.block) else {
                     continue;
                 };
-                if subject.covers(&attempt) && !block_state.stop_requests.contains_key(&attempt) {
+                if target.includes(&attempt) && !block_state.stop_requests.contains_key(&attempt) {
                     block_state.stop_requests.insert(attempt, now.monotonic);
                     block_state.update_pending = true;
                 }
@@ -106,36 +106,39 @@
         let Some(draining) = &mut self.draining else {
             return;
         };
-        let outstanding: Vec<Subject> = draining
+        let outstanding: Vec<EvictionTarget> = draining
             .planner
             .outstanding(ledgers)
             .into_iter()
-            .map(|eviction| eviction.subject)
+            .map(|eviction| eviction.target)
             .collect();
-        let evicted_tasks: BTreeSet<TaskId> = outstanding.iter().flat_map(Subject::tasks).collect();
+        let evicted_tasks: BTreeSet<TaskId> =
+            outstanding.iter().flat_map(EvictionTarget::tasks).collect();
         let unconfirmed_evictions = &draining.unconfirmed_evictions;
         draining
             .reservations
             .retain(|task, _| evicted_tasks.contains(task) || unconfirmed_evictions.contains(task));
         draining.without_capacity.clear();
-        for subject in outstanding {
+        for target in outstanding {
             let Some(open) = cache
-                .open
-                .get(&subject.job())
+                .open_jobs
+                .get(&target.job())
                 .filter(|open| !open.cancelled)
             else {
                 continue;
             };
-            match subject {
-                Subject::Task(attempt) => {
+            match target {
+                EvictionTarget::Task(attempt) => {
                     self.replace_task(capacity, cache, plan, open, attempt);
                 }
-                Subject::Gang { job, .. } => self.replace_gang(capacity, cache, plan, open, job),
+                EvictionTarget::Gang { job, .. } => {
+                    self.replace_gang(capacity, cache, plan, open, job)
+                }
             }
         }
         self.reserve_for_unconfirmed_evictions(cache, plan);
         let without_capacity = self.draining.iter().flat_map(|d| &d.without_capacity);
-        let unplaced = without_capacity.filter(|(_, reason)| **reason == NoRoom::Yet);
+        let unplaced = without_capacity.filter(|(_, reason)| **reason == NoCapacity::NotYet);
         for (task, _) in unplaced {
             add_unplaced_demand(
                 capacity,
@@ -153,7 +156,7 @@
             return;
         };
         for task in &draining.unconfirmed_evictions {
-            let open = cache.open.get(&task.job);
+            let open = cache.open_jobs.get(&task.job);
             let machine = draining.reservations.get(task);
             if let (Some(open), Some(machine)) = (open, machine)
                 && let Some(candidate_index) = plan.find_candidate_with_capacity(machine, &open.job)
@@ -337,7 +340,7 @@
     task: TaskId,
     tasks_per_zone: &BTreeMap<Zone, u32>,
 ) {
-    let Some(open) = cache.open.get(&task.job) else {
+    let Some(open) = cache.open_jobs.get(&task.job) else {
         return;
     };
     let waiting_job = WaitingJob {
--- a/src/scheduler/mod.rs
+++ b/src/scheduler/mod.rs
@@ -34,8 +34,8 @@
 use crate::peer::{BlockStatus, MachineStatus};
 use crate::placement::Candidate;
 use crate::provisioning::{Demand, MachineHealth, MachinePool, Provisioner, RunTimes};
-use crate::store::records::{JobRecord, LEADER, job_key, progress_key};
-use crate::store::{StoreRequest, StoreResponse, Transaction, WatchCache, Writer};
+use crate::store::records::{JobRecord, LEADER_KEY, job_key, progress_key};
+use crate::store::{StoreRequest, StoreResponse, Transaction, WatchCache, WriterState};
 use best_effort::BestEffortPlacement;
 use block_state::BlockState;
 use capacity_view::CapacityView;
@@ -71,7 +71,7 @@
     update_sequence_number: u64,
     /// The state of each block whose lease is of this term.
     block_states: BTreeMap<BlockId, BlockState>,
-    writer: Writer,
+    writer: WriterState,
     /// The attempts that the records showed in the last round, by number, to detect those that have ended since.
     observed_attempts: HashMap<u64, ObservedAttempt>,
     /// The number of planning rounds.
@@ -117,7 +117,7 @@
     /// Allocates a machine's resources and a slot of its block to a released task.
     fn allocate(&mut self, index: usize, block: &BlockId, job: &Job) {
         let candidate = &mut self.candidates[index];
-        candidate.free.take(&job.need);
+        candidate.free.subtract(&job.need);
         if let Some(slots) = self.block_slots.get_mut(block) {
             *slots = slots.saturating_sub(1);
         }
@@ -133,7 +133,7 @@
         let candidate = &self.candidates[index];
         self.usage.add(job);
         self.usage_after_stops.add(job);
-        let tasks_per_machine = f64::from(candidate.size.count_of(&job.need).max(1));
+        let tasks_per_machine = f64::from(candidate.size.max_tasks(&job.need).max(1));
         let pool = MachinePool::new(candidate.type_name.clone(), candidate.capacity_type);
         self.demand.add(pool, 1.0 / tasks_per_machine);
         self.demand.occupied.insert(candidate.machine.clone());
@@ -149,7 +149,7 @@
             next_attempt: term.0 << 20,
             update_sequence_number: 0,
             block_states: BTreeMap::new(),
-            writer: Writer::Unconfirmed {
+            writer: WriterState::Unconfirmed {
                 since: now.monotonic,
             },
             observed_attempts: HashMap::new(),
@@ -312,7 +312,7 @@
             block_state
                 .addressed_machines
                 .retain(|machine| cache.machines.contains_key(machine));
-            let placements_revision = cache.placements_known_to(block);
+            let placements_revision = cache.placements_revision(block);
             let status = block_state.status.as_ref().map(|(status, _)| status);
             block_state.releases.retain(|number, release| {
                 if live_attempts.contains_key(number) {
@@ -332,7 +332,7 @@
                 .retain(|attempt, _| live_attempts.contains_key(&attempt.number));
             for release in block_state.releases.values_mut() {
                 let job_open = cache
-                    .open
+                    .open_jobs
                     .get(&release.attempt.task.job)
                     .is_some_and(|open| !open.cancelled);
                 let unplaceable = status
@@ -355,7 +355,10 @@
         ended_attempts: Vec<(u64, ObservedAttempt)>,
     ) {
         for (number, ObservedAttempt { task, machine, .. }) in ended_attempts {
-            let open = cache.open.get(&task.job).filter(|open| !open.cancelled);
+            let open = cache
+                .open_jobs
+                .get(&task.job)
+                .filter(|open| !open.cancelled);
             let done = open.is_some_and(|open| open.done.contains(task.index));
             if done {
                 self.failures.record_success(task.job);
@@ -400,7 +403,7 @@
             let unfinished = live
                 .attempts()
                 .filter(|attempt| !ended.contains(&attempt.number));
-            for open in unfinished.filter_map(|attempt| cache.open.get(&attempt.task.job)) {
+            for open in unfinished.filter_map(|attempt| cache.open_jobs.get(&attempt.task.job)) {
                 allocated.add(&open.job.need);
             }
         }
@@ -409,7 +412,7 @@
             .values()
             .flat_map(|block_state| block_state.releases.values())
         {
-            if let Some(open) = cache.open.get(&release.attempt.task.job) {
+            if let Some(open) = cache.open_jobs.get(&release.attempt.task.job) {
                 allocated
                     .entry(&release.machine)
                     .or_default()
@@ -448,7 +451,7 @@
         let count_slots = |(block, block_state): (&BlockId, &BlockState)| {
             let placements = cache.placements.get(block);
             let size = placements.map_or(0, |placements| placements.value.worst_case_size());
-            let slots = config.block_bytes.saturating_sub(size) / MAX_ATTEMPT_BYTES;
+            let slots = config.max_block_bytes.saturating_sub(size) / MAX_ATTEMPT_BYTES;
             (
                 block.clone(),
                 slots.saturating_sub(block_state.releases.len()),
@@ -464,7 +467,7 @@
             .block_states
             .values()
             .flat_map(|block_state| block_state.stop_requests.keys());
-        for open in stop_requests.filter_map(|attempt| cache.open.get(&attempt.task.job)) {
+        for open in stop_requests.filter_map(|attempt| cache.open_jobs.get(&attempt.task.job)) {
             remaining.remove(&open.job);
         }
         remaining
@@ -550,17 +553,17 @@
     ) -> Option<StoreRequest> {
         let (config, leader_version, max_changes) =
             (leader.config, leader.record_version, leader.max_changes);
-        if !self.writer.ready(now, cache) {
+        if !self.writer.can_write(now, cache) {
             return None;
         }
-        let mut txn = Transaction::default().when(LEADER, leader_version);
-        for (id, open) in &cache.open {
+        let mut txn = Transaction::default().require_version(LEADER_KEY, leader_version);
+        for (id, open) in &cache.open_jobs {
             if txn.changes.len() >= max_changes {
                 break;
             }
             let tasks = open.job.tasks;
             let outcome = if open.cancelled {
-                let all_stopped = cache.placed(*id).is_empty() && !self.has_releases(*id);
+                let all_stopped = cache.job_placements(*id).is_empty() && !self.has_releases(*id);
                 all_stopped.then_some(JobOutcome::Cancelled)
             } else {
                 // The tasks of a gang complete together: if one is done, all are.
@@ -574,16 +577,16 @@
             let Some(outcome) = outcome else { continue };
             debug!(job = %id, ?outcome, tasks, "job ended");
             txn = txn
-                .when(job_key(*id), open.version)
+                .require_version(job_key(*id), open.version)
                 .put(job_key(*id), &JobRecord::Ended(outcome, tasks));
         }
         for ((job, chunk), progress) in &cache.progress {
             if txn.changes.len() >= max_changes {
                 break;
             }
-            if cache.ended.contains_key(job) {
+            if cache.ended_jobs.contains_key(job) {
                 txn = txn
-                    .when(progress_key(*job, *chunk), progress.version)
+                    .require_version(progress_key(*job, *chunk), progress.version)
                     .delete(progress_key(*job, *chunk));
             }
         }
@@ -593,7 +596,7 @@
         if txn.changes.is_empty() {
             return None;
         }
-        self.writer.sent();
+        self.writer.mark_sent();
         Some(StoreRequest::Commit(txn))
     }
 
@@ -607,7 +610,7 @@
 
     /// Handles the state service's response to the last transaction.
     pub fn handle_store_response(&mut self, now: Now, outcome: &StoreResponse) {
-        self.writer.answered(now, outcome);
+        self.writer.record_response(now, outcome);
     }
 
     /// The term of this scheduler.
--- a/src/scheduler/tests.rs
+++ b/src/scheduler/tests.rs
@@ -42,7 +42,7 @@
         let mut fixture = Fixture {
             policy: Policy::built_in(&config),
             catalog,
-            cache: WatchCache::following(),
+            cache: WatchCache::loaded_for_tests(),
             now,
             version: 0,
             scheduler: Scheduler::new(now, Term(TERM)),
@@ -86,7 +86,7 @@
             inventory_key(&"a.0".into()),
             encode(&MachineInventory {
                 zone: "a".into(),
-                on,
+                machines: on,
             }),
         );
     }
@@ -172,7 +172,7 @@
             ..
         } = self;
         let leader = leader_context(config, policy, catalog);
-        scheduler.writer = Writer::Idle;
+        scheduler.writer = WriterState::Idle;
         let Some(StoreRequest::Commit(txn)) = scheduler.next_transaction(self.now, &leader, cache)
         else {
             return Vec::new();
@@ -650,10 +650,10 @@
         let guests = Team::from("guests");
         let limits = crate::config::TeamLimits {
             name: guests.clone(),
-            cpus: 0.0,
-            cpus_max: f64::INFINITY,
-            gpus: 0.0,
-            gpus_max: f64::INFINITY,
+            guaranteed_cpus: 0.0,
+            max_cpus: f64::INFINITY,
+            guaranteed_gpus: 0.0,
+            max_gpus: f64::INFINITY,
         };
         fixture.config.teams.push(limits);
         let low = Job {
--- a/src/scheduler/usage.rs
+++ b/src/scheduler/usage.rs
@@ -24,7 +24,7 @@
 
     /// Adds `count` tasks of the job.
     pub(super) fn add_tasks(&mut self, job: &Job, count: f64) {
-        let need = job.need.times(count);
+        let need = job.need.scaled(count);
         self.teams.entry(job.team.clone()).or_default().add(&need);
         self.classes
             .entry((job.team.clone(), job.class.clone()))
@@ -37,11 +37,11 @@
         self.teams
             .entry(job.team.clone())
             .or_default()
-            .take(&job.need);
+            .subtract(&job.need);
         self.classes
             .entry((job.team.clone(), job.class.clone()))
             .or_default()
-            .take(&job.need);
+            .subtract(&job.need);
     }
 
     /// The resources that the team uses.
@@ -59,51 +59,51 @@
 
     /// How many more tasks of the job its team's limit allows.
     pub(super) fn tasks_within_limit(&self, config: &Config, job: &Job) -> u64 {
-        let Some(limits) = config.team(&job.team) else {
+        let Some(limits) = config.team_limits(&job.team) else {
             return 0;
         };
         let used = self.of_team(&job.team);
         let left = Resources {
-            cpus: (limits.cpus_max - used.cpus).max(0.0),
-            gpus: (limits.gpus_max - used.gpus).max(0.0),
+            cpus: (limits.max_cpus - used.cpus).max(0.0),
+            gpus: (limits.max_gpus - used.gpus).max(0.0),
             memory_gb: f64::INFINITY,
         };
-        u64::from(left.count_of(&job.need))
+        u64::from(left.max_tasks(&job.need))
     }
 
     /// Whether one more task of the job stays within its team's limit.
     pub(super) fn within_limit(&self, config: &Config, job: &Job) -> bool {
-        let Some(limits) = config.team(&job.team) else {
+        let Some(limits) = config.team_limits(&job.team) else {
             return false;
         };
         let used = self.of_team(&job.team);
-        used.cpus + job.need.cpus <= limits.cpus_max + ROUNDING_TOLERANCE
-            && used.gpus + job.need.gpus <= limits.gpus_max + ROUNDING_TOLERANCE
+        used.cpus + job.need.cpus <= limits.max_cpus + ROUNDING_TOLERANCE
+            && used.gpus + job.need.gpus <= limits.max_gpus + ROUNDING_TOLERANCE
     }
 
     /// Whether one more task of the job stays within its team's guarantee.
     pub(super) fn within_guarantee(&self, config: &Config, job: &Job) -> bool {
-        let Some(limits) = config.team(&job.team) else {
+        let Some(limits) = config.team_limits(&job.team) else {
             return false;
         };
         let used = self.of_team(&job.team);
-        used.cpus + job.need.cpus <= limits.cpus + ROUNDING_TOLERANCE
-            && used.gpus + job.need.gpus <= limits.gpus + ROUNDING_TOLERANCE
+        used.cpus + job.need.cpus <= limits.guaranteed_cpus + ROUNDING_TOLERANCE
+            && used.gpus + job.need.gpus <= limits.guaranteed_gpus + ROUNDING_TOLERANCE
     }
 
     /// Whether the job's team would still use at least its guarantee without one of the job's tasks.
     pub(super) fn beyond_guarantee(&self, config: &Config, job: &Job) -> bool {
-        let Some(limits) = config.team(&job.team) else {
+        let Some(limits) = config.team_limits(&job.team) else {
             return true;
         };
         let used = self.of_team(&job.team);
-        used.cpus - job.need.cpus >= limits.cpus - ROUNDING_TOLERANCE
-            && used.gpus - job.need.gpus >= limits.gpus - ROUNDING_TOLERANCE
+        used.cpus - job.need.cpus >= limits.guaranteed_cpus - ROUNDING_TOLERANCE
+            && used.gpus - job.need.gpus >= limits.guaranteed_gpus - ROUNDING_TOLERANCE
     }
 
     /// The sum of the team's CPU usage and its GPU usage, each relative to its guarantee.
     pub(super) fn ratio_to_guarantee(&self, limits: &TeamLimits) -> f64 {
         let used = self.of_team(&limits.name);
-        used.cpus / limits.cpus.max(1.0) + used.gpus / limits.gpus.max(1.0)
+        used.cpus / limits.guaranteed_cpus.max(1.0) + used.gpus / limits.guaranteed_gpus.max(1.0)
     }
 }
--- a/src/scheduler/waiting.rs
+++ b/src/scheduler/waiting.rs
@@ -11,7 +11,7 @@
 use crate::leader_context::LeaderContext;
 use crate::store::WatchCache;
 use crate::store::cache::OpenJob;
-use crate::store::records::Ranges;
+use crate::store::records::TaskRanges;
 
 /// A job without any assigned task that has waited this long gets its first task before older jobs of its team and
 /// priority get more tasks. Otherwise, under heavy overload, large jobs would not begin for many minutes.
@@ -60,7 +60,7 @@
     /// The number of tasks that are neither done, placed nor released.
     pub(super) pending_tasks: u64,
     /// The indexes of tasks that are done, placed or released.
-    pub(super) assigned_tasks: Ranges,
+    pub(super) assigned_tasks: TaskRanges,
     /// The number of placed and released tasks by zone.
     pub(super) tasks_per_zone: BTreeMap<Zone, u32>,
     /// No task was assigned within [`FIRST_TASK_OVERDUE_AFTER`], so one is released before other work of the team.
@@ -121,7 +121,7 @@
             *placed_counts.entry(attempt.task.job).or_default() += 1;
         }
         let mut waiting_jobs = Vec::new();
-        for (id, open) in &cache.open {
+        for (id, open) in &cache.open_jobs {
             if open.cancelled || self.failures.is_backing_off(now, *id) {
                 continue;
             }
@@ -132,7 +132,7 @@
             }
             let mut assigned_tasks = open.done.clone();
             let mut tasks_per_zone: BTreeMap<Zone, u32> = BTreeMap::new();
-            for ((index, _), placement) in cache.placed(*id) {
+            for ((index, _), placement) in cache.job_placements(*id) {
                 // Placements on a machine without a record are void.
                 if let Some(machine) = cache.machines.get(&placement.machine) {
                     assigned_tasks.insert(*index);
--- a/src/store/cache/apply.rs
+++ b/src/store/cache/apply.rs
@@ -12,7 +12,7 @@
 use crate::domain::{BlockId, JobId, MachineId, Zone};
 use crate::store::records::{
     AttemptEncoding, BlockPlacements, Change, InventoryEntry, JobRecord, MachineInventory, Part,
-    Ranges, Record, RecordKey,
+    Record, RecordKey, TaskRanges,
 };
 
 impl WatchCache {
@@ -53,9 +53,10 @@
 
     fn apply_progress(&mut self, job: JobId, chunk: u32, change: Change) {
         set_in(&mut self.progress, (job, chunk), change);
-        if let (Some(open), Some(progress)) =
-            (self.open.get_mut(&job), self.progress.get(&(job, chunk)))
-        {
+        if let (Some(open), Some(progress)) = (
+            self.open_jobs.get_mut(&job),
+            self.progress.get(&(job, chunk)),
+        ) {
             open.done.merge(&progress.value.done);
         }
     }
@@ -74,8 +75,8 @@
     /// Brings the machines by id up to date with a block's inventory, which was `old` before.
     fn index_machines(&mut self, block: &BlockId, old: Option<&MachineInventory>) {
         let new = self.inventories.get(block).map(|new| &new.value);
-        for id in old.iter().flat_map(|old| old.on.keys()) {
-            let kept = new.is_some_and(|new| new.on.contains_key(id));
+        for id in old.iter().flat_map(|old| old.machines.keys()) {
+            let kept = new.is_some_and(|new| new.machines.contains_key(id));
             let here = self
                 .machines
                 .get(id)
@@ -89,8 +90,8 @@
         let Some(new) = new else {
             return;
         };
-        for (id, entry) in &new.on {
-            let known = old.and_then(|old| old.on.get(id));
+        for (id, entry) in &new.machines {
+            let known = old.and_then(|old| old.machines.get(id));
             if known == Some(entry) && self.machines.contains_key(id) {
                 continue;
             }
@@ -140,7 +141,7 @@
         };
         let new = new.value.done.iter();
         for (job, done) in new.filter(|(job, done)| old.done.get(job) != Some(*done)) {
-            if let Some(open) = self.open.get_mut(job) {
+            if let Some(open) = self.open_jobs.get_mut(job) {
                 open.done.merge(done);
             }
         }
@@ -152,9 +153,9 @@
             Some(JobRecord::Open(job)) => (job, None),
             Some(JobRecord::Cancelled(job, at_ms)) => (job, Some(at_ms)),
             Some(JobRecord::Ended(outcome, tasks)) => {
-                self.open.remove(&id);
-                self.ended.insert(id, (outcome, tasks));
-                self.changed.ended.insert(id);
+                self.open_jobs.remove(&id);
+                self.ended_jobs.insert(id, (outcome, tasks));
+                self.changed.cancelled_or_ended_jobs.insert(id);
                 return;
             }
             None => {
@@ -163,10 +164,10 @@
             }
         };
         // A final state is final: an older copy of the record can't bring the job back.
-        if self.ended.contains_key(&id) {
+        if self.ended_jobs.contains_key(&id) {
             return;
         }
-        let Some(open) = self.open.get_mut(&id) else {
+        let Some(open) = self.open_jobs.get_mut(&id) else {
             let open = OpenJob {
                 job,
                 version,
@@ -174,7 +175,7 @@
                 cancelled_ms: cancelled_ms.unwrap_or(0),
                 done: self.finished_tasks(id),
             };
-            self.open.insert(id, open);
+            self.open_jobs.insert(id, open);
             self.apply_cancellation(id);
             return;
         };
@@ -183,14 +184,14 @@
             open.cancelled = cancelled_ms.is_some();
             open.cancelled_ms = cancelled_ms.unwrap_or(0);
             if open.cancelled {
-                self.changed.ended.insert(id);
+                self.changed.cancelled_or_ended_jobs.insert(id);
             }
         }
     }
 
     /// The finished tasks of a job that the placements of all blocks and its progress show.
-    fn finished_tasks(&self, id: JobId) -> Ranges {
-        let mut finished = Ranges::default();
+    fn finished_tasks(&self, id: JobId) -> TaskRanges {
+        let mut finished = TaskRanges::default();
         let in_blocks = self
             .placements
             .values()
@@ -209,10 +210,10 @@
     /// service refuses has no other way to learn of it. A copy that has reached that version and shows otherwise knows
     /// better. `at_ms` is in milliseconds since the Unix epoch. False: there is no room to keep it.
     #[must_use]
-    pub fn note_cancellation(&mut self, id: JobId, version: u64, at_ms: u64) -> bool {
+    pub fn record_cancellation(&mut self, id: JobId, version: u64, at_ms: u64) -> bool {
         let following = matches!(self.sync.state, SyncState::Following { .. });
         let shown = following && self.revision >= version;
-        if shown || self.ended.contains_key(&id) {
+        if shown || self.ended_jobs.contains_key(&id) {
             return true;
         }
         let kept = self
@@ -225,7 +226,8 @@
     }
 
     fn apply_cancellation(&mut self, id: JobId) {
-        let (Some(open), Some(cancellation)) = (self.open.get_mut(&id), self.cancellations.get(id))
+        let (Some(open), Some(cancellation)) =
+            (self.open_jobs.get_mut(&id), self.cancellations.get(id))
         else {
             return;
         };
@@ -233,7 +235,7 @@
             open.version = cancellation.version;
             open.cancelled = true;
             open.cancelled_ms = cancellation.at_ms;
-            self.changed.ended.insert(id);
+            self.changed.cancelled_or_ended_jobs.insert(id);
         }
     }
 }
@@ -288,9 +290,9 @@
     second: &'a BlockPlacements,
 ) -> impl Iterator<Item = (&'a MachineId, &'a AttemptEncoding)> {
     let changed = first
-        .on
+        .attempts_by_machine
         .iter()
-        .map(|(machine, list)| (machine, list, second.on.get(machine)))
+        .map(|(machine, list)| (machine, list, second.attempts_by_machine.get(machine)))
         .filter(|(_, list, other)| *other != Some(*list));
     changed.flat_map(|(machine, list, other)| {
         list.iter()
--- a/src/store/cache/indexes.rs
+++ b/src/store/cache/indexes.rs
@@ -8,7 +8,7 @@
 use super::{Machine, Parts, Versioned, WatchCache};
 use crate::domain::{Attempt, BlockId, JobId, MachineId};
 use crate::store::records::{
-    AttemptEncoding, BlockPlacements, CHUNK, MachineInventory, Part, Ranges,
+    AttemptEncoding, BlockPlacements, MachineInventory, Part, TASKS_PER_PROGRESS_CHUNK, TaskRanges,
 };
 
 /// Where an attempt is placed.
@@ -85,7 +85,7 @@
     /// The part of the block's inventory that a machine is in: the last one, if it is being moved.
     pub fn inventory_part_of(&self, block: &BlockId, machine: &MachineId) -> Option<Part> {
         let mut parts = self.inventory_parts(block)?.iter().rev();
-        let (part, _) = parts.find(|(_, part)| part.value.on.contains_key(machine))?;
+        let (part, _) = parts.find(|(_, part)| part.value.machines.contains_key(machine))?;
         Some(*part)
     }
 
@@ -96,7 +96,7 @@
 
     /// Up to which revision this copy holds all changes of a block's tasks. Parts that were read while the copy was being
     /// loaded can be newer than others: until the copy has caught up, what they show is not all.
-    pub fn placements_known_to(&self, block: &BlockId) -> u64 {
+    pub fn placements_revision(&self, block: &BlockId) -> u64 {
         let version = self
             .placements
             .get(block)
@@ -110,7 +110,7 @@
     }
 
     /// Where a job's attempts are, including those on machines that are proven gone.
-    pub fn placed(&self, job: JobId) -> &JobPlacements {
+    pub fn job_placements(&self, job: JobId) -> &JobPlacements {
         self.placement_index.of_job(job)
     }
 
@@ -120,7 +120,7 @@
         self.placements.iter().flat_map(move |(block, placements)| {
             placements
                 .value
-                .on
+                .attempts_by_machine
                 .iter()
                 .filter_map(move |(id, attempts)| {
                     let machine = self.machines.get(id)?;
@@ -135,9 +135,9 @@
     }
 
     /// Removes finished tasks that are recorded elsewhere: their job has ended, or its progress holds them.
-    pub fn forget_recorded_ends(&self, placements: &mut BlockPlacements) {
+    pub fn remove_recorded_tasks(&self, placements: &mut BlockPlacements) {
         placements.done.retain(|job, done| {
-            if self.ended.contains_key(job) {
+            if self.ended_jobs.contains_key(job) {
                 return false;
             }
             if self
@@ -153,10 +153,10 @@
         });
     }
 
-    fn not_recorded(&self, job: JobId, done: &Ranges) -> Ranges {
-        let mut left = Ranges::default();
+    fn not_recorded(&self, job: JobId, done: &TaskRanges) -> TaskRanges {
+        let mut left = TaskRanges::default();
         for index in done.0.iter().flat_map(Clone::clone) {
-            let progress = self.progress.get(&(job, index / CHUNK));
+            let progress = self.progress.get(&(job, index / TASKS_PER_PROGRESS_CHUNK));
             if !progress.is_some_and(|progress| progress.value.done.contains(index)) {
                 left.insert(index);
             }
--- a/src/store/cache/mod.rs
+++ b/src/store/cache/mod.rs
@@ -2,7 +2,7 @@
 //!
 //! It owns the copy and what follows from it: the merged parts of each block, the machines by id, the attempts by job, the
 //! open jobs with their finished tasks. The controller asks it for requests ([`WatchCache::poll`]), gives it the answers
-//! ([`WatchCache::handle`]) and applies its own commits ([`WatchCache::apply`]); every other module reads it. It does no input
+//! ([`WatchCache::handle_response`]) and applies its own commits ([`WatchCache::apply`]); every other module reads it. It does no input
 //! or output and reads no clock.
 //!
 //! Invariants: a record never goes back to an older version; a job that has ended stays ended; the copy at `revision` holds
@@ -25,7 +25,7 @@
 use self::sync::{PollIntervals, SyncState, Synchronizer};
 use super::records::{
     BlockLease, BlockPlacements, FormatSwitch, Leader, MachineInventory, MachineState, Member,
-    Part, PendingRental, Progress, Ranges, Token,
+    Part, PendingRental, Progress, TaskRanges, TokenCounter,
 };
 use crate::config::StateLimits;
 use crate::domain::{
@@ -50,7 +50,9 @@
 }
 
 /// Records without their versions.
-pub fn values<K: Ord + Clone, T: Clone>(records: &BTreeMap<K, Versioned<T>>) -> BTreeMap<K, T> {
+pub fn without_versions<K: Ord + Clone, T: Clone>(
+    records: &BTreeMap<K, Versioned<T>>,
+) -> BTreeMap<K, T> {
     let value = |(key, record): (&K, &Versioned<T>)| (key.clone(), record.value.clone());
     records.iter().map(value).collect()
 }
@@ -71,7 +73,7 @@
     /// was not.
     pub cancelled_ms: u64,
     /// Finished tasks, whether recorded in the job's progress already or not. Only ever grows.
-    pub done: Ranges,
+    pub done: TaskRanges,
 }
 
 /// A machine as its block's inventory has it.
@@ -102,12 +104,12 @@
     /// Machines that have changed or are gone.
     pub machines: BTreeSet<MachineId>,
     /// Jobs that were cancelled or have ended.
-    pub ended: BTreeSet<JobId>,
+    pub cancelled_or_ended_jobs: BTreeSet<JobId>,
 }
 
 /// Tells which request an answer belongs to.
 #[derive(Debug, Clone, PartialEq)]
-pub enum Tag {
+pub enum RequestTag {
     /// A page of all records.
     Page {
         /// The count of the load that it belongs to.
@@ -146,7 +148,7 @@
     /// Who leads.
     pub leader: Option<Versioned<Leader>>,
     /// The counter that fencing tokens and terms are taken from.
-    pub token: Option<Versioned<Token>>,
+    pub token: Option<Versioned<TokenCounter>>,
     /// The controllers that are up.
     pub members: BTreeMap<ControllerName, Versioned<Member>>,
     /// Which controller holds each block.
@@ -163,9 +165,9 @@
     /// Rental requests that may have been sent.
     pub pending_rentals: BTreeMap<InstanceTypeName, Versioned<PendingRental>>,
     /// Jobs that have not ended.
-    pub open: BTreeMap<JobId, OpenJob>,
+    pub open_jobs: BTreeMap<JobId, OpenJob>,
     /// Jobs that have ended, with their count of tasks.
-    pub ended: HashMap<JobId, (JobOutcome, u32)>,
+    pub ended_jobs: HashMap<JobId, (JobOutcome, u32)>,
     /// The finished tasks of large jobs, by chunk.
     pub progress: BTreeMap<(JobId, u32), Versioned<Progress>>,
     /// What operators want of machines.
@@ -203,8 +205,8 @@
             inventory_parts: BTreeMap::new(),
             machines: BTreeMap::new(),
             pending_rentals: BTreeMap::new(),
-            open: BTreeMap::new(),
-            ended: HashMap::new(),
+            open_jobs: BTreeMap::new(),
+            ended_jobs: HashMap::new(),
             progress: BTreeMap::new(),
             drains: BTreeMap::new(),
             drain_budgets: BTreeMap::new(),
@@ -219,7 +221,7 @@
 
     /// A copy that is whole, for tests that apply changes themselves.
     #[cfg(test)]
-    pub fn following() -> Self {
+    pub fn loaded_for_tests() -> Self {
         let limits = StateLimits {
             rps: 100.0,
             write_rps: 20.0,
@@ -233,18 +235,18 @@
 
     /// Takes the copy to hold all that was committed before this time.
     #[cfg(test)]
-    pub fn assume_fresh(&mut self, at: Instant) {
+    pub fn set_current_as_of(&mut self, at: Instant) {
         self.current_as_of = Some(at);
     }
 
     /// Whether the copy is whole (if perhaps a little old).
-    pub fn ready(&self) -> bool {
+    pub fn is_loaded(&self) -> bool {
         !matches!(self.sync.state, SyncState::Loading)
     }
 
     /// The copy holds all that was committed before this time. None if it is not whole, or not known to be that new.
     pub fn current_as_of(&self) -> Option<Instant> {
-        if self.ready() {
+        if self.is_loaded() {
             self.current_as_of
         } else {
             None
@@ -252,7 +254,7 @@
     }
 
     /// Whether the copy holds all that was committed before `asked`.
-    pub fn covers(&self, asked: Instant) -> bool {
+    pub fn is_current_as_of(&self, asked: Instant) -> bool {
         self.current_as_of().is_some_and(|current| current >= asked)
     }
 
--- a/src/store/cache/tests.rs
+++ b/src/store/cache/tests.rs
@@ -41,7 +41,7 @@
     };
     MachineInventory {
         zone: "a".into(),
-        on: machines
+        machines: machines
             .iter()
             .map(|machine| ((*machine).clone(), entry()))
             .collect(),
@@ -54,17 +54,20 @@
 fn a_copy_that_is_far_behind_is_read_anew_while_the_old_one_is_still_in_use() {
     let start = Now::read();
     let at = |seconds| at(start, seconds);
-    let mut cache = WatchCache::following();
+    let mut cache = WatchCache::loaded_for_tests();
     cache.revision = 5;
-    cache.assume_fresh(start.monotonic);
+    cache.set_current_as_of(start.monotonic);
     cache.apply(put(job_key(JobId(1)), 5, &open_job()));
     let next = |cache: &mut WatchCache, now: Now| cache.poll(now).remove(0);
     let (tag, op) = next(&mut cache, at(40));
     assert!(
-        matches!((&tag, op), (Tag::LagCheck { .. }, StoreRequest::Get { .. })),
+        matches!(
+            (&tag, op),
+            (RequestTag::LagCheck { .. }, StoreRequest::Get { .. })
+        ),
         "how far behind?"
     );
-    cache.handle(
+    cache.handle_response(
         at(40),
         tag,
         StoreResponse::Missing {
@@ -76,16 +79,16 @@
         matches!(op, StoreRequest::Watch { after: 5, .. }),
         "near enough: {op:?}"
     );
-    cache.handle(at(44), tag, StoreResponse::Unknown);
+    cache.handle_response(at(44), tag, StoreResponse::Unknown);
     let (tag, _) = next(&mut cache, at(45));
     assert!(
-        matches!(tag, Tag::LagCheck { .. }),
+        matches!(tag, RequestTag::LagCheck { .. }),
         "the answer was too much after all, or none came"
     );
-    cache.handle(at(45), tag, StoreResponse::Missing { revision: 9000 });
+    cache.handle_response(at(45), tag, StoreResponse::Missing { revision: 9000 });
     let (tag, op) = next(&mut cache, at(45));
     assert!(matches!(op, StoreRequest::Range { .. }), "{op:?}");
-    assert!(cache.ready() && cache.open.contains_key(&JobId(1)));
+    assert!(cache.is_loaded() && cache.open_jobs.contains_key(&JobId(1)));
     assert_eq!(
         cache.current_as_of(),
         Some(start.monotonic),
@@ -96,7 +99,7 @@
         value: encode(&open_job()),
         version: 800,
     }];
-    cache.handle(
+    cache.handle_response(
         at(46),
         tag,
         StoreResponse::RangePage {
@@ -105,7 +108,7 @@
             revision: 9000,
         },
     );
-    assert!(!cache.open.contains_key(&JobId(1)) && cache.open.contains_key(&JobId(2)));
+    assert!(!cache.open_jobs.contains_key(&JobId(1)) && cache.open_jobs.contains_key(&JobId(2)));
     assert!(cache.take_changed().all);
     let (_, op) = next(&mut cache, at(46));
     assert!(
@@ -118,7 +121,7 @@
 /// released a second time.
 #[test]
 fn a_lost_attempt_does_not_hide_the_next_attempt_of_its_task() {
-    let mut cache = WatchCache::following();
+    let mut cache = WatchCache::loaded_for_tests();
     let (first, second) = (MachineId::from("m-000014"), MachineId::from("m-000011"));
     let (inventory, block) = (inventory_key(&"a.0".into()), placements_key(&"a.0".into()));
     cache.apply(put(job_key(JobId(1)), 1, &open_job()));
@@ -142,44 +145,50 @@
         .map(|attempt| attempt.number)
         .collect();
     assert_eq!(live, [8]);
-    let placed = cache.placed(JobId(1));
+    let placed = cache.job_placements(JobId(1));
     assert!(
         placed.values().any(|place| place.machine == second),
         "{placed:?}"
     );
     placements.remove(&first, attempt(7));
     cache.apply(put(block.clone(), 6, &placements));
-    assert_eq!(cache.placed(JobId(1)).len(), 1);
+    assert_eq!(cache.job_placements(JobId(1)).len(), 1);
 }
 
 /// What a controller is told by others goes before the watch, never against it.
 #[test]
 fn a_reported_cancellation_counts_until_the_cache_has_reached_its_version() {
-    let mut cache = WatchCache::following();
+    let mut cache = WatchCache::loaded_for_tests();
     let put = |id, version| put(job_key(JobId(id)), version, &open_job());
     (1..=3).for_each(|id| cache.apply(put(id, id)));
     cache.revision = 10;
     let _ = cache.take_changed();
-    assert!(cache.note_cancellation(JobId(1), 9, 1000));
+    assert!(cache.record_cancellation(JobId(1), 9, 1000));
     assert!(
-        !cache.open[&JobId(1)].cancelled,
+        !cache.open_jobs[&JobId(1)].cancelled,
         "the copy is newer and shows otherwise"
     );
-    assert!(cache.note_cancellation(JobId(2), 12, 1000));
-    assert!(cache.note_cancellation(JobId(2), 12, 1000));
-    assert!(cache.open[&JobId(2)].cancelled && cache.open[&JobId(2)].version == 12);
-    assert!(cache.has_changed() && cache.take_changed().ended.contains(&JobId(2)));
+    assert!(cache.record_cancellation(JobId(2), 12, 1000));
+    assert!(cache.record_cancellation(JobId(2), 12, 1000));
+    assert!(cache.open_jobs[&JobId(2)].cancelled && cache.open_jobs[&JobId(2)].version == 12);
+    assert!(
+        cache.has_changed()
+            && cache
+                .take_changed()
+                .cancelled_or_ended_jobs
+                .contains(&JobId(2))
+    );
     // Of a job that is not in the copy yet.
-    assert!(cache.note_cancellation(JobId(4), 13, 1000));
+    assert!(cache.record_cancellation(JobId(4), 13, 1000));
     cache.apply(put(4, 11));
-    assert!(cache.open[&JobId(4)].cancelled);
+    assert!(cache.open_jobs[&JobId(4)].cancelled);
     // Pages that were read before it was committed.
     cache.clear();
     (2..=4).for_each(|id| cache.apply(put(id, id)));
     assert!(
-        cache.open[&JobId(2)].cancelled
-            && cache.open[&JobId(4)].cancelled
-            && !cache.open[&JobId(3)].cancelled
+        cache.open_jobs[&JobId(2)].cancelled
+            && cache.open_jobs[&JobId(4)].cancelled
+            && !cache.open_jobs[&JobId(3)].cancelled
     );
     cache.sync.state = SyncState::Following { maybe_stale: false };
     let events = StoreResponse::WatchEvents {
@@ -195,8 +204,8 @@
     let most = 100..100 + MAX_PENDING_CANCELLATIONS as u64;
     assert!(
         most.clone()
-            .all(|id| cache.note_cancellation(JobId(id), 20, 1000))
+            .all(|id| cache.record_cancellation(JobId(id), 20, 1000))
     );
-    assert!(!cache.note_cancellation(JobId(most.end), 20, 1000));
-    assert!(cache.note_cancellation(JobId(100), 20, 1000), "a repeat");
+    assert!(!cache.record_cancellation(JobId(most.end), 20, 1000));
+    assert!(cache.record_cancellation(JobId(100), 20, 1000), "a repeat");
 }
--- a/src/store/records/fixtures.rs
+++ b/src/store/records/fixtures.rs
@@ -37,14 +37,14 @@
 fn rewritten<T: Record>(bytes: &[u8]) -> Vec<u8> {
     let value: ciborium::Value = ciborium::from_reader(bytes).expect("CBOR");
     let record: T = value.deserialized().expect("readable");
-    http::write(&encode(&record))
+    http::encode_body(&encode(&record))
 }
 
 /// The kind of a record, with its variant if it has some, and its value after being read and written again.
 fn kind(key: &str, bytes: &[u8]) -> (&'static str, Vec<u8>) {
     match RecordKey::of(key).expect("one of ours") {
         RecordKey::Leader => ("leader", rewritten::<Leader>(bytes)),
-        RecordKey::Token => ("token", rewritten::<Token>(bytes)),
+        RecordKey::Token => ("token", rewritten::<TokenCounter>(bytes)),
         RecordKey::Member(_) => ("member", rewritten::<Member>(bytes)),
         RecordKey::BlockLease(_) => ("grant", rewritten::<BlockLease>(bytes)),
         RecordKey::Format => ("format", rewritten::<FormatSwitch>(bytes)),
@@ -115,8 +115,8 @@
     let (block, team) = (BlockId::from("a.0"), Team::from("red"));
     let id: DrainId = "disk".parse().expect("an id");
     let keys = [
-        LEADER.to_owned(),
-        TOKEN.to_owned(),
+        LEADER_KEY.to_owned(),
+        TOKEN_KEY.to_owned(),
         FORMAT_KEY.to_owned(),
         member_key(&"node-0".into()),
         block_lease_key(&block),
@@ -161,7 +161,7 @@
     for (capacity_type, state) in variants {
         let mut machines = inventories
             .iter()
-            .flat_map(|inventory| inventory.on.values());
+            .flat_map(|inventory| inventory.machines.values());
         assert!(
             machines
                 .any(|machine| (machine.capacity_type, machine.state) == (capacity_type, state)),
@@ -197,7 +197,7 @@
     let subjects: BTreeSet<String> = ledgers
         .iter()
         .flat_map(|ledger| &ledger.evictions)
-        .map(|eviction| ciborium::Value::serialized(&eviction.subject).expect("has a form"))
+        .map(|eviction| ciborium::Value::serialized(&eviction.target).expect("has a form"))
         .map(spelled)
         .collect();
     assert_eq!(subjects, ["g", "t"].map(String::from).into());
--- a/src/upgrade/mod.rs
+++ b/src/upgrade/mod.rs
@@ -12,20 +12,20 @@
 use crate::config::Config;
 use crate::domain::{ControllerName, Now};
 use crate::leader_context::LeaderContext;
-use crate::store::records::{FORMAT, FORMAT_KEY, FormatSwitch, LEADER, member_key};
-use crate::store::{StoreRequest, StoreResponse, Transaction, WatchCache, Writer};
+use crate::store::records::{FORMAT_KEY, FormatSwitch, LEADER_KEY, NEWEST_FORMAT, member_key};
+use crate::store::{StoreRequest, StoreResponse, Transaction, WatchCache, WriterState};
 
 /// The leader's state for the switch of the record format.
 #[derive(Debug)]
 pub struct Upgrade {
-    writer: Writer,
+    writer: WriterState,
 }
 
 impl Upgrade {
     /// Creates the state without a transaction in flight.
     pub fn new() -> Self {
         Upgrade {
-            writer: Writer::Idle,
+            writer: WriterState::Idle,
         }
     }
 
@@ -36,7 +36,7 @@
         leader: &LeaderContext<'_>,
         cache: &mut WatchCache,
     ) -> Option<StoreRequest> {
-        if cache.format() >= FORMAT || !self.writer.ready(now, cache) {
+        if cache.format() >= NEWEST_FORMAT || !self.writer.can_write(now, cache) {
             return None;
         }
         let MemberRecords { format, records } = member_records(leader.config, cache)?;
@@ -44,13 +44,14 @@
             return None;
         }
         let mut transaction = Transaction::default()
-            .when(LEADER, leader.record_version)
-            .when(FORMAT_KEY, cache.format_version());
+            .require_version(LEADER_KEY, leader.record_version)
+            .require_version(FORMAT_KEY, cache.format_version());
         for record in records {
-            transaction = transaction.when(member_key(&record.controller), record.version);
+            transaction =
+                transaction.require_version(member_key(&record.controller), record.version);
         }
         info!(format, "record format switch started");
-        self.writer.sent();
+        self.writer.mark_sent();
         Some(StoreRequest::Commit(
             transaction.put(FORMAT_KEY, &FormatSwitch { version: format }),
         ))
@@ -58,7 +59,7 @@
 
     /// Handles the response to the transaction.
     pub fn handle_store_response(&mut self, now: Now, outcome: &StoreResponse) {
-        self.writer.answered(now, outcome);
+        self.writer.record_response(now, outcome);
     }
 }
 
@@ -85,7 +86,7 @@
 fn member_records(config: &Config, cache: &WatchCache) -> Option<MemberRecords> {
     let peers = config.peers.iter().map(|peer| &peer.name);
     let mut members = MemberRecords {
-        format: FORMAT,
+        format: NEWEST_FORMAT,
         records: Vec::new(),
     };
     for controller in peers.chain([&config.name]) {
--- a/src/workers/block/placement_writes.rs
+++ b/src/workers/block/placement_writes.rs
@@ -73,10 +73,10 @@
                 .inventory_parts(&block.id)
                 .and_then(|parts| parts.get(part));
             let version = version.map_or(0, |part| part.version);
-            txn = txn.when(inventory_part_key(&block.id, *part), version);
+            txn = txn.require_version(inventory_part_key(&block.id, *part), version);
         }
         for (job, version) in &self.jobs {
-            txn = txn.when(job_key(*job), *version);
+            txn = txn.require_version(job_key(*job), *version);
         }
         txn
     }
@@ -159,7 +159,8 @@
             self.drop_recorded_ends();
             return None;
         }
-        let mut txn = Transaction::default().when(block_lease_key(&self.id), self.lease_version);
+        let mut txn =
+            Transaction::default().require_version(block_lease_key(&self.id), self.lease_version);
         txn = new_placements.add_conditions(self, cache, txn);
         txn = transaction.add_to(&self.id, self.recorded.parts(), txn);
         self.writer.begin(transaction, new_placements.attempts);
@@ -206,7 +207,7 @@
                 machine: &ended.machine,
                 attempt: ended.attempt,
                 done: *outcome == AttemptOutcome::Done
-                    && cache.open.contains_key(&ended.attempt.task.job),
+                    && cache.open_jobs.contains_key(&ended.attempt.task.job),
                 blocks_placement: target_machines.contains(&ended.machine),
             })
             .collect();
@@ -259,7 +260,7 @@
             }
             let chosen = candidates.iter_mut().find(|c| c.machine == machine);
             if let Some(candidate) = chosen {
-                candidate.free.take(&open.job.need);
+                candidate.free.subtract(&open.job.need);
             }
             new_placements.add(attempt, open.version, inventory_part);
         }
@@ -316,8 +317,8 @@
                 continue;
             }
             let mut used = Resources::default();
-            let placed = placements.on.get(id).into_iter().flatten();
-            for open in placed.filter_map(|placed| cache.open.get(&placed.0.task.job)) {
+            let placed = placements.attempts_by_machine.get(id).into_iter().flatten();
+            for open in placed.filter_map(|placed| cache.open_jobs.get(&placed.0.task.job)) {
                 used.add(&open.job.need);
             }
             let images = worker.images.iter().cloned().collect();
@@ -379,7 +380,7 @@
 /// Returns the job of a task, if it is active and the task is not finished.
 fn unfinished_job(cache: &WatchCache, task: TaskId) -> Option<&OpenJob> {
     cache
-        .open
+        .open_jobs
         .get(&task.job)
         .filter(|open| !open.cancelled && !open.done.contains(task.index))
 }
--- a/src/workers/mod.rs
+++ b/src/workers/mod.rs
@@ -128,8 +128,8 @@
 
     /// Requests commands to workers that still run tasks of ended jobs, so that the tasks are stopped at once.
     fn request_stops(&mut self, cache: &WatchCache, changed: &ChangedRecords) {
-        for job in &changed.ended {
-            for ((index, _), placement) in cache.placed(*job) {
+        for job in &changed.cancelled_or_ended_jobs {
+            for ((index, _), placement) in cache.job_placements(*job) {
                 let task = TaskId {
                     job: *job,
                     index: *index,
@@ -160,7 +160,7 @@
         cache: &WatchCache,
         lease_valid: bool,
     ) -> HeartbeatResponse {
-        if !cache.ready() {
+        if !cache.is_loaded() {
             return HeartbeatResponse::Unavailable;
         }
         if !lease_valid {
--- a/src/workers/parts/mod.rs
+++ b/src/workers/parts/mod.rs
@@ -204,7 +204,7 @@
                 continue;
             }
             let mut pruned = part.value.clone();
-            cache.forget_recorded_ends(&mut pruned);
+            cache.remove_recorded_tasks(&mut pruned);
             if pruned != part.value {
                 part.value = pruned;
                 self.changed.insert(index);
@@ -261,7 +261,7 @@
     ) -> Transaction {
         for index in &self.changed {
             let key = placements_part_key(block, *index);
-            txn = txn.when(key.clone(), old.get(index).map_or(0, |part| part.version));
+            txn = txn.require_version(key.clone(), old.get(index).map_or(0, |part| part.version));
             txn = match self.parts.get(index) {
                 Some(part) => txn.put(key, &part.value),
                 None => txn.delete(key),
@@ -290,14 +290,14 @@
 
 fn contains_attempt(placements: &BlockPlacements, machine: &MachineId, attempt: Attempt) -> bool {
     placements
-        .on
+        .attempts_by_machine
         .get(machine)
         .is_some_and(|list| list.contains(&AttemptEncoding(attempt)))
 }
 
 /// Returns by how many bytes one more attempt may enlarge a part, including the record of its finished task.
 fn worst_case_growth(placements: &BlockPlacements, machine: &MachineId, attempt: Attempt) -> usize {
-    let entry = if placements.on.contains_key(machine) {
+    let entry = if placements.attempts_by_machine.contains_key(machine) {
         0
     } else {
         machine.0.len() + 8
--- a/src/workers/tests/mod.rs
+++ b/src/workers/tests/mod.rs
@@ -53,7 +53,7 @@
         catalog.handle_response(Some(InstanceTypeList {
             types: vec![instance_type()],
         }));
-        let (cache, fleet) = (WatchCache::following(), WorkerFleet::new());
+        let (cache, fleet) = (WatchCache::loaded_for_tests(), WorkerFleet::new());
         let mut holder = Holder {
             config,
             catalog,
@@ -94,7 +94,7 @@
             .map(|machine| ((*machine).into(), entry.clone()));
         let inventory = MachineInventory {
             zone: "a".into(),
-            on: on.collect(),
+            machines: on.collect(),
         };
         self.put_record(inventory_key(&block.into()), encode(&inventory));
     }
--- a/src/workers/tests/placement_writes.rs
+++ b/src/workers/tests/placement_writes.rs
@@ -19,7 +19,7 @@
     let Some((_, StoreRequest::Commit(txn))) = transaction else {
         panic!("a transaction must be due: {transaction:?}")
     };
-    let version = holder.cache.open[&JobId(1)].version;
+    let version = holder.cache.open_jobs[&JobId(1)].version;
     assert!(
         txn.conditions.contains(&(job_key(JobId(1)), version)),
         "{:?}",
@@ -169,7 +169,7 @@
     holder.assign_task(20, "m-1", 1);
     let write_with_outcome = |holder: &mut Holder, outcome: StoreResponse| {
         holder.now.monotonic += Duration::from_secs(1);
-        holder.cache.assume_fresh(holder.now.monotonic);
+        holder.cache.set_current_as_of(holder.now.monotonic);
         let Holder {
             fleet,
             now,
--- a/tests/simulation/cluster/checks.rs
+++ b/tests/simulation/cluster/checks.rs
@@ -119,7 +119,7 @@
                 && job.allows_capacity_type(machine.capacity_type);
             if is_allowed {
                 let zone = job.one_zone.then_some(&machine.zone);
-                *zones.entry(zone).or_default() += resources.count_of(&job.need);
+                *zones.entry(zone).or_default() += resources.max_tasks(&job.need);
             }
         }
         zones.values().any(|count| *count >= job.tasks)
--- a/tests/simulation/cluster/mod.rs
+++ b/tests/simulation/cluster/mod.rs
@@ -32,7 +32,7 @@
 use dappleshore::peer::Message;
 use dappleshore::policy::Policy;
 use dappleshore::provisioning::CloudRequestPurpose;
-use dappleshore::store::records::{FORMAT, MachineState};
+use dappleshore::store::records::{MachineState, NEWEST_FORMAT};
 use dappleshore::store::{StoreRequest, StoreResponse};
 use dappleshore::workers::wire::{Heartbeat, TaskState, WorkerCommands};
 use dappleshore::workers::{CommandOutcome, DirectCommand, HeartbeatResponse};
@@ -262,8 +262,8 @@
         let mut config =
             Config::parse("settings.toml", text).expect("the sample settings are valid");
         for team in &mut config.teams {
-            team.cpus *= size.teams;
-            team.cpus_max *= size.teams;
+            team.guaranteed_cpus *= size.teams;
+            team.max_cpus *= size.teams;
         }
         config.teams.push(guest_team());
         let mut rng = SmallRng::seed_from_u64(seed);
@@ -295,7 +295,7 @@
         let limits = config
             .teams
             .iter()
-            .map(|team| (team.name.clone(), team.cpus_max))
+            .map(|team| (team.name.clone(), team.max_cpus))
             .collect();
         SimulatedCluster {
             now: Duration::ZERO,
@@ -321,7 +321,11 @@
             jobs: BTreeMap::new(),
             task_results: BTreeSet::new(),
             gangs: Gangs::default(),
-            rules: Rules::new(limits, config.cancel_within, faults_end + LONGEST_FAULT),
+            rules: Rules::new(
+                limits,
+                config.cancellation_timeout,
+                faults_end + LONGEST_FAULT,
+            ),
             features: Features::default(),
             preemption: true,
             operators: Operators::default(),
--- a/tests/simulation/cluster/users.rs
+++ b/tests/simulation/cluster/users.rs
@@ -57,10 +57,10 @@
     let unlimited = f64::INFINITY;
     TeamLimits {
         name: GUESTS.into(),
-        cpus: 0.0,
-        cpus_max: unlimited,
-        gpus: 0.0,
-        gpus_max: unlimited,
+        guaranteed_cpus: 0.0,
+        max_cpus: unlimited,
+        guaranteed_gpus: 0.0,
+        max_gpus: unlimited,
     }
 }
 
--- a/tests/simulation/digest.rs
+++ b/tests/simulation/digest.rs
@@ -8,9 +8,9 @@
 use dappleshore::controller::Effect;
 use dappleshore::domain::{Job, JobKind, Priority, Resources};
 use dappleshore::features::Features;
-use dappleshore::http::{Method, write};
+use dappleshore::http::{Method, encode_body};
 use dappleshore::job_api::Response;
-use dappleshore::store::records::FORMAT;
+use dappleshore::store::records::NEWEST_FORMAT;
 use dappleshore::workers::HeartbeatResponse;
 use dappleshore::workers::wire::RedirectBody;
 use dappleshore::{cloud, store};
@@ -90,15 +90,15 @@
         match response {
             Response::State { status, state } => {
                 self.add_number(u64::from(*status));
-                self.add_field(&write(state));
+                self.add_field(&encode_body(state));
             }
             Response::Problem {
                 status,
-                problem,
+                message,
                 retry_after,
             } => {
                 self.add_number(u64::from(*status));
-                self.add_field(problem.as_bytes());
+                self.add_field(message.as_bytes());
                 self.add_number(u64::from(retry_after.is_some()));
                 self.add_duration(retry_after.unwrap_or_default());
             }
@@ -110,12 +110,12 @@
         match response {
             HeartbeatResponse::Commands(commands) => {
                 self.add_number(200);
-                self.add_field(&write(commands));
+                self.add_field(&encode_body(commands));
             }
             HeartbeatResponse::Redirect(holder) => {
                 self.add_number(421);
                 let holder = holder.clone();
-                self.add_field(&write(&RedirectBody { holder }));
+                self.add_field(&encode_body(&RedirectBody { holder }));
             }
             HeartbeatResponse::Unavailable => self.add_number(503),
         }
@@ -131,7 +131,7 @@
         match effect {
             Effect::Store { tag: _, request } => {
                 self.add_number(1);
-                self.add_request(&store::wire::request(request));
+                self.add_request(&store::wire::http_request(request));
             }
             Effect::Command {
                 command,
@@ -141,7 +141,7 @@
                 self.add_field(command.block.0.as_bytes());
                 self.add_field(command.machine.0.as_bytes());
                 self.add_field(command.addr.as_bytes());
-                self.add_field(&write(&command.body));
+                self.add_field(&encode_body(&command.body));
                 self.add_authority_end(base, *authority_until);
             }
             Effect::Cloud {
@@ -156,7 +156,7 @@
             Effect::Peer { to, message } => {
                 self.add_number(4);
                 self.add_field(to.0.as_bytes());
-                self.add_field(&write(message));
+                self.add_field(&encode_body(message));
             }
             Effect::RespondToUser { id, response } => {
                 self.add_numbers(&[5, *id]);
@@ -176,7 +176,7 @@
             }
             Effect::RespondToOperator { id, reply } => {
                 self.add_numbers(&[8, *id]);
-                self.add_field(&write(reply));
+                self.add_field(&encode_body(reply));
             }
             Effect::UnsupportedFormat { format } => {
                 self.add_numbers(&[9, u64::from(*format)]);
@@ -300,7 +300,7 @@
          {format}, last token {token}"
     );
     assert!(
-        started > 150 && rented > 20 && format == FORMAT,
+        started > 150 && rented > 20 && format == NEWEST_FORMAT,
         "{name}: {started} tasks started, {rented} machines rented, format {format}"
     );
     cluster.digest.expect("the digest was set above")
--- a/tests/simulation/machine.rs
+++ b/tests/simulation/machine.rs
@@ -143,7 +143,7 @@
             if entry.state != TaskState::Exited
                 && let Some(job) = jobs.get(&task.job)
             {
-                free.take(&job.need);
+                free.subtract(&job.need);
             }
         }
         free
