--- a/tests/simulation/cluster/mod.rs
+++ b/tests/simulation/cluster/mod.rs
@@ -1,5 +1,5 @@
-//! A simulated cluster around real controllers: state service, cloud, machines and users as stand-ins, a network
-//! that loses and holds messages, and faults at random times. Everything follows from a seed.
+//! A simulated cluster around real controllers: it simulates the state service, the cloud, machines and users, a
+//! network that loses and delays messages, and faults at random times. A run is determined by its seed.
 
 mod checks;
 mod cloud;
@@ -12,10 +12,10 @@
 
 use super::digest::Digest;
 use super::gangs::Gangs;
-use super::machine::{BROKEN, Machine, MachineEvent};
+use super::machine::{FAILING_CLASS, Machine, MachineEvent};
 use super::operators::Operators;
 use super::production;
-use super::rules::{Place, Rules, Told};
+use super::rules::{Place, ReportedStatus, Rules};
 use super::state::StateService;
 use dappleshore::cloud::wire::{
     InstanceType, InstanceTypeList, ListedMachine, ListedState, MachineIds, MachineList,
@@ -47,23 +47,26 @@
 use controllers::{Process, Slot};
 use faults::Fault;
 pub use faults::Faults;
-use machines::run_for;
+use machines::run_time;
 use store_requests::Watcher;
-use users::{Asker, HeartbeatRequest, User, guests};
 pub use users::{GUESTS, array};
+use users::{HeartbeatRequest, Requester, User, guest_team};
 
+/// Number of controllers, one in each zone.
 pub const CONTROLLERS: usize = 3;
 
-/// Faults cease here in most tests.
+/// When random faults end in most tests.
 pub const FAULTS_END: Duration = Duration::from_secs(150);
 
 const ZONES: [&str; CONTROLLERS] = ["a", "b", "c"];
 
+/// How often a controller gets `Event::Tick`.
 const TICK: Duration = Duration::from_millis(50);
 
-/// Machines and users move in steps of this.
+/// The time between two steps of machines and users.
 const STEP: Duration = Duration::from_millis(100);
 
+/// An event that is scheduled in the simulation.
 enum ClusterEvent {
     Tick {
         process: Process,
@@ -76,69 +79,70 @@
         process: Process,
         tag: StoreTag,
         sent: Instant,
-        op: StoreRequest,
-        answer: bool,
+        request: StoreRequest,
+        response_arrives: bool,
     },
-    Watch {
+    CheckWatch {
         id: u64,
     },
     Deliver {
         process: Process,
         event: Box<Event>,
     },
-    Peer {
+    PeerMessage {
         controller: usize,
         message: Message,
     },
     Command {
         process: Process,
         command: DirectCommand,
-        answer: bool,
+        response_arrives: bool,
     },
     Cloud {
         process: Process,
         tag: CloudRequestPurpose,
-        call: CloudRequest,
-        answer: bool,
+        request: CloudRequest,
+        response_arrives: bool,
     },
     Heartbeat {
         controller: usize,
         heartbeat: Box<Heartbeat>,
     },
-    /// A late copy: whoever sent the heartbeat no longer waits for its answer.
-    Copy {
+    /// A delayed heartbeat or a copy of one. Its sender no longer waits for the response.
+    DuplicateHeartbeat {
         controller: usize,
         heartbeat: Box<Heartbeat>,
     },
-    /// What a user or an operator asked before, once more.
-    Repeat {
+    /// A copy of an earlier request of a user or an operator.
+    DuplicateRequest {
         controller: usize,
         event: Box<Event>,
     },
-    /// What a controller had decided when it stood still, done now that it goes on.
+    /// The end of a controller's pause: it carries out the effects that it had returned just before.
     Resume {
         process: Process,
         effects: Vec<Effect>,
     },
-    Answered {
+    HeartbeatAnswered {
         request: HeartbeatRequest,
         controller: usize,
-        answer: Option<HeartbeatResponse>,
+        response: Option<HeartbeatResponse>,
     },
     Fault(Fault),
-    /// What a test has planned for this moment.
+    /// An action that a test has planned.
     Planned(Box<dyn FnOnce(&mut SimulatedCluster)>),
 }
 
-/// How much there is of everything.
+/// The numbers of jobs, machines and tasks, and the size of teams.
 #[derive(Debug, Clone, Copy)]
 pub struct Size {
+    /// Number of random users. Each has one job.
     pub jobs: usize,
-    /// Machines of the small and the large type that each zone has, of each capacity type.
+    /// Machines of the small and the large type that a zone has of each capacity type.
     pub stock: [usize; 2],
-    /// Tasks of a large array.
+    /// Upper bound of the number of tasks of an array.
     pub tasks: u32,
-    /// The teams' guarantees and limits, as multiples of the sample's.
+    /// Factor of the guarantees and limits in the sample settings.
     pub teams: f64,
 }
 
@@ -170,84 +174,98 @@
     };
 }
 
+/// The state of a simulation.
 pub struct SimulatedCluster {
     pub(super) now: Duration,
-    base: Instant,
-    wall: SystemTime,
-    order: u64,
+    /// The monotonic and the wall clock at the start.
+    monotonic_start: Instant,
+    wall_start: SystemTime,
+    /// Number of the last scheduled event or watch. Orders events of the same time.
+    event_sequence: u64,
+    /// Time, sequence number and key in `events` of each scheduled event.
     queue: BinaryHeap<Reverse<(Duration, u64, usize)>>,
     events: HashMap<usize, ClusterEvent>,
     rng: SmallRng,
     faults: Faults,
-    /// Faults stop here; what follows is for the service to recover.
+    /// When random faults end. After that the controllers have to recover.
     faults_end: Duration,
     config: Config,
     pub(super) state: StateService,
-    state_out_until: Duration,
+    state_unavailable_until: Duration,
     state_slow_until: Duration,
-    cloud_out_until: Duration,
+    cloud_unavailable_until: Duration,
     peers_cut_until: Duration,
-    zone_cut: (Zone, Duration),
+    /// A zone that is cut off, and until when.
+    zone_partition: (Zone, Duration),
     watchers: BTreeMap<u64, Watcher>,
     slots: Vec<Slot>,
     pub(super) machines: BTreeMap<String, Machine>,
     next_machine: u32,
-    requests: BTreeMap<String, Vec<String>>,
+    /// The machines that each rental request got, by its id.
+    rental_requests: BTreeMap<String, Vec<String>>,
     users: Vec<User>,
     jobs: BTreeMap<JobId, Job>,
-    results: BTreeSet<TaskId>,
+    /// Tasks that have completed.
+    task_results: BTreeSet<TaskId>,
     gangs: Gangs,
     pub rules: Rules,
-    /// What operators have switched on.
+    /// The features file of controllers that start from now on.
     pub features: Features,
-    /// Whether tasks are stopped for others.
+    /// Whether tasks may be preempted.
     pub preemption: bool,
     pub operators: Operators,
+    /// Machines rented so far.
     pub rented: usize,
     size: Size,
-    looked_for_idle: Duration,
+    last_idle_check: Duration,
     boot_faults: Option<BootFaults>,
-    /// Users ask so many times as often as they would.
+    /// Factor by which users poll more often than usual.
     pub request_rate_factor: u32,
-    /// Questions, submissions and cancellations sent so far.
+    /// Polls, submissions and cancellations sent so far.
     pub user_requests: usize,
-    /// The machines that were up when the cloud was told to delete them.
+    /// Machines whose worker ran when the cloud deleted them.
     pub running_machines_deleted: usize,
-    /// Tasks that start now run for so much longer than they would.
+    /// Added to the run time of tasks that start from now on.
     pub extra_task_time: Duration,
-    /// ... and each of a job so much longer than the one before it.
+    /// Also added for each task of a job, multiplied by its index.
     pub extra_time_per_index: Duration,
-    /// The most that a message takes.
+    /// The longest time that a message takes when it is not delayed by a fault.
     pub latency: Duration,
-    /// Reports sent until then arrive then, at whoever leads by that time.
-    heartbeats_held_until: Duration,
-    /// Leases that ran out on machines that were up.
+    /// Heartbeats that are sent before this time arrive at this time, at the controller that leads then.
+    heartbeats_delayed_until: Duration,
+    /// Worker leases that expired on running machines.
     pub leases_over: usize,
+    /// Events that controllers have handled.
     pub events_handled: u64,
-    /// What controllers have decided since a test has set this.
+    /// Digest of the controllers' effects, if a test has set it.
     pub digest: Option<Digest>,
-    /// What controllers said to each other, as it goes over the wire.
+    /// Size of all messages between controllers, in bytes on the wire. Not counted at `Size::SMALL`.
     pub peer_bytes: usize,
+    /// Size of the largest of these messages in bytes.
     pub largest_peer_message: usize,
+    /// The most machines that existed at a time.
     pub most_machines: usize,
+    /// The most direct commands of one controller that were in flight at a time.
     pub most_commands: usize,
 }
 
-/// How often it is looked for jobs that wait beside room.
-const IDLE_EVERY: Duration = Duration::from_secs(2);
+/// How often the cluster is checked for jobs that wait although a suitable machine has capacity.
+const IDLE_CHECK_INTERVAL: Duration = Duration::from_secs(2);
 
-/// Cuts, hangs and held messages last for up to a minute after the last fault.
-const LAST_TROUBLES: Duration = Duration::from_secs(60);
+/// Partitions, hangs and delayed messages last for up to a minute after the last fault.
+const LONGEST_FAULT: Duration = Duration::from_secs(60);
 
 impl SimulatedCluster {
+    /// A cluster with random users and faults.
     pub fn new(seed: u64, faults: Faults, faults_end: Duration, size: Size) -> Self {
         let text = include_str!("../../data/settings.toml");
-        let mut config = Config::parse("settings.toml", text).expect("the sample is valid");
+        let mut config =
+            Config::parse("settings.toml", text).expect("the sample settings are valid");
         for team in &mut config.teams {
             team.guaranteed_cpus *= size.teams;
             team.max_cpus *= size.teams;
         }
-        config.teams.push(guests());
+        config.teams.push(guest_team());
         let mut rng = SmallRng::seed_from_u64(seed);
         let slots = (0..CONTROLLERS)
             .map(|_| Slot::new(rng.random_range(-0.0005..0.0005)))
@@ -255,9 +273,9 @@
         let mut cluster = SimulatedCluster::empty(config, rng, slots, faults, faults_end, size);
         for controller in 0..CONTROLLERS {
             let at = Duration::from_millis(cluster.rng.random_range(0..500));
-            cluster.at(at, ClusterEvent::Restart { controller });
+            cluster.schedule(at, ClusterEvent::Restart { controller });
         }
-        cluster.at(STEP, ClusterEvent::Step);
+        cluster.schedule(STEP, ClusterEvent::Step);
         cluster.schedule_faults();
         for n in 0..size.jobs {
             cluster.add_user(n);
@@ -265,7 +283,7 @@
         cluster
     }
 
-    /// A cluster in which nothing is scheduled to happen yet.
+    /// A cluster without scheduled events.
     fn empty(
         config: Config,
         rng: SmallRng,
@@ -281,39 +299,39 @@
             .collect();
         SimulatedCluster {
             now: Duration::ZERO,
-            base: Instant::now(),
-            wall: SystemTime::UNIX_EPOCH + Duration::from_secs(1_800_000_000),
-            order: 0,
+            monotonic_start: Instant::now(),
+            wall_start: SystemTime::UNIX_EPOCH + Duration::from_secs(1_800_000_000),
+            event_sequence: 0,
             queue: BinaryHeap::new(),
             events: HashMap::new(),
             faults,
             faults_end,
-            state: StateService::new(config.state_limits, production::reads_record),
-            state_out_until: Duration::ZERO,
+            state: StateService::new(config.state_limits, production::can_read_record),
+            state_unavailable_until: Duration::ZERO,
             state_slow_until: Duration::ZERO,
-            cloud_out_until: Duration::ZERO,
+            cloud_unavailable_until: Duration::ZERO,
             peers_cut_until: Duration::ZERO,
-            zone_cut: (Zone::from("a"), Duration::ZERO),
+            zone_partition: (Zone::from("a"), Duration::ZERO),
             watchers: BTreeMap::new(),
             slots,
             machines: BTreeMap::new(),
             next_machine: 0,
-            requests: BTreeMap::new(),
+            rental_requests: BTreeMap::new(),
             users: Vec::new(),
             jobs: BTreeMap::new(),
-            results: BTreeSet::new(),
+            task_results: BTreeSet::new(),
             gangs: Gangs::default(),
             rules: Rules::new(
                 limits,
                 config.cancellation_timeout,
-                faults_end + LAST_TROUBLES,
+                faults_end + LONGEST_FAULT,
             ),
             features: Features::default(),
             preemption: true,
             operators: Operators::default(),
             rented: 0,
             size,
-            looked_for_idle: Duration::ZERO,
+            last_idle_check: Duration::ZERO,
             boot_faults: None,
             request_rate_factor: 1,
             running_machines_deleted: 0,
@@ -321,7 +339,7 @@
             extra_task_time: Duration::ZERO,
             extra_time_per_index: Duration::ZERO,
             latency: Duration::from_millis(6),
-            heartbeats_held_until: Duration::ZERO,
+            heartbeats_delayed_until: Duration::ZERO,
             leases_over: 0,
             events_handled: 0,
             digest: None,
@@ -334,7 +352,8 @@
         }
     }
 
-    /// All controllers are of the production version at first, and know of smaller limits to come.
+    /// A cluster whose controllers all start with the production version and whose settings announce the next limits of
+    /// the state service.
     pub fn upgrading(
         seed: u64,
         faults: Faults,
@@ -350,34 +369,41 @@
         cluster
     }
 
-    fn at(&mut self, at: Duration, event: ClusterEvent) {
-        self.order += 1;
-        let key = self.order as usize;
+    /// Schedules an event. Events of the same time happen in the order in which they were scheduled.
+    fn schedule(&mut self, at: Duration, event: ClusterEvent) {
+        self.event_sequence += 1;
+        let key = self.event_sequence as usize;
         self.events.insert(key, event);
-        self.queue.push(Reverse((at, self.order, key)));
+        self.queue.push(Reverse((at, self.event_sequence, key)));
     }
 
-    /// A request of an operator is on its way to a controller that is up.
+    /// Sends a request of an operator to a controller, if it is up.
     pub(super) fn send_operation(&mut self, operator: usize, controller: usize, request: Request) {
         let slot = &mut self.slots[controller];
         if slot.controller.is_none() {
             return;
         }
         let id = slot.new_request();
-        slot.waiting.insert(id, Asker::Operator(operator));
+        slot.pending_requests
+            .insert(id, Requester::Operator(operator));
         let process = self.process(controller);
-        let copied = self.copied();
+        let duplicate_time = self.draw_duplicate_time();
         let changes = matches!(request, Request::Start { .. } | Request::Cancel { .. });
-        if changes && let Some(late) = copied {
+        if changes && let Some(duplicate_at) = duplicate_time {
             let request = request.clone();
             let event = Box::new(Event::OperatorRequest { id: 0, request });
-            self.at(late, ClusterEvent::Repeat { controller, event });
+            self.schedule(
+                duplicate_at,
+                ClusterEvent::DuplicateRequest { controller, event },
+            );
         }
         self.deliver_soon(process, Event::OperatorRequest { id, request });
     }
 
+    /// Runs the simulation until this time or until a rule is violated.
     pub fn run_until(&mut self, end: Duration) {
-        // Only looked at: what comes later is for the next call. Taken out, it was lost, a controller's clock now and then.
+        // Events after `end` stay in the queue for the next call. When they were removed here, they were lost, at times
+        // the ticks of a controller among them.
         while let Some(Reverse((at, _, key))) = self.queue.peek().copied() {
             if at > end {
                 break;
@@ -396,45 +422,45 @@
         }
     }
 
-    /// Lets an event happen.
+    /// Handles an event.
     fn dispatch(&mut self, event: ClusterEvent) {
         match event {
             ClusterEvent::Tick { process } => self.tick(process),
-            ClusterEvent::Restart { controller } => self.start(controller),
+            ClusterEvent::Restart { controller } => self.start_controller(controller),
             ClusterEvent::Step => {
                 self.step();
-                self.at(self.now + STEP, ClusterEvent::Step);
+                self.schedule(self.now + STEP, ClusterEvent::Step);
             }
             ClusterEvent::Store {
                 process,
                 tag,
                 sent,
-                op,
-                answer,
-            } => self.store(process, tag, sent, op, answer),
-            ClusterEvent::Watch { id } => self.watch_over(id),
+                request,
+                response_arrives,
+            } => self.store_request_arrives(process, tag, sent, request, response_arrives),
+            ClusterEvent::CheckWatch { id } => self.check_watch(id),
             ClusterEvent::Deliver { process, event } => {
-                if self.alive(process) {
+                if self.is_running(process) {
                     self.handle(process.controller, *event);
                 }
             }
-            ClusterEvent::Peer {
+            ClusterEvent::PeerMessage {
                 controller,
                 message,
             } => self.peer_message_arrives(controller, message),
             ClusterEvent::Command {
                 process,
                 command,
-                answer,
-            } => self.command(process, command, answer),
+                response_arrives,
+            } => self.command_arrives(process, command, response_arrives),
             ClusterEvent::Cloud {
                 process,
                 tag,
-                call,
-                answer,
+                request,
+                response_arrives,
             } => {
-                let outcome = self.cloud(&call);
-                if answer {
+                let outcome = self.handle_cloud_request(&request);
+                if response_arrives {
                     self.deliver_soon(process, Event::CloudResponse { tag, outcome });
                 }
             }
@@ -442,49 +468,52 @@
                 controller,
                 heartbeat,
             } => self.heartbeat_arrives(controller, heartbeat),
-            ClusterEvent::Copy {
+            ClusterEvent::DuplicateHeartbeat {
                 controller,
                 heartbeat,
             } => self.heartbeat_copy_arrives(controller, *heartbeat),
-            ClusterEvent::Answered {
+            ClusterEvent::HeartbeatAnswered {
                 request,
                 controller,
-                answer,
-            } => self.answered(&request, controller, answer),
-            ClusterEvent::Repeat { controller, event } => self.handle(controller, *event),
+                response,
+            } => self.heartbeat_answered(&request, controller, response),
+            ClusterEvent::DuplicateRequest { controller, event } => self.handle(controller, *event),
             ClusterEvent::Resume { process, effects } => self.resume(process, effects),
-            ClusterEvent::Fault(fault) => self.fault(fault),
-            ClusterEvent::Planned(act) => act(self),
+            ClusterEvent::Fault(fault) => self.apply_fault(fault),
+            ClusterEvent::Planned(action) => action(self),
         }
     }
 
+    /// Advances leases, machines, gangs, users and operators by one step.
     fn step(&mut self) {
-        if self.now >= self.state_out_until && self.state.expire(self.now) {
+        if self.now >= self.state_unavailable_until && self.state.expire(self.now) {
             self.wake_watchers();
         }
         let ids: Vec<String> = self.machines.keys().cloned().collect();
         for id in ids {
             self.step_machine(&id);
         }
-        let run_for = run_for(self.extra_task_time, self.extra_time_per_index);
+        let run_for = run_time(self.extra_task_time, self.extra_time_per_index);
         for (id, event) in self
             .gangs
             .step(self.now, STEP, &mut self.machines, &self.jobs, run_for)
         {
-            self.happened(&id, vec![event]);
+            self.record_machine_events(&id, vec![event]);
         }
         for user in 0..self.users.len() {
             self.step_user(user);
         }
         self.step_operators();
-        if self.size.jobs <= Size::SMALL.jobs && self.now >= self.looked_for_idle + IDLE_EVERY {
-            self.looked_for_idle = self.now;
-            self.look_for_idle_room();
+        if self.size.jobs <= Size::SMALL.jobs
+            && self.now >= self.last_idle_check + IDLE_CHECK_INTERVAL
+        {
+            self.last_idle_check = self.now;
+            self.check_idle_capacity();
         }
     }
 
-    /// Does something at a set time, for meetings that random faults would seldom bring about.
-    pub fn plan(&mut self, at: Duration, act: impl FnOnce(&mut SimulatedCluster) + 'static) {
-        self.at(at, ClusterEvent::Planned(Box::new(act)));
+    /// Schedules an action, for combinations of faults that random faults would seldom produce.
+    pub fn plan(&mut self, at: Duration, action: impl FnOnce(&mut SimulatedCluster) + 'static) {
+        self.schedule(at, ClusterEvent::Planned(Box::new(action)));
     }
 }
--- a/tests/simulation/cluster/users.rs
+++ b/tests/simulation/cluster/users.rs
@@ -1,24 +1,22 @@
-//! The users of the simulated cluster: the jobs that they submit, poll and cancel.
+//! The users of the simulated cluster, who submit, poll and cancel jobs.
 
 use super::*;
 
+/// The sender of a request to a controller.
 #[derive(Clone)]
-pub(super) enum Asker {
-    User {
-        user: usize,
-        asked: Ask,
-    },
-    /// Whoever sent a job that is to be answered with this status, unless the controller can't decide yet.
-    Odd {
-        expected: u16,
-    },
-    /// A worker, by its heartbeat.
+pub(super) enum Requester {
+    /// A user, by index.
+    User { user: usize, request: RequestKind },
+    /// A user who sent an invalid job, with the status that the response must have unless the controller can't decide
+    /// yet.
+    InvalidJob { expected: u16 },
+    /// A worker, by the heartbeat that it sent.
     Worker(HeartbeatRequest),
-    /// An operator, by number.
+    /// An operator, by the number of the request.
     Operator(usize),
 }
 
-/// A heartbeat that waits for its response.
+/// A heartbeat that has not been answered.
 #[derive(Debug, Clone)]
 pub(super) struct HeartbeatRequest {
     pub(super) machine: String,
@@ -27,41 +25,46 @@
     pub(super) sent: Duration,
 }
 
-/// What a user wants of its job.
+/// What a user requests for its job.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub(super) enum Ask {
+pub(super) enum RequestKind {
     Submit,
     Poll,
     Cancel,
 }
 
+/// A user and its only job.
 pub(super) struct User {
     pub(super) job: JobId,
     pub(super) body: Vec<u8>,
     pub(super) submit_at: Duration,
     pub(super) cancel_at: Option<Duration>,
-    pub(super) next_ask: Duration,
-    pub(super) pending: Option<(Ask, Duration)>,
-    pub(super) again: bool,
+    pub(super) next_request_at: Duration,
+    /// The request without a response and when it times out.
+    pub(super) pending: Option<(RequestKind, Duration)>,
+    /// Whether it at times submits the job again after the job has ended.
+    pub(super) resubmits: bool,
 }
 
-pub(super) const POLL_EVERY: Duration = Duration::from_secs(5);
+/// The time between two polls of a user.
+pub(super) const POLL_INTERVAL: Duration = Duration::from_secs(5);
 
 /// A team without a guarantee and without a limit.
 pub const GUESTS: &str = "guests";
 
-pub(super) fn guests() -> TeamLimits {
-    let none = f64::INFINITY;
+/// The settings of `GUESTS`.
+pub(super) fn guest_team() -> TeamLimits {
+    let unlimited = f64::INFINITY;
     TeamLimits {
         name: GUESTS.into(),
         guaranteed_cpus: 0.0,
-        max_cpus: none,
+        max_cpus: unlimited,
         guaranteed_gpus: 0.0,
-        max_gpus: none,
+        max_gpus: unlimited,
     }
 }
 
-/// An array that may go anywhere.
+/// An array of one task that is allowed on all machines.
 pub fn array(class: &str, team: &str, priority: Priority) -> Job {
     Job {
         class: class.into(),
@@ -89,7 +92,8 @@
     }
 }
 
-pub(super) fn body_of(id: JobId, job: &Job) -> Vec<u8> {
+/// The body of the request that submits a job.
+pub(super) fn encode_submission(id: JobId, job: &Job) -> Vec<u8> {
     use ciborium::Value;
     let kind = match job.kind {
         JobKind::Service => "service",
@@ -136,22 +140,24 @@
         .map(|(key, value)| (key.into(), value))
         .collect();
     let mut bytes = Vec::new();
-    ciborium::into_writer(&Value::Map(map), &mut bytes).expect("to memory");
+    ciborium::into_writer(&Value::Map(map), &mut bytes).expect("writing to memory can't fail");
     bytes
 }
 
 impl SimulatedCluster {
+    /// The state of all gangs.
     pub fn gangs(&self) -> &Gangs {
         &self.gangs
     }
 
-    /// A user submits a gang now.
+    /// Adds a user who submits a gang now.
     pub fn add_gang(&mut self, job: Job) -> JobId {
         self.add_job(job, None)
     }
 
+    /// Adds a user with a random job, submitted at a random time.
     pub(super) fn add_user(&mut self, n: usize) {
-        // Ids come in no order.
+        // The ids don't follow the order of submission.
         let id = JobId(n as u64 * 37 % 1000 + 1000 * (1 + n as u64 / 1000));
         let rng = &mut self.rng;
         let service = rng.random_bool(0.3);
@@ -188,139 +194,149 @@
         };
         let mut job = job;
         if job.spread {
-            // Both at once, or in one given zone, could never be met.
+            // Spread tasks can't all run in one zone, so that this combination could never be satisfied.
             job.one_zone = false;
             job.zone = None;
         }
-        let last = self.faults_end.as_secs_f64().max(20.0);
-        let submit_at = Duration::from_secs_f64(rng.random_range(0.0..last));
-        let cancel = service || rng.random_bool(0.15);
+        let last_submit_s = self.faults_end.as_secs_f64().max(20.0);
+        let submit_at = Duration::from_secs_f64(rng.random_range(0.0..last_submit_s));
+        let will_cancel = service || rng.random_bool(0.15);
         let cancel_at =
-            cancel.then(|| submit_at + Duration::from_secs_f64(rng.random_range(0.5..70.0)));
-        let body = body_of(id, &job);
+            will_cancel.then(|| submit_at + Duration::from_secs_f64(rng.random_range(0.5..70.0)));
+        let body = encode_submission(id, &job);
         self.jobs.insert(id, job);
         self.users.push(User {
             job: id,
             body,
             submit_at,
             cancel_at,
-            next_ask: submit_at,
+            next_request_at: submit_at,
             pending: None,
-            again: rng.random_bool(0.3),
+            resubmits: rng.random_bool(0.3),
         });
     }
 
-    /// One step of a user: it asks about its job if it is time to.
+    /// Advances a user by one step: it sends a request if one is due.
     pub(super) fn step_user(&mut self, index: usize) {
-        if !self.user_asks_now(index) {
+        if !self.is_request_due(index) {
             return;
         }
         let now = self.now;
         let job = self.users[index].job;
         self.rules.asked(now, job);
-        let told = self.rules.told_state(job);
-        let asked = self.next_request(index, told);
-        let odd = now < self.faults_end && self.rng.random_bool(self.faults.irregular_requests);
-        let asked = match told {
-            Some(Told::Accepted) if odd => Ask::Submit,
-            Some(Told::Done) if odd => Ask::Cancel,
-            _ => asked,
+        let reported = self.rules.reported_status(job);
+        let request = self.choose_request(index, reported);
+        let irregular =
+            now < self.faults_end && self.rng.random_bool(self.faults.irregular_requests);
+        let request = match reported {
+            Some(ReportedStatus::Accepted) if irregular => RequestKind::Submit,
+            Some(ReportedStatus::Done) if irregular => RequestKind::Cancel,
+            _ => request,
         };
-        if odd {
-            self.send_odd(index);
+        if irregular {
+            self.send_invalid_job(index);
         }
         self.user_requests += 1;
-        let within = if asked == Ask::Poll { 2 } else { 5 };
-        self.users[index].pending = Some((asked, now + Duration::from_secs(within)));
-        match asked {
-            Ask::Submit => self.rules.submitted(job, self.jobs[&job].clone()),
-            // What is done stays done, whoever calls it off.
-            Ask::Cancel if told == Some(Told::Done) => {}
-            Ask::Cancel => self.rules.cancel_asked(job),
-            Ask::Poll => {}
+        let timeout_s = if request == RequestKind::Poll { 2 } else { 5 };
+        self.users[index].pending = Some((request, now + Duration::from_secs(timeout_s)));
+        match request {
+            RequestKind::Submit => self.rules.submitted(job, self.jobs[&job].clone()),
+            // A job that is done stays done when it is cancelled.
+            RequestKind::Cancel if reported == Some(ReportedStatus::Done) => {}
+            RequestKind::Cancel => self.rules.cancel_asked(job),
+            RequestKind::Poll => {}
         }
-        self.send_user_request(index, asked);
+        self.send_user_request(index, request);
     }
 
-    /// Whether a user asks now: it has nothing to wait for, and its pause is over.
-    fn user_asks_now(&mut self, index: usize) -> bool {
+    /// Whether a user sends a request now: no response is pending and its pause has ended.
+    fn is_request_due(&mut self, index: usize) -> bool {
         let now = self.now;
         let user = &mut self.users[index];
         if now < user.submit_at {
             return false;
         }
-        if let Some((asked, deadline)) = user.pending {
+        if let Some((request, deadline)) = user.pending {
             if now < deadline {
                 return false;
             }
             user.pending = None;
-            let pause = if asked == Ask::Poll {
-                POLL_EVERY / self.request_rate_factor
+            let pause = if request == RequestKind::Poll {
+                POLL_INTERVAL / self.request_rate_factor
             } else {
                 Duration::from_secs(1)
             };
-            user.next_ask = now + pause;
+            user.next_request_at = now + pause;
         }
-        now >= user.next_ask
+        now >= user.next_request_at
     }
 
-    /// What a user asks next, by what it was told last.
-    fn next_request(&mut self, index: usize, told: Option<Told>) -> Ask {
+    /// Chooses the next request of a user by the last status that it received.
+    fn choose_request(&mut self, index: usize, reported: Option<ReportedStatus>) -> RequestKind {
         let user = &self.users[index];
-        let cancel = user.cancel_at.is_some_and(|at| self.now >= at);
-        match told {
-            None => Ask::Submit,
-            Some(Told::Accepted) if cancel => Ask::Cancel,
-            Some(Told::Accepted) => Ask::Poll,
-            // Asked about again, and submitted again, long after.
-            Some(_) if user.again && self.rng.random_bool(0.3) => Ask::Submit,
-            Some(_) => Ask::Poll,
+        let cancel_due = user.cancel_at.is_some_and(|at| self.now >= at);
+        match reported {
+            None => RequestKind::Submit,
+            Some(ReportedStatus::Accepted) if cancel_due => RequestKind::Cancel,
+            Some(ReportedStatus::Accepted) => RequestKind::Poll,
+            // Some jobs are submitted again long after their end.
+            Some(_) if user.resubmits && self.rng.random_bool(0.3) => RequestKind::Submit,
+            Some(_) => RequestKind::Poll,
         }
     }
 
-    /// The event of a user's request at a controller.
-    fn user_event(&self, index: usize, asked: Ask, id: u64) -> Event {
+    /// The event that a user's request causes at a controller.
+    fn request_event(&self, index: usize, request: RequestKind, id: u64) -> Event {
         let user = &self.users[index];
         let job = user.job.to_string();
-        match asked {
-            Ask::Submit => Event::Submit {
+        match request {
+            RequestKind::Submit => Event::Submit {
                 id,
                 body: user.body.clone(),
             },
-            Ask::Poll => Event::Poll { id, job },
-            Ask::Cancel => Event::Cancel { id, job },
+            RequestKind::Poll => Event::Poll { id, job },
+            RequestKind::Cancel => Event::Cancel { id, job },
         }
     }
 
-    /// A user's request on its way to a controller that is up.
-    fn send_user_request(&mut self, index: usize, asked: Ask) {
-        let up: Vec<usize> = (0..CONTROLLERS)
+    /// Sends a user's request to a random controller that is up, if there is one.
+    fn send_user_request(&mut self, index: usize, request: RequestKind) {
+        let running: Vec<usize> = (0..CONTROLLERS)
             .filter(|controller| self.slots[*controller].controller.is_some())
             .collect();
-        if up.is_empty() {
+        if running.is_empty() {
             return;
         }
-        let controller = up[self.rng.random_range(0..up.len())];
+        let controller = running[self.rng.random_range(0..running.len())];
         let slot = &mut self.slots[controller];
         let id = slot.new_request();
-        slot.waiting.insert(id, Asker::User { user: index, asked });
+        slot.pending_requests.insert(
+            id,
+            Requester::User {
+                user: index,
+                request,
+            },
+        );
         let process = self.process(controller);
-        if let Some(late) = self.copied() {
-            // To any controller, whoever is there by then; nobody waits for the answer.
+        if let Some(duplicate_at) = self.draw_duplicate_time() {
+            // The copy goes to any controller and its current process. Nobody waits for the response.
             let controller = self.rng.random_range(0..CONTROLLERS);
-            if asked != Ask::Poll {
-                let event = Box::new(self.user_event(index, asked, 0));
-                self.at(late, ClusterEvent::Repeat { controller, event });
+            if request != RequestKind::Poll {
+                let event = Box::new(self.request_event(index, request, 0));
+                self.schedule(
+                    duplicate_at,
+                    ClusterEvent::DuplicateRequest { controller, event },
+                );
             }
         }
-        let event = self.user_event(index, asked, id);
+        let event = self.request_event(index, request, id);
         self.deliver_soon(process, event);
     }
 
-    /// A job that can't run or lacks a field, under a name that nobody uses.
-    fn send_odd(&mut self, index: usize) {
+    /// Submits a job that can't run or whose body is malformed, under an unused id.
+    fn send_invalid_job(&mut self, index: usize) {
         let job = self.jobs[&self.users[index].job].clone();
-        let id = JobId(500_000 + self.order);
+        let id = JobId(500_000 + self.event_sequence);
         let with_cpus = |cpus: f64| Job {
             need: Resources { cpus, ..job.need },
             ..job.clone()
@@ -331,12 +347,12 @@
                     team: "nobody".into(),
                     ..job.clone()
                 };
-                (body_of(id, &unknown_team), 422)
+                (encode_submission(id, &unknown_team), 422)
             }
-            1 => (body_of(id, &with_cpus(17.0)), 422),
-            2 => (body_of(id, &with_cpus(-1.0)), 400),
+            1 => (encode_submission(id, &with_cpus(17.0)), 422),
+            2 => (encode_submission(id, &with_cpus(-1.0)), 400),
             _ => {
-                let mut body = body_of(id, &job);
+                let mut body = encode_submission(id, &job);
                 body.truncate(body.len() / 2);
                 (body, 400)
             }
@@ -347,22 +363,29 @@
             return;
         }
         let id = slot.new_request();
-        slot.waiting.insert(id, Asker::Odd { expected });
+        slot.pending_requests
+            .insert(id, Requester::InvalidJob { expected });
         let process = self.process(controller);
         self.deliver_soon(process, Event::Submit { id, body });
     }
 
-    pub(super) fn user_answered(&mut self, index: usize, asked: Ask, response: &Response) {
+    /// Delivers the response to a user's request.
+    pub(super) fn user_response_arrives(
+        &mut self,
+        index: usize,
+        request: RequestKind,
+        response: &Response,
+    ) {
         let now = self.now;
         let user = &mut self.users[index];
-        if user.pending.is_none_or(|(pending, _)| pending != asked) {
-            // Too late: the user no longer listens.
+        if user.pending.is_none_or(|(pending, _)| pending != request) {
+            // The request has timed out.
             return;
         }
         user.pending = None;
-        user.next_ask = now
-            + if asked == Ask::Poll {
-                POLL_EVERY / self.request_rate_factor
+        user.next_request_at = now
+            + if request == RequestKind::Poll {
+                POLL_INTERVAL / self.request_rate_factor
             } else {
                 Duration::from_secs(2)
             };
@@ -377,19 +400,16 @@
                 ..
             } => self.rules.refused(now, job, *status),
             Response::Problem { retry_after, .. } => {
-                assert!(
-                    retry_after.is_some(),
-                    "a refusal that does not say when to come back"
-                );
-                if asked != Ask::Poll {
-                    self.users[index].next_ask =
+                assert!(retry_after.is_some(), "a refusal has no Retry-After");
+                if request != RequestKind::Poll {
+                    self.users[index].next_request_at =
                         now + retry_after.unwrap_or_default().max(Duration::from_secs(1));
                 }
             }
         }
     }
 
-    /// A user of the team without a guarantee submits an array now.
+    /// Adds a user of the team `GUESTS` who submits an array now.
     pub fn add_guests_job(&mut self, tasks: u32, cpus: f64) -> JobId {
         let job = Job {
             tasks,
@@ -403,18 +423,19 @@
         self.add_job(job, None)
     }
 
-    /// A user submits an array with a mistake now, which fails on every machine, and calls it off after this long.
+    /// Adds a user who now submits an array whose tasks fail on every machine and cancels it after this time.
     pub fn add_broken_job(&mut self, tasks: u32, cancel_after: Duration) -> JobId {
         let job = Job {
             tasks,
-            ..array(BROKEN, "red", Priority::Standard)
+            ..array(FAILING_CLASS, "red", Priority::Standard)
         };
         self.add_job(job, Some(self.now + cancel_after))
     }
 
+    /// Adds a user who submits this job now and cancels it at this time.
     pub fn add_job(&mut self, job: Job, cancel_at: Option<Duration>) -> JobId {
         let id = JobId(900_000 + self.users.len() as u64);
-        let body = body_of(id, &job);
+        let body = encode_submission(id, &job);
         self.jobs.insert(id, job);
         let now = self.now;
         self.users.push(User {
@@ -422,30 +443,30 @@
             body,
             submit_at: now,
             cancel_at,
-            next_ask: now,
+            next_request_at: now,
             pending: None,
-            again: false,
+            resubmits: false,
         });
         id
     }
 
-    /// What a user has submitted or will submit.
+    /// A job that a user has submitted or will submit.
     pub fn job(&self, id: JobId) -> &Job {
         &self.jobs[&id]
     }
 
-    /// No job is bound to a zone.
+    /// Removes the zone constraints of all jobs.
     pub fn unbind_jobs(&mut self) {
         for user in &mut self.users {
             if let Some(job) = self.jobs.get_mut(&user.job) {
                 job.one_zone = false;
                 job.zone = None;
-                user.body = body_of(user.job, job);
+                user.body = encode_submission(user.job, job);
             }
         }
     }
 
-    /// All arrays are bound to one zone: every other one to a given zone.
+    /// Binds all arrays to one zone. Every other one is bound to a given zone, the rest may choose.
     pub fn bind_jobs(&mut self) {
         for (n, user) in self.users.iter_mut().enumerate() {
             let Some(job) = self
@@ -457,38 +478,39 @@
             };
             job.one_zone = n.is_multiple_of(2);
             job.zone = (!job.one_zone).then(|| ZONES[n % CONTROLLERS].into());
-            user.body = body_of(user.job, job);
+            user.body = encode_submission(user.job, job);
         }
     }
 
-    /// Up to so many accepted jobs that run.
+    /// Up to `count` accepted jobs with running tasks.
     pub fn running_jobs(&self, count: usize) -> Vec<JobId> {
-        let running = |job: &JobId| {
-            self.rules.told_state(*job) == Some(Told::Accepted)
+        let is_running = |job: &JobId| {
+            self.rules.reported_status(*job) == Some(ReportedStatus::Accepted)
                 && !self.rules.machines_of(*job).is_empty()
         };
         self.users
             .iter()
             .map(|user| user.job)
-            .filter(running)
+            .filter(is_running)
             .take(count)
             .collect()
     }
 
-    /// Users call off up to so many jobs that run. Returns the jobs.
+    /// Makes users cancel up to `count` jobs with running tasks. Returns the jobs.
     pub fn cancel_now(&mut self, count: usize) -> Vec<JobId> {
         let jobs = self.running_jobs(count);
         for job in &jobs {
-            self.cancel(*job);
+            self.cancel_job(*job);
         }
         jobs
     }
 
-    pub(super) fn cancel(&mut self, job: JobId) {
+    /// Makes a user cancel its job now.
+    pub(super) fn cancel_job(&mut self, job: JobId) {
         let now = self.now;
         if let Some(user) = self.users.iter_mut().find(|user| user.job == job) {
             user.cancel_at = Some(now);
-            user.next_ask = now;
+            user.next_request_at = now;
             user.pending = None;
         }
     }
