--- a/src/workers/block/placement_writes.rs
+++ b/src/workers/block/placement_writes.rs
@@ -143,7 +143,7 @@
             recorded, limits, undecided,
         ) {
             Some(transaction) => {
-                info!(block = %self.id, changes = transaction.changed().len(), "a value is too large: divided");
+                info!(block = %self.id, changes = transaction.changed().len(), "oversized placements divided");
                 (transaction, NewPlacements::default())
             }
             None => {
