--- a/src/job_api/admission.rs
+++ b/src/job_api/admission.rs
@@ -39,12 +39,12 @@
     if !catalog.fits_job(job) {
         return Some(UnschedulableReason::NoFittingInstanceType);
     }
-    let at_once = match job.kind {
+    let concurrent_tasks = match job.kind {
         JobKind::Service | JobKind::Gang => f64::from(job.tasks),
         JobKind::Array => 1.0,
     };
     let Resources { cpus, gpus, .. } = job.need;
-    let exceeds = |need: f64, limit: f64| need * at_once > limit + ROUNDING_TOLERANCE;
+    let exceeds = |need: f64, limit: f64| need * concurrent_tasks > limit + ROUNDING_TOLERANCE;
     (exceeds(cpus, limits.max_cpus) || exceeds(gpus, limits.max_gpus))
         .then_some(UnschedulableReason::TeamLimitExceeded)
 }
--- a/src/job_api/mod.rs
+++ b/src/job_api/mod.rs
@@ -41,9 +41,12 @@
 enum RequestState {
     /// Until the copy is as new as the request.
     Refreshing,
-    /// The transaction is kept, as it is sent again if the state service refuses it. `at_ms`: the time of day that it
+    /// The transaction is kept, as it is sent again if the state service refuses it. `recorded_ms`: the time of day that it
     /// holds.
-    Committing { txn: Transaction, at_ms: u64 },
+    Committing {
+        transaction: Transaction,
+        recorded_ms: u64,
+    },
 }
 
 #[derive(Debug)]
@@ -85,8 +88,8 @@
 }
 
 impl<Tag> Context<'_, Tag> {
-    fn queue_commit(&mut self, id: RequestId, txn: Transaction) -> Result<(), Response> {
-        let commit = StoreRequest::Commit(txn);
+    fn queue_commit(&mut self, id: RequestId, transaction: Transaction) -> Result<(), Response> {
+        let commit = StoreRequest::Commit(transaction);
         self.rate_limiter
             .push(RequestPriority::User, (self.store_tag)(id), commit)
             .map_err(|_| retry_later(429, "too many requests"))
@@ -105,30 +108,30 @@
         now: Now,
         id: RequestId,
         body: &[u8],
-        cx: &mut Context<'_, Tag>,
+        context: &mut Context<'_, Tag>,
     ) -> Option<Response> {
         let (job_id, job) = match wire::parse(body, now.unix_ms()) {
             Ok(parsed) => parsed,
             Err(error) => return Some(reject(400, error.message())),
         };
-        if let Some(response) = final_state(cx.cache, job_id) {
+        if let Some(response) = final_state(context.cache, job_id) {
             return Some(response);
         }
-        let known = cx.cache.open_jobs.contains_key(&job_id);
+        let already_open = context.cache.open_jobs.contains_key(&job_id);
         let record = JobRecord::Open(job.clone());
-        if !known && let Some(response) = invalid_job_response(cx, &job, &record) {
+        if !already_open && let Some(response) = invalid_job_response(context, &job, &record) {
             return Some(response);
         }
-        if let Some(response) = self.unavailable_response(now, cx) {
+        if let Some(response) = self.unavailable_response(now, context) {
             return Some(response);
         }
-        if job.kind == JobKind::Gang && cx.cache.format() < PARTS_FORMAT {
+        if job.kind == JobKind::Gang && context.cache.format() < PARTS_FORMAT {
             return Some(retry_later(503, "not all controllers know this shape yet"));
         }
-        if known {
-            return self.refresh(now, id, Operation::Submit, job_id, cx);
+        if already_open {
+            return self.await_refresh(now, id, Operation::Submit, job_id, context);
         }
-        self.commit_job(now, id, job_id, job.accepted_ms, &record, cx)
+        self.commit_job(now, id, job_id, job.accepted_ms, &record, context)
     }
 
     fn commit_job<Tag>(
@@ -136,14 +139,14 @@
         now: Now,
         id: RequestId,
         job: JobId,
-        at_ms: u64,
+        recorded_ms: u64,
         record: &JobRecord,
-        cx: &mut Context<'_, Tag>,
+        context: &mut Context<'_, Tag>,
     ) -> Option<Response> {
-        if !cx.catalog.is_loaded() {
+        if !context.catalog.is_loaded() {
             return Some(retry_later(503, "the machine types are not known yet"));
         }
-        let delay = cx.rate_limiter.estimated_user_delay();
+        let delay = context.rate_limiter.estimated_user_delay();
         if delay > MAX_WRITE_DELAY {
             return Some(Response::Problem {
                 status: 429,
@@ -151,10 +154,10 @@
                 retry_after: Some(Duration::from_secs(delay.as_secs().clamp(1, 20))),
             });
         }
-        let txn = Transaction::default()
+        let transaction = Transaction::default()
             .require_version(job_key(job), 0)
             .put(job_key(job), record);
-        if let Err(response) = cx.queue_commit(id, txn.clone()) {
+        if let Err(response) = context.queue_commit(id, transaction.clone()) {
             return Some(response);
         }
         self.pending.insert(
@@ -162,7 +165,10 @@
             PendingRequest {
                 operation: Operation::Submit,
                 job,
-                state: RequestState::Committing { txn, at_ms },
+                state: RequestState::Committing {
+                    transaction,
+                    recorded_ms,
+                },
                 fresh_since: now.monotonic,
                 deadline: now.monotonic + SUBMIT_TIMEOUT,
             },
@@ -176,9 +182,9 @@
         now: Now,
         id: RequestId,
         job: &str,
-        cx: &mut Context<'_, Tag>,
+        context: &mut Context<'_, Tag>,
     ) -> Option<Response> {
-        self.request(now, id, Operation::Poll, job, cx)
+        self.poll_or_cancel(now, id, Operation::Poll, job, context)
     }
 
     /// Cancels the job of this id. The response, if it is decided at once.
@@ -187,53 +193,53 @@
         now: Now,
         id: RequestId,
         job: &str,
-        cx: &mut Context<'_, Tag>,
+        context: &mut Context<'_, Tag>,
     ) -> Option<Response> {
-        self.request(now, id, Operation::Cancel, job, cx)
+        self.poll_or_cancel(now, id, Operation::Cancel, job, context)
     }
 
-    fn request<Tag>(
+    fn poll_or_cancel<Tag>(
         &mut self,
         now: Now,
         id: RequestId,
         operation: Operation,
         job: &str,
-        cx: &mut Context<'_, Tag>,
+        context: &mut Context<'_, Tag>,
     ) -> Option<Response> {
         let Ok(job) = job.parse() else {
             return Some(reject(404, "no such job"));
         };
-        if let Some(response) = final_state(cx.cache, job) {
+        if let Some(response) = final_state(context.cache, job) {
             return Some(response);
         }
-        if let Some(response) = self.unavailable_response(now, cx) {
+        if let Some(response) = self.unavailable_response(now, context) {
             return Some(response);
         }
-        self.refresh(now, id, operation, job, cx)
+        self.await_refresh(now, id, operation, job, context)
     }
 
     /// Why nothing that needs the state service, or has to wait, can be accepted now.
-    fn unavailable_response<Tag>(&self, now: Now, cx: &Context<'_, Tag>) -> Option<Response> {
-        if !cx.cache.is_loaded() || !cx.rate_limiter.available(now) {
+    fn unavailable_response<Tag>(&self, now: Now, context: &Context<'_, Tag>) -> Option<Response> {
+        if !context.cache.is_loaded() || !context.rate_limiter.available(now) {
             return Some(retry_later(503, "the state service can't be reached"));
         }
         (self.pending.len() >= MAX_PENDING_REQUESTS).then(|| retry_later(429, "too many requests"))
     }
 
     /// Lets a request wait for a copy that is as new as itself.
-    fn refresh<Tag>(
+    fn await_refresh<Tag>(
         &mut self,
         now: Now,
         id: RequestId,
         operation: Operation,
         job: JobId,
-        cx: &mut Context<'_, Tag>,
+        context: &mut Context<'_, Tag>,
     ) -> Option<Response> {
         let timeout = match operation {
             Operation::Submit | Operation::Cancel => SUBMIT_TIMEOUT,
             Operation::Poll => POLL_TIMEOUT,
         };
-        cx.cache.request_refresh();
+        context.cache.request_refresh();
         self.pending.insert(
             id,
             PendingRequest {
@@ -257,9 +263,9 @@
         match (pending.operation, &pending.state, outcome) {
             (
                 Operation::Cancel,
-                RequestState::Committing { at_ms, .. },
+                RequestState::Committing { recorded_ms, .. },
                 StoreResponse::Committed { revision },
-            ) => Some(CancelledJob::new(pending.job, *revision, *at_ms)),
+            ) => Some(CancelledJob::new(pending.job, *revision, *recorded_ms)),
             _ => None,
         }
     }
@@ -270,7 +276,7 @@
         now: Now,
         id: RequestId,
         outcome: &StoreResponse,
-        cx: &mut Context<'_, Tag>,
+        context: &mut Context<'_, Tag>,
     ) -> Option<Response> {
         let pending = self.pending.get_mut(&id)?;
         let response = match (pending.operation, outcome) {
@@ -282,19 +288,19 @@
             }
             // Not executed, as all controllers together asked too much just then: most often it goes a moment later.
             (_, StoreResponse::Refused)
-                if cx.rate_limiter.available(now)
+                if context.rate_limiter.available(now)
                     && now.monotonic + MAX_WRITE_DELAY < pending.deadline =>
             {
-                let RequestState::Committing { txn, .. } = &pending.state else {
+                let RequestState::Committing { transaction, .. } = &pending.state else {
                     return None;
                 };
-                cx.queue_commit(id, txn.clone()).err()?
+                context.queue_commit(id, transaction.clone()).err()?
             }
             (_, StoreResponse::Conflict) => {
                 // Another request was first: see what it did.
                 pending.state = RequestState::Refreshing;
                 pending.fresh_since = now.monotonic;
-                cx.cache.request_refresh();
+                context.cache.request_refresh();
                 return None;
             }
             // It may or may not be committed. The user asks again, and gets the right response then in either case.
@@ -308,16 +314,16 @@
     pub fn resolve_pending<Tag>(
         &mut self,
         now: Now,
-        cx: &mut Context<'_, Tag>,
+        context: &mut Context<'_, Tag>,
     ) -> Vec<(RequestId, Response)> {
-        let available = cx.rate_limiter.available(now) && cx.cache.is_loaded();
+        let available = context.rate_limiter.available(now) && context.cache.is_loaded();
         let due: Vec<RequestId> = self
             .pending
             .iter()
             .filter(|(_, pending)| match pending.state {
                 RequestState::Refreshing => {
                     !available
-                        || cx.cache.is_current_as_of(pending.fresh_since)
+                        || context.cache.is_current_as_of(pending.fresh_since)
                         || now.monotonic >= pending.deadline
                 }
                 RequestState::Committing { .. } => now.monotonic >= pending.deadline,
@@ -326,7 +332,7 @@
             .collect();
         let mut responses = Vec::new();
         for id in due {
-            if let Some(response) = self.decide(now, id, cx) {
+            if let Some(response) = self.resolve(now, id, context) {
                 self.pending.remove(&id);
                 responses.push((id, response));
             }
@@ -335,57 +341,57 @@
     }
 
     /// The response to a request that is due, unless it has a transaction to wait for now.
-    fn decide<Tag>(
+    fn resolve<Tag>(
         &mut self,
         now: Now,
         id: RequestId,
-        cx: &mut Context<'_, Tag>,
+        context: &mut Context<'_, Tag>,
     ) -> Option<Response> {
         let pending = self.pending.get_mut(&id)?;
         let refreshed = matches!(pending.state, RequestState::Refreshing)
-            && cx.cache.is_current_as_of(pending.fresh_since);
+            && context.cache.is_current_as_of(pending.fresh_since);
         if !refreshed {
             return Some(retry_later(503, "the state service is slow"));
         }
         let job = pending.job;
-        if let Some(response) = final_state(cx.cache, job) {
+        if let Some(response) = final_state(context.cache, job) {
             return Some(response);
         }
-        let Some(open) = cx.cache.open_jobs.get(&job) else {
+        let Some(open) = context.cache.open_jobs.get(&job) else {
             // A submission conflicts only with a job that the copy then shows.
             return Some(reject(404, "no such job"));
         };
         if pending.operation != Operation::Cancel || open.cancelled {
-            return Some(open_state(cx.cache, job, open));
+            return Some(open_state(context.cache, job, open));
         }
-        let at_ms = now.unix_ms();
-        let value_bytes = cx.config.state_limits.value_bytes;
-        let record = JobRecord::cancelled(&open.job, at_ms, value_bytes);
-        let txn = Transaction::default()
+        let recorded_ms = now.unix_ms();
+        let value_bytes = context.config.state_limits.value_bytes;
+        let record = JobRecord::cancelled(&open.job, recorded_ms, value_bytes);
+        let transaction = Transaction::default()
             .require_version(job_key(job), open.version)
             .put(job_key(job), &record);
         pending.state = RequestState::Committing {
-            txn: txn.clone(),
-            at_ms,
+            transaction: transaction.clone(),
+            recorded_ms,
         };
-        cx.queue_commit(id, txn).err()
+        context.queue_commit(id, transaction).err()
     }
 }
 
 /// What is wrong with a job that is not accepted yet: told in an outage as well.
 fn invalid_job_response<Tag>(
-    cx: &Context<'_, Tag>,
+    context: &Context<'_, Tag>,
     job: &Job,
     record: &JobRecord,
 ) -> Option<Response> {
     // Without a copy the job may be one that was accepted before.
-    if cx.cache.is_loaded()
-        && cx.catalog.is_loaded()
-        && let Some(reason) = unschedulable_reason(cx.config, cx.catalog, job)
+    if context.cache.is_loaded()
+        && context.catalog.is_loaded()
+        && let Some(reason) = unschedulable_reason(context.config, context.catalog, job)
     {
         return Some(reject(422, reason.message()));
     }
-    (json_size(&encode(record)) > cx.config.state_limits.value_bytes)
+    (json_size(&encode(record)) > context.config.state_limits.value_bytes)
         .then(|| reject(400, "its names are too long to be kept"))
 }
 
--- a/src/job_api/responses.rs
+++ b/src/job_api/responses.rs
@@ -47,10 +47,10 @@
 }
 
 /// The state of a job of which no task runs.
-pub(super) fn idle_state(status: u16, id: JobId, state: &'static str, done: u64) -> Response {
+pub(super) fn idle_state(status: u16, id: JobId, job_status: &'static str, done: u64) -> Response {
     let state = JobState {
         id,
-        status: state,
+        status: job_status,
         done,
         running: 0,
     };
@@ -63,11 +63,11 @@
         return None;
     }
     let (outcome, tasks) = cache.ended_jobs.get(&job)?;
-    let (state, done) = match outcome {
+    let (job_status, done) = match outcome {
         JobOutcome::Done => ("done", u64::from(*tasks)),
         JobOutcome::Cancelled => ("cancelled", 0),
     };
-    Some(idle_state(200, job, state, done))
+    Some(idle_state(200, job, job_status, done))
 }
 
 /// The state of a job that has not ended.
--- a/src/job_api/tests.rs
+++ b/src/job_api/tests.rs
@@ -4,7 +4,7 @@
 use crate::cloud::wire::InstanceTypeList;
 use crate::cloud::wire::tests::instance_type;
 use crate::config::tests::SETTINGS;
-use crate::job_api::wire::tests::{body, sample};
+use crate::job_api::wire::tests::{encode_fields, sample_fields};
 use crate::placement::tests::job;
 use crate::store::Change;
 use crate::store::records::encode;
@@ -39,36 +39,38 @@
         }
     }
 
-    fn after(&mut self, passed: Duration) {
+    fn advance_clock(&mut self, passed: Duration) {
         self.now = Now {
             monotonic: self.now.monotonic + passed,
             wall: self.now.wall + passed,
         };
     }
 
-    fn outage(&mut self) {
-        self.after(Duration::from_secs(5));
+    fn start_outage(&mut self) {
+        self.advance_clock(Duration::from_secs(5));
         self.rate_limiter
             .record_response(self.now, &StoreResponse::Refused);
     }
 
     /// The status of the answer that comes at once, if one does.
-    fn submit(&mut self, changed: &[(&'static str, ciborium::Value)]) -> Option<u16> {
-        let mut fields = sample();
+    fn submit(&mut self, changed_fields: &[(&'static str, ciborium::Value)]) -> Option<u16> {
+        let mut fields = sample_fields();
         fields.push(("berthKinds", ciborium::Value::Null));
-        for (name, value) in changed {
+        for (name, value) in changed_fields {
             fields.retain(|(known, _)| known != name);
             fields.push((name, value.clone()));
         }
         fields.dedup_by_key(|(name, _)| *name);
-        let mut cx = Context {
+        let mut context = Context {
             config: &self.config,
             catalog: &self.catalog,
             cache: &mut self.cache,
             rate_limiter: &mut self.rate_limiter,
             store_tag: |id| id,
         };
-        let response = self.job_api.submit(self.now, 1, &body(&fields), &mut cx)?;
+        let response = self
+            .job_api
+            .submit(self.now, 1, &encode_fields(&fields), &mut context)?;
         if let Response::Problem {
             status: 429 | 503,
             retry_after,
@@ -86,19 +88,19 @@
 #[test]
 fn bad_input_is_refused_at_once_in_an_outage_as_well() {
     let mut harness = JobApiHarness::new();
-    let any = ("berthKinds", ciborium::Value::Null);
-    let unfit = [any.clone(), ("cpus", 17.0.into())];
-    let missing = [any.clone(), ("entries", ciborium::Value::Null)];
-    let fits = [any];
-    assert_eq!(harness.submit(&unfit), Some(422));
-    assert_eq!(harness.submit(&missing), Some(400));
+    let any_type = ("berthKinds", ciborium::Value::Null);
+    let never_fits = [any_type.clone(), ("cpus", 17.0.into())];
+    let incomplete = [any_type.clone(), ("entries", ciborium::Value::Null)];
+    let fits = [any_type];
+    assert_eq!(harness.submit(&never_fits), Some(422));
+    assert_eq!(harness.submit(&incomplete), Some(400));
     assert_eq!(harness.submit(&fits), None, "answered once it is committed");
-    harness.outage();
-    assert_eq!(harness.submit(&unfit), Some(422));
-    assert_eq!(harness.submit(&missing), Some(400));
+    harness.start_outage();
+    assert_eq!(harness.submit(&never_fits), Some(422));
+    assert_eq!(harness.submit(&incomplete), Some(400));
     assert_eq!(harness.submit(&fits), Some(503));
     harness.catalog = InstanceCatalog::default();
-    assert_eq!(harness.submit(&unfit), Some(503), "can't decide");
+    assert_eq!(harness.submit(&never_fits), Some(503), "can't decide");
 }
 
 /// A job that was accepted stays known, whatever is thought of it by now.
@@ -112,14 +114,14 @@
         version: 1,
         value: Some(encode(&JobRecord::Open(job(1, 17.0)))),
     });
-    let unfit = [("berthKinds", ciborium::Value::Null), ("cpus", 17.0.into())];
+    let never_fits = [("berthKinds", ciborium::Value::Null), ("cpus", 17.0.into())];
     assert_eq!(
-        harness.submit(&unfit),
+        harness.submit(&never_fits),
         None,
         "answered once the copy is fresh"
     );
-    harness.outage();
-    assert_eq!(harness.submit(&unfit), Some(503));
+    harness.start_outage();
+    assert_eq!(harness.submit(&never_fits), Some(503));
     let end = JobRecord::Ended(crate::domain::JobOutcome::Done, 1);
     harness.cache.apply(Change {
         key,
@@ -127,7 +129,7 @@
         value: Some(encode(&end)),
     });
     assert_eq!(
-        harness.submit(&unfit),
+        harness.submit(&never_fits),
         Some(200),
         "what is final is told from any copy"
     );
@@ -143,8 +145,8 @@
         version: 3,
         value: Some(encode(&JobRecord::Open(job(1, 1.0)))),
     });
-    let at_ms = harness.now.unix_ms();
-    let mut cx = Context {
+    let recorded_ms = harness.now.unix_ms();
+    let mut context = Context {
         config: &harness.config,
         catalog: &harness.catalog,
         cache: &mut harness.cache,
@@ -152,7 +154,9 @@
         store_tag: |id| id,
     };
     assert_eq!(
-        harness.job_api.cancel(harness.now, 5, "j-000412", &mut cx),
+        harness
+            .job_api
+            .cancel(harness.now, 5, "j-000412", &mut context),
         None
     );
     assert_eq!(
@@ -162,9 +166,11 @@
         None,
         "nothing was sent yet"
     );
-    let txn = Transaction::default();
-    harness.job_api.pending.get_mut(&5).expect("asked").state =
-        RequestState::Committing { txn, at_ms };
+    let transaction = Transaction::default();
+    harness.job_api.pending.get_mut(&5).expect("asked").state = RequestState::Committing {
+        transaction,
+        recorded_ms,
+    };
     for outcome in [
         StoreResponse::Unknown,
         StoreResponse::Conflict,
@@ -176,8 +182,8 @@
             "{outcome:?}"
         );
     }
-    let told = harness
+    let cancelled = harness
         .job_api
         .committed_cancellation(5, &StoreResponse::Committed { revision: 4 });
-    assert_eq!(told, Some(CancelledJob::new(id, 4, at_ms)));
+    assert_eq!(cancelled, Some(CancelledJob::new(id, 4, recorded_ms)));
 }
--- a/src/job_api/wire.rs
+++ b/src/job_api/wire.rs
@@ -46,7 +46,7 @@
 const MAX_TASKS: u64 = 100_000;
 /// A job is one value in the state service.
 const MAX_NAME_BYTES: usize = 200;
-const MAX_TYPES: usize = 32;
+const MAX_INSTANCE_TYPES: usize = 32;
 
 /// What is wrong with the body of a submission by itself.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
@@ -104,20 +104,20 @@
     let submission: Submission = value
         .deserialized()
         .map_err(|_| MalformedSubmission::InvalidField)?;
-    check(&submission)?;
-    convert(submission, now_ms)
+    validate(&submission)?;
+    into_job(submission, now_ms)
 }
 
-fn check(s: &Submission) -> Result<(), MalformedSubmission> {
-    let due = s.due_s.unwrap_or_default();
+fn validate(submission: &Submission) -> Result<(), MalformedSubmission> {
+    let due = submission.due_s.unwrap_or_default();
     let amounts = [
-        s.cpus,
-        s.cards,
-        s.ram_gb,
-        s.image_gb,
-        s.expect_s,
-        s.stamp_every_s,
-        s.stamp_s,
+        submission.cpus,
+        submission.cards,
+        submission.ram_gb,
+        submission.image_gb,
+        submission.expect_s,
+        submission.stamp_every_s,
+        submission.stamp_s,
         due,
     ];
     if !amounts
@@ -126,18 +126,18 @@
     {
         return Err(MalformedSubmission::InvalidAmount);
     }
-    if s.entries == 0 || s.entries > MAX_TASKS {
+    if submission.entries == 0 || submission.entries > MAX_TASKS {
         return Err(MalformedSubmission::InvalidTaskCount);
     }
-    let types = s.berth_kinds.as_deref().unwrap_or_default();
-    let names = [&s.docket, &s.desk, &s.bundle]
+    let types = submission.berth_kinds.as_deref().unwrap_or_default();
+    let names = [&submission.docket, &submission.desk, &submission.bundle]
         .into_iter()
-        .chain(&s.wing)
+        .chain(&submission.wing)
         .chain(types);
-    if names.clone().any(|name| name.len() > MAX_NAME_BYTES) || types.len() > MAX_TYPES {
+    if names.clone().any(|name| name.len() > MAX_NAME_BYTES) || types.len() > MAX_INSTANCE_TYPES {
         return Err(MalformedSubmission::NameTooLong);
     }
-    if [&s.docket, &s.desk, &s.bundle]
+    if [&submission.docket, &submission.desk, &submission.bundle]
         .into_iter()
         .any(|name| name.is_empty())
     {
@@ -146,18 +146,19 @@
     Ok(())
 }
 
-fn convert(s: Submission, now_ms: u64) -> Result<(JobId, Job), MalformedSubmission> {
-    let types = s.berth_kinds.unwrap_or_default();
+fn into_job(submission: Submission, now_ms: u64) -> Result<(JobId, Job), MalformedSubmission> {
+    let types = submission.berth_kinds.unwrap_or_default();
     let job = Job {
-        class: Arc::from(s.docket.as_str()),
-        team: Team::from(s.desk.as_str()),
-        kind: s.shape,
-        priority: s.precedence,
-        tasks: u32::try_from(s.entries).map_err(|_| MalformedSubmission::InvalidTaskCount)?,
+        class: Arc::from(submission.docket.as_str()),
+        team: Team::from(submission.desk.as_str()),
+        kind: submission.shape,
+        priority: submission.precedence,
+        tasks: u32::try_from(submission.entries)
+            .map_err(|_| MalformedSubmission::InvalidTaskCount)?,
         need: Resources {
-            cpus: s.cpus.0,
-            gpus: s.cards.0,
-            memory_gb: s.ram_gb.0,
+            cpus: submission.cpus.0,
+            gpus: submission.cards.0,
+            memory_gb: submission.ram_gb.0,
         },
         types: if types.is_empty() {
             None
@@ -169,19 +170,19 @@
                     .collect(),
             )
         },
-        zone: s.wing.as_deref().map(Zone::from),
-        one_zone: s.same_place,
-        spread: s.scatter,
-        spot: s.loaner,
-        image: Image::from(s.bundle.as_str()),
-        image_gb: s.image_gb.0,
-        estimate_s: s.expect_s.0,
-        checkpoint_every_s: s.stamp_every_s.0,
-        checkpoint_s: s.stamp_s.0,
-        deadline_s: s.due_s.map(|due| due.0),
+        zone: submission.wing.as_deref().map(Zone::from),
+        one_zone: submission.same_place,
+        spread: submission.scatter,
+        spot: submission.loaner,
+        image: Image::from(submission.bundle.as_str()),
+        image_gb: submission.image_gb.0,
+        estimate_s: submission.expect_s.0,
+        checkpoint_every_s: submission.stamp_every_s.0,
+        checkpoint_s: submission.stamp_s.0,
+        deadline_s: submission.due_s.map(|due| due.0),
         accepted_ms: now_ms,
     };
-    Ok((s.id, job))
+    Ok((submission.id, job))
 }
 
 /// What a user is told of a job.
--- a/src/job_api/wire/tests.rs
+++ b/src/job_api/wire/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-pub fn sample() -> Vec<(&'static str, Value)> {
+pub fn sample_fields() -> Vec<(&'static str, Value)> {
     vec![
         ("id", "j-000412".into()),
         ("docket", "train".into()),
@@ -25,7 +25,7 @@
     ]
 }
 
-pub fn body(fields: &[(&str, Value)]) -> Vec<u8> {
+pub fn encode_fields(fields: &[(&str, Value)]) -> Vec<u8> {
     let map = fields
         .iter()
         .map(|(key, value)| ((*key).into(), value.clone()))
@@ -37,21 +37,21 @@
 
 #[test]
 fn a_submission_is_read_with_integers_for_decimals() {
-    let (id, job) = parse(&body(&sample()), 7).expect("valid");
+    let (id, job) = parse(&encode_fields(&sample_fields()), 7).expect("valid");
     assert_eq!(id, JobId(412));
     assert!((job.need.cpus - 8.0).abs() < 1e-9);
     assert_eq!(job.deadline_s, Some(900.0));
-    let optional: Vec<_> = sample()
+    let without_optional: Vec<_> = sample_fields()
         .into_iter()
         .filter(|(k, _)| !["dueS", "wing", "berthKinds"].contains(k))
         .collect();
-    let (_, job) = parse(&body(&optional), 7).expect("null fields may be omitted");
+    let (_, job) = parse(&encode_fields(&without_optional), 7).expect("null fields may be omitted");
     assert_eq!((job.types, job.zone, job.deadline_s), (None, None, None));
 }
 
 #[test]
 fn every_wrong_field_is_refused() {
-    let wrong: [(&str, Value); 14] = [
+    let invalid_values: [(&str, Value); 14] = [
         ("id", "j-412".into()),
         ("id", 412.into()),
         ("shape", "gang".into()),
@@ -67,22 +67,28 @@
         ("berthKinds", "g8".into()),
         ("bundle", "x".repeat(201).as_str().into()),
     ];
-    for (key, value) in wrong {
-        let mut fields = sample();
+    for (key, value) in invalid_values {
+        let mut fields = sample_fields();
         fields
             .iter_mut()
             .filter(|(k, _)| *k == key)
             .for_each(|(_, v)| *v = value.clone());
-        assert!(parse(&body(&fields), 0).is_err(), "{key}: {value:?}");
+        assert!(
+            parse(&encode_fields(&fields), 0).is_err(),
+            "{key}: {value:?}"
+        );
     }
     for key in ["id", "desk", "cpus", "scatter", "stampS", "bundle"] {
-        let fields: Vec<_> = sample().into_iter().filter(|(k, _)| *k != key).collect();
-        assert!(parse(&body(&fields), 0).is_err(), "{key} missing");
+        let fields: Vec<_> = sample_fields()
+            .into_iter()
+            .filter(|(k, _)| *k != key)
+            .collect();
+        assert!(parse(&encode_fields(&fields), 0).is_err(), "{key} missing");
     }
     assert!(parse(b"", 0).is_err());
     assert!(parse(b"\xa1", 0).is_err());
     assert!(parse(&[0x80], 0).is_err());
-    let mut trailing = body(&sample());
+    let mut trailing = encode_fields(&sample_fields());
     trailing.push(0);
     assert!(parse(&trailing, 0).is_err());
 }
