--- a/src/http/client.rs
+++ b/src/http/client.rs
@@ -65,7 +65,7 @@
     /// There is no reply: see [`ClientError`] for what that says of the request.
     pub async fn send(&self, addr: SocketAddr, request: Request) -> Result<Reply, ClientError> {
         let timeout = request.timeout;
-        tokio::time::timeout(timeout, self.exchange(build(addr, request)?))
+        tokio::time::timeout(timeout, self.exchange(build_request(addr, request)?))
             .await
             .unwrap_or(Err(ClientError::TimedOut(timeout)))
     }
@@ -88,7 +88,7 @@
     }
 }
 
-fn build(
+fn build_request(
     addr: SocketAddr,
     request: Request,
 ) -> Result<hyper::Request<Full<Bytes>>, hyper::http::Error> {
--- a/src/http/client/tests.rs
+++ b/src/http/client/tests.rs
@@ -4,7 +4,7 @@
 use super::*;
 
 /// The outcome of a request that is answered with these bytes before the connection is closed, or never if there are none.
-async fn reply_to(sent: &'static [u8], timeout: Duration) -> Result<Reply, ClientError> {
+async fn send_to_stub(reply: &'static [u8], timeout: Duration) -> Result<Reply, ClientError> {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let addr = listener.local_addr().expect("bound");
     tokio::spawn(async move {
@@ -12,10 +12,10 @@
         let mut head = [0; 1024];
         let read = stream.read(&mut head).await.expect("a request");
         assert!(read > 0, "a request");
-        if sent.is_empty() {
+        if reply.is_empty() {
             return std::future::pending().await;
         }
-        stream.write_all(sent).await.expect("sent");
+        stream.write_all(reply).await.expect("sent");
     });
     Client::new(Duration::from_secs(1))
         .send(addr, Request::get("/".to_owned(), timeout))
@@ -25,39 +25,50 @@
 #[tokio::test]
 async fn a_refused_connection_a_timeout_and_a_truncated_reply_are_told_apart() {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
-    let closed = listener.local_addr().expect("bound");
+    let closed_addr = listener.local_addr().expect("bound");
     drop(listener);
-    let patient = Duration::from_secs(5);
-    let refused = Client::new(patient)
-        .send(closed, Request::get("/".to_owned(), patient))
+    let long_timeout = Duration::from_secs(5);
+    let refused = Client::new(long_timeout)
+        .send(closed_addr, Request::get("/".to_owned(), long_timeout))
         .await;
     assert!(
         matches!(refused, Err(ClientError::Connect(_))),
         "{refused:?}"
     );
-    let silent = reply_to(b"", Duration::from_millis(50)).await;
+    let silent = send_to_stub(b"", Duration::from_millis(50)).await;
     assert!(
         matches!(silent, Err(ClientError::TimedOut(_))),
         "{silent:?}"
     );
-    let garbage = reply_to(b"garbage\r\n\r\n", patient).await;
+    let garbage = send_to_stub(b"garbage\r\n\r\n", long_timeout).await;
     assert!(
         matches!(garbage, Err(ClientError::Exchange(_))),
         "{garbage:?}"
     );
-    let truncated = reply_to(b"HTTP/1.1 200 OK\r\ncontent-length: 9\r\n\r\nhalf", patient).await;
+    let truncated = send_to_stub(
+        b"HTTP/1.1 200 OK\r\ncontent-length: 9\r\n\r\nhalf",
+        long_timeout,
+    )
+    .await;
     assert!(
         matches!(truncated, Err(ClientError::Body(_))),
         "{truncated:?}"
     );
-    let invalid = Client::new(patient)
-        .send(closed, Request::get("/ ".to_owned(), patient))
+    let invalid = Client::new(long_timeout)
+        .send(closed_addr, Request::get("/ ".to_owned(), long_timeout))
         .await;
     assert!(
         matches!(invalid, Err(ClientError::InvalidRequest(_))),
         "{invalid:?}"
     );
-    let whole = reply_to(b"HTTP/1.1 404 No\r\ncontent-length: 4\r\n\r\nbody", patient).await;
-    let whole = whole.expect("a status is no error");
-    assert_eq!((whole.status, &whole.body[..]), (404, b"body".as_slice()));
+    let complete = send_to_stub(
+        b"HTTP/1.1 404 No\r\ncontent-length: 4\r\n\r\nbody",
+        long_timeout,
+    )
+    .await;
+    let complete = complete.expect("a status is no error");
+    assert_eq!(
+        (complete.status, &complete.body[..]),
+        (404, b"body".as_slice())
+    );
 }
--- a/src/http/connections.rs
+++ b/src/http/connections.rs
@@ -17,7 +17,7 @@
 use warp::{Filter, Reply};
 
 const HEADER_TIMEOUT: Duration = Duration::from_secs(20);
-const ACCEPT_RETRY_PAUSE: Duration = Duration::from_millis(50);
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 const ACCEPT_WARNING_INTERVAL: Duration = Duration::from_secs(10);
 const MAX_HEADER_BUFFER_BYTES: usize = 32 * 1024;
 /// The part of all connections beyond which workers are asked to close theirs after each reply, so that users and health
@@ -68,22 +68,22 @@
 {
     let listener = TcpListener::bind(addr).await?;
     let service = warp::service(routes);
-    let mut warned: Option<Instant> = None;
+    let mut last_warning: Option<Instant> = None;
     loop {
-        let (stream, from) = match listener.accept().await {
+        let (stream, remote) = match listener.accept().await {
             Ok(accepted) => accepted,
             Err(error) => {
                 // Out of sockets, most likely: some will be closed.
-                if warned.is_none_or(|at| at.elapsed() > ACCEPT_WARNING_INTERVAL) {
-                    warned = Some(Instant::now());
+                if last_warning.is_none_or(|at| at.elapsed() > ACCEPT_WARNING_INTERVAL) {
+                    last_warning = Some(Instant::now());
                     warn!(%addr, %error, "connections could not be accepted");
                 }
-                tokio::time::sleep(ACCEPT_RETRY_PAUSE).await;
+                tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
                 continue;
             }
         };
         let Some(permit) = limiter.try_acquire() else {
-            debug!(%from, "connection rejected: too many open");
+            debug!(%remote, "connection rejected: too many open");
             continue;
         };
         // Small replies must not wait for the acknowledgement of the last one.
@@ -95,11 +95,11 @@
                 .timer(TokioTimer::new())
                 .header_read_timeout(HEADER_TIMEOUT)
                 .max_buf_size(MAX_HEADER_BUFFER_BYTES);
-            let served = builder
+            let result = builder
                 .serve_connection(TokioIo::new(stream), service)
                 .await;
-            if let Err(error) = served {
-                debug!(%from, %error, "connection ended");
+            if let Err(error) = result {
+                debug!(%remote, %error, "connection ended");
             }
             drop(permit);
         });
--- a/src/http/connections/tests.rs
+++ b/src/http/connections/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 use crate::http::server::public_routes;
-use crate::http::server::tests::events;
+use crate::http::server::tests::spawn_event_loop_stub;
 
 /// Connections that say nothing, or half a request, must not keep others out for good, and no more of them are held
 /// than the limiter lets in.
@@ -8,14 +8,14 @@
 async fn stuck_connections_are_bounded_and_do_not_hold_up_others() {
     use tokio::io::{AsyncReadExt, AsyncWriteExt};
     use tokio::net::TcpStream;
-    let probe = TcpListener::bind("127.0.0.1:0").await.expect("a port");
-    let addr = probe.local_addr().expect("bound");
-    drop(probe);
+    let free_port = TcpListener::bind("127.0.0.1:0").await.expect("a port");
+    let addr = free_port.local_addr().expect("bound");
+    drop(free_port);
     const LIMIT: usize = 60;
     tokio::spawn(serve(
         addr,
         ConnectionLimiter::new(LIMIT),
-        public_routes(events(), ConnectionLimiter::new(LIMIT)),
+        public_routes(spawn_event_loop_stub(), ConnectionLimiter::new(LIMIT)),
     ));
     let connect = async || {
         loop {
@@ -25,31 +25,35 @@
             }
         }
     };
-    let healthy = async || {
+    let health_check_succeeds = async || {
         let mut stream = connect().await;
         stream
             .write_all(b"GET /up HTTP/1.1\r\nhost: a\r\nconnection: close\r\n\r\n")
             .await
             .expect("sent");
-        let mut answer = Vec::new();
-        stream.read_to_end(&mut answer).await.is_ok() && answer.starts_with(b"HTTP/1.1 200")
+        let mut reply = Vec::new();
+        stream.read_to_end(&mut reply).await.is_ok() && reply.starts_with(b"HTTP/1.1 200")
     };
-    let mut stuck = Vec::new();
+    let mut open_connections = Vec::new();
     for n in 0..LIMIT - 1 {
         let mut stream = connect().await;
         if n % 2 == 0 {
-            let half = b"POST /v1/report HTTP/1.1\r\nhost: a\r\ncontent-length: 5000\r\n\r\nhalf";
-            stream.write_all(half).await.expect("sent");
+            let incomplete_request =
+                b"POST /v1/report HTTP/1.1\r\nhost: a\r\ncontent-length: 5000\r\n\r\nhalf";
+            stream.write_all(incomplete_request).await.expect("sent");
         }
-        stuck.push(stream);
+        open_connections.push(stream);
     }
-    assert!(healthy().await, "there is room for one more");
+    assert!(health_check_succeeds().await, "there is room for one more");
     for _ in 0..LIMIT * 2 {
-        stuck.push(connect().await);
+        open_connections.push(connect().await);
     }
-    assert!(!healthy().await, "more than the limiter lets in");
-    stuck.clear();
-    while !healthy().await {
+    assert!(
+        !health_check_succeeds().await,
+        "more than the limiter lets in"
+    );
+    open_connections.clear();
+    while !health_check_succeeds().await {
         tokio::time::sleep(Duration::from_millis(5)).await;
     }
 }
--- a/src/http/server.rs
+++ b/src/http/server.rs
@@ -68,7 +68,7 @@
     response
 }
 
-fn unavailable() -> HttpResponse {
+fn unavailable_response() -> HttpResponse {
     job_response(Response::Problem {
         status: 503,
         message: "busy",
@@ -85,8 +85,8 @@
             retry_after,
         } => {
             let mut response = cbor_response(status, &ErrorBody { error: message });
-            if let Some(after) = retry_after {
-                let seconds = after.as_secs().max(1).into();
+            if let Some(delay) = retry_after {
+                let seconds = delay.as_secs().max(1).into();
                 response
                     .headers_mut()
                     .insert(warp::http::header::RETRY_AFTER, seconds);
@@ -97,15 +97,17 @@
 }
 
 async fn await_reply<T>(
-    events: mpsc::Sender<IncomingRequest>,
-    make: impl FnOnce(oneshot::Sender<T>) -> IncomingRequest,
-    show: impl FnOnce(T) -> HttpResponse,
+    requests: mpsc::Sender<IncomingRequest>,
+    make_request: impl FnOnce(oneshot::Sender<T>) -> IncomingRequest,
+    to_response: impl FnOnce(T) -> HttpResponse,
 ) -> Result<HttpResponse, Infallible> {
     let (sender, receiver) = oneshot::channel();
-    if events.try_send(make(sender)).is_err() {
-        return Ok(unavailable());
+    if requests.try_send(make_request(sender)).is_err() {
+        return Ok(unavailable_response());
     }
-    Ok(receiver.await.map_or_else(|_| unavailable(), show))
+    Ok(receiver
+        .await
+        .map_or_else(|_| unavailable_response(), to_response))
 }
 
 fn body(limit: u64) -> impl Filter<Extract = (Bytes,), Error = Rejection> + Clone {
@@ -115,58 +117,58 @@
 /// What users, workers and health checks may ask. Workers are asked to close their connection while the limiter is near its
 /// limit.
 pub fn public_routes(
-    events: mpsc::Sender<IncomingRequest>,
+    requests: mpsc::Sender<IncomingRequest>,
     limiter: ConnectionLimiter,
 ) -> impl Filter<Extract = (HttpResponse,), Error = Infallible> + Clone {
-    let event_sender = warp::any().map(move || events.clone());
+    let request_sender = warp::any().map(move || requests.clone());
     let submit = warp::path!("submissions")
         .and(warp::post())
         .and(body(MAX_BODY_BYTES))
-        .and(event_sender.clone())
-        .and_then(|body, events| {
+        .and(request_sender.clone())
+        .and_then(|body, requests| {
             await_reply(
-                events,
+                requests,
                 |reply| IncomingRequest::Submit(body, reply),
                 job_response,
             )
-            .into_rejection()
+            .with_rejection_error()
         });
     let poll = warp::path!("submissions" / String)
         .and(warp::get())
-        .and(event_sender.clone())
-        .and_then(|job, events| {
+        .and(request_sender.clone())
+        .and_then(|job, requests| {
             await_reply(
-                events,
+                requests,
                 |reply| IncomingRequest::Poll(job, reply),
                 job_response,
             )
-            .into_rejection()
+            .with_rejection_error()
         });
     let cancel = warp::path!("submissions" / String / "cancel")
         .and(warp::post())
-        .and(event_sender.clone())
-        .and_then(|job, events| {
+        .and(request_sender.clone())
+        .and_then(|job, requests| {
             await_reply(
-                events,
+                requests,
                 |reply| IncomingRequest::Cancel(job, reply),
                 job_response,
             )
-            .into_rejection()
+            .with_rejection_error()
         });
     let health = warp::path!("up")
         .and(warp::get())
-        .and(event_sender.clone())
-        .and_then(|events| {
-            let show = |healthy| {
+        .and(request_sender.clone())
+        .and_then(|requests| {
+            let to_response = |healthy| {
                 if healthy {
                     cbor_response(200, &"up")
                 } else {
-                    unavailable()
+                    unavailable_response()
                 }
             };
-            await_reply(events, IncomingRequest::Health, show).into_rejection()
+            await_reply(requests, IncomingRequest::Health, to_response).with_rejection_error()
         });
-    heartbeat_route(event_sender, limiter)
+    heartbeat_route(request_sender, limiter)
         .or(poll)
         .unify()
         .or(submit)
@@ -180,7 +182,7 @@
 }
 
 fn heartbeat_route(
-    event_sender: impl Filter<Extract = (mpsc::Sender<IncomingRequest>,), Error = Infallible>
+    request_sender: impl Filter<Extract = (mpsc::Sender<IncomingRequest>,), Error = Infallible>
     + Clone
     + Send
     + Sync
@@ -190,15 +192,15 @@
     warp::path!("v1" / "report")
         .and(warp::post())
         .and(body(MAX_BODY_BYTES))
-        .and(event_sender)
-        .and_then(move |body: Bytes, events| {
-            apply_heartbeat(body, events, limiter.clone()).into_rejection()
+        .and(request_sender)
+        .and_then(move |body: Bytes, requests| {
+            handle_heartbeat(body, requests, limiter.clone()).with_rejection_error()
         })
 }
 
-async fn apply_heartbeat(
+async fn handle_heartbeat(
     body: Bytes,
-    events: mpsc::Sender<IncomingRequest>,
+    requests: mpsc::Sender<IncomingRequest>,
     limiter: ConnectionLimiter,
 ) -> Result<HttpResponse, Infallible> {
     let Ok(heartbeat) = decode_body::<Heartbeat>(&body) else {
@@ -211,19 +213,21 @@
     };
     // The process may have been paused since the reply was decided: a worker's lease is not renewed after the
     // controller's own has expired.
-    let show = |(answer, until)| {
+    let to_response = |(response, authority_until)| {
         heartbeat_response(
-            if Now::read().monotonic < until || !matches!(answer, HeartbeatResponse::Commands(_)) {
-                answer
+            if Now::read().monotonic < authority_until
+                || !matches!(response, HeartbeatResponse::Commands(_))
+            {
+                response
             } else {
                 HeartbeatResponse::Unavailable
             },
         )
     };
     let mut response = await_reply(
-        events,
+        requests,
         |reply| IncomingRequest::Heartbeat(heartbeat, reply),
-        show,
+        to_response,
     )
     .await?;
     if limiter.near_limit() {
@@ -235,39 +239,39 @@
     Ok(response)
 }
 
-fn heartbeat_response(answer: HeartbeatResponse) -> HttpResponse {
-    match answer {
+fn heartbeat_response(response: HeartbeatResponse) -> HttpResponse {
+    match response {
         HeartbeatResponse::Commands(commands) => cbor_response(200, &commands),
         HeartbeatResponse::Redirect(holder) => cbor_response(421, &RedirectBody { holder }),
-        HeartbeatResponse::Unavailable => unavailable(),
+        HeartbeatResponse::Unavailable => unavailable_response(),
     }
 }
 
 /// What other controllers, operators and the collector of metrics may ask.
 pub fn peer_routes(
-    events: mpsc::Sender<IncomingRequest>,
+    requests: mpsc::Sender<IncomingRequest>,
 ) -> impl Filter<Extract = (HttpResponse,), Error = Infallible> + Clone {
-    let event_sender = events.clone();
-    let operation_sender = events.clone();
+    let request_sender = requests.clone();
+    let operator_request_sender = requests.clone();
     let operate = warp::path!("operate")
         .and(warp::post())
         .and(body(MAX_BODY_BYTES))
         .and_then(move |body: Bytes| {
-            apply_operation(body, operation_sender.clone()).into_rejection()
+            handle_operator_request(body, operator_request_sender.clone()).with_rejection_error()
         });
     let metrics = warp::path!("metrics").and(warp::get()).and_then(move || {
-        await_reply(event_sender.clone(), IncomingRequest::Metrics, |text| {
+        await_reply(request_sender.clone(), IncomingRequest::Metrics, |text| {
             HttpResponse::new(text.into())
         })
-        .into_rejection()
+        .with_rejection_error()
     });
     warp::path!("peer")
         .and(warp::post())
         .and(body(MAX_PEER_BODY_BYTES))
         .map(move |body: Bytes| match decode_body::<Message>(&body) {
-            Ok(message) => match events.try_send(IncomingRequest::Peer(message)) {
+            Ok(message) => match requests.try_send(IncomingRequest::Peer(message)) {
                 Ok(()) => cbor_response(200, &"taken"),
-                Err(_) => unavailable(),
+                Err(_) => unavailable_response(),
             },
             Err(_) => cbor_response(
                 400,
@@ -284,30 +288,30 @@
         .unify()
 }
 
-async fn apply_operation(
+async fn handle_operator_request(
     body: Bytes,
-    events: mpsc::Sender<IncomingRequest>,
+    requests: mpsc::Sender<IncomingRequest>,
 ) -> Result<HttpResponse, Infallible> {
     let Ok(request) = decode_body::<operator::Request>(&body) else {
         let error = "malformed request";
         return Ok(cbor_response(400, &ErrorBody { error }));
     };
-    let show = |reply: operator::Reply| cbor_response(200, &reply);
+    let to_response = |reply: operator::Reply| cbor_response(200, &reply);
     await_reply(
-        events,
+        requests,
         |reply| IncomingRequest::Operate(request, reply),
-        show,
+        to_response,
     )
     .await
 }
 
 /// Gives a handler the error type that filters need: handlers answer everything themselves.
-trait IntoRejection {
-    fn into_rejection(self) -> impl Future<Output = Result<HttpResponse, Rejection>> + Send;
+trait WithRejectionError {
+    fn with_rejection_error(self) -> impl Future<Output = Result<HttpResponse, Rejection>> + Send;
 }
 
-impl<F: Future<Output = Result<HttpResponse, Infallible>> + Send> IntoRejection for F {
-    async fn into_rejection(self) -> Result<HttpResponse, Rejection> {
+impl<F: Future<Output = Result<HttpResponse, Infallible>> + Send> WithRejectionError for F {
+    async fn with_rejection_error(self) -> Result<HttpResponse, Rejection> {
         match self.await {
             Ok(response) => Ok(response),
             Err(never) => match never {},
--- a/src/http/server/tests.rs
+++ b/src/http/server/tests.rs
@@ -4,7 +4,7 @@
 use crate::job_api::wire::JobState;
 
 /// Answers whatever reaches the state machine, so that the rest is seen to be refused before.
-pub fn events() -> mpsc::Sender<IncomingRequest> {
+pub fn spawn_event_loop_stub() -> mpsc::Sender<IncomingRequest> {
     let (sender, mut receiver) = mpsc::channel(8);
     tokio::spawn(async move {
         while let Some(incoming) = receiver.recv().await {
@@ -14,22 +14,25 @@
                 done: 0,
                 running: 0,
             };
-            let found = Response::State { status: 200, state };
-            let wait = Response::Problem {
+            let job_state = Response::State { status: 200, state };
+            let unavailable = Response::Problem {
                 status: 503,
                 message: "later",
                 retry_after: Some(Duration::from_secs(2)),
             };
             let _ = match incoming {
-                IncomingRequest::Submit(_, reply) => reply.send(wait).is_ok(),
+                IncomingRequest::Submit(_, reply) => reply.send(unavailable).is_ok(),
                 IncomingRequest::Poll(_, reply) | IncomingRequest::Cancel(_, reply) => {
-                    reply.send(found).is_ok()
+                    reply.send(job_state).is_ok()
                 }
                 IncomingRequest::Health(reply) => reply.send(true).is_ok(),
                 IncomingRequest::Heartbeat(_, reply) => {
-                    let until = Instant::now() + Duration::from_secs(9);
+                    let authority_until = Instant::now() + Duration::from_secs(9);
                     reply
-                        .send((HeartbeatResponse::Redirect(Some("node-2".into())), until))
+                        .send((
+                            HeartbeatResponse::Redirect(Some("node-2".into())),
+                            authority_until,
+                        ))
                         .is_ok()
                 }
                 IncomingRequest::Metrics(reply) => {
@@ -47,7 +50,7 @@
 
 #[tokio::test]
 async fn bad_requests_are_refused_at_the_edge_and_refusals_say_when_to_come_back() {
-    let routes = public_routes(events(), ConnectionLimiter::new(10));
+    let routes = public_routes(spawn_event_loop_stub(), ConnectionLimiter::new(10));
     let large = vec![0u8; 64 * 1024 + 1];
     let cases: [(&str, &str, &[u8], u16); 10] = [
         ("POST", "/submissions", b"x", 503),
@@ -69,12 +72,12 @@
             .reply(&routes)
             .await;
         assert_eq!(reply.status().as_u16(), status, "{method} {path}");
-        let retry = reply
+        let retry_after = reply
             .headers()
             .get("retry-after")
             .map(|value| value.as_bytes());
         assert_eq!(
-            retry,
+            retry_after,
             (status == 503).then_some(b"2".as_slice()),
             "{method} {path}"
         );
@@ -93,8 +96,8 @@
 #[tokio::test]
 async fn workers_are_asked_to_close_when_connections_run_short() {
     let limiter = ConnectionLimiter::new(10);
-    let routes = public_routes(events(), limiter.clone());
-    let closes = async || {
+    let routes = public_routes(spawn_event_loop_stub(), limiter.clone());
+    let asked_to_close = async || {
         let reply = warp::test::request()
             .method("POST")
             .path("/v1/report")
@@ -106,11 +109,11 @@
             .get("connection")
             .is_some_and(|value| value == "close")
     };
-    assert!(!closes().await);
-    let _acquired: Vec<_> = (0..8)
+    assert!(!asked_to_close().await);
+    let _permits: Vec<_> = (0..8)
         .map(|_| limiter.try_acquire().expect("free"))
         .collect();
-    assert!(closes().await);
+    assert!(asked_to_close().await);
 }
 
 #[tokio::test]
@@ -119,7 +122,10 @@
         .method("POST")
         .path("/v1/report")
         .body(heartbeat())
-        .reply(&public_routes(events(), ConnectionLimiter::new(10)))
+        .reply(&public_routes(
+            spawn_event_loop_stub(),
+            ConnectionLimiter::new(10),
+        ))
         .await;
     assert_eq!(reply.status().as_u16(), 421);
     assert_eq!(
@@ -132,7 +138,7 @@
 async fn metrics_are_shown_to_peers_only() {
     let reply = warp::test::request()
         .path("/metrics")
-        .reply(&peer_routes(events()))
+        .reply(&peer_routes(spawn_event_loop_stub()))
         .await;
     assert_eq!(
         (reply.status().as_u16(), &reply.body()[..]),
@@ -140,7 +146,10 @@
     );
     let reply = warp::test::request()
         .path("/metrics")
-        .reply(&public_routes(events(), ConnectionLimiter::new(10)))
+        .reply(&public_routes(
+            spawn_event_loop_stub(),
+            ConnectionLimiter::new(10),
+        ))
         .await;
     assert_eq!(reply.status().as_u16(), 404);
 }
