--- a/src/config/mod.rs
+++ b/src/config/mod.rs
@@ -29,11 +29,11 @@
 pub struct Config {
     pub name: ControllerName,
     pub zone: Zone,
-    pub listen: SocketAddr,
-    pub peer_listen: SocketAddr,
+    pub listen_addr: SocketAddr,
+    pub peer_listen_addr: SocketAddr,
     pub peers: Vec<Peer>,
-    pub cloud: SocketAddr,
-    pub state: SocketAddr,
+    pub cloud_addr: SocketAddr,
+    pub state_addr: SocketAddr,
     pub zones: Vec<Zone>,
     pub teams: Vec<TeamLimits>,
     pub heartbeat_interval: Duration,
@@ -69,8 +69,12 @@
 
 /// A limit as the settings state it, in which 0 means none. Guests come without a guarantee and without a limit; taken
 /// for a limit of nothing, all their jobs were refused as never to run.
-fn limit(stated: f64) -> f64 {
-    if stated > 0.0 { stated } else { f64::INFINITY }
+fn limit_or_infinity(setting: f64) -> f64 {
+    if setting > 0.0 {
+        setting
+    } else {
+        f64::INFINITY
+    }
 }
 
 /// What the state service takes.
@@ -100,7 +104,7 @@
 
 // What the file says, before it is checked. Every field is asked for by name so that a missing one is named.
 #[derive(Deserialize)]
-struct File {
+struct SettingsFile {
     node_name: String,
     domain: String,
     bind: String,
@@ -185,58 +189,62 @@
 
 /// A transaction of ours changes up to this many records at once: a block's placements with what they
 /// finish, or a machine with its order.
-const LEAST_TXN_OPS: i64 = 4;
+const MIN_TXN_OPS: i64 = 4;
 /// A block's placements must fit a value.
-const LEAST_VALUE_KB: f64 = 2.0;
-const MOST_VALUE_KB: f64 = 65_536.0;
+const MIN_VALUE_KB: f64 = 2.0;
+const MAX_VALUE_KB: f64 = 65_536.0;
 
 impl Config {
     pub fn load(path: &Path) -> Result<Self, ConfigError> {
-        let shown = path.display().to_string();
+        let display_path = path.display().to_string();
         let text = std::fs::read_to_string(path).map_err(|source| ConfigError::Unreadable {
-            path: shown.clone(),
+            path: display_path.clone(),
             source,
         })?;
-        Self::parse(&shown, &text)
+        Self::parse(&display_path, &text)
     }
 
     pub fn parse(path: &str, text: &str) -> Result<Self, ConfigError> {
-        let file: File = toml::from_str(text).map_err(|error| ConfigError::Malformed {
+        let file: SettingsFile = toml::from_str(text).map_err(|error| ConfigError::Malformed {
             path: path.to_owned(),
             message: one_line(&error.to_string()),
         })?;
-        let check = Check { path };
+        let validator = FieldValidator { path };
         let mut teams = Vec::new();
         for team in &file.params.teams {
             let field = |name: &str| format!("params.teams.{}.{name}", team.name);
-            check.text("params.teams.name", &team.name)?;
+            validator.identifier("params.teams.name", &team.name)?;
             if teams
                 .iter()
                 .any(|known: &TeamLimits| *known.name.0 == *team.name)
             {
-                return Err(check.wrong(&field("name"), "is given twice"));
+                return Err(validator.invalid(&field("name"), "is given twice"));
             }
             teams.push(TeamLimits {
                 name: team.name.as_str().into(),
-                guaranteed_cpus: check.amount(&field("cpus"), team.cpus)?,
-                max_cpus: limit(check.amount(&field("cpus_max"), team.cpus_max)?),
-                guaranteed_gpus: check.amount(&field("gpus"), team.gpus)?,
-                max_gpus: limit(check.amount(&field("gpus_max"), team.gpus_max)?),
+                guaranteed_cpus: validator.non_negative(&field("cpus"), team.cpus)?,
+                max_cpus: limit_or_infinity(
+                    validator.non_negative(&field("cpus_max"), team.cpus_max)?,
+                ),
+                guaranteed_gpus: validator.non_negative(&field("gpus"), team.gpus)?,
+                max_gpus: limit_or_infinity(
+                    validator.non_negative(&field("gpus_max"), team.gpus_max)?,
+                ),
             });
             if team.cpus > team.cpus_max {
-                return Err(check.wrong(&field("cpus"), "must not exceed `cpus_max`"));
+                return Err(validator.invalid(&field("cpus"), "must not exceed `cpus_max`"));
             }
             if team.gpus > team.gpus_max {
-                return Err(check.wrong(&field("gpus"), "must not exceed `gpus_max`"));
+                return Err(validator.invalid(&field("gpus"), "must not exceed `gpus_max`"));
             }
         }
         let mut peers = Vec::new();
         for member in &file.members {
-            check.text("members.node_name", &member.node_name)?;
+            validator.identifier("members.node_name", &member.node_name)?;
             if member.node_name == file.node_name
                 || peers.iter().any(|p: &Peer| *p.name.0 == *member.node_name)
             {
-                return Err(check.wrong(
+                return Err(validator.invalid(
                     "members.node_name",
                     &format!("names `{}` twice", member.node_name),
                 ));
@@ -244,48 +252,52 @@
             peers.push(Peer {
                 name: member.node_name.as_str().into(),
                 zone: member.domain.as_str().into(),
-                addr: check.address("members.peer_addr", &member.peer_addr)?,
+                addr: validator.address("members.peer_addr", &member.peer_addr)?,
             });
         }
         let workers = &file.params.workers;
-        let worker_lease = check.duration("params.workers.lease_s", workers.lease_s)?;
-        let cancellation_timeout = check.duration("params.workers.cancel_s", workers.cancel_s)?;
+        let worker_lease = validator.duration("params.workers.lease_s", workers.lease_s)?;
+        let cancellation_timeout =
+            validator.duration("params.workers.cancel_s", workers.cancel_s)?;
         if cancellation_timeout <= worker_lease {
-            return Err(check.wrong("params.workers.cancel_s", "must exceed `lease_s`"));
+            return Err(validator.invalid("params.workers.cancel_s", "must exceed `lease_s`"));
         }
         let state = &file.params.state;
-        let state_limits = check.state_limits("params.state", state)?;
+        let state_limits = validator.state_limits("params.state", state)?;
         let next_state_limits = state
             .next
             .as_ref()
-            .map(|next| check.state_limits("params.state.next", &next.over(state)))
+            .map(|next| {
+                validator.state_limits("params.state.next", &next.with_defaults_from(state))
+            })
             .transpose()?;
         if file.params.quota.sockets < 50 {
-            return Err(check.wrong("params.quota.sockets", "must be at least 50"));
+            return Err(validator.invalid("params.quota.sockets", "must be at least 50"));
         }
         let mut zones: Vec<Zone> = Vec::new();
         for zone in &file.params.zones {
-            check.text("params.zones", zone)?;
+            validator.identifier("params.zones", zone)?;
             zones.push(zone.as_str().into());
         }
         Ok(Config {
-            name: check.text("node_name", &file.node_name)?.into(),
-            zone: check.text("domain", &file.domain)?.into(),
-            listen: check.address("bind", &file.bind)?,
-            peer_listen: check.address("back", &file.back)?,
+            name: validator.identifier("node_name", &file.node_name)?.into(),
+            zone: validator.identifier("domain", &file.domain)?.into(),
+            listen_addr: validator.address("bind", &file.bind)?,
+            peer_listen_addr: validator.address("back", &file.back)?,
             peers,
-            cloud: check.address("external.cloud", &file.external.cloud)?,
-            state: check.address("external.state", &file.external.state)?,
+            cloud_addr: validator.address("external.cloud", &file.external.cloud)?,
+            state_addr: validator.address("external.state", &file.external.state)?,
             zones,
             teams,
-            heartbeat_interval: check.duration("params.workers.report_s", workers.report_s)?,
+            heartbeat_interval: validator.duration("params.workers.report_s", workers.report_s)?,
             worker_lease,
             cancellation_timeout,
             max_block_bytes: state_limits.value_bytes,
             state_limits,
             next_state_limits,
-            cloud_rps: check.rate("params.cloud.rps", file.params.cloud.rps)?,
-            list_lag: check.duration("params.cloud.list_lag_s", file.params.cloud.list_lag_s)?,
+            cloud_rps: validator.rate("params.cloud.rps", file.params.cloud.rps)?,
+            list_lag: validator
+                .duration("params.cloud.list_lag_s", file.params.cloud.list_lag_s)?,
             max_sockets: file.params.quota.sockets.clamp(50, 1_000_000) as usize,
         })
     }
@@ -308,7 +320,7 @@
 }
 
 impl FileNextState {
-    fn over(&self, present: &FileState) -> FileState {
+    fn with_defaults_from(&self, present: &FileState) -> FileState {
         FileState {
             rps: self.rps.unwrap_or(present.rps),
             write_rps: self.write_rps.unwrap_or(present.write_rps),
@@ -319,12 +331,12 @@
     }
 }
 
-struct Check<'a> {
+struct FieldValidator<'a> {
     path: &'a str,
 }
 
-impl Check<'_> {
-    fn wrong(&self, field: &str, problem: &str) -> ConfigError {
+impl FieldValidator<'_> {
+    fn invalid(&self, field: &str, problem: &str) -> ConfigError {
         ConfigError::Invalid {
             path: self.path.to_owned(),
             field: field.to_owned(),
@@ -332,13 +344,13 @@
         }
     }
 
-    fn text<'t>(&self, field: &str, value: &'t str) -> Result<&'t str, ConfigError> {
+    fn identifier<'t>(&self, field: &str, value: &'t str) -> Result<&'t str, ConfigError> {
         if value.is_empty()
             || value.contains(char::is_whitespace)
             || value.contains('/')
             || value.len() > 100
         {
-            return Err(self.wrong(
+            return Err(self.invalid(
                 field,
                 "must be 1 to 100 characters without spaces or slashes",
             ));
@@ -348,30 +360,30 @@
 
     fn address(&self, field: &str, value: &str) -> Result<SocketAddr, ConfigError> {
         value.parse().map_err(|_| {
-            self.wrong(
+            self.invalid(
                 field,
                 &format!("must be an IP address and port, not `{value}`"),
             )
         })
     }
 
-    fn amount(&self, field: &str, value: f64) -> Result<f64, ConfigError> {
+    fn non_negative(&self, field: &str, value: f64) -> Result<f64, ConfigError> {
         if value.is_finite() && value >= 0.0 {
             Ok(value)
         } else {
-            Err(self.wrong(field, "must not be negative"))
+            Err(self.invalid(field, "must not be negative"))
         }
     }
 
     fn state_limits(&self, table: &str, state: &FileState) -> Result<StateLimits, ConfigError> {
         let field = |name: &str| format!("{table}.{name}");
-        if state.txn_ops < LEAST_TXN_OPS {
-            let problem = format!("must be at least {LEAST_TXN_OPS}");
-            return Err(self.wrong(&field("txn_ops"), &problem));
+        if state.txn_ops < MIN_TXN_OPS {
+            let problem = format!("must be at least {MIN_TXN_OPS}");
+            return Err(self.invalid(&field("txn_ops"), &problem));
         }
-        if !(state.value_kb >= LEAST_VALUE_KB && state.value_kb <= MOST_VALUE_KB) {
-            let problem = format!("must be from {LEAST_VALUE_KB} to {MOST_VALUE_KB}");
-            return Err(self.wrong(&field("value_kb"), &problem));
+        if !(state.value_kb >= MIN_VALUE_KB && state.value_kb <= MAX_VALUE_KB) {
+            let problem = format!("must be from {MIN_VALUE_KB} to {MAX_VALUE_KB}");
+            return Err(self.invalid(&field("value_kb"), &problem));
         }
         Ok(StateLimits {
             rps: self.rate(&field("rps"), state.rps)?,
@@ -385,7 +397,7 @@
         if value.is_finite() && value >= 1.0 {
             Ok(value)
         } else {
-            Err(self.wrong(field, "must be at least 1"))
+            Err(self.invalid(field, "must be at least 1"))
         }
     }
 
@@ -393,7 +405,7 @@
         if seconds.is_finite() && seconds > 0.0 && seconds <= 86_400.0 {
             Ok(Duration::from_secs_f64(seconds))
         } else {
-            Err(self.wrong(field, "must be seconds above 0, a day at most"))
+            Err(self.invalid(field, "must be seconds above 0, a day at most"))
         }
     }
 }
@@ -403,10 +415,10 @@
     let mut lines = message
         .lines()
         .filter(|line| !line.contains('|') && !line.trim().is_empty());
-    let place = lines.next().unwrap_or_default().to_owned();
+    let position = lines.next().unwrap_or_default().to_owned();
     match lines.next_back() {
-        Some(problem) => format!("{place}: {problem}"),
-        None => place,
+        Some(problem) => format!("{position}: {problem}"),
+        None => position,
     }
 }
 
--- a/src/config/tests.rs
+++ b/src/config/tests.rs
@@ -69,8 +69,8 @@
 
 #[test]
 fn unknown_fields_are_ignored() {
-    let more = format!("later = 1\n{SETTINGS}\n[params.later]\nx = [1]\n");
-    assert!(Config::parse("s.toml", &more).is_ok());
+    let extended = format!("later = 1\n{SETTINGS}\n[params.later]\nx = [1]\n");
+    assert!(Config::parse("s.toml", &extended).is_ok());
 }
 
 /// Found on the bench: all jobs of a guest team were answered 422.
@@ -93,19 +93,19 @@
 #[test]
 fn limits_to_come_are_reckoned_with_once_they_are_adopted() {
     let mut config = Config::parse("s.toml", SETTINGS).expect("valid");
-    let today = config.state_limits;
+    let current = config.state_limits;
     config.apply_next_state_limits();
-    assert_eq!(config.state_limits, today, "none are to come");
+    assert_eq!(config.state_limits, current, "none are to come");
     let next = "txn_ops = 16\n[params.state.next]\nvalue_kb = 2.0\nwrite_rps = 15.0\nrps = 900.0";
     let text = SETTINGS.replacen("txn_ops = 16", next, 1);
     let mut config = Config::parse("s.toml", &text).expect("valid");
-    assert_eq!(config.state_limits, today, "not yet");
+    assert_eq!(config.state_limits, current, "not yet");
     config.apply_next_state_limits();
     let expected = StateLimits {
         value_bytes: 2048,
         write_rps: 15.0,
-        ..today
+        ..current
     };
     assert_eq!(config.state_limits, expected, "the smaller of both");
-    assert_eq!(config.max_block_bytes, today.value_bytes);
+    assert_eq!(config.max_block_bytes, current.value_bytes);
 }
--- a/src/service/effects.rs
+++ b/src/service/effects.rs
@@ -22,16 +22,16 @@
 const PEER_TIMEOUT: Duration = Duration::from_secs(2);
 
 impl EventLoop {
-    pub(super) fn perform(&mut self, effect: Effect) {
+    pub(super) fn execute(&mut self, effect: Effect) {
         match effect {
             Effect::RespondToUser { id, response } => self.respond_to_user(id, response),
             Effect::RespondToWorker {
                 id,
-                response: answer,
-                authority_until: until,
+                response,
+                authority_until,
             } => {
                 if let Some(PendingReply::Worker(reply)) = self.pending.remove(&id) {
-                    let _ = reply.send((answer, until));
+                    let _ = reply.send((response, authority_until));
                 }
             }
             Effect::RespondToHealthCheck { id, healthy } => {
@@ -44,47 +44,56 @@
                     let _ = pending.send(reply);
                 }
             }
-            Effect::Store { tag, request: op } => {
+            Effect::Store {
+                tag,
+                request: store_request,
+            } => {
                 let sent = Now::read().monotonic;
-                let request = store::wire::http_request(&op);
-                self.exchange(&self.client, self.state, request, None, move |reply| {
-                    let outcome = store::wire::parse_response(&op, reply.as_ref());
+                let request = store::wire::http_request(&store_request);
+                self.send_request(&self.client, self.state_addr, request, None, move |reply| {
+                    let outcome = store::wire::parse_response(&store_request, reply.as_ref());
                     Event::StoreResponse { tag, sent, outcome }
                 });
             }
             Effect::Cloud {
                 tag,
-                request: call,
-                authority_until: until,
+                request: cloud_request,
+                authority_until,
             } => {
-                let request = cloud::wire::http_request(&call);
-                self.exchange(&self.client, self.cloud, request, until, move |reply| {
-                    let outcome = cloud::wire::parse_response(&call, reply.as_ref());
-                    Event::CloudResponse { tag, outcome }
-                });
+                let request = cloud::wire::http_request(&cloud_request);
+                self.send_request(
+                    &self.client,
+                    self.cloud_addr,
+                    request,
+                    authority_until,
+                    move |reply| {
+                        let outcome = cloud::wire::parse_response(&cloud_request, reply.as_ref());
+                        Event::CloudResponse { tag, outcome }
+                    },
+                );
             }
             Effect::Command {
                 command,
-                authority_until: until,
-            } => self.send_command(command, until),
+                authority_until,
+            } => self.send_command(command, authority_until),
             Effect::UnsupportedFormat { format } => self.unsupported_format = Some(format),
             Effect::Peer { to, message } => self.send_to_peer(&to, &message),
         }
     }
 
     fn respond_to_user(&mut self, id: RequestId, response: Response) {
-        let Some(PendingReply::User(reply, since)) = self.pending.remove(&id) else {
+        let Some(PendingReply::User(reply, received_at)) = self.pending.remove(&id) else {
             return;
         };
         if matches!(response, Response::State { status: 201, .. }) {
-            let elapsed_ms = u64::try_from(since.elapsed().as_millis()).unwrap_or(u64::MAX);
+            let elapsed_ms = u64::try_from(received_at.elapsed().as_millis()).unwrap_or(u64::MAX);
             self.controller.metrics().accept_ms.record(elapsed_ms);
         }
         // Whoever asked may be gone.
         let _ = reply.send(response);
     }
 
-    fn send_command(&mut self, command: DirectCommand, until: Option<Instant>) {
+    fn send_command(&mut self, command: DirectCommand, authority_until: Option<Instant>) {
         let Ok(addr) = command.addr.parse() else {
             debug!(machine = %command.machine, addr = command.addr, "command not sent: invalid worker address");
             self.handle(command_event(command, CommandOutcome::Unknown));
@@ -99,13 +108,17 @@
                 COMMAND_TIMEOUT,
             )
         };
-        self.exchange(&self.worker_client, addr, request, until, move |reply| {
-            command_event(command, command_outcome(reply.as_ref()))
-        });
+        self.send_request(
+            &self.worker_client,
+            addr,
+            request,
+            authority_until,
+            move |reply| command_event(command, command_outcome(reply.as_ref())),
+        );
     }
 
     fn send_to_peer(&self, to: &ControllerName, message: &Message) {
-        let Some(addr) = self.peers.get(to).copied() else {
+        let Some(addr) = self.peer_addrs.get(to).copied() else {
             return;
         };
         let request = Request::post("/peer".to_owned(), encode_body(message), PEER_TIMEOUT);
@@ -114,20 +127,20 @@
         tokio::spawn(async move { send(&client, addr, request).await });
     }
 
-    /// Sends a request, unless its authority has expired at `until`, and queues the event that the reply, or its lack,
+    /// Sends a request, unless its authority has expired at `authority_until`, and queues the event that the reply, or its lack,
     /// makes.
-    fn exchange(
+    fn send_request(
         &self,
         client: &Client,
         addr: SocketAddr,
         request: Request,
-        until: Option<Instant>,
+        authority_until: Option<Instant>,
         event: impl FnOnce(Option<Reply>) -> Event + Send + 'static,
     ) {
         let client = client.clone();
         let events = self.events.clone();
         tokio::spawn(async move {
-            let reply = match until {
+            let reply = match authority_until {
                 Some(until) if Now::read().monotonic >= until => {
                     debug!(%addr, path = request.path, "request not sent: authority expired");
                     None
--- a/src/service/mod.rs
+++ b/src/service/mod.rs
@@ -76,10 +76,10 @@
     /// For what the tasks that send requests have to tell.
     events: mpsc::UnboundedSender<Event>,
     pending: HashMap<RequestId, PendingReply>,
-    last_request: RequestId,
-    state: SocketAddr,
-    cloud: SocketAddr,
-    peers: HashMap<ControllerName, SocketAddr>,
+    last_request_id: RequestId,
+    state_addr: SocketAddr,
+    cloud_addr: SocketAddr,
+    peer_addrs: HashMap<ControllerName, SocketAddr>,
     /// A format of the records that this program does not know.
     unsupported_format: Option<u32>,
 }
@@ -97,14 +97,14 @@
     let (incoming, mut requests) = mpsc::channel(MAX_QUEUED_REQUESTS);
     let (events, mut queued_events) = mpsc::unbounded_channel();
     let limits = ConnectionLimits::new(config.max_sockets);
-    let (listen, peer_listen) = (config.listen, config.peer_listen);
+    let (listen_addr, peer_listen_addr) = (config.listen_addr, config.peer_listen_addr);
     let public = serve(
-        listen,
+        listen_addr,
         limits.public.clone(),
         public_routes(incoming.clone(), limits.public),
     );
-    let peers = serve(peer_listen, limits.peers, peer_routes(incoming));
-    info!(controller = %config.name, zone = %config.zone, %listen, "starting");
+    let peers = serve(peer_listen_addr, limits.peers, peer_routes(incoming));
+    info!(controller = %config.name, zone = %config.zone, listen = %listen_addr, "starting");
     let mut event_loop = EventLoop::new(config, policy, features, events);
     tokio::pin!(public);
     tokio::pin!(peers);
@@ -112,19 +112,19 @@
     tick.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
     loop {
         tokio::select! {
-            served = &mut public => return served.map_err(|cause| ServeError::Listen {
+            result = &mut public => return result.map_err(|cause| ServeError::Listen {
                 setting: "bind",
-                address: listen,
+                address: listen_addr,
                 cause,
             }),
-            served = &mut peers => return served.map_err(|cause| ServeError::Listen {
+            result = &mut peers => return result.map_err(|cause| ServeError::Listen {
                 setting: "back",
-                address: peer_listen,
+                address: peer_listen_addr,
                 cause,
             }),
             _ = tick.tick() => event_loop.handle(Event::Tick),
             Some(event) = queued_events.recv() => event_loop.handle(event),
-            Some(request) = requests.recv() => event_loop.accept(request),
+            Some(request) = requests.recv() => event_loop.handle_request(request),
         }
         if let Some(format) = event_loop.unsupported_format {
             return Err(ServeError::UnsupportedFormat { format });
@@ -145,10 +145,10 @@
             recent_commands: RecentCommands::new(config.max_sockets / COMMAND_SOCKET_DIVISOR),
             events,
             pending: HashMap::new(),
-            last_request: 0,
-            state: config.state,
-            cloud: config.cloud,
-            peers: config
+            last_request_id: 0,
+            state_addr: config.state_addr,
+            cloud_addr: config.cloud_addr,
+            peer_addrs: config
                 .peers
                 .iter()
                 .map(|peer| (peer.name.clone(), peer.addr))
@@ -160,9 +160,9 @@
     }
 
     /// Hands a request to the state machine and keeps the channel for its reply.
-    fn accept(&mut self, request: IncomingRequest) {
-        self.last_request += 1;
-        let id = self.last_request;
+    fn handle_request(&mut self, request: IncomingRequest) {
+        self.last_request_id += 1;
+        let id = self.last_request_id;
         let now = Now::read().monotonic;
         let (pending, event) = match request {
             IncomingRequest::Submit(body, reply) => (
@@ -199,12 +199,12 @@
     }
 
     fn handle(&mut self, event: Event) {
-        let began = Now::read();
-        let effects = self.controller.handle(began, event);
+        let started = Now::read();
+        let effects = self.controller.handle(started, event);
         self.controller
-            .record_event_duration(began, began.monotonic.elapsed());
+            .record_event_duration(started, started.monotonic.elapsed());
         for effect in effects {
-            self.perform(effect);
+            self.execute(effect);
         }
     }
 }
--- a/src/service/sockets.rs
+++ b/src/service/sockets.rs
@@ -38,7 +38,7 @@
 /// When the latest commands to workers were sent. While they are few, their connections are kept for later ones.
 pub(super) struct RecentCommands {
     limit: usize,
-    sent: VecDeque<Instant>,
+    sent_at: VecDeque<Instant>,
 }
 
 impl RecentCommands {
@@ -46,23 +46,23 @@
     pub fn new(limit: usize) -> Self {
         RecentCommands {
             limit,
-            sent: VecDeque::new(),
+            sent_at: VecDeque::new(),
         }
     }
 
     /// Whether another command may leave its connection open. If so, it is counted.
     pub fn try_keep_alive(&mut self, now: Instant) -> bool {
         while self
-            .sent
+            .sent_at
             .front()
             .is_some_and(|at| now.saturating_duration_since(*at) > WORKER_IDLE_TIMEOUT)
         {
-            self.sent.pop_front();
+            self.sent_at.pop_front();
         }
-        if self.sent.len() >= self.limit {
+        if self.sent_at.len() >= self.limit {
             return false;
         }
-        self.sent.push_back(now);
+        self.sent_at.push_back(now);
         true
     }
 }
--- a/src/service/tests.rs
+++ b/src/service/tests.rs
@@ -9,12 +9,12 @@
     for setting in ["bind", "back"] {
         let mut config = Config::parse("s.toml", SETTINGS).expect("valid");
         let free = SocketAddr::from(([127, 0, 0, 1], 0));
-        (config.listen, config.peer_listen) = match setting {
+        (config.listen_addr, config.peer_listen_addr) = match setting {
             "bind" => (taken.1, free),
             _ => (free, taken.1),
         };
-        config.state = taken.1;
-        config.cloud = taken.1;
+        config.state_addr = taken.1;
+        config.cloud_addr = taken.1;
         let policy = Policy::built_in(&config);
         let Err(error) = run(config, policy, Features::default()).await;
         let expected = format!("can't listen on {} (setting `{setting}`): ", taken.1);
