--- a/src/features.rs
+++ b/src/features.rs
@@ -36,7 +36,7 @@
     },
     /// The file is malformed, or does not agree with the settings.
     #[error("{path}:{line}: {problem}")]
-    Wrong {
+    Invalid {
         /// The file.
         path: String,
         /// The line, from 1 on.
@@ -52,21 +52,24 @@
     /// # Errors
     ///
     /// The file can't be read, or is not valid under these settings.
-    pub fn find(named: Option<&Path>, config: &Config) -> Result<Found, FeaturesError> {
-        let path = named.unwrap_or(Path::new(DEFAULT_PATH));
-        if named.is_none() && !path.exists() {
-            return Ok(Found {
+    pub fn load(
+        requested_path: Option<&Path>,
+        config: &Config,
+    ) -> Result<LoadedFeatures, FeaturesError> {
+        let path = requested_path.unwrap_or(Path::new(DEFAULT_PATH));
+        if requested_path.is_none() && !path.exists() {
+            return Ok(LoadedFeatures {
                 features: Features::default(),
                 path: None,
             });
         }
-        let shown = path.display().to_string();
+        let display_path = path.display().to_string();
         let text = std::fs::read_to_string(path).map_err(|source| FeaturesError::Unreadable {
-            path: shown.clone(),
+            path: display_path.clone(),
             source,
         })?;
-        Ok(Found {
-            features: Features::parse(&shown, &text, config)?,
+        Ok(LoadedFeatures {
+            features: Features::parse(&display_path, &text, config)?,
             path: Some(path.to_owned()),
         })
     }
@@ -77,28 +80,30 @@
     ///
     /// The text is malformed, or does not agree with the settings.
     pub fn parse(path: &str, text: &str, config: &Config) -> Result<Self, FeaturesError> {
-        let wrong = |line, problem| FeaturesError::Wrong {
+        let invalid = |line, problem| FeaturesError::Invalid {
             path: path.to_owned(),
             line,
             problem,
         };
         let features: Features = toml::from_str(text).map_err(|error| {
-            let line = error.span().map_or(1, |span| line_at(text, span.start));
-            wrong(line, one_line(error.message()))
+            let line = error
+                .span()
+                .map_or(1, |span| line_of_offset(text, span.start));
+            invalid(line, one_line(error.message()))
         })?;
         if features.drain.step == Limit::Count(0) {
-            let line = line_of(text, &["drain", "step"]);
-            return Err(wrong(
+            let line = line_of_key(text, &["drain", "step"]);
+            return Err(invalid(
                 line,
                 "`step` must be at least 1, or a share".to_owned(),
             ));
         }
         for team in features.drain.teams.keys() {
             if config.team_limits(&team.as_str().into()).is_none() {
-                let line = line_of(text, &["drain", "teams", team]);
+                let line = line_of_key(text, &["drain", "teams", team]);
                 let known: Vec<&str> = config.teams.iter().map(|team| &*team.name.0).collect();
                 let problem = format!("there is no team `{team}`, only {}", known.join(", "));
-                return Err(wrong(line, problem));
+                return Err(invalid(line, problem));
             }
         }
         Ok(features)
@@ -107,7 +112,7 @@
 
 /// The features, and the file that states them, if there is one.
 #[derive(Debug)]
-pub struct Found {
+pub struct LoadedFeatures {
     /// The features.
     pub features: Features,
     /// The file, if there is one.
@@ -118,28 +123,28 @@
     text.split_whitespace().collect::<Vec<_>>().join(" ")
 }
 
-fn line_at(text: &str, offset: usize) -> usize {
+fn line_of_offset(text: &str, offset: usize) -> usize {
     1 + text.bytes().take(offset).filter(|b| *b == b'\n').count()
 }
 
 /// The line on which a key stands.
-fn line_of(text: &str, keys: &[&str]) -> usize {
+fn line_of_key(text: &str, keys: &[&str]) -> usize {
     let offset = DeTable::parse(text).ok().and_then(|table| {
         let mut table = table.into_inner();
-        let mut found = None;
+        let mut offset = None;
         for key in keys {
             let (name, value) = table
                 .into_iter()
                 .find(|(name, _)| name.get_ref().as_ref() == *key)?;
-            found = Some(name.span().start);
+            offset = Some(name.span().start);
             table = match value.into_inner() {
                 toml::de::DeValue::Table(inner) => inner,
                 _ => break,
             };
         }
-        found
+        offset
     });
-    line_at(text, offset.unwrap_or(0))
+    line_of_offset(text, offset.unwrap_or(0))
 }
 
 #[cfg(test)]
--- a/src/main.rs
+++ b/src/main.rs
@@ -8,15 +8,15 @@
 use dappleshore::cli::operate::Operation;
 use dappleshore::cli::{Cli, Command, ConfigFiles, Exit};
 use dappleshore::config::Config;
-use dappleshore::features::{Features, Found};
+use dappleshore::features::{Features, LoadedFeatures};
 use dappleshore::policy::Policy;
 use dappleshore::service;
 use tracing::{Level, error, info, warn};
 
 fn main() -> ExitCode {
     match Cli::parse().command {
-        Command::Serve(files) => with_files(&files, serve),
-        Command::Check(files) => with_files(&files, |loaded| report(&files, &loaded)),
+        Command::Serve(files) => load_and_run(&files, serve),
+        Command::Check(files) => load_and_run(&files, |loaded| print_valid_files(&files, &loaded)),
         Command::Cordon(args) => operate(args.operation()),
         Command::Drain(args) => operate(args.operation()),
         Command::Uncordon(args) => operate(Ok(args.operation())),
@@ -26,39 +26,39 @@
 }
 
 /// The settings, the policy and the features of a controller, each valid with the others.
-struct Loaded {
+struct LoadedFiles {
     config: Config,
     policy: Policy,
-    found: Found,
+    features_file: LoadedFeatures,
 }
 
-fn with_files(files: &ConfigFiles, run: impl FnOnce(Loaded) -> ExitCode) -> ExitCode {
+fn load_and_run(files: &ConfigFiles, run: impl FnOnce(LoadedFiles) -> ExitCode) -> ExitCode {
     match load(files) {
         Ok(loaded) => run(loaded),
-        Err(problem) => {
-            eprintln!("{problem}");
+        Err(error) => {
+            eprintln!("{error}");
             Exit::InvalidInput.into()
         }
     }
 }
 
-fn load(files: &ConfigFiles) -> Result<Loaded, Box<dyn std::error::Error>> {
+fn load(files: &ConfigFiles) -> Result<LoadedFiles, Box<dyn std::error::Error>> {
     let config = Config::load(&files.config)?;
     let policy = match &files.policy {
         Some(path) => Policy::load(path, &config)?,
         None => Policy::built_in(&config),
     };
-    let found = Features::find(files.features.as_deref(), &config)?;
-    Ok(Loaded {
+    let features_file = Features::load(files.features.as_deref(), &config)?;
+    Ok(LoadedFiles {
         config,
         policy,
-        found,
+        features_file,
     })
 }
 
-fn report(files: &ConfigFiles, loaded: &Loaded) -> ExitCode {
+fn print_valid_files(files: &ConfigFiles, loaded: &LoadedFiles) -> ExitCode {
     let policy = files.policy.as_deref();
-    let features = loaded.found.path.as_deref();
+    let features = loaded.features_file.path.as_deref();
     let paths: [Option<&Path>; 3] = [Some(&files.config), policy, features];
     for path in paths.into_iter().flatten() {
         println!("{}: correct", path.display());
@@ -73,14 +73,14 @@
     } else {
         requested.parse()
     };
-    let known = level.is_ok();
+    let valid = level.is_ok();
     tracing_subscriber::fmt()
         .with_max_level(level.unwrap_or(Level::INFO))
         .with_writer(std::io::stderr)
         .with_ansi(false)
         .with_target(false)
         .init();
-    if !known {
+    if !valid {
         warn!(LOG_LEVEL = requested, "unknown log level; using info");
     }
 }
@@ -91,14 +91,14 @@
         .build()
 }
 
-fn serve(loaded: Loaded) -> ExitCode {
+fn serve(loaded: LoadedFiles) -> ExitCode {
     start_logging();
-    let Loaded {
+    let LoadedFiles {
         config,
         policy,
-        found,
+        features_file,
     } = loaded;
-    info!(features = ?found.path, drain = found.features.drain.enabled, "features");
+    info!(features = ?features_file.path, drain = features_file.features.drain.enabled, "features");
     let runtime = match runtime() {
         Ok(runtime) => runtime,
         Err(error) => {
@@ -106,7 +106,7 @@
             return ExitCode::FAILURE;
         }
     };
-    let Err(error) = runtime.block_on(service::run(config, policy, found.features));
+    let Err(error) = runtime.block_on(service::run(config, policy, features_file.features));
     error!(%error, "service failed");
     ExitCode::FAILURE
 }
@@ -114,15 +114,15 @@
 fn operate(operation: Result<Operation, String>) -> ExitCode {
     let operation = match operation {
         Ok(operation) => operation,
-        Err(problem) => {
-            eprintln!("{problem}");
+        Err(error) => {
+            eprintln!("{error}");
             return Exit::InvalidInput.into();
         }
     };
     match runtime() {
         Ok(runtime) => runtime.block_on(operation.run()),
-        Err(problem) => {
-            eprintln!("the runtime can't be started: {problem}");
+        Err(error) => {
+            eprintln!("the runtime can't be started: {error}");
             ExitCode::FAILURE
         }
     }
--- a/src/metrics/mod.rs
+++ b/src/metrics/mod.rs
@@ -12,27 +12,28 @@
 use crate::store::StoreResponse;
 
 /// Longer times are counted as this long, in the unit of the histogram.
-const MAX_RECORDED_TIME: u64 = 3_600_000;
+const MAX_RECORDED_DURATION: u64 = 3_600_000;
 const SIGNIFICANT_DIGITS: u8 = 2;
 /// The quantiles that are shown, by their labels.
 const QUANTILES: [(&str, f64); 4] = [("p50", 0.5), ("p90", 0.9), ("p99", 0.99), ("max", 1.0)];
 
 /// A histogram of times in milliseconds, or in microseconds where the name says so.
 #[derive(Debug)]
-pub struct Times(Histogram<u64>);
+pub struct DurationHistogram(Histogram<u64>);
 
-impl Times {
+impl DurationHistogram {
     fn new() -> Self {
         // Fails only for bounds or digits out of range, and these are constants.
-        match Histogram::new_with_bounds(1, MAX_RECORDED_TIME, SIGNIFICANT_DIGITS) {
-            Ok(histogram) => Times(histogram),
+        match Histogram::new_with_bounds(1, MAX_RECORDED_DURATION, SIGNIFICANT_DIGITS) {
+            Ok(histogram) => DurationHistogram(histogram),
             Err(problem) => unreachable!("{problem}"),
         }
     }
 
     /// Counts a time.
     pub fn record(&mut self, value: u64) {
-        self.0.saturating_record(value.clamp(1, MAX_RECORDED_TIME));
+        self.0
+            .saturating_record(value.clamp(1, MAX_RECORDED_DURATION));
     }
 
     /// The time that this part of the recorded ones does not exceed; 0 if there are none.
@@ -63,11 +64,11 @@
 #[derive(Debug)]
 pub struct Metrics {
     /// From a submission's arrival to its acceptance.
-    pub accept_ms: Times,
+    pub accept_ms: DurationHistogram,
     /// From a job's acceptance to each of its tasks running, as their holder sees it.
-    pub start_ms: Times,
+    pub start_ms: DurationHistogram,
     /// Processing of one event: a leader's round is the longest kind.
-    pub event_duration_us: Times,
+    pub event_duration_us: DurationHistogram,
     /// Responses to users that were not 200 or 201, by status.
     pub error_responses: BTreeMap<u16, u64>,
     /// Transactions sent to the state service.
@@ -80,9 +81,9 @@
     /// Nothing was recorded.
     pub fn new() -> Self {
         Metrics {
-            accept_ms: Times::new(),
-            start_ms: Times::new(),
-            event_duration_us: Times::new(),
+            accept_ms: DurationHistogram::new(),
+            start_ms: DurationHistogram::new(),
+            event_duration_us: DurationHistogram::new(),
             error_responses: BTreeMap::new(),
             transactions: BTreeMap::new(),
             gauges: BTreeMap::new(),
@@ -115,15 +116,15 @@
 
 impl Display for Metrics {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let times = [
+        let histograms = [
             ("accept_ms", &self.accept_ms),
             ("start_ms", &self.start_ms),
             ("step_us", &self.event_duration_us),
         ];
-        for (name, times) in times {
-            writeln!(formatter, "{name}_count {}", times.count())?;
+        for (name, histogram) in histograms {
+            writeln!(formatter, "{name}_count {}", histogram.count())?;
             for (label, quantile) in QUANTILES {
-                let value = times.quantile(quantile);
+                let value = histogram.quantile(quantile);
                 writeln!(formatter, "{name}{{quantile=\"{label}\"}} {value}")?;
             }
         }
--- a/src/metrics/tests.rs
+++ b/src/metrics/tests.rs
@@ -23,7 +23,7 @@
         "waiting{team=\"red\"} 3",
     ] {
         assert!(
-            text.lines().any(|shown| shown == line),
+            text.lines().any(|text_line| text_line == line),
             "{line} is not in\n{text}"
         );
     }
