--- a/src/job_api/admission.rs
+++ b/src/job_api/admission.rs
@@ -1,13 +1,13 @@
-//! Whether a well-formed job can ever run.
+//! Checks whether a well-formed job can ever run.
 
 use crate::cloud::InstanceCatalog;
 use crate::config::Config;
 use crate::domain::{Job, JobKind, Resources};
 
-/// Limits are sums of decimals.
+/// Tolerance for rounding errors, because the compared amounts are products and sums of decimal fractions.
 const ROUNDING_TOLERANCE: f64 = 1e-6;
 
-/// Why a job can never run under these settings.
+/// The reason why a job can never run under these settings.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 #[error("{}", self.message())]
 pub(super) enum UnschedulableReason {
@@ -17,7 +17,7 @@
 }
 
 impl UnschedulableReason {
-    /// What the user is told.
+    /// The error text in the response to the user.
     pub fn message(self) -> &'static str {
         match self {
             UnschedulableReason::UnknownTeam => "unknown team",
@@ -27,7 +27,7 @@
     }
 }
 
-/// Why a job can never run, if it can't.
+/// Returns the reason why a job can never run, if there is one.
 pub(super) fn unschedulable_reason(
     config: &Config,
     catalog: &InstanceCatalog,
--- a/src/job_api/mod.rs
+++ b/src/job_api/mod.rs
@@ -1,11 +1,11 @@
-//! The users' API: submit, poll and cancel jobs.
+//! The users' API: submits, polls and cancels jobs.
 //!
-//! Owns the requests that are not answered yet. The controller calls it with each request, with the outcome of each
-//! transaction that it has queued, and at each event with what has become known since; it sends the responses.
+//! Owns the pending requests. The controller passes in each request, the response to each transaction that this module
+//! queued, and, at each event, the current watch cache; the controller sends the responses that this module returns.
 //!
-//! Invariants: a job is said to be accepted or cancelled only once that is committed. What is not final is answered
-//! from a copy of the records that is at least as new as the request, so that no controller tells less than another
-//! already has.
+//! Invariants: a job is reported as accepted or cancelled only after the transaction is committed. A state that is not
+//! final is read from a watch cache at least as new as the request, so that no controller reports an older state than
+//! another controller has already reported.
 
 mod admission;
 mod responses;
@@ -29,7 +29,7 @@
 /// The number of a request, unique in this process.
 pub type RequestId = u64;
 
-/// What a user asks for.
+/// The operation that a user requests.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Operation {
     Submit,
@@ -39,10 +39,10 @@
 
 #[derive(Debug, Clone)]
 enum RequestState {
-    /// Until the copy is as new as the request.
+    /// Waits until the watch cache is at least as new as the request.
     Refreshing,
-    /// The transaction is kept, as it is sent again if the state service refuses it. `recorded_ms`: the time of day that it
-    /// holds.
+    /// Waits for the response to the transaction, which is kept because it is sent again if the state service refuses
+    /// it. `recorded_ms` is the time of day stored in the record, in milliseconds of Unix time.
     Committing {
         transaction: Transaction,
         recorded_ms: u64,
@@ -54,36 +54,37 @@
     operation: Operation,
     job: JobId,
     state: RequestState,
-    /// The copy must be at least this new.
+    /// The watch cache must be at least this new.
     fresh_since: Instant,
     deadline: Instant,
 }
 
-/// Users wait 5 s for submissions and cancellations, and 2 s for polls.
+/// Users wait 5 s for a response to a submission or a cancellation, and 2 s for one to a poll.
 const SUBMIT_TIMEOUT: Duration = Duration::from_secs(4);
 const POLL_TIMEOUT: Duration = Duration::from_millis(1600);
-/// A write that would wait longer than this is refused at once.
+/// A write with a longer estimated queueing delay is refused at once.
 const MAX_WRITE_DELAY: Duration = Duration::from_millis(1500);
-/// More pending requests than this are refused at once.
+/// Requests beyond this number of pending ones are refused at once.
 const MAX_PENDING_REQUESTS: usize = 500;
 
-/// The requests that are not answered yet.
+/// The pending requests of users.
 #[derive(Debug, Default)]
 pub struct JobApi {
     pending: BTreeMap<RequestId, PendingRequest>,
 }
 
-/// What requests are decided on, and where their transactions go.
+/// The data that requests are decided from, and the queue for their transactions.
 pub struct Context<'a, Tag> {
     /// The settings.
     pub config: &'a Config,
     /// The machine types that the cloud offers.
     pub catalog: &'a InstanceCatalog,
-    /// The copy of the records.
+    /// The watch cache of the records.
     pub cache: &'a mut WatchCache,
     /// Queues transactions for the state service.
     pub rate_limiter: &'a mut RequestRateLimiter<Tag>,
-    /// Marks a request's transaction, so that its outcome comes back to [`JobApi::handle_store_response`].
+    /// Makes the tag of a request's transaction, by which the controller passes the response to
+    /// [`JobApi::handle_store_response`].
     pub store_tag: fn(RequestId) -> Tag,
 }
 
@@ -97,12 +98,12 @@
 }
 
 impl JobApi {
-    /// No request is pending.
+    /// Creates the API without pending requests.
     pub fn new() -> Self {
         JobApi::default()
     }
 
-    /// Submits the job in an encoded body. The response, if it is decided at once.
+    /// Submits the job in an encoded body. Returns the response if it is known at once.
     pub fn submit<Tag>(
         &mut self,
         now: Now,
@@ -176,7 +177,7 @@
         None
     }
 
-    /// Asks for the state of the job of this id. The response, if it is decided at once.
+    /// Requests the state of the job with this id. Returns the response if it is known at once.
     pub fn poll<Tag>(
         &mut self,
         now: Now,
@@ -187,7 +188,7 @@
         self.poll_or_cancel(now, id, Operation::Poll, job, context)
     }
 
-    /// Cancels the job of this id. The response, if it is decided at once.
+    /// Cancels the job with this id. Returns the response if it is known at once.
     pub fn cancel<Tag>(
         &mut self,
         now: Now,
@@ -218,7 +219,7 @@
         self.await_refresh(now, id, operation, job, context)
     }
 
-    /// Why nothing that needs the state service, or has to wait, can be accepted now.
+    /// The error response if the state service is unreachable or too many requests are pending.
     fn unavailable_response<Tag>(&self, now: Now, context: &Context<'_, Tag>) -> Option<Response> {
         if !context.cache.is_loaded() || !context.rate_limiter.available(now) {
             return Some(retry_later(503, "the state service can't be reached"));
@@ -226,7 +227,7 @@
         (self.pending.len() >= MAX_PENDING_REQUESTS).then(|| retry_later(429, "too many requests"))
     }
 
-    /// Lets a request wait for a copy that is as new as itself.
+    /// Makes a request wait for a watch cache that is at least as new as the request.
     fn await_refresh<Tag>(
         &mut self,
         now: Now,
@@ -253,7 +254,7 @@
         None
     }
 
-    /// The cancellation that this outcome of a request's transaction shows to be committed.
+    /// The cancellation that is committed according to this response to a request's transaction.
     pub fn committed_cancellation(
         &self,
         id: RequestId,
@@ -270,7 +271,7 @@
         }
     }
 
-    /// Takes in the outcome of a request's transaction. The response, unless the request stays pending.
+    /// Handles the response to a request's transaction. Returns the user's response unless the request stays pending.
     pub fn handle_store_response<Tag>(
         &mut self,
         now: Now,
@@ -286,7 +287,8 @@
             (Operation::Cancel, StoreResponse::Committed { .. }) => {
                 idle_state(200, pending.job, "cancelled", 0)
             }
-            // Not executed, as all controllers together asked too much just then: most often it goes a moment later.
+            // The transaction was not executed because all controllers together exceeded the request rate. A retry a
+            // moment later usually succeeds.
             (_, StoreResponse::Refused)
                 if context.rate_limiter.available(now)
                     && now.monotonic + MAX_WRITE_DELAY < pending.deadline =>
@@ -297,20 +299,20 @@
                 context.queue_commit(id, transaction.clone()).err()?
             }
             (_, StoreResponse::Conflict) => {
-                // Another request was first: see what it did.
+                // Another request changed the record first; read the new state.
                 pending.state = RequestState::Refreshing;
                 pending.fresh_since = now.monotonic;
                 context.cache.request_refresh();
                 return None;
             }
-            // It may or may not be committed. The user asks again, and gets the right response then in either case.
+            // The transaction may or may not be committed. A repeated request gets the right response in both cases.
             _ => retry_later(503, "the state service can't be reached"),
         };
         self.pending.remove(&id);
         Some(response)
     }
 
-    /// Decides the requests that can be decided by now, or can't wait any longer.
+    /// Returns the responses to pending requests that can be answered now or have timed out.
     pub fn resolve_pending<Tag>(
         &mut self,
         now: Now,
@@ -340,7 +342,7 @@
         responses
     }
 
-    /// The response to a request that is due, unless it has a transaction to wait for now.
+    /// Returns the response to a due request, or none if the request now waits for a transaction.
     fn resolve<Tag>(
         &mut self,
         now: Now,
@@ -358,7 +360,7 @@
             return Some(response);
         }
         let Some(open) = context.cache.open_jobs.get(&job) else {
-            // A submission conflicts only with a job that the copy then shows.
+            // A submission conflicts only with an existing job, which the refreshed cache contains.
             return Some(reject(404, "no such job"));
         };
         if pending.operation != Operation::Cancel || open.cancelled {
@@ -378,13 +380,13 @@
     }
 }
 
-/// What is wrong with a job that is not accepted yet: told in an outage as well.
+/// The error response to a job that is invalid, which is sent during an outage of the state service too.
 fn invalid_job_response<Tag>(
     context: &Context<'_, Tag>,
     job: &Job,
     record: &JobRecord,
 ) -> Option<Response> {
-    // Without a copy the job may be one that was accepted before.
+    // Without a loaded cache the job may already be accepted.
     if context.cache.is_loaded()
         && context.catalog.is_loaded()
         && let Some(reason) = unschedulable_reason(context.config, context.catalog, job)
--- a/src/job_api/responses.rs
+++ b/src/job_api/responses.rs
@@ -1,4 +1,4 @@
-//! What users are told.
+//! The responses to users.
 
 use std::time::Duration;
 
@@ -7,28 +7,28 @@
 use crate::store::WatchCache;
 use crate::store::cache::OpenJob;
 
-/// The decided reply to a user's request.
+/// The response to a user's request.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Response {
-    /// The job is known.
+    /// The state of the job.
     State {
         /// The HTTP status.
         status: u16,
         /// The body.
         state: JobState,
     },
-    /// The request can't be fulfilled, or not now.
+    /// The request failed, permanently or for now.
     Problem {
         /// The HTTP status.
         status: u16,
-        /// What the body says.
+        /// The error text in the body.
         message: &'static str,
-        /// When to come back; none if that is of no use.
+        /// The delay before a retry; none if a retry can't succeed.
         retry_after: Option<Duration>,
     },
 }
 
-/// The user is to ask again.
+/// An error response with a retry delay.
 pub(super) fn retry_later(status: u16, message: &'static str) -> Response {
     Response::Problem {
         status,
@@ -37,7 +37,7 @@
     }
 }
 
-/// The same request will never do.
+/// An error response to a request that can't succeed on a retry.
 pub(super) fn reject(status: u16, message: &'static str) -> Response {
     Response::Problem {
         status,
@@ -46,7 +46,7 @@
     }
 }
 
-/// The state of a job of which no task runs.
+/// The state of a job without running tasks.
 pub(super) fn idle_state(status: u16, id: JobId, job_status: &'static str, done: u64) -> Response {
     let state = JobState {
         id,
@@ -57,7 +57,7 @@
     Response::State { status, state }
 }
 
-/// The state of a job that has ended. It is final, so that any copy will do, however old.
+/// The state of a job that has ended. It is final, so that a watch cache of any age may be read.
 pub(super) fn final_state(cache: &WatchCache, job: JobId) -> Option<Response> {
     if !cache.is_loaded() {
         return None;
--- a/src/job_api/tests.rs
+++ b/src/job_api/tests.rs
@@ -1,4 +1,4 @@
-//! What users are answered, and when.
+//! The responses to users, and when they are sent.
 
 use super::*;
 use crate::cloud::wire::InstanceTypeList;
@@ -20,7 +20,7 @@
 
 impl JobApiHarness {
     fn new() -> Self {
-        let config = Config::parse("s.toml", SETTINGS).expect("valid");
+        let config = Config::parse("s.toml", SETTINGS).expect("the sample settings are valid");
         let mut catalog = InstanceCatalog::default();
         catalog.handle_response(Some(InstanceTypeList {
             types: vec![instance_type()],
@@ -52,7 +52,7 @@
             .record_response(self.now, &StoreResponse::Refused);
     }
 
-    /// The status of the answer that comes at once, if one does.
+    /// Submits the sample job with changed fields. Returns the status of the response if it is known at once.
     fn submit(&mut self, changed_fields: &[(&'static str, ciborium::Value)]) -> Option<u16> {
         let mut fields = sample_fields();
         fields.push(("berthKinds", ciborium::Value::Null));
@@ -77,16 +77,19 @@
             ..
         } = response
         {
-            assert!(retry_after.is_some(), "says when to come back");
+            assert!(
+                retry_after.is_some(),
+                "a 429 or 503 response has a retry delay"
+            );
         }
         let (Response::State { status, .. } | Response::Problem { status, .. }) = response;
         Some(status)
     }
 }
 
-/// A user who sent something wrong must not be kept asking because the state service is away.
+/// An outage of the state service must not turn the rejection of an invalid job into a retry.
 #[test]
-fn bad_input_is_refused_at_once_in_an_outage_as_well() {
+fn invalid_jobs_are_rejected_at_once_during_an_outage() {
     let mut harness = JobApiHarness::new();
     let any_type = ("berthKinds", ciborium::Value::Null);
     let never_fits = [any_type.clone(), ("cpus", 17.0.into())];
@@ -94,18 +97,26 @@
     let fits = [any_type];
     assert_eq!(harness.submit(&never_fits), Some(422));
     assert_eq!(harness.submit(&incomplete), Some(400));
-    assert_eq!(harness.submit(&fits), None, "answered once it is committed");
+    assert_eq!(
+        harness.submit(&fits),
+        None,
+        "a valid job is answered after its commit"
+    );
     harness.start_outage();
     assert_eq!(harness.submit(&never_fits), Some(422));
     assert_eq!(harness.submit(&incomplete), Some(400));
     assert_eq!(harness.submit(&fits), Some(503));
     harness.catalog = InstanceCatalog::default();
-    assert_eq!(harness.submit(&never_fits), Some(503), "can't decide");
+    assert_eq!(
+        harness.submit(&never_fits),
+        Some(503),
+        "without instance types the job can't be checked"
+    );
 }
 
-/// A job that was accepted stays known, whatever is thought of it by now.
+/// An accepted job stays accepted, also if its submission would be rejected under the present instance types.
 #[test]
-fn a_repeated_submission_of_an_accepted_job_is_never_refused_for_good() {
+fn a_repeated_submission_of_an_accepted_job_is_never_rejected() {
     let mut harness = JobApiHarness::new();
     let id = JobId(412);
     let key = job_key(id);
@@ -118,7 +129,7 @@
     assert_eq!(
         harness.submit(&never_fits),
         None,
-        "answered once the copy is fresh"
+        "an accepted job is answered once the cache is refreshed"
     );
     harness.start_outage();
     assert_eq!(harness.submit(&never_fits), Some(503));
@@ -131,13 +142,13 @@
     assert_eq!(
         harness.submit(&never_fits),
         Some(200),
-        "what is final is told from any copy"
+        "a final state is reported from a cache of any age"
     );
 }
 
-/// Others are told of a cancellation only once it is committed, with the version that it was committed as.
+/// Other controllers learn of a cancellation only after its commit, with the version that the commit produced.
 #[test]
-fn a_cancellation_is_told_once_it_is_committed() {
+fn a_cancellation_is_announced_after_its_commit() {
     let mut harness = JobApiHarness::new();
     let id = JobId(412);
     harness.cache.apply(Change {
@@ -164,10 +175,15 @@
             .job_api
             .committed_cancellation(5, &StoreResponse::Committed { revision: 4 }),
         None,
-        "nothing was sent yet"
+        "no transaction was sent yet"
     );
     let transaction = Transaction::default();
-    harness.job_api.pending.get_mut(&5).expect("asked").state = RequestState::Committing {
+    harness
+        .job_api
+        .pending
+        .get_mut(&5)
+        .expect("the cancellation is pending")
+        .state = RequestState::Committing {
         transaction,
         recorded_ms,
     };
--- a/src/job_api/wire.rs
+++ b/src/job_api/wire.rs
@@ -1,4 +1,5 @@
-//! The users' protocol: decodes submissions and defines what users are told of a job, with the field names of the wire.
+//! The users' protocol: decodes submissions and defines the reported state of a job, with the field names of the
+//! protocol.
 
 use std::sync::Arc;
 
@@ -42,13 +43,13 @@
     due_s: Option<Amount>,
 }
 
-/// The most tasks that a job may have.
+/// The maximum number of tasks of a job.
 const MAX_TASKS: u64 = 100_000;
-/// A job is one value in the state service.
+/// Bounds the size of a job's record, which is one value in the state service.
 const MAX_NAME_BYTES: usize = 200;
 const MAX_INSTANCE_TYPES: usize = 32;
 
-/// What is wrong with the body of a submission by itself.
+/// A fault in the body of a submission that can be detected without settings or instance types.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 #[error("{}", self.message())]
 pub enum MalformedSubmission {
@@ -56,22 +57,22 @@
     NotCbor,
     /// Bytes follow the first item.
     TrailingBytes,
-    /// The item has no fields.
+    /// The item is not a map.
     NotAMap,
-    /// A field is missing, or of a wrong type or form.
+    /// A field is missing or has a wrong type or format.
     InvalidField,
     /// An amount is negative, infinite or not a number.
     InvalidAmount,
-    /// The number of tasks is 0 or beyond the limit.
+    /// The number of tasks is 0 or exceeds the limit.
     InvalidTaskCount,
-    /// A name is too long, or there are too many names of machine types.
+    /// A name is too long, or there are too many instance types.
     NameTooLong,
-    /// A name that is needed is empty.
+    /// A required name is empty.
     EmptyName,
 }
 
 impl MalformedSubmission {
-    /// What the user is told.
+    /// The error text in the response to the user.
     pub fn message(self) -> &'static str {
         match self {
             MalformedSubmission::NotCbor => "not CBOR",
@@ -86,11 +87,11 @@
     }
 }
 
-/// Decodes a submission that arrived at this time of day, in milliseconds.
+/// Decodes a submission that arrived at `now_ms`, in milliseconds of Unix time.
 ///
 /// # Errors
 ///
-/// All that can be wrong with a submission by itself, whatever the settings and the cloud are.
+/// The submission is malformed, independent of the settings and of the instance types.
 pub fn parse(body: &[u8], now_ms: u64) -> Result<(JobId, Job), MalformedSubmission> {
     let mut rest = body;
     let value: Value =
@@ -185,16 +186,16 @@
     Ok((submission.id, job))
 }
 
-/// What a user is told of a job.
+/// The state of a job as reported to users.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 pub struct JobState {
     /// The job.
     pub id: JobId,
     /// `queued`, `running`, `done` or `cancelled`.
     pub status: &'static str,
-    /// How many of its tasks have ended successfully.
+    /// The number of its tasks that have ended successfully.
     pub done: u64,
-    /// How many of its tasks are placed on a machine.
+    /// The number of its tasks that are placed on a machine.
     pub running: u64,
 }
 
--- a/src/job_api/wire/tests.rs
+++ b/src/job_api/wire/tests.rs
@@ -31,13 +31,13 @@
         .map(|(key, value)| ((*key).into(), value.clone()))
         .collect();
     let mut bytes = Vec::new();
-    ciborium::into_writer(&Value::Map(map), &mut bytes).expect("to memory");
+    ciborium::into_writer(&Value::Map(map), &mut bytes).expect("encoding to memory succeeds");
     bytes
 }
 
 #[test]
-fn a_submission_is_read_with_integers_for_decimals() {
-    let (id, job) = parse(&encode_fields(&sample_fields()), 7).expect("valid");
+fn a_submission_may_contain_integers_for_decimals() {
+    let (id, job) = parse(&encode_fields(&sample_fields()), 7).expect("the sample is valid");
     assert_eq!(id, JobId(412));
     assert!((job.need.cpus - 8.0).abs() < 1e-9);
     assert_eq!(job.deadline_s, Some(900.0));
@@ -45,12 +45,13 @@
         .into_iter()
         .filter(|(k, _)| !["dueS", "wing", "berthKinds"].contains(k))
         .collect();
-    let (_, job) = parse(&encode_fields(&without_optional), 7).expect("null fields may be omitted");
+    let (_, job) =
+        parse(&encode_fields(&without_optional), 7).expect("optional fields may be omitted");
     assert_eq!((job.types, job.zone, job.deadline_s), (None, None, None));
 }
 
 #[test]
-fn every_wrong_field_is_refused() {
+fn every_invalid_field_is_rejected() {
     let invalid_values: [(&str, Value); 14] = [
         ("id", "j-412".into()),
         ("id", 412.into()),
