--- a/src/http/client.rs
+++ b/src/http/client.rs
@@ -11,28 +11,28 @@
 
 use super::{Method, Reply, Request};
 
-/// More than a watch can hold, the largest of all replies.
+/// Larger than any response to a watch, which is the largest of all replies.
 const MAX_REPLY_BYTES: usize = 16 << 20;
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(1000);
 const MAX_IDLE_PER_HOST: usize = 4;
 
-/// Why a request has no reply. After each of these but `InvalidRequest` and `Connect` the request may have been executed,
-/// or may still be.
+/// The reason why a request has no reply. After all errors but `InvalidRequest` and `Connect`, the request may have
+/// been executed or may still be executed.
 #[derive(Debug, thiserror::Error)]
 pub enum ClientError {
-    /// Path or address make no valid URI.
+    /// The path and address don't form a valid URI.
     #[error("invalid request: {0}")]
     InvalidRequest(#[from] hyper::http::Error),
-    /// Refused, unreachable, or not connected in time.
-    #[error("no connection: {0}")]
+    /// The connection was refused, the address is unreachable, or connecting timed out.
+    #[error("connection failed: {0}")]
     Connect(#[source] hyper_util::client::legacy::Error),
-    /// The connection ended before the head of the reply.
+    /// The connection ended before the headers of the reply arrived.
     #[error("no reply: {0}")]
     Exchange(#[source] hyper_util::client::legacy::Error),
-    /// The body of the reply was cut short, or is too large.
+    /// The body of the reply was truncated or is too large.
     #[error("incomplete reply: {0}")]
     Body(#[source] Box<dyn std::error::Error + Send + Sync>),
-    /// The request's timeout passed before the reply was whole.
+    /// The request's timeout passed before the reply was complete.
     #[error("no reply within {0:?}")]
     TimedOut(Duration),
 }
@@ -44,7 +44,7 @@
 }
 
 impl Client {
-    /// `idle_timeout`: how long a connection is kept that nothing goes over.
+    /// Creates a pool that closes a connection after it was idle for `idle_timeout`.
     pub fn new(idle_timeout: Duration) -> Self {
         let mut connector = HttpConnector::new();
         connector.set_nodelay(true);
@@ -58,11 +58,11 @@
         Client { pool }
     }
 
-    /// Sends a request once and waits for the whole reply, whatever its status.
+    /// Sends a request once and waits for the complete reply, of any status.
     ///
     /// # Errors
     ///
-    /// There is no reply: see [`ClientError`] for what that says of the request.
+    /// There is no complete reply. [`ClientError`] says whether the request may have been executed.
     pub async fn send(&self, addr: SocketAddr, request: Request) -> Result<Reply, ClientError> {
         let timeout = request.timeout;
         tokio::time::timeout(timeout, self.exchange(build_request(addr, request)?))
--- a/src/http/client/tests.rs
+++ b/src/http/client/tests.rs
@@ -3,19 +3,23 @@
 
 use super::*;
 
-/// The outcome of a request that is answered with these bytes before the connection is closed, or never if there are none.
+/// Sends a request to a stub that replies with these bytes and closes the connection, or never replies if there are
+/// none.
 async fn send_to_stub(reply: &'static [u8], timeout: Duration) -> Result<Reply, ClientError> {
-    let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
-    let addr = listener.local_addr().expect("bound");
+    let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
+    let addr = listener.local_addr().expect("the listener is bound");
     tokio::spawn(async move {
-        let (mut stream, _) = listener.accept().await.expect("a connection");
+        let (mut stream, _) = listener.accept().await.expect("the client connects");
         let mut head = [0; 1024];
-        let read = stream.read(&mut head).await.expect("a request");
-        assert!(read > 0, "a request");
+        let read = stream
+            .read(&mut head)
+            .await
+            .expect("the client sends a request");
+        assert!(read > 0, "the client sends a request");
         if reply.is_empty() {
             return std::future::pending().await;
         }
-        stream.write_all(reply).await.expect("sent");
+        stream.write_all(reply).await.expect("the reply is sent");
     });
     Client::new(Duration::from_secs(1))
         .send(addr, Request::get("/".to_owned(), timeout))
@@ -23,9 +27,9 @@
 }
 
 #[tokio::test]
-async fn a_refused_connection_a_timeout_and_a_truncated_reply_are_told_apart() {
-    let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
-    let closed_addr = listener.local_addr().expect("bound");
+async fn a_refused_connection_a_timeout_and_a_truncated_reply_are_different_errors() {
+    let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
+    let closed_addr = listener.local_addr().expect("the listener is bound");
     drop(listener);
     let long_timeout = Duration::from_secs(5);
     let refused = Client::new(long_timeout)
@@ -66,7 +70,7 @@
         long_timeout,
     )
     .await;
-    let complete = complete.expect("a status is no error");
+    let complete = complete.expect("a reply of any status is not an error");
     assert_eq!(
         (complete.status, &complete.body[..]),
         (404, b"body".as_slice())
--- a/src/http/connections.rs
+++ b/src/http/connections.rs
@@ -1,8 +1,8 @@
 //! Accepts connections on a listener and bounds how many are open at a time.
 //!
-//! The service runs [`serve`] once for each of its two listeners. A connection over the limit is closed at once, without a
-//! reply; one that does not send the head of a request in time is closed too, so that idle or slow callers can't keep
-//! others out.
+//! The service runs [`serve`] once for each of its two listeners. A connection over the limit is closed at once,
+//! without a reply. A connection that does not send the headers of a request in time is closed too, so that idle or
+//! slow clients can't exhaust the limit.
 
 use std::convert::Infallible;
 use std::net::SocketAddr;
@@ -20,8 +20,8 @@
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 const ACCEPT_WARNING_INTERVAL: Duration = Duration::from_secs(10);
 const MAX_HEADER_BUFFER_BYTES: usize = 32 * 1024;
-/// The part of all connections beyond which workers are asked to close theirs after each reply, so that users and health
-/// checks still get in.
+/// The fraction of the limit above which workers are asked to close their connection after each reply, so that users
+/// and health checks can still connect.
 const NEAR_LIMIT_FRACTION: f64 = 0.7;
 
 /// Bounds the number of connections that are open at a time. Clones share the count.
@@ -32,7 +32,7 @@
 }
 
 impl ConnectionLimiter {
-    /// At most `limit` open connections.
+    /// Allows at most `limit` open connections.
     pub fn new(limit: usize) -> Self {
         ConnectionLimiter {
             available: Arc::new(Semaphore::new(limit)),
@@ -40,23 +40,24 @@
         }
     }
 
-    /// The right to one connection until it is dropped, or none at the limit.
+    /// Returns a permit for one connection, which is released on drop, or none at the limit.
     pub(super) fn try_acquire(&self) -> Option<OwnedSemaphorePermit> {
         self.available.clone().try_acquire_owned().ok()
     }
 
-    /// Whether so many are open that callers who can come back should close theirs.
+    /// Whether the open connections exceed `NEAR_LIMIT_FRACTION` of the limit.
     pub(super) fn near_limit(&self) -> bool {
         (self.available.available_permits() as f64)
             < self.limit as f64 * (1.0 - NEAR_LIMIT_FRACTION)
     }
 }
 
-/// Listens on an address and serves the routes to all connections that the limiter admits, until the process ends.
+/// Listens on an address and serves the routes to all connections that the limiter admits. Never returns without an
+/// error.
 ///
 /// # Errors
 ///
-/// The address can't be bound. Failures to accept a connection are logged and tried again.
+/// The address can't be bound. A failure to accept a connection is logged and retried.
 pub async fn serve<F>(
     addr: SocketAddr,
     limiter: ConnectionLimiter,
@@ -73,20 +74,20 @@
         let (stream, remote) = match listener.accept().await {
             Ok(accepted) => accepted,
             Err(error) => {
-                // Out of sockets, most likely: some will be closed.
+                // The usual cause is a lack of sockets, which ends as connections are closed.
                 if last_warning.is_none_or(|at| at.elapsed() > ACCEPT_WARNING_INTERVAL) {
                     last_warning = Some(Instant::now());
-                    warn!(%addr, %error, "connections could not be accepted");
+                    warn!(%addr, %error, "failed to accept connection");
                 }
                 tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
                 continue;
             }
         };
         let Some(permit) = limiter.try_acquire() else {
-            debug!(%remote, "connection rejected: too many open");
+            debug!(%remote, "connection rejected: connection limit reached");
             continue;
         };
-        // Small replies must not wait for the acknowledgement of the last one.
+        // Nagle's algorithm would delay a small reply until the previous one is acknowledged.
         let _ = stream.set_nodelay(true);
         let service = TowerToHyperService::new(service.clone());
         tokio::spawn(async move {
@@ -99,7 +100,7 @@
                 .serve_connection(TokioIo::new(stream), service)
                 .await;
             if let Err(error) = result {
-                debug!(%remote, %error, "connection ended");
+                debug!(%remote, %error, "connection closed with an error");
             }
             drop(permit);
         });
--- a/src/http/connections/tests.rs
+++ b/src/http/connections/tests.rs
@@ -2,15 +2,15 @@
 use crate::http::server::public_routes;
 use crate::http::server::tests::spawn_event_loop_stub;
 
-/// Connections that say nothing, or half a request, must not keep others out for good, and no more of them are held
-/// than the limiter lets in.
+/// Connections that send nothing or an incomplete request must not block others permanently, and their number is
+/// bounded by the limiter.
 #[tokio::test]
-async fn stuck_connections_are_bounded_and_do_not_hold_up_others() {
+async fn stalled_connections_are_bounded_and_do_not_block_others() {
     use tokio::io::{AsyncReadExt, AsyncWriteExt};
     use tokio::net::TcpStream;
-    let free_port = TcpListener::bind("127.0.0.1:0").await.expect("a port");
-    let addr = free_port.local_addr().expect("bound");
-    drop(free_port);
+    let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
+    let addr = listener.local_addr().expect("the listener is bound");
+    drop(listener);
     const LIMIT: usize = 60;
     tokio::spawn(serve(
         addr,
@@ -30,7 +30,7 @@
         stream
             .write_all(b"GET /up HTTP/1.1\r\nhost: a\r\nconnection: close\r\n\r\n")
             .await
-            .expect("sent");
+            .expect("the request is sent");
         let mut reply = Vec::new();
         stream.read_to_end(&mut reply).await.is_ok() && reply.starts_with(b"HTTP/1.1 200")
     };
@@ -40,17 +40,23 @@
         if n % 2 == 0 {
             let incomplete_request =
                 b"POST /v1/report HTTP/1.1\r\nhost: a\r\ncontent-length: 5000\r\n\r\nhalf";
-            stream.write_all(incomplete_request).await.expect("sent");
+            stream
+                .write_all(incomplete_request)
+                .await
+                .expect("the request is sent");
         }
         open_connections.push(stream);
     }
-    assert!(health_check_succeeds().await, "there is room for one more");
+    assert!(
+        health_check_succeeds().await,
+        "one connection is left below the limit"
+    );
     for _ in 0..LIMIT * 2 {
         open_connections.push(connect().await);
     }
     assert!(
         !health_check_succeeds().await,
-        "more than the limiter lets in"
+        "connections beyond the limit are closed"
     );
     open_connections.clear();
     while !health_check_succeeds().await {
--- a/src/http/mod.rs
+++ b/src/http/mod.rs
@@ -1,11 +1,11 @@
-//! HTTP/1.1 with CBOR bodies: what a controller sends, what it serves, and how both are encoded.
+//! HTTP/1.1 with CBOR bodies: the client, the server and the encoding of bodies.
 //!
-//! `client` sends requests to the state service, the cloud, workers and other controllers; `server` holds the routes of
-//! the two listeners; `connections` accepts connections and bounds their number. The wire modules of `store`, `cloud` and
-//! the job API build [`Request`]s and read [`Reply`]s; the service's event loop sends and serves them.
+//! `client` sends requests to the state service, the cloud, workers and other controllers; `server` holds the routes
+//! of the two listeners; `connections` accepts connections and bounds their number. The wire modules of `store`,
+//! `cloud` and the job API build [`Request`]s and read [`Reply`]s; the service's event loop sends and serves them.
 //!
-//! Invariant: a request is sent at most once. Whether a lost reply is worth another request is for the caller to decide,
-//! as the first may have been executed.
+//! Invariant: a request is sent at most once. After a lost reply the caller decides whether to retry, because the
+//! request may have been executed.
 
 mod client;
 pub mod connections;
@@ -25,27 +25,27 @@
 pub enum Method {
     /// Reads; sent without a body.
     Get,
-    /// Changes something, or carries a body.
+    /// Changes state or has a body.
     Post,
 }
 
-/// A request as it is to be sent, without the address it goes to.
+/// A request to be sent, without its destination address.
 #[derive(Debug, Clone)]
 pub struct Request {
     /// The method.
     pub method: Method,
-    /// Path and query, from the slash on.
+    /// Path and query, with the leading slash.
     pub path: String,
     /// The encoded body; empty for a GET.
     pub body: Vec<u8>,
-    /// For connecting, sending and reading the reply together.
+    /// The timeout for connecting, sending and reading the reply together.
     pub timeout: Duration,
-    /// Whether the connection is of no more use afterwards.
+    /// Whether to close the connection after the reply.
     pub close: bool,
 }
 
 impl Request {
-    /// A GET whose connection is kept.
+    /// Builds a GET that keeps its connection open.
     pub fn get(path: String, timeout: Duration) -> Self {
         Request {
             method: Method::Get,
@@ -56,7 +56,7 @@
         }
     }
 
-    /// A POST whose connection is kept.
+    /// Builds a POST that keeps its connection open.
     pub fn post(path: String, body: Vec<u8>, timeout: Duration) -> Self {
         Request {
             method: Method::Post,
@@ -68,7 +68,7 @@
     }
 }
 
-/// A reply that arrived whole.
+/// A complete reply.
 #[derive(Debug, Clone)]
 pub struct Reply {
     /// The status code.
@@ -77,24 +77,24 @@
     pub body: Bytes,
 }
 
-/// The body is not the CBOR of what was expected.
+/// The body is not CBOR of the expected type.
 #[derive(Debug, thiserror::Error)]
 #[error("malformed body: {0}")]
 pub struct MalformedBody(#[from] ciborium::de::Error<std::io::Error>);
 
-/// Encodes a body.
+/// Encodes a value as a CBOR body.
 pub fn encode_body(value: &impl Serialize) -> Vec<u8> {
     let mut bytes = Vec::new();
-    // Writing our own types to memory can't fail.
+    // Encoding these types to memory can't fail.
     let _ = ciborium::into_writer(value, &mut bytes);
     bytes
 }
 
-/// Decodes a body. What is wrong with it is logged at debug level, as most callers answer all faults alike.
+/// Decodes a CBOR body. The fault is logged at debug level, because most callers handle all faults alike.
 ///
 /// # Errors
 ///
-/// The body is not CBOR, or not of the expected form.
+/// The body is not CBOR or not of the expected type.
 pub fn decode_body<T: DeserializeOwned>(body: &[u8]) -> Result<T, MalformedBody> {
     ciborium::from_reader(body)
         .map_err(MalformedBody)
--- a/src/http/server.rs
+++ b/src/http/server.rs
@@ -2,8 +2,8 @@
 //! the other.
 //!
 //! A handler decodes the request, queues it for the service's event loop with a channel for the reply, and encodes that
-//! reply. It decides nothing itself but what it can refuse: malformed or too large bodies, unknown paths, and requests
-//! beyond [`MAX_QUEUED_REQUESTS`].
+//! reply. By itself it only rejects malformed or too large bodies, unknown paths, and requests beyond
+//! [`MAX_QUEUED_REQUESTS`].
 
 use std::convert::Infallible;
 use std::time::{Duration, Instant};
@@ -29,13 +29,13 @@
 pub enum IncomingRequest {
     /// A user's submission, still encoded.
     Submit(Bytes, oneshot::Sender<Response>),
-    /// A user's question about the job of this id.
+    /// A user's poll of the job with this id.
     Poll(String, oneshot::Sender<Response>),
-    /// A user's cancellation of the job of this id.
+    /// A user's cancellation of the job with this id.
     Cancel(String, oneshot::Sender<Response>),
-    /// Whether this controller should get requests.
+    /// A health check. The reply says whether this controller should receive requests.
     Health(oneshot::Sender<bool>),
-    /// A worker's heartbeat. The reply comes with the time until which it may be sent.
+    /// A worker's heartbeat. The reply comes with the time at which the authority to send it expires.
     Heartbeat(Heartbeat, oneshot::Sender<(HeartbeatResponse, Instant)>),
     /// Another controller's message, which has no reply.
     Peer(Message),
@@ -47,9 +47,9 @@
 
 /// The protocol's limit for request bodies.
 const MAX_BODY_BYTES: u64 = 64 * 1024;
-/// The largest messages between controllers list all assignments of a block.
+/// The body limit for messages between controllers, the largest of which list all assignments of a block.
 const MAX_PEER_BODY_BYTES: u64 = 1 << 20;
-/// Requests that wait for the state machine; more than these are refused at once.
+/// The maximum number of requests queued for the state machine; requests beyond it are refused at once.
 pub const MAX_QUEUED_REQUESTS: usize = 1024;
 
 #[derive(Serialize)]
@@ -114,8 +114,8 @@
     warp::body::content_length_limit(limit).and(warp::body::bytes())
 }
 
-/// What users, workers and health checks may ask. Workers are asked to close their connection while the limiter is near its
-/// limit.
+/// The routes for users, workers and health checks. Responses ask workers to close their connection while the limiter
+/// is near its limit.
 pub fn public_routes(
     requests: mpsc::Sender<IncomingRequest>,
     limiter: ConnectionLimiter,
@@ -211,8 +211,8 @@
             },
         ));
     };
-    // The process may have been paused since the reply was decided: a worker's lease is not renewed after the
-    // controller's own has expired.
+    // The process may have been paused since the response was decided. A worker's lease must not be renewed after the
+    // controller's own lease has expired.
     let to_response = |(response, authority_until)| {
         heartbeat_response(
             if Now::read().monotonic < authority_until
@@ -247,7 +247,7 @@
     }
 }
 
-/// What other controllers, operators and the collector of metrics may ask.
+/// The routes for other controllers, operators and the metrics collector.
 pub fn peer_routes(
     requests: mpsc::Sender<IncomingRequest>,
 ) -> impl Filter<Extract = (HttpResponse,), Error = Infallible> + Clone {
@@ -305,7 +305,8 @@
     .await
 }
 
-/// Gives a handler the error type that filters need: handlers answer everything themselves.
+/// Converts a handler's error type to the one that filters require. Handlers never fail: they answer every error
+/// themselves.
 trait WithRejectionError {
     fn with_rejection_error(self) -> impl Future<Output = Result<HttpResponse, Rejection>> + Send;
 }
--- a/src/http/server/tests.rs
+++ b/src/http/server/tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 use crate::job_api::wire::JobState;
 
-/// Answers whatever reaches the state machine, so that the rest is seen to be refused before.
+/// Answers every request that reaches the state machine, so that a rejection is known to come from the routes.
 pub fn spawn_event_loop_stub() -> mpsc::Sender<IncomingRequest> {
     let (sender, mut receiver) = mpsc::channel(8);
     tokio::spawn(async move {
@@ -49,7 +49,7 @@
 }
 
 #[tokio::test]
-async fn bad_requests_are_refused_at_the_edge_and_refusals_say_when_to_come_back() {
+async fn invalid_requests_are_rejected_by_the_routes_and_503_has_a_retry_after_header() {
     let routes = public_routes(spawn_event_loop_stub(), ConnectionLimiter::new(10));
     let large = vec![0u8; 64 * 1024 + 1];
     let cases: [(&str, &str, &[u8], u16); 10] = [
@@ -89,12 +89,13 @@
         "berth" => "m-000231", "endpoint" => "10.1.0.232:9000", "berthKind" => "g8", "wing" => "a",
         "loaner" => true, "shift" => 1, "folio" => 88, "seal" => 41, "entries" => []
     });
-    encode_body(&heartbeat.expect("valid"))
+    encode_body(&heartbeat.expect("the heartbeat is valid CBOR"))
 }
 
-/// At one and a half times the fleets' machines one controller for all has more workers than sockets.
+/// With one and a half times the machines of the fleets, a single controller that serves all of them has more workers
+/// than sockets.
 #[tokio::test]
-async fn workers_are_asked_to_close_when_connections_run_short() {
+async fn workers_are_asked_to_close_near_the_connection_limit() {
     let limiter = ConnectionLimiter::new(10);
     let routes = public_routes(spawn_event_loop_stub(), limiter.clone());
     let asked_to_close = async || {
@@ -111,7 +112,7 @@
     };
     assert!(!asked_to_close().await);
     let _permits: Vec<_> = (0..8)
-        .map(|_| limiter.try_acquire().expect("free"))
+        .map(|_| limiter.try_acquire().expect("the limit is not reached"))
         .collect();
     assert!(asked_to_close().await);
 }
@@ -135,7 +136,7 @@
 }
 
 #[tokio::test]
-async fn metrics_are_shown_to_peers_only() {
+async fn metrics_are_served_on_the_peer_address_only() {
     let reply = warp::test::request()
         .path("/metrics")
         .reply(&peer_routes(spawn_event_loop_stub()))
