--- a/src/service/effects.rs
+++ b/src/service/effects.rs
@@ -1,7 +1,8 @@
-//! Carries out the effects that the state machine decides on.
+//! Executes the effects of the state machine.
 //!
-//! Each request is sent by a task of its own, whose result comes back to the event loop as an event. A request that is
-//! bound to an authority is not sent after that has expired, as the process may have been paused since the decision.
+//! Each request is sent by its own task, which queues the result as an event for the event loop. A request that
+//! requires an authority, for example a lease, is not sent after the authority has expired, because the process may
+//! have been paused since the decision.
 
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
@@ -89,7 +90,7 @@
             let elapsed_ms = u64::try_from(received_at.elapsed().as_millis()).unwrap_or(u64::MAX);
             self.controller.metrics().accept_ms.record(elapsed_ms);
         }
-        // Whoever asked may be gone.
+        // The client may have disconnected.
         let _ = reply.send(response);
     }
 
@@ -123,12 +124,12 @@
         };
         let request = Request::post("/peer".to_owned(), encode_body(message), PEER_TIMEOUT);
         let client = self.client.clone();
-        // Lost messages are repeated by whoever needs them.
+        // No retry here: the modules that depend on a message send it again.
         tokio::spawn(async move { send(&client, addr, request).await });
     }
 
-    /// Sends a request, unless its authority has expired at `authority_until`, and queues the event that the reply, or its lack,
-    /// makes.
+    /// Sends a request unless its authority expired at `authority_until`, and queues the event made from the reply or
+    /// from the lack of one.
     fn send_request(
         &self,
         client: &Client,
@@ -147,19 +148,20 @@
                 }
                 _ => send(&client, addr, request).await,
             };
-            // The receiver lives as long as the process.
+            // Can't fail: the receiver lives as long as the process.
             let _ = events.send(event(reply));
         });
     }
 }
 
-/// All faults are alike to the state machine: the request may have been executed.
+/// Sends a request and logs a failure. The state machine handles all failures alike: the request may have been
+/// executed.
 async fn send(client: &Client, addr: SocketAddr, request: Request) -> Option<Reply> {
     let path = request.path.clone();
     client
         .send(addr, request)
         .await
-        .inspect_err(|error| debug!(%addr, path, %error, "request without a reply"))
+        .inspect_err(|error| debug!(%addr, path, %error, "request failed: no complete reply"))
         .ok()
 }
 
--- a/src/service/mod.rs
+++ b/src/service/mod.rs
@@ -1,9 +1,9 @@
-//! Runs one controller: turns requests, replies and ticks into events for its state machine, and the effects that it
-//! decides on into requests and replies.
+//! Runs one controller: turns requests, replies and ticks into events for its state machine, and the resulting effects
+//! into requests and replies.
 //!
-//! The binary calls [`run`]. One task owns the state machine and handles one event at a time; the listeners and each
-//! request that is sent have tasks of their own, which reach it through channels. So the state machine needs no lock, and
-//! nothing in it may block.
+//! The binary calls [`run`]. One task owns the state machine and handles one event at a time. The listeners and each
+//! outgoing request run in their own tasks and communicate with it through channels. Therefore the state machine
+//! needs no lock, and must never block.
 
 mod effects;
 mod sockets;
@@ -32,7 +32,7 @@
 
 const TICK_INTERVAL: Duration = Duration::from_millis(40);
 
-/// Why a controller can't start or go on.
+/// The reason why a controller can't start or continue.
 #[derive(Debug, thiserror::Error)]
 pub enum ServeError {
     /// A listener's address can't be bound.
@@ -40,15 +40,15 @@
     Listen {
         /// The name of the setting in the settings file.
         setting: &'static str,
-        /// Its value.
+        /// The address in the setting.
         address: SocketAddr,
-        /// What the operating system says.
+        /// The error of the operating system.
         #[source]
         cause: std::io::Error,
     },
-    /// The stored records are of a format that a newer version has written.
+    /// The stored records have a format of a newer version.
     #[error(
-        "the records are in format {format}, newer than this version's {NEWEST_FORMAT}: start a newer version"
+        "the stored records have format {format}, but this version supports only {NEWEST_FORMAT} and older: start a newer version"
     )]
     UnsupportedFormat {
         /// The format of the records.
@@ -56,11 +56,11 @@
     },
 }
 
-/// Where the reply to a request goes once the state machine has decided it.
+/// The channel for the reply to a request.
 enum PendingReply {
-    /// With the time at which the request arrived.
+    /// For a user's request, with its time of arrival.
     User(oneshot::Sender<Response>, Instant),
-    /// The reply goes with the time until which it may be sent.
+    /// For a worker's heartbeat. The reply is sent with the time at which the authority to send it expires.
     Worker(oneshot::Sender<(HeartbeatResponse, Instant)>),
     Health(oneshot::Sender<bool>),
     Operator(oneshot::Sender<operator::Reply>),
@@ -68,27 +68,27 @@
 
 struct EventLoop {
     controller: Controller,
-    /// For requests to anyone but workers.
+    /// The client for all requests except commands to workers.
     client: Client,
-    /// For commands to workers.
+    /// The client for commands to workers.
     worker_client: Client,
     recent_commands: RecentCommands,
-    /// For what the tasks that send requests have to tell.
+    /// Queues the events of the tasks that send requests.
     events: mpsc::UnboundedSender<Event>,
     pending: HashMap<RequestId, PendingReply>,
     last_request_id: RequestId,
     state_addr: SocketAddr,
     cloud_addr: SocketAddr,
     peer_addrs: HashMap<ControllerName, SocketAddr>,
-    /// A format of the records that this program does not know.
+    /// The format of the stored records if this version does not support it.
     unsupported_format: Option<u32>,
 }
 
-/// Runs until the process is killed.
+/// Runs a controller until the process is killed.
 ///
 /// # Errors
 ///
-/// A listener can't be opened, or the records turn out to be of a newer version.
+/// A listener can't be opened, or the stored records have a format of a newer version.
 pub async fn run(
     config: Config,
     policy: Policy,
@@ -104,7 +104,7 @@
         public_routes(incoming.clone(), limits.public),
     );
     let peers = serve(peer_listen_addr, limits.peers, peer_routes(incoming));
-    info!(controller = %config.name, zone = %config.zone, listen = %listen_addr, "starting");
+    info!(controller = %config.name, zone = %config.zone, listen = %listen_addr, "service starting");
     let mut event_loop = EventLoop::new(config, policy, features, events);
     tokio::pin!(public);
     tokio::pin!(peers);
@@ -159,7 +159,7 @@
         }
     }
 
-    /// Hands a request to the state machine and keeps the channel for its reply.
+    /// Passes a request to the state machine and keeps the channel for its reply.
     fn handle_request(&mut self, request: IncomingRequest) {
         self.last_request_id += 1;
         let id = self.last_request_id;
@@ -189,7 +189,7 @@
             ),
             IncomingRequest::Peer(message) => return self.handle(Event::Peer(message)),
             IncomingRequest::Metrics(reply) => {
-                // Whoever asked may be gone.
+                // The client may have disconnected.
                 let _ = reply.send(self.controller.metrics().to_string());
                 return;
             }
--- a/src/service/sockets.rs
+++ b/src/service/sockets.rs
@@ -1,7 +1,8 @@
-//! How the sockets that the settings allow are divided.
+//! Divides the number of sockets in the settings among the kinds of connections.
 //!
-//! A command to a worker may be under way for as long as an idle connection is kept; each of the two has one socket in
-//! `COMMAND_SOCKET_DIVISOR`. Other controllers and this controller's own requests have a few. Whoever calls has the rest.
+//! Commands in flight to workers get one of every `COMMAND_SOCKET_DIVISOR` sockets, and so do idle connections to
+//! workers, because a command may be in flight for as long as an idle connection is kept. Connections with other
+//! controllers and this controller's other requests get up to `INTERNAL_SOCKETS`. The public listener gets the rest.
 
 use std::collections::VecDeque;
 use std::time::{Duration, Instant};
@@ -9,21 +10,21 @@
 use crate::http::connections::ConnectionLimiter;
 use crate::workers::COMMAND_SOCKET_DIVISOR;
 
-/// How long idle connections to the state service, the cloud and other controllers are kept.
+/// The time for which idle connections to the state service, the cloud and other controllers are kept.
 pub(super) const IDLE_TIMEOUT: Duration = Duration::from_secs(20);
-/// How long idle connections to workers are kept: there are thousands of workers.
+/// The time for which idle connections to workers are kept. It is short because there are thousands of workers.
 pub(super) const WORKER_IDLE_TIMEOUT: Duration = Duration::from_secs(2);
-/// Sockets for other controllers and for this controller's requests to anyone but workers.
+/// Sockets for other controllers and for this controller's requests other than commands to workers.
 const INTERNAL_SOCKETS: usize = 150;
 
-/// The limits of the two listeners.
+/// The connection limits of the two listeners.
 pub(super) struct ConnectionLimits {
     pub public: ConnectionLimiter,
     pub peers: ConnectionLimiter,
 }
 
 impl ConnectionLimits {
-    /// Divides this many sockets.
+    /// Divides this number of sockets.
     pub fn new(sockets: usize) -> Self {
         let internal = INTERNAL_SOCKETS.min(sockets / 4);
         ConnectionLimits {
@@ -35,14 +36,15 @@
     }
 }
 
-/// When the latest commands to workers were sent. While they are few, their connections are kept for later ones.
+/// The times of the latest commands to workers. While there are fewer than the limit, a command keeps its connection
+/// open for later commands.
 pub(super) struct RecentCommands {
     limit: usize,
     sent_at: VecDeque<Instant>,
 }
 
 impl RecentCommands {
-    /// At most `limit` idle connections are to be left.
+    /// Allows at most `limit` idle connections.
     pub fn new(limit: usize) -> Self {
         RecentCommands {
             limit,
@@ -50,7 +52,7 @@
         }
     }
 
-    /// Whether another command may leave its connection open. If so, it is counted.
+    /// Whether another command may keep its connection open. If so, the command is counted.
     pub fn try_keep_alive(&mut self, now: Instant) -> bool {
         while self
             .sent_at
--- a/src/service/tests.rs
+++ b/src/service/tests.rs
@@ -1,13 +1,16 @@
 use super::*;
 use crate::config::tests::SETTINGS;
 
-/// Whoever reads the log must find the setting to mend.
+/// The error has to name the setting that an operator must correct.
 #[tokio::test]
-async fn an_address_that_cannot_be_bound_is_named_with_its_setting() {
-    let taken = std::net::TcpListener::bind("127.0.0.1:0").expect("a port");
-    let taken = taken.local_addr().map(|addr| (taken, addr)).expect("bound");
+async fn a_bind_error_names_the_address_and_its_setting() {
+    let taken = std::net::TcpListener::bind("127.0.0.1:0").expect("a free port");
+    let taken = taken
+        .local_addr()
+        .map(|addr| (taken, addr))
+        .expect("the listener is bound");
     for setting in ["bind", "back"] {
-        let mut config = Config::parse("s.toml", SETTINGS).expect("valid");
+        let mut config = Config::parse("s.toml", SETTINGS).expect("the sample settings are valid");
         let free = SocketAddr::from(([127, 0, 0, 1], 0));
         (config.listen_addr, config.peer_listen_addr) = match setting {
             "bind" => (taken.1, free),
@@ -23,12 +26,15 @@
 }
 
 #[test]
-fn connections_to_workers_are_kept_while_few_commands_are_recent() {
+fn connections_to_workers_are_kept_open_below_the_limit_of_recent_commands() {
     let mut recent = RecentCommands::new(2);
     let now = Instant::now();
     assert!(recent.try_keep_alive(now));
     assert!(recent.try_keep_alive(now));
     assert!(!recent.try_keep_alive(now + WORKER_IDLE_TIMEOUT));
     let later = now + WORKER_IDLE_TIMEOUT + Duration::from_millis(1);
-    assert!(recent.try_keep_alive(later), "the first two are over");
+    assert!(
+        recent.try_keep_alive(later),
+        "the first two commands are no longer recent"
+    );
 }
