--- a/src/config/mod.rs
+++ b/src/config/mod.rs
@@ -1,4 +1,4 @@
-//! The settings file that the platform hands over: read and checked in full before anything starts.
+//! The settings file that the platform provides. It is read and validated completely before the service starts.
 
 use std::net::SocketAddr;
 use std::path::Path;
@@ -39,11 +39,12 @@
     pub heartbeat_interval: Duration,
     pub worker_lease: Duration,
     pub cancellation_timeout: Duration,
-    /// What the state service takes, as far as this process reckons with it: see [`Config::apply_next_state_limits`].
+    /// The limits of the state service that this process observes: see [`Config::apply_next_state_limits`].
     pub state_limits: StateLimits,
-    /// What the state service will take from some unannounced moment on.
+    /// The limits that the state service will apply from an unannounced time on.
     pub next_state_limits: Option<StateLimits>,
-    /// How much a block's tasks may measure together. More than one value holds, once a block may have several.
+    /// The maximum size of a block's tasks together, in bytes. It may exceed the size of one value once a block may
+    /// have several values.
     pub max_block_bytes: usize,
     pub cloud_rps: f64,
     pub list_lag: Duration,
@@ -57,7 +58,8 @@
     pub addr: SocketAddr,
 }
 
-/// What a team is guaranteed, and what its tasks may use at any time: infinite if it has no limit.
+/// The resources that a team is guaranteed, and the maximum that its tasks may use at any time, which is infinite for a
+/// team without a limit.
 #[derive(Debug, Clone, PartialEq)]
 pub struct TeamLimits {
     pub name: Team,
@@ -67,8 +69,8 @@
     pub max_gpus: f64,
 }
 
-/// A limit as the settings state it, in which 0 means none. Guests come without a guarantee and without a limit; taken
-/// for a limit of nothing, all their jobs were refused as never to run.
+/// Converts a limit of the settings file, where 0 means no limit. Guest teams have neither a guarantee nor a limit;
+/// when 0 was read as a limit of zero, all their jobs were rejected as unschedulable.
 fn limit_or_infinity(setting: f64) -> f64 {
     if setting > 0.0 {
         setting
@@ -77,21 +79,21 @@
     }
 }
 
-/// What the state service takes.
+/// The limits of the state service.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct StateLimits {
-    /// Requests a second.
+    /// Requests per second.
     pub rps: f64,
-    /// Puts and deletes a second.
+    /// Puts and deletes per second.
     pub write_rps: f64,
-    /// The size of a value.
+    /// Maximum size of a value in bytes.
     pub value_bytes: usize,
-    /// Puts and deletes in one transaction.
+    /// Maximum number of puts and deletes in one transaction.
     pub txn_ops: usize,
 }
 
 impl StateLimits {
-    /// The smaller of both, each limit for itself.
+    /// The smaller value of each limit.
     pub fn min(&self, other: &StateLimits) -> StateLimits {
         StateLimits {
             rps: self.rps.min(other.rps),
@@ -102,7 +104,8 @@
     }
 }
 
-// What the file says, before it is checked. Every field is asked for by name so that a missing one is named.
+// The content of the file before validation. Required fields are not optional here, so that the error for a missing
+// field names it.
 #[derive(Deserialize)]
 struct SettingsFile {
     node_name: String,
@@ -167,7 +170,7 @@
     next: Option<FileNextState>,
 }
 
-/// Limits to come. What is not named stays as it is.
+/// The next limits. A limit that is not stated stays unchanged.
 #[derive(Deserialize)]
 struct FileNextState {
     rps: Option<f64>,
@@ -187,10 +190,10 @@
     sockets: i64,
 }
 
-/// A transaction of ours changes up to this many records at once: a block's placements with what they
-/// finish, or a machine with its order.
+/// A transaction of this program changes up to this number of records: a block's placements with the records that they
+/// complete, or a machine with its pending rental.
 const MIN_TXN_OPS: i64 = 4;
-/// A block's placements must fit a value.
+/// The placements of a block have to fit in one value.
 const MIN_VALUE_KB: f64 = 2.0;
 const MAX_VALUE_KB: f64 = 65_536.0;
 
@@ -218,7 +221,7 @@
                 .iter()
                 .any(|known: &TeamLimits| *known.name.0 == *team.name)
             {
-                return Err(validator.invalid(&field("name"), "is given twice"));
+                return Err(validator.invalid(&field("name"), "is defined twice"));
             }
             teams.push(TeamLimits {
                 name: team.name.as_str().into(),
@@ -246,7 +249,7 @@
             {
                 return Err(validator.invalid(
                     "members.node_name",
-                    &format!("names `{}` twice", member.node_name),
+                    &format!("lists controller `{}` twice", member.node_name),
                 ));
             }
             peers.push(Peer {
@@ -260,7 +263,9 @@
         let cancellation_timeout =
             validator.duration("params.workers.cancel_s", workers.cancel_s)?;
         if cancellation_timeout <= worker_lease {
-            return Err(validator.invalid("params.workers.cancel_s", "must exceed `lease_s`"));
+            return Err(
+                validator.invalid("params.workers.cancel_s", "must be greater than `lease_s`")
+            );
         }
         let state = &file.params.state;
         let state_limits = validator.state_limits("params.state", state)?;
@@ -306,14 +311,14 @@
         self.teams.iter().find(|team| team.name == *name)
     }
 
-    /// From now on reckons with the limits to come as well as with the present ones.
+    /// Applies the next limits of the state service in addition to the present ones.
     pub fn apply_next_state_limits(&mut self) {
         if let Some(next) = &self.next_state_limits {
             self.state_limits = self.state_limits.min(next);
         }
     }
 
-    /// How many controllers there are, this one included.
+    /// The number of controllers, including this one.
     pub fn controller_count(&self) -> usize {
         self.peers.len() + 1
     }
@@ -352,7 +357,7 @@
         {
             return Err(self.invalid(
                 field,
-                "must be 1 to 100 characters without spaces or slashes",
+                "must be 1 to 100 bytes without whitespace or slashes",
             ));
         }
         Ok(value)
@@ -371,7 +376,7 @@
         if value.is_finite() && value >= 0.0 {
             Ok(value)
         } else {
-            Err(self.invalid(field, "must not be negative"))
+            Err(self.invalid(field, "must be a finite number of at least 0"))
         }
     }
 
@@ -397,7 +402,7 @@
         if value.is_finite() && value >= 1.0 {
             Ok(value)
         } else {
-            Err(self.invalid(field, "must be at least 1"))
+            Err(self.invalid(field, "must be a finite number of at least 1"))
         }
     }
 
@@ -405,12 +410,12 @@
         if seconds.is_finite() && seconds > 0.0 && seconds <= 86_400.0 {
             Ok(Duration::from_secs_f64(seconds))
         } else {
-            Err(self.invalid(field, "must be seconds above 0, a day at most"))
+            Err(self.invalid(field, "must be more than 0 and at most 86400 seconds"))
         }
     }
 }
 
-/// TOML errors come with an excerpt over several lines; a log line wants the place and the sentence.
+/// Reduces a TOML error, which contains an excerpt of several lines, to its position and message in one line.
 fn one_line(message: &str) -> String {
     let mut lines = message
         .lines()
