--- a/src/features.rs
+++ b/src/features.rs
@@ -1,7 +1,7 @@
-//! The features file: what operators have switched on. Whatever it does not name is off.
+//! The features file, in which operators enable features. A feature that it does not name is disabled.
 //!
-//! The binary reads it at the start, for `serve` and for `check`, with the settings that it must agree with. Faults are
-//! reported with the line they stand on.
+//! The binary reads it at startup, for `serve` and for `check`, and validates it against the settings. Errors are
+//! reported with their line.
 
 use std::path::{Path, PathBuf};
 
@@ -12,7 +12,7 @@
 
 use crate::config::Config;
 
-/// Where `serve` and `check` look for the file unless they are told: below their working directory.
+/// The default path of the file for `serve` and `check`, relative to their working directory.
 pub const DEFAULT_PATH: &str = "deploy/features.toml";
 
 /// The features file.
@@ -23,7 +23,7 @@
     pub drain: DrainSettings,
 }
 
-/// Why a features file can't be used.
+/// The reason why a features file can't be used.
 #[derive(Debug, thiserror::Error)]
 pub enum FeaturesError {
     /// The file can't be read.
@@ -31,27 +31,28 @@
     Unreadable {
         /// The file.
         path: String,
-        /// What the operating system says.
+        /// The error of the operating system.
         source: std::io::Error,
     },
-    /// The file is malformed, or does not agree with the settings.
+    /// The file is malformed or inconsistent with the settings.
     #[error("{path}:{line}: {problem}")]
     Invalid {
         /// The file.
         path: String,
-        /// The line, from 1 on.
+        /// The line, counted from 1.
         line: usize,
-        /// What is wrong, in one line.
+        /// The problem, in one line.
         problem: String,
     },
 }
 
 impl Features {
-    /// Reads the file that is named, else the one at [`DEFAULT_PATH`]; if there is none there, everything is off.
+    /// Reads the file at `requested_path`, by default at [`DEFAULT_PATH`]. Without a file at the default path all
+    /// features are disabled.
     ///
     /// # Errors
     ///
-    /// The file can't be read, or is not valid under these settings.
+    /// The file can't be read or is not valid under these settings.
     pub fn load(
         requested_path: Option<&Path>,
         config: &Config,
@@ -74,11 +75,11 @@
         })
     }
 
-    /// Reads a file's text. `path` is only for messages.
+    /// Parses and validates the text of a file. `path` appears in error messages only.
     ///
     /// # Errors
     ///
-    /// The text is malformed, or does not agree with the settings.
+    /// The text is malformed or inconsistent with the settings.
     pub fn parse(path: &str, text: &str, config: &Config) -> Result<Self, FeaturesError> {
         let invalid = |line, problem| FeaturesError::Invalid {
             path: path.to_owned(),
@@ -110,12 +111,12 @@
     }
 }
 
-/// The features, and the file that states them, if there is one.
+/// The features with the path of the file that they were read from.
 #[derive(Debug)]
 pub struct LoadedFeatures {
     /// The features.
     pub features: Features,
-    /// The file, if there is one.
+    /// The path of the file, if there is one.
     pub path: Option<PathBuf>,
 }
 
@@ -127,7 +128,7 @@
     1 + text.bytes().take(offset).filter(|b| *b == b'\n').count()
 }
 
-/// The line on which a key stands.
+/// The line of a key.
 fn line_of_key(text: &str, keys: &[&str]) -> usize {
     let offset = DeTable::parse(text).ok().and_then(|table| {
         let mut table = table.into_inner();
--- a/src/features/tests.rs
+++ b/src/features/tests.rs
@@ -1,16 +1,16 @@
-//! The features file: what it may say, and where it is wrong.
+//! Valid features files, and the errors for invalid ones.
 
 use super::*;
 use crate::config::tests::SETTINGS;
 
 fn parse(text: &str) -> Result<Features, String> {
-    let config = Config::parse("s.toml", SETTINGS).expect("valid");
+    let config = Config::parse("s.toml", SETTINGS).expect("the sample settings are valid");
     Features::parse("f.toml", text, &config).map_err(|error| error.to_string())
 }
 
 #[test]
-fn an_empty_file_switches_nothing_on() {
-    let features = parse("").expect("valid");
+fn an_empty_file_enables_nothing() {
+    let features = parse("").expect("an empty file is valid");
     assert_eq!(features, Features::default());
     assert!(!features.drain.enabled);
 }
@@ -19,7 +19,7 @@
 fn budgets_are_numbers_or_shares() {
     let text = "[drain]\nenabled = true\nstep = \"10%\"\nbudget = \"2\"\n\
         [drain.teams.red]\nbudget = \"12.5%\"\nclasses = { lookup = \"0\" }\n";
-    let features = parse(text).expect("valid");
+    let features = parse(text).expect("the file is valid");
     let red = &features.drain.teams["red"];
     assert_eq!(red.budget, Some(Limit::Share { basis_points: 1250 }));
     assert_eq!(red.classes["lookup"], Limit::Count(0));
@@ -27,7 +27,7 @@
 }
 
 #[test]
-fn what_is_wrong_is_said_in_one_line_with_its_place() {
+fn an_error_is_one_line_with_its_position() {
     let cases = [
         (
             "[drain]\nenabled = true\nsteps = \"2\"\n",
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,5 +1,5 @@
-//! dappleshore, a cluster scheduler: controllers take users' jobs, rent and return cloud machines, and run
-//! tasks on workers. The binary only parses its command line; everything else is here, one module for each duty.
+//! dappleshore, a cluster scheduler: controllers accept users' jobs, rent and return cloud machines, and run tasks on
+//! workers. The binary parses the command line and starts the service; everything else is in the modules here.
 
 pub use dappleshore_domain as domain;
 
--- a/src/main.rs
+++ b/src/main.rs
@@ -1,5 +1,5 @@
-//! The binary: parses the command line, starts logging and the runtime, and maps outcomes to exit codes. All else is in
-//! the library.
+//! The binary: parses the command line, starts logging and the runtime, and maps results to exit codes. Everything else
+//! is in the library.
 
 use std::path::Path;
 use std::process::ExitCode;
@@ -25,7 +25,7 @@
     }
 }
 
-/// The settings, the policy and the features of a controller, each valid with the others.
+/// The settings, policy and features of a controller, validated against each other.
 struct LoadedFiles {
     config: Config,
     policy: Policy,
@@ -81,7 +81,10 @@
         .with_target(false)
         .init();
     if !valid {
-        warn!(LOG_LEVEL = requested, "unknown log level; using info");
+        warn!(
+            LOG_LEVEL = requested,
+            "LOG_LEVEL is invalid; using level info"
+        );
     }
 }
 
@@ -98,11 +101,11 @@
         policy,
         features_file,
     } = loaded;
-    info!(features = ?features_file.path, drain = features_file.features.drain.enabled, "features");
+    info!(features = ?features_file.path, drain = features_file.features.drain.enabled, "features loaded");
     let runtime = match runtime() {
         Ok(runtime) => runtime,
         Err(error) => {
-            error!(%error, "service failed: the runtime can't be started");
+            error!(%error, "service failed: async runtime could not be started");
             return ExitCode::FAILURE;
         }
     };
@@ -122,7 +125,7 @@
     match runtime() {
         Ok(runtime) => runtime.block_on(operation.run()),
         Err(error) => {
-            eprintln!("the runtime can't be started: {error}");
+            eprintln!("the async runtime can't be started: {error}");
             ExitCode::FAILURE
         }
     }
--- a/src/metrics/mod.rs
+++ b/src/metrics/mod.rs
@@ -1,7 +1,7 @@
-//! What operators watch: counters, histograms and gauges of this process.
+//! The metrics of this process: counters, histograms and gauges.
 //!
-//! The controller and the service record; the peer address and, once a minute, the log show them. Nothing is kept over a
-//! restart.
+//! The controller and the service record them; the listener for controllers serves them, and the log contains a summary
+//! once a minute. A restart resets them.
 
 use std::collections::BTreeMap;
 use std::fmt::{self, Display};
@@ -11,32 +11,32 @@
 
 use crate::store::StoreResponse;
 
-/// Longer times are counted as this long, in the unit of the histogram.
+/// Longer durations are recorded as this value, in the unit of the histogram.
 const MAX_RECORDED_DURATION: u64 = 3_600_000;
 const SIGNIFICANT_DIGITS: u8 = 2;
-/// The quantiles that are shown, by their labels.
+/// The exported quantiles with their labels.
 const QUANTILES: [(&str, f64); 4] = [("p50", 0.5), ("p90", 0.9), ("p99", 0.99), ("max", 1.0)];
 
-/// A histogram of times in milliseconds, or in microseconds where the name says so.
+/// A histogram of durations, in milliseconds or microseconds according to the suffix of the metric's name.
 #[derive(Debug)]
 pub struct DurationHistogram(Histogram<u64>);
 
 impl DurationHistogram {
     fn new() -> Self {
-        // Fails only for bounds or digits out of range, and these are constants.
+        // Fails only if the bounds or digits are out of range, and they are valid constants.
         match Histogram::new_with_bounds(1, MAX_RECORDED_DURATION, SIGNIFICANT_DIGITS) {
             Ok(histogram) => DurationHistogram(histogram),
             Err(problem) => unreachable!("{problem}"),
         }
     }
 
-    /// Counts a time.
+    /// Records a duration.
     pub fn record(&mut self, value: u64) {
         self.0
             .saturating_record(value.clamp(1, MAX_RECORDED_DURATION));
     }
 
-    /// The time that this part of the recorded ones does not exceed; 0 if there are none.
+    /// The value at this quantile, from 0 to 1, of the recorded durations; 0 if there are none.
     pub fn quantile(&self, quantile: f64) -> u64 {
         if self.0.is_empty() {
             0
@@ -45,40 +45,40 @@
         }
     }
 
-    /// How many were recorded.
+    /// The number of recorded durations.
     pub fn count(&self) -> u64 {
         self.0.len()
     }
 }
 
-/// The module that sent a transaction, and what became of it.
+/// The labels of a transaction counter.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct TransactionLabels {
-    /// The module.
+    /// The module that sent the transaction.
     pub module: &'static str,
     /// `committed`, `conflict`, `refused` or `unknown`.
     pub outcome: &'static str,
 }
 
-/// The metrics of one process. [`Display`] shows them, one value a line.
+/// The metrics of one process. [`Display`] writes one value per line.
 #[derive(Debug)]
 pub struct Metrics {
-    /// From a submission's arrival to its acceptance.
+    /// Time from a submission's arrival to its acceptance.
     pub accept_ms: DurationHistogram,
-    /// From a job's acceptance to each of its tasks running, as their holder sees it.
+    /// Time from a job's acceptance until each of its tasks runs, as observed by the holder of the task's block.
     pub start_ms: DurationHistogram,
-    /// Processing of one event: a leader's round is the longest kind.
+    /// Processing time of one event. The events with a leader's round take longest.
     pub event_duration_us: DurationHistogram,
-    /// Responses to users that were not 200 or 201, by status.
+    /// Responses to users with a status other than 200 and 201, by status.
     pub error_responses: BTreeMap<u16, u64>,
     /// Transactions sent to the state service.
     pub transactions: BTreeMap<TransactionLabels, u64>,
-    /// Values of the moment: queue per team, machines by state. The leader sets them.
+    /// Current values, such as waiting tasks per team and machines by state. The leader sets them.
     pub gauges: BTreeMap<String, f64>,
 }
 
 impl Metrics {
-    /// Nothing was recorded.
+    /// Creates metrics without recorded values.
     pub fn new() -> Self {
         Metrics {
             accept_ms: DurationHistogram::new(),
@@ -90,18 +90,18 @@
         }
     }
 
-    /// Records how long an event took to process.
+    /// Records the processing time of an event.
     pub fn record_event_duration(&mut self, duration: Duration) {
         self.event_duration_us
             .record(u64::try_from(duration.as_micros()).unwrap_or(u64::MAX));
     }
 
-    /// Counts a response to a user that was not 200 or 201.
+    /// Counts a response to a user with a status other than 200 and 201.
     pub fn record_refusal(&mut self, status: u16) {
         *self.error_responses.entry(status).or_default() += 1;
     }
 
-    /// Counts a transaction of this module.
+    /// Counts a transaction of this module by its outcome.
     pub fn record_transaction(&mut self, module: &'static str, response: &StoreResponse) {
         let outcome = match response {
             StoreResponse::Committed { .. } => "committed",
--- a/src/metrics/tests.rs
+++ b/src/metrics/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn recorded_values_are_shown_one_a_line() {
+fn recorded_values_are_written_one_per_line() {
     let mut metrics = Metrics::new();
     for value in 1..=100 {
         metrics.accept_ms.record(value);
@@ -24,7 +24,7 @@
     ] {
         assert!(
             text.lines().any(|text_line| text_line == line),
-            "{line} is not in\n{text}"
+            "`{line}` is missing in\n{text}"
         );
     }
 }
