--- a/src/http/server.rs
+++ b/src/http/server.rs
@@ -110,7 +110,7 @@
         .map_or_else(|_| unavailable_response(), to_response))
 }
 
-fn body(limit: u64) -> impl Filter<Extract = (Bytes,), Error = Rejection> + Clone {
+fn limited_body(limit: u64) -> impl Filter<Extract = (Bytes,), Error = Rejection> + Clone {
     warp::body::content_length_limit(limit).and(warp::body::bytes())
 }
 
@@ -123,7 +123,7 @@
     let request_sender = warp::any().map(move || requests.clone());
     let submit = warp::path!("submissions")
         .and(warp::post())
-        .and(body(MAX_BODY_BYTES))
+        .and(limited_body(MAX_BODY_BYTES))
         .and(request_sender.clone())
         .and_then(|body, requests| {
             await_reply(
@@ -191,7 +191,7 @@
 ) -> impl Filter<Extract = (HttpResponse,), Error = Rejection> + Clone {
     warp::path!("v1" / "report")
         .and(warp::post())
-        .and(body(MAX_BODY_BYTES))
+        .and(limited_body(MAX_BODY_BYTES))
         .and(request_sender)
         .and_then(move |body: Bytes, requests| {
             handle_heartbeat(body, requests, limiter.clone()).with_rejection_error()
@@ -255,7 +255,7 @@
     let operator_request_sender = requests.clone();
     let operate = warp::path!("operate")
         .and(warp::post())
-        .and(body(MAX_BODY_BYTES))
+        .and(limited_body(MAX_BODY_BYTES))
         .and_then(move |body: Bytes| {
             handle_operator_request(body, operator_request_sender.clone()).with_rejection_error()
         });
@@ -267,7 +267,7 @@
     });
     warp::path!("peer")
         .and(warp::post())
-        .and(body(MAX_PEER_BODY_BYTES))
+        .and(limited_body(MAX_PEER_BODY_BYTES))
         .map(move |body: Bytes| match decode_body::<Message>(&body) {
             Ok(message) => match requests.try_send(IncomingRequest::Peer(message)) {
                 Ok(()) => cbor_response(200, &"taken"),
--- a/src/job_api/tests.rs
+++ b/src/job_api/tests.rs
@@ -39,10 +39,10 @@
         }
     }
 
-    fn advance_clock(&mut self, passed: Duration) {
+    fn advance_clock(&mut self, elapsed: Duration) {
         self.now = Now {
-            monotonic: self.now.monotonic + passed,
-            wall: self.now.wall + passed,
+            monotonic: self.now.monotonic + elapsed,
+            wall: self.now.wall + elapsed,
         };
     }
 
--- a/src/main.rs
+++ b/src/main.rs
@@ -88,7 +88,7 @@
     }
 }
 
-fn runtime() -> std::io::Result<tokio::runtime::Runtime> {
+fn build_runtime() -> std::io::Result<tokio::runtime::Runtime> {
     tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
@@ -102,7 +102,7 @@
         features_file,
     } = loaded;
     info!(features = ?features_file.path, drain = features_file.features.drain.enabled, "features loaded");
-    let runtime = match runtime() {
+    let runtime = match build_runtime() {
         Ok(runtime) => runtime,
         Err(error) => {
             error!(%error, "service failed: async runtime could not be started");
@@ -122,7 +122,7 @@
             return Exit::InvalidInput.into();
         }
     };
-    match runtime() {
+    match build_runtime() {
         Ok(runtime) => runtime.block_on(operation.run()),
         Err(error) => {
             eprintln!("the async runtime can't be started: {error}");
--- a/src/service/tests.rs
+++ b/src/service/tests.rs
@@ -4,10 +4,10 @@
 /// The error has to name the setting that an operator must correct.
 #[tokio::test]
 async fn a_bind_error_names_the_address_and_its_setting() {
-    let taken = std::net::TcpListener::bind("127.0.0.1:0").expect("a free port");
-    let taken = taken
+    let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("a free port");
+    let taken = listener
         .local_addr()
-        .map(|addr| (taken, addr))
+        .map(|addr| (listener, addr))
         .expect("the listener is bound");
     for setting in ["bind", "back"] {
         let mut config = Config::parse("s.toml", SETTINGS).expect("the sample settings are valid");
