--- a/src/service/mod.rs
+++ b/src/service/mod.rs
@@ -97,14 +97,14 @@
     let (incoming, mut requests) = mpsc::channel(MAX_QUEUED_REQUESTS);
     let (events, mut queued_events) = mpsc::unbounded_channel();
     let limits = ConnectionLimits::new(config.max_sockets);
-    let (listen_addr, peer_listen_addr) = (config.listen_addr, config.peer_listen_addr);
+    let (listen, peer_listen) = (config.listen_addr, config.peer_listen_addr);
     let public = serve(
-        listen_addr,
+        listen,
         limits.public.clone(),
         public_routes(incoming.clone(), limits.public),
     );
-    let peers = serve(peer_listen_addr, limits.peers, peer_routes(incoming));
-    info!(controller = %config.name, zone = %config.zone, listen = %listen_addr, "service starting");
+    let peers = serve(peer_listen, limits.peers, peer_routes(incoming));
+    info!(controller = %config.name, zone = %config.zone, %listen, "service starting");
     let mut event_loop = EventLoop::new(config, policy, features, events);
     tokio::pin!(public);
     tokio::pin!(peers);
@@ -114,12 +114,12 @@
         tokio::select! {
             result = &mut public => return result.map_err(|cause| ServeError::Listen {
                 setting: "bind",
-                address: listen_addr,
+                address: listen,
                 cause,
             }),
             result = &mut peers => return result.map_err(|cause| ServeError::Listen {
                 setting: "back",
-                address: peer_listen_addr,
+                address: peer_listen,
                 cause,
             }),
             _ = tick.tick() => event_loop.handle(Event::Tick),
