--- a/src/config/mod.rs
+++ b/src/config/mod.rs
@@ -245,7 +245,9 @@
         for member in &file.members {
             validator.identifier("members.node_name", &member.node_name)?;
             if member.node_name == file.node_name
-                || peers.iter().any(|p: &Peer| *p.name.0 == *member.node_name)
+                || peers
+                    .iter()
+                    .any(|peer: &Peer| *peer.name.0 == *member.node_name)
             {
                 return Err(validator.invalid(
                     "members.node_name",
--- a/src/features.rs
+++ b/src/features.rs
@@ -132,18 +132,18 @@
 fn line_of_key(text: &str, keys: &[&str]) -> usize {
     let offset = DeTable::parse(text).ok().and_then(|table| {
         let mut table = table.into_inner();
-        let mut offset = None;
+        let mut key_offset = None;
         for key in keys {
             let (name, value) = table
                 .into_iter()
                 .find(|(name, _)| name.get_ref().as_ref() == *key)?;
-            offset = Some(name.span().start);
+            key_offset = Some(name.span().start);
             table = match value.into_inner() {
                 toml::de::DeValue::Table(inner) => inner,
                 _ => break,
             };
         }
-        offset
+        key_offset
     });
     line_of_offset(text, offset.unwrap_or(0))
 }
--- a/src/job_api/mod.rs
+++ b/src/job_api/mod.rs
@@ -380,7 +380,7 @@
     }
 }
 
-/// The error response to a job that is invalid, which is sent during an outage of the state service too.
+/// The error response to an invalid job. It is sent during an outage of the state service too.
 fn invalid_job_response<Tag>(
     context: &Context<'_, Tag>,
     job: &Job,
