--- a/src/job_api/mod.rs
+++ b/src/job_api/mod.rs
@@ -1,11 +1,11 @@
-//! The users' API: submit, poll and cancel jobs.
+//! The users' API: submits, polls and cancels jobs.
 //!
-//! Owns the requests that are not answered yet. The controller calls it with each request, with the outcome of each
-//! transaction that it has queued, and at each event with what has become known since; it sends the responses.
+//! Owns the pending requests. The controller passes in each request, the response to each transaction that this module
+//! queued, and, at each event, the current watch cache; the controller sends the responses that this module returns.
 //!
-//! Invariants: a job is said to be accepted or cancelled only once that is committed. What is not final is answered
-//! from a copy of the records that is at least as new as the request, so that no controller tells less than another
-//! already has.
+//! Invariants: a job is reported as accepted or cancelled only after the transaction is committed. A state that is not
+//! final is read from a watch cache at least as new as the request, so that no controller reports an older state than
+//! another controller has already reported.
 
 mod admission;
 mod responses;
@@ -29,7 +29,7 @@
 /// The number of a request, unique in this process.
 pub type RequestId = u64;
 
-/// What a user asks for.
+/// The operation that a user requests.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Operation {
     Submit,
@@ -39,11 +39,14 @@
 
 #[derive(Debug, Clone)]
 enum RequestState {
-    /// Until the copy is as new as the request.
+    /// Waits until the watch cache is at least as new as the request.
     Refreshing,
-    /// The transaction is kept, as it is sent again if the state service refuses it. `at_ms`: the time of day that it
-    /// holds.
-    Committing { txn: Transaction, at_ms: u64 },
+    /// Waits for the response to the transaction, which is kept because it is sent again if the state service refuses
+    /// it. `recorded_ms` is the time of day stored in the record, in milliseconds of Unix time.
+    Committing {
+        transaction: Transaction,
+        recorded_ms: u64,
+    },
 }
 
 #[derive(Debug)]
@@ -51,42 +54,43 @@
     operation: Operation,
     job: JobId,
     state: RequestState,
-    /// The copy must be at least this new.
+    /// The watch cache must be at least this new.
     fresh_since: Instant,
     deadline: Instant,
 }
 
-/// Users wait 5 s for submissions and cancellations, and 2 s for polls.
+/// Users wait 5 s for a response to a submission or a cancellation, and 2 s for one to a poll.
 const SUBMIT_TIMEOUT: Duration = Duration::from_secs(4);
 const POLL_TIMEOUT: Duration = Duration::from_millis(1600);
-/// A write that would wait longer than this is refused at once.
+/// A write with a longer estimated queueing delay is refused at once.
 const MAX_WRITE_DELAY: Duration = Duration::from_millis(1500);
-/// More pending requests than this are refused at once.
+/// Requests beyond this number of pending ones are refused at once.
 const MAX_PENDING_REQUESTS: usize = 500;
 
-/// The requests that are not answered yet.
+/// The pending requests of users.
 #[derive(Debug, Default)]
 pub struct JobApi {
     pending: BTreeMap<RequestId, PendingRequest>,
 }
 
-/// What requests are decided on, and where their transactions go.
+/// The data that requests are decided from, and the queue for their transactions.
 pub struct Context<'a, Tag> {
     /// The settings.
     pub config: &'a Config,
     /// The machine types that the cloud offers.
     pub catalog: &'a InstanceCatalog,
-    /// The copy of the records.
+    /// The watch cache of the records.
     pub cache: &'a mut WatchCache,
     /// Queues transactions for the state service.
     pub rate_limiter: &'a mut RequestRateLimiter<Tag>,
-    /// Marks a request's transaction, so that its outcome comes back to [`JobApi::handle_store_response`].
+    /// Makes the tag of a request's transaction, by which the controller passes the response to
+    /// [`JobApi::handle_store_response`].
     pub store_tag: fn(RequestId) -> Tag,
 }
 
 impl<Tag> Context<'_, Tag> {
-    fn queue_commit(&mut self, id: RequestId, txn: Transaction) -> Result<(), Response> {
-        let commit = StoreRequest::Commit(txn);
+    fn queue_commit(&mut self, id: RequestId, transaction: Transaction) -> Result<(), Response> {
+        let commit = StoreRequest::Commit(transaction);
         self.rate_limiter
             .push(RequestPriority::User, (self.store_tag)(id), commit)
             .map_err(|_| retry_later(429, "too many requests"))
@@ -94,41 +98,41 @@
 }
 
 impl JobApi {
-    /// No request is pending.
+    /// Creates the API without pending requests.
     pub fn new() -> Self {
         JobApi::default()
     }
 
-    /// Submits the job in an encoded body. The response, if it is decided at once.
+    /// Submits the job in an encoded body. Returns the response if it is known at once.
     pub fn submit<Tag>(
         &mut self,
         now: Now,
         id: RequestId,
         body: &[u8],
-        cx: &mut Context<'_, Tag>,
+        context: &mut Context<'_, Tag>,
     ) -> Option<Response> {
         let (job_id, job) = match wire::parse(body, now.unix_ms()) {
             Ok(parsed) => parsed,
             Err(error) => return Some(reject(400, error.message())),
         };
-        if let Some(response) = final_state(cx.cache, job_id) {
+        if let Some(response) = final_state(context.cache, job_id) {
             return Some(response);
         }
-        let known = cx.cache.open_jobs.contains_key(&job_id);
+        let already_open = context.cache.open_jobs.contains_key(&job_id);
         let record = JobRecord::Open(job.clone());
-        if !known && let Some(response) = invalid_job_response(cx, &job, &record) {
+        if !already_open && let Some(response) = invalid_job_response(context, &job, &record) {
             return Some(response);
         }
-        if let Some(response) = self.unavailable_response(now, cx) {
+        if let Some(response) = self.unavailable_response(now, context) {
             return Some(response);
         }
-        if job.kind == JobKind::Gang && cx.cache.format() < PARTS_FORMAT {
+        if job.kind == JobKind::Gang && context.cache.format() < PARTS_FORMAT {
             return Some(retry_later(503, "not all controllers know this shape yet"));
         }
-        if known {
-            return self.refresh(now, id, Operation::Submit, job_id, cx);
+        if already_open {
+            return self.await_refresh(now, id, Operation::Submit, job_id, context);
         }
-        self.commit_job(now, id, job_id, job.accepted_ms, &record, cx)
+        self.commit_job(now, id, job_id, job.accepted_ms, &record, context)
     }
 
     fn commit_job<Tag>(
@@ -136,14 +140,14 @@
         now: Now,
         id: RequestId,
         job: JobId,
-        at_ms: u64,
+        recorded_ms: u64,
         record: &JobRecord,
-        cx: &mut Context<'_, Tag>,
+        context: &mut Context<'_, Tag>,
     ) -> Option<Response> {
-        if !cx.catalog.is_loaded() {
+        if !context.catalog.is_loaded() {
             return Some(retry_later(503, "the machine types are not known yet"));
         }
-        let delay = cx.rate_limiter.estimated_user_delay();
+        let delay = context.rate_limiter.estimated_user_delay();
         if delay > MAX_WRITE_DELAY {
             return Some(Response::Problem {
                 status: 429,
@@ -151,10 +155,10 @@
                 retry_after: Some(Duration::from_secs(delay.as_secs().clamp(1, 20))),
             });
         }
-        let txn = Transaction::default()
+        let transaction = Transaction::default()
             .require_version(job_key(job), 0)
             .put(job_key(job), record);
-        if let Err(response) = cx.queue_commit(id, txn.clone()) {
+        if let Err(response) = context.queue_commit(id, transaction.clone()) {
             return Some(response);
         }
         self.pending.insert(
@@ -162,7 +166,10 @@
             PendingRequest {
                 operation: Operation::Submit,
                 job,
-                state: RequestState::Committing { txn, at_ms },
+                state: RequestState::Committing {
+                    transaction,
+                    recorded_ms,
+                },
                 fresh_since: now.monotonic,
                 deadline: now.monotonic + SUBMIT_TIMEOUT,
             },
@@ -170,70 +177,70 @@
         None
     }
 
-    /// Asks for the state of the job of this id. The response, if it is decided at once.
+    /// Requests the state of the job with this id. Returns the response if it is known at once.
     pub fn poll<Tag>(
         &mut self,
         now: Now,
         id: RequestId,
         job: &str,
-        cx: &mut Context<'_, Tag>,
+        context: &mut Context<'_, Tag>,
     ) -> Option<Response> {
-        self.request(now, id, Operation::Poll, job, cx)
+        self.poll_or_cancel(now, id, Operation::Poll, job, context)
     }
 
-    /// Cancels the job of this id. The response, if it is decided at once.
+    /// Cancels the job with this id. Returns the response if it is known at once.
     pub fn cancel<Tag>(
         &mut self,
         now: Now,
         id: RequestId,
         job: &str,
-        cx: &mut Context<'_, Tag>,
+        context: &mut Context<'_, Tag>,
     ) -> Option<Response> {
-        self.request(now, id, Operation::Cancel, job, cx)
+        self.poll_or_cancel(now, id, Operation::Cancel, job, context)
     }
 
-    fn request<Tag>(
+    fn poll_or_cancel<Tag>(
         &mut self,
         now: Now,
         id: RequestId,
         operation: Operation,
         job: &str,
-        cx: &mut Context<'_, Tag>,
+        context: &mut Context<'_, Tag>,
     ) -> Option<Response> {
         let Ok(job) = job.parse() else {
             return Some(reject(404, "no such job"));
         };
-        if let Some(response) = final_state(cx.cache, job) {
+        if let Some(response) = final_state(context.cache, job) {
             return Some(response);
         }
-        if let Some(response) = self.unavailable_response(now, cx) {
+        if let Some(response) = self.unavailable_response(now, context) {
             return Some(response);
         }
-        self.refresh(now, id, operation, job, cx)
+        self.await_refresh(now, id, operation, job, context)
     }
 
-    /// Why nothing that needs the state service, or has to wait, can be accepted now.
-    fn unavailable_response<Tag>(&self, now: Now, cx: &Context<'_, Tag>) -> Option<Response> {
-        if !cx.cache.is_loaded() || !cx.rate_limiter.available(now) {
+    /// The error response if the state service is unreachable or too many requests are pending.
+    fn unavailable_response<Tag>(&self, now: Now, context: &Context<'_, Tag>) -> Option<Response> {
+        if !context.cache.is_loaded() || !context.rate_limiter.available(now) {
             return Some(retry_later(503, "the state service can't be reached"));
         }
         (self.pending.len() >= MAX_PENDING_REQUESTS).then(|| retry_later(429, "too many requests"))
     }
 
-    /// Lets a request wait for a copy that is as new as itself.
-    fn refresh<Tag>(
+    /// Makes a request wait for a watch cache that is at least as new as the request.
+    fn await_refresh<Tag>(
         &mut self,
         now: Now,
         id: RequestId,
         operation: Operation,
         job: JobId,
-        cx: &mut Context<'_, Tag>,
+        context: &mut Context<'_, Tag>,
     ) -> Option<Response> {
         let timeout = match operation {
             Operation::Submit | Operation::Cancel => SUBMIT_TIMEOUT,
             Operation::Poll => POLL_TIMEOUT,
         };
-        cx.cache.request_refresh();
+        context.cache.request_refresh();
         self.pending.insert(
             id,
             PendingRequest {
@@ -247,7 +254,7 @@
         None
     }
 
-    /// The cancellation that this outcome of a request's transaction shows to be committed.
+    /// The cancellation that is committed according to this response to a request's transaction.
     pub fn committed_cancellation(
         &self,
         id: RequestId,
@@ -257,20 +264,20 @@
         match (pending.operation, &pending.state, outcome) {
             (
                 Operation::Cancel,
-                RequestState::Committing { at_ms, .. },
+                RequestState::Committing { recorded_ms, .. },
                 StoreResponse::Committed { revision },
-            ) => Some(CancelledJob::new(pending.job, *revision, *at_ms)),
+            ) => Some(CancelledJob::new(pending.job, *revision, *recorded_ms)),
             _ => None,
         }
     }
 
-    /// Takes in the outcome of a request's transaction. The response, unless the request stays pending.
+    /// Handles the response to a request's transaction. Returns the user's response unless the request stays pending.
     pub fn handle_store_response<Tag>(
         &mut self,
         now: Now,
         id: RequestId,
         outcome: &StoreResponse,
-        cx: &mut Context<'_, Tag>,
+        context: &mut Context<'_, Tag>,
     ) -> Option<Response> {
         let pending = self.pending.get_mut(&id)?;
         let response = match (pending.operation, outcome) {
@@ -280,44 +287,45 @@
             (Operation::Cancel, StoreResponse::Committed { .. }) => {
                 idle_state(200, pending.job, "cancelled", 0)
             }
-            // Not executed, as all controllers together asked too much just then: most often it goes a moment later.
+            // The transaction was not executed because all controllers together exceeded the request rate. A retry a
+            // moment later usually succeeds.
             (_, StoreResponse::Refused)
-                if cx.rate_limiter.available(now)
+                if context.rate_limiter.available(now)
                     && now.monotonic + MAX_WRITE_DELAY < pending.deadline =>
             {
-                let RequestState::Committing { txn, .. } = &pending.state else {
+                let RequestState::Committing { transaction, .. } = &pending.state else {
                     return None;
                 };
-                cx.queue_commit(id, txn.clone()).err()?
+                context.queue_commit(id, transaction.clone()).err()?
             }
             (_, StoreResponse::Conflict) => {
-                // Another request was first: see what it did.
+                // Another request changed the record first; read the new state.
                 pending.state = RequestState::Refreshing;
                 pending.fresh_since = now.monotonic;
-                cx.cache.request_refresh();
+                context.cache.request_refresh();
                 return None;
             }
-            // It may or may not be committed. The user asks again, and gets the right response then in either case.
+            // The transaction may or may not be committed. A repeated request gets the right response in both cases.
             _ => retry_later(503, "the state service can't be reached"),
         };
         self.pending.remove(&id);
         Some(response)
     }
 
-    /// Decides the requests that can be decided by now, or can't wait any longer.
+    /// Returns the responses to pending requests that can be answered now or have timed out.
     pub fn resolve_pending<Tag>(
         &mut self,
         now: Now,
-        cx: &mut Context<'_, Tag>,
+        context: &mut Context<'_, Tag>,
     ) -> Vec<(RequestId, Response)> {
-        let available = cx.rate_limiter.available(now) && cx.cache.is_loaded();
+        let available = context.rate_limiter.available(now) && context.cache.is_loaded();
         let due: Vec<RequestId> = self
             .pending
             .iter()
             .filter(|(_, pending)| match pending.state {
                 RequestState::Refreshing => {
                     !available
-                        || cx.cache.is_current_as_of(pending.fresh_since)
+                        || context.cache.is_current_as_of(pending.fresh_since)
                         || now.monotonic >= pending.deadline
                 }
                 RequestState::Committing { .. } => now.monotonic >= pending.deadline,
@@ -326,7 +334,7 @@
             .collect();
         let mut responses = Vec::new();
         for id in due {
-            if let Some(response) = self.decide(now, id, cx) {
+            if let Some(response) = self.resolve(now, id, context) {
                 self.pending.remove(&id);
                 responses.push((id, response));
             }
@@ -334,58 +342,58 @@
         responses
     }
 
-    /// The response to a request that is due, unless it has a transaction to wait for now.
-    fn decide<Tag>(
+    /// Returns the response to a due request, or none if the request now waits for a transaction.
+    fn resolve<Tag>(
         &mut self,
         now: Now,
         id: RequestId,
-        cx: &mut Context<'_, Tag>,
+        context: &mut Context<'_, Tag>,
     ) -> Option<Response> {
         let pending = self.pending.get_mut(&id)?;
         let refreshed = matches!(pending.state, RequestState::Refreshing)
-            && cx.cache.is_current_as_of(pending.fresh_since);
+            && context.cache.is_current_as_of(pending.fresh_since);
         if !refreshed {
             return Some(retry_later(503, "the state service is slow"));
         }
         let job = pending.job;
-        if let Some(response) = final_state(cx.cache, job) {
+        if let Some(response) = final_state(context.cache, job) {
             return Some(response);
         }
-        let Some(open) = cx.cache.open_jobs.get(&job) else {
-            // A submission conflicts only with a job that the copy then shows.
+        let Some(open) = context.cache.open_jobs.get(&job) else {
+            // A submission conflicts only with an existing job, which the refreshed cache contains.
             return Some(reject(404, "no such job"));
         };
         if pending.operation != Operation::Cancel || open.cancelled {
-            return Some(open_state(cx.cache, job, open));
+            return Some(open_state(context.cache, job, open));
         }
-        let at_ms = now.unix_ms();
-        let value_bytes = cx.config.state_limits.value_bytes;
-        let record = JobRecord::cancelled(&open.job, at_ms, value_bytes);
-        let txn = Transaction::default()
+        let recorded_ms = now.unix_ms();
+        let value_bytes = context.config.state_limits.value_bytes;
+        let record = JobRecord::cancelled(&open.job, recorded_ms, value_bytes);
+        let transaction = Transaction::default()
             .require_version(job_key(job), open.version)
             .put(job_key(job), &record);
         pending.state = RequestState::Committing {
-            txn: txn.clone(),
-            at_ms,
+            transaction: transaction.clone(),
+            recorded_ms,
         };
-        cx.queue_commit(id, txn).err()
+        context.queue_commit(id, transaction).err()
     }
 }
 
-/// What is wrong with a job that is not accepted yet: told in an outage as well.
+/// The error response to an invalid job. It is sent during an outage of the state service too.
 fn invalid_job_response<Tag>(
-    cx: &Context<'_, Tag>,
+    context: &Context<'_, Tag>,
     job: &Job,
     record: &JobRecord,
 ) -> Option<Response> {
-    // Without a copy the job may be one that was accepted before.
-    if cx.cache.is_loaded()
-        && cx.catalog.is_loaded()
-        && let Some(reason) = unschedulable_reason(cx.config, cx.catalog, job)
+    // Without a loaded cache the job may already be accepted.
+    if context.cache.is_loaded()
+        && context.catalog.is_loaded()
+        && let Some(reason) = unschedulable_reason(context.config, context.catalog, job)
     {
         return Some(reject(422, reason.message()));
     }
-    (json_size(&encode(record)) > cx.config.state_limits.value_bytes)
+    (json_size(&encode(record)) > context.config.state_limits.value_bytes)
         .then(|| reject(400, "its names are too long to be kept"))
 }
 
--- a/src/job_api/tests.rs
+++ b/src/job_api/tests.rs
@@ -1,10 +1,10 @@
-//! What users are answered, and when.
+//! The responses to users, and when they are sent.
 
 use super::*;
 use crate::cloud::wire::InstanceTypeList;
 use crate::cloud::wire::tests::instance_type;
 use crate::config::tests::SETTINGS;
-use crate::job_api::wire::tests::{body, sample};
+use crate::job_api::wire::tests::{encode_fields, sample_fields};
 use crate::placement::tests::job;
 use crate::store::Change;
 use crate::store::records::encode;
@@ -20,7 +20,7 @@
 
 impl JobApiHarness {
     fn new() -> Self {
-        let config = Config::parse("s.toml", SETTINGS).expect("valid");
+        let config = Config::parse("s.toml", SETTINGS).expect("the sample settings are valid");
         let mut catalog = InstanceCatalog::default();
         catalog.handle_response(Some(InstanceTypeList {
             types: vec![instance_type()],
@@ -39,71 +39,84 @@
         }
     }
 
-    fn after(&mut self, passed: Duration) {
+    fn advance_clock(&mut self, elapsed: Duration) {
         self.now = Now {
-            monotonic: self.now.monotonic + passed,
-            wall: self.now.wall + passed,
+            monotonic: self.now.monotonic + elapsed,
+            wall: self.now.wall + elapsed,
         };
     }
 
-    fn outage(&mut self) {
-        self.after(Duration::from_secs(5));
+    fn start_outage(&mut self) {
+        self.advance_clock(Duration::from_secs(5));
         self.rate_limiter
             .record_response(self.now, &StoreResponse::Refused);
     }
 
-    /// The status of the answer that comes at once, if one does.
-    fn submit(&mut self, changed: &[(&'static str, ciborium::Value)]) -> Option<u16> {
-        let mut fields = sample();
+    /// Submits the sample job with changed fields. Returns the status of the response if it is known at once.
+    fn submit(&mut self, changed_fields: &[(&'static str, ciborium::Value)]) -> Option<u16> {
+        let mut fields = sample_fields();
         fields.push(("berthKinds", ciborium::Value::Null));
-        for (name, value) in changed {
+        for (name, value) in changed_fields {
             fields.retain(|(known, _)| known != name);
             fields.push((name, value.clone()));
         }
         fields.dedup_by_key(|(name, _)| *name);
-        let mut cx = Context {
+        let mut context = Context {
             config: &self.config,
             catalog: &self.catalog,
             cache: &mut self.cache,
             rate_limiter: &mut self.rate_limiter,
             store_tag: |id| id,
         };
-        let response = self.job_api.submit(self.now, 1, &body(&fields), &mut cx)?;
+        let response = self
+            .job_api
+            .submit(self.now, 1, &encode_fields(&fields), &mut context)?;
         if let Response::Problem {
             status: 429 | 503,
             retry_after,
             ..
         } = response
         {
-            assert!(retry_after.is_some(), "says when to come back");
+            assert!(
+                retry_after.is_some(),
+                "a 429 or 503 response has a retry delay"
+            );
         }
         let (Response::State { status, .. } | Response::Problem { status, .. }) = response;
         Some(status)
     }
 }
 
-/// A user who sent something wrong must not be kept asking because the state service is away.
+/// An outage of the state service must not turn the rejection of an invalid job into a retry.
 #[test]
-fn bad_input_is_refused_at_once_in_an_outage_as_well() {
+fn invalid_jobs_are_rejected_at_once_during_an_outage() {
     let mut harness = JobApiHarness::new();
-    let any = ("berthKinds", ciborium::Value::Null);
-    let unfit = [any.clone(), ("cpus", 17.0.into())];
-    let missing = [any.clone(), ("entries", ciborium::Value::Null)];
-    let fits = [any];
-    assert_eq!(harness.submit(&unfit), Some(422));
-    assert_eq!(harness.submit(&missing), Some(400));
-    assert_eq!(harness.submit(&fits), None, "answered once it is committed");
-    harness.outage();
-    assert_eq!(harness.submit(&unfit), Some(422));
-    assert_eq!(harness.submit(&missing), Some(400));
+    let any_type = ("berthKinds", ciborium::Value::Null);
+    let never_fits = [any_type.clone(), ("cpus", 17.0.into())];
+    let incomplete = [any_type.clone(), ("entries", ciborium::Value::Null)];
+    let fits = [any_type];
+    assert_eq!(harness.submit(&never_fits), Some(422));
+    assert_eq!(harness.submit(&incomplete), Some(400));
+    assert_eq!(
+        harness.submit(&fits),
+        None,
+        "a valid job is answered after its commit"
+    );
+    harness.start_outage();
+    assert_eq!(harness.submit(&never_fits), Some(422));
+    assert_eq!(harness.submit(&incomplete), Some(400));
     assert_eq!(harness.submit(&fits), Some(503));
     harness.catalog = InstanceCatalog::default();
-    assert_eq!(harness.submit(&unfit), Some(503), "can't decide");
+    assert_eq!(
+        harness.submit(&never_fits),
+        Some(503),
+        "without instance types the job can't be checked"
+    );
 }
 
-/// A job that was accepted stays known, whatever is thought of it by now.
+/// An accepted job stays accepted, also if its submission would be rejected under the present instance types.
 #[test]
-fn a_repeated_submission_of_an_accepted_job_is_never_refused_for_good() {
+fn a_repeated_submission_of_an_accepted_job_is_never_rejected() {
     let mut harness = JobApiHarness::new();
     let id = JobId(412);
     let key = job_key(id);
@@ -112,14 +125,14 @@
         version: 1,
         value: Some(encode(&JobRecord::Open(job(1, 17.0)))),
     });
-    let unfit = [("berthKinds", ciborium::Value::Null), ("cpus", 17.0.into())];
+    let never_fits = [("berthKinds", ciborium::Value::Null), ("cpus", 17.0.into())];
     assert_eq!(
-        harness.submit(&unfit),
+        harness.submit(&never_fits),
         None,
-        "answered once the copy is fresh"
+        "an accepted job is answered once the cache is refreshed"
     );
-    harness.outage();
-    assert_eq!(harness.submit(&unfit), Some(503));
+    harness.start_outage();
+    assert_eq!(harness.submit(&never_fits), Some(503));
     let end = JobRecord::Ended(crate::domain::JobOutcome::Done, 1);
     harness.cache.apply(Change {
         key,
@@ -127,15 +140,15 @@
         value: Some(encode(&end)),
     });
     assert_eq!(
-        harness.submit(&unfit),
+        harness.submit(&never_fits),
         Some(200),
-        "what is final is told from any copy"
+        "a final state is reported from a cache of any age"
     );
 }
 
-/// Others are told of a cancellation only once it is committed, with the version that it was committed as.
+/// Other controllers learn of a cancellation only after its commit, with the version that the commit produced.
 #[test]
-fn a_cancellation_is_told_once_it_is_committed() {
+fn a_cancellation_is_announced_after_its_commit() {
     let mut harness = JobApiHarness::new();
     let id = JobId(412);
     harness.cache.apply(Change {
@@ -143,8 +156,8 @@
         version: 3,
         value: Some(encode(&JobRecord::Open(job(1, 1.0)))),
     });
-    let at_ms = harness.now.unix_ms();
-    let mut cx = Context {
+    let recorded_ms = harness.now.unix_ms();
+    let mut context = Context {
         config: &harness.config,
         catalog: &harness.catalog,
         cache: &mut harness.cache,
@@ -152,7 +165,9 @@
         store_tag: |id| id,
     };
     assert_eq!(
-        harness.job_api.cancel(harness.now, 5, "j-000412", &mut cx),
+        harness
+            .job_api
+            .cancel(harness.now, 5, "j-000412", &mut context),
         None
     );
     assert_eq!(
@@ -160,11 +175,18 @@
             .job_api
             .committed_cancellation(5, &StoreResponse::Committed { revision: 4 }),
         None,
-        "nothing was sent yet"
+        "no transaction was sent yet"
     );
-    let txn = Transaction::default();
-    harness.job_api.pending.get_mut(&5).expect("asked").state =
-        RequestState::Committing { txn, at_ms };
+    let transaction = Transaction::default();
+    harness
+        .job_api
+        .pending
+        .get_mut(&5)
+        .expect("the cancellation is pending")
+        .state = RequestState::Committing {
+        transaction,
+        recorded_ms,
+    };
     for outcome in [
         StoreResponse::Unknown,
         StoreResponse::Conflict,
@@ -176,8 +198,8 @@
             "{outcome:?}"
         );
     }
-    let told = harness
+    let cancelled = harness
         .job_api
         .committed_cancellation(5, &StoreResponse::Committed { revision: 4 });
-    assert_eq!(told, Some(CancelledJob::new(id, 4, at_ms)));
+    assert_eq!(cancelled, Some(CancelledJob::new(id, 4, recorded_ms)));
 }
--- a/src/main.rs
+++ b/src/main.rs
@@ -1,5 +1,5 @@
-//! The binary: parses the command line, starts logging and the runtime, and maps outcomes to exit codes. All else is in
-//! the library.
+//! The binary: parses the command line, starts logging and the runtime, and maps results to exit codes. Everything else
+//! is in the library.
 
 use std::path::Path;
 use std::process::ExitCode;
@@ -8,15 +8,15 @@
 use dappleshore::cli::operate::Operation;
 use dappleshore::cli::{Cli, Command, ConfigFiles, Exit};
 use dappleshore::config::Config;
-use dappleshore::features::{Features, Found};
+use dappleshore::features::{Features, LoadedFeatures};
 use dappleshore::policy::Policy;
 use dappleshore::service;
 use tracing::{Level, error, info, warn};
 
 fn main() -> ExitCode {
     match Cli::parse().command {
-        Command::Serve(files) => with_files(&files, serve),
-        Command::Check(files) => with_files(&files, |loaded| report(&files, &loaded)),
+        Command::Serve(files) => load_and_run(&files, serve),
+        Command::Check(files) => load_and_run(&files, |loaded| print_valid_files(&files, &loaded)),
         Command::Cordon(args) => operate(args.operation()),
         Command::Drain(args) => operate(args.operation()),
         Command::Uncordon(args) => operate(Ok(args.operation())),
@@ -25,40 +25,40 @@
     }
 }
 
-/// The settings, the policy and the features of a controller, each valid with the others.
-struct Loaded {
+/// The settings, policy and features of a controller, validated against each other.
+struct LoadedFiles {
     config: Config,
     policy: Policy,
-    found: Found,
+    features_file: LoadedFeatures,
 }
 
-fn with_files(files: &ConfigFiles, run: impl FnOnce(Loaded) -> ExitCode) -> ExitCode {
+fn load_and_run(files: &ConfigFiles, run: impl FnOnce(LoadedFiles) -> ExitCode) -> ExitCode {
     match load(files) {
         Ok(loaded) => run(loaded),
-        Err(problem) => {
-            eprintln!("{problem}");
+        Err(error) => {
+            eprintln!("{error}");
             Exit::InvalidInput.into()
         }
     }
 }
 
-fn load(files: &ConfigFiles) -> Result<Loaded, Box<dyn std::error::Error>> {
+fn load(files: &ConfigFiles) -> Result<LoadedFiles, Box<dyn std::error::Error>> {
     let config = Config::load(&files.config)?;
     let policy = match &files.policy {
         Some(path) => Policy::load(path, &config)?,
         None => Policy::built_in(&config),
     };
-    let found = Features::find(files.features.as_deref(), &config)?;
-    Ok(Loaded {
+    let features_file = Features::load(files.features.as_deref(), &config)?;
+    Ok(LoadedFiles {
         config,
         policy,
-        found,
+        features_file,
     })
 }
 
-fn report(files: &ConfigFiles, loaded: &Loaded) -> ExitCode {
+fn print_valid_files(files: &ConfigFiles, loaded: &LoadedFiles) -> ExitCode {
     let policy = files.policy.as_deref();
-    let features = loaded.found.path.as_deref();
+    let features = loaded.features_file.path.as_deref();
     let paths: [Option<&Path>; 3] = [Some(&files.config), policy, features];
     for path in paths.into_iter().flatten() {
         println!("{}: correct", path.display());
@@ -73,40 +73,43 @@
     } else {
         requested.parse()
     };
-    let known = level.is_ok();
+    let valid = level.is_ok();
     tracing_subscriber::fmt()
         .with_max_level(level.unwrap_or(Level::INFO))
         .with_writer(std::io::stderr)
         .with_ansi(false)
         .with_target(false)
         .init();
-    if !known {
-        warn!(LOG_LEVEL = requested, "unknown log level; using info");
+    if !valid {
+        warn!(
+            LOG_LEVEL = requested,
+            "LOG_LEVEL is invalid; using level info"
+        );
     }
 }
 
-fn runtime() -> std::io::Result<tokio::runtime::Runtime> {
+fn build_runtime() -> std::io::Result<tokio::runtime::Runtime> {
     tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
 }
 
-fn serve(loaded: Loaded) -> ExitCode {
+fn serve(loaded: LoadedFiles) -> ExitCode {
     start_logging();
-    let Loaded {
+    let LoadedFiles {
         config,
         policy,
-        found,
+        features_file,
     } = loaded;
-    info!(features = ?found.path, drain = found.features.drain.enabled, "features");
-    let runtime = match runtime() {
+    info!(features = ?features_file.path, drain = features_file.features.drain.enabled, "features loaded");
+    let runtime = match build_runtime() {
         Ok(runtime) => runtime,
         Err(error) => {
-            error!(%error, "service failed: the runtime can't be started");
+            error!(%error, "service failed: async runtime could not be started");
             return ExitCode::FAILURE;
         }
     };
-    let Err(error) = runtime.block_on(service::run(config, policy, found.features));
+    let Err(error) = runtime.block_on(service::run(config, policy, features_file.features));
     error!(%error, "service failed");
     ExitCode::FAILURE
 }
@@ -114,15 +117,15 @@
 fn operate(operation: Result<Operation, String>) -> ExitCode {
     let operation = match operation {
         Ok(operation) => operation,
-        Err(problem) => {
-            eprintln!("{problem}");
+        Err(error) => {
+            eprintln!("{error}");
             return Exit::InvalidInput.into();
         }
     };
-    match runtime() {
+    match build_runtime() {
         Ok(runtime) => runtime.block_on(operation.run()),
-        Err(problem) => {
-            eprintln!("the runtime can't be started: {problem}");
+        Err(error) => {
+            eprintln!("the async runtime can't be started: {error}");
             ExitCode::FAILURE
         }
     }
--- a/src/metrics/tests.rs
+++ b/src/metrics/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn recorded_values_are_shown_one_a_line() {
+fn recorded_values_are_written_one_per_line() {
     let mut metrics = Metrics::new();
     for value in 1..=100 {
         metrics.accept_ms.record(value);
@@ -23,8 +23,8 @@
         "waiting{team=\"red\"} 3",
     ] {
         assert!(
-            text.lines().any(|shown| shown == line),
-            "{line} is not in\n{text}"
+            text.lines().any(|text_line| text_line == line),
+            "`{line}` is missing in\n{text}"
         );
     }
 }
