--- a/tests/simulation/digest.rs
+++ b/tests/simulation/digest.rs
@@ -191,7 +191,7 @@
 
 /// A small cluster.
 fn cluster(seed: u64, faults: Faults) -> SimulatedCluster {
-    super::log_if_asked();
+    super::init_logging();
     SimulatedCluster::new(seed, faults, FAULTS_END, Size::SMALL)
 }
 
@@ -207,7 +207,7 @@
 
 /// An upgrade from the production version under all faults, and gangs once it is through.
 fn upgraded() -> SimulatedCluster {
-    super::log_if_asked();
+    super::init_logging();
     let mut cluster =
         SimulatedCluster::upgrading(903, Faults::all(), FAULTS_END, Size::SMALL, NEXT);
     for (controller, at) in [(1, 20), (2, 24), (0, 28)] {
--- a/tests/simulation/drains.rs
+++ b/tests/simulation/drains.rs
@@ -26,7 +26,7 @@
 
 /// Draining is on, and each team may have so many tasks disrupted.
 fn cluster(seed: u64, faults: Faults, budget: u32) -> SimulatedCluster {
-    super::log_if_asked();
+    super::init_logging();
     let mut cluster = SimulatedCluster::new(seed, faults, FAULTS_END, Size::SMALL);
     cluster.preemption = false;
     // What is bound to a zone can't run anywhere while that is drained.
@@ -175,7 +175,7 @@
 /// A team without budget, or with a share that rounds to nothing: the drain waits, and says for whom. It goes on with
 /// the budget that operators set then.
 #[test]
-fn a_drain_waits_for_a_team_whose_budget_is_spent() {
+fn a_drain_waits_for_a_team_whose_budget_is_exhausted() {
     for (seed, limit) in [(810, "0"), (811, "1%")] {
         let mut cluster = cluster(seed, Faults::default(), 1);
         let red = TeamSettings {
@@ -281,7 +281,7 @@
 
 /// With no zone left to go to, a drain waits and says so; calling one off lets the others go on.
 #[test]
-fn a_drain_of_everything_waits_and_says_so() {
+fn a_drain_of_all_zones_waits_and_reports_the_reason() {
     let mut cluster = cluster(825, Faults::default(), 2);
     add_services(&mut cluster, 4);
     for (id, name) in [("a", "a"), ("b", "b"), ("c", "c")] {
@@ -342,7 +342,7 @@
 
 /// Repeated requests act once; a drain that is called off puts its machines back.
 #[test]
-fn repeated_and_cancelled_requests_act_once() {
+fn repeated_and_cancelled_requests_take_effect_once() {
     let mut cluster = cluster(835, Faults::default(), 1);
     add_services(&mut cluster, 6);
     let ask = || start("disk", zone("a"), Purpose::Drain, None);
@@ -399,7 +399,7 @@
 }
 
 #[test]
-fn the_leader_ends_between_the_record_and_the_stop() {
+fn the_leader_ends_between_an_eviction_record_and_its_stop_command() {
     with_trouble(840, |cluster, _| {
         let leader = cluster.leader().expect("led by now");
         cluster.end_controller(leader, seconds(5));
@@ -407,7 +407,7 @@
 }
 
 #[test]
-fn the_leader_ends_between_the_stop_and_the_proof() {
+fn the_leader_ends_between_a_stop_command_and_its_confirmation() {
     for (seed, after) in [(841, 30), (842, 200), (843, 1000)] {
         with_trouble(seed, move |cluster, _| {
             let at = cluster.now + Duration::from_millis(after);
@@ -421,7 +421,7 @@
 }
 
 #[test]
-fn the_leader_stands_still_as_it_decides() {
+fn the_leader_is_paused_when_an_eviction_is_recorded() {
     with_trouble(844, |cluster, _| {
         let leader = cluster.leader().expect("led by now");
         cluster.pause(leader, seconds(20));
@@ -429,12 +429,12 @@
 }
 
 #[test]
-fn the_state_service_goes_out_as_an_eviction_is_recorded() {
+fn the_state_service_fails_when_an_eviction_is_recorded() {
     with_trouble(845, |cluster, _| cluster.state_outage(seconds(15)));
 }
 
 #[test]
-fn the_zone_is_cut_while_it_is_drained() {
+fn the_zone_is_cut_off_while_it_is_drained() {
     with_trouble(846, |cluster, _| {
         let busiest = busiest_zone(cluster);
         cluster.cut_zone(busiest, seconds(25));
@@ -442,7 +442,7 @@
 }
 
 #[test]
-fn the_machine_that_is_emptied_fails_meanwhile() {
+fn the_drained_machine_fails() {
     with_trouble(850, |cluster, eviction| {
         cluster.hang(&eviction.machine.0, seconds(30))
     });
@@ -456,7 +456,7 @@
 }
 
 #[test]
-fn the_machine_that_is_emptied_is_recalled_or_restarts_in_a_moment() {
+fn the_drained_machine_is_reclaimed_or_restarts() {
     with_trouble(856, |cluster, eviction| {
         cluster.recall(&eviction.machine.0, seconds(2));
     });
@@ -466,7 +466,7 @@
 }
 
 #[test]
-fn the_state_service_refuses_the_leader_alone() {
+fn the_state_service_refuses_only_the_leader() {
     with_trouble(847, |cluster, _| {
         let leader = cluster.leader().expect("led by now");
         cluster.cut_state(leader, seconds(14));
@@ -490,7 +490,7 @@
 }
 
 #[test]
-fn stops_and_answers_come_late() {
+fn commands_and_responses_are_slow() {
     let mut cluster = cluster(858, Faults::default(), 1);
     add_services(&mut cluster, 8);
     cluster.plan(DRAIN_AT - seconds(1), |cluster| {
@@ -538,7 +538,7 @@
 
 /// Other machines die with tasks of the team as its budget is spent: nothing more is evicted until they run again.
 #[test]
-fn losses_count_against_the_budget() {
+fn lost_tasks_count_against_the_budget() {
     with_trouble(855, |cluster, eviction| {
         let job = eviction.target.job();
         let machines = cluster.rules.machines_of(job);
@@ -553,15 +553,15 @@
 
 /// Drains while machines, zones, controllers and the state service fail.
 #[test]
-fn drains_under_all_troubles() {
+fn drains_under_all_faults() {
     // With ledgers removed when they were empty, a transaction that came late in the last one was carried out twice.
     for seed in (860..=867).chain([2020]) {
-        check_at_random(seed);
+        check_random_drains(seed);
     }
 }
 
 /// Drains of a zone and of what another zone has, at times that follow from the seed, under all troubles.
-pub fn check_at_random(seed: u64) {
+pub fn check_random_drains(seed: u64) {
     let mut cluster = cluster(seed, Faults::all(), 1 + (seed % 3) as u32);
     add_services(&mut cluster, 6);
     let zones = ["a", "b", "c"];
@@ -589,7 +589,7 @@
 
 /// A check that can't fail shows nothing: with the budget taken for larger than it is, the clusters notice.
 #[test]
-fn the_checks_of_budgets_can_fail() {
+fn budget_violations_are_detected() {
     let mut cluster = cluster(800, Faults::default(), 3);
     for allowed in cluster.operators.allowed.values_mut() {
         *allowed = 0;
--- a/tests/simulation/fault_combinations.rs
+++ b/tests/simulation/fault_combinations.rs
@@ -7,20 +7,20 @@
 use super::cluster::{CONTROLLERS, FAULTS_END, Faults, SimulatedCluster, Size};
 
 /// When the state service goes out for everybody.
-const OUT_AT: Duration = Duration::from_secs(60);
+const OUTAGE_AT: Duration = Duration::from_secs(60);
 /// Longer than `cancel_s` of the settings (50 s), and than a block lease and a lease together.
-const OUT_FOR: Duration = Duration::from_secs(68);
+const OUTAGE_DURATION: Duration = Duration::from_secs(68);
 
 pub fn seconds(seconds: f64) -> Duration {
     Duration::from_secs_f64(seconds)
 }
 
-/// A quiet cluster in which tasks that start before `OUT_AT` run on for minutes.
-fn cluster(seed: u64) -> SimulatedCluster {
-    super::log_if_asked();
+/// A quiet cluster in which tasks that start before `OUTAGE_AT` run on for minutes.
+fn cluster_with_long_tasks(seed: u64) -> SimulatedCluster {
+    super::init_logging();
     let mut cluster = SimulatedCluster::new(seed, Faults::default(), FAULTS_END, Size::SMALL);
     cluster.extra_task_time = seconds(150.0);
-    cluster.plan(OUT_AT + seconds(1.0), |cluster| {
+    cluster.plan(OUTAGE_AT + seconds(1.0), |cluster| {
         cluster.extra_task_time = Duration::ZERO
     });
     cluster
@@ -29,72 +29,76 @@
 /// The state service refuses the leader alone, `cut` before it goes out for everybody; between the two, jobs that run
 /// are cancelled through the others.
 #[derive(Clone, Copy)]
-struct Gap {
+struct LeaderCutThenOutage {
     seed: u64,
-    cut: f64,
-    out_for: Duration,
+    cut_before_s: f64,
+    outage_duration: Duration,
     /// As they are cancelled, the machines of those jobs hang for this long.
-    hang: Option<Duration>,
+    hang_for: Option<Duration>,
 }
 
-impl Gap {
-    fn new(seed: u64, cut: f64) -> Self {
-        Gap {
+impl LeaderCutThenOutage {
+    fn new(seed: u64, cut_before_s: f64) -> Self {
+        LeaderCutThenOutage {
             seed,
-            cut,
-            out_for: OUT_FOR,
-            hang: None,
+            cut_before_s,
+            outage_duration: OUTAGE_DURATION,
+            hang_for: None,
         }
     }
 
-    /// `meanwhile` happens as the outage begins; it is told the jobs and the leader.
-    fn play(
+    /// `on_outage` happens as the outage begins; it is told the jobs and the leader.
+    fn run_and_check(
         self,
-        meanwhile: impl FnOnce(&mut SimulatedCluster, Vec<JobId>, usize) + 'static,
+        on_outage: impl FnOnce(&mut SimulatedCluster, Vec<JobId>, usize) + 'static,
     ) -> SimulatedCluster {
-        let Gap {
+        let LeaderCutThenOutage {
             seed,
-            cut,
-            out_for,
-            hang,
+            cut_before_s,
+            outage_duration,
+            hang_for,
         } = self;
-        let mut cluster = cluster(seed);
-        cluster.plan(OUT_AT - seconds(cut), move |cluster| {
+        let mut cluster = cluster_with_long_tasks(seed);
+        cluster.plan(OUTAGE_AT - seconds(cut_before_s), move |cluster| {
             let leader = cluster.leader().expect("led by now");
             cluster.cut_state(leader, seconds(14.0));
         });
-        cluster.plan(OUT_AT - seconds(cut.clamp(1.0, 3.0)), move |cluster| {
-            let jobs = cluster.cancel_now(8);
-            for machine in machines_of(cluster, &jobs) {
-                hang.into_iter()
-                    .for_each(|how_long| cluster.hang(&machine, how_long));
-            }
-            cluster.plan(OUT_AT, move |cluster| {
-                let jobs: Vec<JobId> = jobs
-                    .into_iter()
-                    .filter(|job| cluster.rules.is_cancelled(*job))
-                    .collect();
-                assert!(
-                    jobs.len() >= 2,
-                    "seed {seed}: {} cancellations confirmed before the outage",
-                    jobs.len()
-                );
-                let left = machines_of(cluster, &jobs).len();
-                assert!(
-                    hang.is_none() || left > 0,
-                    "seed {seed}: no machine hangs with a cancelled task"
-                );
-                cluster.state_outage(out_for);
-                let leader = cluster.leader().expect("nobody could replace it");
-                meanwhile(cluster, jobs, leader);
-            });
-        });
-        finish(seed, cluster)
+        cluster.plan(
+            OUTAGE_AT - seconds(cut_before_s.clamp(1.0, 3.0)),
+            move |cluster| {
+                let jobs = cluster.cancel_now(8);
+                for machine in machines_of(cluster, &jobs) {
+                    hang_for
+                        .into_iter()
+                        .for_each(|how_long| cluster.hang(&machine, how_long));
+                }
+                cluster.plan(OUTAGE_AT, move |cluster| {
+                    let jobs: Vec<JobId> = jobs
+                        .into_iter()
+                        .filter(|job| cluster.rules.is_cancelled(*job))
+                        .collect();
+                    assert!(
+                        jobs.len() >= 2,
+                        "seed {seed}: {} cancellations confirmed before the outage",
+                        jobs.len()
+                    );
+                    let hung = machines_of(cluster, &jobs).len();
+                    assert!(
+                        hang_for.is_none() || hung > 0,
+                        "seed {seed}: no machine hangs with a cancelled task"
+                    );
+                    cluster.state_outage(outage_duration);
+                    let leader = cluster.leader().expect("nobody could replace it");
+                    on_outage(cluster, jobs, leader);
+                });
+            },
+        );
+        run_to_end(seed, cluster)
     }
 }
 
 /// No rule broken, and everything that was accepted is over at the end.
-pub fn finish(seed: u64, mut cluster: SimulatedCluster) -> SimulatedCluster {
+pub fn run_to_end(seed: u64, mut cluster: SimulatedCluster) -> SimulatedCluster {
     cluster.run_until(FAULTS_END + seconds(350.0));
     assert_eq!(cluster.rules.violations, [] as [&str; 0], "seed {seed}");
     assert_eq!(
@@ -116,35 +120,35 @@
 }
 
 /// Plays a cluster with these random faults and what `plan` adds, and checks that everything was served too.
-pub fn play(
+pub fn run_and_check(
     seed: u64,
     faults: Faults,
     size: Size,
     plan: impl FnOnce(&mut SimulatedCluster),
 ) -> SimulatedCluster {
-    super::log_if_asked();
+    super::init_logging();
     let mut cluster = SimulatedCluster::new(seed, faults, FAULTS_END, size);
     plan(&mut cluster);
-    let cluster = finish(seed, cluster);
+    let cluster = run_to_end(seed, cluster);
     assert_eq!(cluster.rules.unserved(), [] as [&str; 0], "seed {seed}");
     cluster
 }
 
-fn every(
+fn plan_every(
     cluster: &mut SimulatedCluster,
-    from: u64,
-    until: u64,
-    step: u64,
-    act: impl Fn(&mut SimulatedCluster) + Clone + 'static,
+    from_s: u64,
+    until_s: u64,
+    interval_s: u64,
+    action: impl Fn(&mut SimulatedCluster) + Clone + 'static,
 ) {
-    for at in (from..until).step_by(step as usize) {
-        cluster.plan(Duration::from_secs(at), act.clone());
+    for at in (from_s..until_s).step_by(interval_s as usize) {
+        cluster.plan(Duration::from_secs(at), action.clone());
     }
 }
 
-fn end_leader(cluster: &mut SimulatedCluster, back_after: f64) {
+fn end_leader(cluster: &mut SimulatedCluster, restart_after_s: f64) {
     if let Some(leader) = cluster.leader() {
-        cluster.end_controller(leader, seconds(back_after));
+        cluster.end_controller(leader, seconds(restart_after_s));
     }
 }
 
@@ -157,15 +161,15 @@
 
 /// The old leader's workers go on reporting to it, and its copy does not show the cancellations.
 #[test]
-fn cancelled_tasks_end_in_the_gap() {
+fn cancelled_tasks_end_when_an_outage_follows_a_leader_cut() {
     for seed in 200..=203 {
-        for cut in [0.1, 1.5, 5.0] {
-            Gap::new(seed, cut).play(|_, _, _| {});
-            Gap {
-                out_for: 2 * OUT_FOR,
-                ..Gap::new(seed, cut)
+        for cut_before_s in [0.1, 1.5, 5.0] {
+            LeaderCutThenOutage::new(seed, cut_before_s).run_and_check(|_, _, _| {});
+            LeaderCutThenOutage {
+                outage_duration: 2 * OUTAGE_DURATION,
+                ..LeaderCutThenOutage::new(seed, cut_before_s)
             }
-            .play(|_, _, _| {});
+            .run_and_check(|_, _, _| {});
         }
     }
 }
@@ -173,23 +177,23 @@
 /// As long as the controllers hear each other, an outage of the state service costs no worker its lease, however long:
 /// nobody can confirm a cancellation that the others don't hear of.
 #[test]
-fn no_lease_runs_out_in_an_outage_in_which_controllers_hear_each_other() {
+fn no_lease_expires_in_an_outage_while_controllers_reach_each_other() {
     for seed in 200..=203 {
-        let cluster = Gap {
-            out_for: 2 * OUT_FOR,
-            ..Gap::new(seed, 1.5)
+        let cluster = LeaderCutThenOutage {
+            outage_duration: 2 * OUTAGE_DURATION,
+            ..LeaderCutThenOutage::new(seed, 1.5)
         }
-        .play(|_, _, _| {});
+        .run_and_check(|_, _, _| {});
         assert_eq!(cluster.leases_over, 0, "seed {seed}");
     }
 }
 
 /// Who knows of a cancellation tells the others: tasks under a controller that the state service refuses end as soon.
 #[test]
-fn the_old_leader_hears_of_cancellations_from_the_others() {
+fn the_old_leader_learns_of_cancellations_from_its_peers() {
     for seed in 200..=203 {
-        Gap::new(seed, 1.5).play(move |cluster, jobs, _| {
-            cluster.plan(OUT_AT + seconds(2.0), move |cluster| {
+        LeaderCutThenOutage::new(seed, 1.5).run_and_check(move |cluster, jobs, _| {
+            cluster.plan(OUTAGE_AT + seconds(2.0), move |cluster| {
                 assert_eq!(machines_of(cluster, &jobs), [] as [&str; 0], "seed {seed}");
                 assert_eq!(cluster.rules.starts_after_cancellation, [], "seed {seed}");
             });
@@ -200,41 +204,41 @@
 /// A machine that hangs ends nothing, whatever its lease: it has to be deleted, in an outage in which nobody is certain
 /// to lead.
 #[test]
-fn machines_hang_in_the_gap_with_cancelled_tasks() {
+fn hung_machines_with_cancelled_tasks_are_deleted_in_an_outage() {
     for seed in 200..=203 {
-        for cut in [1.5, 5.0] {
-            Gap {
-                hang: Some(seconds(90.0)),
-                ..Gap::new(seed, cut)
+        for cut_before_s in [1.5, 5.0] {
+            LeaderCutThenOutage {
+                hang_for: Some(seconds(90.0)),
+                ..LeaderCutThenOutage::new(seed, cut_before_s)
             }
-            .play(|_, _, _| {});
+            .run_and_check(|_, _, _| {});
         }
     }
 }
 
 /// The same, and the old leader, which holds some of those machines, ends, stands still, or is cut off from all others.
 #[test]
-fn machines_hang_in_the_gap_and_their_holder_is_away() {
+fn hung_machines_with_cancelled_tasks_are_deleted_without_their_holder() {
     for seed in 200..=202 {
-        let gap = Gap {
-            hang: Some(seconds(90.0)),
-            ..Gap::new(seed, 1.5)
+        let scenario = LeaderCutThenOutage {
+            hang_for: Some(seconds(90.0)),
+            ..LeaderCutThenOutage::new(seed, 1.5)
         };
-        gap.play(|cluster, _, leader| cluster.end_controller(leader, seconds(0.1)));
-        gap.play(|cluster, _, leader| cluster.end_controller(leader, seconds(5.0)));
-        gap.play(|cluster, _, leader| cluster.pause(leader, seconds(60.0)));
-        gap.play(|cluster, _, leader| cluster.isolate(leader, seconds(60.0)));
+        scenario.run_and_check(|cluster, _, leader| cluster.end_controller(leader, seconds(0.1)));
+        scenario.run_and_check(|cluster, _, leader| cluster.end_controller(leader, seconds(5.0)));
+        scenario.run_and_check(|cluster, _, leader| cluster.pause(leader, seconds(60.0)));
+        scenario.run_and_check(|cluster, _, leader| cluster.isolate(leader, seconds(60.0)));
     }
 }
 
 /// All controllers end in the outage and come back without a copy of the records: what was renewed before they ended
 /// runs out in time.
 #[test]
-fn all_controllers_end_in_the_gap() {
+fn all_controllers_restart_in_the_outage() {
     for seed in 200..=203 {
-        for after in [0.5, 5.0, 20.0] {
-            Gap::new(seed, 1.5).play(move |cluster, _, _| {
-                cluster.plan(OUT_AT + seconds(after), |cluster| {
+        for after_s in [0.5, 5.0, 20.0] {
+            LeaderCutThenOutage::new(seed, 1.5).run_and_check(move |cluster, _, _| {
+                cluster.plan(OUTAGE_AT + seconds(after_s), |cluster| {
                     (0..CONTROLLERS)
                         .for_each(|controller| cluster.end_controller(controller, seconds(0.3)));
                 });
@@ -245,9 +249,9 @@
 
 /// A command or its answer is held up for seconds, and the machine then goes on.
 #[test]
-fn commands_are_held_up_and_the_machines_go_on() {
+fn commands_are_delayed_and_hung_machines_resume() {
     for seed in 210..=213 {
-        play(
+        run_and_check(
             seed,
             Faults {
                 delayed_requests: 0.06,
@@ -256,11 +260,11 @@
             },
             Size::SMALL,
             |cluster| {
-                every(cluster, 20, 145, 5, |cluster| {
-                    for (n, machine) in cluster.up(None).into_iter().enumerate() {
+                plan_every(cluster, 20, 145, 5, |cluster| {
+                    for (index, machine) in cluster.up(None).into_iter().enumerate() {
                         // Within their leases, and some for longer.
-                        if n.is_multiple_of(3) {
-                            cluster.hang(&machine, seconds(1.0 + 4.0 * n as f64));
+                        if index.is_multiple_of(3) {
+                            cluster.hang(&machine, seconds(1.0 + 4.0 * index as f64));
                         }
                     }
                 });
@@ -271,17 +275,17 @@
 
 /// Ten leaders in two minutes: no worker's lease runs out of it, and tokens don't rise without end.
 #[test]
-fn leaders_follow_each_other_quickly() {
+fn the_leader_changes_every_12_seconds() {
     for seed in 215..=217 {
-        for back_after in [0.1, 3.0, 14.0] {
-            let cluster = play(seed, Faults::default(), Size::SMALL, |cluster| {
-                every(cluster, 25, 145, 12, move |cluster| {
-                    end_leader(cluster, back_after)
+        for restart_after_s in [0.1, 3.0, 14.0] {
+            let cluster = run_and_check(seed, Faults::default(), Size::SMALL, |cluster| {
+                plan_every(cluster, 25, 145, 12, move |cluster| {
+                    end_leader(cluster, restart_after_s)
                 });
             });
             assert_eq!(
                 cluster.leases_over, 0,
-                "seed {seed}, back after {back_after} s"
+                "seed {seed}, back after {restart_after_s} s"
             );
             // A term for each of the ten, and the blocks that the ended one held: raised by every leader for all blocks,
             // they would come to 44 and more.
@@ -295,10 +299,10 @@
 }
 
 #[test]
-fn leaders_follow_each_other_inside_an_outage() {
+fn the_leader_changes_repeatedly_in_an_outage() {
     for seed in 215..=217 {
-        play(seed, Faults::default(), Size::SMALL, |cluster| {
-            every(cluster, 40, 145, 10, |cluster| end_leader(cluster, 0.2));
+        run_and_check(seed, Faults::default(), Size::SMALL, |cluster| {
+            plan_every(cluster, 40, 145, 10, |cluster| end_leader(cluster, 0.2));
             cluster.plan(seconds(58.0), |cluster| cluster.state_outage(seconds(35.0)));
             cluster.plan(seconds(110.0), |cluster| {
                 cluster.state_outage(seconds(15.0))
@@ -309,22 +313,22 @@
 
 /// Jobs bound to one zone lose machines there, and then the whole zone.
 #[test]
-fn jobs_of_one_zone_lose_its_machines() {
+fn jobs_bound_to_a_zone_lose_its_machines() {
     for seed in 220..=223 {
-        play(seed, Faults::default(), Size::SMALL, |cluster| {
+        run_and_check(seed, Faults::default(), Size::SMALL, |cluster| {
             cluster.bind_jobs();
             cluster.extra_task_time = seconds(15.0);
-            for (at, zone, part) in [
+            for (at_s, zone, step) in [
                 (50.0, "a", 1),
                 (70.0, "b", 2),
                 (95.0, "c", 1),
                 (120.0, "a", 2),
             ] {
-                cluster.plan(seconds(at), move |cluster| {
+                cluster.plan(seconds(at_s), move |cluster| {
                     cluster
                         .up(Some(zone))
                         .iter()
-                        .step_by(part)
+                        .step_by(step)
                         .for_each(|machine| cluster.kill(machine));
                 });
             }
@@ -335,14 +339,14 @@
 
 /// A cancellation, a question or a repeated submission meets the end of a job's last task, with no other trouble.
 #[test]
-fn the_end_of_a_job_meets_its_cancellation() {
+fn a_cancellation_races_with_the_end_of_its_job() {
     for seed in 225..=230 {
         let faults = Faults {
             cancel_at_end: 1.0,
             irregular_requests: 0.3,
             ..Faults::default()
         };
-        play(
+        run_and_check(
             seed,
             faults,
             Size {
@@ -356,9 +360,9 @@
 
 /// Workers can't open connections to any controller, while direct commands reach them.
 #[test]
-fn machines_reach_no_controller_while_commands_reach_them() {
+fn heartbeats_are_blocked_while_commands_reach_machines() {
     for seed in 235..=238 {
-        play(
+        run_and_check(
             seed,
             Faults {
                 heartbeats_blocked: 8.0,
@@ -383,27 +387,21 @@
 
 /// ... and that does not end: direct commands renew no lease, so no long task is ever done there. They are replaced.
 #[test]
-fn machines_that_reach_no_controller_any_more_are_replaced() {
+fn machines_whose_heartbeats_stay_blocked_are_replaced() {
     for seed in 235..=238 {
-        play(seed, Faults::default(), Size::SMALL, |cluster| {
+        run_and_check(seed, Faults::default(), Size::SMALL, |cluster| {
             cluster.extra_task_time = seconds(30.0);
             cluster.plan(seconds(60.0), move |cluster| {
-                let block_heartbeats: Vec<String> =
-                    cluster.up(None).into_iter().step_by(2).collect();
-                assert!(
-                    block_heartbeats.len() > 3,
-                    "seed {seed}: {block_heartbeats:?}"
-                );
-                block_heartbeats
+                let blocked: Vec<String> = cluster.up(None).into_iter().step_by(2).collect();
+                assert!(blocked.len() > 3, "seed {seed}: {blocked:?}");
+                blocked
                     .iter()
                     .for_each(|machine| cluster.block_heartbeats(machine, seconds(1000.0)));
                 cluster.plan(seconds(120.0), move |cluster| {
-                    let left = cluster.up(None);
+                    let up = cluster.up(None);
                     assert!(
-                        !block_heartbeats
-                            .iter()
-                            .any(|machine| left.contains(machine)),
-                        "seed {seed}: {left:?} of {block_heartbeats:?}"
+                        !blocked.iter().any(|machine| up.contains(machine)),
+                        "seed {seed}: {up:?} of {blocked:?}"
                     );
                 });
             });
@@ -413,9 +411,9 @@
 
 /// Transactions without an answer are carried out late, after newer ones of the same controller.
 #[test]
-fn transactions_are_carried_out_late() {
+fn transactions_are_executed_late() {
     for seed in 240..=245 {
-        play(
+        run_and_check(
             seed,
             Faults {
                 late_writes: 0.2,
@@ -438,8 +436,8 @@
             faulty_machines: 0.2,
             ..Faults::default()
         };
-        play(seed, faults, Size::SMALL, |cluster| {
-            every(cluster, 40, 145, 20, |cluster| end_leader(cluster, 1.0))
+        run_and_check(seed, faults, Size::SMALL, |cluster| {
+            plan_every(cluster, 40, 145, 20, |cluster| end_leader(cluster, 1.0))
         });
     }
 }
@@ -448,7 +446,7 @@
 #[test]
 fn tasks_of_a_job_end_far_apart_across_changes_of_leader() {
     for seed in 255..=258 {
-        play(
+        run_and_check(
             seed,
             Faults::default(),
             Size {
@@ -457,7 +455,7 @@
             },
             |cluster| {
                 cluster.extra_time_per_index = seconds(25.0);
-                every(cluster, 30, 150, 15, |cluster| end_leader(cluster, 4.0));
+                plan_every(cluster, 30, 150, 15, |cluster| end_leader(cluster, 4.0));
             },
         );
     }
@@ -465,21 +463,21 @@
 
 /// The state service is slow, refuses the leader alone, and is out for longer than `cancel_s`, while users cancel and ask.
 #[test]
-fn the_state_service_is_slow_and_out_while_users_ask() {
+fn the_state_service_is_slow_and_unavailable_while_users_send_requests() {
     for seed in 260..=262 {
         let faults = Faults {
             state_slow: 25.0,
             irregular_requests: 0.1,
             ..Faults::default()
         };
-        play(seed, faults, Size::SMALL, |cluster| {
+        run_and_check(seed, faults, Size::SMALL, |cluster| {
             cluster.plan(seconds(52.0), |cluster| {
                 let leader = cluster.leader().expect("led by now");
                 cluster.cut_state(leader, seconds(20.0));
                 cluster.cancel_now(4);
             });
             cluster.plan(seconds(58.0), |cluster| cluster.state_outage(seconds(60.0)));
-            every(cluster, 60, 118, 10, |cluster| {
+            plan_every(cluster, 60, 118, 10, |cluster| {
                 cluster.cancel_now(1);
             });
         });
@@ -488,9 +486,9 @@
 
 /// A team is at its limit when the leader changes, some of its machines can't be asked, and its jobs are cancelled.
 #[test]
-fn a_team_at_its_limit_with_machines_that_cannot_be_asked() {
+fn a_team_at_its_limit_with_unreachable_machines() {
     for seed in 265..=268 {
-        play(
+        run_and_check(
             seed,
             Faults::default(),
             Size {
@@ -500,7 +498,7 @@
             },
             |cluster| {
                 cluster.extra_task_time = seconds(10.0);
-                every(cluster, 40, 140, 25, |cluster| {
+                plan_every(cluster, 40, 140, 25, |cluster| {
                     cluster
                         .up(None)
                         .iter()
@@ -524,7 +522,7 @@
 
 /// More work than room, urgent and not, over slow links.
 #[test]
-fn more_work_than_room_over_slow_links() {
+fn more_work_than_capacity_over_slow_links() {
     for seed in 270..=272 {
         let faults = Faults {
             lost_responses: 0.02,
@@ -536,7 +534,7 @@
             stock: [3, 1],
             ..Size::SMALL
         };
-        play(seed, faults, size, |cluster| {
+        run_and_check(seed, faults, size, |cluster| {
             cluster.latency = Duration::from_millis(600)
         });
     }
@@ -544,9 +542,9 @@
 
 /// All controllers are away for longer than a lease; then one is back within a second, again and again.
 #[test]
-fn all_controllers_are_away_for_longer_than_a_lease() {
+fn all_controllers_are_down_for_longer_than_a_lease() {
     for seed in 275..=277 {
-        play(seed, Faults::default(), Size::SMALL, |cluster| {
+        run_and_check(seed, Faults::default(), Size::SMALL, |cluster| {
             cluster.extra_task_time = seconds(10.0);
             cluster.plan(seconds(50.0), |cluster| {
                 (0..CONTROLLERS).for_each(|controller| {
@@ -565,7 +563,7 @@
 #[test]
 fn heartbeats_arrive_after_a_new_leader_has_acted() {
     for seed in 280..=283 {
-        play(
+        run_and_check(
             seed,
             Faults {
                 faulty_machines: 0.2,
@@ -573,7 +571,7 @@
             },
             Size::SMALL,
             |cluster| {
-                every(cluster, 30, 145, 22, |cluster| {
+                plan_every(cluster, 30, 145, 22, |cluster| {
                     cluster.hold_heartbeats(seconds(3.0));
                     end_leader(cluster, 12.0);
                 });
@@ -589,7 +587,7 @@
 #[test]
 fn a_zone_is_cut_off_for_longer_than_a_lease_while_jobs_are_cancelled() {
     for seed in 285..=288 {
-        play(
+        run_and_check(
             seed,
             Faults {
                 machine_hangs: 20.0,
@@ -598,12 +596,12 @@
             Size::SMALL,
             |cluster| {
                 cluster.extra_task_time = seconds(20.0);
-                for (at, how_long) in [(50.0, 28.0), (95.0, 55.0)] {
-                    cluster.plan(seconds(at), move |cluster| {
+                for (at_s, duration_s) in [(50.0, 28.0), (95.0, 55.0)] {
+                    cluster.plan(seconds(at_s), move |cluster| {
                         let zone = ["a", "b", "c"][cluster.leader().unwrap_or(0)];
-                        cluster.cut_zone(zone, seconds(how_long));
+                        cluster.cut_zone(zone, seconds(duration_s));
                     });
-                    cluster.plan(seconds(at + 2.0), |cluster| {
+                    cluster.plan(seconds(at_s + 2.0), |cluster| {
                         cluster.cancel_now(4);
                     });
                 }
@@ -616,9 +614,9 @@
 #[test]
 fn a_leader_ends_while_machines_cannot_be_reached() {
     for seed in 290..=293 {
-        play(seed, Faults::default(), Size::SMALL, |cluster| {
+        run_and_check(seed, Faults::default(), Size::SMALL, |cluster| {
             cluster.extra_task_time = seconds(30.0);
-            every(cluster, 45, 140, 30, |cluster| {
+            plan_every(cluster, 45, 140, 30, |cluster| {
                 cluster
                     .up(None)
                     .iter()
@@ -645,18 +643,18 @@
 /// A leader is cut from the state service and the other controllers while workers and users still reach it, and jobs are
 /// cancelled through the new one.
 #[test]
-fn a_leader_on_an_island_while_jobs_are_cancelled_through_the_new_one() {
+fn an_isolated_leader_while_jobs_are_cancelled_through_the_new_one() {
     for seed in 295..=298 {
-        play(seed, Faults::default(), Size::SMALL, |cluster| {
+        run_and_check(seed, Faults::default(), Size::SMALL, |cluster| {
             cluster.extra_task_time = seconds(30.0);
-            for (at, how_long) in [(45.0, 20.0), (80.0, 60.0)] {
-                cluster.plan(seconds(at), move |cluster| {
+            for (at_s, duration_s) in [(45.0, 20.0), (80.0, 60.0)] {
+                cluster.plan(seconds(at_s), move |cluster| {
                     let leader = cluster.leader().expect("led by now");
-                    cluster.isolate(leader, seconds(how_long));
+                    cluster.isolate(leader, seconds(duration_s));
                 });
                 // Before the new one has taken over, and after.
-                for later in [1.0, 6.0] {
-                    cluster.plan(seconds(at + later), |cluster| {
+                for delay_s in [1.0, 6.0] {
+                    cluster.plan(seconds(at_s + delay_s), |cluster| {
                         for machine in machines_of(cluster, &cluster.running_jobs(2)) {
                             cluster.hang(&machine, seconds(25.0));
                         }
@@ -670,9 +668,9 @@
 
 /// Controllers hand over and back, all end, and one returns, also within a second.
 #[test]
-fn controllers_hand_over_and_back_and_all_end() {
+fn controllers_hand_over_and_back_and_all_restart() {
     for seed in 300..=303 {
-        play(
+        run_and_check(
             seed,
             Faults {
                 copies: 0.05,
@@ -680,23 +678,25 @@
             },
             Size::SMALL,
             |cluster| {
-                for at in [30, 60, 95, 130] {
-                    every(cluster, at, at + 6, 2, |cluster| end_leader(cluster, 0.3));
-                    cluster.plan(seconds(at as f64 + 7.0), move |cluster| {
-                        let back = |controller: usize| {
-                            if controller == at as usize % CONTROLLERS {
+                for at_s in [30, 60, 95, 130] {
+                    plan_every(cluster, at_s, at_s + 6, 2, |cluster| {
+                        end_leader(cluster, 0.3)
+                    });
+                    cluster.plan(seconds(at_s as f64 + 7.0), move |cluster| {
+                        let restart_after_s = |controller: usize| {
+                            if controller == at_s as usize % CONTROLLERS {
                                 0.2
                             } else {
                                 9.0
                             }
                         };
                         (0..CONTROLLERS).for_each(|controller| {
-                            cluster.end_controller(controller, seconds(back(controller)))
+                            cluster.end_controller(controller, seconds(restart_after_s(controller)))
                         });
                     });
                     // In the middle of the election.
-                    cluster.plan(seconds(at as f64 + 10.8), move |cluster| {
-                        cluster.end_controller(at as usize % CONTROLLERS, seconds(0.1));
+                    cluster.plan(seconds(at_s as f64 + 10.8), move |cluster| {
+                        cluster.end_controller(at_s as usize % CONTROLLERS, seconds(0.1));
                     });
                 }
             },
--- a/tests/simulation/gangs.rs
+++ b/tests/simulation/gangs.rs
@@ -221,14 +221,14 @@
 }
 
 #[test]
-fn gangs_run_whole_on_a_quiet_day() {
+fn gangs_complete_without_faults() {
     for seed in 600..=603 {
         check(seed, Faults::default());
     }
 }
 
 #[test]
-fn gangs_run_whole_while_controllers_crash() {
+fn gangs_complete_while_controllers_crash() {
     let faults = Faults {
         crash: 10.0,
         crash_all: 50.0,
@@ -243,7 +243,7 @@
 }
 
 #[test]
-fn gangs_run_whole_while_machines_die_and_hang() {
+fn gangs_complete_while_machines_die_and_hang() {
     let faults = Faults {
         machine_dies: 12.0,
         machine_hangs: 10.0,
@@ -260,7 +260,7 @@
 }
 
 #[test]
-fn gangs_run_whole_under_all_troubles() {
+fn gangs_complete_under_all_faults() {
     for seed in 630..=635 {
         check(seed, Faults::all());
     }
--- a/tests/simulation/operations.rs
+++ b/tests/simulation/incidents.rs
@@ -6,7 +6,7 @@
 use dappleshore::domain::JobId;
 
 use super::cluster::{BootFaults, FAULTS_END, Faults, GUESTS, SimulatedCluster, Size};
-use super::fault_combinations::{finish, play, seconds};
+use super::fault_combinations::{run_and_check, run_to_end, seconds};
 
 /// While most machines are late they are waited for, not ordered over and over; while some never come up, others are
 /// ordered in their place.
@@ -14,7 +14,7 @@
 fn machines_boot_late_or_never() {
     for seed in 400..=403 {
         let rented = |trouble: Option<BootFaults>| {
-            let cluster = play(seed, Faults::default(), Size::SMALL, |cluster| {
+            let cluster = run_and_check(seed, Faults::default(), Size::SMALL, |cluster| {
                 cluster.plan(seconds(5.0), move |cluster| {
                     cluster.set_boot_faults(trouble)
                 });
@@ -45,7 +45,7 @@
 /// Found on the bench: a job with a mistake was launched again as often as its tasks failed. It is tried one task at a time,
 /// makes no machine look faulty, and is gone at once when its user calls it off.
 #[test]
-fn jobs_that_fail_on_every_machine_back_off_and_cost_no_machine() {
+fn jobs_that_fail_on_every_machine_back_off_and_delete_no_machine() {
     const TASKS: u32 = 12;
     const SEEDS: std::ops::RangeInclusive<u64> = 410..=421;
     // A cluster without such jobs differs from one with them in everything, by five machines a seed either way, so that a
@@ -54,7 +54,7 @@
     let (mut with, mut without) = (0, 0);
     for seed in SEEDS {
         let deleted = |broken: usize| {
-            let cluster = play(seed, Faults::default(), Size::SMALL, |cluster| {
+            let cluster = run_and_check(seed, Faults::default(), Size::SMALL, |cluster| {
                 for n in 0..broken {
                     cluster.plan(seconds(20.0 + n as f64), |cluster| {
                         let job = cluster.add_broken_job(TASKS, seconds(100.0));
@@ -93,7 +93,7 @@
 /// Guests' work fills no gap that others need: theirs starts as soon as without it, and hardly any task of the guests has
 /// to be stopped for it. It runs all the same, and its largest job begins in time.
 #[test]
-fn guests_run_and_do_not_hold_up_the_others() {
+fn guests_run_and_do_not_delay_others() {
     const TASKS: [u32; 4] = [60, 80, 100, 120];
     let mut stopped = 0;
     for seed in 420..=422 {
@@ -105,7 +105,7 @@
                     cluster.add_guests_job(tasks, 1.0);
                 });
             }
-            cluster = finish(seed, cluster);
+            cluster = run_to_end(seed, cluster);
             assert_eq!(cluster.rules.unserved(), [] as [&str; 0], "seed {seed}");
             cluster
         };
@@ -129,7 +129,7 @@
 /// Answers stay true, submissions and cancellations get through, and all questions that wait share one read, so that the
 /// state service need not refuse any.
 #[test]
-fn users_ask_many_times_as_often() {
+fn users_send_requests_many_times_as_often() {
     for seed in 430..=432 {
         let played = |asking: u32| {
             let faults = Faults {
@@ -138,7 +138,7 @@
                 cancel_at_end: 0.1,
                 ..Faults::default()
             };
-            play(seed, faults, Size::SMALL, |cluster| {
+            run_and_check(seed, faults, Size::SMALL, |cluster| {
                 cluster.plan(seconds(20.0), move |cluster| {
                     cluster.request_rate_factor = asking
                 });
@@ -166,7 +166,7 @@
 
 /// All of it at once, with controllers that end, stand still and lose the state service.
 #[test]
-fn bad_nights_meet() {
+fn incidents_coincide() {
     for seed in 440..=445 {
         let faults = Faults {
             crash: 40.0,
@@ -178,7 +178,7 @@
             lost_responses: 0.005,
             ..Faults::default()
         };
-        play(seed, faults, Size::SMALL, |cluster| {
+        run_and_check(seed, faults, Size::SMALL, |cluster| {
             cluster.plan(seconds(10.0), |cluster| {
                 cluster.set_boot_faults(Some(BootFaults {
                     failure_rate: 0.2,
@@ -200,7 +200,7 @@
 
 /// The stand-ins do what the tests above rest on.
 #[test]
-fn bad_nights_can_be_told_from_quiet_ones() {
+fn simulated_incidents_take_effect() {
     let mut cluster = SimulatedCluster::new(450, Faults::default(), FAULTS_END, Size::SMALL);
     cluster.set_boot_faults(Some(BootFaults {
         failure_rate: 1.0,
--- a/tests/simulation/main.rs
+++ b/tests/simulation/main.rs
@@ -25,7 +25,7 @@
 const END: Duration = Duration::from_secs(420);
 
 /// With LOG_LEVEL set, a failing seed tells what its controllers did and when.
-pub fn log_if_asked() {
+pub fn init_logging() {
     if let Some(level) = std::env::var("LOG_LEVEL")
         .ok()
         .and_then(|level| level.parse::<tracing::Level>().ok())
@@ -38,8 +38,8 @@
     }
 }
 
-fn cluster(seed: u64, faults: Faults) -> SimulatedCluster {
-    log_if_asked();
+fn run_cluster(seed: u64, faults: Faults) -> SimulatedCluster {
+    init_logging();
     let mut cluster = SimulatedCluster::new(seed, faults, FAULTS_END, Size::SMALL);
     cluster.run_until(END);
     cluster
@@ -47,18 +47,18 @@
 
 /// Every rule kept, and nothing that was accepted left undone once faults have ceased.
 fn check(seed: u64, faults: Faults) {
-    cluster(seed, faults).check_end(seed);
+    run_cluster(seed, faults).check_end(seed);
 }
 
 #[test]
-fn a_quiet_day() {
+fn no_faults() {
     for seed in 1..=3 {
         check(seed, Faults::default());
     }
 }
 
 #[test]
-fn lost_and_late_messages() {
+fn lost_responses_and_delayed_requests() {
     for seed in 10..=15 {
         check(
             seed,
@@ -87,7 +87,7 @@
 }
 
 #[test]
-fn machines_die_hang_and_are_taken() {
+fn machines_die_hang_and_are_reclaimed() {
     let faults = Faults {
         machine_dies: 15.0,
         machine_hangs: 12.0,
@@ -102,7 +102,7 @@
 }
 
 #[test]
-fn the_state_service_is_away() {
+fn the_state_service_is_unavailable() {
     let faults = Faults {
         outage: 40.0,
         cut_one: 30.0,
@@ -129,7 +129,7 @@
 }
 
 #[test]
-fn answers_do_not_reach_machines() {
+fn responses_do_not_reach_machines() {
     for seed in 60..=64 {
         check(
             seed,
@@ -144,7 +144,7 @@
 }
 
 #[test]
-fn a_controller_hears_its_workers_only() {
+fn a_controller_reaches_only_its_workers() {
     for seed in 70..=74 {
         check(
             seed,
@@ -160,7 +160,7 @@
 }
 
 #[test]
-fn a_controller_stands_still() {
+fn a_controller_is_paused() {
     for seed in 80..=85 {
         check(
             seed,
@@ -175,7 +175,7 @@
 }
 
 #[test]
-fn what_was_carried_out_is_repeated() {
+fn executed_requests_are_delivered_again() {
     for seed in 90..=92 {
         check(
             seed,
@@ -214,9 +214,9 @@
 
 /// What a run at size must exceed, so that it is one, and the changes a second that it may need.
 struct Bounds {
-    machines: usize,
-    started: usize,
-    changes: f64,
+    min_machines: usize,
+    min_started: usize,
+    max_changes_per_s: f64,
 }
 
 /// Plays a large cluster to its end: every rule kept, everything served, and the work for each event, plans, changes and
@@ -236,27 +236,27 @@
     );
     assert_eq!(cluster.rules.unserved(), [] as [&str; 0]);
     assert!(
-        cluster.most_machines > bounds.machines,
+        cluster.most_machines > bounds.min_machines,
         "{} machines",
         cluster.most_machines
     );
     assert!(
-        cluster.rules.started > bounds.started,
+        cluster.rules.started > bounds.min_started,
         "{} tasks started",
         cluster.rules.started
     );
-    let (looked, plans) = cluster.looked();
-    let each = looked as f64 / cluster.events_handled as f64;
+    let (examined, plans) = cluster.looked();
+    let examined_per_event = examined as f64 / cluster.events_handled as f64;
     // A write looks at its whole block, a machine that is silent is asked again and again, all else looks at its own
     // machine. A pass over a holder's machines, a third of them all, for each event would fail this.
     assert!(
-        each < 30.0,
-        "{each:.1} machines and tasks looked at for each event"
+        examined_per_event < 30.0,
+        "{examined_per_event:.1} machines and tasks looked at for each event"
     );
     assert!(plans as f64 / seconds < 25.0, "{plans} plans");
     let changes = cluster.state().changes as f64 / seconds;
     assert!(
-        changes < bounds.changes,
+        changes < bounds.max_changes_per_s,
         "{changes:.1} changes of the state service a second"
     );
     // The stand-in refuses values above the limit; so many tasks must need most of it, or they are not packed.
@@ -268,7 +268,7 @@
 /// Hundreds of machines and thousands of tasks: what an event costs follows from what it changes, and what is stored
 /// and said stays within bounds.
 #[test]
-fn at_the_grown_size() {
+fn hundreds_of_machines_and_thousands_of_tasks() {
     let faults = Faults {
         crash: 60.0,
         machine_dies: 20.0,
@@ -281,9 +281,9 @@
     };
     let end = Duration::from_secs(240);
     let bounds = Bounds {
-        machines: 200,
-        started: 3000,
-        changes: 25.0,
+        min_machines: 200,
+        min_started: 3000,
+        max_changes_per_s: 25.0,
     };
     let cluster = check_at_size(
         SimulatedCluster::new(7, faults, Duration::from_secs(90), Size::GROWN),
@@ -300,7 +300,7 @@
 /// A thousand machines and more, of which a third is lost in the same moment, again and again, while controllers end,
 /// stand still and lose the state service, and old messages come once more.
 #[test]
-fn many_machines_fail_together_at_the_size_of_a_fleet() {
+fn many_machines_fail_together_in_a_fleet_of_1000() {
     let faults = Faults {
         crash: 50.0,
         crash_all: 90.0,
@@ -314,9 +314,9 @@
     };
     let end = Duration::from_secs(300);
     let bounds = Bounds {
-        machines: 1000,
-        started: 10_000,
-        changes: 30.0,
+        min_machines: 1000,
+        min_started: 10_000,
+        max_changes_per_s: 30.0,
     };
     let cluster = check_at_size(
         SimulatedCluster::new(11, faults, Duration::from_secs(90), Size::FLEET),
@@ -343,15 +343,15 @@
     };
     let end = Duration::from_secs(270);
     let bounds = Bounds {
-        machines: 3500,
-        started: 25_000,
-        changes: 40.0,
+        min_machines: 3500,
+        min_started: 25_000,
+        max_changes_per_s: 40.0,
     };
     let mut cluster = SimulatedCluster::new(13, faults, Duration::from_secs(60), Size::LARGEST);
     cluster.extra_task_time = Duration::from_secs(25);
-    for (controller, away) in [(0, 10.0), (1, 10.0)] {
+    for (controller, downtime_s) in [(0, 10.0), (1, 10.0)] {
         cluster.plan(Duration::from_secs(50), move |cluster| {
-            cluster.end_controller(controller, Duration::from_secs_f64(away));
+            cluster.end_controller(controller, Duration::from_secs_f64(downtime_s));
         });
     }
     let cluster = check_at_size(cluster, end, bounds);
@@ -361,39 +361,42 @@
 }
 
 #[test]
-fn everything_at_once() {
+fn all_faults_at_once() {
     // The last ones once failed.
     for seed in (100..=112).chain([1105, 1136, 52099, 53020]) {
         check(seed, Faults::all());
     }
 }
 
-/// `SEED=n LOG_LEVEL=debug cargo test --test simulation -- --ignored by_hand` replays one run; with `COUNT=m` it
+/// `SEED=n LOG_LEVEL=debug cargo test --test simulation -- --ignored replay_by_hand` replays one run; with `COUNT=m` it
 /// searches the seeds from there on; with `ROLLOUT=1` an upgrade rolls through, the limits fall, and there are gangs;
 /// with `DRAINS=1` zones are drained.
 #[test]
 #[ignore = "for replaying and searching seeds by hand"]
-fn by_hand() {
-    let number = |name| {
+fn replay_by_hand() {
+    let env_number = |name| {
         std::env::var(name)
             .ok()
             .and_then(|text| text.parse::<u64>().ok())
     };
-    let first = number("SEED").expect("SEED is a number");
-    let check = match (number("ROLLOUT"), number("DRAINS")) {
-        (Some(_), _) => rollout::check_at_random,
-        (None, Some(_)) => drains::check_at_random,
+    let first = env_number("SEED").expect("SEED is a number");
+    let check_seed = match (env_number("ROLLOUT"), env_number("DRAINS")) {
+        (Some(_), _) => rollout::check_random_rollout,
+        (None, Some(_)) => drains::check_random_drains,
         (None, None) => |seed| check(seed, Faults::all()),
     };
-    let failed: Vec<u64> = (first..first + number("COUNT").unwrap_or(1))
-        .filter(|seed| std::panic::catch_unwind(|| check(*seed)).is_err())
+    let failing_seeds: Vec<u64> = (first..first + env_number("COUNT").unwrap_or(1))
+        .filter(|seed| std::panic::catch_unwind(|| check_seed(*seed)).is_err())
         .collect();
-    assert!(failed.is_empty(), "seeds that fail: {failed:?}");
+    assert!(
+        failing_seeds.is_empty(),
+        "seeds that fail: {failing_seeds:?}"
+    );
 }
 
 #[test]
-fn the_checks_can_fail() {
-    let cluster = cluster(
+fn duplicate_launches_are_detected() {
+    let cluster = run_cluster(
         1,
         Faults {
             duplicate_launches: true,
--- a/tests/simulation/measure.rs
+++ b/tests/simulation/measure.rs
@@ -82,7 +82,7 @@
 }
 
 fn cluster(faults: Faults) -> SimulatedCluster {
-    super::log_if_asked();
+    super::init_logging();
     let mut cluster = SimulatedCluster::new(17, faults, END, SIZE);
     cluster.preemption = false;
     cluster.unbind_jobs();
--- a/tests/simulation/rollout.rs
+++ b/tests/simulation/rollout.rs
@@ -29,7 +29,7 @@
 }
 
 fn cluster(seed: u64, faults: Faults, size: Size, rollout: &Rollout) -> SimulatedCluster {
-    super::log_if_asked();
+    super::init_logging();
     let mut cluster = SimulatedCluster::upgrading(seed, faults, FAULTS_END, size, NEXT);
     for (controller, at) in rollout.order.into_iter().zip(rollout.at_s) {
         let away = rollout.away;
@@ -62,7 +62,7 @@
 }
 
 /// An upgrade at times that follow from the seed, under all troubles.
-pub fn check_at_random(seed: u64) {
+pub fn check_random_rollout(seed: u64) {
     let first = 25 + seed % 20;
     let apart = 1 + seed % 15;
     let rollout = Rollout {
@@ -76,16 +76,16 @@
 }
 
 #[test]
-fn an_upgrade_rolls_through_under_all_troubles() {
+fn an_upgrade_rolls_out_under_all_faults() {
     for seed in 740..=745 {
-        check_at_random(seed);
+        check_random_rollout(seed);
     }
 }
 
 const ORDERS: [[usize; CONTROLLERS]; 3] = [[0, 1, 2], [2, 0, 1], [1, 2, 0]];
 
 #[test]
-fn an_upgrade_rolls_through_on_a_quiet_day() {
+fn an_upgrade_rolls_out_without_faults() {
     for (seed, order) in (700..).zip(ORDERS) {
         let rollout = Rollout {
             order,
@@ -98,7 +98,7 @@
 }
 
 #[test]
-fn an_upgrade_rolls_through_while_controllers_crash() {
+fn an_upgrade_rolls_out_while_controllers_crash() {
     let faults = Faults {
         crash: 15.0,
         delayed_requests: 0.02,
@@ -121,7 +121,7 @@
 }
 
 #[test]
-fn the_format_stays_off_while_one_controller_is_still_production() {
+fn the_format_stays_off_while_one_controller_runs_the_production_version() {
     let rollout = Rollout {
         order: ORDERS[0],
         at_s: [30, 40, 400],
@@ -143,7 +143,7 @@
 
 /// Large values are divided before and after the limits fall, also in an outage and while blocks change hands.
 #[test]
-fn a_large_fleet_goes_on_under_smaller_limits() {
+fn a_large_fleet_keeps_working_under_lower_limits() {
     for (seed, fall_at_s) in [(730, 64), (731, 66), (732, 90)] {
         let rollout = Rollout {
             order: ORDERS[seed as usize % 3],
--- a/tests/simulation/rules_checked.rs
+++ b/tests/simulation/rules_tests.rs
@@ -171,7 +171,7 @@
 }
 
 #[test]
-fn jobs_that_nothing_was_done_of_are_unserved() {
+fn jobs_without_a_completed_task_are_unserved() {
     let unserved = |began: u64, done: bool| {
         let mut rules = rules(job(1, 1.0));
         rules.status_reported(at(1), JobId(1), Some("queued"));
@@ -204,7 +204,7 @@
 }
 
 #[test]
-fn a_state_that_was_not_asked_for_or_was_final_breaks_went_back() {
+fn an_unrequested_cancellation_or_a_change_of_a_final_state_breaks_went_back() {
     expect(
         "went_back",
         broken_once_accepted(&|rules| rules.status_reported(at(2), JobId(1), Some("cancelled"))),
@@ -217,7 +217,7 @@
 }
 
 #[test]
-fn a_job_that_waits_beside_room_for_90_s_breaks_idle() {
+fn a_job_that_waits_despite_capacity_for_90_s_breaks_idle() {
     let beside = |from: u64, to: u64| {
         broken_once_accepted(&move |rules| {
             (from..=to).for_each(|second| {
