--- a/tests/simulation/digest.rs
+++ b/tests/simulation/digest.rs
@@ -19,7 +19,7 @@
 use super::cluster::{Faults, SimulatedCluster, Size, array};
 use super::gangs::submit_gangs;
 use super::machine::LONG_RUNNING_CLASS;
-use super::rollout::NEXT;
+use super::rollout::LOWERED_LIMITS;
 
 /// A 64-bit FNV-1a hash of all effects that controllers returned, in order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -209,7 +209,7 @@
 fn upgraded() -> SimulatedCluster {
     super::init_logging();
     let mut cluster =
-        SimulatedCluster::upgrading(903, Faults::all(), FAULTS_END, Size::SMALL, NEXT);
+        SimulatedCluster::upgrading(903, Faults::all(), FAULTS_END, Size::SMALL, LOWERED_LIMITS);
     for (controller, at) in [(1, 20), (2, 24), (0, 28)] {
         cluster.plan(Duration::from_secs(at), move |cluster| {
             cluster.upgrade(controller, Duration::from_millis(900));
@@ -252,7 +252,7 @@
     cluster.watch_drains(drain_at);
     for (id, zone) in [("first", "a"), ("second", "b")] {
         cluster.plan(drain_at, move |cluster| {
-            cluster.drain(id, Scope::Zone(zone.into()));
+            cluster.request_drain(id, Scope::Zone(zone.into()));
         });
     }
     cluster.plan(Duration::from_secs(70), |cluster| {
--- a/tests/simulation/drains.rs
+++ b/tests/simulation/drains.rs
@@ -15,7 +15,7 @@
 use super::cluster::{FAULTS_END, Faults, SimulatedCluster, Size, array};
 use super::gangs::gang;
 use super::machine::LONG_RUNNING_CLASS;
-use super::operators::{Check, start};
+use super::operators::{DisruptionCheck, start_request};
 
 const DRAIN_AT: Duration = Duration::from_secs(60);
 const END: Duration = Duration::from_secs(420);
@@ -25,7 +25,7 @@
 }
 
 /// Draining is on, and each team may have so many tasks disrupted.
-fn cluster(seed: u64, faults: Faults, budget: u32) -> SimulatedCluster {
+fn drain_cluster(seed: u64, faults: Faults, budget: u32) -> SimulatedCluster {
     super::init_logging();
     let mut cluster = SimulatedCluster::new(seed, faults, FAULTS_END, Size::SMALL);
     cluster.preemption = false;
@@ -44,11 +44,11 @@
             .allowed
             .insert(team.into(), u64::from(budget));
     }
-    let quiet = faults.crash == 0.0 && faults.machine_dies == 0.0;
-    cluster.operators.check = if quiet {
-        Check::Always
+    let no_losses = faults.crash == 0.0 && faults.machine_dies == 0.0;
+    cluster.operators.disruption_check = if no_losses {
+        DisruptionCheck::Always
     } else {
-        Check::Evictions
+        DisruptionCheck::Evictions
     };
     cluster.watch_drains(DRAIN_AT);
     cluster
@@ -84,67 +84,72 @@
 
 fn drain_at(cluster: &mut SimulatedCluster, at: Duration, id: &'static str, scope: Scope) {
     cluster.plan(at, move |cluster| {
-        cluster.drain(id, scope);
+        cluster.request_drain(id, scope);
     });
 }
 
 /// Drains the zone that has the most to lose. It has no tasks when its drain is done.
-fn drain_busiest(cluster: &mut SimulatedCluster, at: Duration, id: &'static str) {
+fn drain_busiest_zone(cluster: &mut SimulatedCluster, at: Duration, id: &'static str) {
     cluster.plan(at, move |cluster| {
         let busiest = busiest_zone(cluster);
-        cluster.drain(id, zone(busiest));
+        cluster.request_drain(id, zone(busiest));
         cluster.plan(END - seconds(45), move |cluster| {
-            assert_eq!(tasks_in(cluster, busiest), 0, "{:?}", cluster.seen(id));
+            assert_eq!(
+                tasks_in(cluster, busiest),
+                0,
+                "{:?}",
+                cluster.last_status(id)
+            );
         });
     });
 }
 
 /// Runs to the end: every rule kept, all work served, and the drain done.
-fn check_done(mut cluster: SimulatedCluster, seed: u64, ids: &[&str]) -> SimulatedCluster {
+fn run_until_done(mut cluster: SimulatedCluster, seed: u64, ids: &[&str]) -> SimulatedCluster {
     cluster.run_until(END);
     cluster.check_end(seed);
     for id in ids {
-        let seen = cluster
-            .seen(id)
+        let status = cluster
+            .last_status(id)
             .unwrap_or_else(|| panic!("seed {seed}: {id} was never seen"));
-        assert_eq!(seen.state, StateName::Done, "seed {seed}: {seen:?}");
+        assert_eq!(status.state, StateName::Done, "seed {seed}: {status:?}");
     }
     cluster
 }
 
 fn tasks_in(cluster: &SimulatedCluster, zone: &str) -> usize {
-    let here = cluster.machines.values().filter(|m| *m.zone.0 == *zone);
-    let tasks = here.flat_map(|machine| machine.tasks.values());
+    let machines = cluster.machines.values().filter(|m| *m.zone.0 == *zone);
+    let tasks = machines.flat_map(|machine| machine.tasks.values());
     tasks.filter(|task| task.state != TaskState::Exited).count()
 }
 
 /// The zone with the most tasks of services.
 fn busiest_zone(cluster: &SimulatedCluster) -> &'static str {
-    let services = |zone: &&str| {
-        let here = cluster.machines.values().filter(|m| *m.zone.0 == **zone);
-        let tasks = here.flat_map(|machine| machine.tasks.keys());
+    let service_tasks = |zone: &&str| {
+        let machines = cluster.machines.values().filter(|m| *m.zone.0 == **zone);
+        let tasks = machines.flat_map(|machine| machine.tasks.keys());
         let of_service = |task: &&TaskId| cluster.job(task.job).kind == JobKind::Service;
         tasks.filter(of_service).count()
     };
     ["a", "b", "c"]
         .into_iter()
-        .max_by_key(services)
+        .max_by_key(service_tasks)
         .expect("three zones")
 }
 
 #[test]
 fn a_zone_is_emptied_and_no_team_loses_more_than_its_budget() {
     for (seed, budget) in [(800, 1), (801, 2), (802, 1)] {
-        let mut cluster = cluster(seed, Faults::default(), budget);
+        let mut cluster = drain_cluster(seed, Faults::default(), budget);
         add_services(&mut cluster, 8);
-        drain_busiest(&mut cluster, DRAIN_AT, "disk");
-        let cluster = check_done(cluster, seed, &["disk"]);
+        drain_busiest_zone(&mut cluster, DRAIN_AT, "disk");
+        let cluster = run_until_done(cluster, seed, &["disk"]);
         let evictions = cluster.operators.evictions.len();
         assert!(
             evictions > 2,
             "seed {seed}: {evictions} evictions show nothing"
         );
-        let down = cluster.operators.most_down.values().max();
+        let down = cluster.operators.max_tasks_down.values().max();
         assert!(down > Some(&0), "seed {seed}: nothing was seen down");
     }
 }
@@ -152,10 +157,10 @@
 /// Machines of the zone, those that come late included, are returned, and none is rented there.
 #[test]
 fn rented_machines_are_returned_when_asked() {
-    let mut cluster = cluster(805, Faults::default(), 2);
+    let mut cluster = drain_cluster(805, Faults::default(), 2);
     add_services(&mut cluster, 6);
     cluster.plan(DRAIN_AT, |cluster| {
-        cluster.operate(Request::Start {
+        cluster.send_operator_request(Request::Start {
             id: "close".parse().expect("an id"),
             scope: zone("b"),
             purpose: Purpose::Drain,
@@ -163,7 +168,7 @@
             step: Some(Limit::Count(2)),
         });
     });
-    let cluster = check_done(cluster, 805, &["close"]);
+    let cluster = run_until_done(cluster, 805, &["close"]);
     let left = cluster
         .machines
         .values()
@@ -177,7 +182,7 @@
 #[test]
 fn a_drain_waits_for_a_team_whose_budget_is_exhausted() {
     for (seed, limit) in [(810, "0"), (811, "1%")] {
-        let mut cluster = cluster(seed, Faults::default(), 1);
+        let mut cluster = drain_cluster(seed, Faults::default(), 1);
         let red = TeamSettings {
             budget: Some(limit.parse().expect("a limit")),
             ..TeamSettings::default()
@@ -185,30 +190,30 @@
         cluster.features.drain.teams.insert("red".to_owned(), red);
         cluster.operators.allowed.insert("red".into(), 0);
         add_services(&mut cluster, 8);
-        drain_busiest(&mut cluster, DRAIN_AT, "disk");
+        drain_busiest_zone(&mut cluster, DRAIN_AT, "disk");
         cluster.run_until(seconds(200));
         assert!(
             cluster.rules.violations.is_empty(),
             "{:?}",
             cluster.rules.violations
         );
-        let seen = cluster.seen("disk").expect("seen").clone();
-        assert_eq!(seen.state, StateName::WaitingForBudget, "{seen:?}");
-        assert_eq!(seen.waiting_for.as_deref(), Some("red"));
+        let status = cluster.last_status("disk").expect("seen").clone();
+        assert_eq!(status.state, StateName::WaitingForBudget, "{status:?}");
+        assert_eq!(status.waiting_for.as_deref(), Some("red"));
         cluster.operators.allowed.insert("red".into(), 1);
-        cluster.operate(Request::SetBudget {
+        cluster.send_operator_request(Request::SetBudget {
             team: "red".into(),
             class: None,
             limit: Limit::Count(1),
         });
-        check_done(cluster, seed, &["disk"]);
+        run_until_done(cluster, seed, &["disk"]);
     }
 }
 
 /// A gang is moved whole: not while it is larger than the budget.
 #[test]
 fn a_gang_is_moved_whole_or_not_at_all() {
-    let mut cluster = cluster(815, Faults::default(), 3);
+    let mut cluster = drain_cluster(815, Faults::default(), 3);
     cluster.extra_task_time = seconds(400);
     cluster.plan(seconds(45), |cluster| {
         cluster.extra_task_time = Duration::ZERO
@@ -236,15 +241,15 @@
         "{:?}",
         cluster.rules.violations
     );
-    let waits = ["first", "second"]
+    let waiting = ["first", "second"]
         .iter()
-        .filter_map(|id| cluster.seen(id))
-        .any(|seen| seen.waiting_for.as_deref() == Some("red"));
+        .filter_map(|id| cluster.last_status(id))
+        .any(|status| status.waiting_for.as_deref() == Some("red"));
     assert!(
-        waits,
+        waiting,
         "{:?} {:?}",
-        cluster.seen("first"),
-        cluster.seen("second")
+        cluster.last_status("first"),
+        cluster.last_status("second")
     );
     let moved = |cluster: &SimulatedCluster| {
         let mut evictions = cluster.operators.evictions.iter();
@@ -252,7 +257,7 @@
     };
     assert!(!moved(&cluster));
     cluster.operators.allowed.insert("red".into(), 4);
-    cluster.operate(Request::SetBudget {
+    cluster.send_operator_request(Request::SetBudget {
         team: "red".into(),
         class: None,
         limit: Limit::Count(4),
@@ -263,18 +268,18 @@
         "{:?}",
         cluster.rules.violations
     );
-    assert!(moved(&cluster), "{:?}", cluster.seen("first"));
+    assert!(moved(&cluster), "{:?}", cluster.last_status("first"));
 }
 
 /// Two drains share the budgets, and each takes machines that the other's replacements could have gone to.
 #[test]
 fn two_drains_at_once_share_the_budgets() {
     for seed in [820, 821] {
-        let mut cluster = cluster(seed, Faults::default(), 1);
+        let mut cluster = drain_cluster(seed, Faults::default(), 1);
         add_services(&mut cluster, 8);
         drain_at(&mut cluster, DRAIN_AT, "first", zone("a"));
         drain_at(&mut cluster, DRAIN_AT + seconds(5), "second", zone("b"));
-        let cluster = check_done(cluster, seed, &["first", "second"]);
+        let cluster = run_until_done(cluster, seed, &["first", "second"]);
         assert_eq!(tasks_in(&cluster, "a") + tasks_in(&cluster, "b"), 0);
     }
 }
@@ -282,7 +287,7 @@
 /// With no zone left to go to, a drain waits and says so; calling one off lets the others go on.
 #[test]
 fn a_drain_of_all_zones_waits_and_reports_the_reason() {
-    let mut cluster = cluster(825, Faults::default(), 2);
+    let mut cluster = drain_cluster(825, Faults::default(), 2);
     add_services(&mut cluster, 4);
     for (id, name) in [("a", "a"), ("b", "b"), ("c", "c")] {
         drain_at(&mut cluster, DRAIN_AT, id, zone(name));
@@ -295,7 +300,7 @@
     );
     let reasons: Vec<String> = ["a", "b", "c"]
         .iter()
-        .filter_map(|id| cluster.seen(id)?.reason.clone())
+        .filter_map(|id| cluster.last_status(id)?.reason.clone())
         .collect();
     assert!(
         reasons
@@ -303,72 +308,78 @@
             .any(|reason| reason.contains("are being drained")),
         "{reasons:?}"
     );
-    let cancel = cluster.operate(Request::Cancel {
+    let cancel = cluster.send_operator_request(Request::Cancel {
         id: "c".parse().expect("an id"),
     });
-    let cluster = check_done(cluster, 825, &["a", "b"]);
-    assert!(matches!(cluster.answer(cancel), Some(Reply::Drains(_))));
-    assert_eq!(cluster.seen("c").expect("seen").state, StateName::Cancelled);
+    let cluster = run_until_done(cluster, 825, &["a", "b"]);
+    assert!(matches!(
+        cluster.operator_reply(cancel),
+        Some(Reply::Drains(_))
+    ));
+    assert_eq!(
+        cluster.last_status("c").expect("seen").state,
+        StateName::Cancelled
+    );
 }
 
 /// No machine comes up for a while: the drain halts with the reason, and goes on by itself once there is room.
 #[test]
 fn a_drain_whose_replacements_never_become_ready_is_halted() {
     use super::cluster::BootFaults;
-    let mut cluster = cluster(830, Faults::default(), 4);
+    let mut cluster = drain_cluster(830, Faults::default(), 4);
     cluster.features.drain.room_timeout_s = 30.0.try_into().expect("in range");
     cluster.plan(seconds(2), |cluster| {
         for team in ["red", "blue"] {
             cluster.add_job(service(team, 3, 16.0), Some(seconds(380)));
         }
     });
-    let lost = BootFaults {
+    let no_boots = BootFaults {
         failure_rate: 1.0,
         slowdown: 1.0,
     };
     cluster.plan(DRAIN_AT - seconds(2), move |cluster| {
-        cluster.set_boot_faults(Some(lost))
+        cluster.set_boot_faults(Some(no_boots))
     });
     cluster.plan(seconds(200), |cluster| cluster.set_boot_faults(None));
     drain_at(&mut cluster, DRAIN_AT, "first", zone("a"));
     drain_at(&mut cluster, DRAIN_AT, "second", zone("b"));
-    let cluster = check_done(cluster, 830, &["first", "second"]);
+    let cluster = run_until_done(cluster, 830, &["first", "second"]);
     let halted = ["first", "second"]
         .iter()
-        .flat_map(|id| &cluster.operators.seen[*id])
-        .any(|seen| seen.state == StateName::Halted && seen.reason.is_some());
+        .flat_map(|id| &cluster.operators.statuses[*id])
+        .any(|status| status.state == StateName::Halted && status.reason.is_some());
     assert!(halted, "never halted");
 }
 
 /// Repeated requests act once; a drain that is called off puts its machines back.
 #[test]
 fn repeated_and_cancelled_requests_take_effect_once() {
-    let mut cluster = cluster(835, Faults::default(), 1);
+    let mut cluster = drain_cluster(835, Faults::default(), 1);
     add_services(&mut cluster, 6);
-    let ask = || start("disk", zone("a"), Purpose::Drain, None);
-    for at in [60, 61, 62, 100, 330] {
-        cluster.plan(seconds(at), move |cluster| {
-            cluster.operate(ask());
+    let request = || start_request("disk", zone("a"), Purpose::Drain, None);
+    for at_s in [60, 61, 62, 100, 330] {
+        cluster.plan(seconds(at_s), move |cluster| {
+            cluster.send_operator_request(request());
         });
     }
     // The same under another name, while the first is under way.
     cluster.plan(seconds(63), |cluster| {
-        cluster.drain("other", zone("a"));
+        cluster.request_drain("other", zone("a"));
     });
     cluster.plan(seconds(64), |cluster| {
-        cluster.operate(Request::Cancel {
+        cluster.send_operator_request(Request::Cancel {
             id: "disk".parse().expect("an id"),
         });
     });
     cluster.run_until(END);
     cluster.check_end(835);
     assert!(
-        cluster.seen("other").is_none(),
+        cluster.last_status("other").is_none(),
         "{:?}",
-        cluster.seen("other")
+        cluster.last_status("other")
     );
     assert_eq!(
-        cluster.seen("disk").expect("seen").state,
+        cluster.last_status("disk").expect("seen").state,
         StateName::Cancelled
     );
     let cache = cluster.any_cache().expect("a controller is up");
@@ -377,19 +388,19 @@
 }
 
 /// What happens as the first eviction is recorded.
-fn with_trouble(
+fn run_with_fault_at_eviction(
     seed: u64,
-    act: impl Fn(&mut SimulatedCluster, &dappleshore_drain::Eviction) + Clone + 'static,
+    action: impl Fn(&mut SimulatedCluster, &dappleshore_drain::Eviction) + Clone + 'static,
 ) -> SimulatedCluster {
-    let mut cluster = cluster(seed, Faults::default(), 1);
-    cluster.operators.check = Check::Evictions;
+    let mut cluster = drain_cluster(seed, Faults::default(), 1);
+    cluster.operators.disruption_check = DisruptionCheck::Evictions;
     add_services(&mut cluster, 8);
     for _ in 0..3 {
-        let act = act.clone();
-        cluster.operators.on_eviction.push(Box::new(act));
+        let action = action.clone();
+        cluster.operators.on_eviction.push(Box::new(action));
     }
-    drain_busiest(&mut cluster, DRAIN_AT, "disk");
-    let cluster = check_done(cluster, seed, &["disk"]);
+    drain_busiest_zone(&mut cluster, DRAIN_AT, "disk");
+    let cluster = run_until_done(cluster, seed, &["disk"]);
     let evictions = cluster.operators.evictions.len();
     assert!(
         evictions > 2,
@@ -400,7 +411,7 @@
 
 #[test]
 fn the_leader_ends_between_an_eviction_record_and_its_stop_command() {
-    with_trouble(840, |cluster, _| {
+    run_with_fault_at_eviction(840, |cluster, _| {
         let leader = cluster.leader().expect("led by now");
         cluster.end_controller(leader, seconds(5));
     });
@@ -408,9 +419,9 @@
 
 #[test]
 fn the_leader_ends_between_a_stop_command_and_its_confirmation() {
-    for (seed, after) in [(841, 30), (842, 200), (843, 1000)] {
-        with_trouble(seed, move |cluster, _| {
-            let at = cluster.now + Duration::from_millis(after);
+    for (seed, after_ms) in [(841, 30), (842, 200), (843, 1000)] {
+        run_with_fault_at_eviction(seed, move |cluster, _| {
+            let at = cluster.now + Duration::from_millis(after_ms);
             cluster.plan(at, |cluster| {
                 if let Some(leader) = cluster.leader() {
                     cluster.end_controller(leader, Duration::from_millis(100));
@@ -422,7 +433,7 @@
 
 #[test]
 fn the_leader_is_paused_when_an_eviction_is_recorded() {
-    with_trouble(844, |cluster, _| {
+    run_with_fault_at_eviction(844, |cluster, _| {
         let leader = cluster.leader().expect("led by now");
         cluster.pause(leader, seconds(20));
     });
@@ -430,12 +441,12 @@
 
 #[test]
 fn the_state_service_fails_when_an_eviction_is_recorded() {
-    with_trouble(845, |cluster, _| cluster.state_outage(seconds(15)));
+    run_with_fault_at_eviction(845, |cluster, _| cluster.state_outage(seconds(15)));
 }
 
 #[test]
 fn the_zone_is_cut_off_while_it_is_drained() {
-    with_trouble(846, |cluster, _| {
+    run_with_fault_at_eviction(846, |cluster, _| {
         let busiest = busiest_zone(cluster);
         cluster.cut_zone(busiest, seconds(25));
     });
@@ -443,31 +454,31 @@
 
 #[test]
 fn the_drained_machine_fails() {
-    with_trouble(850, |cluster, eviction| {
+    run_with_fault_at_eviction(850, |cluster, eviction| {
         cluster.hang(&eviction.machine.0, seconds(30))
     });
-    with_trouble(851, |cluster, eviction| cluster.kill(&eviction.machine.0));
-    with_trouble(852, |cluster, eviction| {
+    run_with_fault_at_eviction(851, |cluster, eviction| cluster.kill(&eviction.machine.0));
+    run_with_fault_at_eviction(852, |cluster, eviction| {
         cluster.block_responses(&eviction.machine.0, seconds(30))
     });
-    with_trouble(853, |cluster, eviction| {
+    run_with_fault_at_eviction(853, |cluster, eviction| {
         cluster.block_heartbeats(&eviction.machine.0, seconds(30))
     });
 }
 
 #[test]
 fn the_drained_machine_is_reclaimed_or_restarts() {
-    with_trouble(856, |cluster, eviction| {
+    run_with_fault_at_eviction(856, |cluster, eviction| {
         cluster.recall(&eviction.machine.0, seconds(2));
     });
-    with_trouble(857, |cluster, eviction| {
+    run_with_fault_at_eviction(857, |cluster, eviction| {
         cluster.restart_machine(&eviction.machine.0);
     });
 }
 
 #[test]
 fn the_state_service_refuses_only_the_leader() {
-    with_trouble(847, |cluster, _| {
+    run_with_fault_at_eviction(847, |cluster, _| {
         let leader = cluster.leader().expect("led by now");
         cluster.cut_state(leader, seconds(14));
     });
@@ -476,7 +487,7 @@
 /// The holder of the machine that is emptied loses the state service and the other controllers, not its workers.
 #[test]
 fn the_holder_is_cut_off_and_its_block_taken_over() {
-    with_trouble(848, |cluster, eviction| {
+    run_with_fault_at_eviction(848, |cluster, eviction| {
         let cache = cluster.any_cache().expect("a controller is up");
         let block = &cache.machines[&eviction.machine].block;
         let holder = cache.block_leases[block].value.holder.clone();
@@ -491,24 +502,24 @@
 
 #[test]
 fn commands_and_responses_are_slow() {
-    let mut cluster = cluster(858, Faults::default(), 1);
+    let mut cluster = drain_cluster(858, Faults::default(), 1);
     add_services(&mut cluster, 8);
     cluster.plan(DRAIN_AT - seconds(1), |cluster| {
         cluster.latency = Duration::from_millis(700);
     });
-    drain_busiest(&mut cluster, DRAIN_AT, "disk");
-    check_done(cluster, 858, &["disk"]);
+    drain_busiest_zone(&mut cluster, DRAIN_AT, "disk");
+    run_until_done(cluster, 858, &["disk"]);
 }
 
 /// From the moment that it is lowered nothing more is evicted; what was goes on.
 #[test]
 fn a_budget_is_lowered_while_it_is_used() {
-    let mut cluster = cluster(859, Faults::default(), 2);
+    let mut cluster = drain_cluster(859, Faults::default(), 2);
     add_services(&mut cluster, 10);
-    drain_busiest(&mut cluster, DRAIN_AT, "disk");
+    drain_busiest_zone(&mut cluster, DRAIN_AT, "disk");
     cluster.operators.on_eviction.push(Box::new(|cluster, _| {
         for team in ["red", "blue"] {
-            cluster.operate(Request::SetBudget {
+            cluster.send_operator_request(Request::SetBudget {
                 team: team.into(),
                 class: None,
                 limit: Limit::Count(0),
@@ -516,30 +527,30 @@
         }
     }));
     cluster.run_until(DRAIN_AT + seconds(20));
-    let early = cluster.operators.evictions.len();
-    assert!(early > 0, "nothing was evicted");
+    let evictions_before = cluster.operators.evictions.len();
+    assert!(evictions_before > 0, "nothing was evicted");
     cluster.run_until(DRAIN_AT + seconds(60));
     assert!(
         cluster.rules.violations.is_empty(),
         "{:?}",
         cluster.rules.violations
     );
-    assert_eq!(cluster.operators.evictions.len(), early);
-    let seen = cluster.seen("disk").expect("seen").clone();
-    assert_eq!(seen.state, StateName::WaitingForBudget, "{seen:?}");
+    assert_eq!(cluster.operators.evictions.len(), evictions_before);
+    let status = cluster.last_status("disk").expect("seen").clone();
+    assert_eq!(status.state, StateName::WaitingForBudget, "{status:?}");
     for team in ["red", "blue"] {
-        cluster.operate(Request::ClearBudget {
+        cluster.send_operator_request(Request::ClearBudget {
             team: team.into(),
             class: None,
         });
     }
-    check_done(cluster, 859, &["disk"]);
+    run_until_done(cluster, 859, &["disk"]);
 }
 
 /// Other machines die with tasks of the team as its budget is spent: nothing more is evicted until they run again.
 #[test]
 fn lost_tasks_count_against_the_budget() {
-    with_trouble(855, |cluster, eviction| {
+    run_with_fault_at_eviction(855, |cluster, eviction| {
         let job = eviction.target.job();
         let machines = cluster.rules.machines_of(job);
         let other = machines
@@ -562,7 +573,7 @@
 
 /// Drains of a zone and of what another zone has, at times that follow from the seed, under all troubles.
 pub fn check_random_drains(seed: u64) {
-    let mut cluster = cluster(seed, Faults::all(), 1 + (seed % 3) as u32);
+    let mut cluster = drain_cluster(seed, Faults::all(), 1 + (seed % 3) as u32);
     add_services(&mut cluster, 6);
     let zones = ["a", "b", "c"];
     let first = zones[seed as usize % 3];
@@ -575,32 +586,32 @@
         zone(second),
     );
     cluster.plan(seconds(100 + seed % 40), |cluster| {
-        cluster.operate(Request::Cancel {
+        cluster.send_operator_request(Request::Cancel {
             id: "second".parse().expect("an id"),
         });
     });
     cluster.run_until(END);
     cluster.check_end(seed);
-    let seen = cluster.seen("first").expect("seen");
-    let ended = matches!(seen.state, StateName::Done);
-    assert!(ended, "seed {seed}: {seen:?}");
+    let status = cluster.last_status("first").expect("seen");
+    let ended = matches!(status.state, StateName::Done);
+    assert!(ended, "seed {seed}: {status:?}");
     assert_eq!(tasks_in(&cluster, first), 0, "seed {seed}");
 }
 
 /// A check that can't fail shows nothing: with the budget taken for larger than it is, the clusters notice.
 #[test]
 fn budget_violations_are_detected() {
-    let mut cluster = cluster(800, Faults::default(), 3);
+    let mut cluster = drain_cluster(800, Faults::default(), 3);
     for allowed in cluster.operators.allowed.values_mut() {
         *allowed = 0;
     }
     add_services(&mut cluster, 8);
     drain_at(&mut cluster, DRAIN_AT, "disk", zone("a"));
     cluster.run_until(END);
-    let noticed = cluster
+    let detected = cluster
         .rules
         .violations
         .iter()
         .any(|text| text.contains("budget"));
-    assert!(noticed, "{:?}", cluster.rules.violations);
+    assert!(detected, "{:?}", cluster.rules.violations);
 }
--- a/tests/simulation/gangs.rs
+++ b/tests/simulation/gangs.rs
@@ -11,25 +11,25 @@
 use super::machine::{Machine, MachineEvent};
 
 /// Tasks of a running gang notice within this time that one is gone.
-const GANG_PEER: Duration = Duration::from_secs(5);
+const MEMBER_LOSS_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// One start of a gang.
-type Start = (JobId, u64);
+type GangStart = (JobId, u64);
 
 /// The gangs that have started and are not over, and those that have run.
 #[derive(Default)]
 pub struct Gangs {
-    running: BTreeMap<Start, Running>,
+    running: BTreeMap<GangStart, RunningGang>,
     /// Gangs that have completed.
     pub completed: BTreeSet<JobId>,
     /// Starts in which all tasks ran together.
     pub started: usize,
 }
 
-struct Running {
-    left: Duration,
+struct RunningGang {
+    remaining: Duration,
     /// Since when one of its tasks is gone.
-    broken: Option<Duration>,
+    member_lost_at: Option<Duration>,
 }
 
 /// A task of a gang on a machine.
@@ -39,27 +39,27 @@
     task: TaskId,
     state: TaskState,
     /// Its machine hangs.
-    stuck: bool,
+    hung: bool,
 }
 
 impl Gangs {
-    /// Time passes. Returns what happened on which machines.
+    /// Time passes. Returns what events on which machines.
     pub fn step(
         &mut self,
         now: Duration,
-        passed: Duration,
+        elapsed: Duration,
         machines: &mut BTreeMap<String, Machine>,
         jobs: &BTreeMap<JobId, Job>,
         run_for: impl Fn(TaskId) -> Duration,
     ) -> Vec<(String, MachineEvent)> {
-        let mut happened = Vec::new();
+        let mut events = Vec::new();
         let members = members(now, machines, jobs);
         for (start, members) in &members {
             let size = jobs[&start.0].tasks as usize;
             if self.running.contains_key(start) {
                 continue;
             }
-            let ready = |member: &&Member| member.state == TaskState::Waiting && !member.stuck;
+            let ready = |member: &&Member| member.state == TaskState::Waiting && !member.hung;
             if members.iter().filter(ready).count() == size {
                 let first = TaskId {
                     job: start.0,
@@ -67,43 +67,43 @@
                 };
                 self.running.insert(
                     *start,
-                    Running {
-                        left: run_for(first),
-                        broken: None,
+                    RunningGang {
+                        remaining: run_for(first),
+                        member_lost_at: None,
                     },
                 );
                 self.started += 1;
                 members
                     .iter()
-                    .for_each(|member| set(machines, member, TaskState::Running, None));
+                    .for_each(|member| set_state(machines, member, TaskState::Running, None));
             } else {
-                happened.extend(give_up(passed, members, machines));
+                events.extend(expire_waiting(elapsed, members, machines));
             }
         }
         for (start, running) in &mut self.running {
             let size = jobs[&start.0].tasks as usize;
             let members = members.get(start).cloned().unwrap_or_default();
-            let whole = members.len() == size && members.iter().all(|member| !member.stuck);
-            if !whole || running.broken.is_some() {
-                let since = *running.broken.get_or_insert(now);
-                if now >= since + GANG_PEER {
-                    for member in members.iter().filter(|member| !member.stuck) {
-                        happened.push(exit(machines, member, ExitCause::GangMemberLost));
+            let complete = members.len() == size && members.iter().all(|member| !member.hung);
+            if !complete || running.member_lost_at.is_some() {
+                let lost_at = *running.member_lost_at.get_or_insert(now);
+                if now >= lost_at + MEMBER_LOSS_TIMEOUT {
+                    for member in members.iter().filter(|member| !member.hung) {
+                        events.push(end_task(machines, member, ExitCause::GangMemberLost));
                     }
                 }
                 continue;
             }
-            running.left = running.left.saturating_sub(passed);
-            if running.left.is_zero() {
+            running.remaining = running.remaining.saturating_sub(elapsed);
+            if running.remaining.is_zero() {
                 self.completed.insert(start.0);
                 for member in &members {
-                    happened.push(exit(machines, member, ExitCause::Done));
+                    events.push(end_task(machines, member, ExitCause::Done));
                 }
             }
         }
         self.running
             .retain(|start, _| members.contains_key(start) && !self.completed.contains(&start.0));
-        happened
+        events
     }
 }
 
@@ -112,51 +112,51 @@
     now: Duration,
     machines: &BTreeMap<String, Machine>,
     jobs: &BTreeMap<JobId, Job>,
-) -> BTreeMap<Start, Vec<Member>> {
-    let mut members: BTreeMap<Start, Vec<Member>> = BTreeMap::new();
+) -> BTreeMap<GangStart, Vec<Member>> {
+    let mut members: BTreeMap<GangStart, Vec<Member>> = BTreeMap::new();
     for (id, machine) in machines {
-        for (task, t) in &machine.tasks {
+        for (task_id, task) in &machine.tasks {
             let of_gang = jobs
-                .get(&task.job)
+                .get(&task_id.job)
                 .is_some_and(|job| job.kind == JobKind::Gang);
-            if !of_gang || t.state == TaskState::Exited {
+            if !of_gang || task.state == TaskState::Exited {
                 continue;
             }
             members
-                .entry((task.job, t.number))
+                .entry((task_id.job, task.number))
                 .or_default()
                 .push(Member {
                     machine: id.clone(),
-                    task: *task,
-                    state: t.state,
-                    stuck: !machine.runs(now),
+                    task: *task_id,
+                    state: task.state,
+                    hung: !machine.runs(now),
                 });
         }
     }
     members
 }
 
-fn give_up(
-    passed: Duration,
+fn expire_waiting(
+    elapsed: Duration,
     members: &[Member],
     machines: &mut BTreeMap<String, Machine>,
 ) -> Vec<(String, MachineEvent)> {
-    let mut happened = Vec::new();
+    let mut events = Vec::new();
     let waiting = members
         .iter()
-        .filter(|member| member.state == TaskState::Waiting && !member.stuck);
+        .filter(|member| member.state == TaskState::Waiting && !member.hung);
     for member in waiting {
         let machine = machines.get_mut(&member.machine).expect("listed");
         let task = machine.tasks.get_mut(&member.task).expect("listed");
-        task.left = task.left.saturating_sub(passed);
+        task.left = task.left.saturating_sub(elapsed);
         if task.left.is_zero() {
-            happened.push(exit(machines, member, ExitCause::GangIncomplete));
+            events.push(end_task(machines, member, ExitCause::GangIncomplete));
         }
     }
-    happened
+    events
 }
 
-fn set(
+fn set_state(
     machines: &mut BTreeMap<String, Machine>,
     member: &Member,
     state: TaskState,
@@ -169,12 +169,12 @@
     task.cause = cause;
 }
 
-fn exit(
+fn end_task(
     machines: &mut BTreeMap<String, Machine>,
     member: &Member,
     cause: ExitCause,
 ) -> (String, MachineEvent) {
-    set(machines, member, TaskState::Exited, Some(cause));
+    set_state(machines, member, TaskState::Exited, Some(cause));
     let event = MachineEvent::Ended(member.task, cause == ExitCause::Done);
     (member.machine.clone(), event)
 }
--- a/tests/simulation/incidents.rs
+++ b/tests/simulation/incidents.rs
@@ -13,10 +13,10 @@
 #[test]
 fn machines_boot_late_or_never() {
     for seed in 400..=403 {
-        let rented = |trouble: Option<BootFaults>| {
+        let rented = |boot_faults: Option<BootFaults>| {
             let cluster = run_and_check(seed, Faults::default(), Size::SMALL, |cluster| {
                 cluster.plan(seconds(5.0), move |cluster| {
-                    cluster.set_boot_faults(trouble)
+                    cluster.set_boot_faults(boot_faults)
                 });
                 cluster.plan(seconds(120.0), |cluster| cluster.set_boot_faults(None));
             });
@@ -50,30 +50,32 @@
     const SEEDS: std::ops::RangeInclusive<u64> = 410..=421;
     // A cluster without such jobs differs from one with them in everything, by five machines a seed either way, so that a
     // single seed shows nothing: all seeds together do.
-    const MOST_MORE_A_SEED: usize = 2;
-    let (mut with, mut without) = (0, 0);
+    const MAX_EXTRA_DELETIONS_PER_SEED: usize = 2;
+    let (mut deleted_with, mut deleted_without) = (0, 0);
     for seed in SEEDS {
-        let deleted = |broken: usize| {
+        let deleted = |broken_jobs: usize| {
             let cluster = run_and_check(seed, Faults::default(), Size::SMALL, |cluster| {
-                for n in 0..broken {
+                for n in 0..broken_jobs {
                     cluster.plan(seconds(20.0 + n as f64), |cluster| {
                         let job = cluster.add_broken_job(TASKS, seconds(100.0));
-                        cluster.plan(seconds(140.0), move |cluster| check_broken(cluster, job));
+                        cluster.plan(seconds(140.0), move |cluster| {
+                            check_broken_job(cluster, job)
+                        });
                     });
                 }
             });
             cluster.running_machines_deleted
         };
-        with += deleted(4);
-        without += deleted(0);
+        deleted_with += deleted(4);
+        deleted_without += deleted(0);
     }
     assert!(
-        with <= without + MOST_MORE_A_SEED * SEEDS.count(),
-        "{with} machines deleted that were up, {without} without such jobs"
+        deleted_with <= deleted_without + MAX_EXTRA_DELETIONS_PER_SEED * SEEDS.count(),
+        "{deleted_with} machines deleted that were up, {deleted_without} without such jobs"
     );
 }
 
-fn check_broken(cluster: &mut SimulatedCluster, job: JobId) {
+fn check_broken_job(cluster: &mut SimulatedCluster, job: JobId) {
     assert!(
         cluster.rules.is_cancelled(job),
         "its user has called it off"
@@ -97,10 +99,10 @@
     const TASKS: [u32; 4] = [60, 80, 100, 120];
     let mut stopped = 0;
     for seed in 420..=422 {
-        let played = |guests: bool| {
+        let run = |with_guests: bool| {
             let mut cluster =
                 SimulatedCluster::new(seed, Faults::default(), FAULTS_END, Size::SMALL);
-            for (n, tasks) in (0..).zip(TASKS).filter(|_| guests) {
+            for (n, tasks) in (0..).zip(TASKS).filter(|_| with_guests) {
                 cluster.plan(seconds(15.0 + f64::from(n)), move |cluster| {
                     cluster.add_guests_job(tasks, 1.0);
                 });
@@ -109,12 +111,12 @@
             assert_eq!(cluster.rules.unserved(), [] as [&str; 0], "seed {seed}");
             cluster
         };
-        let (with, without) = (played(true), played(false));
-        let began = |cluster: &SimulatedCluster| mean(&cluster.rules.waits_of("array"));
-        let (late, usual) = (began(&with), began(&without));
+        let (with, without) = (run(true), run(false));
+        let mean_wait = |cluster: &SimulatedCluster| mean(&cluster.rules.waits_of("array"));
+        let (wait_with, wait_without) = (mean_wait(&with), mean_wait(&without));
         assert!(
-            late < usual + seconds(5.0),
-            "seed {seed}: jobs began after {late:?} on average, {usual:?} alone"
+            wait_with < wait_without + seconds(5.0),
+            "seed {seed}: jobs began after {wait_with:?} on average, {wait_without:?} alone"
         );
         stopped += with.rules.starts_of_class(GUESTS) - TASKS.iter().sum::<u32>() as usize;
     }
@@ -131,7 +133,7 @@
 #[test]
 fn users_send_requests_many_times_as_often() {
     for seed in 430..=432 {
-        let played = |asking: u32| {
+        let run = |rate_factor: u32| {
             let faults = Faults {
                 crash: 60.0,
                 irregular_requests: 0.05,
@@ -140,12 +142,12 @@
             };
             run_and_check(seed, faults, Size::SMALL, |cluster| {
                 cluster.plan(seconds(20.0), move |cluster| {
-                    cluster.request_rate_factor = asking
+                    cluster.request_rate_factor = rate_factor
                 });
                 cluster.plan(seconds(130.0), |cluster| cluster.request_rate_factor = 1);
             })
         };
-        let (usual, many) = (played(1), played(50));
+        let (usual, many) = (run(1), run(50));
         assert!(
             many.user_requests > 2 * usual.user_requests,
             "seed {seed}: {} questions",
--- a/tests/simulation/main.rs
+++ b/tests/simulation/main.rs
@@ -6,16 +6,16 @@
 mod drains;
 mod fault_combinations;
 mod gangs;
+mod incidents;
 #[allow(clippy::struct_excessive_bools, reason = "not reached yet: #30")]
 mod machine;
 mod measure;
-mod operations;
 mod operators;
 mod production;
 mod report;
 mod rollout;
 mod rules;
-mod rules_checked;
+mod rules_tests;
 mod state;
 
 use std::time::Duration;
--- a/tests/simulation/measure.rs
+++ b/tests/simulation/measure.rs
@@ -12,15 +12,15 @@
 
 use super::cluster::{Faults, SimulatedCluster, Size, array};
 use super::machine::LONG_RUNNING_CLASS;
-use super::operators::{Check, start};
+use super::operators::{DisruptionCheck, start_request};
 use super::report;
 
 const TEAMS: [&str; 2] = ["red", "blue"];
 /// Lasting replicas of each team.
-const SERVICES: u32 = 50;
-const REPLICAS: u32 = 40;
+const SERVICES_PER_TEAM: u32 = 50;
+const REPLICAS_PER_SERVICE: u32 = 40;
 const DRAIN_AT: Duration = Duration::from_secs(120);
-const LOOK_EVERY: Duration = Duration::from_secs(1);
+const POLL_INTERVAL: Duration = Duration::from_secs(1);
 const END: Duration = Duration::from_secs(300);
 /// About 2,000 machines. The simulated day of 4,000 takes 190 s for 270 s, beside other tests: too long for these.
 const SIZE: Size = Size {
@@ -32,30 +32,30 @@
 /// A twentieth of each team's tasks may be disrupted.
 const BUDGET: Limit = Limit::Share { basis_points: 500 };
 
-/// What a drain is about.
+/// DrainTarget a drain is about.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum What {
+enum DrainTarget {
     Nothing,
     Machines(usize),
     Zone,
 }
 
-/// What was seen of one drain.
+/// DrainTarget was seen of one drain.
 #[derive(Debug, Clone, Default)]
-pub struct Measured {
+pub struct Measurement {
     pub name: String,
     /// Machines of the fleet as the drain began, and those that were to be emptied.
-    pub fleet: usize,
-    pub machines: usize,
+    pub fleet_machines: usize,
+    pub drained_machines: usize,
     /// None: not done in time.
     pub duration: Option<Duration>,
     /// Rounds that the budget makes necessary, each as long as a moved task is down in the median.
-    pub least: Duration,
+    pub min_duration: Duration,
     pub evictions: usize,
     pub median_down: Duration,
     /// The most tasks of a team that were down at a time, and what its budget allowed.
-    pub most_down: usize,
-    pub allowed: usize,
+    pub max_tasks_down: usize,
+    pub allowed_down: usize,
     /// State changes from the drain's beginning to its end, beyond those of a day without one.
     pub extra_changes: f64,
     /// Machine hours over the same time, beyond those of a day without one.
@@ -63,14 +63,14 @@
     /// By second since the drain began: the part of the replicas that run, of each team.
     pub availability: Vec<(f64, [f64; 2])>,
     /// State changes and machine seconds by then.
-    spent: Vec<(usize, usize)>,
-    pub broken: Vec<String>,
+    cost_by_second: Vec<(usize, usize)>,
+    pub violations: Vec<String>,
 }
 
 fn service(team: &str) -> Job {
     Job {
         kind: JobKind::Service,
-        tasks: REPLICAS,
+        tasks: REPLICAS_PER_SERVICE,
         need: Resources {
             cpus: 2.0,
             gpus: 0.0,
@@ -94,9 +94,9 @@
             ..DrainSettings::default()
         },
     };
-    cluster.operators.check = Check::None;
+    cluster.operators.disruption_check = DisruptionCheck::None;
     cluster.plan(Duration::from_secs(2), |cluster| {
-        for _ in 0..SERVICES {
+        for _ in 0..SERVICES_PER_TEAM {
             for team in TEAMS {
                 cluster.add_job(service(team), None);
             }
@@ -105,89 +105,105 @@
     cluster
 }
 
-fn play(name: &str, what: What, faults: Faults) -> Measured {
+fn measure_drain(name: &str, target: DrainTarget, faults: Faults) -> Measurement {
     let mut cluster = cluster(faults);
     cluster.run_until(DRAIN_AT);
-    let busy: Vec<String> = cluster.up(Some("a")).into_iter().collect();
-    let mut measured = Measured {
+    let zone_machines: Vec<String> = cluster.up(Some("a")).into_iter().collect();
+    let mut measurement = Measurement {
         name: name.to_owned(),
-        fleet: cluster.machines.len(),
-        allowed: (SERVICES * REPLICAS / 20) as usize,
-        ..Measured::default()
+        fleet_machines: cluster.machines.len(),
+        allowed_down: (SERVICES_PER_TEAM * REPLICAS_PER_SERVICE / 20) as usize,
+        ..Measurement::default()
     };
-    let scope = match what {
-        What::Nothing => None,
-        What::Zone => Some(Scope::Zone("a".into())),
-        What::Machines(count) => {
-            let machines = busy.iter().take(count).map(|id| id.as_str().into());
+    let scope = match target {
+        DrainTarget::Nothing => None,
+        DrainTarget::Zone => Some(Scope::Zone("a".into())),
+        DrainTarget::Machines(count) => {
+            let machines = zone_machines
+                .iter()
+                .take(count)
+                .map(|id| id.as_str().into());
             Some(Scope::Machines(machines.collect()))
         }
     };
     if let Some(scope) = scope {
-        cluster.operate(start("drain", scope, Purpose::Drain, None));
-        cluster.watch_drains(DRAIN_AT + LOOK_EVERY);
+        cluster.send_operator_request(start_request("drain", scope, Purpose::Drain, None));
+        cluster.watch_drains(DRAIN_AT + POLL_INTERVAL);
     }
-    let (changes, downs) = (cluster.state().changes, cluster.rules.down_times.len());
+    let (changes_before, down_times_before) =
+        (cluster.state().changes, cluster.rules.down_times.len());
     let mut machine_seconds = 0;
     let mut at = DRAIN_AT;
-    while at < END && measured.duration.is_none() {
-        at += LOOK_EVERY;
+    while at < END && measurement.duration.is_none() {
+        at += POLL_INTERVAL;
         cluster.run_until(at);
         machine_seconds += cluster.machines.len();
         let running = TEAMS.map(|team| cluster.rules.on_machines(&team.into(), LONG_RUNNING_CLASS));
-        let all = (SERVICES * REPLICAS) as usize;
-        let down = running.iter().map(|running| all.saturating_sub(*running));
-        measured.most_down = measured.most_down.max(down.max().unwrap_or(0));
-        let parts = running.map(|running| running as f64 / all as f64);
-        let since = (at - DRAIN_AT).as_secs_f64();
-        measured.availability.push((since, parts));
-        measured
-            .spent
-            .push((cluster.state().changes - changes, machine_seconds));
-        if let Some(seen) = cluster.seen("drain") {
-            measured.machines = measured.machines.max(seen.machines);
-            if seen.state == StateName::Done {
-                measured.duration = Some(at - DRAIN_AT);
+        let replicas = (SERVICES_PER_TEAM * REPLICAS_PER_SERVICE) as usize;
+        let down = running
+            .iter()
+            .map(|running| replicas.saturating_sub(*running));
+        measurement.max_tasks_down = measurement.max_tasks_down.max(down.max().unwrap_or(0));
+        let shares = running.map(|running| running as f64 / replicas as f64);
+        let since_s = (at - DRAIN_AT).as_secs_f64();
+        measurement.availability.push((since_s, shares));
+        measurement
+            .cost_by_second
+            .push((cluster.state().changes - changes_before, machine_seconds));
+        if let Some(status) = cluster.last_status("drain") {
+            measurement.drained_machines = measurement.drained_machines.max(status.machines);
+            if status.state == StateName::Done {
+                measurement.duration = Some(at - DRAIN_AT);
             }
         }
         if !cluster.rules.violations.is_empty() {
             break;
         }
     }
-    let mut downs: Vec<Duration> = cluster.rules.down_times[downs..].to_vec();
-    downs.sort();
-    measured.median_down = downs.get(downs.len() / 2).copied().unwrap_or_default();
-    measured.evictions = cluster.operators.evictions.len();
-    let rounds = measured.evictions.div_ceil(TEAMS.len() * measured.allowed);
-    measured.least = measured.median_down * rounds as u32;
-    measured.broken = cluster.rules.violations.clone();
-    measured
+    let mut down_times: Vec<Duration> = cluster.rules.down_times[down_times_before..].to_vec();
+    down_times.sort();
+    measurement.median_down = down_times
+        .get(down_times.len() / 2)
+        .copied()
+        .unwrap_or_default();
+    measurement.evictions = cluster.operators.evictions.len();
+    let rounds = measurement
+        .evictions
+        .div_ceil(TEAMS.len() * measurement.allowed_down);
+    measurement.min_duration = measurement.median_down * rounds as u32;
+    measurement.violations = cluster.rules.violations.clone();
+    measurement
 }
 
 /// Takes away what a day without a drain spends in the same time.
-fn against(baseline: &Measured, measured: &mut Measured) {
-    let last = measured.spent.len().min(baseline.spent.len());
-    let Some(index) = last.checked_sub(1) else {
+fn subtract_baseline(baseline: &Measurement, measurement: &mut Measurement) {
+    let common_seconds = measurement
+        .cost_by_second
+        .len()
+        .min(baseline.cost_by_second.len());
+    let Some(index) = common_seconds.checked_sub(1) else {
         return;
     };
-    let ((changes, seconds), (usual, usual_seconds)) =
-        (measured.spent[index], baseline.spent[index]);
-    measured.extra_changes = changes as f64 - usual as f64;
-    measured.extra_machine_hours = (seconds as f64 - usual_seconds as f64) / 3600.0;
+    let ((changes, seconds), (usual_changes, usual_seconds)) = (
+        measurement.cost_by_second[index],
+        baseline.cost_by_second[index],
+    );
+    measurement.extra_changes = changes as f64 - usual_changes as f64;
+    measurement.extra_machine_hours = (seconds as f64 - usual_seconds as f64) / 3600.0;
 }
 
 /// `ZONE_DRAIN=seconds` plays the drain of a zone on a quiet day for so long, for its log.
 #[test]
 #[ignore = "for looking into one drain by hand"]
-fn play_a_zone_drain() {
-    let text = std::env::var("ZONE_DRAIN").expect("how long to play");
-    let seconds = text.parse().expect("seconds");
+fn run_a_zone_drain() {
+    let duration_text = std::env::var("ZONE_DRAIN").expect("how long to play");
+    let seconds = duration_text.parse().expect("seconds");
     let mut cluster = cluster(Faults::default());
     cluster.plan(DRAIN_AT, |cluster| {
         let zone = Scope::Zone("a".into());
-        cluster.operate(start("drain", zone, Purpose::Drain, None));
+        cluster.send_operator_request(start_request("drain", zone, Purpose::Drain, None));
     });
-    cluster.watch_drains(DRAIN_AT + LOOK_EVERY);
+    cluster.watch_drains(DRAIN_AT + POLL_INTERVAL);
     cluster.run_until(DRAIN_AT + Duration::from_secs(seconds));
     let running = TEAMS.map(|team| cluster.rules.on_machines(&team.into(), LONG_RUNNING_CLASS));
     println!("{running:?} replicas run; {:?}", cluster.rules.violations);
@@ -205,43 +221,52 @@
         ..Faults::default()
     };
     let cases = [
-        ("no drain", What::Nothing, quiet),
-        ("1 machine", What::Machines(1), quiet),
-        ("10 machines", What::Machines(10), quiet),
-        ("100 machines", What::Machines(100), quiet),
-        ("a zone", What::Zone, quiet),
-        ("100 machines, with failures", What::Machines(100), failing),
-        ("a zone, with failures", What::Zone, failing),
+        ("no drain", DrainTarget::Nothing, quiet),
+        ("1 machine", DrainTarget::Machines(1), quiet),
+        ("10 machines", DrainTarget::Machines(10), quiet),
+        ("100 machines", DrainTarget::Machines(100), quiet),
+        ("a zone", DrainTarget::Zone, quiet),
+        (
+            "100 machines, with failures",
+            DrainTarget::Machines(100),
+            failing,
+        ),
+        ("a zone, with failures", DrainTarget::Zone, failing),
     ];
-    let threads =
-        cases.map(|(name, what, faults)| std::thread::spawn(move || play(name, what, faults)));
-    let mut all: Vec<Measured> = threads
+    let threads = cases.map(|(name, target, faults)| {
+        std::thread::spawn(move || measure_drain(name, target, faults))
+    });
+    let mut measurements: Vec<Measurement> = threads
         .into_iter()
         .map(|thread| thread.join().expect("played to its end"))
         .collect();
-    let baseline = all.remove(0);
-    for measured in &mut all {
-        against(&baseline, measured);
-        assert!(measured.broken.is_empty(), "{:?}", measured.broken);
+    let baseline = measurements.remove(0);
+    for measurement in &mut measurements {
+        subtract_baseline(&baseline, measurement);
+        assert!(
+            measurement.violations.is_empty(),
+            "{:?}",
+            measurement.violations
+        );
     }
     let folder = concat!(env!("CARGO_MANIFEST_DIR"), "/docs/reports");
     std::fs::create_dir_all(folder).expect("a folder");
     let path = format!("{folder}/drains.html");
-    std::fs::write(&path, report::html(&all)).expect("writable");
-    for measured in &all {
+    std::fs::write(&path, report::render(&measurements)).expect("writable");
+    for measurement in &measurements {
         println!(
             "{}: fleet {}, machines {}, {:?} (least {:?}), {} evictions, down {:?} in the median, at most {} of {} allowed, {:+.0} changes, {:+.1} machine hours",
-            measured.name,
-            measured.fleet,
-            measured.machines,
-            measured.duration,
-            measured.least,
-            measured.evictions,
-            measured.median_down,
-            measured.most_down,
-            measured.allowed,
-            measured.extra_changes,
-            measured.extra_machine_hours
+            measurement.name,
+            measurement.fleet_machines,
+            measurement.drained_machines,
+            measurement.duration,
+            measurement.min_duration,
+            measurement.evictions,
+            measurement.median_down,
+            measurement.max_tasks_down,
+            measurement.allowed_down,
+            measurement.extra_changes,
+            measurement.extra_machine_hours
         );
     }
 }
--- a/tests/simulation/operators.rs
+++ b/tests/simulation/operators.rs
@@ -11,16 +11,16 @@
 use super::cluster::{CONTROLLERS, SimulatedCluster};
 
 /// Where a request is.
-struct Asked {
+struct SentRequest {
     request: Request,
     controller: usize,
-    next: Duration,
+    next_attempt_at: Duration,
     reply: Option<Reply>,
 }
 
 /// How disruptions are checked.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
-pub enum Check {
+pub enum DisruptionCheck {
     /// Not at all.
     #[default]
     None,
@@ -36,108 +36,112 @@
 /// What operators have asked, and what they see.
 #[derive(Default)]
 pub struct Operators {
-    asked: Vec<Asked>,
-    pub check: Check,
+    requests: Vec<SentRequest>,
+    pub disruption_check: DisruptionCheck,
     /// What each team's budget comes to.
     pub allowed: BTreeMap<Team, u64>,
-    evicted: BTreeMap<EvictionTarget, Duration>,
+    evicted_at: BTreeMap<EvictionTarget, Duration>,
     /// All evictions recorded so far.
     pub evictions: Vec<Eviction>,
     /// Called at the next recorded evictions, one each.
     pub on_eviction: Vec<OnEviction>,
     /// The most tasks of each team that were down at a time.
-    pub most_down: BTreeMap<Team, usize>,
+    pub max_tasks_down: BTreeMap<Team, usize>,
     /// Answers to requests for a list, the latest of each drain.
-    pub seen: BTreeMap<String, Vec<DrainStatus>>,
+    pub statuses: BTreeMap<String, Vec<DrainStatus>>,
 }
 
-const ASK_AGAIN: Duration = Duration::from_secs(6);
-const RETRY: Duration = Duration::from_secs(1);
+const RESEND_INTERVAL: Duration = Duration::from_secs(6);
+const RETRY_DELAY: Duration = Duration::from_secs(1);
 /// What a machine has been out of reach for this long, its leader must know.
-const NOTICED_WITHIN: Duration = Duration::from_secs(45);
+const LOSS_DETECTION_TIMEOUT: Duration = Duration::from_secs(45);
 
 impl SimulatedCluster {
     /// An operator asks, again and again until there is an answer. Returns the request's number.
-    pub fn operate(&mut self, request: Request) -> usize {
+    pub fn send_operator_request(&mut self, request: Request) -> usize {
         let controller = self.any_controller();
-        self.operators.asked.push(Asked {
+        self.operators.requests.push(SentRequest {
             request,
             controller,
-            next: self.now,
+            next_attempt_at: self.now,
             reply: None,
         });
-        self.operators.asked.len() - 1
+        self.operators.requests.len() - 1
     }
 
     /// Asks for a drain that returns nothing, one machine at a time.
-    pub fn drain(&mut self, id: &str, scope: Scope) -> usize {
-        self.operate(start(id, scope, Purpose::Drain, None))
+    pub fn request_drain(&mut self, id: &str, scope: Scope) -> usize {
+        self.send_operator_request(start_request(id, scope, Purpose::Drain, None))
     }
 
     /// The answer to a request.
-    pub fn answer(&self, number: usize) -> Option<&Reply> {
-        self.operators.asked[number].reply.as_ref()
+    pub fn operator_reply(&self, number: usize) -> Option<&Reply> {
+        self.operators.requests[number].reply.as_ref()
     }
 
     pub(super) fn step_operators(&mut self) {
-        for number in 0..self.operators.asked.len() {
-            let asked = &mut self.operators.asked[number];
-            if asked.reply.is_some() || self.now < asked.next {
+        for number in 0..self.operators.requests.len() {
+            let entry = &mut self.operators.requests[number];
+            if entry.reply.is_some() || self.now < entry.next_attempt_at {
                 continue;
             }
-            asked.next = self.now + ASK_AGAIN;
-            let (controller, request) = (asked.controller, asked.request.clone());
-            asked.controller = (controller + 1) % CONTROLLERS;
+            entry.next_attempt_at = self.now + RESEND_INTERVAL;
+            let (controller, request) = (entry.controller, entry.request.clone());
+            entry.controller = (controller + 1) % CONTROLLERS;
             self.send_operation(number, controller, request);
         }
     }
 
     pub(super) fn operator_answered(&mut self, number: usize, _from: usize, reply: Reply) {
         let now = self.now;
-        let asked = &mut self.operators.asked[number];
+        let entry = &mut self.operators.requests[number];
         match &reply {
             Reply::NotLeader { leader, .. } => {
-                asked.controller = leader.0.trim_start_matches("node-").parse().unwrap_or(0);
-                asked.next = now + RETRY / 10;
+                entry.controller = leader.0.trim_start_matches("node-").parse().unwrap_or(0);
+                entry.next_attempt_at = now + RETRY_DELAY / 10;
                 return;
             }
             Reply::Problem(problem) if problem.kind == ProblemKind::Unavailable => {
-                asked.next = now + RETRY;
+                entry.next_attempt_at = now + RETRY_DELAY;
                 return;
             }
             _ => {}
         }
         if let Reply::Drains(drains) = &reply {
             for drain in drains {
-                let seen = self.operators.seen.entry(drain.id.clone()).or_default();
-                seen.push(drain.clone());
+                let statuses = self.operators.statuses.entry(drain.id.clone()).or_default();
+                statuses.push(drain.clone());
             }
         }
-        asked.reply.get_or_insert(reply);
+        entry.reply.get_or_insert(reply);
     }
 
     /// Looks at all drains every second from then on.
     pub fn watch_drains(&mut self, from: Duration) {
         self.plan(from, move |cluster| {
-            cluster.operate(Request::List { id: None });
+            cluster.send_operator_request(Request::List { id: None });
             cluster.watch_drains(from + Duration::from_secs(1));
         });
     }
 
-    /// The last that was seen of a drain.
-    pub fn seen(&self, id: &str) -> Option<&DrainStatus> {
-        self.operators.seen.get(id)?.last()
+    /// The last that was statuses of a drain.
+    pub fn last_status(&self, id: &str) -> Option<&DrainStatus> {
+        self.operators.statuses.get(id)?.last()
     }
 
     /// Counts what is down, by what runs on machines.
     pub(super) fn check_disruptions(&mut self) {
-        if self.operators.check != Check::Always {
+        if self.operators.disruption_check != DisruptionCheck::Always {
             return;
         }
         for (team, allowed) in self.operators.allowed.clone() {
             let down = self.rules.tasks_down(&team, Duration::ZERO);
-            let most = self.operators.most_down.entry(team.clone()).or_default();
-            *most = down.len().max(*most);
+            let max_down = self
+                .operators
+                .max_tasks_down
+                .entry(team.clone())
+                .or_default();
+            *max_down = down.len().max(*max_down);
             if down.len() as u64 > allowed {
                 let at = self.now.as_secs_f64();
                 let text = format!("{at:.3} budget: {down:?} of {team} down, {allowed} allowed");
@@ -150,12 +154,12 @@
     pub(super) fn check_evictions(&mut self) {
         for eviction in std::mem::take(&mut self.state.recorded_evictions) {
             tracing::debug!(at = self.now.as_secs_f64(), ?eviction, "recorded");
-            self.operators.evicted.insert(eviction.target, self.now);
+            self.operators.evicted_at.insert(eviction.target, self.now);
             self.check_eviction(&eviction);
             self.operators.evictions.push(eviction.clone());
             if !self.operators.on_eviction.is_empty() {
-                let act = self.operators.on_eviction.remove(0);
-                act(self, &eviction);
+                let action = self.operators.on_eviction.remove(0);
+                action(self, &eviction);
             }
         }
     }
@@ -165,15 +169,17 @@
             return;
         };
         let allowed = self.operators.allowed.get(&team).copied();
-        let (Check::Evictions, Some(allowed)) = (self.operators.check, allowed) else {
+        let (DisruptionCheck::Evictions, Some(allowed)) =
+            (self.operators.disruption_check, allowed)
+        else {
             return;
         };
-        let mut down: BTreeSet<TaskId> = self.rules.tasks_down(&team, NOTICED_WITHIN);
-        for (subject, at) in &self.operators.evicted {
-            let of_team = self.rules.team_of(subject.job()) == Some(team.clone());
-            let restored = subject.tasks().all(|task| self.rules.restored(task, *at));
+        let mut down: BTreeSet<TaskId> = self.rules.tasks_down(&team, LOSS_DETECTION_TIMEOUT);
+        for (target, at) in &self.operators.evicted_at {
+            let of_team = self.rules.team_of(target.job()) == Some(team.clone());
+            let restored = target.tasks().all(|task| self.rules.restored(task, *at));
             if of_team && !restored {
-                down.extend(subject.tasks());
+                down.extend(target.tasks());
             }
         }
         if down.len() as u64 > allowed {
@@ -188,7 +194,7 @@
 }
 
 /// A request to cordon or drain.
-pub fn start(id: &str, scope: Scope, purpose: Purpose, step: Option<Limit>) -> Request {
+pub fn start_request(id: &str, scope: Scope, purpose: Purpose, step: Option<Limit>) -> Request {
     Request::Start {
         id: id.parse::<DrainId>().expect("an id"),
         scope,
--- a/tests/simulation/report.rs
+++ b/tests/simulation/report.rs
@@ -1,14 +1,14 @@
-//! The report of measured drains: a page with a table, and a plot of each team's availability against its budget.
+//! The report of measurement drains: a page with a table, and a plot of each team's availability against its budget.
 
 use maud::{DOCTYPE, PreEscaped, html};
 use plotters::prelude::*;
 
-use super::measure::Measured;
+use super::measure::Measurement;
 
 const SIZE: (u32, u32) = (760, 260);
 
 /// The page.
-pub fn html(all: &[Measured]) -> String {
+pub fn render(measurements: &[Measurement]) -> String {
     let seconds = |time: std::time::Duration| format!("{:.1}", time.as_secs_f64());
     let page = html! {
         (DOCTYPE)
@@ -31,25 +31,25 @@
                         th { "evictions" } th { "down, median s" } th { "most down" } th { "allowed" }
                         th { "changes for each machine" } th { "machine hours" }
                     }
-                    @for measured in all {
+                    @for measurement in measurements {
                         tr {
-                            td { (measured.name) }
-                            td { (measured.fleet) }
-                            td { (measured.machines) }
-                            td { (measured.duration.map_or("not done".to_owned(), seconds)) }
-                            td { (seconds(measured.least)) }
-                            td { (measured.evictions) }
-                            td { (seconds(measured.median_down)) }
-                            td { (measured.most_down) }
-                            td { (measured.allowed) }
-                            td { (format!("{:+.1}", measured.extra_changes / measured.machines.max(1) as f64)) }
-                            td { (format!("{:+.1}", measured.extra_machine_hours)) }
+                            td { (measurement.name) }
+                            td { (measurement.fleet_machines) }
+                            td { (measurement.drained_machines) }
+                            td { (measurement.duration.map_or("not done".to_owned(), seconds)) }
+                            td { (seconds(measurement.min_duration)) }
+                            td { (measurement.evictions) }
+                            td { (seconds(measurement.median_down)) }
+                            td { (measurement.max_tasks_down) }
+                            td { (measurement.allowed_down) }
+                            td { (format!("{:+.1}", measurement.extra_changes / measurement.drained_machines.max(1) as f64)) }
+                            td { (format!("{:+.1}", measurement.extra_machine_hours)) }
                         }
                     }
                 }
-                @for measured in all {
-                    h2 { (measured.name) }
-                    (PreEscaped(plot(measured)))
+                @for measurement in measurements {
+                    h2 { (measurement.name) }
+                    (PreEscaped(plot(measurement)))
                 }
             }
         }
@@ -58,16 +58,16 @@
 }
 
 /// The part of each team's replicas that run, and the least that its budget allows.
-fn plot(measured: &Measured) -> String {
+fn plot(measurement: &Measurement) -> String {
     let mut svg = String::new();
     {
         let area = SVGBackend::with_string(&mut svg, SIZE).into_drawing_area();
-        let end = measured.availability.last().map_or(1.0, |(at, _)| *at);
-        let lowest = measured
+        let end = measurement.availability.last().map_or(1.0, |(at, _)| *at);
+        let lowest = measurement
             .availability
             .iter()
-            .flat_map(|(_, parts)| parts)
-            .fold(0.94_f64, |least, part| least.min(*part));
+            .flat_map(|(_, shares)| shares)
+            .fold(0.94_f64, |lowest, share| lowest.min(*share));
         let mut chart = ChartBuilder::on(&area)
             .margin(8)
             .x_label_area_size(36)
@@ -81,17 +81,17 @@
             .draw()
             .expect("axes");
         for (team, color) in [RED, BLUE].iter().enumerate() {
-            let line = measured
+            let points = measurement
                 .availability
                 .iter()
-                .map(|(at, parts)| (*at, parts[team]));
+                .map(|(at, shares)| (*at, shares[team]));
             chart
-                .draw_series(LineSeries::new(line, color))
+                .draw_series(LineSeries::new(points, color))
                 .expect("a line");
         }
-        let budget = [(0.0, 0.95), (end, 0.95)];
+        let budget_line = [(0.0, 0.95), (end, 0.95)];
         chart
-            .draw_series(LineSeries::new(budget, &BLACK))
+            .draw_series(LineSeries::new(budget_line, &BLACK))
             .expect("a line");
         area.present().expect("drawn");
     }
--- a/tests/simulation/rollout.rs
+++ b/tests/simulation/rollout.rs
@@ -10,7 +10,7 @@
 use super::gangs::submit_gangs;
 
 /// The limits that the state service has after the upgrade.
-pub const NEXT: StateLimits = StateLimits {
+pub const LOWERED_LIMITS: StateLimits = StateLimits {
     rps: 100.0,
     write_rps: 25.0,
     value_bytes: 2048,
@@ -22,35 +22,38 @@
 struct Rollout {
     /// When the controllers come back with the new version, in this order.
     order: [usize; CONTROLLERS],
-    at_s: [u64; CONTROLLERS],
-    /// How long each is away.
-    away: Duration,
-    fall_at_s: u64,
+    upgraded_at_s: [u64; CONTROLLERS],
+    /// How long each is downtime.
+    downtime: Duration,
+    limits_lowered_at_s: u64,
 }
 
-fn cluster(seed: u64, faults: Faults, size: Size, rollout: &Rollout) -> SimulatedCluster {
+fn upgrading_cluster(seed: u64, faults: Faults, size: Size, rollout: &Rollout) -> SimulatedCluster {
     super::init_logging();
-    let mut cluster = SimulatedCluster::upgrading(seed, faults, FAULTS_END, size, NEXT);
-    for (controller, at) in rollout.order.into_iter().zip(rollout.at_s) {
-        let away = rollout.away;
+    let mut cluster = SimulatedCluster::upgrading(seed, faults, FAULTS_END, size, LOWERED_LIMITS);
+    for (controller, at) in rollout.order.into_iter().zip(rollout.upgraded_at_s) {
+        let downtime = rollout.downtime;
         cluster.plan(Duration::from_secs(at), move |cluster| {
-            cluster.upgrade(controller, away)
+            cluster.upgrade(controller, downtime)
         });
     }
-    cluster.plan(Duration::from_secs(rollout.fall_at_s), |cluster| {
-        assert_eq!(
-            cluster.format(),
-            NEWEST_FORMAT,
-            "switched on before the limits fall"
-        );
-        cluster.lower_state_limits(NEXT);
-    });
+    cluster.plan(
+        Duration::from_secs(rollout.limits_lowered_at_s),
+        |cluster| {
+            assert_eq!(
+                cluster.format(),
+                NEWEST_FORMAT,
+                "switched on before the limits fall"
+            );
+            cluster.lower_state_limits(LOWERED_LIMITS);
+        },
+    );
     cluster
 }
 
 fn check(seed: u64, faults: Faults, rollout: &Rollout) {
-    let mut cluster = cluster(seed, faults, Size::SMALL, rollout);
-    submit_gangs(&mut cluster, rollout.at_s[CONTROLLERS - 1] + 25, 6);
+    let mut cluster = upgrading_cluster(seed, faults, Size::SMALL, rollout);
+    submit_gangs(&mut cluster, rollout.upgraded_at_s[CONTROLLERS - 1] + 25, 6);
     cluster.run_until(END);
     cluster.check_end(seed);
     assert_eq!(cluster.gangs().completed.len(), 6, "seed {seed}: gangs");
@@ -63,14 +66,14 @@
 
 /// An upgrade at times that follow from the seed, under all troubles.
 pub fn check_random_rollout(seed: u64) {
-    let first = 25 + seed % 20;
-    let apart = 1 + seed % 15;
+    let first_s = 25 + seed % 20;
+    let interval_s = 1 + seed % 15;
     let rollout = Rollout {
         order: ORDERS[seed as usize % ORDERS.len()],
-        at_s: [first, first + apart, first + 2 * apart],
-        away: Duration::from_millis([100, 900, 5000][(seed / 3) as usize % 3]),
+        upgraded_at_s: [first_s, first_s + interval_s, first_s + 2 * interval_s],
+        downtime: Duration::from_millis([100, 900, 5000][(seed / 3) as usize % 3]),
         // The last cuts end at 210 s.
-        fall_at_s: 225,
+        limits_lowered_at_s: 225,
     };
     check(seed, Faults::all(), &rollout);
 }
@@ -89,9 +92,9 @@
     for (seed, order) in (700..).zip(ORDERS) {
         let rollout = Rollout {
             order,
-            at_s: [30, 45, 60],
-            away: Duration::from_secs(5),
-            fall_at_s: 90,
+            upgraded_at_s: [30, 45, 60],
+            downtime: Duration::from_secs(5),
+            limits_lowered_at_s: 90,
         };
         check(seed, Faults::default(), &rollout);
     }
@@ -112,9 +115,9 @@
     for (seed, order) in (710..).zip(ORDERS.into_iter().chain(ORDERS)) {
         let rollout = Rollout {
             order,
-            at_s: [30, 33, 36],
-            away: Duration::from_millis(100),
-            fall_at_s: 130,
+            upgraded_at_s: [30, 33, 36],
+            downtime: Duration::from_millis(100),
+            limits_lowered_at_s: 130,
         };
         check(seed, faults, &rollout);
     }
@@ -124,11 +127,11 @@
 fn the_format_stays_off_while_one_controller_runs_the_production_version() {
     let rollout = Rollout {
         order: ORDERS[0],
-        at_s: [30, 40, 400],
-        away: Duration::from_secs(5),
-        fall_at_s: 1000,
+        upgraded_at_s: [30, 40, 400],
+        downtime: Duration::from_secs(5),
+        limits_lowered_at_s: 1000,
     };
-    let mut cluster = cluster(720, Faults::default(), Size::SMALL, &rollout);
+    let mut cluster = upgrading_cluster(720, Faults::default(), Size::SMALL, &rollout);
     cluster.run_until(Duration::from_secs(399));
     assert_eq!(cluster.format(), 0);
     assert!(
@@ -144,19 +147,19 @@
 /// Large values are divided before and after the limits fall, also in an outage and while blocks change hands.
 #[test]
 fn a_large_fleet_keeps_working_under_lower_limits() {
-    for (seed, fall_at_s) in [(730, 64), (731, 66), (732, 90)] {
+    for (seed, limits_lowered_at_s) in [(730, 64), (731, 66), (732, 90)] {
         let rollout = Rollout {
             order: ORDERS[seed as usize % 3],
-            at_s: [40, 50, 60],
-            away: Duration::from_secs(2),
-            fall_at_s,
+            upgraded_at_s: [40, 50, 60],
+            downtime: Duration::from_secs(2),
+            limits_lowered_at_s,
         };
-        let mut cluster = cluster(seed, Faults::default(), Size::GROWN, &rollout);
+        let mut cluster = upgrading_cluster(seed, Faults::default(), Size::GROWN, &rollout);
         cluster.extra_task_time = Duration::from_secs(20);
-        cluster.plan(Duration::from_secs(fall_at_s + 2), |cluster| {
+        cluster.plan(Duration::from_secs(limits_lowered_at_s + 2), |cluster| {
             cluster.state_outage(Duration::from_secs(4));
         });
-        cluster.plan(Duration::from_secs(fall_at_s + 8), |cluster| {
+        cluster.plan(Duration::from_secs(limits_lowered_at_s + 8), |cluster| {
             if let Some(leader) = cluster.leader() {
                 cluster.end_controller(leader, Duration::from_secs(5));
             }
@@ -176,13 +179,13 @@
         );
         let largest = cluster.state().largest;
         assert!(
-            largest > NEXT.value_bytes,
+            largest > LOWERED_LIMITS.value_bytes,
             "seed {seed}: {largest} bytes at most, so that nothing had to be divided"
         );
-        let values = cluster.state().divided_values();
+        let parts = cluster.state().divided_values();
         assert!(
-            values >= 2,
-            "seed {seed}: {values} parts, or the day shows nothing"
+            parts >= 2,
+            "seed {seed}: {parts} parts, or the day shows nothing"
         );
     }
 }
--- a/tests/simulation/rules_tests.rs
+++ b/tests/simulation/rules_tests.rs
@@ -47,36 +47,36 @@
 
 /// Rules for a team with a limit of 8 CPUs and a submitted job. A cancelled task must be gone after 50 s; troubles end
 /// after 5 s.
-fn rules(job: Job) -> Rules {
+fn rules_with_job(job: Job) -> Rules {
     let mut rules = Rules::new([("red".into(), 8.0)].into(), at(50), at(5));
     rules.submitted(JobId(1), job);
     rules
 }
 
-/// The name of the first rule that is broken by what `play` does.
-fn broken(job: Job, play: &dyn Fn(&mut Rules)) -> Option<String> {
-    let mut rules = rules(job);
-    play(&mut rules);
+/// The name of the first rule that is broken by what `record` does.
+fn first_violation(job: Job, record: &dyn Fn(&mut Rules)) -> Option<String> {
+    let mut rules = rules_with_job(job);
+    record(&mut rules);
     rules.check(at(100));
     let first = rules.violations.first()?;
     Some(first.split(' ').nth(1).unwrap_or_default().to_owned())
 }
 
 /// The same for a job that was accepted before.
-fn broken_once_accepted(play: &dyn Fn(&mut Rules)) -> Option<String> {
-    broken(job(1, 1.0), &|rules| {
+fn first_violation_once_accepted(record: &dyn Fn(&mut Rules)) -> Option<String> {
+    first_violation(job(1, 1.0), &|rules| {
         rules.status_reported(at(1), JobId(1), Some("queued"));
-        play(rules);
+        record(rules);
     })
 }
 
 /// Expects that just this rule was broken first.
-fn expect(rule: &str, found: Option<String>) {
-    assert_eq!(found, Some(format!("{rule}:")));
+fn expect_violation(rule: &str, first_violation: Option<String>) {
+    assert_eq!(first_violation, Some(format!("{rule}:")));
 }
 
 /// The user cancels the job and is told so.
-fn cancelled(rules: &mut Rules) {
+fn confirm_cancellation(rules: &mut Rules) {
     rules.cancel_asked(JobId(1));
     rules.status_reported(at(10), JobId(1), Some("cancelled"));
 }
@@ -88,18 +88,18 @@
             (0..count).for_each(|n| rules.task_started(at(1), task(n), place("a", ON_DEMAND)));
         }
     };
-    assert_eq!(broken(job(2, 4.0), &start(2)), None);
-    expect("quota", broken(job(3, 4.0), &start(3)));
+    assert_eq!(first_violation(job(2, 4.0), &start(2)), None);
+    expect_violation("quota", first_violation(job(3, 4.0), &start(3)));
 }
 
 #[test]
 fn a_task_on_two_machines_breaks_ran_twice() {
-    let twice = |rules: &mut Rules| {
+    let on_two_machines = |rules: &mut Rules| {
         for zone in ["a", "b"] {
             rules.task_started(at(1), task(0), place(zone, ON_DEMAND));
         }
     };
-    expect("ran_twice", broken(job(1, 1.0), &twice));
+    expect_violation("ran_twice", first_violation(job(1, 1.0), &on_two_machines));
 }
 
 #[test]
@@ -107,7 +107,7 @@
     let on_spot = |rules: &mut Rules| {
         rules.task_started(at(1), task(0), place("a", CapacityType::Spot));
     };
-    expect("wrong_place", broken(job(1, 1.0), &on_spot));
+    expect_violation("wrong_place", first_violation(job(1, 1.0), &on_spot));
 }
 
 #[test]
@@ -119,63 +119,63 @@
     let in_one_zone = |rules: &mut Rules| {
         (0..2).for_each(|n| rules.task_started(at(1), task(n), place("a", ON_DEMAND)));
     };
-    expect("wrong_place", broken(spread, &in_one_zone));
+    expect_violation("wrong_place", first_violation(spread, &in_one_zone));
 }
 
 #[test]
 fn a_cancelled_task_that_stays_or_starts_too_late_breaks_ran_cancelled() {
     let stays = |rules: &mut Rules| {
         rules.task_started(at(1), task(0), place("a", ON_DEMAND));
-        cancelled(rules);
+        confirm_cancellation(rules);
     };
-    expect("ran_cancelled", broken(job(1, 1.0), &stays));
+    expect_violation("ran_cancelled", first_violation(job(1, 1.0), &stays));
     let late = |rules: &mut Rules| {
-        cancelled(rules);
+        confirm_cancellation(rules);
         rules.task_started(at(61), task(0), place("a", ON_DEMAND));
     };
-    expect("ran_cancelled", broken(job(1, 1.0), &late));
+    expect_violation("ran_cancelled", first_violation(job(1, 1.0), &late));
 }
 
 #[test]
 fn a_cancelled_task_that_starts_in_time_is_counted() {
-    let mut rules = rules(job(1, 1.0));
-    cancelled(&mut rules);
+    let mut rules = rules_with_job(job(1, 1.0));
+    confirm_cancellation(&mut rules);
     rules.task_started(at(12), task(0), place("a", ON_DEMAND));
     assert_eq!(rules.starts_after_cancellation, [(task(0), at(2))]);
 }
 
 #[test]
 fn an_accepted_job_that_is_unknown_or_refused_later_breaks_forgotten() {
-    expect(
+    expect_violation(
         "forgotten",
-        broken_once_accepted(&|rules| rules.status_reported(at(2), JobId(1), None)),
+        first_violation_once_accepted(&|rules| rules.status_reported(at(2), JobId(1), None)),
     );
-    expect(
+    expect_violation(
         "forgotten",
-        broken_once_accepted(&|rules| rules.refused(at(2), JobId(1), 422)),
+        first_violation_once_accepted(&|rules| rules.refused(at(2), JobId(1), 422)),
     );
 }
 
 #[test]
 fn an_accepted_job_without_an_answer_breaks_forgotten() {
-    expect(
+    expect_violation(
         "forgotten",
-        broken_once_accepted(&|rules| rules.asked(at(3), JobId(1))),
+        first_violation_once_accepted(&|rules| rules.asked(at(3), JobId(1))),
     );
     let answered = |rules: &mut Rules| {
         rules.asked(at(3), JobId(1));
         rules.status_reported(at(70), JobId(1), Some("queued"));
         rules.asked(at(75), JobId(1));
     };
-    assert_eq!(broken_once_accepted(&answered), None);
+    assert_eq!(first_violation_once_accepted(&answered), None);
 }
 
 #[test]
 fn jobs_without_a_completed_task_are_unserved() {
-    let unserved = |began: u64, done: bool| {
-        let mut rules = rules(job(1, 1.0));
+    let unserved = |started_s: u64, done: bool| {
+        let mut rules = rules_with_job(job(1, 1.0));
         rules.status_reported(at(1), JobId(1), Some("queued"));
-        rules.task_started(at(began), task(0), place("a", ON_DEMAND));
+        rules.task_started(at(started_s), task(0), place("a", ON_DEMAND));
         rules.task_ended(task(0), "a", done);
         rules.unserved()
     };
@@ -189,52 +189,58 @@
 
 #[test]
 fn an_answer_about_a_job_that_nobody_submitted_breaks_invented() {
-    expect(
+    expect_violation(
         "invented",
-        broken_once_accepted(&|rules| rules.status_reported(at(2), JobId(2), Some("queued"))),
+        first_violation_once_accepted(&|rules| {
+            rules.status_reported(at(2), JobId(2), Some("queued"))
+        }),
     );
 }
 
 #[test]
 fn a_job_called_done_before_its_tasks_are_breaks_not_done() {
-    expect(
+    expect_violation(
         "not_done",
-        broken_once_accepted(&|rules| rules.status_reported(at(2), JobId(1), Some("done"))),
+        first_violation_once_accepted(&|rules| {
+            rules.status_reported(at(2), JobId(1), Some("done"))
+        }),
     );
 }
 
 #[test]
 fn an_unrequested_cancellation_or_a_change_of_a_final_state_breaks_went_back() {
-    expect(
+    expect_violation(
         "went_back",
-        broken_once_accepted(&|rules| rules.status_reported(at(2), JobId(1), Some("cancelled"))),
+        first_violation_once_accepted(&|rules| {
+            rules.status_reported(at(2), JobId(1), Some("cancelled"))
+        }),
     );
-    let back = |rules: &mut Rules| {
-        cancelled(rules);
+    let running_again = |rules: &mut Rules| {
+        confirm_cancellation(rules);
         rules.status_reported(at(11), JobId(1), Some("running"));
     };
-    expect("went_back", broken(job(1, 1.0), &back));
+    expect_violation("went_back", first_violation(job(1, 1.0), &running_again));
 }
 
 #[test]
 fn a_job_that_waits_despite_capacity_for_90_s_breaks_idle() {
-    let beside = |from: u64, to: u64| {
-        broken_once_accepted(&move |rules| {
+    let waiting = |from: u64, to: u64| {
+        first_violation_once_accepted(&move |rules| {
             (from..=to).for_each(|second| {
                 rules.record_waiting_despite_capacity(at(second), [JobId(1)].into())
             });
         })
     };
-    assert_eq!(beside(2, 95), None, "counted from when troubles are over");
-    expect("idle", beside(2, 96));
+    assert_eq!(waiting(2, 95), None, "counted from when troubles are over");
+    expect_violation("idle", waiting(2, 96));
     let gap = |rules: &mut Rules| {
         (6..=110).for_each(|second| {
-            let waiting = (second != 50).then_some(JobId(1));
-            rules.record_waiting_despite_capacity(at(second), waiting.into_iter().collect());
+            let waiting_job = (second != 50).then_some(JobId(1));
+            rules.record_waiting_despite_capacity(at(second), waiting_job.into_iter().collect());
         });
     };
     assert_eq!(
-        broken_once_accepted(&gap),
+        first_violation_once_accepted(&gap),
         None,
         "now and then it finds none"
     );
@@ -243,10 +249,10 @@
 #[test]
 fn a_job_that_can_not_run_and_is_accepted_breaks_odd() {
     let answered = |status: u16| {
-        broken(job(1, 1.0), &move |rules| {
+        first_violation(job(1, 1.0), &move |rules| {
             rules.irregular_request_answered(at(1), 422, status);
         })
     };
-    expect("odd", answered(201));
+    expect_violation("odd", answered(201));
     assert_eq!(answered(503), None);
 }
