--- a/tests/loopback/cloud.rs
+++ b/tests/loopback/cloud.rs
@@ -17,20 +17,20 @@
 use super::state_service::reply;
 use super::workers;
 
-const BOOT: Duration = Duration::from_millis(500);
+const BOOT_TIME: Duration = Duration::from_millis(500);
 const CPUS: f64 = 4.0;
 /// Machines of a zone and a capacity type.
-const STOCK: usize = 6;
+const MACHINES_PER_POOL: usize = 6;
 
 /// Serves until the test ends.
 pub async fn serve(fleet: Arc<Mutex<Fleet>>) -> SocketAddr {
-    let with = warp::any().map(move || fleet.clone());
+    let with_fleet = warp::any().map(move || fleet.clone());
     let body = warp::body::bytes();
     let instance_types = warp::path!("flavors").and(warp::get()).map(instance_types);
     let rent = warp::path!("machines")
         .and(warp::post())
         .and(body)
-        .and(with.clone())
+        .and(with_fleet.clone())
         .then(|body: bytes::Bytes, fleet: Arc<Mutex<Fleet>>| async move {
             match decode_body::<ScaleOutRequest>(&body) {
                 Ok(request) => rent(&request, &fleet).await,
@@ -40,14 +40,14 @@
     let delete = warp::path!("machines" / "delete")
         .and(warp::post())
         .and(body)
-        .and(with.clone())
+        .and(with_fleet.clone())
         .map(|body: bytes::Bytes, fleet: Arc<Mutex<Fleet>>| {
             let names = decode_body::<MachineIds>(&body).map_or(Vec::new(), |names| names.machines);
             let mut fleet = lock(&fleet);
             for name in names {
                 if let Some(machine) = fleet.machines.get_mut(&*name.0) {
                     let ended = machine.lose_all_tasks();
-                    fleet.happened(&name.0, ended);
+                    fleet.record_events(&name.0, ended);
                     fleet.machines.remove(&*name.0);
                 }
             }
@@ -55,7 +55,7 @@
         });
     let list = warp::path!("machines")
         .and(warp::get())
-        .and(with)
+        .and(with_fleet)
         .map(|fleet: Arc<Mutex<Fleet>>| list(&lock(&fleet)));
     let routes = instance_types
         .or(rent)
@@ -84,11 +84,11 @@
 }
 
 async fn rent(request: &ScaleOutRequest, fleet: &Arc<Mutex<Fleet>>) -> Response {
-    let known = lock(fleet).requests.get(&request.request).cloned();
-    let names = match known {
+    let already_rented = lock(fleet).requests.get(&request.request).cloned();
+    let names = match already_rented {
         Some(names) => names,
         None => {
-            let names = rent_new(request, fleet).await;
+            let names = rent_machines(request, fleet).await;
             if names.is_empty() {
                 return reply(503, &cbor!({"error" => "no capacity"}));
             }
@@ -99,15 +99,15 @@
     reply(200, &cbor!({"berths" => names}))
 }
 
-async fn rent_new(request: &ScaleOutRequest, fleet: &Arc<Mutex<Fleet>>) -> Vec<String> {
+async fn rent_machines(request: &ScaleOutRequest, fleet: &Arc<Mutex<Fleet>>) -> Vec<String> {
     let mut names = Vec::new();
     for _ in 0..request.count {
-        let alike = |machine: &&Machine| {
+        let same_pool = |machine: &&Machine| {
             machine.zone == request.zone
                 && machine.capacity_type == CapacityType::from_spot(request.spot)
         };
-        let taken = lock(fleet).machines.values().filter(alike).count();
-        if taken >= STOCK {
+        let rented = lock(fleet).machines.values().filter(same_pool).count();
+        if rented >= MACHINES_PER_POOL {
             break;
         }
         let listener = tokio::net::TcpListener::bind("127.0.0.1:0")
@@ -117,7 +117,7 @@
             let mut fleet = lock(fleet);
             fleet.next_machine += 1;
             let name = format!("m-{:06}", fleet.next_machine);
-            let machine = machine(&name, request, fleet.now());
+            let machine = new_machine(&name, request, fleet.now());
             let addr = listener.local_addr().expect("bound");
             fleet.addresses.insert(name.clone(), addr);
             fleet.machines.insert(name.clone(), machine);
@@ -135,7 +135,7 @@
     names
 }
 
-fn machine(name: &str, request: &ScaleOutRequest, now: Duration) -> Machine {
+fn new_machine(name: &str, request: &ScaleOutRequest, now: Duration) -> Machine {
     Machine {
         id: name.to_owned(),
         type_name: request.type_name.clone(),
@@ -147,7 +147,7 @@
             memory_gb: 16.0,
         },
         rented: now,
-        up_at: Some(now + BOOT),
+        up_at: Some(now + BOOT_TIME),
         up: false,
         dead: false,
         hung_until: None,
@@ -158,12 +158,12 @@
         agent_epoch: AgentEpoch(1),
         sequence_number: 0,
         token: FencingToken(0),
-        lease_renewed_at: now + BOOT,
+        lease_renewed_at: now + BOOT_TIME,
         tasks: BTreeMap::new(),
         images: BTreeSet::new(),
         controller: 0,
         heartbeat: None,
-        next_heartbeat: now + BOOT,
+        next_heartbeat: now + BOOT_TIME,
         last_heartbeat: Duration::ZERO,
         changed: false,
         backlog: Vec::new(),
@@ -174,11 +174,11 @@
     let entry = |machine: &Machine| {
         let status = if machine.up { "running" } else { "booting" };
         let addr = fleet.addresses[&machine.id].to_string();
-        let held = (fleet.now().saturating_sub(machine.rented)).as_secs_f64();
+        let held_s = (fleet.now().saturating_sub(machine.rented)).as_secs_f64();
         let entry = cbor!({
             "id" => machine.id, "endpoint" => addr, "berthKind" => &*machine.type_name.0,
             "wing" => &*machine.zone.0, "loaner" => machine.capacity_type.is_spot(), "status" => status,
-            "heldS" => held,
+            "heldS" => held_s,
         });
         entry.expect("has a form")
     };
--- a/tests/loopback/main.rs
+++ b/tests/loopback/main.rs
@@ -25,45 +25,46 @@
 use site::Site;
 
 /// Everything that is waited for is looked at so often, at the most, and with this pause.
-const LOOKS: usize = 1800;
-const PAUSE: Duration = Duration::from_millis(100);
+const MAX_POLLS: usize = 1800;
+const POLL_INTERVAL: Duration = Duration::from_millis(100);
 
 /// Waits until something is so: bounded by the number of looks, not by the clock.
-async fn until(what: &str, mut is_so: impl FnMut() -> bool) {
-    for _ in 0..LOOKS {
-        if is_so() {
+async fn wait_until(description: &str, mut condition: impl FnMut() -> bool) {
+    for _ in 0..MAX_POLLS {
+        if condition() {
             return;
         }
-        tokio::time::sleep(PAUSE).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
-    panic!("never: {what}");
+    panic!("never: {description}");
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 3)]
 async fn a_zone_is_drained_while_a_controller_is_killed() {
     let site = Site::start(1).await;
     let mut controllers = Controllers::start(&site);
-    let operator = Operator::of(&controllers);
-    until("the format is switched on", || {
+    let operator = Operator::for_controllers(&controllers);
+    wait_until("the format is switched on", || {
         site.lock().state.format() >= 2
     })
     .await;
     for (id, team) in [(1, "red"), (2, "blue")] {
         site.submit_service(&controllers, id, team, 6).await;
     }
-    until("all replicas run", || site.lock().replicas_running() == 12).await;
+    wait_until("all replicas run", || site.lock().replicas_running() == 12).await;
 
-    check_refusals(&operator).await;
+    check_exit_codes(&operator).await;
 
     let zone = site.lock().busiest_zone();
-    let waiting = operator.spawn(&["drain", "--zone", &zone, "--id", "disk", "--wait", "--json"]);
-    until("an eviction is recorded", || {
+    let drain_command =
+        operator.spawn(&["drain", "--zone", &zone, "--id", "disk", "--wait", "--json"]);
+    wait_until("an eviction is recorded", || {
         !site.lock().state.recorded_evictions.is_empty()
     })
     .await;
     let leader = site.lock().leader().expect("led by now");
     controllers.restart(leader).await;
-    let (code, answer) = operator.finish(waiting).await;
+    let (code, answer) = operator.finish(drain_command).await;
     assert_eq!(code, Some(0), "{answer}");
     let drains: serde_json::Value = serde_json::from_str(&answer).expect("JSON");
     assert_eq!(drains["drains"][0]["state"], StateName::Done.as_str());
@@ -85,13 +86,13 @@
         "{:?}",
         fleet.rules.violations
     );
-    assert_eq!(fleet.over_budget, [] as [String; 0]);
+    assert_eq!(fleet.budget_violations, [] as [String; 0]);
     assert_eq!(fleet.replicas_running(), 12);
-    assert!(fleet.most_down > 0, "nothing was seen down");
+    assert!(fleet.max_tasks_down > 0, "nothing was seen down");
 }
 
 /// Each kind of problem has its exit code and one line.
-async fn check_refusals(operator: &Operator) {
+async fn check_exit_codes(operator: &Operator) {
     let cases: [(&[&str], i32, &str); 7] = [
         (
             &["drain", "--zone", "nowhere"],
@@ -121,12 +122,12 @@
             "there is no drain `unheard-of`",
         ),
     ];
-    for (arguments, expected, says) in cases {
+    for (arguments, expected_code, expected_text) in cases {
         let (code, answer) = operator.run(arguments).await;
-        assert_eq!(code, Some(expected), "{arguments:?}: {answer}");
-        assert!(answer.contains(says), "{arguments:?}: {answer}");
+        assert_eq!(code, Some(expected_code), "{arguments:?}: {answer}");
+        assert!(answer.contains(expected_text), "{arguments:?}: {answer}");
     }
-    let nobody = Operator::asking("127.0.0.1:1");
-    let (code, answer) = nobody.run(&["drains", "--within", "1"]).await;
+    let unreachable = Operator::for_address("127.0.0.1:1");
+    let (code, answer) = unreachable.run(&["drains", "--within", "1"]).await;
     assert_eq!(code, Some(5), "{answer}");
 }
--- a/tests/loopback/processes.rs
+++ b/tests/loopback/processes.rs
@@ -10,35 +10,37 @@
 const PROGRAM: &str = env!("CARGO_BIN_EXE_dappleshore");
 
 /// Where controllers take heartbeats.
-pub static PUBLIC: OnceLock<Vec<SocketAddr>> = OnceLock::new();
+pub static PUBLIC_ADDRESSES: OnceLock<Vec<SocketAddr>> = OnceLock::new();
 
-/// The controllers, and their files.
+/// The controllers, and their directory.
 pub struct Controllers {
     children: Vec<Child>,
-    files: PathBuf,
-    pub public: Vec<SocketAddr>,
-    pub between: Vec<SocketAddr>,
+    directory: PathBuf,
+    pub public_addresses: Vec<SocketAddr>,
+    pub peer_addresses: Vec<SocketAddr>,
 }
 
 impl Controllers {
     /// Starts one in each zone.
     pub fn start(site: &Site) -> Self {
-        let files = PathBuf::from(env!("CARGO_TARGET_TMPDIR"))
+        let directory = PathBuf::from(env!("CARGO_TARGET_TMPDIR"))
             .join(format!("loopback-{}", std::process::id()));
-        std::fs::create_dir_all(&files).expect("a folder for settings");
+        std::fs::create_dir_all(&directory).expect("a folder for settings");
         let ports = free_ports(2 * ZONES.len());
-        let (public, between) = ports.split_at(ZONES.len());
+        let (public_addresses, peer_addresses) = ports.split_at(ZONES.len());
         let mut controllers = Controllers {
             children: Vec::new(),
-            files,
-            public: public.to_vec(),
-            between: between.to_vec(),
+            directory,
+            public_addresses: public_addresses.to_vec(),
+            peer_addresses: peer_addresses.to_vec(),
         };
-        PUBLIC.get_or_init(|| controllers.public.clone());
+        PUBLIC_ADDRESSES.get_or_init(|| controllers.public_addresses.clone());
         let features = format!("[drain]\nenabled = true\nbudget = \"{}\"\n", site.budget);
-        std::fs::write(controllers.files.join("features.toml"), features).expect("writable");
+        std::fs::write(controllers.directory.join("features.toml"), features).expect("writable");
         for controller in 0..ZONES.len() {
-            let path = controllers.files.join(format!("node-{controller}.toml"));
+            let path = controllers
+                .directory
+                .join(format!("node-{controller}.toml"));
             std::fs::write(path, controllers.settings(site, controller)).expect("writable");
             let child = controllers.spawn(controller);
             controllers.children.push(child);
@@ -49,12 +51,12 @@
     fn settings(&self, site: &Site, controller: usize) -> String {
         let mut text = format!(
             "node_name = \"node-{controller}\"\ndomain = \"{}\"\nbind = \"{}\"\nback = \"{}\"\n",
-            ZONES[controller], self.public[controller], self.between[controller]
+            ZONES[controller], self.public_addresses[controller], self.peer_addresses[controller]
         );
         for other in (0..ZONES.len()).filter(|other| *other != controller) {
             text += &format!(
                 "[[members]]\nnode_name = \"node-{other}\"\ndomain = \"{}\"\npeer_addr = \"{}\"\n",
-                ZONES[other], self.between[other]
+                ZONES[other], self.peer_addresses[other]
             );
         }
         text += &format!(
@@ -82,7 +84,7 @@
     }
 
     fn spawn(&self, controller: usize) -> Child {
-        let log = self.files.join(format!("node-{controller}.log"));
+        let log = self.directory.join(format!("node-{controller}.log"));
         let log = std::fs::File::options()
             .create(true)
             .append(true)
@@ -91,9 +93,9 @@
         Command::new(PROGRAM)
             .arg("serve")
             .arg("--features")
-            .arg(self.files.join("features.toml"))
+            .arg(self.directory.join("features.toml"))
             .arg("--config")
-            .arg(self.files.join(format!("node-{controller}.toml")))
+            .arg(self.directory.join(format!("node-{controller}.toml")))
             .stdin(Stdio::null())
             .stdout(Stdio::null())
             .stderr(log)
@@ -105,7 +107,7 @@
     pub async fn restart(&mut self, controller: usize) {
         self.children[controller].kill().expect("it runs");
         self.children[controller].wait().expect("it ends");
-        tokio::time::sleep(super::PAUSE).await;
+        tokio::time::sleep(super::POLL_INTERVAL).await;
         self.children[controller] = self.spawn(controller);
     }
 }
@@ -118,7 +120,7 @@
             let _ = child.wait();
         }
         if !std::thread::panicking() {
-            let _ = std::fs::remove_dir_all(&self.files);
+            let _ = std::fs::remove_dir_all(&self.directory);
         }
     }
 }
@@ -139,9 +141,9 @@
 
 impl Operator {
     /// Of these controllers.
-    pub fn of(controllers: &Controllers) -> Self {
+    pub fn for_controllers(controllers: &Controllers) -> Self {
         let addresses: Vec<String> = controllers
-            .between
+            .peer_addresses
             .iter()
             .map(SocketAddr::to_string)
             .collect();
@@ -151,7 +153,7 @@
     }
 
     /// Who asks at an address.
-    pub fn asking(controllers: &str) -> Self {
+    pub fn for_address(controllers: &str) -> Self {
         Operator {
             controllers: controllers.to_owned(),
         }
--- a/tests/loopback/site.rs
+++ b/tests/loopback/site.rs
@@ -30,7 +30,7 @@
 
 /// Everything there is, and what was seen of it.
 pub struct Fleet {
-    pub began: Instant,
+    pub started_at: Instant,
     pub state: StateService,
     pub machines: BTreeMap<String, Machine>,
     pub addresses: BTreeMap<String, SocketAddr>,
@@ -41,8 +41,8 @@
     pub rules: Rules,
     budget: usize,
     /// Moments at which more of a team was down than its budget allows.
-    pub over_budget: Vec<String>,
-    pub most_down: usize,
+    pub budget_violations: Vec<String>,
+    pub max_tasks_down: usize,
 }
 
 /// The stand-ins, and where they listen.
@@ -59,7 +59,7 @@
     pub async fn start(budget: usize) -> Self {
         let limits = TEAMS.map(|team| (Team::from(team), 64.0)).into();
         let fleet = Fleet {
-            began: Instant::now(),
+            started_at: Instant::now(),
             state: StateService::new(LIMITS, |_, _| true),
             machines: BTreeMap::new(),
             addresses: BTreeMap::new(),
@@ -69,8 +69,8 @@
             results: BTreeSet::new(),
             rules: Rules::new(limits, CANCEL_WITHIN, Duration::from_secs(100_000)),
             budget,
-            over_budget: Vec::new(),
-            most_down: 0,
+            budget_violations: Vec::new(),
+            max_tasks_down: 0,
         };
         let fleet = Arc::new(Mutex::new(fleet));
         Site {
@@ -103,15 +103,15 @@
         }
         let body = submission(id, team, replicas);
         let client = Client::new(Duration::from_secs(1));
-        for attempt in 0..super::LOOKS {
-            let to = controllers.public[attempt % controllers.public.len()];
+        for attempt in 0..super::MAX_POLLS {
+            let to = controllers.public_addresses[attempt % controllers.public_addresses.len()];
             let path = "/submissions".to_owned();
             let request = Request::post(path, body.clone(), Duration::from_secs(5));
             let reply = client.send(to, request).await;
             if reply.is_ok_and(|reply| matches!(reply.status, 200 | 201)) {
                 return;
             }
-            tokio::time::sleep(super::PAUSE).await;
+            tokio::time::sleep(super::POLL_INTERVAL).await;
         }
         panic!("never accepted: {id}");
     }
@@ -127,22 +127,22 @@
 impl Fleet {
     /// Time since the site was started.
     pub fn now(&self) -> Duration {
-        self.began.elapsed()
+        self.started_at.elapsed()
     }
 
     /// Takes in what happened on a machine, and counts what is down.
-    pub fn happened(&mut self, machine: &str, events: Vec<MachineEvent>) {
+    pub fn record_events(&mut self, machine: &str, events: Vec<MachineEvent>) {
         let now = self.now();
         self.rules.now = now;
         for event in events {
             match event {
                 MachineEvent::Started(task) => {
-                    let on = &self.machines[machine];
+                    let host = &self.machines[machine];
                     let place = Place {
                         machine: machine.to_owned(),
-                        type_name: on.type_name.clone(),
-                        zone: on.zone.clone(),
-                        capacity_type: on.capacity_type,
+                        type_name: host.type_name.clone(),
+                        zone: host.zone.clone(),
+                        capacity_type: host.capacity_type,
                     };
                     self.rules.task_started(now, task, place);
                 }
@@ -151,10 +151,10 @@
         }
         for team in TEAMS {
             let down = self.rules.tasks_down(&team.into(), Duration::ZERO);
-            self.most_down = self.most_down.max(down.len());
+            self.max_tasks_down = self.max_tasks_down.max(down.len());
             if down.len() > self.budget {
                 let text = format!("{now:?}: {down:?} of {team} down, {} allowed", self.budget);
-                self.over_budget.push(text);
+                self.budget_violations.push(text);
             }
         }
     }
@@ -172,14 +172,14 @@
 
     /// The zone with the most replicas.
     pub fn busiest_zone(&self) -> String {
-        let count = |zone: &&str| {
-            let here = self
+        let task_count = |zone: &&str| {
+            let machines = self
                 .machines
                 .values()
                 .filter(|machine| *machine.zone.0 == **zone);
-            here.map(|machine| machine.tasks.len()).sum::<usize>()
+            machines.map(|machine| machine.tasks.len()).sum::<usize>()
         };
-        let busiest = ZONES.into_iter().max_by_key(count);
+        let busiest = ZONES.into_iter().max_by_key(task_count);
         busiest.expect("three zones").to_owned()
     }
 
--- a/tests/loopback/state_service.rs
+++ b/tests/loopback/state_service.rs
@@ -18,10 +18,10 @@
 type Query = HashMap<String, String>;
 
 #[derive(Deserialize)]
-struct Multi {
+struct CommitBody {
     when: Vec<Condition>,
     #[serde(default)]
-    apply: Vec<Apply>,
+    apply: Vec<Change>,
 }
 
 #[derive(Deserialize)]
@@ -31,7 +31,7 @@
 }
 
 #[derive(Deserialize)]
-struct Apply {
+struct Change {
     put: Option<String>,
     remove: Option<String>,
     value: Option<Value>,
@@ -39,42 +39,42 @@
 }
 
 #[derive(Deserialize)]
-struct NewLease {
+struct GrantLeaseBody {
     #[serde(rename = "lifeMs")]
     life_ms: u64,
 }
 
 /// A watch looks for changes so often.
-const LOOK_EVERY: Duration = Duration::from_millis(15);
+const WATCH_POLL_INTERVAL: Duration = Duration::from_millis(15);
 
 /// Serves until the test ends.
 pub async fn serve(fleet: Arc<Mutex<Fleet>>) -> SocketAddr {
-    let with = warp::any().map(move || fleet.clone());
+    let with_fleet = warp::any().map(move || fleet.clone());
     let body = warp::body::bytes();
     let get = warp::path("keys")
         .and(warp::get())
         .and(warp::path::tail())
         .and(warp::query::<Query>())
-        .and(with.clone())
+        .and(with_fleet.clone())
         .map(read_keys);
     let multi = warp::path!("multi")
         .and(warp::post())
         .and(body)
-        .and(with.clone())
+        .and(with_fleet.clone())
         .map(commit);
     let open = warp::path!("holds")
         .and(warp::post())
         .and(body)
-        .and(with.clone())
+        .and(with_fleet.clone())
         .map(grant_lease);
     let extend = warp::path!("holds" / u64 / "extend")
         .and(warp::post())
-        .and(with.clone())
+        .and(with_fleet.clone())
         .map(|id, fleet: Arc<Mutex<Fleet>>| execute(&fleet, &StoreRequest::KeepAliveLease { id }));
     let follow = warp::path!("follow")
         .and(warp::get())
         .and(warp::query::<Query>())
-        .and(with)
+        .and(with_fleet)
         .then(|query: Query, fleet: Arc<Mutex<Fleet>>| async move { watch(&query, &fleet).await });
     let routes = get
         .or(multi)
@@ -108,38 +108,38 @@
 }
 
 fn commit(body: bytes::Bytes, fleet: Arc<Mutex<Fleet>>) -> Response {
-    match decode_body::<Multi>(&body) {
-        Ok(multi) => execute(&fleet, &StoreRequest::Commit(transaction(multi))),
+    match decode_body::<CommitBody>(&body) {
+        Ok(body) => execute(&fleet, &StoreRequest::Commit(transaction(body))),
         Err(_) => reply(400, &cbor!({"error" => "malformed"})),
     }
 }
 
 fn grant_lease(body: bytes::Bytes, fleet: Arc<Mutex<Fleet>>) -> Response {
-    let life_ms = decode_body::<NewLease>(&body).map_or(5000, |lease| lease.life_ms);
+    let life_ms = decode_body::<GrantLeaseBody>(&body).map_or(5000, |lease| lease.life_ms);
     let life = Duration::from_millis(life_ms);
     execute(&fleet, &StoreRequest::GrantLease { life })
 }
 
-fn transaction(multi: Multi) -> Transaction {
-    let change = |apply: Apply| match (apply.put, apply.remove) {
+fn transaction(body: CommitBody) -> Transaction {
+    let to_change = |change: Change| match (change.put, change.remove) {
         (Some(key), _) => Some(TransactionChange::Put {
             key,
-            value: apply.value.unwrap_or(Value::Null),
-            lease: apply.tenure,
+            value: change.value.unwrap_or(Value::Null),
+            lease: change.tenure,
         }),
         (None, Some(key)) => Some(TransactionChange::Delete { key }),
         (None, None) => None,
     };
     Transaction {
-        conditions: multi.when.into_iter().map(|c| (c.k, c.amended)).collect(),
-        changes: multi.apply.into_iter().filter_map(change).collect(),
+        conditions: body.when.into_iter().map(|c| (c.k, c.amended)).collect(),
+        changes: body.apply.into_iter().filter_map(to_change).collect(),
     }
 }
 
-fn execute(fleet: &Mutex<Fleet>, op: &StoreRequest) -> Response {
+fn execute(fleet: &Mutex<Fleet>, request: &StoreRequest) -> Response {
     let mut fleet = lock(fleet);
     let now = fleet.now();
-    let outcome = fleet.state.serve(now, op);
+    let outcome = fleet.state.serve(now, request);
     let revision = fleet.state.revision;
     match outcome {
         StoreResponse::Value { value, version } => {
@@ -174,8 +174,8 @@
     let number = |name: &str| query.get(name).and_then(|text| text.parse::<u64>().ok());
     let prefix = query.get("prefix").cloned().unwrap_or_default();
     let after = number("after").unwrap_or(0);
-    let wait = Duration::from_millis(number("holdMs").unwrap_or(0));
-    let deadline = tokio::time::Instant::now() + wait;
+    let max_wait = Duration::from_millis(number("holdMs").unwrap_or(0));
+    let deadline = tokio::time::Instant::now() + max_wait;
     loop {
         {
             let mut fleet = lock(fleet);
@@ -183,7 +183,7 @@
             fleet.state.expire(now);
             let changes = fleet.state.changes_after(&prefix, after);
             if !changes.is_empty() || tokio::time::Instant::now() >= deadline {
-                let news = changes.into_iter().map(|change| {
+                let items = changes.into_iter().map(|change| {
                     let item = match change.value {
                         Some(value) => {
                             cbor!({"put" => change.key, "value" => value, "amended" => change.version})
@@ -192,12 +192,12 @@
                     };
                     item.expect("has a form")
                 });
-                let news = Value::Array(news.collect());
+                let items = Value::Array(items.collect());
                 let revision = fleet.state.revision;
-                return reply(200, &cbor!({"ledgerLine" => revision, "news" => news}));
+                return reply(200, &cbor!({"ledgerLine" => revision, "news" => items}));
             }
         }
-        tokio::time::sleep(LOOK_EVERY).await;
+        tokio::time::sleep(WATCH_POLL_INTERVAL).await;
     }
 }
 
--- a/tests/loopback/workers.rs
+++ b/tests/loopback/workers.rs
@@ -13,28 +13,28 @@
 use warp::http::StatusCode;
 use warp::reply::Response;
 
-use super::processes::PUBLIC;
+use super::processes::PUBLIC_ADDRESSES;
 use super::site::{Fleet, LEASE, lock};
 
-const STEP: Duration = Duration::from_millis(50);
-const REPORT_EVERY: Duration = Duration::from_secs(1);
+const STEP_INTERVAL: Duration = Duration::from_millis(50);
+const HEARTBEAT_INTERVAL: Duration = Duration::from_secs(1);
 const HEARTBEAT_TIMEOUT: Duration = Duration::from_secs(4);
-const TRY_NEXT: Duration = Duration::from_secs(1);
+const NEXT_CONTROLLER_DELAY: Duration = Duration::from_secs(1);
 
 /// Starts a machine's worker: it runs until the machine is deleted.
 pub fn start(name: String, listener: TcpListener, fleet: Arc<Mutex<Fleet>>) {
-    let commands = {
+    let routes = {
         let (name, fleet) = (name.clone(), fleet.clone());
         warp::path!("commands")
             .and(warp::post())
             .and(warp::body::bytes())
-            .map(move |body: bytes::Bytes| command(&name, &body, &fleet))
+            .map(move |body: bytes::Bytes| handle_command(&name, &body, &fleet))
     };
-    tokio::spawn(warp::serve(commands).incoming(listener).run());
-    tokio::spawn(work(name, fleet));
+    tokio::spawn(warp::serve(routes).incoming(listener).run());
+    tokio::spawn(run_worker(name, fleet));
 }
 
-fn runs_for(_: TaskId) -> Duration {
+fn run_time(_: TaskId) -> Duration {
     Duration::from_secs(1)
 }
 
@@ -56,20 +56,20 @@
     let Some(machine) = machines.get_mut(name) else {
         return false;
     };
-    let other_session = commands
+    let other_epoch = commands
         .agent_epoch
         .is_some_and(|agent_epoch| agent_epoch != machine.agent_epoch);
-    if commands.token < machine.token || other_session {
+    if commands.token < machine.token || other_epoch {
         return false;
     }
     machine.changed |= commands.token > machine.token;
     machine.token = commands.token;
-    let happened = machine.execute(&commands.commands, jobs, results, runs_for);
-    fleet.happened(name, happened);
+    let events = machine.execute(&commands.commands, jobs, results, run_time);
+    fleet.record_events(name, events);
     true
 }
 
-fn command(name: &str, body: &[u8], fleet: &Mutex<Fleet>) -> Response {
+fn handle_command(name: &str, body: &[u8], fleet: &Mutex<Fleet>) -> Response {
     let mut fleet = lock(fleet);
     let executed = match decode_body::<WorkerCommands>(body) {
         Ok(commands) => execute(&mut fleet, name, &commands),
@@ -82,39 +82,39 @@
     response
 }
 
-async fn work(name: String, fleet: Arc<Mutex<Fleet>>) {
+async fn run_worker(name: String, fleet: Arc<Mutex<Fleet>>) {
     let client = Client::new(Duration::from_secs(2));
     let mut controller = 0;
     loop {
-        tokio::time::sleep(STEP).await;
+        tokio::time::sleep(STEP_INTERVAL).await;
         let due = {
             let mut fleet = lock(&fleet);
-            match step(&mut fleet, &name) {
+            match advance(&mut fleet, &name) {
                 Some(due) => due,
                 None => return,
             }
         };
         let Some(heartbeat) = due else { continue };
-        let to: Vec<SocketAddr> = PUBLIC.get().cloned().unwrap_or_default();
-        let Some(addr) = to.get(controller).copied() else {
+        let controllers: Vec<SocketAddr> = PUBLIC_ADDRESSES.get().cloned().unwrap_or_default();
+        let Some(addr) = controllers.get(controller).copied() else {
             continue;
         };
-        let sent = lock(&fleet).now();
+        let sent_at = lock(&fleet).now();
         let agent_epoch = heartbeat.agent_epoch;
         let request = Request::post(
             "/v1/report".to_owned(),
             encode_body(&heartbeat),
             HEARTBEAT_TIMEOUT,
         );
-        let answer = client.send(addr, request).await;
-        let next = match answer {
+        let response = client.send(addr, request).await;
+        let next = match response {
             Ok(reply) if reply.status == 200 => {
                 let mut fleet = lock(&fleet);
-                answered(
+                apply_response(
                     &mut fleet,
                     &name,
                     agent_epoch,
-                    sent,
+                    sent_at,
                     decode_body::<WorkerCommands>(&reply.body).ok(),
                 );
                 None
@@ -130,8 +130,8 @@
         match next {
             None => {}
             Some(usize::MAX) => {
-                controller = (controller + 1) % to.len();
-                tokio::time::sleep(TRY_NEXT).await;
+                controller = (controller + 1) % controllers.len();
+                tokio::time::sleep(NEXT_CONTROLLER_DELAY).await;
             }
             Some(holder) => controller = holder,
         }
@@ -144,7 +144,7 @@
 }
 
 /// Time passes. None: the machine is gone. A heartbeat, if one is due.
-fn step(fleet: &mut Fleet, name: &str) -> Option<Option<Heartbeat>> {
+fn advance(fleet: &mut Fleet, name: &str) -> Option<Option<Heartbeat>> {
     let now = fleet.now();
     let Fleet {
         machines,
@@ -160,24 +160,24 @@
         machine.up = true;
         machine.lease_renewed_at = now;
     }
-    let mut happened = machine.check_lease(now, LEASE);
-    happened.extend(machine.progress(STEP, jobs, results, runs_for));
-    let rested = now >= machine.last_heartbeat + Duration::from_millis(500);
-    let due = now >= machine.next_heartbeat || (machine.changed && rested);
+    let mut events = machine.check_lease(now, LEASE);
+    events.extend(machine.progress(STEP_INTERVAL, jobs, results, run_time));
+    let min_interval_passed = now >= machine.last_heartbeat + Duration::from_millis(500);
+    let due = now >= machine.next_heartbeat || (machine.changed && min_interval_passed);
     if due {
         machine.changed = false;
         machine.last_heartbeat = now;
-        machine.next_heartbeat = now + REPORT_EVERY;
+        machine.next_heartbeat = now + HEARTBEAT_INTERVAL;
     }
-    fleet.happened(name, happened);
+    fleet.record_events(name, events);
     Some(if due { heartbeat(fleet, name) } else { None })
 }
 
-fn answered(
+fn apply_response(
     fleet: &mut Fleet,
     name: &str,
     agent_epoch: AgentEpoch,
-    sent: Duration,
+    sent_at: Duration,
     commands: Option<WorkerCommands>,
 ) {
     let Some(machine) = fleet.machines.get_mut(name) else {
@@ -189,6 +189,6 @@
     if execute(fleet, name, &commands)
         && let Some(machine) = fleet.machines.get_mut(name)
     {
-        machine.lease_renewed_at = sent;
+        machine.lease_renewed_at = sent_at;
     }
 }
