--- a/tests/documentation.rs
+++ b/tests/documentation.rs
@@ -1,4 +1,4 @@
-//! The documents name files, types and functions that exist.
+//! Checks that the files, types and constants that the documents name exist.
 
 use std::collections::BTreeSet;
 use std::fs;
@@ -14,13 +14,13 @@
     fs::read_to_string(root().join(path)).unwrap_or_else(|error| panic!("{path}: {error}"))
 }
 
-/// All files below a directory with this extension.
+/// All files with this extension below a directory.
 fn files_below(directory: &str, extension: &str) -> Vec<PathBuf> {
     let mut files = Vec::new();
     let mut directories = vec![root().join(directory)];
     while let Some(directory) = directories.pop() {
-        for entry in fs::read_dir(&directory).expect("a directory") {
-            let path = entry.expect("readable").path();
+        for entry in fs::read_dir(&directory).expect("the directory can be read") {
+            let path = entry.expect("the directory entry can be read").path();
             if path.is_dir() {
                 directories.push(path);
             } else if path.extension().is_some_and(|found| found == extension) {
@@ -31,7 +31,7 @@
     files
 }
 
-/// What stands between single backticks, blocks of code left out.
+/// The text of all inline code spans, without fenced code blocks.
 fn code_spans(text: &str) -> Vec<String> {
     text.split("```")
         .step_by(2)
@@ -48,7 +48,7 @@
         .into_iter()
         .chain(files_below("crates", "rs"))
     {
-        let text = fs::read_to_string(path).expect("readable");
+        let text = fs::read_to_string(path).expect("the file can be read");
         for line in text.lines().map(str::trim_start) {
             let words: Vec<&str> = line
                 .split(|c: char| !c.is_alphanumeric() && c != '_')
@@ -68,7 +68,7 @@
     names
 }
 
-/// Whether a code span is the name of a type, or of an enum's variant.
+/// Whether a code span is the name of a type or enum variant, possibly with a path.
 fn is_type_name(span: &str) -> bool {
     span.starts_with(char::is_uppercase)
         && span
@@ -100,10 +100,14 @@
             }
         }
     }
-    assert_eq!(missing, [] as [String; 0], "named but not there");
+    assert_eq!(
+        missing,
+        [] as [String; 0],
+        "documents name files that do not exist"
+    );
 }
 
-/// The last part of a path such as `module::CONSTANT`, if that is what a code span is.
+/// The last part of a code span such as `module::CONSTANT`, if it is the name of a constant.
 fn constant_name(span: &str) -> Option<&str> {
     let name = span.rsplit("::").next()?;
     let constant = name.len() > 3
@@ -120,7 +124,11 @@
         .into_iter()
         .filter(|span| constant_name(span).is_some_and(|name| !defined.contains(name)))
         .collect();
-    assert_eq!(missing, [] as [String; 0], "named but not defined");
+    assert_eq!(
+        missing,
+        [] as [String; 0],
+        "the page names items that are not defined"
+    );
 }
 
 #[test]
@@ -131,5 +139,9 @@
         .filter(|span| is_type_name(span))
         .filter(|span| !span.split("::").all(|part| defined.contains(part)))
         .collect();
-    assert_eq!(missing, [] as [String; 0], "named but not defined");
+    assert_eq!(
+        missing,
+        [] as [String; 0],
+        "the page names items that are not defined"
+    );
 }
