--- a/tests/loopback/cloud.rs
+++ b/tests/loopback/cloud.rs
@@ -1,4 +1,4 @@
-//! The cloud over HTTP, by its published protocol. Machines are up half a second after they were rented.
+//! Simulated cloud over HTTP, under its published protocol. Machines are up half a second after they are rented.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -19,10 +19,10 @@
 
 const BOOT_TIME: Duration = Duration::from_millis(500);
 const CPUS: f64 = 4.0;
-/// Machines of a zone and a capacity type.
+/// Largest number of machines of each zone and capacity type.
 const MACHINES_PER_POOL: usize = 6;
 
-/// Serves until the test ends.
+/// Starts the cloud, which serves until the test ends. Returns its address.
 pub async fn serve(fleet: Arc<Mutex<Fleet>>) -> SocketAddr {
     let with_fleet = warp::any().map(move || fleet.clone());
     let body = warp::body::bytes();
@@ -66,8 +66,8 @@
         .unify();
     let listener = tokio::net::TcpListener::bind("127.0.0.1:0")
         .await
-        .expect("a port");
-    let addr = listener.local_addr().expect("bound");
+        .expect("a port is free");
+    let addr = listener.local_addr().expect("the listener is bound");
     tokio::spawn(warp::serve(routes).incoming(listener).run());
     addr
 }
@@ -112,13 +112,13 @@
         }
         let listener = tokio::net::TcpListener::bind("127.0.0.1:0")
             .await
-            .expect("a port");
+            .expect("a port is free");
         let name = {
             let mut fleet = lock(fleet);
             fleet.next_machine += 1;
             let name = format!("m-{:06}", fleet.next_machine);
             let machine = new_machine(&name, request, fleet.now());
-            let addr = listener.local_addr().expect("bound");
+            let addr = listener.local_addr().expect("the listener is bound");
             fleet.addresses.insert(name.clone(), addr);
             fleet.machines.insert(name.clone(), machine);
             name
@@ -180,7 +180,7 @@
             "wing" => &*machine.zone.0, "loaner" => machine.capacity_type.is_spot(), "status" => status,
             "heldS" => held_s,
         });
-        entry.expect("has a form")
+        entry.expect("the entry is valid CBOR")
     };
     let machines = Value::Array(fleet.machines.values().map(entry).collect());
     reply(200, &cbor!({"berths" => machines, "more" => false}))
--- a/tests/loopback/main.rs
+++ b/tests/loopback/main.rs
@@ -1,9 +1,9 @@
-//! Three controllers as processes, with a state service, a cloud and workers of this repository's own on 127.0.0.1: a
-//! zone is drained by the command line while one controller is killed.
+//! Three controller processes with a simulated state service, cloud and workers on 127.0.0.1: a zone is drained through
+//! the command line while one controller is killed.
 
 #[path = "../simulation/machine.rs"]
 #[allow(dead_code, reason = "shared with the simulation")]
-#[allow(clippy::struct_excessive_bools, reason = "not reached yet: #30")]
+#[allow(clippy::struct_excessive_bools, reason = "to be resolved with #30")]
 mod machine;
 #[path = "../simulation/rules.rs"]
 #[allow(dead_code, reason = "shared with the simulation")]
@@ -24,11 +24,11 @@
 use processes::{Controllers, Operator};
 use site::Site;
 
-/// Everything that is waited for is looked at so often, at the most, and with this pause.
+/// Limits of polling: the most attempts, and the time between two of them.
 const MAX_POLLS: usize = 1800;
 const POLL_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Waits until something is so: bounded by the number of looks, not by the clock.
+/// Polls a condition until it holds. The wait is bounded by the number of polls, not by the clock.
 async fn wait_until(description: &str, mut condition: impl FnMut() -> bool) {
     for _ in 0..MAX_POLLS {
         if condition() {
@@ -36,7 +36,7 @@
         }
         tokio::time::sleep(POLL_INTERVAL).await;
     }
-    panic!("never: {description}");
+    panic!("condition never held: {description}");
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 3)]
@@ -62,14 +62,14 @@
         !site.lock().state.recorded_evictions.is_empty()
     })
     .await;
-    let leader = site.lock().leader().expect("led by now");
+    let leader = site.lock().leader().expect("a leader is elected by now");
     controllers.restart(leader).await;
     let (code, answer) = operator.finish(drain_command).await;
     assert_eq!(code, Some(0), "{answer}");
     let drains: serde_json::Value = serde_json::from_str(&answer).expect("JSON");
     assert_eq!(drains["drains"][0]["state"], StateName::Done.as_str());
 
-    // Repeating it under its name changes nothing.
+    // Repeating the drain with the same id changes nothing.
     let evictions = site.lock().state.recorded_evictions.len();
     let (code, again) = operator
         .run(&["drain", "--zone", &zone, "--id", "disk", "--json"])
@@ -80,7 +80,7 @@
 
     let fleet = site.lock();
     assert_eq!(fleet.state.recorded_evictions.len(), evictions);
-    assert!(evictions > 1, "{evictions} evictions show nothing");
+    assert!(evictions > 1, "only {evictions} evictions");
     assert!(
         fleet.rules.violations.is_empty(),
         "{:?}",
@@ -88,10 +88,10 @@
     );
     assert_eq!(fleet.budget_violations, [] as [String; 0]);
     assert_eq!(fleet.replicas_running(), 12);
-    assert!(fleet.max_tasks_down > 0, "nothing was seen down");
+    assert!(fleet.max_tasks_down > 0, "no task was ever down");
 }
 
-/// Each kind of problem has its exit code and one line.
+/// Checks the exit code and the message of each kind of problem.
 async fn check_exit_codes(operator: &Operator) {
     let cases: [(&[&str], i32, &str); 7] = [
         (
--- a/tests/loopback/processes.rs
+++ b/tests/loopback/processes.rs
@@ -1,4 +1,4 @@
-//! Controllers and operators' commands as processes of the program under test.
+//! Controllers and operator commands, run as processes of the program under test.
 
 use std::net::{SocketAddr, TcpListener};
 use std::path::PathBuf;
@@ -9,10 +9,10 @@
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_dappleshore");
 
-/// Where controllers take heartbeats.
+/// Addresses at which controllers receive heartbeats.
 pub static PUBLIC_ADDRESSES: OnceLock<Vec<SocketAddr>> = OnceLock::new();
 
-/// The controllers, and their directory.
+/// The controller processes and the directory of their settings and logs.
 pub struct Controllers {
     children: Vec<Child>,
     directory: PathBuf,
@@ -21,11 +21,11 @@
 }
 
 impl Controllers {
-    /// Starts one in each zone.
+    /// Starts one controller in each zone.
     pub fn start(site: &Site) -> Self {
         let directory = PathBuf::from(env!("CARGO_TARGET_TMPDIR"))
             .join(format!("loopback-{}", std::process::id()));
-        std::fs::create_dir_all(&directory).expect("a folder for settings");
+        std::fs::create_dir_all(&directory).expect("the settings directory can be created");
         let ports = free_ports(2 * ZONES.len());
         let (public_addresses, peer_addresses) = ports.split_at(ZONES.len());
         let mut controllers = Controllers {
@@ -36,12 +36,14 @@
         };
         PUBLIC_ADDRESSES.get_or_init(|| controllers.public_addresses.clone());
         let features = format!("[drain]\nenabled = true\nbudget = \"{}\"\n", site.budget);
-        std::fs::write(controllers.directory.join("features.toml"), features).expect("writable");
+        std::fs::write(controllers.directory.join("features.toml"), features)
+            .expect("the features file can be written");
         for controller in 0..ZONES.len() {
             let path = controllers
                 .directory
                 .join(format!("node-{controller}.toml"));
-            std::fs::write(path, controllers.settings(site, controller)).expect("writable");
+            std::fs::write(path, controllers.settings(site, controller))
+                .expect("the settings can be written");
             let child = controllers.spawn(controller);
             controllers.children.push(child);
         }
@@ -89,7 +91,7 @@
             .create(true)
             .append(true)
             .open(log)
-            .expect("a log");
+            .expect("the log can be opened");
         Command::new(PROGRAM)
             .arg("serve")
             .arg("--features")
@@ -103,10 +105,14 @@
             .expect("the program starts")
     }
 
-    /// Kills a controller, and starts it again a moment later.
+    /// Kills a controller and restarts it after one poll interval.
     pub async fn restart(&mut self, controller: usize) {
-        self.children[controller].kill().expect("it runs");
-        self.children[controller].wait().expect("it ends");
+        self.children[controller]
+            .kill()
+            .expect("the controller runs");
+        self.children[controller]
+            .wait()
+            .expect("the controller ends");
         tokio::time::sleep(super::POLL_INTERVAL).await;
         self.children[controller] = self.spawn(controller);
     }
@@ -115,7 +121,7 @@
 impl Drop for Controllers {
     fn drop(&mut self) {
         for child in &mut self.children {
-            // It may have ended by itself.
+            // The process may already have ended.
             let _ = child.kill();
             let _ = child.wait();
         }
@@ -125,22 +131,22 @@
     }
 }
 
-/// Ports that nobody uses just now.
+/// Addresses with ports that are free at the moment.
 fn free_ports(count: usize) -> Vec<SocketAddr> {
     let listeners: Vec<TcpListener> = (0..count)
-        .map(|_| TcpListener::bind("127.0.0.1:0").expect("a port"))
+        .map(|_| TcpListener::bind("127.0.0.1:0").expect("a port is free"))
         .collect();
-    let addr = |listener: &TcpListener| listener.local_addr().expect("bound");
+    let addr = |listener: &TcpListener| listener.local_addr().expect("the listener is bound");
     listeners.iter().map(addr).collect()
 }
 
-/// Whoever runs the commands.
+/// Runs operator commands against a list of controllers.
 pub struct Operator {
     controllers: String,
 }
 
 impl Operator {
-    /// Of these controllers.
+    /// An operator of these controllers.
     pub fn for_controllers(controllers: &Controllers) -> Self {
         let addresses: Vec<String> = controllers
             .peer_addresses
@@ -152,14 +158,14 @@
         }
     }
 
-    /// Who asks at an address.
+    /// An operator whose commands go to this address.
     pub fn for_address(controllers: &str) -> Self {
         Operator {
             controllers: controllers.to_owned(),
         }
     }
 
-    /// Starts a command.
+    /// Starts a command without waiting for it.
     pub fn spawn(&self, arguments: &[&str]) -> Child {
         Command::new(PROGRAM)
             .args(arguments)
@@ -171,10 +177,12 @@
             .expect("the program starts")
     }
 
-    /// Its exit code and all that it has said. It ends by itself: each request has a time-out.
+    /// Waits for a command, which ends because each request has a timeout. Returns its exit code and output.
     pub async fn finish(&self, child: Child) -> (Option<i32>, String) {
         let output = tokio::task::spawn_blocking(move || child.wait_with_output()).await;
-        let output = output.expect("not cancelled").expect("it ends");
+        let output = output
+            .expect("the wait is not cancelled")
+            .expect("the command ends");
         let text = [output.stdout, output.stderr].concat();
         (
             output.status.code(),
--- a/tests/loopback/site.rs
+++ b/tests/loopback/site.rs
@@ -1,4 +1,4 @@
-//! What the stand-ins share: machines, jobs, the state service's keys, and what is checked of them.
+//! State that the simulated services share: machines, jobs and the keys of the state service, with the checks on them.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -28,7 +28,7 @@
     txn_ops: 16,
 };
 
-/// Everything there is, and what was seen of it.
+/// State of the simulated services, and the results of the checks.
 pub struct Fleet {
     pub started_at: Instant,
     pub state: StateService,
@@ -40,12 +40,12 @@
     pub results: BTreeSet<TaskId>,
     pub rules: Rules,
     budget: usize,
-    /// Moments at which more of a team was down than its budget allows.
+    /// Times at which more tasks of a team were down than its budget allows.
     pub budget_violations: Vec<String>,
     pub max_tasks_down: usize,
 }
 
-/// The stand-ins, and where they listen.
+/// The simulated services and their addresses.
 #[derive(Clone)]
 pub struct Site {
     fleet: Arc<Mutex<Fleet>>,
@@ -55,7 +55,7 @@
 }
 
 impl Site {
-    /// Starts the state service and the cloud. Each team may have so many tasks disrupted.
+    /// Starts the state service and the cloud. Each team may have up to `budget` disrupted tasks.
     pub async fn start(budget: usize) -> Self {
         let limits = TEAMS.map(|team| (Team::from(team), 64.0)).into();
         let fleet = Fleet {
@@ -81,12 +81,12 @@
         }
     }
 
-    /// The fleet, for as long as nobody else needs it.
+    /// Locks the fleet.
     pub fn lock(&self) -> MutexGuard<'_, Fleet> {
         lock(&self.fleet)
     }
 
-    /// A user submits a service, and repeats that until it is accepted.
+    /// Submits a service, repeated until a controller accepts it.
     pub async fn submit_service(
         &self,
         controllers: &Controllers,
@@ -113,11 +113,11 @@
             }
             tokio::time::sleep(super::POLL_INTERVAL).await;
         }
-        panic!("never accepted: {id}");
+        panic!("job {id} was never accepted");
     }
 }
 
-/// The fleet. A test that has failed while it held it has said why.
+/// Locks the fleet. A poisoned lock is ignored, because the panic that caused it is reported anyway.
 pub fn lock(fleet: &Mutex<Fleet>) -> MutexGuard<'_, Fleet> {
     fleet
         .lock()
@@ -130,7 +130,7 @@
         self.started_at.elapsed()
     }
 
-    /// Takes in what happened on a machine, and counts what is down.
+    /// Records events of a machine and counts the tasks that are down.
     pub fn record_events(&mut self, machine: &str, events: Vec<MachineEvent>) {
         let now = self.now();
         self.rules.now = now;
@@ -159,7 +159,7 @@
         }
     }
 
-    /// Replicas that run, on all machines.
+    /// Number of running replicas on all machines.
     pub fn replicas_running(&self) -> usize {
         let tasks = self
             .machines
@@ -183,7 +183,7 @@
         busiest.expect("three zones").to_owned()
     }
 
-    /// The controller that leads, by its number.
+    /// The number of the controller that leads.
     pub fn leader(&self) -> Option<usize> {
         let name = self.state.leader()?.controller;
         name.0.trim_start_matches("node-").parse().ok()
@@ -224,5 +224,5 @@
         "bundle" => "img-0", "imageGb" => 1.0, "samePlace" => false, "scatter" => true, "loaner" => false,
         "expectS" => 0.0, "stampEveryS" => 0.0, "stampS" => 0.0,
     });
-    dappleshore::http::encode_body(&body.expect("has a form"))
+    dappleshore::http::encode_body(&body.expect("the submission is valid CBOR"))
 }
--- a/tests/loopback/state_service.rs
+++ b/tests/loopback/state_service.rs
@@ -1,4 +1,4 @@
-//! The state service over HTTP, by its published protocol; its keys are those of the simulation's stand-in.
+//! State service over HTTP, under its published protocol, on top of the simulated state service.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -44,10 +44,10 @@
     life_ms: u64,
 }
 
-/// A watch looks for changes so often.
+/// Interval at which a watch polls for changes.
 const WATCH_POLL_INTERVAL: Duration = Duration::from_millis(15);
 
-/// Serves until the test ends.
+/// Starts the state service, which serves until the test ends. Returns its address.
 pub async fn serve(fleet: Arc<Mutex<Fleet>>) -> SocketAddr {
     let with_fleet = warp::any().map(move || fleet.clone());
     let body = warp::body::bytes();
@@ -87,13 +87,13 @@
         .unify();
     let listener = tokio::net::TcpListener::bind("127.0.0.1:0")
         .await
-        .expect("a port");
-    let addr = listener.local_addr().expect("bound");
+        .expect("a port is free");
+    let addr = listener.local_addr().expect("the listener is bound");
     tokio::spawn(warp::serve(routes).incoming(listener).run());
     addr
 }
 
-/// One key, or a page of keys.
+/// Reads one key, or a page of the keys with a prefix.
 fn read_keys(tail: warp::path::Tail, query: Query, fleet: Arc<Mutex<Fleet>>) -> Response {
     let request = match query.get("prefix") {
         Some(prefix) => StoreRequest::Range {
@@ -153,7 +153,7 @@
         } => {
             let row = |entry: KeyValue| {
                 cbor!({"k" => entry.key, "value" => entry.value, "amended" => entry.version})
-                    .expect("has a form")
+                    .expect("the row is valid CBOR")
             };
             let rows = Value::Array(key_values.into_iter().map(row).collect());
             reply(
@@ -190,7 +190,7 @@
                         }
                         None => cbor!({"remove" => change.key, "amended" => change.version}),
                     };
-                    item.expect("has a form")
+                    item.expect("the change is valid CBOR")
                 });
                 let items = Value::Array(items.collect());
                 let revision = fleet.state.revision;
@@ -201,9 +201,10 @@
     }
 }
 
-/// An answer with a CBOR body.
+/// A response with a CBOR body.
 pub fn reply(status: u16, body: &Result<Value, ciborium::value::Error>) -> Response {
-    let mut response = Response::new(encode_body(body.as_ref().expect("has a form")).into());
-    *response.status_mut() = StatusCode::from_u16(status).expect("a status");
+    let mut response =
+        Response::new(encode_body(body.as_ref().expect("the body is valid CBOR")).into());
+    *response.status_mut() = StatusCode::from_u16(status).expect("valid status code");
     response
 }
--- a/tests/loopback/workers.rs
+++ b/tests/loopback/workers.rs
@@ -1,5 +1,5 @@
-//! Workers over HTTP, by their published protocol: each reports to one controller at a time and takes commands at an
-//! address of its own.
+//! Simulated workers over HTTP, under their published protocol: each sends heartbeats to one controller at a time and
+//! receives commands at its own address.
 
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex};
@@ -21,7 +21,7 @@
 const HEARTBEAT_TIMEOUT: Duration = Duration::from_secs(4);
 const NEXT_CONTROLLER_DELAY: Duration = Duration::from_secs(1);
 
-/// Starts a machine's worker: it runs until the machine is deleted.
+/// Starts the worker of a machine, which runs until the machine is deleted.
 pub fn start(name: String, listener: TcpListener, fleet: Arc<Mutex<Fleet>>) {
     let routes = {
         let (name, fleet) = (name.clone(), fleet.clone());
@@ -45,7 +45,7 @@
     Some(Heartbeat { addr, ..heartbeat })
 }
 
-/// Executes commands that come with a token that is not too low.
+/// Executes commands unless their token is stale or they are for another agent epoch. Returns whether it did.
 fn execute(fleet: &mut Fleet, name: &str, commands: &WorkerCommands) -> bool {
     let Fleet {
         machines,
@@ -78,7 +78,7 @@
     let heartbeat = heartbeat(&mut fleet, name);
     let mut response = Response::new(encode_body(&heartbeat).into());
     let status = if executed { 200 } else { 409 };
-    *response.status_mut() = StatusCode::from_u16(status).expect("a status");
+    *response.status_mut() = StatusCode::from_u16(status).expect("valid status code");
     response
 }
 
@@ -143,7 +143,7 @@
     }
 }
 
-/// Time passes. None: the machine is gone. A heartbeat, if one is due.
+/// Advances a machine by one step. Returns `None` if the machine is deleted, otherwise its heartbeat if one is due.
 fn advance(fleet: &mut Fleet, name: &str) -> Option<Option<Heartbeat>> {
     let now = fleet.now();
     let Fleet {
