--- a/tests/loopback/main.rs
+++ b/tests/loopback/main.rs
@@ -64,17 +64,17 @@
     .await;
     let leader = site.lock().leader().expect("a leader is elected by now");
     controllers.restart(leader).await;
-    let (code, answer) = operator.finish(drain_command).await;
-    assert_eq!(code, Some(0), "{answer}");
-    let drains: serde_json::Value = serde_json::from_str(&answer).expect("JSON");
+    let (code, output) = operator.finish(drain_command).await;
+    assert_eq!(code, Some(0), "{output}");
+    let drains: serde_json::Value = serde_json::from_str(&output).expect("JSON");
     assert_eq!(drains["drains"][0]["state"], StateName::Done.as_str());
 
     // Repeating the drain with the same id changes nothing.
     let evictions = site.lock().state.recorded_evictions.len();
-    let (code, again) = operator
+    let (code, output) = operator
         .run(&["drain", "--zone", &zone, "--id", "disk", "--json"])
         .await;
-    assert_eq!(code, Some(0), "{again}");
+    assert_eq!(code, Some(0), "{output}");
     let (code, _) = operator.run(&["uncordon", "--zone", &zone]).await;
     assert_eq!(code, Some(0));
 
@@ -123,11 +123,11 @@
         ),
     ];
     for (arguments, expected_code, expected_text) in cases {
-        let (code, answer) = operator.run(arguments).await;
-        assert_eq!(code, Some(expected_code), "{arguments:?}: {answer}");
-        assert!(answer.contains(expected_text), "{arguments:?}: {answer}");
+        let (code, output) = operator.run(arguments).await;
+        assert_eq!(code, Some(expected_code), "{arguments:?}: {output}");
+        assert!(output.contains(expected_text), "{arguments:?}: {output}");
     }
     let unreachable = Operator::for_address("127.0.0.1:1");
-    let (code, answer) = unreachable.run(&["drains", "--within", "1"]).await;
-    assert_eq!(code, Some(5), "{answer}");
+    let (code, output) = unreachable.run(&["drains", "--within", "1"]).await;
+    assert_eq!(code, Some(5), "{output}");
 }
--- a/tests/simulation/drains.rs
+++ b/tests/simulation/drains.rs
@@ -153,7 +153,7 @@
 
 /// All machines of the zone are returned, including those that boot late, and none is rented there.
 #[test]
-fn rented_machines_are_returned_when_asked() {
+fn rented_machines_are_returned_when_requested() {
     let mut cluster = drain_cluster(805, Faults::default(), 2);
     add_services(&mut cluster, 6);
     cluster.plan(DRAIN_AT, |cluster| {
--- a/tests/simulation/measure.rs
+++ b/tests/simulation/measure.rs
@@ -210,7 +210,7 @@
 #[test]
 #[ignore = "takes minutes: measures drains of a large fleet and writes a report"]
 fn measure_drains() {
-    let quiet = Faults::default();
+    let no_faults = Faults::default();
     let failing = Faults {
         crash: 40.0,
         machine_dies: 5.0,
@@ -219,11 +219,11 @@
         ..Faults::default()
     };
     let cases = [
-        ("no drain", DrainTarget::Nothing, quiet),
-        ("1 machine", DrainTarget::Machines(1), quiet),
-        ("10 machines", DrainTarget::Machines(10), quiet),
-        ("100 machines", DrainTarget::Machines(100), quiet),
-        ("a zone", DrainTarget::Zone, quiet),
+        ("no drain", DrainTarget::Nothing, no_faults),
+        ("1 machine", DrainTarget::Machines(1), no_faults),
+        ("10 machines", DrainTarget::Machines(10), no_faults),
+        ("100 machines", DrainTarget::Machines(100), no_faults),
+        ("a zone", DrainTarget::Zone, no_faults),
         (
             "100 machines, with failures",
             DrainTarget::Machines(100),
