--- a/tests/simulation/cluster/store_requests.rs
+++ b/tests/simulation/cluster/store_requests.rs
@@ -1,8 +1,9 @@
-//! Requests to the simulated state service, watches included.
+//! Requests to the simulated state service, including watches.
 
 use super::controllers::Process;
 use super::*;
 
+/// An open watch of a controller.
 pub(super) struct Watcher {
     pub(super) process: Process,
     pub(super) tag: StoreTag,
@@ -13,48 +14,49 @@
 }
 
 impl SimulatedCluster {
-    /// The format that is switched on.
+    /// The record format that is switched on.
     pub fn format(&self) -> u32 {
         self.state.format()
     }
 
-    pub(super) fn store(
+    /// Delivers a request to the state service, or delays it until a partition ends.
+    pub(super) fn store_request_arrives(
         &mut self,
         process: Process,
         tag: StoreTag,
         sent: Instant,
-        op: StoreRequest,
-        answer: bool,
+        request: StoreRequest,
+        response_arrives: bool,
     ) {
-        if let Some(until) = self.cut(process.controller, None) {
-            if answer {
+        if let Some(until) = self.partition_end(process.controller, None) {
+            if response_arrives {
                 self.store_request_times_out(process, tag.clone(), sent);
             }
-            let late = until + Duration::from_millis(self.rng.random_range(1..50));
-            self.at(
-                late,
+            let arrival = until + Duration::from_millis(self.rng.random_range(1..50));
+            self.schedule(
+                arrival,
                 ClusterEvent::Store {
                     process,
                     tag,
                     sent,
-                    op,
-                    answer: false,
+                    request,
+                    response_arrives: false,
                 },
             );
             return;
         }
-        let out = self.state_out(process.controller);
+        let unavailable = self.state_unavailable(process.controller);
         if let StoreRequest::Watch {
             prefix,
             after,
             wait,
-        } = &op
+        } = &request
         {
-            if !answer {
+            if !response_arrives {
                 return;
             }
-            self.order += 1;
-            let id = self.order;
+            self.event_sequence += 1;
+            let id = self.event_sequence;
             let until = self.now + *wait;
             let watcher = Watcher {
                 process,
@@ -65,48 +67,56 @@
                 until,
             };
             self.watchers.insert(id, watcher);
-            self.at(until, ClusterEvent::Watch { id });
+            self.schedule(until, ClusterEvent::CheckWatch { id });
             self.wake_watchers();
             return;
         }
-        let outcome = if out {
+        let outcome = if unavailable {
             StoreResponse::Refused
         } else {
-            self.state.serve(self.now, &op)
+            self.state.serve(self.now, &request)
         };
         self.check_evictions();
         if matches!(outcome, StoreResponse::Committed { .. }) {
             self.wake_watchers();
         }
-        if answer {
+        if response_arrives {
             self.deliver_soon(process, Event::StoreResponse { tag, sent, outcome });
         }
     }
 
+    /// Answers the open watches that have changes to return.
     pub(super) fn wake_watchers(&mut self) {
         let ready: Vec<u64> = self
             .watchers
             .iter()
-            .filter(|(_, w)| {
-                !self.state_out(w.process.controller)
-                    && !self.state.changes_after(&w.prefix, w.after).is_empty()
+            .filter(|(_, watcher)| {
+                !self.state_unavailable(watcher.process.controller)
+                    && !self
+                        .state
+                        .changes_after(&watcher.prefix, watcher.after)
+                        .is_empty()
             })
             .map(|(id, _)| *id)
             .collect();
         for id in ready {
-            self.watch_over(id);
+            self.check_watch(id);
         }
     }
 
-    pub(super) fn watch_over(&mut self, id: u64) {
+    /// Answers an open watch. While the state service is unavailable it stays open, and it times out 2 s after its end.
+    pub(super) fn check_watch(&mut self, id: u64) {
         let Some(watcher) = self.watchers.get(&id) else {
             return;
         };
-        if self.state_out(watcher.process.controller) {
-            // Open watches wait.
+        if self.state_unavailable(watcher.process.controller) {
+            // Open watches stay open during an outage.
             let later = self.now + Duration::from_millis(500);
             if self.now > watcher.until + Duration::from_secs(2) {
-                let watcher = self.watchers.remove(&id).expect("looked up");
+                let watcher = self
+                    .watchers
+                    .remove(&id)
+                    .expect("the watch was looked up above");
                 let event = Event::StoreResponse {
                     tag: watcher.tag,
                     sent: watcher.sent,
@@ -114,11 +124,14 @@
                 };
                 self.deliver_soon(watcher.process, event);
             } else {
-                self.at(later, ClusterEvent::Watch { id });
+                self.schedule(later, ClusterEvent::CheckWatch { id });
             }
             return;
         }
-        let watcher = self.watchers.remove(&id).expect("looked up");
+        let watcher = self
+            .watchers
+            .remove(&id)
+            .expect("the watch was looked up above");
         let changes = self.state.changes_after(&watcher.prefix, watcher.after);
         let outcome = StoreResponse::WatchEvents {
             revision: self.state.revision,
@@ -132,11 +145,12 @@
         self.deliver_soon(watcher.process, event);
     }
 
-    /// The highest token given out so far.
+    /// The highest fencing token issued so far.
     pub fn last_token(&self) -> u64 {
         self.state.last_token()
     }
 
+    /// The simulated state service.
     pub fn state(&self) -> &StateService {
         &self.state
     }
