--- a/tests/loopback/site.rs
+++ b/tests/loopback/site.rs
@@ -1,4 +1,4 @@
-//! What the stand-ins share: machines, jobs, the state service's keys, and what is checked of them.
+//! State that the simulated services share: machines, jobs and the keys of the state service, with the checks on them.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -28,9 +28,9 @@
     txn_ops: 16,
 };
 
-/// Everything there is, and what was seen of it.
+/// State of the simulated services, and the results of the checks.
 pub struct Fleet {
-    pub began: Instant,
+    pub started_at: Instant,
     pub state: StateService,
     pub machines: BTreeMap<String, Machine>,
     pub addresses: BTreeMap<String, SocketAddr>,
@@ -40,12 +40,12 @@
     pub results: BTreeSet<TaskId>,
     pub rules: Rules,
     budget: usize,
-    /// Moments at which more of a team was down than its budget allows.
-    pub over_budget: Vec<String>,
-    pub most_down: usize,
+    /// Times at which more tasks of a team were down than its budget allows.
+    pub budget_violations: Vec<String>,
+    pub max_tasks_down: usize,
 }
 
-/// The stand-ins, and where they listen.
+/// The simulated services and their addresses.
 #[derive(Clone)]
 pub struct Site {
     fleet: Arc<Mutex<Fleet>>,
@@ -55,11 +55,11 @@
 }
 
 impl Site {
-    /// Starts the state service and the cloud. Each team may have so many tasks disrupted.
+    /// Starts the state service and the cloud. Each team may have up to `budget` disrupted tasks.
     pub async fn start(budget: usize) -> Self {
         let limits = TEAMS.map(|team| (Team::from(team), 64.0)).into();
         let fleet = Fleet {
-            began: Instant::now(),
+            started_at: Instant::now(),
             state: StateService::new(LIMITS, |_, _| true),
             machines: BTreeMap::new(),
             addresses: BTreeMap::new(),
@@ -69,8 +69,8 @@
             results: BTreeSet::new(),
             rules: Rules::new(limits, CANCEL_WITHIN, Duration::from_secs(100_000)),
             budget,
-            over_budget: Vec::new(),
-            most_down: 0,
+            budget_violations: Vec::new(),
+            max_tasks_down: 0,
         };
         let fleet = Arc::new(Mutex::new(fleet));
         Site {
@@ -81,12 +81,12 @@
         }
     }
 
-    /// The fleet, for as long as nobody else needs it.
+    /// Locks the fleet.
     pub fn lock(&self) -> MutexGuard<'_, Fleet> {
         lock(&self.fleet)
     }
 
-    /// A user submits a service, and repeats that until it is accepted.
+    /// Submits a service, repeated until a controller accepts it.
     pub async fn submit_service(
         &self,
         controllers: &Controllers,
@@ -103,21 +103,21 @@
         }
         let body = submission(id, team, replicas);
         let client = Client::new(Duration::from_secs(1));
-        for attempt in 0..super::LOOKS {
-            let to = controllers.public[attempt % controllers.public.len()];
+        for attempt in 0..super::MAX_POLLS {
+            let to = controllers.public_addresses[attempt % controllers.public_addresses.len()];
             let path = "/submissions".to_owned();
             let request = Request::post(path, body.clone(), Duration::from_secs(5));
             let reply = client.send(to, request).await;
             if reply.is_ok_and(|reply| matches!(reply.status, 200 | 201)) {
                 return;
             }
-            tokio::time::sleep(super::PAUSE).await;
+            tokio::time::sleep(super::POLL_INTERVAL).await;
         }
-        panic!("never accepted: {id}");
+        panic!("job {id} was never accepted");
     }
 }
 
-/// The fleet. A test that has failed while it held it has said why.
+/// Locks the fleet. A poisoned lock is ignored, because the panic that caused it is reported anyway.
 pub fn lock(fleet: &Mutex<Fleet>) -> MutexGuard<'_, Fleet> {
     fleet
         .lock()
@@ -127,22 +127,22 @@
 impl Fleet {
     /// Time since the site was started.
     pub fn now(&self) -> Duration {
-        self.began.elapsed()
+        self.started_at.elapsed()
     }
 
-    /// Takes in what happened on a machine, and counts what is down.
-    pub fn happened(&mut self, machine: &str, events: Vec<MachineEvent>) {
+    /// Records events of a machine and counts the tasks that are down.
+    pub fn record_events(&mut self, machine: &str, events: Vec<MachineEvent>) {
         let now = self.now();
         self.rules.now = now;
         for event in events {
             match event {
                 MachineEvent::Started(task) => {
-                    let on = &self.machines[machine];
+                    let host = &self.machines[machine];
                     let place = Place {
                         machine: machine.to_owned(),
-                        type_name: on.type_name.clone(),
-                        zone: on.zone.clone(),
-                        capacity_type: on.capacity_type,
+                        type_name: host.type_name.clone(),
+                        zone: host.zone.clone(),
+                        capacity_type: host.capacity_type,
                     };
                     self.rules.task_started(now, task, place);
                 }
@@ -151,15 +151,15 @@
         }
         for team in TEAMS {
             let down = self.rules.tasks_down(&team.into(), Duration::ZERO);
-            self.most_down = self.most_down.max(down.len());
+            self.max_tasks_down = self.max_tasks_down.max(down.len());
             if down.len() > self.budget {
                 let text = format!("{now:?}: {down:?} of {team} down, {} allowed", self.budget);
-                self.over_budget.push(text);
+                self.budget_violations.push(text);
             }
         }
     }
 
-    /// Replicas that run, on all machines.
+    /// Number of running replicas on all machines.
     pub fn replicas_running(&self) -> usize {
         let tasks = self
             .machines
@@ -172,18 +172,18 @@
 
     /// The zone with the most replicas.
     pub fn busiest_zone(&self) -> String {
-        let count = |zone: &&str| {
-            let here = self
+        let task_count = |zone: &&str| {
+            let machines = self
                 .machines
                 .values()
                 .filter(|machine| *machine.zone.0 == **zone);
-            here.map(|machine| machine.tasks.len()).sum::<usize>()
+            machines.map(|machine| machine.tasks.len()).sum::<usize>()
         };
-        let busiest = ZONES.into_iter().max_by_key(count);
+        let busiest = ZONES.into_iter().max_by_key(task_count);
         busiest.expect("three zones").to_owned()
     }
 
-    /// The controller that leads, by its number.
+    /// The number of the controller that leads.
     pub fn leader(&self) -> Option<usize> {
         let name = self.state.leader()?.controller;
         name.0.trim_start_matches("node-").parse().ok()
@@ -224,5 +224,5 @@
         "bundle" => "img-0", "imageGb" => 1.0, "samePlace" => false, "scatter" => true, "loaner" => false,
         "expectS" => 0.0, "stampEveryS" => 0.0, "stampS" => 0.0,
     });
-    dappleshore::http::encode_body(&body.expect("has a form"))
+    dappleshore::http::encode_body(&body.expect("the submission is valid CBOR"))
 }
--- a/tests/simulation/operations.rs
+++ b/tests/simulation/incidents.rs
@@ -1,22 +1,22 @@
-//! Troubles of bad nights: machines that boot late or never, jobs with a mistake, guests without a guarantee, and users who
-//! ask many times as often.
+//! Operational incidents: machines that boot late or never, jobs whose tasks always fail, large jobs of a team without
+//! a guarantee, and users who send many times as many requests.
 
 use std::time::Duration;
 
 use dappleshore::domain::JobId;
 
 use super::cluster::{BootFaults, FAULTS_END, Faults, GUESTS, SimulatedCluster, Size};
-use super::fault_combinations::{finish, play, seconds};
+use super::fault_combinations::{run_and_check, run_to_end, seconds};
 
-/// While most machines are late they are waited for, not ordered over and over; while some never come up, others are
-/// ordered in their place.
+/// Machines that boot late are waited for, and not rented again and again. Machines that never boot are replaced by
+/// others.
 #[test]
 fn machines_boot_late_or_never() {
     for seed in 400..=403 {
-        let rented = |trouble: Option<BootFaults>| {
-            let cluster = play(seed, Faults::default(), Size::SMALL, |cluster| {
+        let rented = |boot_faults: Option<BootFaults>| {
+            let cluster = run_and_check(seed, Faults::default(), Size::SMALL, |cluster| {
                 cluster.plan(seconds(5.0), move |cluster| {
-                    cluster.set_boot_faults(trouble)
+                    cluster.set_boot_faults(boot_faults)
                 });
                 cluster.plan(seconds(120.0), |cluster| cluster.set_boot_faults(None));
             });
@@ -33,140 +33,143 @@
         }));
         assert!(
             late < usual * 2,
-            "seed {seed}: {late} machines rented while they were late, {usual} usually"
+            "seed {seed}: {late} machines rented while they booted late, {usual} without boot faults"
         );
         assert!(
             lost < usual * 3,
-            "seed {seed}: {lost} machines rented while many were lost, {usual} usually"
+            "seed {seed}: {lost} machines rented while many never booted, {usual} without boot faults"
         );
     }
 }
 
-/// Found on the bench: a job with a mistake was launched again as often as its tasks failed. It is tried one task at a time,
-/// makes no machine look faulty, and is gone at once when its user calls it off.
+/// The bench found that a job whose tasks always fail was launched again as often as they failed. Such a job is retried
+/// one task at a time, makes no machine look faulty, and ends at once when its user cancels it.
 #[test]
-fn jobs_that_fail_on_every_machine_back_off_and_cost_no_machine() {
+fn jobs_that_fail_on_every_machine_back_off_and_delete_no_machine() {
     const TASKS: u32 = 12;
     const SEEDS: std::ops::RangeInclusive<u64> = 410..=421;
-    // A cluster without such jobs differs from one with them in everything, by five machines a seed either way, so that a
-    // single seed shows nothing: all seeds together do.
-    const MOST_MORE_A_SEED: usize = 2;
-    let (mut with, mut without) = (0, 0);
+    // Runs with and without such jobs differ by up to five deleted machines per seed in either direction, so only the
+    // sum over all seeds is meaningful.
+    const MAX_EXTRA_DELETIONS_PER_SEED: usize = 2;
+    let (mut deleted_with, mut deleted_without) = (0, 0);
     for seed in SEEDS {
-        let deleted = |broken: usize| {
-            let cluster = play(seed, Faults::default(), Size::SMALL, |cluster| {
-                for n in 0..broken {
+        let deleted = |broken_jobs: usize| {
+            let cluster = run_and_check(seed, Faults::default(), Size::SMALL, |cluster| {
+                for n in 0..broken_jobs {
                     cluster.plan(seconds(20.0 + n as f64), |cluster| {
                         let job = cluster.add_broken_job(TASKS, seconds(100.0));
-                        cluster.plan(seconds(140.0), move |cluster| check_broken(cluster, job));
+                        cluster.plan(seconds(140.0), move |cluster| {
+                            check_broken_job(cluster, job)
+                        });
                     });
                 }
             });
             cluster.running_machines_deleted
         };
-        with += deleted(4);
-        without += deleted(0);
+        deleted_with += deleted(4);
+        deleted_without += deleted(0);
     }
     assert!(
-        with <= without + MOST_MORE_A_SEED * SEEDS.count(),
-        "{with} machines deleted that were up, {without} without such jobs"
+        deleted_with <= deleted_without + MAX_EXTRA_DELETIONS_PER_SEED * SEEDS.count(),
+        "{deleted_with} running machines deleted with failing jobs, {deleted_without} without"
     );
 }
 
-fn check_broken(cluster: &mut SimulatedCluster, job: JobId) {
+fn check_broken_job(cluster: &mut SimulatedCluster, job: JobId) {
     assert!(
         cluster.rules.is_cancelled(job),
-        "its user has called it off"
+        "the job has been cancelled by its user"
     );
     assert!(
         cluster.rules.machines_of(job).is_empty(),
-        "tasks of a cancelled job"
+        "tasks of a cancelled job on machines"
     );
     let starts = cluster.rules.starts_of(job);
-    // All of it once or twice before that is known to be no bad luck, then one every 20 s at most.
+    // Each task starts once or twice before the failures are attributed to the job, then one task at most every 20 s.
     assert!(
         (1..=2 * 12 + 12).contains(&starts),
         "{job}: {starts} starts"
     );
 }
 
-/// Guests' work fills no gap that others need: theirs starts as soon as without it, and hardly any task of the guests has
-/// to be stopped for it. It runs all the same, and its largest job begins in time.
+/// The guests' jobs use no capacity that others need: other jobs start as soon as without them, and few guest tasks are
+/// stopped for others. The guests' jobs still run, and the largest starts in time.
 #[test]
-fn guests_run_and_do_not_hold_up_the_others() {
+fn guests_run_and_do_not_delay_others() {
     const TASKS: [u32; 4] = [60, 80, 100, 120];
     let mut stopped = 0;
     for seed in 420..=422 {
-        let played = |guests: bool| {
+        let run = |with_guests: bool| {
             let mut cluster =
                 SimulatedCluster::new(seed, Faults::default(), FAULTS_END, Size::SMALL);
-            for (n, tasks) in (0..).zip(TASKS).filter(|_| guests) {
+            for (n, tasks) in (0..).zip(TASKS).filter(|_| with_guests) {
                 cluster.plan(seconds(15.0 + f64::from(n)), move |cluster| {
                     cluster.add_guests_job(tasks, 1.0);
                 });
             }
-            cluster = finish(seed, cluster);
+            cluster = run_to_end(seed, cluster);
             assert_eq!(cluster.rules.unserved(), [] as [&str; 0], "seed {seed}");
             cluster
         };
-        let (with, without) = (played(true), played(false));
-        let began = |cluster: &SimulatedCluster| mean(&cluster.rules.waits_of("array"));
-        let (late, usual) = (began(&with), began(&without));
+        let (with, without) = (run(true), run(false));
+        let mean_wait = |cluster: &SimulatedCluster| mean(&cluster.rules.waits_of("array"));
+        let (wait_with, wait_without) = (mean_wait(&with), mean_wait(&without));
         assert!(
-            late < usual + seconds(5.0),
-            "seed {seed}: jobs began after {late:?} on average, {usual:?} alone"
+            wait_with < wait_without + seconds(5.0),
+            "seed {seed}: jobs waited {wait_with:?} on average with the guests, {wait_without:?} without"
         );
         stopped += with.rules.starts_of_class(GUESTS) - TASKS.iter().sum::<u32>() as usize;
     }
-    // 118 of 1,080 without the margin kept free.
-    assert!(stopped <= 75, "{stopped} of the guests' tasks were stopped");
+    // Without the margin that is kept free, 118 of 1,080 were stopped.
+    assert!(stopped <= 75, "{stopped} guest tasks were stopped");
 }
 
 fn mean(waits: &[Duration]) -> Duration {
-    waits.iter().sum::<Duration>() / u32::try_from(waits.len().max(1)).expect("few")
+    waits.iter().sum::<Duration>()
+        / u32::try_from(waits.len().max(1)).expect("the number of waits fits u32")
 }
 
-/// Answers stay true, submissions and cancellations get through, and all questions that wait share one read, so that the
-/// state service need not refuse any.
+/// Responses stay correct, submissions and cancellations succeed, and all waiting status requests share one read, so
+/// the state service refuses no request.
 #[test]
-fn users_ask_many_times_as_often() {
+fn users_send_requests_many_times_as_often() {
     for seed in 430..=432 {
-        let played = |asking: u32| {
+        let run = |rate_factor: u32| {
             let faults = Faults {
                 crash: 60.0,
                 irregular_requests: 0.05,
                 cancel_at_end: 0.1,
                 ..Faults::default()
             };
-            play(seed, faults, Size::SMALL, |cluster| {
+            run_and_check(seed, faults, Size::SMALL, |cluster| {
                 cluster.plan(seconds(20.0), move |cluster| {
-                    cluster.request_rate_factor = asking
+                    cluster.request_rate_factor = rate_factor
                 });
                 cluster.plan(seconds(130.0), |cluster| cluster.request_rate_factor = 1);
             })
         };
-        let (usual, many) = (played(1), played(50));
+        let (usual, many) = (run(1), run(50));
         assert!(
             many.user_requests > 2 * usual.user_requests,
-            "seed {seed}: {} questions",
+            "seed {seed}: only {} user requests",
             many.user_requests
         );
         assert_eq!(
             many.state().refused,
             0,
-            "seed {seed}: requests beyond the state service's rate"
+            "seed {seed}: requests above the rate limit of the state service"
         );
         let reads = many.state().reads as f64 / many.user_requests as f64;
         assert!(
             reads < 0.8,
-            "seed {seed}: {reads:.2} reads for each question"
+            "seed {seed}: {reads:.2} reads per user request"
         );
     }
 }
 
-/// All of it at once, with controllers that end, stand still and lose the state service.
+/// All incidents at once, while controllers crash, pause and lose the state service.
 #[test]
-fn bad_nights_meet() {
+fn incidents_coincide() {
     for seed in 440..=445 {
         let faults = Faults {
             crash: 40.0,
@@ -178,7 +181,7 @@
             lost_responses: 0.005,
             ..Faults::default()
         };
-        play(seed, faults, Size::SMALL, |cluster| {
+        run_and_check(seed, faults, Size::SMALL, |cluster| {
             cluster.plan(seconds(10.0), |cluster| {
                 cluster.set_boot_faults(Some(BootFaults {
                     failure_rate: 0.2,
@@ -198,21 +201,28 @@
     }
 }
 
-/// The stand-ins do what the tests above rest on.
+/// The simulated boot faults and failing jobs have the effects that the tests above rely on.
 #[test]
-fn bad_nights_can_be_told_from_quiet_ones() {
+fn simulated_incidents_take_effect() {
     let mut cluster = SimulatedCluster::new(450, Faults::default(), FAULTS_END, Size::SMALL);
     cluster.set_boot_faults(Some(BootFaults {
         failure_rate: 1.0,
         slowdown: 1.0,
     }));
     cluster.run_until(seconds(60.0));
-    assert_eq!(cluster.rules.started, 0, "no machine comes up");
+    assert_eq!(
+        cluster.rules.started, 0,
+        "a task started although no machine boots"
+    );
     let mut cluster = SimulatedCluster::new(451, Faults::default(), FAULTS_END, Size::SMALL);
     cluster.plan(seconds(10.0), |cluster| {
         let job = cluster.add_broken_job(5, seconds(1000.0));
         cluster.plan(seconds(100.0), move |cluster| {
-            assert_eq!(cluster.rules.done(job), 0, "it fails everywhere")
+            assert_eq!(
+                cluster.rules.done(job),
+                0,
+                "a task completed although all tasks of the job fail"
+            )
         });
     });
     cluster.run_until(seconds(101.0));
