--- a/src/store/wire.rs
+++ b/src/store/wire.rs
@@ -91,9 +91,9 @@
 }
 
 /// Keys in a page: the service's own limit.
-const PAGE_KEYS: u32 = 1000;
+const MAX_KEYS_PER_PAGE: u32 = 1000;
 /// How long an answer is waited for: twice as long for a page, and beyond its own wait for a watch.
-const TIMEOUT: Duration = Duration::from_millis(1500);
+const REQUEST_TIMEOUT: Duration = Duration::from_millis(1500);
 
 fn millis(duration: Duration) -> u64 {
     u64::try_from(duration.as_millis()).unwrap_or(u64::MAX)
@@ -125,19 +125,19 @@
 /// The HTTP request that a request is sent as.
 pub fn http_request(request: &StoreRequest) -> Request {
     match request {
-        StoreRequest::Get { key } => Request::get(format!("/keys/{key}"), TIMEOUT),
+        StoreRequest::Get { key } => Request::get(format!("/keys/{key}"), REQUEST_TIMEOUT),
         StoreRequest::Range { prefix, after } => {
             let after = after
                 .as_ref()
                 .map(|key| format!("&after={key}"))
                 .unwrap_or_default();
             Request::get(
-                format!("/keys?prefix={prefix}{after}&most={PAGE_KEYS}"),
-                TIMEOUT * 2,
+                format!("/keys?prefix={prefix}{after}&most={MAX_KEYS_PER_PAGE}"),
+                REQUEST_TIMEOUT * 2,
             )
         }
         StoreRequest::Commit(txn) => {
-            Request::post("/multi".to_owned(), transaction_body(txn), TIMEOUT)
+            Request::post("/multi".to_owned(), transaction_body(txn), REQUEST_TIMEOUT)
         }
         StoreRequest::Watch {
             prefix,
@@ -148,17 +148,17 @@
                 "/follow?prefix={prefix}&after={after}&holdMs={}",
                 millis(*wait)
             );
-            Request::get(path, *wait + TIMEOUT)
+            Request::get(path, *wait + REQUEST_TIMEOUT)
         }
         StoreRequest::GrantLease { life } => Request::post(
             "/holds".to_owned(),
             encode_body(&GrantLeaseBody {
                 life_ms: millis(*life),
             }),
-            TIMEOUT,
+            REQUEST_TIMEOUT,
         ),
         StoreRequest::KeepAliveLease { id } => {
-            Request::post(format!("/holds/{id}/extend"), Vec::new(), TIMEOUT)
+            Request::post(format!("/holds/{id}/extend"), Vec::new(), REQUEST_TIMEOUT)
         }
     }
 }
@@ -239,13 +239,17 @@
     fn from(response: WatchResponse) -> Self {
         StoreResponse::WatchEvents {
             revision: response.revision,
-            changes: response.news.into_iter().filter_map(change).collect(),
+            changes: response
+                .news
+                .into_iter()
+                .filter_map(change_from_event)
+                .collect(),
         }
     }
 }
 
 /// The change that an event tells of. None: the event names no key.
-fn change(event: WatchEvent) -> Option<Change> {
+fn change_from_event(event: WatchEvent) -> Option<Change> {
     let (key, value) = match (event.put, event.remove) {
         (Some(key), _) => (key, event.value),
         (None, Some(key)) => (key, None),
