--- a/src/store/rate_limiter.rs
+++ b/src/store/rate_limiter.rs
@@ -34,13 +34,13 @@
     Maintenance,
 }
 
-const PRIORITIES: usize = 5;
+const PRIORITY_COUNT: usize = 5;
 /// A queue of this many requests refuses more: the caller tries again later.
-const MAX_QUEUED: usize = 400;
+const MAX_QUEUED_PER_PRIORITY: usize = 400;
 
 /// The part of the rate of requests that the controllers together may take. Above 1, since they are seldom busy at the same
 /// time and a refusal only delays.
-const REQUEST_SHARE_OF_ALL: f64 = 1.2;
+const COMBINED_REQUEST_SHARE: f64 = 1.2;
 /// The most of the rate of requests that one controller takes.
 const MAX_REQUEST_SHARE: f64 = 0.9;
 
@@ -53,44 +53,44 @@
 
 /// The part of a second's writes, but at least one, that deferrable writes leave for users: several submissions may come at
 /// once.
-const KEPT_FOR_USERS: f64 = 0.4;
+const USER_RESERVED_SHARE: f64 = 0.4;
 
 /// The part of a second's writes that must be left for optional writes.
-const SPARE_WRITES: f64 = 0.6;
+const MIN_SPARE_WRITE_SHARE: f64 = 0.6;
 
 /// A refusal that follows an answer within this time is not taken for an outage.
-const OUTAGE_AFTER: Duration = Duration::from_secs(1);
+const OUTAGE_THRESHOLD: Duration = Duration::from_secs(1);
 
 /// How long to back off after the service refused or did not answer.
-const BACKOFF: Duration = Duration::from_millis(150);
+const REFUSAL_BACKOFF: Duration = Duration::from_millis(150);
 
 /// Requests that wait for the rates, each with a tag by which its answer is recognized.
 pub struct RequestRateLimiter<Tag> {
     /// By priority.
-    queues: [VecDeque<(Tag, StoreRequest)>; PRIORITIES],
+    queues: [VecDeque<(Tag, StoreRequest)>; PRIORITY_COUNT],
     requests: TokenBucket,
     writes: TokenBucket,
     write_limit: f64,
     controllers: usize,
     /// After a refusal the service is asked less often, so that it can recover.
     backoff_until: Option<Instant>,
-    last_answer: Option<Instant>,
+    last_response: Option<Instant>,
     last_refusal: Option<Instant>,
 }
 
 /// Requests a second that one controller may send.
 fn request_share(limit: f64, controllers: usize) -> f64 {
-    (limit * REQUEST_SHARE_OF_ALL / controllers.max(1) as f64)
+    (limit * COMBINED_REQUEST_SHARE / controllers.max(1) as f64)
         .min(limit * MAX_REQUEST_SHARE)
         .max(1.0)
 }
 
 /// Writes a second that one controller may send.
-fn write_share(limit: f64, controllers: usize, leading: bool) -> f64 {
+fn write_share(limit: f64, controllers: usize, is_leader: bool) -> f64 {
     let others = controllers.saturating_sub(1).max(1) as f64;
     let share = if controllers <= 1 {
         SINGLE_WRITE_SHARE
-    } else if leading {
+    } else if is_leader {
         LEADER_WRITE_SHARE
     } else {
         OTHERS_WRITE_SHARE / others
@@ -108,29 +108,29 @@
             write_limit: limits.write_rps,
             controllers,
             backoff_until: None,
-            last_answer: None,
+            last_response: None,
             last_refusal: None,
         }
     }
 
     /// Keeps within other limits from now on.
-    pub fn set_limits(&mut self, now: Now, limits: &StateLimits, leading: bool) {
+    pub fn set_limits(&mut self, now: Now, limits: &StateLimits, is_leader: bool) {
         let rate = request_share(limits.rps, self.controllers);
         self.requests.set_rate(now, rate);
         self.write_limit = limits.write_rps;
-        self.set_leading(now, leading);
+        self.set_leading(now, is_leader);
     }
 
     /// Sets this controller's share of the writes by whether it leads.
-    pub fn set_leading(&mut self, now: Now, leading: bool) {
-        let rate = write_share(self.write_limit, self.controllers, leading);
+    pub fn set_leading(&mut self, now: Now, is_leader: bool) {
+        let rate = write_share(self.write_limit, self.controllers, is_leader);
         self.writes.set_rate(now, rate);
     }
 
     /// Whether most of the writes that may go in a second are left, so that optional ones can be sent.
     pub fn has_spare_writes(&mut self, now: Now) -> bool {
         self.writes.refill(now);
-        self.writes.tokens() >= self.writes.burst() * SPARE_WRITES
+        self.writes.tokens() >= self.writes.burst() * MIN_SPARE_WRITE_SHARE
     }
 
     /// The most changes that one transaction should have, `txn_ops` at most: a larger one would make users wait for the rate.
@@ -141,7 +141,7 @@
     /// The most changes that a deferrable transaction should have, `txn_ops` at most: with more it would take what is kept
     /// for users.
     pub fn max_deferrable_batch(&self, txn_ops: usize) -> usize {
-        let spare = self.writes.burst() - kept_for_users(&self.writes);
+        let spare = self.writes.burst() - writes_reserved_for_users(&self.writes);
         (spare as usize).clamp(1, txn_ops)
     }
 
@@ -156,7 +156,7 @@
         request: StoreRequest,
     ) -> Result<(), Tag> {
         let queue = &mut self.queues[priority as usize];
-        if queue.len() >= MAX_QUEUED {
+        if queue.len() >= MAX_QUEUED_PER_PRIORITY {
             return Err(tag);
         }
         queue.push_back((tag, request));
@@ -170,23 +170,23 @@
         let mut ready = Vec::new();
         let backing_off = self.is_backing_off(now);
         // A write that is too large for now must not be overtaken for ever by smaller ones of a lower priority.
-        let mut saving = false;
+        let mut larger_write_waits = false;
         for (priority, queue) in self.queues.iter_mut().enumerate() {
             if backing_off && priority != RequestPriority::Lease as usize {
                 break;
             }
-            let kept = if priority > RequestPriority::User as usize {
-                kept_for_users(&self.writes)
+            let reserved = if priority > RequestPriority::User as usize {
+                writes_reserved_for_users(&self.writes)
             } else {
                 0.0
             };
             while let Some((_, request)) = queue.front() {
-                let writes = cost(request);
+                let writes = write_cost(request);
                 // A transaction may cost more than a second's worth: it goes when the bucket is full.
-                let affordable =
-                    !saving && self.writes.tokens() >= (writes + kept).min(self.writes.burst());
+                let affordable = !larger_write_waits
+                    && self.writes.tokens() >= (writes + reserved).min(self.writes.burst());
                 if self.requests.tokens() < 1.0 || (writes > 0.0 && !affordable) {
-                    saving |= writes > 0.0;
+                    larger_write_waits |= writes > 0.0;
                     break;
                 }
                 self.requests.take(1.0);
@@ -202,14 +202,14 @@
     pub fn can_send_now(&mut self, now: Now, priority: RequestPriority) -> bool {
         self.requests.refill(now);
         self.writes.refill(now);
-        let clear = self.queues[..=priority as usize]
+        let no_earlier_requests = self.queues[..=priority as usize]
             .iter()
             .all(VecDeque::is_empty);
-        let enough = (1.0 + kept_for_users(&self.writes)).min(self.writes.burst());
-        clear
+        let required = (1.0 + writes_reserved_for_users(&self.writes)).min(self.writes.burst());
+        no_earlier_requests
             && !self.is_backing_off(now)
             && self.requests.tokens() >= 1.0
-            && self.writes.tokens() >= enough
+            && self.writes.tokens() >= required
     }
 
     /// Takes note of an answer: after one that was refused or did not come, requests back off.
@@ -217,10 +217,10 @@
         match response {
             StoreResponse::Refused | StoreResponse::Unknown => {
                 self.last_refusal = Some(now.monotonic);
-                self.backoff_until = Some(now.monotonic + BACKOFF);
+                self.backoff_until = Some(now.monotonic + REFUSAL_BACKOFF);
             }
             _ => {
-                self.last_answer = Some(now.monotonic);
+                self.last_response = Some(now.monotonic);
             }
         }
     }
@@ -232,8 +232,10 @@
 
     /// Whether the service answered since it last refused, or only just began to refuse.
     pub fn available(&self, now: Now) -> bool {
-        match (self.last_answer, self.last_refusal) {
-            (Some(answer), Some(refusal)) => answer >= refusal || since(now, answer) < OUTAGE_AFTER,
+        match (self.last_response, self.last_refusal) {
+            (Some(response), Some(refusal)) => {
+                response >= refusal || since(now, response) < OUTAGE_THRESHOLD
+            }
             (Some(_), None) => true,
             (None, _) => false,
         }
@@ -241,23 +243,23 @@
 
     /// How long a user's new request would wait for its write at the present rate.
     pub fn estimated_user_delay(&self) -> Duration {
-        let ahead: f64 = self.queues[..=RequestPriority::User as usize]
+        let queued_writes: f64 = self.queues[..=RequestPriority::User as usize]
             .iter()
             .flatten()
-            .map(|(_, request)| cost(request))
+            .map(|(_, request)| write_cost(request))
             .sum();
-        let lacking = (ahead + 1.0 - self.writes.tokens()).max(0.0);
-        Duration::from_secs_f64(lacking / self.writes.rate())
+        let missing_tokens = (queued_writes + 1.0 - self.writes.tokens()).max(0.0);
+        Duration::from_secs_f64(missing_tokens / self.writes.rate())
     }
 }
 
 /// The writes that deferrable writes leave in the bucket.
-fn kept_for_users(writes: &TokenBucket) -> f64 {
-    (writes.burst() * KEPT_FOR_USERS).max(1.0)
+fn writes_reserved_for_users(writes: &TokenBucket) -> f64 {
+    (writes.burst() * USER_RESERVED_SHARE).max(1.0)
 }
 
 /// How many writes a request counts as.
-fn cost(request: &StoreRequest) -> f64 {
+fn write_cost(request: &StoreRequest) -> f64 {
     match request {
         StoreRequest::Commit(txn) => txn.changes.len() as f64,
         _ => 0.0,
--- a/src/store/rate_limiter/tests.rs
+++ b/src/store/rate_limiter/tests.rs
@@ -29,7 +29,7 @@
 }
 
 /// The tags of the requests that are sent at this time.
-fn sent(rate_limiter: &mut RequestRateLimiter<i32>, now: Now) -> Vec<i32> {
+fn send_ready(rate_limiter: &mut RequestRateLimiter<i32>, now: Now) -> Vec<i32> {
     let ready = rate_limiter.take_ready(now);
     ready.iter().map(|(tag, _)| *tag).collect()
 }
@@ -48,16 +48,19 @@
     assert!(rate_limiter.push(RequestPriority::User, 9, write()).is_ok());
     // 1.8 writes a second: the user's goes at once, the others when one would be left for the next user.
     assert!(rate_limiter.has_spare_writes(start));
-    assert_eq!(sent(&mut rate_limiter, start), [9]);
+    assert_eq!(send_ready(&mut rate_limiter, start), [9]);
     assert!(!rate_limiter.has_spare_writes(start));
-    assert_eq!(sent(&mut rate_limiter, later(start, 400)), [] as [i32; 0]);
-    assert_eq!(sent(&mut rate_limiter, later(start, 700)), [0]);
+    assert_eq!(
+        send_ready(&mut rate_limiter, later(start, 400)),
+        [] as [i32; 0]
+    );
+    assert_eq!(send_ready(&mut rate_limiter, later(start, 700)), [0]);
     assert!(
         rate_limiter
             .push(RequestPriority::User, 10, write())
             .is_ok()
     );
-    assert_eq!(sent(&mut rate_limiter, later(start, 900)), [10]);
+    assert_eq!(send_ready(&mut rate_limiter, later(start, 900)), [10]);
 }
 
 /// Found in an incident: one-task jobs came ten a second, and each waited for a write of its own.
@@ -84,7 +87,10 @@
     for n in 200..203 {
         assert!(rate_limiter.push(RequestPriority::User, n, write()).is_ok());
     }
-    assert_eq!(sent(&mut rate_limiter, later(start, 1000)), [200, 201, 202]);
+    assert_eq!(
+        send_ready(&mut rate_limiter, later(start, 1000)),
+        [200, 201, 202]
+    );
 }
 
 /// Found on the bench: batches of a leader waited for a full bucket, which single writes never let fill.
@@ -100,7 +106,7 @@
             .push(RequestPriority::Placement, 1, write())
             .is_ok()
     );
-    assert_eq!(sent(&mut rate_limiter, start), [1]);
+    assert_eq!(send_ready(&mut rate_limiter, start), [1]);
     assert!(
         rate_limiter
             .push(RequestPriority::JobCompletion, 2, batch)
@@ -114,7 +120,7 @@
         );
     }
     let order: Vec<i32> = (0..30)
-        .flat_map(|n| sent(&mut rate_limiter, later(start, n * 40)))
+        .flat_map(|n| send_ready(&mut rate_limiter, later(start, n * 40)))
         .collect();
     assert_eq!(order.first(), Some(&2), "{order:?}");
 }
--- a/src/store/rate_limiter/token_bucket.rs
+++ b/src/store/rate_limiter/token_bucket.rs
@@ -11,7 +11,7 @@
     rate: f64,
     /// The most tokens that it holds.
     burst: f64,
-    refilled: Instant,
+    refilled_at: Instant,
 }
 
 impl TokenBucket {
@@ -21,15 +21,15 @@
             tokens: rate,
             rate,
             burst: rate,
-            refilled: now.monotonic,
+            refilled_at: now.monotonic,
         }
     }
 
     /// Adds what the time since the last refill has brought.
     pub(super) fn refill(&mut self, now: Now) {
         self.tokens =
-            (self.tokens + since(now, self.refilled).as_secs_f64() * self.rate).min(self.burst);
-        self.refilled = now.monotonic;
+            (self.tokens + since(now, self.refilled_at).as_secs_f64() * self.rate).min(self.burst);
+        self.refilled_at = now.monotonic;
     }
 
     /// Sets the rate, and the most that the bucket holds to a second's worth.
