--- a/src/store/writer.rs
+++ b/src/store/writer.rs
@@ -33,9 +33,9 @@
 }
 
 /// A failed write is tried again after this long.
-const RETRY_PAUSE: Duration = Duration::from_millis(200);
+const RETRY_DELAY: Duration = Duration::from_millis(200);
 /// A rejected write is tried again after this long: its contents have to change first.
-const REJECTED_PAUSE: Duration = Duration::from_secs(2);
+const REJECTED_RETRY_DELAY: Duration = Duration::from_secs(2);
 
 impl WriterState {
     /// Whether a new transaction may be prepared from `cache`. Asks it to be brought up to the present if that is needed.
@@ -49,18 +49,19 @@
                 }
                 *self = WriterState::Idle;
             }
-            WriterState::Unconfirmed { since: then } | WriterState::Rejected { since: then } => {
-                if !cache.is_current_as_of(then) {
+            WriterState::Unconfirmed { since: failed_at }
+            | WriterState::Rejected { since: failed_at } => {
+                if !cache.is_current_as_of(failed_at) {
                     cache.request_refresh();
                     return false;
                 }
                 let rejected = matches!(self, WriterState::Rejected { .. });
-                let pause = if rejected {
-                    REJECTED_PAUSE
+                let retry_delay = if rejected {
+                    REJECTED_RETRY_DELAY
                 } else {
-                    RETRY_PAUSE
+                    RETRY_DELAY
                 };
-                if since(now, then) < pause {
+                if since(now, failed_at) < retry_delay {
                     return false;
                 }
                 *self = WriterState::Idle;
--- a/src/store/writer/tests.rs
+++ b/src/store/writer/tests.rs
@@ -8,7 +8,7 @@
 }
 
 /// Whether it may write so long after this outcome, with a copy that is always new enough.
-fn ready_after(outcome: &StoreResponse, millis: u64) -> bool {
+fn can_write_after(outcome: &StoreResponse, millis: u64) -> bool {
     let start = Now::read();
     let mut cache = WatchCache::loaded_for_tests();
     cache.set_current_as_of(at(start, 60_000).monotonic);
@@ -22,9 +22,9 @@
 /// A transaction that is too large was sent again five times a second, and each time cost its share of the rate.
 #[test]
 fn a_rejected_write_waits_longer_than_a_refused_one() {
-    assert!(ready_after(&StoreResponse::Refused, 250));
-    assert!(ready_after(&StoreResponse::Conflict, 250));
-    assert!(!ready_after(&StoreResponse::Invalid, 250));
-    assert!(!ready_after(&StoreResponse::Invalid, 1900));
-    assert!(ready_after(&StoreResponse::Invalid, 2100));
+    assert!(can_write_after(&StoreResponse::Refused, 250));
+    assert!(can_write_after(&StoreResponse::Conflict, 250));
+    assert!(!can_write_after(&StoreResponse::Invalid, 250));
+    assert!(!can_write_after(&StoreResponse::Invalid, 1900));
+    assert!(can_write_after(&StoreResponse::Invalid, 2100));
 }
