--- a/src/store/cache/mod.rs
+++ b/src/store/cache/mod.rs
@@ -113,19 +113,19 @@
     /// A page of all records.
     Page {
         /// The count of the load that it belongs to.
-        load: u64,
+        load_id: u64,
         /// The last key of the page before; None for the first page.
         after: Option<String>,
     },
     /// A watch of changes.
     Watch {
         /// The count of the load that it follows.
-        load: u64,
+        load_id: u64,
     },
     /// How far behind the copy is.
     LagCheck {
         /// The count of the load that it follows.
-        load: u64,
+        load_id: u64,
     },
     /// The service's revision, for reads that must not be older than the request.
     Barrier {
--- a/src/store/cache/pending_cancellations.rs
+++ b/src/store/cache/pending_cancellations.rs
@@ -43,7 +43,7 @@
     }
 
     /// Forgets what a copy at `revision` shows by itself.
-    pub(super) fn forget_up_to(&mut self, revision: u64) {
+    pub(super) fn remove_up_to(&mut self, revision: u64) {
         self.by_job
             .retain(|_, cancellation| cancellation.version > revision);
     }
--- a/src/store/cache/read_barrier.rs
+++ b/src/store/cache/read_barrier.rs
@@ -23,16 +23,16 @@
 #[derive(Debug, Default)]
 pub(super) struct ReadBarrier {
     /// A read has come since the last request was sent.
-    wanted: bool,
+    requested: bool,
     in_flight: bool,
     last_sent: Option<Instant>,
-    awaited: Vec<ObservedRevision>,
+    pending: Vec<ObservedRevision>,
 }
 
 impl ReadBarrier {
     /// Asks for the copy to be brought up to the present.
     pub(super) fn request(&mut self) {
-        self.wanted = true;
+        self.requested = true;
     }
 
     /// The request that is due. Requests are `interval` apart at least.
@@ -41,13 +41,13 @@
         now: Now,
         interval: Duration,
     ) -> Option<(RequestTag, StoreRequest)> {
-        let spaced = self
+        let interval_elapsed = self
             .last_sent
             .is_none_or(|sent| since(now, sent) >= interval);
-        if !self.wanted || self.in_flight || !spaced {
+        if !self.requested || self.in_flight || !interval_elapsed {
             return None;
         }
-        self.wanted = false;
+        self.requested = false;
         self.in_flight = true;
         self.last_sent = Some(now.monotonic);
         let tag = RequestTag::Barrier {
@@ -58,22 +58,22 @@
     }
 
     /// Records the revision that the service answered; None if it gave none, after which it is asked again.
-    pub(super) fn answered(&mut self, sent: Instant, revision: Option<u64>) {
+    pub(super) fn record_revision(&mut self, sent: Instant, revision: Option<u64>) {
         self.in_flight = false;
         match revision {
-            Some(revision) => self.awaited.push(ObservedRevision { sent, revision }),
-            None => self.wanted = true,
+            Some(revision) => self.pending.push(ObservedRevision { sent, revision }),
+            None => self.requested = true,
         }
     }
 
     /// Takes out the revisions that a copy at `revision` has reached. Returns the time before which it holds everything,
     /// None if it has reached none.
-    pub(super) fn reached(&mut self, revision: u64) -> Option<Instant> {
+    pub(super) fn take_reached(&mut self, revision: u64) -> Option<Instant> {
         let mut current_as_of = None;
-        self.awaited.retain(|awaited| {
-            let reached = revision >= awaited.revision;
+        self.pending.retain(|observed| {
+            let reached = revision >= observed.revision;
             if reached {
-                current_as_of = current_as_of.max(Some(awaited.sent));
+                current_as_of = current_as_of.max(Some(observed.sent));
             }
             !reached
         });
@@ -83,7 +83,7 @@
     /// Forgets the revisions observed so far, as the copy is reloaded. A read that was in flight is asked for again.
     pub(super) fn restart(&mut self) {
         *self = ReadBarrier {
-            wanted: self.wanted || self.in_flight,
+            requested: self.requested || self.in_flight,
             ..ReadBarrier::default()
         };
     }
--- a/src/store/cache/sync.rs
+++ b/src/store/cache/sync.rs
@@ -20,10 +20,10 @@
 /// A watch returns at least this often, which bounds how old the copy can be.
 const WATCH_TIMEOUT: Duration = Duration::from_millis(2500);
 /// The parts of the state service's rate of requests that all controllers' watches and linearizable reads may take.
-const WATCH_RATE_PART: f64 = 0.4;
-const BARRIER_RATE_PART: f64 = 0.25;
+const WATCH_RATE_SHARE: f64 = 0.4;
+const BARRIER_RATE_SHARE: f64 = 0.25;
 /// Pause after a request that was refused or not answered.
-const RETRY_PAUSE: Duration = Duration::from_millis(400);
+const RETRY_DELAY: Duration = Duration::from_millis(400);
 /// A copy that was not found current for so long may be far behind. Must be longer than a watch takes to return.
 const MAYBE_STALE_AFTER: Duration = Duration::from_secs(6);
 /// The most bytes that missed changes may measure, each counted as large as a value can be. A watch answers with all of
@@ -41,12 +41,12 @@
 impl PollIntervals {
     /// The intervals at which this many controllers together keep to their parts of the rate.
     pub(super) fn new(limits: &StateLimits, controllers: usize) -> Self {
-        let interval = |part: f64| {
-            Duration::from_secs_f64(controllers.max(1) as f64 / (limits.rps.max(1.0) * part))
+        let interval = |share: f64| {
+            Duration::from_secs_f64(controllers.max(1) as f64 / (limits.rps.max(1.0) * share))
         };
         PollIntervals {
-            watch: interval(WATCH_RATE_PART),
-            barrier: interval(BARRIER_RATE_PART),
+            watch: interval(WATCH_RATE_SHARE),
+            barrier: interval(BARRIER_RATE_SHARE),
         }
     }
 }
@@ -73,7 +73,7 @@
 
 impl RequestState {
     fn retry(now: Now) -> Self {
-        RequestState::RetryAt(now.monotonic + RETRY_PAUSE)
+        RequestState::RetryAt(now.monotonic + RETRY_DELAY)
     }
 
     fn is_due(self, now: Now) -> bool {
@@ -91,7 +91,7 @@
     pub(super) state: SyncState,
     request: RequestState,
     /// Counts loads, so that answers of an abandoned one are recognized.
-    load: u64,
+    load_id: u64,
     /// The revision of the first page of the load.
     load_revision: u64,
     intervals: PollIntervals,
@@ -108,7 +108,7 @@
         Synchronizer {
             state: SyncState::Loading,
             request: RequestState::Idle,
-            load: 0,
+            load_id: 0,
             load_revision: 0,
             intervals,
             watch_sent: None,
@@ -120,13 +120,13 @@
     /// Nothing has been read yet, with the limits and the count of loads kept.
     fn restarted(&self) -> Self {
         Synchronizer {
-            load: self.load,
+            load_id: self.load_id,
             ..Synchronizer::new(self.intervals, self.value_bytes)
         }
     }
 
     fn start_load(&mut self) -> (RequestTag, StoreRequest) {
-        self.load += 1;
+        self.load_id += 1;
         self.request = RequestState::InFlight;
         self.page_request(None)
     }
@@ -134,28 +134,30 @@
     /// The page that follows a key; the first one if None.
     fn page_request(&self, after: Option<String>) -> (RequestTag, StoreRequest) {
         let tag = RequestTag::Page {
-            load: self.load,
+            load_id: self.load_id,
             after: after.clone(),
         };
         let prefix = ROOT.to_owned();
         (tag, StoreRequest::Range { prefix, after })
     }
 
-    fn lag_check(&mut self) -> (RequestTag, StoreRequest) {
+    fn lag_check_request(&mut self) -> (RequestTag, StoreRequest) {
         self.request = RequestState::InFlight;
         let key = UNWRITTEN_KEY.to_owned();
         (
-            RequestTag::LagCheck { load: self.load },
+            RequestTag::LagCheck {
+                load_id: self.load_id,
+            },
             StoreRequest::Get { key },
         )
     }
 
     /// The watch of all changes after this revision, once the last one is long enough ago.
-    fn watch(&mut self, now: Now, revision: u64) -> Option<(RequestTag, StoreRequest)> {
-        let spaced = self
+    fn watch_request(&mut self, now: Now, revision: u64) -> Option<(RequestTag, StoreRequest)> {
+        let interval_elapsed = self
             .watch_sent
             .is_none_or(|sent| since(now, sent) >= self.intervals.watch);
-        if !spaced {
+        if !interval_elapsed {
             return None;
         }
         self.request = RequestState::InFlight;
@@ -165,7 +167,12 @@
             after: revision,
             wait: WATCH_TIMEOUT,
         };
-        Some((RequestTag::Watch { load: self.load }, request))
+        Some((
+            RequestTag::Watch {
+                load_id: self.load_id,
+            },
+            request,
+        ))
     }
 }
 
@@ -185,7 +192,7 @@
             return None;
         }
         self.sync.request = RequestState::Idle;
-        let neglected = self.neglected(now);
+        let no_recent_contact = self.no_recent_contact(now);
         match &mut self.sync.state {
             SyncState::Loading => {
                 self.clear();
@@ -195,16 +202,16 @@
                 buffered.clear();
                 Some(self.sync.start_load())
             }
-            SyncState::Following { maybe_stale } if *maybe_stale || neglected => {
-                Some(self.sync.lag_check())
+            SyncState::Following { maybe_stale } if *maybe_stale || no_recent_contact => {
+                Some(self.sync.lag_check_request())
             }
-            SyncState::Following { .. } => self.sync.watch(now, self.revision),
+            SyncState::Following { .. } => self.sync.watch_request(now, self.revision),
         }
     }
 
     /// Whether nothing was heard of the service for so long that much may have changed. A process that was paused has
     /// seen no watch fail.
-    fn neglected(&self, now: Now) -> bool {
+    fn no_recent_contact(&self, now: Now) -> bool {
         self.current_as_of
             .max(self.sync.last_known_current)
             .is_some_and(|at| since(now, at) > MAYBE_STALE_AFTER)
@@ -235,19 +242,19 @@
                     StoreResponse::Missing { revision } => Some(revision),
                     _ => None,
                 };
-                self.barrier.answered(sent, revision);
-                self.settle_barrier();
+                self.barrier.record_revision(sent, revision);
+                self.complete_barrier_reads();
                 Vec::new()
             }
-            RequestTag::Page { load, after } if load == self.sync.load => {
+            RequestTag::Page { load_id, after } if load_id == self.sync.load_id => {
                 let next = self.handle_page(now, after.is_none(), response);
                 next.into_iter().collect()
             }
-            RequestTag::LagCheck { load } if load == self.sync.load => {
+            RequestTag::LagCheck { load_id } if load_id == self.sync.load_id => {
                 self.handle_lag_check(now, &response);
                 Vec::new()
             }
-            RequestTag::Watch { load } if load == self.sync.load => {
+            RequestTag::Watch { load_id } if load_id == self.sync.load_id => {
                 self.handle_watch_response(now, response);
                 Vec::new()
             }
@@ -298,7 +305,7 @@
             self.sync.load_revision = revision;
         }
         let last = key_values.last().map(|entry| entry.key.clone());
-        self.take_in(key_values);
+        self.apply_or_buffer(key_values);
         if more && last.is_some() {
             return Some(self.sync.page_request(last));
         }
@@ -306,7 +313,7 @@
         None
     }
 
-    fn take_in(&mut self, key_values: Vec<KeyValue>) {
+    fn apply_or_buffer(&mut self, key_values: Vec<KeyValue>) {
         let changes = key_values.into_iter().map(Change::from);
         if let SyncState::Reloading { buffered } = &mut self.sync.state {
             buffered.extend(changes);
@@ -325,7 +332,7 @@
         self.sync.request = RequestState::Idle;
         self.revision = revision;
         self.sync.state = SyncState::Following { maybe_stale: false };
-        self.cancellations.forget_up_to(self.revision);
+        self.cancellations.remove_up_to(self.revision);
         // The first page may predate the rest: only what was asked before it is covered.
         self.current_as_of = None;
         self.sync.watch_sent = None;
@@ -346,9 +353,9 @@
                     self.apply(change);
                 }
                 self.revision = self.revision.max(revision);
-                self.cancellations.forget_up_to(self.revision);
+                self.cancellations.remove_up_to(self.revision);
                 self.current_as_of = self.current_as_of.max(self.sync.watch_sent);
-                self.settle_barrier();
+                self.complete_barrier_reads();
             }
             StoreResponse::Compacted => {
                 warn!(
@@ -366,9 +373,9 @@
         }
     }
 
-    fn settle_barrier(&mut self) {
+    fn complete_barrier_reads(&mut self) {
         if self.is_loaded() {
-            let reached = self.barrier.reached(self.revision);
+            let reached = self.barrier.take_reached(self.revision);
             self.current_as_of = self.current_as_of.max(reached);
         }
     }
