--- a/src/store/cache/apply.rs
+++ b/src/store/cache/apply.rs
@@ -25,25 +25,25 @@
             RecordKey::Leader => set(&mut self.leader, change),
             RecordKey::Token => set(&mut self.token, change),
             RecordKey::Member(controller) => {
-                set_in(&mut self.members, controller, change);
+                set_entry(&mut self.members, controller, change);
             }
             RecordKey::BlockLease(block) => {
                 self.changed.block_leases = true;
-                set_in(&mut self.block_leases, block, change);
+                set_entry(&mut self.block_leases, block, change);
             }
             RecordKey::Format => set(&mut self.format, change),
             RecordKey::Drain(id) => {
-                set_in(&mut self.drains, id, change);
+                set_entry(&mut self.drains, id, change);
             }
             RecordKey::DrainBudget(team) => {
-                set_in(&mut self.drain_budgets, team, change);
+                set_entry(&mut self.drain_budgets, team, change);
             }
             RecordKey::DrainLedger(team) => {
-                set_in(&mut self.drain_ledgers, team, change);
+                set_entry(&mut self.drain_ledgers, team, change);
             }
             RecordKey::MachineInventory(block, part) => self.apply_inventory(block, part, change),
             RecordKey::PendingRental(name) => {
-                set_in(&mut self.pending_rentals, name, change);
+                set_entry(&mut self.pending_rentals, name, change);
             }
             RecordKey::BlockPlacements(block, part) => self.apply_placements(block, part, change),
             RecordKey::Job(job) => self.apply_job(job, change),
@@ -52,7 +52,7 @@
     }
 
     fn apply_progress(&mut self, job: JobId, chunk: u32, change: Change) {
-        set_in(&mut self.progress, (job, chunk), change);
+        set_entry(&mut self.progress, (job, chunk), change);
         if let (Some(open), Some(progress)) = (
             self.open_jobs.get_mut(&job),
             self.progress.get(&(job, chunk)),
@@ -64,11 +64,11 @@
     fn apply_inventory(&mut self, block: BlockId, part: Part, change: Change) {
         let version = change.version;
         let parts = self.inventory_parts.entry(block.clone()).or_default();
-        if !set_in(parts, part, change) {
+        if !set_entry(parts, part, change) {
             return;
         }
         let merged = merge_inventories(parts);
-        let old = replace(&mut self.inventories, &block, merged, version);
+        let old = replace_merged(&mut self.inventories, &block, merged, version);
         self.index_machines(&block, old.as_ref());
     }
 
@@ -77,12 +77,12 @@
         let new = self.inventories.get(block).map(|new| &new.value);
         for id in old.iter().flat_map(|old| old.machines.keys()) {
             let kept = new.is_some_and(|new| new.machines.contains_key(id));
-            let here = self
+            let in_this_block = self
                 .machines
                 .get(id)
                 .is_some_and(|machine| machine.block == *block);
             // A machine that has moved to another block stays.
-            if !kept && here {
+            if !kept && in_this_block {
                 self.machines.remove(id);
                 self.changed.machines.insert(id.clone());
             }
@@ -91,11 +91,11 @@
             return;
         };
         for (id, entry) in &new.machines {
-            let known = old.and_then(|old| old.machines.get(id));
-            if known == Some(entry) && self.machines.contains_key(id) {
+            let old_entry = old.and_then(|old| old.machines.get(id));
+            if old_entry == Some(entry) && self.machines.contains_key(id) {
                 continue;
             }
-            let machine = machine(entry, &new.zone, block);
+            let machine = machine_from_entry(entry, &new.zone, block);
             self.machines.insert(id.clone(), machine);
             self.changed.machines.insert(id.clone());
         }
@@ -104,11 +104,11 @@
     fn apply_placements(&mut self, block: BlockId, part: Part, change: Change) {
         let version = change.version;
         let parts = self.placements_parts.entry(block.clone()).or_default();
-        if !set_in(parts, part, change) {
+        if !set_entry(parts, part, change) {
             return;
         }
         let merged = merge_placements(parts);
-        let old = replace(&mut self.placements, &block, merged, version).unwrap_or_default();
+        let old = replace_merged(&mut self.placements, &block, merged, version).unwrap_or_default();
         self.index_placements(&block, &old);
         self.merge_finished_tasks(&block, &old);
     }
@@ -122,10 +122,10 @@
             }
             return;
         };
-        for (_, placed) in only_in_first(old, new) {
+        for (_, placed) in attempts_only_in_first(old, new) {
             self.placement_index.remove(placed.0);
         }
-        for (machine, placed) in only_in_first(new, old) {
+        for (machine, placed) in attempts_only_in_first(new, old) {
             let placement = Placement {
                 block: block.clone(),
                 machine: machine.clone(),
@@ -240,7 +240,7 @@
     }
 }
 
-fn machine(entry: &InventoryEntry, zone: &Zone, block: &BlockId) -> Machine {
+fn machine_from_entry(entry: &InventoryEntry, zone: &Zone, block: &BlockId) -> Machine {
     Machine {
         type_name: entry.type_name.clone(),
         zone: zone.clone(),
@@ -270,7 +270,7 @@
 }
 
 /// Puts a block's merged record in place of the old one, which it returns. The version never goes back.
-fn replace<T>(
+fn replace_merged<T>(
     records: &mut BTreeMap<BlockId, Versioned<T>>,
     block: &BlockId,
     merged: Option<T>,
@@ -285,7 +285,7 @@
 }
 
 /// The attempts that the first placements have and the second ones don't have on the same machine.
-fn only_in_first<'a>(
+fn attempts_only_in_first<'a>(
     first: &'a BlockPlacements,
     second: &'a BlockPlacements,
 ) -> impl Iterator<Item = (&'a MachineId, &'a AttemptEncoding)> {
@@ -324,7 +324,11 @@
 }
 
 /// As [`set`], in a map. False: the change is older than what is there.
-fn set_in<K: Ord, T: Record>(map: &mut BTreeMap<K, Versioned<T>>, key: K, change: Change) -> bool {
+fn set_entry<K: Ord, T: Record>(
+    map: &mut BTreeMap<K, Versioned<T>>,
+    key: K,
+    change: Change,
+) -> bool {
     if map
         .get(&key)
         .is_some_and(|old| old.version > change.version)
--- a/src/store/cache/indexes.rs
+++ b/src/store/cache/indexes.rs
@@ -24,11 +24,11 @@
 /// record is gone already, can stand there beside the one that follows it.
 pub type JobPlacements = BTreeMap<(u32, u64), Placement>;
 
-static NO_PLACEMENTS: JobPlacements = BTreeMap::new();
+static EMPTY_JOB_PLACEMENTS: JobPlacements = BTreeMap::new();
 
 /// A machine that tasks may be on.
 #[derive(Debug, Clone, Copy)]
-pub struct LivePlacements<'cache> {
+pub struct MachinePlacements<'cache> {
     /// The block that the machine belongs to.
     pub block: &'cache BlockId,
     /// The machine's id.
@@ -38,7 +38,7 @@
     attempts: &'cache [AttemptEncoding],
 }
 
-impl<'cache> LivePlacements<'cache> {
+impl<'cache> MachinePlacements<'cache> {
     /// The attempts that are placed on the machine.
     pub fn attempts(&self) -> impl Iterator<Item = Attempt> + use<'cache> {
         self.attempts.iter().map(|placed| placed.0)
@@ -53,21 +53,21 @@
 
 impl PlacementIndex {
     pub(super) fn insert(&mut self, attempt: Attempt, placement: Placement) {
-        let of_job = self.by_job.entry(attempt.task.job).or_default();
-        of_job.insert((attempt.task.index, attempt.number), placement);
+        let job_placements = self.by_job.entry(attempt.task.job).or_default();
+        job_placements.insert((attempt.task.index, attempt.number), placement);
     }
 
     pub(super) fn remove(&mut self, attempt: Attempt) {
-        if let Some(of_job) = self.by_job.get_mut(&attempt.task.job) {
-            of_job.remove(&(attempt.task.index, attempt.number));
-            if of_job.is_empty() {
+        if let Some(job_placements) = self.by_job.get_mut(&attempt.task.job) {
+            job_placements.remove(&(attempt.task.index, attempt.number));
+            if job_placements.is_empty() {
                 self.by_job.remove(&attempt.task.job);
             }
         }
     }
 
-    fn of_job(&self, job: JobId) -> &JobPlacements {
-        self.by_job.get(&job).unwrap_or(&NO_PLACEMENTS)
+    fn get(&self, job: JobId) -> &JobPlacements {
+        self.by_job.get(&job).unwrap_or(&EMPTY_JOB_PLACEMENTS)
     }
 }
 
@@ -111,12 +111,12 @@
 
     /// Where a job's attempts are, including those on machines that are proven gone.
     pub fn job_placements(&self, job: JobId) -> &JobPlacements {
-        self.placement_index.of_job(job)
+        self.placement_index.get(job)
     }
 
     /// The machines that tasks may still be on, with their attempts: the placements, without machines that are proven
     /// gone.
-    pub fn live_placements(&self) -> impl Iterator<Item = LivePlacements<'_>> {
+    pub fn live_placements(&self) -> impl Iterator<Item = MachinePlacements<'_>> {
         self.placements.iter().flat_map(move |(block, placements)| {
             placements
                 .value
@@ -124,7 +124,7 @@
                 .iter()
                 .filter_map(move |(id, attempts)| {
                     let machine = self.machines.get(id)?;
-                    Some(LivePlacements {
+                    Some(MachinePlacements {
                         block,
                         id,
                         machine,
@@ -148,19 +148,19 @@
             {
                 return true;
             }
-            *done = self.not_recorded(*job, done);
+            *done = self.unrecorded_tasks(*job, done);
             !done.is_empty()
         });
     }
 
-    fn not_recorded(&self, job: JobId, done: &TaskRanges) -> TaskRanges {
-        let mut left = TaskRanges::default();
+    fn unrecorded_tasks(&self, job: JobId, done: &TaskRanges) -> TaskRanges {
+        let mut unrecorded = TaskRanges::default();
         for index in done.0.iter().flat_map(Clone::clone) {
             let progress = self.progress.get(&(job, index / TASKS_PER_PROGRESS_CHUNK));
             if !progress.is_some_and(|progress| progress.value.done.contains(index)) {
-                left.insert(index);
+                unrecorded.insert(index);
             }
         }
-        left
+        unrecorded
     }
 }
--- a/src/store/cache/mod.rs
+++ b/src/store/cache/mod.rs
@@ -33,7 +33,7 @@
     Team, Zone,
 };
 
-pub use indexes::{JobPlacements, LivePlacements, Placement};
+pub use indexes::{JobPlacements, MachinePlacements, Placement};
 
 /// A record with its version: the revision of its last change.
 #[derive(Debug, Clone, PartialEq)]
