--- a/src/store/records/fixtures.rs
+++ b/src/store/records/fixtures.rs
@@ -12,11 +12,11 @@
 use crate::http;
 
 /// The stored values of format 2 by key: CBOR, in hexadecimal.
-const FORMAT_2: &str = include_str!("../../../tests/data/records-format-2.json");
+const FORMAT_2_JSON: &str = include_str!("../../../tests/data/records-format-2.json");
 
 /// The fixture: values in hexadecimal, by key.
-fn stored() -> BTreeMap<String, String> {
-    serde_json::from_str(FORMAT_2).expect("a map of texts")
+fn load_fixture() -> BTreeMap<String, String> {
+    serde_json::from_str(FORMAT_2_JSON).expect("a map of texts")
 }
 
 /// Bytes from their hexadecimal form.
@@ -34,7 +34,7 @@
 }
 
 /// Reads a value and writes it again, as records are written: by way of `encode`.
-fn rewritten<T: Record>(bytes: &[u8]) -> Vec<u8> {
+fn reencoded<T: Record>(bytes: &[u8]) -> Vec<u8> {
     let value: ciborium::Value = ciborium::from_reader(bytes).expect("CBOR");
     let record: T = value.deserialized().expect("readable");
     http::encode_body(&encode(&record))
@@ -43,20 +43,20 @@
 /// The kind of a record, with its variant if it has some, and its value after being read and written again.
 fn kind(key: &str, bytes: &[u8]) -> (&'static str, Vec<u8>) {
     match RecordKey::of(key).expect("one of ours") {
-        RecordKey::Leader => ("leader", rewritten::<Leader>(bytes)),
-        RecordKey::Token => ("token", rewritten::<TokenCounter>(bytes)),
-        RecordKey::Member(_) => ("member", rewritten::<Member>(bytes)),
-        RecordKey::BlockLease(_) => ("grant", rewritten::<BlockLease>(bytes)),
-        RecordKey::Format => ("format", rewritten::<FormatSwitch>(bytes)),
+        RecordKey::Leader => ("leader", reencoded::<Leader>(bytes)),
+        RecordKey::Token => ("token", reencoded::<TokenCounter>(bytes)),
+        RecordKey::Member(_) => ("member", reencoded::<Member>(bytes)),
+        RecordKey::BlockLease(_) => ("block lease", reencoded::<BlockLease>(bytes)),
+        RecordKey::Format => ("format", reencoded::<FormatSwitch>(bytes)),
         RecordKey::BlockPlacements(_, FIRST_PART) => {
-            ("places", rewritten::<BlockPlacements>(bytes))
+            ("placements", reencoded::<BlockPlacements>(bytes))
         }
-        RecordKey::BlockPlacements(..) => ("places part", rewritten::<BlockPlacements>(bytes)),
+        RecordKey::BlockPlacements(..) => ("placements part", reencoded::<BlockPlacements>(bytes)),
         RecordKey::MachineInventory(_, FIRST_PART) => {
-            ("roster", rewritten::<MachineInventory>(bytes))
+            ("inventory", reencoded::<MachineInventory>(bytes))
         }
-        RecordKey::MachineInventory(..) => ("roster part", rewritten::<MachineInventory>(bytes)),
-        RecordKey::PendingRental(_) => ("order", rewritten::<PendingRental>(bytes)),
+        RecordKey::MachineInventory(..) => ("inventory part", reencoded::<MachineInventory>(bytes)),
+        RecordKey::PendingRental(_) => ("pending rental", reencoded::<PendingRental>(bytes)),
         RecordKey::Job(_) => {
             let value: ciborium::Value = ciborium::from_reader(bytes).expect("CBOR");
             let kind = match value.deserialized().expect("readable") {
@@ -65,12 +65,12 @@
                 JobRecord::Ended(JobOutcome::Done, _) => "done job",
                 JobRecord::Ended(JobOutcome::Cancelled, _) => "ended cancelled job",
             };
-            (kind, rewritten::<JobRecord>(bytes))
+            (kind, reencoded::<JobRecord>(bytes))
         }
-        RecordKey::Progress(..) => ("progress", rewritten::<Progress>(bytes)),
-        RecordKey::Drain(_) => ("drain", rewritten::<DrainRecord>(bytes)),
-        RecordKey::DrainBudget(_) => ("drain budget", rewritten::<TeamBudget>(bytes)),
-        RecordKey::DrainLedger(_) => ("drain ledger", rewritten::<Ledger>(bytes)),
+        RecordKey::Progress(..) => ("progress", reencoded::<Progress>(bytes)),
+        RecordKey::Drain(_) => ("drain", reencoded::<DrainRecord>(bytes)),
+        RecordKey::DrainBudget(_) => ("drain budget", reencoded::<TeamBudget>(bytes)),
+        RecordKey::DrainLedger(_) => ("drain ledger", reencoded::<Ledger>(bytes)),
     }
 }
 
@@ -84,23 +84,23 @@
     "drain ledger",
     "ended cancelled job",
     "format",
-    "grant",
+    "block lease",
     "leader",
     "member",
     "open job",
-    "order",
-    "places",
-    "places part",
+    "pending rental",
+    "placements",
+    "placements part",
     "progress",
-    "roster",
-    "roster part",
+    "inventory",
+    "inventory part",
     "token",
 ];
 
 #[test]
 fn every_record_of_format_2_comes_back_to_the_same_bytes() {
     let mut kinds = BTreeSet::new();
-    for (key, hex) in stored() {
+    for (key, hex) in load_fixture() {
         let bytes = from_hex(&hex);
         let (kind, again) = kind(&key, &bytes);
         assert_eq!(to_hex(&again), hex, "{key}");
@@ -131,9 +131,9 @@
         drain_budget_key(&team),
         drain_ledger_key(&team),
     ];
-    let stored = stored();
+    let fixture = load_fixture();
     for key in keys {
-        assert!(stored.contains_key(&key), "{key}");
+        assert!(fixture.contains_key(&key), "{key}");
     }
 }
 
@@ -143,7 +143,7 @@
 fn the_fixture_of_format_2_holds_every_variant() {
     fn read<T: DeserializeOwned>(prefix: &str) -> Vec<T> {
         let prefix = format!("{ROOT}{prefix}/");
-        stored()
+        load_fixture()
             .iter()
             .filter(|(key, _)| key.starts_with(&prefix))
             .map(|(_, hex)| ciborium::from_reader(&*from_hex(hex)).expect("readable"))
@@ -173,7 +173,7 @@
     assert!(attempts().any(|(_, attempt)| attempt.gang_start().is_some()));
     assert!(attempts().any(|(_, attempt)| attempt.gang_start().is_none()));
     let drains: Vec<DrainRecord> = read("drain");
-    let spelled = |value: ciborium::Value| match value {
+    let variant_name = |value: ciborium::Value| match value {
         ciborium::Value::Text(name) => name,
         ciborium::Value::Map(map) => match &map[0].0 {
             ciborium::Value::Text(name) => name.clone(),
@@ -182,7 +182,7 @@
         other => panic!("{other:?}"),
     };
     let names = |part: fn(&DrainRecord) -> ciborium::Value| -> BTreeSet<String> {
-        drains.iter().map(part).map(spelled).collect()
+        drains.iter().map(part).map(variant_name).collect()
     };
     let phases = names(|drain| ciborium::Value::serialized(&drain.phase).expect("has a form"));
     let expected = ["active", "cancelled", "done", "halted", "uncordoned"];
@@ -198,7 +198,7 @@
         .iter()
         .flat_map(|ledger| &ledger.evictions)
         .map(|eviction| ciborium::Value::serialized(&eviction.subject).expect("has a form"))
-        .map(spelled)
+        .map(variant_name)
         .collect();
     assert_eq!(subjects, ["g", "t"].map(String::from).into());
 }
--- a/src/store/records/inventory.rs
+++ b/src/store/records/inventory.rs
@@ -8,7 +8,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use super::size::digits;
+use super::size::decimal_digits;
 use crate::domain::{CapacityType, InstanceTypeName, MachineId, Zone};
 
 /// Bytes of the value itself, without its entries: names, quotes and brackets.
@@ -96,21 +96,21 @@
 
 /// What is wrong with a machine of a stored inventory.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
-pub(super) enum MalformedMachine {
+pub(super) enum InventoryEntryError {
     #[error("no letter in `{0}`")]
-    NoLetter(String),
+    MissingLetter(String),
     #[error("unknown letter `{0}`")]
     UnknownLetter(char),
     #[error("malformed index of the type: {0}")]
-    TypeIndex(ParseIntError),
+    InvalidTypeIndex(ParseIntError),
     #[error("no type has the index {0}")]
-    UnknownType(usize),
+    UnknownTypeIndex(usize),
     #[error("malformed time of rental: {0}")]
-    RentedAt(ParseIntError),
+    InvalidRentalTime(ParseIntError),
 }
 
 impl TryFrom<InventoryEncoding> for MachineInventory {
-    type Error = MalformedMachine;
+    type Error = InventoryEntryError;
 
     fn try_from(encoding: InventoryEncoding) -> Result<Self, Self::Error> {
         let mut machines = BTreeMap::new();
@@ -124,24 +124,31 @@
     }
 }
 
-fn parse_entry(text: &str, types: &[InstanceTypeName]) -> Result<InventoryEntry, MalformedMachine> {
+fn parse_entry(
+    text: &str,
+    types: &[InstanceTypeName],
+) -> Result<InventoryEntry, InventoryEntryError> {
     let (at, letter) = text
         .char_indices()
         .find(|(_, c)| c.is_ascii_alphabetic())
-        .ok_or_else(|| MalformedMachine::NoLetter(text.to_owned()))?;
+        .ok_or_else(|| InventoryEntryError::MissingLetter(text.to_owned()))?;
     let (index, rest) = text.split_at(at);
     let rented = &rest[letter.len_utf8()..];
     let (capacity_type, state) =
-        parse_state_letter(letter).ok_or(MalformedMachine::UnknownLetter(letter))?;
-    let index: usize = index.parse().map_err(MalformedMachine::TypeIndex)?;
+        parse_state_letter(letter).ok_or(InventoryEntryError::UnknownLetter(letter))?;
+    let index: usize = index
+        .parse()
+        .map_err(InventoryEntryError::InvalidTypeIndex)?;
     let type_name = types
         .get(index)
-        .ok_or(MalformedMachine::UnknownType(index))?;
+        .ok_or(InventoryEntryError::UnknownTypeIndex(index))?;
     Ok(InventoryEntry {
         type_name: type_name.clone(),
         capacity_type,
         state,
-        rented_s: rented.parse().map_err(MalformedMachine::RentedAt)?,
+        rented_s: rented
+            .parse()
+            .map_err(InventoryEntryError::InvalidRentalTime)?,
     })
 }
 
@@ -204,7 +211,7 @@
 impl InventoryEntry {
     /// The bytes that a machine takes of its inventory's value.
     pub fn size(&self, id: &MachineId) -> usize {
-        id.0.len() + MACHINE_OVERHEAD_BYTES + digits(self.rented_s)
+        id.0.len() + MACHINE_OVERHEAD_BYTES + decimal_digits(self.rented_s)
     }
 }
 
--- a/src/store/records/membership.rs
+++ b/src/store/records/membership.rs
@@ -35,10 +35,10 @@
     #[serde(rename = "boot")]
     pub incarnation: Incarnation,
     /// The newest format that it can read and write. The production version does not say.
-    #[serde(default, skip_serializing_if = "is_production")]
+    #[serde(default, skip_serializing_if = "is_production_format")]
     pub format: u32,
 }
 
-fn is_production(format: &u32) -> bool {
+fn is_production_format(format: &u32) -> bool {
     *format == PRODUCTION_FORMAT
 }
--- a/src/store/records/placements.rs
+++ b/src/store/records/placements.rs
@@ -10,7 +10,7 @@
 use serde::{Deserialize, Serialize};
 
 use super::TaskRanges;
-use super::size::digits;
+use super::size::decimal_digits;
 use crate::domain::{Attempt, JobId, MachineId, TaskId};
 
 /// Bytes of the value itself, without its entries: names, quotes and brackets.
@@ -132,7 +132,7 @@
 
 /// The bytes that a job's entry among the finished tasks takes, without the tasks: `"j-000412":"",`.
 pub fn done_entry_size(job: JobId) -> usize {
-    digits(job.0).max(MIN_JOB_DIGITS) + JOB_OVERHEAD_BYTES
+    decimal_digits(job.0).max(MIN_JOB_DIGITS) + JOB_OVERHEAD_BYTES
 }
 
 /// An attempt as `412/3:17`, or `412/3:g17` for a task of a gang that was started as the 17th.
@@ -143,11 +143,11 @@
     /// The most bytes that it can measure in a list.
     pub fn size(&self) -> usize {
         let number = match self.0.gang_start() {
-            Some(start) => digits(start) + 1,
-            None => digits(self.0.number),
+            Some(start) => decimal_digits(start) + 1,
+            None => decimal_digits(self.0.number),
         };
-        digits(self.0.task.job.0)
-            + digits(u64::from(self.0.task.index))
+        decimal_digits(self.0.task.job.0)
+            + decimal_digits(u64::from(self.0.task.index))
             + number
             + ATTEMPT_OVERHEAD_BYTES
     }
@@ -173,31 +173,35 @@
 
 /// What is wrong with the text of an attempt.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
-pub enum MalformedAttempt {
+pub enum ParseAttemptError {
     /// It has not the form `job/index:number`.
     #[error("an attempt has the form job/index:number")]
-    Form,
+    InvalidFormat,
     /// One of its numbers is none.
     #[error("malformed number in an attempt: {0}")]
-    Number(#[from] ParseIntError),
+    InvalidNumber(#[from] ParseIntError),
     /// No gang is started so often, or has a task of that index.
     #[error("no such attempt of a gang")]
-    GangStart,
+    InvalidGangStart,
 }
 
 impl FromStr for AttemptEncoding {
-    type Err = MalformedAttempt;
-
-    fn from_str(text: &str) -> Result<Self, MalformedAttempt> {
-        let (task, number) = text.split_once(':').ok_or(MalformedAttempt::Form)?;
-        let (job, index) = task.split_once('/').ok_or(MalformedAttempt::Form)?;
+    type Err = ParseAttemptError;
+
+    fn from_str(text: &str) -> Result<Self, ParseAttemptError> {
+        let (task, number) = text
+            .split_once(':')
+            .ok_or(ParseAttemptError::InvalidFormat)?;
+        let (job, index) = task
+            .split_once('/')
+            .ok_or(ParseAttemptError::InvalidFormat)?;
         let task = TaskId {
             job: JobId(job.parse()?),
             index: index.parse()?,
         };
         let attempt = match number.strip_prefix('g') {
             Some(start) => {
-                Attempt::of_gang(task, start.parse()?).ok_or(MalformedAttempt::GangStart)?
+                Attempt::of_gang(task, start.parse()?).ok_or(ParseAttemptError::InvalidGangStart)?
             }
             None => Attempt {
                 task,
--- a/src/store/records/size.rs
+++ b/src/store/records/size.rs
@@ -21,6 +21,6 @@
 }
 
 /// The decimal digits of a number.
-pub(super) fn digits(number: u64) -> usize {
+pub(super) fn decimal_digits(number: u64) -> usize {
     number.checked_ilog10().map_or(1, |log| log as usize + 1)
 }
--- a/src/store/records/task_ranges.rs
+++ b/src/store/records/task_ranges.rs
@@ -9,7 +9,7 @@
 use rangemap::RangeInclusiveSet;
 use serde::{Deserialize, Serialize};
 
-use super::size::digits;
+use super::size::decimal_digits;
 
 /// A set of task numbers, stored as `0-4,7`.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
@@ -56,7 +56,11 @@
     pub fn size(&self) -> usize {
         self.0
             .iter()
-            .map(|range| digits(u64::from(*range.start())) + digits(u64::from(*range.end())) + 2)
+            .map(|range| {
+                decimal_digits(u64::from(*range.start()))
+                    + decimal_digits(u64::from(*range.end()))
+                    + 2
+            })
             .sum()
     }
 }
@@ -85,13 +89,13 @@
 
 /// What is wrong with the text of a set of task numbers.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
-pub enum TaskRangesError {
+pub enum ParseTaskRangesError {
     /// One of its numbers is none.
     #[error("malformed number in ranges: {0}")]
-    Number(#[from] ParseIntError),
+    InvalidNumber(#[from] ParseIntError),
     /// A range ends before it starts.
     #[error("the range {start}-{end} ends before it starts")]
-    Reversed {
+    ReversedRange {
         /// Its first number.
         start: u32,
         /// Its last number.
@@ -100,15 +104,15 @@
 }
 
 impl FromStr for TaskRanges {
-    type Err = TaskRangesError;
+    type Err = ParseTaskRangesError;
 
-    fn from_str(text: &str) -> Result<Self, TaskRangesError> {
+    fn from_str(text: &str) -> Result<Self, ParseTaskRangesError> {
         let mut ranges = TaskRanges::default();
         for piece in text.split(',').filter(|piece| !piece.is_empty()) {
             let (start, end) = piece.split_once('-').unwrap_or((piece, piece));
             let (start, end) = (start.parse()?, end.parse()?);
             if start > end {
-                return Err(TaskRangesError::Reversed { start, end });
+                return Err(ParseTaskRangesError::ReversedRange { start, end });
             }
             ranges.0.insert(start..=end);
         }
--- a/src/store/records/tests.rs
+++ b/src/store/records/tests.rs
@@ -2,8 +2,8 @@
 
 use ciborium::cbor;
 
-use super::inventory::{InventoryEncoding, MalformedMachine};
-use super::task_ranges::TaskRangesError;
+use super::inventory::{InventoryEncoding, InventoryEntryError};
+use super::task_ranges::ParseTaskRangesError;
 use super::*;
 use crate::domain::{Attempt, BlockId, CapacityType, Incarnation, Job, JobId, MachineId, TaskId};
 
@@ -21,7 +21,7 @@
     assert_eq!(ranges.first_gap(3), None);
     assert_eq!(
         "4-2".parse::<TaskRanges>(),
-        Err(TaskRangesError::Reversed { start: 4, end: 2 })
+        Err(ParseTaskRangesError::ReversedRange { start: 4, end: 2 })
     );
 }
 
@@ -96,7 +96,7 @@
                 .insert(index * 2);
         }
     }
-    let json = json_size(&encode(&placements));
+    let json = measured_json_size(&encode(&placements));
     assert!(json <= placements.size(), "{json} > {}", placements.size());
 }
 
@@ -137,7 +137,11 @@
             .iter()
             .map(|(id, entry)| entry.size(id))
             .sum::<usize>();
-    assert!(json_size(&value) <= size, "{} > {size}", json_size(&value));
+    assert!(
+        measured_json_size(&value) <= size,
+        "{} > {size}",
+        measured_json_size(&value)
+    );
     assert!(size < 50 * 40, "{size}");
     let wrong = InventoryEncoding {
         on: [("m-1".into(), "7s1".to_owned())].into(),
@@ -145,18 +149,23 @@
     };
     assert_eq!(
         MachineInventory::try_from(wrong),
-        Err(MalformedMachine::UnknownType(7))
+        Err(InventoryEntryError::UnknownTypeIndex(7))
     );
 }
 
-fn json_size(value: &ciborium::Value) -> usize {
+fn measured_json_size(value: &ciborium::Value) -> usize {
     match value {
         ciborium::Value::Text(text) => text.len() + 2,
-        ciborium::Value::Array(list) => 2 + list.iter().map(|v| json_size(v) + 1).sum::<usize>(),
+        ciborium::Value::Array(list) => {
+            2 + list
+                .iter()
+                .map(|v| measured_json_size(v) + 1)
+                .sum::<usize>()
+        }
         ciborium::Value::Map(map) => {
             2 + map
                 .iter()
-                .map(|(k, v)| json_size(k) + json_size(v) + 2)
+                .map(|(k, v)| measured_json_size(k) + measured_json_size(v) + 2)
                 .sum::<usize>()
         }
         ciborium::Value::Bool(_) => 5,
@@ -166,14 +175,14 @@
 
 /// Made by running the production version (commit 134d869): what it stores, by key, and what its controllers say to each
 /// other.
-const PRODUCTION: &[u8] = include_bytes!("../../../tests/data/production.cbor");
+const PRODUCTION_CBOR: &[u8] = include_bytes!("../../../tests/data/production.cbor");
 
-fn production() -> Vec<(String, ciborium::Value)> {
-    ciborium::from_reader(PRODUCTION).expect("readable")
+fn production_fixture() -> Vec<(String, ciborium::Value)> {
+    ciborium::from_reader(PRODUCTION_CBOR).expect("readable")
 }
 
 /// Read and written again as it was.
-fn comes_back<T: serde::Serialize + serde::de::DeserializeOwned>(value: &ciborium::Value) -> bool {
+fn round_trips<T: serde::Serialize + serde::de::DeserializeOwned>(value: &ciborium::Value) -> bool {
     let read: T = value.deserialized().expect("readable");
     ciborium::Value::serialized(&read).is_ok_and(|again| again == *value)
 }
@@ -181,23 +190,23 @@
 #[test]
 fn what_production_wrote_and_said_comes_back_as_it_was() {
     let mut kinds = BTreeSet::new();
-    for (key, value) in production() {
+    for (key, value) in production_fixture() {
         let same = match RecordKey::of(&key) {
-            Some(RecordKey::Leader) => comes_back::<Leader>(&value),
-            Some(RecordKey::Token) => comes_back::<TokenCounter>(&value),
-            Some(RecordKey::Member(_)) => comes_back::<Member>(&value),
-            Some(RecordKey::BlockLease(_)) => comes_back::<BlockLease>(&value),
+            Some(RecordKey::Leader) => round_trips::<Leader>(&value),
+            Some(RecordKey::Token) => round_trips::<TokenCounter>(&value),
+            Some(RecordKey::Member(_)) => round_trips::<Member>(&value),
+            Some(RecordKey::BlockLease(_)) => round_trips::<BlockLease>(&value),
             Some(RecordKey::BlockPlacements(_, FIRST_PART)) => {
-                comes_back::<BlockPlacements>(&value)
+                round_trips::<BlockPlacements>(&value)
             }
             Some(RecordKey::MachineInventory(_, FIRST_PART)) => {
-                comes_back::<MachineInventory>(&value)
+                round_trips::<MachineInventory>(&value)
             }
-            Some(RecordKey::PendingRental(_)) => comes_back::<PendingRental>(&value),
-            Some(RecordKey::Job(_)) => comes_back::<JobRecord>(&value),
-            Some(RecordKey::Progress(..)) => comes_back::<Progress>(&value),
+            Some(RecordKey::PendingRental(_)) => round_trips::<PendingRental>(&value),
+            Some(RecordKey::Job(_)) => round_trips::<JobRecord>(&value),
+            Some(RecordKey::Progress(..)) => round_trips::<Progress>(&value),
             Some(other) => panic!("production does not know {other:?}"),
-            None => comes_back::<crate::peer::Message>(&value),
+            None => round_trips::<crate::peer::Message>(&value),
         };
         assert!(same, "{key}");
         kinds.insert(key.split(['/', ' ']).nth(1).unwrap_or_default().to_owned());
@@ -259,9 +268,9 @@
         types: Some(types.map(|name| name.as_str().into()).collect()),
         ..crate::placement::tests::job(3, 1.0)
     };
-    assert!(json_size(&encode(&JobRecord::Open(job.clone()))) > 2048);
+    assert!(measured_json_size(&encode(&JobRecord::Open(job.clone()))) > 2048);
     let record = JobRecord::cancelled(&job, 17, 2048);
-    assert!(json_size(&encode(&record)) <= 2048);
+    assert!(measured_json_size(&encode(&record)) <= 2048);
     let JobRecord::Cancelled(kept, 17) = record else {
         panic!("{record:?}")
     };
