--- a/crates/domain/src/attempts.rs
+++ b/crates/domain/src/attempts.rs
@@ -20,39 +20,41 @@
 }
 
 /// Marks the attempts of gangs among all attempt numbers. Others come from terms and never get so large.
-const GANG_ATTEMPT: u64 = 1 << 62;
+const GANG_ATTEMPT_BIT: u64 = 1 << 62;
 /// The part of a gang's attempt number that is the task's index: a job has at most 100,000 tasks.
-const INDEX_BITS: u32 = 17;
-const INDEX_MASK: u64 = (1 << INDEX_BITS) - 1;
+const TASK_INDEX_BITS: u32 = 17;
+const TASK_INDEX_MASK: u64 = (1 << TASK_INDEX_BITS) - 1;
 
 impl Attempt {
     /// A task of a gang's start. None: no such number.
     pub fn of_gang(task: TaskId, start: u64) -> Option<Attempt> {
-        let fits = start < GANG_ATTEMPT >> INDEX_BITS && u64::from(task.index) <= INDEX_MASK;
+        let fits =
+            start < GANG_ATTEMPT_BIT >> TASK_INDEX_BITS && u64::from(task.index) <= TASK_INDEX_MASK;
         fits.then(|| Attempt {
             task,
-            number: GANG_ATTEMPT | start << INDEX_BITS | u64::from(task.index),
+            number: GANG_ATTEMPT_BIT | start << TASK_INDEX_BITS | u64::from(task.index),
         })
     }
 
     /// Which start of its gang it belongs to. None: not of a gang.
     pub fn gang_start(&self) -> Option<u64> {
-        (self.number & GANG_ATTEMPT != 0).then_some((self.number & !GANG_ATTEMPT) >> INDEX_BITS)
+        (self.number & GANG_ATTEMPT_BIT != 0)
+            .then_some((self.number & !GANG_ATTEMPT_BIT) >> TASK_INDEX_BITS)
     }
 
     /// The number as workers know it: all tasks of a gang's start share it.
     pub fn wire_number(&self) -> u64 {
         match self.gang_start() {
-            Some(_) => self.number & !INDEX_MASK,
+            Some(_) => self.number & !TASK_INDEX_MASK,
             None => self.number,
         }
     }
 
     /// The attempt that a worker means.
     pub fn from_wire(task: TaskId, number: u64) -> Attempt {
-        let of_gang = number & GANG_ATTEMPT != 0 && number & INDEX_MASK == 0;
+        let of_gang = number & GANG_ATTEMPT_BIT != 0 && number & TASK_INDEX_MASK == 0;
         let index = if of_gang {
-            u64::from(task.index) & INDEX_MASK
+            u64::from(task.index) & TASK_INDEX_MASK
         } else {
             0
         };
--- a/crates/domain/src/ids.rs
+++ b/crates/domain/src/ids.rs
@@ -7,7 +7,7 @@
 
 /// Why a text is not the id of a job or a task. All are displayed alike: users and peers are shown this text.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
-pub enum MalformedName {
+pub enum ParseIdError {
     /// A job id starts with `j-`.
     #[error("malformed name")]
     MissingPrefix,
@@ -26,7 +26,7 @@
 }
 
 /// The most digits of a job id: any number of so many fits 64 bits.
-const MAX_DIGITS: usize = 18;
+const MAX_JOB_ID_DIGITS: usize = 18;
 
 /// A job id: `j-` and at least six digits. Kept as its number, since final states are kept for good.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -42,27 +42,25 @@
 }
 
 impl FromStr for JobId {
-    type Err = MalformedName;
+    type Err = ParseIdError;
 
     /// Only the canonical spelling is an id, so that two spellings never mean one job.
-    fn from_str(text: &str) -> Result<Self, MalformedName> {
-        let digits = text
-            .strip_prefix("j-")
-            .ok_or(MalformedName::MissingPrefix)?;
+    fn from_str(text: &str) -> Result<Self, ParseIdError> {
+        let digits = text.strip_prefix("j-").ok_or(ParseIdError::MissingPrefix)?;
         if !digits.bytes().all(|byte| byte.is_ascii_digit()) {
-            return Err(MalformedName::NotANumber);
+            return Err(ParseIdError::NotANumber);
         }
         let canonical = digits.len() == 6 || (digits.len() > 6 && !digits.starts_with('0'));
         if !canonical {
-            return Err(MalformedName::NotCanonical);
+            return Err(ParseIdError::NotCanonical);
         }
-        if digits.len() > MAX_DIGITS {
-            return Err(MalformedName::TooLong);
+        if digits.len() > MAX_JOB_ID_DIGITS {
+            return Err(ParseIdError::TooLong);
         }
         digits
             .parse()
             .map(JobId)
-            .map_err(|_| MalformedName::NotANumber)
+            .map_err(|_| ParseIdError::NotANumber)
     }
 }
 
@@ -84,13 +82,13 @@
 }
 
 impl FromStr for TaskId {
-    type Err = MalformedName;
+    type Err = ParseIdError;
 
-    fn from_str(text: &str) -> Result<Self, MalformedName> {
-        let (job, index) = text.split_once('/').ok_or(MalformedName::MissingIndex)?;
+    fn from_str(text: &str) -> Result<Self, ParseIdError> {
+        let (job, index) = text.split_once('/').ok_or(ParseIdError::MissingIndex)?;
         Ok(TaskId {
             job: job.parse()?,
-            index: index.parse().map_err(|_| MalformedName::NotANumber)?,
+            index: index.parse().map_err(|_| ParseIdError::NotANumber)?,
         })
     }
 }
--- a/crates/domain/src/lib.rs
+++ b/crates/domain/src/lib.rs
@@ -13,8 +13,8 @@
 
 pub use attempts::Attempt;
 pub use ids::{
-    BlockId, ControllerName, Image, InstanceTypeName, JobId, MachineId, MalformedName, TaskId,
-    Team, Zone,
+    BlockId, ControllerName, Image, InstanceTypeName, JobId, MachineId, ParseIdError, TaskId, Team,
+    Zone,
 };
 pub use jobs::{Job, JobKind, JobOutcome, Priority};
 pub use numbers::{AgentEpoch, FencingToken, Incarnation, Term};
--- a/crates/domain/src/resources.rs
+++ b/crates/domain/src/resources.rs
@@ -14,14 +14,14 @@
 }
 
 /// Sums of decimals such as 0.1 miss by a little; a task that fits exactly must still fit.
-const SLACK: f64 = 1e-6;
+const ROUNDING_TOLERANCE: f64 = 1e-6;
 
 impl Resources {
     /// Whether `need` fits into these resources.
     pub fn fits(&self, need: &Resources) -> bool {
-        need.cpus <= self.cpus + SLACK
-            && need.gpus <= self.gpus + SLACK
-            && need.memory_gb <= self.memory_gb + SLACK
+        need.cpus <= self.cpus + ROUNDING_TOLERANCE
+            && need.gpus <= self.gpus + ROUNDING_TOLERANCE
+            && need.memory_gb <= self.memory_gb + ROUNDING_TOLERANCE
     }
 
     /// Adds other resources to these.
@@ -49,24 +49,32 @@
 
     /// How many tasks of `need` an empty machine of this size holds.
     pub fn max_tasks(&self, need: &Resources) -> u32 {
-        let of = |have: f64, need: f64| {
-            if need <= SLACK {
+        let max_count = |have: f64, need: f64| {
+            if need <= ROUNDING_TOLERANCE {
                 f64::INFINITY
             } else {
-                (have + SLACK) / need
+                (have + ROUNDING_TOLERANCE) / need
             }
         };
-        let count = of(self.cpus, need.cpus)
-            .min(of(self.gpus, need.gpus))
-            .min(of(self.memory_gb, need.memory_gb));
+        let count = max_count(self.cpus, need.cpus)
+            .min(max_count(self.gpus, need.gpus))
+            .min(max_count(self.memory_gb, need.memory_gb));
         // Saturates: a task that needs nothing fits any number of times.
         count.floor().clamp(0.0, f64::from(u32::MAX)) as u32
     }
 
     /// What is left of a machine of size `self`, summed over its resources: each counts 1 when all of it is.
     pub fn free_share(&self, left: &Resources) -> f64 {
-        let of = |have: f64, left: f64| if have <= SLACK { 0.0 } else { left / have };
-        of(self.cpus, left.cpus) + of(self.gpus, left.gpus) + of(self.memory_gb, left.memory_gb)
+        let share = |have: f64, left: f64| {
+            if have <= ROUNDING_TOLERANCE {
+                0.0
+            } else {
+                left / have
+            }
+        };
+        share(self.cpus, left.cpus)
+            + share(self.gpus, left.gpus)
+            + share(self.memory_gb, left.memory_gb)
     }
 }
 
--- a/crates/domain/src/tests.rs
+++ b/crates/domain/src/tests.rs
@@ -5,13 +5,13 @@
     assert_eq!("j-000412".parse(), Ok(JobId(412)));
     assert_eq!("j-1000412".parse(), Ok(JobId(1_000_412)));
     for (wrong, expected) in [
-        ("j-412", MalformedName::NotCanonical),
-        ("j-0000412", MalformedName::NotCanonical),
-        ("j-00041x", MalformedName::NotANumber),
-        ("k-000412", MalformedName::MissingPrefix),
-        ("j-", MalformedName::NotCanonical),
-        ("j-+00412", MalformedName::NotANumber),
-        ("j-9999999999999999999", MalformedName::TooLong),
+        ("j-412", ParseIdError::NotCanonical),
+        ("j-0000412", ParseIdError::NotCanonical),
+        ("j-00041x", ParseIdError::NotANumber),
+        ("k-000412", ParseIdError::MissingPrefix),
+        ("j-", ParseIdError::NotCanonical),
+        ("j-+00412", ParseIdError::NotANumber),
+        ("j-9999999999999999999", ParseIdError::TooLong),
     ] {
         assert_eq!(wrong.parse::<JobId>(), Err(expected), "{wrong}");
         assert_eq!(expected.to_string(), "malformed name");
--- a/crates/domain/src/text.rs
+++ b/crates/domain/src/text.rs
@@ -16,7 +16,7 @@
             fn deserialize<D: serde::Deserializer<'de>>(deserializer: D) -> Result<Self, D::Error> {
                 let text = <String as serde::Deserialize>::deserialize(deserializer)?;
                 text.parse()
-                    .map_err(|malformed: crate::MalformedName| serde::de::Error::custom(malformed))
+                    .map_err(|error: crate::ParseIdError| serde::de::Error::custom(error))
             }
         }
     };
