--- a/src/store/cache/tests.rs
+++ b/src/store/cache/tests.rs
@@ -51,7 +51,7 @@
 /// Found on the bench: a controller that had been cut off from the state service for 46 s asked for all changes since,
 /// more than it could take in one answer, and asked again for ever.
 #[test]
-fn a_copy_that_is_far_behind_is_read_anew_while_the_old_one_is_still_in_use() {
+fn a_cache_that_is_far_behind_stays_readable_while_it_is_reloaded() {
     let start = Now::read();
     let at = |seconds| at(start, seconds);
     let mut cache = WatchCache::loaded_for_tests();
@@ -157,7 +157,7 @@
 
 /// What a controller is told by others goes before the watch, never against it.
 #[test]
-fn a_reported_cancellation_counts_until_the_cache_has_reached_its_version() {
+fn a_reported_cancellation_applies_until_the_cache_has_reached_its_version() {
     let mut cache = WatchCache::loaded_for_tests();
     let put = |id, version| put(job_key(JobId(id)), version, &open_job());
     (1..=3).for_each(|id| cache.apply(put(id, id)));
--- a/src/store/rate_limiter/tests.rs
+++ b/src/store/rate_limiter/tests.rs
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn writes_wait_for_their_rate_and_go_by_priority() {
+fn writes_are_sent_by_priority_within_the_rate() {
     let start = Now::read();
     let mut rate_limiter = RequestRateLimiter::new(&LIMITS, 1, start);
     for n in 0..4 {
@@ -65,7 +65,7 @@
 
 /// Found in an incident: one-task jobs came ten a second, and each waited for a write of its own.
 #[test]
-fn several_submissions_at_once_find_the_writes_that_lower_priorities_leave() {
+fn concurrent_submissions_use_the_writes_reserved_for_users() {
     let start = Now::read();
     let mut rate_limiter = with_write_rate(10.0, 1, start);
     for n in 0..100 {
@@ -95,7 +95,7 @@
 
 /// Found on the bench: batches of a leader waited for a full bucket, which single writes never let fill.
 #[test]
-fn a_large_write_is_not_overtaken_by_small_ones_of_lower_priority() {
+fn small_writes_of_lower_priority_do_not_starve_a_large_write() {
     let start = Now::read();
     let mut rate_limiter = with_write_rate(10.0, 1, start);
     let batch = StoreRequest::Commit(
@@ -126,7 +126,7 @@
 }
 
 #[test]
-fn a_single_refusal_is_no_outage_and_repeated_ones_are() {
+fn only_repeated_refusals_count_as_an_outage() {
     let start = Now::read();
     let mut rate_limiter: RequestRateLimiter<()> = RequestRateLimiter::new(&LIMITS, 1, start);
     assert!(!rate_limiter.available(start));
@@ -142,7 +142,7 @@
 /// Found on the bench: under a low rate a block's write of five changes was sent when the bucket was full, and took what was
 /// kept for users: submissions waited for most of a second.
 #[test]
-fn a_write_that_can_wait_leaves_what_is_kept_for_users() {
+fn a_deferrable_write_leaves_the_writes_reserved_for_users() {
     let start = Now::read();
     let mut rate_limiter = with_write_rate(15.0, 3, start);
     let most = rate_limiter.max_deferrable_batch(5);
--- a/src/store/records/fixtures.rs
+++ b/src/store/records/fixtures.rs
@@ -98,7 +98,7 @@
 ];
 
 #[test]
-fn every_record_of_format_2_comes_back_to_the_same_bytes() {
+fn every_record_of_format_2_is_reencoded_to_the_same_bytes() {
     let mut kinds = BTreeSet::new();
     for (key, hex) in load_fixture() {
         let bytes = from_hex(&hex);
--- a/src/store/records/tests.rs
+++ b/src/store/records/tests.rs
@@ -8,7 +8,7 @@
 use crate::domain::{Attempt, BlockId, CapacityType, Incarnation, Job, JobId, MachineId, TaskId};
 
 #[test]
-fn ranges_come_back_from_their_text() {
+fn task_ranges_round_trip_as_text() {
     let mut ranges = TaskRanges::default();
     for index in [0, 1, 2, 7, 9] {
         ranges.insert(index);
@@ -43,7 +43,7 @@
 
 /// Guards against a block that can't be written any more: ends of tasks need room too.
 #[test]
-fn a_block_never_outgrows_its_worst_case_as_tasks_finish() {
+fn placements_never_exceed_their_worst_case_size_as_tasks_finish() {
     let mut placements = BlockPlacements::default();
     for n in 0..200u32 {
         let attempt = Attempt {
@@ -101,7 +101,7 @@
 }
 
 #[test]
-fn an_inventory_comes_back_unchanged_and_its_size_is_not_underestimated() {
+fn an_inventory_round_trips_and_its_size_is_not_underestimated() {
     let mut inventory = MachineInventory::new("zone".into());
     for n in 0..50u32 {
         let type_name = if n % 2 == 0 {
@@ -188,7 +188,7 @@
 }
 
 #[test]
-fn what_production_wrote_and_said_comes_back_as_it_was() {
+fn records_and_messages_of_production_round_trip_unchanged() {
     let mut kinds = BTreeSet::new();
     for (key, value) in production_fixture() {
         let same = match RecordKey::of(&key) {
@@ -226,7 +226,7 @@
 }
 
 #[test]
-fn a_member_without_a_format_is_of_production() {
+fn a_member_without_a_format_has_the_production_format() {
     let old: Member = cbor!({"boot" => 7})
         .expect("valid")
         .deserialized()
@@ -246,7 +246,7 @@
 }
 
 #[test]
-fn first_parts_come_before_all_others_in_the_order_of_keys() {
+fn keys_of_first_parts_sort_before_keys_of_other_parts() {
     let block = BlockId::from("z.9");
     assert!(placements_part_key(&block, FIRST_PART) < placements_part_key(&"a.0".into(), 1));
     assert!(inventory_part_key(&block, FIRST_PART) < inventory_part_key(&"a.0".into(), 1));
@@ -262,7 +262,7 @@
 
 /// The names of a job may be longer than the values that the state service will take: its cancellation must not be.
 #[test]
-fn a_job_that_is_too_large_is_cancelled_in_a_shorter_form() {
+fn the_record_of_a_cancelled_large_job_omits_what_does_not_fit() {
     let types = (0..30).map(|n| format!("{n}-{}", "t".repeat(180)));
     let job = Job {
         types: Some(types.map(|name| name.as_str().into()).collect()),
@@ -283,7 +283,7 @@
 }
 
 #[test]
-fn attempts_of_a_gang_share_their_number_on_the_wire_only() {
+fn attempts_of_a_gang_start_share_only_their_wire_number() {
     let task = |index| TaskId {
         job: JobId(412),
         index,
--- a/src/store/wire/tests.rs
+++ b/src/store/wire/tests.rs
@@ -10,7 +10,7 @@
 }
 
 #[test]
-fn a_transaction_is_written_in_the_form_of_the_protocol() {
+fn a_transaction_is_encoded_as_the_protocol_requires() {
     let txn = Transaction {
         conditions: vec![("a/b".into(), 0)],
         changes: vec![
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn each_status_is_read_as_its_response() {
+fn each_status_is_parsed_as_its_response() {
     let commit = StoreRequest::Commit(Transaction::default());
     assert_eq!(parse_response(&commit, None), StoreResponse::Unknown);
     assert_eq!(
--- a/src/store/writer/tests.rs
+++ b/src/store/writer/tests.rs
@@ -21,7 +21,7 @@
 
 /// A transaction that is too large was sent again five times a second, and each time cost its share of the rate.
 #[test]
-fn a_rejected_write_waits_longer_than_a_refused_one() {
+fn a_rejected_write_is_retried_later_than_a_refused_one() {
     assert!(can_write_after(&StoreResponse::Refused, 250));
     assert!(can_write_after(&StoreResponse::Conflict, 250));
     assert!(!can_write_after(&StoreResponse::Invalid, 250));
