--- a/crates/domain/src/attempts.rs
+++ b/crates/domain/src/attempts.rs
@@ -52,8 +52,8 @@
 
     /// The attempt that a worker means.
     pub fn from_wire(task: TaskId, number: u64) -> Attempt {
-        let of_gang = number & GANG_ATTEMPT_BIT != 0 && number & TASK_INDEX_MASK == 0;
-        let index = if of_gang {
+        let is_gang_number = number & GANG_ATTEMPT_BIT != 0 && number & TASK_INDEX_MASK == 0;
+        let index = if is_gang_number {
             u64::from(task.index) & TASK_INDEX_MASK
         } else {
             0
--- a/crates/domain/src/resources.rs
+++ b/crates/domain/src/resources.rs
@@ -49,11 +49,11 @@
 
     /// How many tasks of `need` an empty machine of this size holds.
     pub fn max_tasks(&self, need: &Resources) -> u32 {
-        let max_count = |have: f64, need: f64| {
-            if need <= ROUNDING_TOLERANCE {
+        let max_count = |have: f64, needed: f64| {
+            if needed <= ROUNDING_TOLERANCE {
                 f64::INFINITY
             } else {
-                (have + ROUNDING_TOLERANCE) / need
+                (have + ROUNDING_TOLERANCE) / needed
             }
         };
         let count = max_count(self.cpus, need.cpus)
@@ -64,17 +64,17 @@
     }
 
     /// What is left of a machine of size `self`, summed over its resources: each counts 1 when all of it is.
-    pub fn free_share(&self, left: &Resources) -> f64 {
-        let share = |have: f64, left: f64| {
-            if have <= ROUNDING_TOLERANCE {
+    pub fn free_share(&self, free: &Resources) -> f64 {
+        let share = |total: f64, available: f64| {
+            if total <= ROUNDING_TOLERANCE {
                 0.0
             } else {
-                left / have
+                available / total
             }
         };
-        share(self.cpus, left.cpus)
-            + share(self.gpus, left.gpus)
-            + share(self.memory_gb, left.memory_gb)
+        share(self.cpus, free.cpus)
+            + share(self.gpus, free.gpus)
+            + share(self.memory_gb, free.memory_gb)
     }
 }
 
--- a/crates/domain/src/tests.rs
+++ b/crates/domain/src/tests.rs
@@ -4,7 +4,7 @@
 fn a_job_id_has_only_its_canonical_spelling() {
     assert_eq!("j-000412".parse(), Ok(JobId(412)));
     assert_eq!("j-1000412".parse(), Ok(JobId(1_000_412)));
-    for (wrong, expected) in [
+    for (invalid, expected) in [
         ("j-412", ParseIdError::NotCanonical),
         ("j-0000412", ParseIdError::NotCanonical),
         ("j-00041x", ParseIdError::NotANumber),
@@ -13,7 +13,7 @@
         ("j-+00412", ParseIdError::NotANumber),
         ("j-9999999999999999999", ParseIdError::TooLong),
     ] {
-        assert_eq!(wrong.parse::<JobId>(), Err(expected), "{wrong}");
+        assert_eq!(invalid.parse::<JobId>(), Err(expected), "{invalid}");
         assert_eq!(expected.to_string(), "malformed name");
     }
     assert_eq!(
--- a/crates/domain/src/time.rs
+++ b/crates/domain/src/time.rs
@@ -26,8 +26,8 @@
     pub fn unix_ms(&self) -> u64 {
         self.wall
             .duration_since(SystemTime::UNIX_EPOCH)
-            .map_or(0, |since| {
-                u64::try_from(since.as_millis()).unwrap_or(u64::MAX)
+            .map_or(0, |elapsed| {
+                u64::try_from(elapsed.as_millis()).unwrap_or(u64::MAX)
             })
     }
 }
--- a/src/store/cache/apply.rs
+++ b/src/store/cache/apply.rs
@@ -76,13 +76,13 @@
     fn index_machines(&mut self, block: &BlockId, old: Option<&MachineInventory>) {
         let new = self.inventories.get(block).map(|new| &new.value);
         for id in old.iter().flat_map(|old| old.machines.keys()) {
-            let kept = new.is_some_and(|new| new.machines.contains_key(id));
+            let still_listed = new.is_some_and(|new| new.machines.contains_key(id));
             let in_this_block = self
                 .machines
                 .get(id)
                 .is_some_and(|machine| machine.block == *block);
             // A machine that has moved to another block stays.
-            if !kept && in_this_block {
+            if !still_listed && in_this_block {
                 self.machines.remove(id);
                 self.changed.machines.insert(id.clone());
             }
@@ -192,16 +192,16 @@
     /// The finished tasks of a job that the placements of all blocks and its progress show.
     fn finished_tasks(&self, id: JobId) -> TaskRanges {
         let mut finished = TaskRanges::default();
-        let in_blocks = self
+        let from_placements = self
             .placements
             .values()
             .filter_map(|placements| placements.value.done.get(&id));
-        let recorded = self
+        let from_progress = self
             .progress
             .range((id, 0)..=(id, u32::MAX))
             .map(|(_, progress)| &progress.value.done);
-        in_blocks
-            .chain(recorded)
+        from_placements
+            .chain(from_progress)
             .for_each(|done| finished.merge(done));
         finished
     }
@@ -212,17 +212,17 @@
     #[must_use]
     pub fn record_cancellation(&mut self, id: JobId, version: u64, at_ms: u64) -> bool {
         let following = matches!(self.sync.state, SyncState::Following { .. });
-        let shown = following && self.revision >= version;
-        if shown || self.ended_jobs.contains_key(&id) {
+        let already_contained = following && self.revision >= version;
+        if already_contained || self.ended_jobs.contains_key(&id) {
             return true;
         }
-        let kept = self
+        let stored = self
             .cancellations
             .insert(id, Cancellation { version, at_ms });
-        if kept {
+        if stored {
             self.apply_cancellation(id);
         }
-        kept
+        stored
     }
 
     fn apply_cancellation(&mut self, id: JobId) {
--- a/src/store/cache/sync.rs
+++ b/src/store/cache/sync.rs
@@ -14,7 +14,7 @@
 use super::{RequestTag, WatchCache};
 use crate::config::StateLimits;
 use crate::domain::{Now, since};
-use crate::store::records::{Change, ROOT, UNWRITTEN_KEY};
+use crate::store::records::{Change, KEY_PREFIX, UNWRITTEN_KEY};
 use crate::store::{KeyValue, StoreRequest, StoreResponse};
 
 /// A watch returns at least this often, which bounds how old the copy can be.
@@ -137,7 +137,7 @@
             load_id: self.load_id,
             after: after.clone(),
         };
-        let prefix = ROOT.to_owned();
+        let prefix = KEY_PREFIX.to_owned();
         (tag, StoreRequest::Range { prefix, after })
     }
 
@@ -163,7 +163,7 @@
         self.request = RequestState::InFlight;
         self.watch_sent = Some(now.monotonic);
         let request = StoreRequest::Watch {
-            prefix: ROOT.to_owned(),
+            prefix: KEY_PREFIX.to_owned(),
             after: revision,
             wait: WATCH_TIMEOUT,
         };
--- a/src/store/cache/tests.rs
+++ b/src/store/cache/tests.rs
@@ -11,7 +11,7 @@
 use crate::store::{KeyValue, StoreRequest, StoreResponse};
 
 /// The time so many seconds after `start`.
-fn at(start: Now, seconds: u64) -> Now {
+fn seconds_after(start: Now, seconds: u64) -> Now {
     Now {
         monotonic: start.monotonic + Duration::from_secs(seconds),
         ..start
@@ -53,16 +53,16 @@
 #[test]
 fn a_cache_that_is_far_behind_stays_readable_while_it_is_reloaded() {
     let start = Now::read();
-    let at = |seconds| at(start, seconds);
+    let at = |seconds| seconds_after(start, seconds);
     let mut cache = WatchCache::loaded_for_tests();
     cache.revision = 5;
     cache.set_current_as_of(start.monotonic);
     cache.apply(put(job_key(JobId(1)), 5, &open_job()));
     let next = |cache: &mut WatchCache, now: Now| cache.poll(now).remove(0);
-    let (tag, op) = next(&mut cache, at(40));
+    let (tag, request) = next(&mut cache, at(40));
     assert!(
         matches!(
-            (&tag, op),
+            (&tag, request),
             (RequestTag::LagCheck { .. }, StoreRequest::Get { .. })
         ),
         "how far behind?"
@@ -74,10 +74,10 @@
             revision: 5 + MAX_MISSED_BYTES / 8192,
         },
     );
-    let (tag, op) = next(&mut cache, at(40));
+    let (tag, request) = next(&mut cache, at(40));
     assert!(
-        matches!(op, StoreRequest::Watch { after: 5, .. }),
-        "near enough: {op:?}"
+        matches!(request, StoreRequest::Watch { after: 5, .. }),
+        "near enough: {request:?}"
     );
     cache.handle_response(at(44), tag, StoreResponse::Unknown);
     let (tag, _) = next(&mut cache, at(45));
@@ -86,8 +86,8 @@
         "the answer was too much after all, or none came"
     );
     cache.handle_response(at(45), tag, StoreResponse::Missing { revision: 9000 });
-    let (tag, op) = next(&mut cache, at(45));
-    assert!(matches!(op, StoreRequest::Range { .. }), "{op:?}");
+    let (tag, request) = next(&mut cache, at(45));
+    assert!(matches!(request, StoreRequest::Range { .. }), "{request:?}");
     assert!(cache.is_loaded() && cache.open_jobs.contains_key(&JobId(1)));
     assert_eq!(
         cache.current_as_of(),
@@ -110,10 +110,10 @@
     );
     assert!(!cache.open_jobs.contains_key(&JobId(1)) && cache.open_jobs.contains_key(&JobId(2)));
     assert!(cache.take_changed().all);
-    let (_, op) = next(&mut cache, at(46));
+    let (_, request) = next(&mut cache, at(46));
     assert!(
-        matches!(op, StoreRequest::Watch { after: 9000, .. }),
-        "{op:?}"
+        matches!(request, StoreRequest::Watch { after: 9000, .. }),
+        "{request:?}"
     );
 }
 
@@ -147,7 +147,7 @@
     assert_eq!(live, [8]);
     let placed = cache.job_placements(JobId(1));
     assert!(
-        placed.values().any(|place| place.machine == second),
+        placed.values().any(|placement| placement.machine == second),
         "{placed:?}"
     );
     placements.remove(&first, attempt(7));
@@ -159,8 +159,8 @@
 #[test]
 fn a_reported_cancellation_applies_until_the_cache_has_reached_its_version() {
     let mut cache = WatchCache::loaded_for_tests();
-    let put = |id, version| put(job_key(JobId(id)), version, &open_job());
-    (1..=3).for_each(|id| cache.apply(put(id, id)));
+    let put_job = |id, version| put(job_key(JobId(id)), version, &open_job());
+    (1..=3).for_each(|id| cache.apply(put_job(id, id)));
     cache.revision = 10;
     let _ = cache.take_changed();
     assert!(cache.record_cancellation(JobId(1), 9, 1000));
@@ -180,11 +180,11 @@
     );
     // Of a job that is not in the copy yet.
     assert!(cache.record_cancellation(JobId(4), 13, 1000));
-    cache.apply(put(4, 11));
+    cache.apply(put_job(4, 11));
     assert!(cache.open_jobs[&JobId(4)].cancelled);
     // Pages that were read before it was committed.
     cache.clear();
-    (2..=4).for_each(|id| cache.apply(put(id, id)));
+    (2..=4).for_each(|id| cache.apply(put_job(id, id)));
     assert!(
         cache.open_jobs[&JobId(2)].cancelled
             && cache.open_jobs[&JobId(4)].cancelled
@@ -201,11 +201,12 @@
         "the copy is new enough to know by itself"
     );
     // Nothing is claimed to be known that could not be kept.
-    let most = 100..100 + MAX_PENDING_CANCELLATIONS as u64;
+    let job_ids = 100..100 + MAX_PENDING_CANCELLATIONS as u64;
     assert!(
-        most.clone()
+        job_ids
+            .clone()
             .all(|id| cache.record_cancellation(JobId(id), 20, 1000))
     );
-    assert!(!cache.record_cancellation(JobId(most.end), 20, 1000));
+    assert!(!cache.record_cancellation(JobId(job_ids.end), 20, 1000));
     assert!(cache.record_cancellation(JobId(100), 20, 1000), "a repeat");
 }
--- a/src/store/rate_limiter.rs
+++ b/src/store/rate_limiter.rs
@@ -87,13 +87,13 @@
 
 /// Writes a second that one controller may send.
 fn write_share(limit: f64, controllers: usize, is_leader: bool) -> f64 {
-    let others = controllers.saturating_sub(1).max(1) as f64;
+    let other_controllers = controllers.saturating_sub(1).max(1) as f64;
     let share = if controllers <= 1 {
         SINGLE_WRITE_SHARE
     } else if is_leader {
         LEADER_WRITE_SHARE
     } else {
-        OTHERS_WRITE_SHARE / others
+        OTHERS_WRITE_SHARE / other_controllers
     };
     (limit * share).max(1.0)
 }
@@ -141,8 +141,8 @@
     /// The most changes that a deferrable transaction should have, `txn_ops` at most: with more it would take what is kept
     /// for users.
     pub fn max_deferrable_batch(&self, txn_ops: usize) -> usize {
-        let spare = self.writes.burst() - writes_reserved_for_users(&self.writes);
-        (spare as usize).clamp(1, txn_ops)
+        let unreserved = self.writes.burst() - writes_reserved_for_users(&self.writes);
+        (unreserved as usize).clamp(1, txn_ops)
     }
 
     /// Queues a request.
--- a/src/store/rate_limiter/tests.rs
+++ b/src/store/rate_limiter/tests.rs
@@ -12,7 +12,7 @@
     StoreRequest::Commit(Transaction::default().delete("k"))
 }
 
-fn later(start: Now, millis: u64) -> Now {
+fn millis_after(start: Now, millis: u64) -> Now {
     Now {
         monotonic: start.monotonic + Duration::from_millis(millis),
         ..start
@@ -51,16 +51,19 @@
     assert_eq!(send_ready(&mut rate_limiter, start), [9]);
     assert!(!rate_limiter.has_spare_writes(start));
     assert_eq!(
-        send_ready(&mut rate_limiter, later(start, 400)),
+        send_ready(&mut rate_limiter, millis_after(start, 400)),
         [] as [i32; 0]
     );
-    assert_eq!(send_ready(&mut rate_limiter, later(start, 700)), [0]);
+    assert_eq!(send_ready(&mut rate_limiter, millis_after(start, 700)), [0]);
     assert!(
         rate_limiter
             .push(RequestPriority::User, 10, write())
             .is_ok()
     );
-    assert_eq!(send_ready(&mut rate_limiter, later(start, 900)), [10]);
+    assert_eq!(
+        send_ready(&mut rate_limiter, millis_after(start, 900)),
+        [10]
+    );
 }
 
 /// Found in an incident: one-task jobs came ten a second, and each waited for a write of its own.
@@ -77,18 +80,18 @@
     }
     // Nine a second, of which 3.6 are left whatever waits.
     assert_eq!(rate_limiter.take_ready(start).len(), 5);
-    let in_a_second: usize = (1..=10)
-        .map(|n| rate_limiter.take_ready(later(start, n * 100)).len())
+    let sent_in_a_second: usize = (1..=10)
+        .map(|n| rate_limiter.take_ready(millis_after(start, n * 100)).len())
         .sum();
     assert!(
-        (8..=9).contains(&in_a_second),
-        "{in_a_second}: the rate is used all the same"
+        (8..=9).contains(&sent_in_a_second),
+        "{sent_in_a_second}: the rate is used all the same"
     );
     for n in 200..203 {
         assert!(rate_limiter.push(RequestPriority::User, n, write()).is_ok());
     }
     assert_eq!(
-        send_ready(&mut rate_limiter, later(start, 1000)),
+        send_ready(&mut rate_limiter, millis_after(start, 1000)),
         [200, 201, 202]
     );
 }
@@ -120,7 +123,7 @@
         );
     }
     let order: Vec<i32> = (0..30)
-        .flat_map(|n| send_ready(&mut rate_limiter, later(start, n * 40)))
+        .flat_map(|n| send_ready(&mut rate_limiter, millis_after(start, n * 40)))
         .collect();
     assert_eq!(order.first(), Some(&2), "{order:?}");
 }
@@ -131,23 +134,23 @@
     let mut rate_limiter: RequestRateLimiter<()> = RequestRateLimiter::new(&LIMITS, 1, start);
     assert!(!rate_limiter.available(start));
     rate_limiter.record_response(start, &StoreResponse::Conflict);
-    rate_limiter.record_response(later(start, 100), &StoreResponse::Refused);
-    assert!(rate_limiter.available(later(start, 200)));
-    rate_limiter.record_response(later(start, 1500), &StoreResponse::Unknown);
-    assert!(!rate_limiter.available(later(start, 1600)));
-    rate_limiter.record_response(later(start, 1700), &StoreResponse::Conflict);
-    assert!(rate_limiter.available(later(start, 1700)));
+    rate_limiter.record_response(millis_after(start, 100), &StoreResponse::Refused);
+    assert!(rate_limiter.available(millis_after(start, 200)));
+    rate_limiter.record_response(millis_after(start, 1500), &StoreResponse::Unknown);
+    assert!(!rate_limiter.available(millis_after(start, 1600)));
+    rate_limiter.record_response(millis_after(start, 1700), &StoreResponse::Conflict);
+    assert!(rate_limiter.available(millis_after(start, 1700)));
 }
 
 /// Found on the bench: under a low rate a block's write of five changes was sent when the bucket was full, and took what was
-/// kept for users: submissions waited for most of a second.
+/// kept for users: submissions waited for max_changes of a second.
 #[test]
 fn a_deferrable_write_leaves_the_writes_reserved_for_users() {
     let start = Now::read();
     let mut rate_limiter = with_write_rate(15.0, 3, start);
-    let most = rate_limiter.max_deferrable_batch(5);
-    assert!((1..5).contains(&most), "{most} changes");
-    let batch = (0..most).fold(Transaction::default(), |txn, n| txn.delete(n.to_string()));
+    let max_changes = rate_limiter.max_deferrable_batch(5);
+    assert!((1..5).contains(&max_changes), "{max_changes} changes");
+    let batch = (0..max_changes).fold(Transaction::default(), |txn, n| txn.delete(n.to_string()));
     assert!(
         rate_limiter
             .push(RequestPriority::Placement, 0, StoreRequest::Commit(batch))
--- a/src/store/records/fixtures.rs
+++ b/src/store/records/fixtures.rs
@@ -142,7 +142,7 @@
 #[test]
 fn the_fixture_of_format_2_holds_every_variant() {
     fn read<T: DeserializeOwned>(prefix: &str) -> Vec<T> {
-        let prefix = format!("{ROOT}{prefix}/");
+        let prefix = format!("{KEY_PREFIX}{prefix}/");
         load_fixture()
             .iter()
             .filter(|(key, _)| key.starts_with(&prefix))
--- a/src/store/records/inventory.rs
+++ b/src/store/records/inventory.rs
@@ -128,11 +128,11 @@
     text: &str,
     types: &[InstanceTypeName],
 ) -> Result<InventoryEntry, InventoryEntryError> {
-    let (at, letter) = text
+    let (letter_at, letter) = text
         .char_indices()
         .find(|(_, c)| c.is_ascii_alphabetic())
         .ok_or_else(|| InventoryEntryError::MissingLetter(text.to_owned()))?;
-    let (index, rest) = text.split_at(at);
+    let (index, rest) = text.split_at(letter_at);
     let rented = &rest[letter.len_utf8()..];
     let (capacity_type, state) =
         parse_state_letter(letter).ok_or(InventoryEntryError::UnknownLetter(letter))?;
--- a/src/store/records/keys.rs
+++ b/src/store/records/keys.rs
@@ -7,7 +7,7 @@
 use crate::domain::{BlockId, ControllerName, InstanceTypeName, JobId, Team};
 
 /// The prefix of all keys of this service, so that one watch sees all of them.
-pub const ROOT: &str = "dappleshore/";
+pub const KEY_PREFIX: &str = "dappleshore/";
 /// The key of [`Leader`](super::Leader).
 pub const LEADER_KEY: &str = "dappleshore/leader";
 /// The key of [`TokenCounter`](super::TokenCounter).
@@ -17,22 +17,22 @@
 
 /// The key of a controller that is up.
 pub fn member_key(controller: &ControllerName) -> String {
-    format!("{ROOT}node/{controller}")
+    format!("{KEY_PREFIX}node/{controller}")
 }
 
 /// The key of a block's lease.
 pub fn block_lease_key(block: &BlockId) -> String {
-    format!("{ROOT}grant/{block}")
+    format!("{KEY_PREFIX}grant/{block}")
 }
 
 /// The key of a block's tasks: their first part.
 pub fn placements_key(block: &BlockId) -> String {
-    format!("{ROOT}places/{block}")
+    format!("{KEY_PREFIX}places/{block}")
 }
 
 /// The key of a block's machines: their first part.
 pub fn inventory_key(block: &BlockId) -> String {
-    format!("{ROOT}machines/{block}")
+    format!("{KEY_PREFIX}machines/{block}")
 }
 
 /// One of the values that a block's record is kept in. Part 0 is the only one in the production format; the others came
@@ -49,7 +49,7 @@
 pub fn placements_part_key(block: &BlockId, part: Part) -> String {
     match part {
         FIRST_PART => placements_key(block),
-        part => format!("{ROOT}places_part/{block}/{part:05}"),
+        part => format!("{KEY_PREFIX}places_part/{block}/{part:05}"),
     }
 }
 
@@ -57,7 +57,7 @@
 pub fn inventory_part_key(block: &BlockId, part: Part) -> String {
     match part {
         FIRST_PART => inventory_key(block),
-        part => format!("{ROOT}machines_part/{block}/{part:05}"),
+        part => format!("{KEY_PREFIX}machines_part/{block}/{part:05}"),
     }
 }
 
@@ -66,32 +66,32 @@
 
 /// The key of what operators want of machines.
 pub fn drain_key(id: &DrainId) -> String {
-    format!("{ROOT}drain/{id}")
+    format!("{KEY_PREFIX}drain/{id}")
 }
 
 /// The key of the budget that operators have set for a team by request.
 pub fn drain_budget_key(team: &Team) -> String {
-    format!("{ROOT}drain_budget/{team}")
+    format!("{KEY_PREFIX}drain_budget/{team}")
 }
 
 /// The key of a team's disruptions.
 pub fn drain_ledger_key(team: &Team) -> String {
-    format!("{ROOT}drain_ledger/{team}")
+    format!("{KEY_PREFIX}drain_ledger/{team}")
 }
 
 /// The key of a rental request that may have been sent, one for each instance type.
 pub fn pending_rental_key(name: &InstanceTypeName) -> String {
-    format!("{ROOT}order/{name}")
+    format!("{KEY_PREFIX}order/{name}")
 }
 
 /// The key of a job.
 pub fn job_key(job: JobId) -> String {
-    format!("{ROOT}job/{job}")
+    format!("{KEY_PREFIX}job/{job}")
 }
 
 /// The key of a chunk of a large job's finished tasks.
 pub fn progress_key(job: JobId, chunk: u32) -> String {
-    format!("{ROOT}progress/{job}/{chunk:05}")
+    format!("{KEY_PREFIX}progress/{job}/{chunk:05}")
 }
 
 /// The kind of record that a key belongs to, with what the key names.
@@ -128,7 +128,7 @@
 impl RecordKey {
     /// The key of which kind of record. None: not a key of this service, or of a kind that this version does not know.
     pub fn of(key: &str) -> Option<Self> {
-        let name = key.strip_prefix(ROOT)?;
+        let name = key.strip_prefix(KEY_PREFIX)?;
         match name.split_once('/') {
             None if key == LEADER_KEY => Some(RecordKey::Leader),
             None if key == TOKEN_KEY => Some(RecordKey::Token),
--- a/src/store/records/mod.rs
+++ b/src/store/records/mod.rs
@@ -23,7 +23,7 @@
 pub use inventory::{InventoryEntry, MachineInventory, MachineState, PendingRental};
 pub use jobs::{JobRecord, Progress, TASKS_PER_PROGRESS_CHUNK};
 pub use keys::{
-    FIRST_PART, FORMAT_KEY, LEADER_KEY, Part, ROOT, RecordKey, TOKEN_KEY, UNWRITTEN_KEY,
+    FIRST_PART, FORMAT_KEY, KEY_PREFIX, LEADER_KEY, Part, RecordKey, TOKEN_KEY, UNWRITTEN_KEY,
     block_lease_key, drain_budget_key, drain_key, drain_ledger_key, inventory_key,
     inventory_part_key, job_key, member_key, pending_rental_key, placements_key,
     placements_part_key, progress_key,
--- a/src/store/records/placements.rs
+++ b/src/store/records/placements.rs
@@ -47,10 +47,10 @@
     /// Takes in another part. An attempt that both have counts once.
     pub fn merge(&mut self, part: &BlockPlacements) {
         for (machine, list) in &part.attempts_by_machine {
-            let known = self.attempts_by_machine.entry(machine.clone()).or_default();
+            let merged = self.attempts_by_machine.entry(machine.clone()).or_default();
             for placed in list {
-                if !known.contains(placed) {
-                    known.push(*placed);
+                if !merged.contains(placed) {
+                    merged.push(*placed);
                 }
             }
         }
@@ -68,13 +68,13 @@
     pub fn add(&mut self, machine: &MachineId, attempt: Attempt) -> usize {
         let placed = AttemptEncoding(attempt);
         let list = self.attempts_by_machine.entry(machine.clone()).or_default();
-        let entry = if list.is_empty() {
+        let entry_bytes = if list.is_empty() {
             machine.0.len() + MACHINE_OVERHEAD_BYTES
         } else {
             0
         };
         list.push(placed);
-        entry + placed.size()
+        entry_bytes + placed.size()
     }
 
     /// Removes an attempt. False: it was not there.
@@ -99,17 +99,17 @@
             .attempts()
             .map(|(_, attempt)| attempt.task.job)
             .collect();
-        let names: usize = jobs
+        let job_bytes: usize = jobs
             .iter()
             .filter(|job| !self.done.contains_key(job))
             .map(|job| done_entry_size(*job))
             .sum();
-        self.size() + names
+        self.size() + job_bytes
     }
 
     /// The most bytes that this value can measure.
     pub fn size(&self) -> usize {
-        let on: usize = self
+        let machine_bytes: usize = self
             .attempts_by_machine
             .iter()
             .map(|(machine, list)| {
@@ -118,7 +118,7 @@
                     + list.iter().map(AttemptEncoding::size).sum::<usize>()
             })
             .sum();
-        ENVELOPE_BYTES + on + self.done_size()
+        ENVELOPE_BYTES + machine_bytes + self.done_size()
     }
 
     /// The bytes of it that finished tasks take.
--- a/src/store/records/tests.rs
+++ b/src/store/records/tests.rs
@@ -34,11 +34,11 @@
 
 #[test]
 fn a_full_chunk_of_progress_fits_the_smallest_value() {
-    let mut worst = TaskRanges::default();
+    let mut worst_case = TaskRanges::default();
     for index in (99_488..100_000).step_by(2) {
-        worst.insert(index);
+        worst_case.insert(index);
     }
-    assert!(encode_text(&worst).len() < 2000);
+    assert!(encode_text(&worst_case).len() < 2000);
 }
 
 /// Guards against a block that can't be written any more: ends of tasks need room too.
@@ -55,7 +55,7 @@
         };
         placements.add(&"m-000001".into(), attempt);
     }
-    let worst = placements.worst_case_size();
+    let worst_case = placements.worst_case_size();
     let attempts: Vec<Attempt> = placements.attempts().map(|(_, attempt)| attempt).collect();
     for attempt in attempts {
         placements.remove(&"m-000001".into(), attempt);
@@ -65,8 +65,8 @@
             .or_default()
             .insert(attempt.task.index);
         assert!(
-            placements.size() <= worst,
-            "{} > {worst}",
+            placements.size() <= worst_case,
+            "{} > {worst_case}",
             placements.size()
         );
     }
@@ -130,8 +130,8 @@
         value.deserialized::<MachineInventory>().ok(),
         Some(inventory.clone())
     );
-    let names = 100;
-    let size: usize = names
+    let envelope_bytes = 100;
+    let size: usize = envelope_bytes
         + inventory
             .machines
             .iter()
@@ -143,12 +143,12 @@
         measured_json_size(&value)
     );
     assert!(size < 50 * 40, "{size}");
-    let wrong = InventoryEncoding {
+    let invalid = InventoryEncoding {
         on: [("m-1".into(), "7s1".to_owned())].into(),
         ..InventoryEncoding::from(inventory)
     };
     assert_eq!(
-        MachineInventory::try_from(wrong),
+        MachineInventory::try_from(invalid),
         Err(InventoryEntryError::UnknownTypeIndex(7))
     );
 }
@@ -260,7 +260,7 @@
     );
 }
 
-/// The names of a job may be longer than the values that the state service will take: its cancellation must not be.
+/// The envelope_bytes of a job may be longer than the values that the state service will take: its cancellation must not be.
 #[test]
 fn the_record_of_a_cancelled_large_job_omits_what_does_not_fit() {
     let types = (0..30).map(|n| format!("{n}-{}", "t".repeat(180)));
@@ -290,9 +290,9 @@
     };
     let attempts =
         [0, 3, 99_999].map(|index| Attempt::of_gang(task(index), 5 << 20).expect("fits"));
-    let wire = attempts.map(|attempt| attempt.wire_number());
-    assert!(wire.iter().all(|number| *number == wire[0]));
-    for (attempt, number) in attempts.into_iter().zip(wire) {
+    let wire_numbers = attempts.map(|attempt| attempt.wire_number());
+    assert!(wire_numbers.iter().all(|number| *number == wire_numbers[0]));
+    for (attempt, number) in attempts.into_iter().zip(wire_numbers) {
         assert_eq!(Attempt::from_wire(attempt.task, number), attempt);
         assert_eq!(attempt.gang_start(), Some(5 << 20));
         let text = ciborium::Value::serialized(&AttemptEncoding(attempt)).expect("text");
--- a/src/store/writer/tests.rs
+++ b/src/store/writer/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-fn at(start: Now, millis: u64) -> Now {
+fn millis_after(start: Now, millis: u64) -> Now {
     Now {
         monotonic: start.monotonic + Duration::from_millis(millis),
         ..start
@@ -11,12 +11,12 @@
 fn can_write_after(outcome: &StoreResponse, millis: u64) -> bool {
     let start = Now::read();
     let mut cache = WatchCache::loaded_for_tests();
-    cache.set_current_as_of(at(start, 60_000).monotonic);
+    cache.set_current_as_of(millis_after(start, 60_000).monotonic);
     let mut writer = WriterState::Idle;
     writer.mark_sent();
     assert!(!writer.can_write(start, &mut cache), "one at a time");
     writer.record_response(start, outcome);
-    writer.can_write(at(start, millis), &mut cache)
+    writer.can_write(millis_after(start, millis), &mut cache)
 }
 
 /// A transaction that is too large was sent again five times a second, and each time cost its share of the rate.
