--- a/crates/domain/src/ids.rs
+++ b/crates/domain/src/ids.rs
@@ -1,34 +1,36 @@
-//! The names of jobs, tasks, machines and what they belong to.
+//! Ids and names of jobs, tasks, machines, controllers and teams.
 
 use std::fmt;
 use std::str::FromStr;
 
 use crate::text::{serialize_as_text, text_name};
 
-/// Why a text is not the id of a job or a task. All are displayed alike: users and peers are shown this text.
+/// Error in the id of a job or task. All variants are displayed alike, because users and peers
+/// receive this text.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum ParseIdError {
-    /// A job id starts with `j-`.
+    /// A job id does not start with `j-`.
     #[error("malformed name")]
     MissingPrefix,
-    /// A number has other characters than digits, or is too large.
+    /// A number contains other characters than digits, or is too large.
     #[error("malformed name")]
     NotANumber,
-    /// The id could be spelled shorter, or has too few digits.
+    /// A job id has too few digits or superfluous leading zeros.
     #[error("malformed name")]
     NotCanonical,
-    /// The id has more digits than any job's.
+    /// A job id has too many digits.
     #[error("malformed name")]
     TooLong,
-    /// A task id is a job id, `/` and the task's index.
+    /// A task id is not a job id, `/` and the task's index.
     #[error("malformed name")]
     MissingIndex,
 }
 
-/// The most digits of a job id: any number of so many fits 64 bits.
+/// Maximum number of digits of a job id. Any number with this many digits fits in 64 bits.
 const MAX_JOB_ID_DIGITS: usize = 18;
 
-/// A job id: `j-` and at least six digits. Kept as its number, since final states are kept for good.
+/// A job id: `j-` and at least six digits. It is kept as a number to save memory, because the
+/// outcomes of jobs are kept forever.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct JobId(
     /// The number.
@@ -44,7 +46,7 @@
 impl FromStr for JobId {
     type Err = ParseIdError;
 
-    /// Only the canonical spelling is an id, so that two spellings never mean one job.
+    /// Accepts only the canonical spelling, so that no job has two spellings.
     fn from_str(text: &str) -> Result<Self, ParseIdError> {
         let digits = text.strip_prefix("j-").ok_or(ParseIdError::MissingPrefix)?;
         if !digits.bytes().all(|byte| byte.is_ascii_digit()) {
@@ -71,7 +73,7 @@
 pub struct TaskId {
     /// Its job.
     pub job: JobId,
-    /// Its number within the job, from 0.
+    /// Its index within the job, starting at 0.
     pub index: u32,
 }
 
@@ -96,30 +98,30 @@
 serialize_as_text!(TaskId);
 
 text_name!(
-    /// A machine as the cloud names it.
+    /// The name of a machine in the cloud.
     MachineId
 );
 text_name!(
-    /// A controller.
+    /// The name of a controller.
     ControllerName
 );
 text_name!(
-    /// A zone of the cloud.
+    /// The name of a zone of the cloud.
     Zone
 );
 text_name!(
-    /// A machine type.
+    /// The name of an instance type.
     InstanceTypeName
 );
 text_name!(
-    /// A team.
+    /// The name of a team.
     Team
 );
 text_name!(
-    /// An image.
+    /// The name of an image.
     Image
 );
 text_name!(
-    /// A block: machines of one zone that are leased to a controller together.
+    /// The name of a block: machines of one zone that are leased to a controller together.
     BlockId
 );
--- a/crates/domain/src/jobs.rs
+++ b/crates/domain/src/jobs.rs
@@ -1,4 +1,4 @@
-//! Jobs as they were accepted, and how they end.
+//! Accepted jobs and their outcomes.
 
 use std::sync::Arc;
 
@@ -6,24 +6,24 @@
 
 use crate::{CapacityType, Image, InstanceTypeName, Resources, Team, Zone};
 
-/// A job's priority, from the most to the least important.
+/// A job's priority, from the highest to the lowest.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Priority {
-    /// The most important.
+    /// The highest priority.
     #[serde(rename = "prod")]
     Production,
-    /// Before standard jobs.
+    /// Above standard jobs.
     #[serde(rename = "high")]
     High,
-    /// Before low ones only.
+    /// Above low-priority jobs only.
     #[serde(rename = "standard")]
     Standard,
-    /// After all others.
+    /// The lowest priority.
     #[serde(rename = "low")]
     Low,
 }
 
-/// How the tasks of a job belong together.
+/// How the tasks of a job run together.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum JobKind {
     /// Independent tasks, each of which runs to completion.
@@ -32,42 +32,43 @@
     /// Tasks that run until the job is cancelled.
     #[serde(rename = "service")]
     Service,
-    /// All tasks run at the same time or none does. Production does not know it.
+    /// All tasks run at the same time, or none. The production version does not support it.
     #[serde(rename = "ensemble")]
     Gang,
 }
 
-/// A job as accepted. Field names are short because each job is one value in the state service.
+/// An accepted job. The stored field names are short because each job is one value in the state
+/// service.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Job {
-    /// The class of jobs that it belongs to, for which the settings state objectives.
+    /// Its job class, for which the settings define objectives.
     #[serde(rename = "c")]
     pub class: Arc<str>,
     /// The team whose guarantee and limit apply.
     #[serde(rename = "t")]
     pub team: Team,
-    /// How its tasks belong together.
+    /// How its tasks run together.
     #[serde(rename = "k")]
     pub kind: JobKind,
     /// Its priority.
     #[serde(rename = "p")]
     pub priority: Priority,
-    /// How many tasks it has.
+    /// The number of its tasks.
     #[serde(rename = "n")]
     pub tasks: u32,
-    /// What each task needs.
+    /// The resources that each task needs.
     #[serde(rename = "r")]
     pub need: Resources,
-    /// The machine types that its tasks may run on; None: all.
+    /// The instance types that its tasks may run on; `None`: all.
     #[serde(rename = "ty")]
     pub types: Option<Vec<InstanceTypeName>>,
-    /// The zone that its tasks may run in; None: any.
+    /// The zone that its tasks may run in; `None`: any.
     #[serde(rename = "z")]
     pub zone: Option<Zone>,
     /// Whether all its tasks have to run in one zone.
     #[serde(rename = "oz")]
     pub one_zone: bool,
-    /// Whether at most half of its tasks, rounded up, may be in one zone.
+    /// Whether at most half of its tasks, rounded up, may run in one zone.
     #[serde(rename = "sp")]
     pub spread: bool,
     /// Whether its tasks may run on spot machines.
@@ -79,19 +80,22 @@
     /// The size of the image in gigabytes.
     #[serde(rename = "ig")]
     pub image_gb: f64,
-    /// The owner's estimate of a task's run time without the image fetch, in seconds; 0 for services.
+    /// The owner's estimate of a task's run time without fetching the image, in seconds; 0 for
+    /// services.
     #[serde(rename = "e")]
     pub estimate_s: f64,
-    /// The interval of progress after which a running task saves a checkpoint, in seconds; 0: it never does.
+    /// The interval between the checkpoints of a running task, in seconds of progress; 0: it saves
+    /// none.
     #[serde(rename = "ce")]
     pub checkpoint_every_s: f64,
-    /// The time that a task needs to save when it is stopped, in seconds.
+    /// The time that a task needs to save a checkpoint when it is stopped, in seconds.
     #[serde(rename = "cs")]
     pub checkpoint_s: f64,
-    /// When it should be complete, in seconds from its submission; None: no deadline.
+    /// The deadline for completing it, in seconds from its submission; `None`: no deadline.
     #[serde(rename = "d")]
     pub deadline_s: Option<f64>,
-    /// When it was accepted, in milliseconds since the Unix epoch: orders a team's queue.
+    /// When it was accepted, in milliseconds since the Unix epoch. It determines the order of a
+    /// team's queue.
     #[serde(rename = "at")]
     pub accepted_ms: u64,
 }
@@ -107,12 +111,12 @@
         self.zone.as_ref().is_none_or(|only| only == zone)
     }
 
-    /// Whether its tasks may run on machines that are rented in this way.
+    /// Whether its tasks may run on machines of this capacity type.
     pub fn allows_capacity_type(&self, capacity_type: CapacityType) -> bool {
         self.spot || !capacity_type.is_spot()
     }
 
-    /// The most tasks of this job that may be in one zone.
+    /// The maximum number of tasks of this job in one zone.
     pub fn zone_limit(&self) -> u32 {
         if self.spread {
             self.tasks.div_ceil(2)
@@ -122,7 +126,7 @@
     }
 }
 
-/// How a job has ended.
+/// The outcome of a job.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum JobOutcome {
     /// All its tasks have finished.
--- a/crates/domain/src/lib.rs
+++ b/crates/domain/src/lib.rs
@@ -1,7 +1,7 @@
-//! The types that all parts of dappleshore share: jobs, tasks, attempts, machines, resources and time.
+//! Types that all parts of dappleshore share: jobs, tasks, attempts, machines, resources and time.
 //!
-//! They are values without behaviour of their own: no clock is read but in [`Now::read`], and nothing is sent or stored. Their
-//! spelling in messages and records is fixed here, and does not change.
+//! They are plain values. Only [`Now::read`] reads a clock, and nothing is sent or stored here. The
+//! serde attributes define their spelling in messages and records, which does not change.
 
 mod attempts;
 mod ids;
--- a/crates/domain/src/numbers.rs
+++ b/crates/domain/src/numbers.rs
@@ -1,4 +1,5 @@
-//! The numbers that order processes, leases and terms, each a type of its own so that none is taken for another.
+//! Numbers that order processes, leases and terms. Each has its own type, so that they cannot be
+//! confused.
 
 use std::fmt;
 
@@ -25,18 +26,20 @@
 }
 
 number!(
-    /// A leader's term. Terms and fencing tokens are taken from one rising counter.
+    /// A leader's term. Terms and fencing tokens are taken from one increasing counter.
     Term
 );
 number!(
-    /// The number that rises with each holder of a block; workers refuse commands under a lower one.
+    /// A number that increases with each holder of a block. Workers refuse commands with a lower
+    /// token.
     FencingToken
 );
 number!(
-    /// Tells a controller's process from those that ran before under the same name.
+    /// Distinguishes a controller's process from earlier processes with the same name.
     Incarnation
 );
 number!(
-    /// A worker's life between two expiries of its lease: it rises when the worker has ended all its tasks.
+    /// Number of the period between two expiries of a worker's lease. It increases when the worker
+    /// has ended all its tasks.
     AgentEpoch
 );
--- a/crates/domain/src/resources.rs
+++ b/crates/domain/src/resources.rs
@@ -1,8 +1,8 @@
-//! What machines have and tasks need, and how machines are rented.
+//! The resources of machines and tasks, and the capacity types of machines.
 
 use serde::{Deserialize, Serialize};
 
-/// What a task takes of a machine, or what a machine has.
+/// The resources that a task needs or a machine has.
 #[derive(Debug, Clone, Copy, PartialEq, Default, Serialize, Deserialize)]
 pub struct Resources {
     /// CPUs.
@@ -13,7 +13,8 @@
     pub memory_gb: f64,
 }
 
-/// Sums of decimals such as 0.1 miss by a little; a task that fits exactly must still fit.
+/// Tolerance for rounding errors in sums of decimals such as 0.1; a task that fits exactly must
+/// still fit.
 const ROUNDING_TOLERANCE: f64 = 1e-6;
 
 impl Resources {
@@ -38,7 +39,7 @@
         self.memory_gb -= other.memory_gb;
     }
 
-    /// These resources so many times.
+    /// These resources multiplied by `count`.
     pub fn scaled(&self, count: f64) -> Resources {
         Resources {
             cpus: self.cpus * count,
@@ -47,7 +48,7 @@
         }
     }
 
-    /// How many tasks of `need` an empty machine of this size holds.
+    /// The number of tasks that an empty machine with these resources can hold if each needs `need`.
     pub fn max_tasks(&self, need: &Resources) -> u32 {
         let max_count = |have: f64, needed: f64| {
             if needed <= ROUNDING_TOLERANCE {
@@ -59,11 +60,12 @@
         let count = max_count(self.cpus, need.cpus)
             .min(max_count(self.gpus, need.gpus))
             .min(max_count(self.memory_gb, need.memory_gb));
-        // Saturates: a task that needs nothing fits any number of times.
+        // The cast saturates: a task that needs nothing fits any number of times.
         count.floor().clamp(0.0, f64::from(u32::MAX)) as u32
     }
 
-    /// What is left of a machine of size `self`, summed over its resources: each counts 1 when all of it is.
+    /// The free share of a machine with these resources, of which `free` are free, summed over the
+    /// kinds of resources. A resource that is entirely free counts 1.
     pub fn free_share(&self, free: &Resources) -> f64 {
         let share = |total: f64, available: f64| {
             if total <= ROUNDING_TOLERANCE {
@@ -81,15 +83,15 @@
 /// How a machine is rented.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum CapacityType {
-    /// Kept until it is returned.
+    /// Rented until it is returned.
     #[serde(rename = "Ordinary")]
     OnDemand,
-    /// Cheaper, but the cloud may take it back.
+    /// Cheaper, but the cloud may reclaim it.
     Spot,
 }
 
 impl CapacityType {
-    /// Spot if true.
+    /// Returns `Spot` if `spot` is true and `OnDemand` otherwise.
     pub fn from_spot(spot: bool) -> Self {
         if spot {
             CapacityType::Spot
@@ -98,7 +100,7 @@
         }
     }
 
-    /// Whether the cloud may take it back.
+    /// Whether the cloud may reclaim the machine.
     pub fn is_spot(self) -> bool {
         self == CapacityType::Spot
     }
--- a/crates/domain/src/text.rs
+++ b/crates/domain/src/text.rs
@@ -1,10 +1,10 @@
-//! How names and amounts are written in messages and records.
+//! The encoding of names and amounts in messages and records.
 
 use std::fmt;
 
 use serde::{Deserialize, Deserializer, Serialize};
 
-/// Serializes a type as the text that it displays and parses.
+/// Serializes a type as text with its `Display` and `FromStr` implementations.
 macro_rules! serialize_as_text {
     ($name:ty) => {
         impl serde::Serialize for $name {
@@ -23,7 +23,8 @@
 }
 pub(crate) use serialize_as_text;
 
-/// A name that is taken as it is. `Arc<str>` keeps clones cheap: these names are keys of most maps.
+/// Defines a name that is used without any parsing. `Arc<str>` makes clones cheap, because these
+/// names are keys of most maps.
 macro_rules! text_name {
     ($(#[$doc:meta])* $name:ident) => {
         $(#[$doc])*
@@ -31,7 +32,7 @@
             Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, serde::Serialize, serde::Deserialize,
         )]
         pub struct $name(
-            /// The name as it is spelled.
+            /// The text of the name.
             pub std::sync::Arc<str>,
         );
 
@@ -50,7 +51,7 @@
 }
 pub(crate) use text_name;
 
-/// Decimal amounts on the wire. CBOR tells 8 from 8.0, and senders may write either.
+/// A decimal amount on the wire. CBOR distinguishes 8 from 8.0, and senders may write either.
 #[derive(Debug, Clone, Copy, PartialEq, PartialOrd, Default, Serialize)]
 #[serde(transparent)]
 pub struct Amount(
--- a/crates/domain/src/time.rs
+++ b/crates/domain/src/time.rs
@@ -2,9 +2,10 @@
 
 use std::time::{Duration, Instant, SystemTime};
 
-/// The two clocks, read once per event so that a state machine never reads them itself.
+/// The readings of both clocks at an event. They are read once per event, so that state machines
+/// read no clock themselves.
 ///
-/// Deadlines are kept on the monotonic clock; the time of day only orders jobs.
+/// Deadlines use the monotonic clock; the time of day only orders jobs.
 #[derive(Debug, Clone, Copy)]
 pub struct Now {
     /// The monotonic clock.
@@ -32,7 +33,7 @@
     }
 }
 
-/// Time since `then`, zero when the clock was read in another order.
+/// Time since `then`; zero if `then` is later than `now`.
 pub fn since(now: Now, then: Instant) -> Duration {
     now.monotonic.saturating_duration_since(then)
 }
