--- a/src/store/records/block_leases.rs
+++ b/src/store/records/block_leases.rs
@@ -1,14 +1,14 @@
-//! Which controller holds a block of machines.
+//! The leases of blocks of machines to controllers.
 //!
-//! Written by the leader only; read by all controllers from the copy. Every write of a holder is conditioned on the version of
-//! its lease.
+//! They are written by the leader only; all controllers read them from the watch cache. Every write
+//! of a holder requires the version of its lease.
 
 use serde::{Deserialize, Serialize};
 
 use crate::domain::{ControllerName, FencingToken, Incarnation, Term, Zone};
 
-/// The lease of a block to a controller. Each new leader writes it again, which makes every write that an
-/// older leader asked for fail.
+/// The lease of a block to a controller. Each new leader writes it again, so that all writes
+/// prepared under an older leader fail.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct BlockLease {
     /// The zone of the block's machines.
@@ -18,7 +18,7 @@
     /// The holder's process.
     #[serde(rename = "boot")]
     pub incarnation: Incarnation,
-    /// The number that the holder's commands carry; it rises with each holder.
+    /// The token that the holder's commands carry; it increases with each holder.
     pub token: FencingToken,
     /// The term of the leader that wrote the record.
     pub term: Term,
--- a/src/store/records/fixtures.rs
+++ b/src/store/records/fixtures.rs
@@ -1,5 +1,6 @@
-//! Every kind of record in format 2, in the bytes that were stored when the fixture was made. What is stored must be read
-//! and written again to the same bytes, whatever becomes of the types in the program.
+//! Compatibility tests with stored records of format 2. The fixture holds every kind of record in
+//! the bytes that were stored when it was made. They must be decoded and encoded again to the same
+//! bytes, however the types in the program change.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -11,38 +12,39 @@
 use crate::domain::{BlockId, CapacityType, JobId, JobOutcome, Team};
 use crate::http;
 
-/// The stored values of format 2 by key: CBOR, in hexadecimal.
+/// Stored values of format 2 by key, as CBOR in hexadecimal.
 const FORMAT_2_JSON: &str = include_str!("../../../tests/data/records-format-2.json");
 
-/// The fixture: values in hexadecimal, by key.
+/// The values of the fixture in hexadecimal, by key.
 fn load_fixture() -> BTreeMap<String, String> {
-    serde_json::from_str(FORMAT_2_JSON).expect("a map of texts")
+    serde_json::from_str(FORMAT_2_JSON).expect("the fixture is a JSON map of strings")
 }
 
-/// Bytes from their hexadecimal form.
+/// Decodes hexadecimal digits.
 fn from_hex(text: &str) -> Vec<u8> {
     assert!(text.len().is_multiple_of(2), "{text}");
     (0..text.len())
         .step_by(2)
-        .map(|at| u8::from_str_radix(&text[at..at + 2], 16).expect("hexadecimal"))
+        .map(|at| u8::from_str_radix(&text[at..at + 2], 16).expect("two hexadecimal digits"))
         .collect()
 }
 
-/// The hexadecimal form of bytes.
+/// Encodes bytes in hexadecimal.
 fn to_hex(bytes: &[u8]) -> String {
     bytes.iter().map(|byte| format!("{byte:02x}")).collect()
 }
 
-/// Reads a value and writes it again, as records are written: by way of `encode`.
+/// Decodes a value and encodes it again with `encode`, as records are stored.
 fn reencoded<T: Record>(bytes: &[u8]) -> Vec<u8> {
-    let value: ciborium::Value = ciborium::from_reader(bytes).expect("CBOR");
-    let record: T = value.deserialized().expect("readable");
+    let value: ciborium::Value = ciborium::from_reader(bytes).expect("the value is CBOR");
+    let record: T = value.deserialized().expect("the value decodes");
     http::encode_body(&encode(&record))
 }
 
-/// The kind of a record, with its variant if it has some, and its value after being read and written again.
+/// The kind of a record, including its variant if it has several, and the value after decoding and
+/// encoding it.
 fn kind(key: &str, bytes: &[u8]) -> (&'static str, Vec<u8>) {
-    match RecordKey::of(key).expect("one of ours") {
+    match RecordKey::of(key).expect("the key belongs to a known record") {
         RecordKey::Leader => ("leader", reencoded::<Leader>(bytes)),
         RecordKey::Token => ("token", reencoded::<TokenCounter>(bytes)),
         RecordKey::Member(_) => ("member", reencoded::<Member>(bytes)),
@@ -58,8 +60,8 @@
         RecordKey::MachineInventory(..) => ("inventory part", reencoded::<MachineInventory>(bytes)),
         RecordKey::PendingRental(_) => ("pending rental", reencoded::<PendingRental>(bytes)),
         RecordKey::Job(_) => {
-            let value: ciborium::Value = ciborium::from_reader(bytes).expect("CBOR");
-            let kind = match value.deserialized().expect("readable") {
+            let value: ciborium::Value = ciborium::from_reader(bytes).expect("the value is CBOR");
+            let kind = match value.deserialized().expect("the value decodes") {
                 JobRecord::Open(_) => "open job",
                 JobRecord::Cancelled(..) => "cancelled job",
                 JobRecord::Ended(JobOutcome::Done, _) => "done job",
@@ -74,8 +76,8 @@
     }
 }
 
-/// All that `kind` can return. Each must have a fixture. A new record does not compile before `kind` knows it; it is to
-/// be added here as well.
+/// All kinds that `kind` can return; the fixture must contain each. For a new record, `kind` fails
+/// to compile until it has a case; the kind has to be added here as well.
 const KINDS: [&str; 18] = [
     "cancelled job",
     "done job",
@@ -109,11 +111,11 @@
     assert_eq!(kinds, BTreeSet::from(KINDS));
 }
 
-/// The keys that the program makes today are those of the fixture.
+/// The keys that the program generates are those in the fixture.
 #[test]
 fn the_keys_of_format_2_stay_the_same() {
     let (block, team) = (BlockId::from("a.0"), Team::from("red"));
-    let id: DrainId = "disk".parse().expect("an id");
+    let id: DrainId = "disk".parse().expect("a valid drain id");
     let keys = [
         LEADER_KEY.to_owned(),
         TOKEN_KEY.to_owned(),
@@ -137,8 +139,8 @@
     }
 }
 
-/// Each state and capacity_type of a machine, each phase and scope of a drain, each kind of attempt: a fixture without them
-/// would show nothing of them.
+/// Every state and capacity type of a machine, every phase and scope of a drain and every kind of
+/// attempt occurs in the fixture. Without them the test above would not cover their encoding.
 #[test]
 fn the_fixture_of_format_2_holds_every_variant() {
     fn read<T: DeserializeOwned>(prefix: &str) -> Vec<T> {
@@ -146,7 +148,7 @@
         load_fixture()
             .iter()
             .filter(|(key, _)| key.starts_with(&prefix))
-            .map(|(_, hex)| ciborium::from_reader(&*from_hex(hex)).expect("readable"))
+            .map(|(_, hex)| ciborium::from_reader(&*from_hex(hex)).expect("the value decodes"))
             .collect()
     }
     let inventories: Vec<MachineInventory> = read("machines");
@@ -184,20 +186,25 @@
     let names = |part: fn(&DrainRecord) -> ciborium::Value| -> BTreeSet<String> {
         drains.iter().map(part).map(variant_name).collect()
     };
-    let phases = names(|drain| ciborium::Value::serialized(&drain.phase).expect("has a form"));
+    let phases =
+        names(|drain| ciborium::Value::serialized(&drain.phase).expect("the value serializes"));
     let expected = ["active", "cancelled", "done", "halted", "uncordoned"];
     assert_eq!(phases, expected.map(String::from).into());
-    let scopes = names(|drain| ciborium::Value::serialized(&drain.scope).expect("has a form"));
+    let scopes =
+        names(|drain| ciborium::Value::serialized(&drain.scope).expect("the value serializes"));
     let expected = ["block", "machines", "type", "zone"];
     assert_eq!(scopes, expected.map(String::from).into());
-    let purposes = names(|drain| ciborium::Value::serialized(&drain.purpose).expect("has a form"));
+    let purposes =
+        names(|drain| ciborium::Value::serialized(&drain.purpose).expect("the value serializes"));
     assert_eq!(purposes, ["cordon", "drain"].map(String::from).into());
     let ledgers: Vec<Ledger> = read("drain_ledger");
     assert!(ledgers.iter().any(|ledger| !ledger.lost.is_empty()));
     let subjects: BTreeSet<String> = ledgers
         .iter()
         .flat_map(|ledger| &ledger.evictions)
-        .map(|eviction| ciborium::Value::serialized(&eviction.subject).expect("has a form"))
+        .map(|eviction| {
+            ciborium::Value::serialized(&eviction.subject).expect("the value serializes")
+        })
         .map(variant_name)
         .collect();
     assert_eq!(subjects, ["g", "t"].map(String::from).into());
--- a/src/store/records/inventory.rs
+++ b/src/store/records/inventory.rs
@@ -1,7 +1,7 @@
-//! The machines of a block and the rentals that may add to them.
+//! The machines of a block, and the rentals that may add to them.
 //!
-//! Written by the leader's provisioning, read by all controllers. Sizes are in bytes of the form that the state
-//! service counts, and never too small.
+//! They are written by the leader's provisioning and read by all controllers. Sizes are in bytes as
+//! the state service measures them and are never underestimated.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::num::ParseIntError;
@@ -11,14 +11,16 @@
 use super::size::decimal_digits;
 use crate::domain::{CapacityType, InstanceTypeName, MachineId, Zone};
 
-/// Bytes of the value itself, without its entries: names, quotes and brackets.
+/// Bytes of the value without its entries: names, quotes and brackets.
 const ENVELOPE_BYTES: usize = 32;
-/// Bytes of an instance type besides its name: quotes and comma.
+/// Bytes of an instance type without its name: quotes and comma.
 const TYPE_OVERHEAD_BYTES: usize = 3;
-/// Bytes of a machine besides its id and the time of its rental: quotes, colon, comma, index of the type and letter.
+/// Bytes of a machine without its id and rental time: quotes, colon, comma, index of the type and
+/// letter.
 const MACHINE_OVERHEAD_BYTES: usize = 10;
 
-/// The machines of a block. One value for each block, so that many rented or returned at once are few changes.
+/// The machines of a block. They share one value, so that renting or returning many at once takes
+/// few changes.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(try_from = "InventoryEncoding", into = "InventoryEncoding")]
 pub struct MachineInventory {
@@ -28,39 +30,41 @@
     pub machines: BTreeMap<MachineId, InventoryEntry>,
 }
 
-/// Whether a machine takes tasks, and what becomes of it.
+/// Whether a machine accepts tasks, and whether it is to be returned.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum MachineState {
-    /// Takes tasks.
+    /// Accepts tasks.
     InService,
-    /// Operators keep new tasks off it. It stays rented. Written only since [`DRAIN_FORMAT`](super::DRAIN_FORMAT).
+    /// Operators have cordoned it: it accepts no new tasks and stays rented. Written only from
+    /// [`DRAIN_FORMAT`](super::DRAIN_FORMAT) on.
     Cordoned,
-    /// Takes no new tasks: it is returned once it is empty.
+    /// Accepts no new tasks and is returned once it is empty.
     Returning,
 }
 
 impl MachineState {
-    /// Whether new tasks may be placed on it.
+    /// Whether new tasks may be placed on the machine.
     pub fn takes_tasks(self) -> bool {
         self == MachineState::InService
     }
 }
 
-/// A machine in its block's inventory.
+/// A machine in the inventory of its block.
 #[derive(Debug, Clone, PartialEq)]
 pub struct InventoryEntry {
     /// Its instance type.
     pub type_name: InstanceTypeName,
     /// Spot or on demand.
     pub capacity_type: CapacityType,
-    /// Whether it takes tasks.
+    /// Whether it accepts tasks.
     pub state: MachineState,
     /// When it was rented, in seconds since the Unix epoch.
     pub rented_s: u64,
 }
 
-/// An inventory as it is stored: each machine as `0s1800000000`, which is the index of its type, the letter of its capacity
-/// type and state, and when it was rented. Names in full would need more blocks, each of which costs a change of its own.
+/// The stored form of an inventory. Each machine is stored as, for example, `0s1800000000`: the
+/// index of its type, the letter of its capacity type and state, and its rental time. Names in full
+/// would need more blocks, each of which costs a change of its own.
 #[derive(Clone, Serialize, Deserialize)]
 pub(super) struct InventoryEncoding {
     #[serde(rename = "z")]
@@ -94,18 +98,18 @@
     }
 }
 
-/// What is wrong with a machine of a stored inventory.
+/// Error in a machine of a stored inventory.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub(super) enum InventoryEntryError {
-    #[error("no letter in `{0}`")]
+    #[error("machine entry `{0}` has no letter for its capacity type and state")]
     MissingLetter(String),
-    #[error("unknown letter `{0}`")]
+    #[error("unknown letter `{0}` for the capacity type and state of a machine")]
     UnknownLetter(char),
-    #[error("malformed index of the type: {0}")]
+    #[error("malformed instance type index of a machine: {0}")]
     InvalidTypeIndex(ParseIntError),
-    #[error("no type has the index {0}")]
+    #[error("instance type index {0} is out of range")]
     UnknownTypeIndex(usize),
-    #[error("malformed time of rental: {0}")]
+    #[error("malformed rental time of a machine: {0}")]
     InvalidRentalTime(ParseIntError),
 }
 
@@ -177,7 +181,7 @@
 }
 
 impl MachineInventory {
-    /// An inventory without machines.
+    /// Creates an inventory without machines.
     pub fn new(zone: Zone) -> Self {
         MachineInventory {
             zone,
@@ -185,7 +189,7 @@
         }
     }
 
-    /// The most bytes that this value can measure.
+    /// The maximum size of this value in bytes.
     pub fn size(&self) -> usize {
         let types: BTreeSet<&InstanceTypeName> = self
             .machines
@@ -200,7 +204,7 @@
         ENVELOPE_BYTES + self.zone.0.len() + types + machines
     }
 
-    /// Takes in the machines of another part.
+    /// Adds the machines of another part.
     pub fn merge(&mut self, part: &MachineInventory) {
         let machines = part.machines.iter();
         self.machines
@@ -209,22 +213,22 @@
 }
 
 impl InventoryEntry {
-    /// The bytes that a machine takes of its inventory's value.
+    /// The bytes that a machine takes in its inventory's value.
     pub fn size(&self, id: &MachineId) -> usize {
         id.0.len() + MACHINE_OVERHEAD_BYTES + decimal_digits(self.rented_s)
     }
 }
 
-/// A rental request that may have been sent. Written before it is.
+/// A rental request that may have been sent. It is stored before it is sent.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct PendingRental {
-    /// The id of the request, which makes a repeat harmless.
+    /// The id of the request, which makes a repeated request idempotent.
     pub request: String,
     /// The zone to rent in.
     pub zone: Zone,
     /// Spot or on demand.
     #[serde(rename = "tenure")]
     pub capacity_type: CapacityType,
-    /// How many machines.
+    /// The number of machines.
     pub count: u32,
 }
--- a/src/store/records/jobs.rs
+++ b/src/store/records/jobs.rs
@@ -1,7 +1,7 @@
-//! Jobs and the finished tasks of large ones.
+//! Jobs, and the finished tasks of large jobs.
 //!
-//! A job is written by the controller that accepts or cancels it, its end and its progress by the leader's scheduler. An ended
-//! job stays ended, and progress only grows.
+//! A job is written by the controller that accepts or cancels it; its end and its progress are
+//! written by the leader's scheduler. An ended job stays ended, and progress only grows.
 
 use std::sync::Arc;
 
@@ -10,24 +10,27 @@
 use super::{TaskRanges, encode, json_size};
 use crate::domain::{Job, JobOutcome};
 
-/// A job: what was asked for while tasks of it may be somewhere, only its end afterwards.
+/// The record of a job: the whole job while any of its tasks may be running, and only the outcome
+/// after that.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum JobRecord {
-    /// Accepted and neither cancelled nor ended.
+    /// Accepted, and neither cancelled nor ended.
     #[serde(rename = "o")]
     Open(Job),
-    /// Cancelled, but its tasks still take resources until they are proven gone. With the time of the cancellation, in
-    /// milliseconds since the Unix epoch, from which the time counts by which they must be gone.
+    /// Cancelled. Its tasks still take resources until they are proven ended. The second field is
+    /// the time of the cancellation in milliseconds since the Unix epoch, from which the limit for
+    /// stopping its tasks is counted.
     #[serde(rename = "c")]
     Cancelled(Job, u64),
-    /// Ended, with its count of tasks.
+    /// Ended, with the number of its tasks.
     #[serde(rename = "e")]
     Ended(JobOutcome, u32),
 }
 
 impl JobRecord {
-    /// The record of a cancelled job, in `value_bytes` at most. Where the whole would not fit, all is left out but what it is
-    /// still needed for: what its tasks take, and of which team.
+    /// Creates the record of a cancelled job with a size of at most `value_bytes`. If the whole job
+    /// does not fit, the class, types, zone and image are omitted. The resources of its tasks and
+    /// its team are kept because they are still needed.
     pub fn cancelled(job: &Job, at_ms: u64, value_bytes: usize) -> JobRecord {
         let whole = JobRecord::Cancelled(job.clone(), at_ms);
         if json_size(&encode(&whole)) <= value_bytes {
@@ -44,13 +47,14 @@
     }
 }
 
-/// The finished tasks of one chunk of a large job, so that no value grows with the job.
+/// The finished tasks of one chunk of a large job. Chunks keep the size of a value independent of
+/// the size of the job.
 #[derive(Debug, Clone, PartialEq, Default, Serialize, Deserialize)]
 pub struct Progress {
-    /// The numbers of the finished tasks.
+    /// The indexes of the finished tasks.
     pub done: TaskRanges,
 }
 
-/// Tasks in one chunk of a job's progress: even with every second task done, `0,2,4,...` stays below the
-/// smallest value size.
+/// Number of tasks in a chunk of a job's progress. Even if every second task is done (`0,2,4,...`),
+/// the value stays below the smallest limit on the size of a value.
 pub const TASKS_PER_PROGRESS_CHUNK: u32 = 512;
--- a/src/store/records/keys.rs
+++ b/src/store/records/keys.rs
@@ -1,21 +1,21 @@
 //! The keys of the records and their order.
 //!
-//! Keys are stored data: their spelling does not change.
+//! Keys are stored data, so their spelling does not change.
 
 use dappleshore_drain::DrainId;
 
 use crate::domain::{BlockId, ControllerName, InstanceTypeName, JobId, Team};
 
-/// The prefix of all keys of this service, so that one watch sees all of them.
+/// The common prefix of all keys of this service. One watch covers all of them.
 pub const KEY_PREFIX: &str = "dappleshore/";
 /// The key of [`Leader`](super::Leader).
 pub const LEADER_KEY: &str = "dappleshore/leader";
 /// The key of [`TokenCounter`](super::TokenCounter).
 pub const TOKEN_KEY: &str = "dappleshore/token";
-/// Never written: reading it tells the current revision.
+/// A key that is never written. Reading it returns the current revision.
 pub const UNWRITTEN_KEY: &str = "dappleshore/nowhere";
 
-/// The key of a controller that is up.
+/// The key of a live controller.
 pub fn member_key(controller: &ControllerName) -> String {
     format!("{KEY_PREFIX}node/{controller}")
 }
@@ -25,27 +25,29 @@
     format!("{KEY_PREFIX}grant/{block}")
 }
 
-/// The key of a block's tasks: their first part.
+/// The key of the first part of a block's placements.
 pub fn placements_key(block: &BlockId) -> String {
     format!("{KEY_PREFIX}places/{block}")
 }
 
-/// The key of a block's machines: their first part.
+/// The key of the first part of a block's inventory.
 pub fn inventory_key(block: &BlockId) -> String {
     format!("{KEY_PREFIX}machines/{block}")
 }
 
-/// One of the values that a block's record is kept in. Part 0 is the only one in the production format; the others came
-/// with [`PARTS_FORMAT`](super::PARTS_FORMAT), under prefixes that production ignores.
+/// Number of a stored part of a block's record. Part 0 is the only one in the production format.
+/// The others were added with [`PARTS_FORMAT`](super::PARTS_FORMAT), under prefixes that the
+/// production version ignores.
 pub type Part = u32;
 
-/// The first part: the only one that the production version knows.
+/// The first part, which is the only one that the production version supports.
 pub const FIRST_PART: Part = 0;
 
-/// The key of a part of a block's tasks.
+/// The key of a part of a block's placements.
 ///
-/// All first parts come before all others in the order of keys, in which pages are read. What moves from a first part to
-/// another is therefore read at least once by whoever reads everything while it moves.
+/// Pages are read in the order of keys, in which all first parts sort before all other parts. An
+/// entry that moves from a first part to another part during a load is therefore read at least
+/// once.
 pub fn placements_part_key(block: &BlockId, part: Part) -> String {
     match part {
         FIRST_PART => placements_key(block),
@@ -53,7 +55,7 @@
     }
 }
 
-/// The key of a part of a block's machines, in the same order.
+/// The key of a part of a block's inventory, with the same order as [`placements_part_key`].
 pub fn inventory_part_key(block: &BlockId, part: Part) -> String {
     match part {
         FIRST_PART => inventory_key(block),
@@ -64,22 +66,22 @@
 /// The key of [`FormatSwitch`](super::FormatSwitch).
 pub const FORMAT_KEY: &str = "dappleshore/format";
 
-/// The key of what operators want of machines.
+/// The key of an operator's request to cordon or drain machines.
 pub fn drain_key(id: &DrainId) -> String {
     format!("{KEY_PREFIX}drain/{id}")
 }
 
-/// The key of the budget that operators have set for a team by request.
+/// The key of the disruption budget that operators have set for a team by request.
 pub fn drain_budget_key(team: &Team) -> String {
     format!("{KEY_PREFIX}drain_budget/{team}")
 }
 
-/// The key of a team's disruptions.
+/// The key of a team's disruption ledger.
 pub fn drain_ledger_key(team: &Team) -> String {
     format!("{KEY_PREFIX}drain_ledger/{team}")
 }
 
-/// The key of a rental request that may have been sent, one for each instance type.
+/// The key of the rental request for an instance type that may have been sent.
 pub fn pending_rental_key(name: &InstanceTypeName) -> String {
     format!("{KEY_PREFIX}order/{name}")
 }
@@ -89,27 +91,27 @@
     format!("{KEY_PREFIX}job/{job}")
 }
 
-/// The key of a chunk of a large job's finished tasks.
+/// The key of a chunk of the finished tasks of a large job.
 pub fn progress_key(job: JobId, chunk: u32) -> String {
     format!("{KEY_PREFIX}progress/{job}/{chunk:05}")
 }
 
-/// The kind of record that a key belongs to, with what the key names.
+/// The kind of record that a key belongs to, with the ids in the key.
 #[derive(Debug, Clone, PartialEq)]
 pub enum RecordKey {
-    /// Who leads.
+    /// The leader.
     Leader,
     /// The counter of fencing tokens and terms.
     Token,
-    /// A controller that is up.
+    /// A live controller.
     Member(ControllerName),
     /// The lease of a block.
     BlockLease(BlockId),
     /// The format that is switched on.
     Format,
-    /// A part of the tasks of a block.
+    /// A part of a block's placements.
     BlockPlacements(BlockId, Part),
-    /// A part of the machines of a block.
+    /// A part of a block's inventory.
     MachineInventory(BlockId, Part),
     /// A rental request that may have been sent.
     PendingRental(InstanceTypeName),
@@ -117,16 +119,17 @@
     Job(JobId),
     /// A chunk of the finished tasks of a large job.
     Progress(JobId, u32),
-    /// What operators want of machines.
+    /// An operator's request to cordon or drain machines.
     Drain(DrainId),
     /// A team's disruption budget, set by request.
     DrainBudget(Team),
-    /// A team's disruptions.
+    /// A team's disruption ledger.
     DrainLedger(Team),
 }
 
 impl RecordKey {
-    /// The key of which kind of record. None: not a key of this service, or of a kind that this version does not know.
+    /// Parses a key. Returns `None` if it is not a key of this service or belongs to a kind that
+    /// this version does not support.
     pub fn of(key: &str) -> Option<Self> {
         let name = key.strip_prefix(KEY_PREFIX)?;
         match name.split_once('/') {
@@ -160,7 +163,7 @@
     }
 }
 
-/// The rest of a part's key: `block/part`.
+/// Parses `block/part`, the end of a part's key.
 fn parse_block_and_part(text: &str) -> Option<(BlockId, Part)> {
     let (block, part) = text.split_once('/')?;
     Some((block.into(), part.parse().ok()?))
--- a/src/store/records/membership.rs
+++ b/src/store/records/membership.rs
@@ -1,40 +1,42 @@
-//! Leadership and the controllers that are up.
+//! The leader and the live controllers.
 //!
-//! A controller writes what it says of itself attached to its lease, so that the record goes when the lease expires. The
-//! counter of terms and fencing tokens stays, and only rises.
+//! Each controller attaches its own records to its lease, so that they are removed when the lease
+//! expires. The counter of terms and fencing tokens remains and only increases.
 
 use serde::{Deserialize, Serialize};
 
 use super::formats::PRODUCTION_FORMAT;
 use crate::domain::{ControllerName, Incarnation, Term};
 
-/// Who leads, attached to a lease. `term` comes from the same rising counter as tokens.
+/// The leader, attached to its lease. `term` is taken from the same counter as fencing tokens.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Leader {
-    /// The leading controller.
+    /// The controller that is the leader.
     #[serde(rename = "node")]
     pub controller: ControllerName,
-    /// Its process.
+    /// The leader's process.
     #[serde(rename = "boot")]
     pub incarnation: Incarnation,
-    /// The term that it leads in.
+    /// The term of its leadership.
     pub term: Term,
 }
 
-/// The rising counter that tokens and terms are taken from.
+/// The increasing counter that fencing tokens and terms are taken from.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 pub struct TokenCounter {
-    /// The number that was taken last.
+    /// The number taken last.
     pub last: u64,
 }
 
-/// A controller that is up, attached to its lease. `incarnation` tells a restarted process from the one before.
+/// A live controller, attached to its lease. `incarnation` distinguishes a restarted process from
+/// the previous one.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Member {
-    /// Its process.
+    /// The controller's process.
     #[serde(rename = "boot")]
     pub incarnation: Incarnation,
-    /// The newest format that it can read and write. The production version does not say.
+    /// The newest format that it can read and write. The production version does not write this
+    /// field.
     #[serde(default, skip_serializing_if = "is_production_format")]
     pub format: u32,
 }
--- a/src/store/records/mod.rs
+++ b/src/store/records/mod.rs
@@ -1,8 +1,9 @@
-//! The records that this service keeps in the state service, one key prefix for each kind.
+//! The records that this service stores in the state service, with one key prefix for each kind.
 //!
-//! It owns their types, their keys, the spelling in which they are stored and the sizes that this takes. Writers build
-//! transactions of them, [`super::cache`] reads them. What is stored must stay readable by the versions before: names are kept
-//! by serde renames, and what is new is written only once its format is switched on.
+//! This module defines their types, their keys, their encoding and the size of the encoded values.
+//! Writers build transactions from them; [`super::cache`] reads them. Stored records must stay
+//! readable for previous versions: serde attributes keep the stored names, and new fields and
+//! records are written only once their format is switched on.
 
 mod block_leases;
 mod formats;
@@ -33,10 +34,11 @@
 pub use size::json_size;
 pub use task_ranges::TaskRanges;
 
-/// Something that is stored as one value.
+/// A type that is stored as one value.
 pub trait Record: Serialize + DeserializeOwned {}
 
-/// The value that a record is stored as. Records are maps of text and numbers, which always have a CBOR form.
+/// Encodes a record as the stored value. Records are maps of text and numbers, which can always be
+/// encoded as CBOR.
 pub fn encode(record: &impl Record) -> ciborium::Value {
     ciborium::Value::serialized(record).unwrap_or(ciborium::Value::Null)
 }
@@ -67,7 +69,7 @@
     pub key: String,
     /// The revision of the change.
     pub version: u64,
-    /// None: the key was removed.
+    /// The new value; `None` if the key was removed.
     pub value: Option<ciborium::Value>,
 }
 
--- a/src/store/records/placements.rs
+++ b/src/store/records/placements.rs
@@ -1,7 +1,9 @@
-//! The tasks of a block: the attempts on its machines and the finished tasks that are not recorded elsewhere yet.
+//! The placements of a block: the attempts on its machines, and the finished tasks that are not
+//! recorded elsewhere yet.
 //!
-//! Written by the controller that holds the block, read by all. Sizes are in bytes of the form that the state service counts,
-//! and never too small. A machine without attempts has no entry.
+//! They are written by the controller that holds the block and read by all controllers. Sizes are
+//! in bytes as the state service measures them and are never underestimated. A machine without
+//! attempts has no entry.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::num::ParseIntError;
@@ -13,19 +15,19 @@
 use super::size::decimal_digits;
 use crate::domain::{Attempt, JobId, MachineId, TaskId};
 
-/// Bytes of the value itself, without its entries: names, quotes and brackets.
+/// Bytes of the value without its entries: names, quotes and brackets.
 const ENVELOPE_BYTES: usize = 32;
-/// Bytes of a machine's entry besides its id and attempts: quotes, colon, brackets and commas.
+/// Bytes of a machine's entry without its id and attempts: quotes, colon, brackets and commas.
 const MACHINE_OVERHEAD_BYTES: usize = 8;
-/// Bytes of an attempt besides its numbers: quotes, separators and comma.
+/// Bytes of an attempt without its numbers: quotes, separators and comma.
 const ATTEMPT_OVERHEAD_BYTES: usize = 5;
-/// Bytes of a job's entry besides its number: `"j-":"",`.
+/// Bytes of a job's entry without its number: `"j-":"",`.
 const JOB_OVERHEAD_BYTES: usize = 8;
-/// A job id has at least so many digits.
+/// Minimum number of digits of a job id.
 const MIN_JOB_DIGITS: usize = 6;
 
-/// The tasks of a block, machine by machine, and the tasks it has finished that are not yet recorded in
-/// their job's progress. One value for each block, so that a batch of starts and ends is one change.
+/// The attempts of a block by machine, and its finished tasks that are not yet recorded in the
+/// progress of their jobs. They share one value, so that a batch of starts and ends is one change.
 #[derive(Debug, Clone, PartialEq, Default, Serialize, Deserialize)]
 pub struct BlockPlacements {
     /// The attempts on each machine. A machine without attempts has no entry.
@@ -44,7 +46,7 @@
             .flat_map(|(machine, list)| list.iter().map(move |placed| (machine, placed.0)))
     }
 
-    /// Takes in another part. An attempt that both have counts once.
+    /// Merges another part into this one. An attempt that is in both is kept once.
     pub fn merge(&mut self, part: &BlockPlacements) {
         for (machine, list) in &part.attempts_by_machine {
             let merged = self.attempts_by_machine.entry(machine.clone()).or_default();
@@ -59,12 +61,12 @@
         }
     }
 
-    /// Whether it holds neither attempts nor finished tasks.
+    /// Whether there are neither attempts nor finished tasks.
     pub fn is_empty(&self) -> bool {
         self.attempts_by_machine.is_empty() && self.done.is_empty()
     }
 
-    /// Adds an attempt. Returns by how many bytes the value may have grown.
+    /// Adds an attempt. Returns the maximum number of bytes by which the value has grown.
     pub fn add(&mut self, machine: &MachineId, attempt: Attempt) -> usize {
         let placed = AttemptEncoding(attempt);
         let list = self.attempts_by_machine.entry(machine.clone()).or_default();
@@ -77,7 +79,7 @@
         entry_bytes + placed.size()
     }
 
-    /// Removes an attempt. False: it was not there.
+    /// Removes an attempt. Returns false if it was not there.
     pub fn remove(&mut self, machine: &MachineId, attempt: Attempt) -> bool {
         let Some(list) = self.attempts_by_machine.get_mut(machine) else {
             return false;
@@ -91,9 +93,10 @@
         removed
     }
 
-    /// The most bytes that this value can come to measure while its tasks end. A finished task takes less than a placed
-    /// one, but the first of its job adds the job's id. Tasks are placed only as long as this fits: a value that has
-    /// grown too large could never be written again.
+    /// The maximum size in bytes that this value can reach while its tasks end. A finished task
+    /// takes less than a placed one, but the first finished task of a job adds the job's id. Tasks
+    /// are placed only while this size is within the limit, because a value that has grown too
+    /// large could never be written again.
     pub fn worst_case_size(&self) -> usize {
         let jobs: BTreeSet<JobId> = self
             .attempts()
@@ -107,7 +110,7 @@
         self.size() + job_bytes
     }
 
-    /// The most bytes that this value can measure.
+    /// The maximum size of this value in bytes.
     pub fn size(&self) -> usize {
         let machine_bytes: usize = self
             .attempts_by_machine
@@ -121,7 +124,7 @@
         ENVELOPE_BYTES + machine_bytes + self.done_size()
     }
 
-    /// The bytes of it that finished tasks take.
+    /// The bytes of the value that finished tasks take.
     pub fn done_size(&self) -> usize {
         self.done
             .iter()
@@ -130,17 +133,18 @@
     }
 }
 
-/// The bytes that a job's entry among the finished tasks takes, without the tasks: `"j-000412":"",`.
+/// The bytes of a job's entry among the finished tasks without the tasks: `"j-000412":"",`.
 pub fn done_entry_size(job: JobId) -> usize {
     decimal_digits(job.0).max(MIN_JOB_DIGITS) + JOB_OVERHEAD_BYTES
 }
 
-/// An attempt as `412/3:17`, or `412/3:g17` for a task of a gang that was started as the 17th.
+/// The stored form of an attempt: `412/3:17`, or `412/3:g17` for a task of a gang in the gang's
+/// start number 17.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct AttemptEncoding(pub Attempt);
 
 impl AttemptEncoding {
-    /// The most bytes that it can measure in a list.
+    /// Its maximum size in bytes as an item of a list.
     pub fn size(&self) -> usize {
         let number = match self.0.gang_start() {
             Some(start) => decimal_digits(start) + 1,
@@ -171,17 +175,17 @@
     }
 }
 
-/// What is wrong with the text of an attempt.
+/// Error in the text of an attempt.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum ParseAttemptError {
-    /// It has not the form `job/index:number`.
-    #[error("an attempt has the form job/index:number")]
+    /// The text does not have the form `job/index:number`.
+    #[error("attempt does not have the form job/index:number")]
     InvalidFormat,
-    /// One of its numbers is none.
+    /// A number is malformed.
     #[error("malformed number in an attempt: {0}")]
     InvalidNumber(#[from] ParseIntError),
-    /// No gang is started so often, or has a task of that index.
-    #[error("no such attempt of a gang")]
+    /// The start of the gang or the index of the task is out of range.
+    #[error("gang start or task index of an attempt is out of range")]
     InvalidGangStart,
 }
 
--- a/src/store/records/size.rs
+++ b/src/store/records/size.rs
@@ -1,8 +1,9 @@
-//! What values measure in the form that the state service counts.
+//! The size of values as the state service measures it.
 //!
-//! Sizes are in bytes and never too small: a value that turned out larger than its limit could not be written.
+//! Sizes are in bytes and never underestimated: a value that turned out larger than the limit could
+//! not be written.
 
-/// The bytes that a value measures as JSON, with room for the longest way to write a number.
+/// The size of a value as JSON in bytes, assuming the longest form of each number.
 pub fn json_size(value: &ciborium::Value) -> usize {
     use ciborium::Value;
     match value {
@@ -20,7 +21,7 @@
     }
 }
 
-/// The decimal digits of a number.
+/// The number of decimal digits of a number.
 pub(super) fn decimal_digits(number: u64) -> usize {
     number.checked_ilog10().map_or(1, |log| log as usize + 1)
 }
--- a/src/store/records/task_ranges.rs
+++ b/src/store/records/task_ranges.rs
@@ -1,6 +1,7 @@
-//! Sets of task numbers, kept and stored as ranges.
+//! Sets of task indexes, kept and stored as ranges.
 //!
-//! Used for finished tasks in placements, progress and the cache. Adjacent ranges are kept as one.
+//! They hold finished tasks in placements, in progress records and in the cache. Adjacent ranges
+//! are merged.
 
 use std::fmt::Write as _;
 use std::num::ParseIntError;
@@ -11,22 +12,22 @@
 
 use super::size::decimal_digits;
 
-/// A set of task numbers, stored as `0-4,7`.
+/// A set of task indexes, stored as, for example, `0-4,7`.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct TaskRanges(pub RangeInclusiveSet<u32>);
 
 impl TaskRanges {
-    /// Adds a number.
+    /// Adds an index.
     pub fn insert(&mut self, index: u32) {
         self.0.insert(index..=index);
     }
 
-    /// Whether a number is in the set.
+    /// Whether an index is in the set.
     pub fn contains(&self, index: u32) -> bool {
         self.0.contains(&index)
     }
 
-    /// How many numbers are in the set.
+    /// The number of indexes in the set.
     pub fn len(&self) -> u64 {
         self.0
             .iter()
@@ -34,25 +35,25 @@
             .sum()
     }
 
-    /// Whether no number is in the set.
+    /// Whether the set is empty.
     pub fn is_empty(&self) -> bool {
         self.0.is_empty()
     }
 
-    /// Adds the numbers of another set.
+    /// Adds the indexes of another set.
     pub fn merge(&mut self, other: &TaskRanges) {
         for range in other.0.iter() {
             self.0.insert(range.clone());
         }
     }
 
-    /// The first number below `end` that is not in the set.
+    /// The first index below `end` that is not in the set.
     pub fn first_gap(&self, end: u32) -> Option<u32> {
         let last = end.checked_sub(1)?;
         self.0.gaps(&(0..=last)).next().map(|gap| *gap.start())
     }
 
-    /// The most bytes that its text can measure.
+    /// The maximum size of its text in bytes.
     pub fn size(&self) -> usize {
         self.0
             .iter()
@@ -87,18 +88,18 @@
     }
 }
 
-/// What is wrong with the text of a set of task numbers.
+/// Error in the text of a set of task indexes.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum ParseTaskRangesError {
-    /// One of its numbers is none.
-    #[error("malformed number in ranges: {0}")]
+    /// A number is malformed.
+    #[error("malformed number in task ranges: {0}")]
     InvalidNumber(#[from] ParseIntError),
     /// A range ends before it starts.
     #[error("the range {start}-{end} ends before it starts")]
     ReversedRange {
-        /// Its first number.
+        /// The first index of the range.
         start: u32,
-        /// Its last number.
+        /// The last index of the range.
         end: u32,
     },
 }
--- a/src/store/records/tests.rs
+++ b/src/store/records/tests.rs
@@ -41,7 +41,8 @@
     assert!(encode_text(&worst_case).len() < 2000);
 }
 
-/// Guards against a block that can't be written any more: ends of tasks need room too.
+/// Guards against placements that can no longer be written: recording the ends of their tasks may
+/// take additional bytes.
 #[test]
 fn placements_never_exceed_their_worst_case_size_as_tasks_finish() {
     let mut placements = BlockPlacements::default();
@@ -173,17 +174,17 @@
     }
 }
 
-/// Made by running the production version (commit 134d869): what it stores, by key, and what its controllers say to each
-/// other.
+/// Records by key and messages between controllers, recorded from a run of the production version
+/// (commit 134d869).
 const PRODUCTION_CBOR: &[u8] = include_bytes!("../../../tests/data/production.cbor");
 
 fn production_fixture() -> Vec<(String, ciborium::Value)> {
-    ciborium::from_reader(PRODUCTION_CBOR).expect("readable")
+    ciborium::from_reader(PRODUCTION_CBOR).expect("the value decodes")
 }
 
-/// Read and written again as it was.
+/// Whether a value is the same after decoding and encoding it.
 fn round_trips<T: serde::Serialize + serde::de::DeserializeOwned>(value: &ciborium::Value) -> bool {
-    let read: T = value.deserialized().expect("readable");
+    let read: T = value.deserialized().expect("the value decodes");
     ciborium::Value::serialized(&read).is_ok_and(|again| again == *value)
 }
 
@@ -205,7 +206,7 @@
             Some(RecordKey::PendingRental(_)) => round_trips::<PendingRental>(&value),
             Some(RecordKey::Job(_)) => round_trips::<JobRecord>(&value),
             Some(RecordKey::Progress(..)) => round_trips::<Progress>(&value),
-            Some(other) => panic!("production does not know {other:?}"),
+            Some(other) => panic!("not a record of production: {other:?}"),
             None => round_trips::<crate::peer::Message>(&value),
         };
         assert!(same, "{key}");
@@ -228,9 +229,9 @@
 #[test]
 fn a_member_without_a_format_has_the_production_format() {
     let old: Member = cbor!({"boot" => 7})
-        .expect("valid")
+        .expect("a valid CBOR value")
         .deserialized()
-        .expect("readable");
+        .expect("the value decodes");
     assert_eq!(
         old,
         Member {
@@ -242,7 +243,10 @@
         incarnation: Incarnation(7),
         format: NEWEST_FORMAT,
     });
-    assert_eq!(value, cbor!({"boot" => 7, "format" => 2}).expect("valid"));
+    assert_eq!(
+        value,
+        cbor!({"boot" => 7, "format" => 2}).expect("a valid CBOR value")
+    );
 }
 
 #[test]
@@ -260,7 +264,8 @@
     );
 }
 
-/// The envelope_bytes of a job may be longer than the values that the state service will take: its cancellation must not be.
+/// The names in a job can exceed the state service's limit on the size of a value; the record of
+/// its cancellation must still be within the limit.
 #[test]
 fn the_record_of_a_cancelled_large_job_omits_what_does_not_fit() {
     let types = (0..30).map(|n| format!("{n}-{}", "t".repeat(180)));
@@ -279,7 +284,11 @@
         (job.team.clone(), job.need, job.tasks, job.kind)
     );
     let whole = JobRecord::cancelled(&job, 17, 8192);
-    assert_eq!(whole, JobRecord::Cancelled(job, 17), "while it fits");
+    assert_eq!(
+        whole,
+        JobRecord::Cancelled(job, 17),
+        "a record that fits is kept whole"
+    );
 }
 
 #[test]
@@ -288,16 +297,18 @@
         job: JobId(412),
         index,
     };
-    let attempts =
-        [0, 3, 99_999].map(|index| Attempt::of_gang(task(index), 5 << 20).expect("fits"));
+    let attempts = [0, 3, 99_999]
+        .map(|index| Attempt::of_gang(task(index), 5 << 20).expect("the gang start is in range"));
     let wire_numbers = attempts.map(|attempt| attempt.wire_number());
     assert!(wire_numbers.iter().all(|number| *number == wire_numbers[0]));
     for (attempt, number) in attempts.into_iter().zip(wire_numbers) {
         assert_eq!(Attempt::from_wire(attempt.task, number), attempt);
         assert_eq!(attempt.gang_start(), Some(5 << 20));
-        let text = ciborium::Value::serialized(&AttemptEncoding(attempt)).expect("text");
+        let text =
+            ciborium::Value::serialized(&AttemptEncoding(attempt)).expect("the attempt serializes");
         assert_eq!(
-            text.deserialized::<AttemptEncoding>().expect("read"),
+            text.deserialized::<AttemptEncoding>()
+                .expect("the attempt decodes"),
             AttemptEncoding(attempt)
         );
     }
@@ -308,6 +319,7 @@
     };
     assert_eq!(Attempt::from_wire(task(3), plain.wire_number()), plain);
     assert_eq!(plain.gang_start(), None);
-    let text = ciborium::Value::serialized(&AttemptEncoding(attempts[1])).expect("text");
+    let text =
+        ciborium::Value::serialized(&AttemptEncoding(attempts[1])).expect("the attempt serializes");
     assert_eq!(text, ciborium::Value::from("412/3:g5242880"));
 }
