--- a/src/store/cache/apply.rs
+++ b/src/store/cache/apply.rs
@@ -1,7 +1,8 @@
-//! Changes of records: the copy itself and what follows from it.
+//! Applies changes to the cached records and to the indexes derived from them.
 //!
-//! [`WatchCache::apply`] is called with the changes that a load or a watch brings, and by the controller with its own commits
-//! before the watch shows them. A change that is older than the record is ignored.
+//! [`WatchCache::apply`] is called with the changes of a load or a watch, and by the controller
+//! with its own commits before the watch returns them. A change that is older than the cached
+//! record is ignored.
 
 use std::collections::BTreeMap;
 
@@ -16,7 +17,7 @@
 };
 
 impl WatchCache {
-    /// Applies one change. A key that is not of this service, or not known to this version, is ignored.
+    /// Applies one change. Keys of other services and of kinds unknown to this version are ignored.
     pub fn apply(&mut self, change: Change) {
         let Some(key) = RecordKey::of(&change.key) else {
             return;
@@ -72,7 +73,7 @@
         self.index_machines(&block, old.as_ref());
     }
 
-    /// Brings the machines by id up to date with a block's inventory, which was `old` before.
+    /// Updates the machines by id after a block's inventory has changed from `old`.
     fn index_machines(&mut self, block: &BlockId, old: Option<&MachineInventory>) {
         let new = self.inventories.get(block).map(|new| &new.value);
         for id in old.iter().flat_map(|old| old.machines.keys()) {
@@ -81,7 +82,7 @@
                 .machines
                 .get(id)
                 .is_some_and(|machine| machine.block == *block);
-            // A machine that has moved to another block stays.
+            // A machine that has moved to another block is kept.
             if !still_listed && in_this_block {
                 self.machines.remove(id);
                 self.changed.machines.insert(id.clone());
@@ -113,8 +114,8 @@
         self.merge_finished_tasks(&block, &old);
     }
 
-    /// Brings the attempts by job up to date with a block's placements, which were `old` before. Only what differs is
-    /// changed: most of a block is as it was.
+    /// Updates the attempts by job after a block's placements have changed from `old`. Only
+    /// differences are applied, since most of a block is usually unchanged.
     fn index_placements(&mut self, block: &BlockId, old: &BlockPlacements) {
         let Some(new) = self.placements.get(block).map(|new| &new.value) else {
             for (_, attempt) in old.attempts() {
@@ -134,7 +135,7 @@
         }
     }
 
-    /// Adds the finished tasks that a block's placements show and did not show in `old` to their open jobs.
+    /// Adds the finished tasks in a block's placements that were not in `old` to their open jobs.
     fn merge_finished_tasks(&mut self, block: &BlockId, old: &BlockPlacements) {
         let Some(new) = self.placements.get(block) else {
             return;
@@ -163,7 +164,7 @@
                 return;
             }
         };
-        // A final state is final: an older copy of the record can't bring the job back.
+        // An ended job stays ended: an older version of the record must not reopen it.
         if self.ended_jobs.contains_key(&id) {
             return;
         }
@@ -189,7 +190,7 @@
         }
     }
 
-    /// The finished tasks of a job that the placements of all blocks and its progress show.
+    /// The finished tasks of a job according to the placements of all blocks and its progress.
     fn finished_tasks(&self, id: JobId) -> TaskRanges {
         let mut finished = TaskRanges::default();
         let from_placements = self
@@ -206,9 +207,11 @@
         finished
     }
 
-    /// Takes in a cancellation that was committed as this version, before the watch shows it: a controller that the state
-    /// service refuses has no other way to learn of it. A copy that has reached that version and shows otherwise knows
-    /// better. `at_ms` is in milliseconds since the Unix epoch. False: there is no room to keep it.
+    /// Records a cancellation that was committed as this version before the watch returns it, since
+    /// a controller that the state service refuses cannot learn of it otherwise. It is ignored if
+    /// the cache has reached that version, because the cache then shows the job's current state.
+    /// `at_ms` is in milliseconds since the Unix epoch. Returns false if the limit of pending
+    /// cancellations is reached.
     #[must_use]
     pub fn record_cancellation(&mut self, id: JobId, version: u64, at_ms: u64) -> bool {
         let following = matches!(self.sync.state, SyncState::Following { .. });
@@ -251,7 +254,7 @@
     }
 }
 
-/// All parts of an inventory as one. None if there are none.
+/// Merges the parts of an inventory. Returns `None` if there are none.
 fn merge_inventories(parts: &Parts<MachineInventory>) -> Option<MachineInventory> {
     let mut parts = parts.values();
     let mut merged = parts.next()?.value.clone();
@@ -259,7 +262,7 @@
     Some(merged)
 }
 
-/// All parts of a block's placements as one. None if there are none.
+/// Merges the parts of a block's placements. Returns `None` if there are none.
 fn merge_placements(parts: &Parts<BlockPlacements>) -> Option<BlockPlacements> {
     if parts.is_empty() {
         return None;
@@ -269,7 +272,7 @@
     Some(merged)
 }
 
-/// Puts a block's merged record in place of the old one, which it returns. The version never goes back.
+/// Replaces a block's merged record and returns the old one. The version never decreases.
 fn replace_merged<T>(
     records: &mut BTreeMap<BlockId, Versioned<T>>,
     block: &BlockId,
@@ -284,7 +287,7 @@
     old.map(|old| old.value)
 }
 
-/// The attempts that the first placements have and the second ones don't have on the same machine.
+/// The attempts in `first` that `second` does not have on the same machine.
 fn attempts_only_in_first<'a>(
     first: &'a BlockPlacements,
     second: &'a BlockPlacements,
@@ -305,7 +308,7 @@
     value.deserialized().ok()
 }
 
-/// Sets or removes a record, unless the change is older than what is there.
+/// Sets or removes a record, unless the change is older than the record.
 fn set<T: Record>(slot: &mut Option<Versioned<T>>, change: Change) {
     if slot
         .as_ref()
@@ -323,7 +326,8 @@
         });
 }
 
-/// As [`set`], in a map. False: the change is older than what is there.
+/// Sets or removes a record in a map as [`set`] does. Returns false if the change is older than the
+/// record.
 fn set_entry<K: Ord, T: Record>(
     map: &mut BTreeMap<K, Versioned<T>>,
     key: K,
--- a/src/store/cache/indexes.rs
+++ b/src/store/cache/indexes.rs
@@ -1,7 +1,8 @@
-//! What follows from the records and is queried: the attempts of a job, the machines that tasks are on, the parts of a
-//! block, finished tasks that are recorded twice.
+//! Indexes derived from the records and the queries on them: the attempts of a job, the machines
+//! with tasks, the parts of a block, finished tasks that are recorded twice.
 //!
-//! [`PlacementIndex`] is changed by [`super::apply`] only; the queries of [`WatchCache`] are called by all modules.
+//! [`PlacementIndex`] is modified by [`super::apply`] only; the queries of [`WatchCache`] are used
+//! by all modules.
 
 use std::collections::{BTreeMap, HashMap};
 
@@ -11,25 +12,26 @@
     AttemptEncoding, BlockPlacements, MachineInventory, Part, TASKS_PER_PROGRESS_CHUNK, TaskRanges,
 };
 
-/// Where an attempt is placed.
+/// The machine and the block that an attempt is placed in.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Placement {
-    /// The block whose placements have it.
+    /// The block whose placements contain the attempt.
     pub block: BlockId,
-    /// The machine, which may be gone already.
+    /// The machine, which may have been removed already.
     pub machine: MachineId,
 }
 
-/// A job's attempts in all blocks' placements, by index of the task and number of the attempt. A lost attempt, whose machine's
-/// record is gone already, can stand there beside the one that follows it.
+/// A job's attempts in the placements of all blocks, by task index and attempt number. A lost
+/// attempt, whose machine's record has been removed, may still be listed next to the attempt that
+/// replaced it.
 pub type JobPlacements = BTreeMap<(u32, u64), Placement>;
 
 static EMPTY_JOB_PLACEMENTS: JobPlacements = BTreeMap::new();
 
-/// A machine that tasks may be on.
+/// A machine that may run tasks, with the attempts placed on it.
 #[derive(Debug, Clone, Copy)]
 pub struct MachinePlacements<'cache> {
-    /// The block that the machine belongs to.
+    /// The block that contains the machine.
     pub block: &'cache BlockId,
     /// The machine's id.
     pub id: &'cache MachineId,
@@ -45,7 +47,7 @@
     }
 }
 
-/// The attempts in all blocks' placements, by job. A job without attempts has no entry.
+/// The attempts in the placements of all blocks, by job. A job without attempts has no entry.
 #[derive(Debug, Default)]
 pub(super) struct PlacementIndex {
     by_job: HashMap<JobId, JobPlacements>,
@@ -72,30 +74,32 @@
 }
 
 impl WatchCache {
-    /// The values that a block's tasks are kept in.
+    /// The stored parts of a block's placements.
     pub fn placements_parts(&self, block: &BlockId) -> Option<&Parts<BlockPlacements>> {
         self.placements_parts.get(block)
     }
 
-    /// The values that a block's machines are kept in.
+    /// The stored parts of a block's inventory.
     pub fn inventory_parts(&self, block: &BlockId) -> Option<&Parts<MachineInventory>> {
         self.inventory_parts.get(block)
     }
 
-    /// The part of the block's inventory that a machine is in: the last one, if it is being moved.
+    /// The part of the block's inventory that contains a machine. While the machine is moved
+    /// between parts, the last of them.
     pub fn inventory_part_of(&self, block: &BlockId, machine: &MachineId) -> Option<Part> {
         let mut parts = self.inventory_parts(block)?.iter().rev();
         let (part, _) = parts.find(|(_, part)| part.value.machines.contains_key(machine))?;
         Some(*part)
     }
 
-    /// All values that tasks are kept in.
+    /// The stored parts of all blocks' placements.
     pub fn all_placements_parts(&self) -> impl Iterator<Item = &Versioned<BlockPlacements>> {
         self.placements_parts.values().flat_map(BTreeMap::values)
     }
 
-    /// Up to which revision this copy holds all changes of a block's tasks. Parts that were read while the copy was being
-    /// loaded can be newer than others: until the copy has caught up, what they show is not all.
+    /// The revision up to which the cache contains all changes of a block's placements. Parts that
+    /// were read during a load can be newer than others, so the merged placements are incomplete
+    /// until the cache has caught up.
     pub fn placements_revision(&self, block: &BlockId) -> u64 {
         let version = self
             .placements
@@ -109,13 +113,14 @@
         }
     }
 
-    /// Where a job's attempts are, including those on machines that are proven gone.
+    /// The placements of a job's attempts, including attempts that are proven ended because their
+    /// machine has been removed.
     pub fn job_placements(&self, job: JobId) -> &JobPlacements {
         self.placement_index.get(job)
     }
 
-    /// The machines that tasks may still be on, with their attempts: the placements, without machines that are proven
-    /// gone.
+    /// The machines that may run tasks, with their attempts. Machines without a record are left
+    /// out, since their tasks are proven ended.
     pub fn live_placements(&self) -> impl Iterator<Item = MachinePlacements<'_>> {
         self.placements.iter().flat_map(move |(block, placements)| {
             placements
@@ -134,7 +139,8 @@
         })
     }
 
-    /// Removes finished tasks that are recorded elsewhere: their job has ended, or its progress holds them.
+    /// Removes finished tasks that are recorded elsewhere: those of ended jobs and those in the
+    /// progress of their job.
     pub fn remove_recorded_tasks(&self, placements: &mut BlockPlacements) {
         placements.done.retain(|job, done| {
             if self.ended_jobs.contains_key(job) {
--- a/src/store/cache/mod.rs
+++ b/src/store/cache/mod.rs
@@ -1,12 +1,13 @@
-//! The watch cache: a copy of all records, kept up to date by watching their changes.
+//! The watch cache: a local copy of all records, kept up to date by watches.
 //!
-//! It owns the copy and what follows from it: the merged parts of each block, the machines by id, the attempts by job, the
-//! open jobs with their finished tasks. The controller asks it for requests ([`WatchCache::poll`]), gives it the answers
-//! ([`WatchCache::handle_response`]) and applies its own commits ([`WatchCache::apply`]); every other module reads it. It does no input
-//! or output and reads no clock.
+//! It holds the records and the indexes derived from them: the merged parts of each block, the
+//! machines by id, the attempts by job, and the open jobs with their finished tasks. The controller
+//! polls it for requests ([`WatchCache::poll`]), passes it the responses
+//! ([`WatchCache::handle_response`]) and applies its own commits to it ([`WatchCache::apply`]); all
+//! other modules only read it. It does no input or output and reads no clock.
 //!
-//! Invariants: a record never goes back to an older version; a job that has ended stays ended; the copy at `revision` holds
-//! every change up to that revision.
+//! Invariants: a record never goes back to an older version; a job that has ended stays ended; a
+//! cache at `revision` contains every change up to that revision.
 
 mod apply;
 mod indexes;
@@ -44,12 +45,12 @@
     pub version: u64,
 }
 
-/// The version that a change of a record is conditioned on: 0 if there is none.
+/// The version to require of a record in a transaction: 0 if there is no record.
 pub fn version_of<T>(record: Option<&Versioned<T>>) -> u64 {
     record.map_or(0, |record| record.version)
 }
 
-/// Records without their versions.
+/// Returns the records without their versions.
 pub fn without_versions<K: Ord + Clone, T: Clone>(
     records: &BTreeMap<K, Versioned<T>>,
 ) -> BTreeMap<K, T> {
@@ -57,26 +58,26 @@
     records.iter().map(value).collect()
 }
 
-/// The values that a block's record is kept in.
+/// The stored parts of a block's record.
 pub type Parts<T> = BTreeMap<Part, Versioned<T>>;
 
-/// An open job with what is known of its tasks.
+/// An open job and the progress of its tasks.
 #[derive(Debug)]
 pub struct OpenJob {
-    /// What was asked for.
+    /// The job as it was accepted.
     pub job: Job,
     /// The version of its record.
     pub version: u64,
-    /// Its user has cancelled it: its tasks are only to be stopped.
+    /// Whether its user has cancelled it, so that its tasks are only to be stopped.
     pub cancelled: bool,
-    /// When it was cancelled, in milliseconds since the Unix epoch by the clock of the controller that accepted it; 0 if it
-    /// was not.
+    /// Time of the cancellation in milliseconds since the Unix epoch, by the clock of the
+    /// controller that accepted it; 0 if the job is not cancelled.
     pub cancelled_ms: u64,
-    /// Finished tasks, whether recorded in the job's progress already or not. Only ever grows.
+    /// Finished tasks, including those not yet recorded in the job's progress. The set only grows.
     pub done: TaskRanges,
 }
 
-/// A machine as its block's inventory has it.
+/// A machine as recorded in its block's inventory.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Machine {
     /// Its instance type.
@@ -85,67 +86,67 @@
     pub zone: Zone,
     /// Spot or on demand.
     pub capacity_type: CapacityType,
-    /// The block that it belongs to.
+    /// The block that contains it.
     pub block: BlockId,
-    /// Whether it takes tasks.
+    /// Whether it accepts tasks.
     pub state: MachineState,
     /// When it was rented, in seconds since the Unix epoch.
     pub rented_s: u64,
 }
 
-/// What has changed since the last call of [`WatchCache::take_changed`], for modules that keep something that follows from
-/// the records.
+/// Changes since the last call of [`WatchCache::take_changed`], for modules that maintain state
+/// derived from the records.
 #[derive(Debug, Default, PartialEq)]
 pub struct ChangedRecords {
-    /// The copy was reloaded: anything may have changed.
+    /// The cache was reloaded, so any record may have changed.
     pub all: bool,
     /// A block lease has changed.
     pub block_leases: bool,
-    /// Machines that have changed or are gone.
+    /// Machines that were added, changed or removed.
     pub machines: BTreeSet<MachineId>,
     /// Jobs that were cancelled or have ended.
     pub cancelled_or_ended_jobs: BTreeSet<JobId>,
 }
 
-/// Tells which request an answer belongs to.
+/// Identifies the request that a response belongs to.
 #[derive(Debug, Clone, PartialEq)]
 pub enum RequestTag {
-    /// A page of all records.
+    /// A page of a load of all records.
     Page {
-        /// The count of the load that it belongs to.
+        /// The id of the load.
         load_id: u64,
-        /// The last key of the page before; None for the first page.
+        /// The last key of the previous page; `None` for the first page.
         after: Option<String>,
     },
-    /// A watch of changes.
+    /// A watch for changes.
     Watch {
-        /// The count of the load that it follows.
+        /// The id of the load that the watch follows.
         load_id: u64,
     },
-    /// How far behind the copy is.
+    /// A read of the service's revision, to find how far behind the cache is.
     LagCheck {
-        /// The count of the load that it follows.
+        /// The id of the load that the check follows.
         load_id: u64,
     },
-    /// The service's revision, for reads that must not be older than the request.
+    /// A read of the service's revision for the read barrier.
     Barrier {
-        /// When the request was made.
+        /// When the request was sent.
         sent: Instant,
     },
 }
 
-/// The copy of the records.
+/// The local copy of the records.
 #[derive(Debug)]
 pub struct WatchCache {
     sync: Synchronizer,
     barrier: ReadBarrier,
     cancellations: PendingCancellations,
-    /// The last change that is in the copy.
+    /// The revision of the last change in the cache.
     pub revision: u64,
-    /// The copy held all that was committed before this time.
+    /// The cache contains all that was committed before this time.
     current_as_of: Option<Instant>,
 
-    /// Who leads.
+    /// The leader, if there is one.
     pub leader: Option<Versioned<Leader>>,
     /// The counter that fencing tokens and terms are taken from.
     pub token: Option<Versioned<TokenCounter>>,
@@ -154,23 +155,23 @@
     /// Which controller holds each block.
     pub block_leases: BTreeMap<BlockId, Versioned<BlockLease>>,
     format: Option<Versioned<FormatSwitch>>,
-    /// The tasks of each block, all parts together; the version is that of its last change.
+    /// The tasks of each block, with all parts merged; the version is that of the last change.
     pub placements: BTreeMap<BlockId, Versioned<BlockPlacements>>,
     placements_parts: BTreeMap<BlockId, Parts<BlockPlacements>>,
-    /// The machines of each block, all parts together; the version is that of its last change.
+    /// The machines of each block, with all parts merged; the version is that of the last change.
     pub inventories: BTreeMap<BlockId, Versioned<MachineInventory>>,
     inventory_parts: BTreeMap<BlockId, Parts<MachineInventory>>,
-    /// All machines of all inventories.
+    /// The machines of all inventories.
     pub machines: BTreeMap<MachineId, Machine>,
     /// Rental requests that may have been sent.
     pub pending_rentals: BTreeMap<InstanceTypeName, Versioned<PendingRental>>,
     /// Jobs that have not ended.
     pub open_jobs: BTreeMap<JobId, OpenJob>,
-    /// Jobs that have ended, with their count of tasks.
+    /// Jobs that have ended, with their number of tasks.
     pub ended_jobs: HashMap<JobId, (JobOutcome, u32)>,
     /// The finished tasks of large jobs, by chunk.
     pub progress: BTreeMap<(JobId, u32), Versioned<Progress>>,
-    /// What operators want of machines.
+    /// Operators' requests to cordon or drain machines.
     pub drains: BTreeMap<DrainId, Versioned<DrainRecord>>,
     /// Disruption budgets that operators have set.
     pub drain_budgets: BTreeMap<Team, Versioned<TeamBudget>>,
@@ -181,7 +182,8 @@
 }
 
 impl WatchCache {
-    /// An empty copy, with requests spaced so that this many controllers together keep within the limits.
+    /// Creates an empty cache. Its requests are spaced so that this many controllers together stay
+    /// within the limits.
     pub fn new(limits: &StateLimits, controllers: usize) -> Self {
         let intervals = PollIntervals::new(limits, controllers);
         WatchCache::with_sync(Synchronizer::new(intervals, limits.value_bytes as u64))
@@ -219,7 +221,7 @@
         }
     }
 
-    /// A copy that is whole, for tests that apply changes themselves.
+    /// Creates an empty cache that counts as loaded, for tests that apply changes themselves.
     #[cfg(test)]
     pub fn loaded_for_tests() -> Self {
         let limits = StateLimits {
@@ -233,18 +235,19 @@
         cache
     }
 
-    /// Takes the copy to hold all that was committed before this time.
+    /// Sets the time before which all commits count as contained in the cache.
     #[cfg(test)]
     pub fn set_current_as_of(&mut self, at: Instant) {
         self.current_as_of = Some(at);
     }
 
-    /// Whether the copy is whole (if perhaps a little old).
+    /// Whether all records have been loaded. The cache may still lag behind the service.
     pub fn is_loaded(&self) -> bool {
         !matches!(self.sync.state, SyncState::Loading)
     }
 
-    /// The copy holds all that was committed before this time. None if it is not whole, or not known to be that new.
+    /// The time before which all commits are contained in the cache. `None` if the cache is not
+    /// loaded or its age is unknown.
     pub fn current_as_of(&self) -> Option<Instant> {
         if self.is_loaded() {
             self.current_as_of
@@ -253,12 +256,12 @@
         }
     }
 
-    /// Whether the copy holds all that was committed before `asked`.
+    /// Whether the cache contains all that was committed before `asked`.
     pub fn is_current_as_of(&self, asked: Instant) -> bool {
         self.current_as_of().is_some_and(|current| current >= asked)
     }
 
-    /// Asks for the copy to be brought up to the present.
+    /// Requests a refresh: the cache asks the service for its current revision.
     pub fn request_refresh(&mut self) {
         self.barrier.request();
     }
@@ -268,24 +271,24 @@
         self.changed != ChangedRecords::default()
     }
 
-    /// What has changed since the last call.
+    /// Returns the changes since the last call.
     pub fn take_changed(&mut self) -> ChangedRecords {
         std::mem::take(&mut self.changed)
     }
 
-    /// The format that is switched on; 0 is that of the production version.
+    /// The format that is switched on; 0 is the format of the production version.
     pub fn format(&self) -> u32 {
         self.format
             .as_ref()
             .map_or(0, |format| format.value.version)
     }
 
-    /// The version of the record that says so, 0 if there is none.
+    /// The version of the record of the format switch; 0 if there is none.
     pub fn format_version(&self) -> u64 {
         version_of(self.format.as_ref())
     }
 
-    /// The last number that was taken from the counter of fencing tokens and terms, 0 if none was.
+    /// The last number taken from the counter of fencing tokens and terms; 0 if none was taken.
     pub fn last_token(&self) -> u64 {
         self.token.as_ref().map_or(0, |token| token.value.last)
     }
--- a/src/store/cache/read_barrier.rs
+++ b/src/store/cache/read_barrier.rs
@@ -1,8 +1,9 @@
-//! Linearizable reads from the copy: when a read was asked for, which revision the service had by then, and whether the
-//! copy has reached it.
+//! Read barrier for linearizable reads from the cache: which revision the service had after a read
+//! was requested, and whether the cache has reached it.
 //!
-//! Called by [`super::WatchCache`] only. One request to the service answers all reads that came before it was sent. The
-//! request reads a key that is never written, which costs least and tells the service's revision.
+//! It is used by [`super::WatchCache`] only. One request to the service serves all reads that were
+//! requested before it was sent. The request reads a key that is never written, which is the
+//! cheapest way to learn the service's revision.
 
 use std::time::{Duration, Instant};
 
@@ -11,18 +12,19 @@
 use crate::store::StoreRequest;
 use crate::store::records::UNWRITTEN_KEY;
 
-/// A revision that the service had when it answered a request of the barrier.
+/// A revision that the service reported in response to a barrier request.
 #[derive(Debug)]
 struct ObservedRevision {
-    /// When the request was sent: the copy at `revision` holds all that was committed before.
+    /// When the request was sent. A cache at `revision` contains all that was committed before this
+    /// time.
     sent: Instant,
     revision: u64,
 }
 
-/// The requests of the barrier and the revisions that the copy has yet to reach.
+/// The barrier's requests, and the revisions that the cache has not reached yet.
 #[derive(Debug, Default)]
 pub(super) struct ReadBarrier {
-    /// A read has come since the last request was sent.
+    /// Whether a read was requested since the last request was sent.
     requested: bool,
     in_flight: bool,
     last_sent: Option<Instant>,
@@ -30,12 +32,12 @@
 }
 
 impl ReadBarrier {
-    /// Asks for the copy to be brought up to the present.
+    /// Requests a refresh of the cache.
     pub(super) fn request(&mut self) {
         self.requested = true;
     }
 
-    /// The request that is due. Requests are `interval` apart at least.
+    /// Returns the request that is due. Requests are at least `interval` apart.
     pub(super) fn poll(
         &mut self,
         now: Now,
@@ -57,7 +59,8 @@
         Some((tag, StoreRequest::Get { key }))
     }
 
-    /// Records the revision that the service answered; None if it gave none, after which it is asked again.
+    /// Records the revision in the service's response. `None` means that the request failed and is
+    /// repeated.
     pub(super) fn record_revision(&mut self, sent: Instant, revision: Option<u64>) {
         self.in_flight = false;
         match revision {
@@ -66,8 +69,8 @@
         }
     }
 
-    /// Takes out the revisions that a copy at `revision` has reached. Returns the time before which it holds everything,
-    /// None if it has reached none.
+    /// Removes the revisions that a cache at `revision` has reached. Returns the time before which
+    /// the cache contains all commits, or `None` if it has reached none of them.
     pub(super) fn take_reached(&mut self, revision: u64) -> Option<Instant> {
         let mut current_as_of = None;
         self.pending.retain(|observed| {
@@ -80,7 +83,8 @@
         current_as_of
     }
 
-    /// Forgets the revisions observed so far, as the copy is reloaded. A read that was in flight is asked for again.
+    /// Discards the observed revisions because the cache is reloaded. A request in flight is
+    /// repeated.
     pub(super) fn restart(&mut self) {
         *self = ReadBarrier {
             requested: self.requested || self.in_flight,
--- a/src/store/cache/sync.rs
+++ b/src/store/cache/sync.rs
@@ -1,11 +1,14 @@
-//! Loading the records and following their changes: which request is due, and what its answer does to the copy.
+//! Loads the records and follows their changes.
 //!
-//! [`WatchCache::poll`] and [`WatchCache::handle_response`] are called by the controller, which sends the requests under the rate
-//! limiter. One request for loading or following is in flight at a time; requests of the read barrier go beside it.
+//! The controller calls [`WatchCache::poll`] and [`WatchCache::handle_response`] and sends the
+//! requests through the rate limiter. At most one request for loading or following is in flight;
+//! requests of the read barrier are sent independently of it.
 //!
-//! The copy is loaded page by page, then followed by watches from its revision on. A copy that may be too far behind for one
-//! answer of a watch, and one whose revision the service has compacted, is loaded once more beside the one in use, which
-//! goes on being read: a holder answers its workers from it for the life of its block lease.
+//! All records are loaded page by page; then the cache follows changes with watches from its
+//! revision on. If the cache may be too far behind for one response of a watch, or if the service
+//! has compacted its revision, the records are loaded again. The old records stay in use until the
+//! new load is complete, because a holder answers its workers from them for the life of its block
+//! lease.
 
 use std::time::{Duration, Instant};
 
@@ -17,29 +20,32 @@
 use crate::store::records::{Change, KEY_PREFIX, UNWRITTEN_KEY};
 use crate::store::{KeyValue, StoreRequest, StoreResponse};
 
-/// A watch returns at least this often, which bounds how old the copy can be.
+/// Timeout of a watch, which bounds the age of the cache.
 const WATCH_TIMEOUT: Duration = Duration::from_millis(2500);
-/// The parts of the state service's rate of requests that all controllers' watches and linearizable reads may take.
+/// Parts of the state service's request rate that the watches and the linearizable reads of all
+/// controllers together may use.
 const WATCH_RATE_SHARE: f64 = 0.4;
 const BARRIER_RATE_SHARE: f64 = 0.25;
-/// Pause after a request that was refused or not answered.
+/// Delay after a request that was refused or got no response.
 const RETRY_DELAY: Duration = Duration::from_millis(400);
-/// A copy that was not found current for so long may be far behind. Must be longer than a watch takes to return.
+/// A cache that was not found current for this long may be far behind. This must be longer than a
+/// watch takes to return.
 const MAYBE_STALE_AFTER: Duration = Duration::from_secs(6);
-/// The most bytes that missed changes may measure, each counted as large as a value can be. A watch answers with all of
-/// them at once.
+/// Maximum total size in bytes of missed changes, with each change counted at the maximum size of a
+/// value. A watch returns all of them in one response.
 pub(super) const MAX_MISSED_BYTES: u64 = 8 << 20;
 
-/// How far apart requests are kept, which follows from the rate of requests.
+/// Minimum intervals between requests, which follow from the request rate.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct PollIntervals {
     watch: Duration,
-    /// One read answers all questions that came since the last one.
+    /// Interval of barrier requests. One request serves all reads that were requested since the
+    /// previous one.
     pub(super) barrier: Duration,
 }
 
 impl PollIntervals {
-    /// The intervals at which this many controllers together keep to their parts of the rate.
+    /// The intervals at which this many controllers together stay within their parts of the rate.
     pub(super) fn new(limits: &StateLimits, controllers: usize) -> Self {
         let interval = |share: f64| {
             Duration::from_secs_f64(controllers.max(1) as f64 / (limits.rps.max(1.0) * share))
@@ -51,22 +57,22 @@
     }
 }
 
-/// How the copy is kept up to date.
+/// How the cache is kept up to date.
 #[derive(Debug)]
 pub(super) enum SyncState {
-    /// Everything is read for the first time: the copy is not whole.
+    /// The records are loaded for the first time; the cache is incomplete.
     Loading,
-    /// Changes are watched. A copy that may be stale asks how far behind it is before it asks for the changes.
+    /// Changes are watched. A cache that may be stale first checks how far behind it is.
     Following { maybe_stale: bool },
-    /// Everything is read once more, beside the copy that is in use.
+    /// All records are loaded again while the old ones stay in use.
     Reloading { buffered: Vec<Change> },
 }
 
-/// The one request for loading or following.
+/// State of the request for loading or following.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum RequestState {
     Idle,
-    /// The last one failed: the next one goes at this time.
+    /// The last request failed; the next one is sent at this time.
     RetryAt(Instant),
     InFlight,
 }
@@ -90,20 +96,20 @@
 pub(super) struct Synchronizer {
     pub(super) state: SyncState,
     request: RequestState,
-    /// Counts loads, so that answers of an abandoned one are recognized.
+    /// Number of the current load, which identifies responses to an abandoned one.
     load_id: u64,
     /// The revision of the first page of the load.
     load_revision: u64,
     intervals: PollIntervals,
     watch_sent: Option<Instant>,
-    /// When the copy was last found not to be far behind.
+    /// When the cache was last found not to be far behind.
     last_known_current: Option<Instant>,
-    /// The most that one change can measure.
+    /// Maximum size of a change in bytes.
     value_bytes: u64,
 }
 
 impl Synchronizer {
-    /// Nothing has been read yet.
+    /// Creates the state before anything was read.
     pub(super) fn new(intervals: PollIntervals, value_bytes: u64) -> Self {
         Synchronizer {
             state: SyncState::Loading,
@@ -117,7 +123,7 @@
         }
     }
 
-    /// Nothing has been read yet, with the limits and the count of loads kept.
+    /// The state before anything was read, with the limits and the load id kept.
     fn restarted(&self) -> Self {
         Synchronizer {
             load_id: self.load_id,
@@ -131,7 +137,7 @@
         self.page_request(None)
     }
 
-    /// The page that follows a key; the first one if None.
+    /// The request for the page after a key; `None` for the first page.
     fn page_request(&self, after: Option<String>) -> (RequestTag, StoreRequest) {
         let tag = RequestTag::Page {
             load_id: self.load_id,
@@ -152,7 +158,8 @@
         )
     }
 
-    /// The watch of all changes after this revision, once the last one is long enough ago.
+    /// The watch for all changes after `revision`, or `None` until the interval since the previous
+    /// one has elapsed.
     fn watch_request(&mut self, now: Now, revision: u64) -> Option<(RequestTag, StoreRequest)> {
         let interval_elapsed = self
             .watch_sent
@@ -177,7 +184,7 @@
 }
 
 impl WatchCache {
-    /// Requests that are due.
+    /// Returns the requests that are due.
     pub fn poll(&mut self, now: Now) -> Vec<(RequestTag, StoreRequest)> {
         let barrier = if self.is_loaded() {
             self.barrier.poll(now, self.sync.intervals.barrier)
@@ -209,15 +216,15 @@
         }
     }
 
-    /// Whether nothing was heard of the service for so long that much may have changed. A process that was paused has
-    /// seen no watch fail.
+    /// Whether the cache was last known to be current so long ago that many changes may have been
+    /// missed. A process that was paused has not seen its watch fail.
     fn no_recent_contact(&self, now: Now) -> bool {
         self.current_as_of
             .max(self.sync.last_known_current)
             .is_some_and(|at| since(now, at) > MAYBE_STALE_AFTER)
     }
 
-    /// Takes out all records. What was asked for and what others have reported stays.
+    /// Removes all records. Requested reads and pending cancellations are kept.
     pub(super) fn clear(&mut self) {
         let mut barrier = std::mem::take(&mut self.barrier);
         barrier.restart();
@@ -229,7 +236,8 @@
         };
     }
 
-    /// Takes in the answer to a request. Returns the requests that follow from it at once.
+    /// Handles the response to a request. Returns the requests to send next without waiting for a
+    /// poll.
     pub fn handle_response(
         &mut self,
         now: Now,
@@ -264,7 +272,8 @@
         }
     }
 
-    /// Follows the changes since the copy's revision, or reads everything if they may be too many.
+    /// Continues to follow changes from the cache's revision, or reloads all records if too many
+    /// changes may have been missed.
     fn handle_lag_check(&mut self, now: Now, response: &StoreResponse) {
         let StoreResponse::Missing { revision } = response else {
             self.sync.request = RequestState::retry(now);
@@ -283,7 +292,8 @@
         }
     }
 
-    /// Takes in a page. Returns the request for the next one, None if there is none or it has to wait.
+    /// Stores a page. Returns the request for the next page, or `None` if there is none or the
+    /// request has to be retried.
     fn handle_page(
         &mut self,
         now: Now,
@@ -300,8 +310,8 @@
             return None;
         };
         if first {
-            // Later pages may be newer; following from the first one's revision repeats, and so corrects, whatever
-            // changed in between.
+            // Later pages may be newer. Following changes from the first page's revision repeats,
+            // and thereby corrects, all changes made during the load.
             self.sync.load_revision = revision;
         }
         let last = key_values.last().map(|entry| entry.key.clone());
@@ -333,7 +343,8 @@
         self.revision = revision;
         self.sync.state = SyncState::Following { maybe_stale: false };
         self.cancellations.remove_up_to(self.revision);
-        // The first page may predate the rest: only what was asked before it is covered.
+        // The first page may be older than the rest, so only commits before its request are certain to
+        // be contained.
         self.current_as_of = None;
         self.sync.watch_sent = None;
         info!(
@@ -344,7 +355,7 @@
         );
     }
 
-    /// Takes in the answer of a watch.
+    /// Handles the response to a watch.
     pub(super) fn handle_watch_response(&mut self, now: Now, response: StoreResponse) {
         self.sync.request = RequestState::Idle;
         match response {
--- a/src/store/cache/tests.rs
+++ b/src/store/cache/tests.rs
@@ -10,7 +10,7 @@
 };
 use crate::store::{KeyValue, StoreRequest, StoreResponse};
 
-/// The time so many seconds after `start`.
+/// This many seconds after `start`.
 fn seconds_after(start: Now, seconds: u64) -> Now {
     Now {
         monotonic: start.monotonic + Duration::from_secs(seconds),
@@ -18,7 +18,7 @@
     }
 }
 
-/// A record that was written as this version.
+/// A change that sets a key to a record at this version.
 fn put(key: String, version: u64, record: &impl Record) -> Change {
     Change {
         key,
@@ -27,7 +27,7 @@
     }
 }
 
-/// The open record of a job of one task.
+/// The record of an open job with one task.
 fn open_job() -> JobRecord {
     JobRecord::Open(job(1, 1.0))
 }
@@ -48,8 +48,9 @@
     }
 }
 
-/// Found on the bench: a controller that had been cut off from the state service for 46 s asked for all changes since,
-/// more than it could take in one answer, and asked again for ever.
+/// Seen in a benchmark: a controller that had lost contact with the state service for 46 s
+/// requested all changes since then. The response was larger than it could receive, and it repeated
+/// the request forever.
 #[test]
 fn a_cache_that_is_far_behind_stays_readable_while_it_is_reloaded() {
     let start = Now::read();
@@ -65,7 +66,7 @@
             (&tag, request),
             (RequestTag::LagCheck { .. }, StoreRequest::Get { .. })
         ),
-        "how far behind?"
+        "a cache that may be stale checks its lag first"
     );
     cache.handle_response(
         at(40),
@@ -77,13 +78,13 @@
     let (tag, request) = next(&mut cache, at(40));
     assert!(
         matches!(request, StoreRequest::Watch { after: 5, .. }),
-        "near enough: {request:?}"
+        "a cache within the limit follows changes: {request:?}"
     );
     cache.handle_response(at(44), tag, StoreResponse::Unknown);
     let (tag, _) = next(&mut cache, at(45));
     assert!(
         matches!(tag, RequestTag::LagCheck { .. }),
-        "the answer was too much after all, or none came"
+        "a watch without a response is followed by a lag check"
     );
     cache.handle_response(at(45), tag, StoreResponse::Missing { revision: 9000 });
     let (tag, request) = next(&mut cache, at(45));
@@ -92,7 +93,7 @@
     assert_eq!(
         cache.current_as_of(),
         Some(start.monotonic),
-        "no newer than it was"
+        "the cache does not count as newer"
     );
     let key_values = vec![KeyValue {
         key: job_key(JobId(2)),
@@ -117,8 +118,8 @@
     );
 }
 
-/// Found by a seeded run: the place of a lost attempt hid the one that followed it, and the task was
-/// released a second time.
+/// Seen in a simulation: the placement of a lost attempt hid the attempt that replaced it, and the
+/// task was released a second time.
 #[test]
 fn a_lost_attempt_does_not_hide_the_next_attempt_of_its_task() {
     let mut cache = WatchCache::loaded_for_tests();
@@ -155,7 +156,8 @@
     assert_eq!(cache.job_placements(JobId(1)).len(), 1);
 }
 
-/// What a controller is told by others goes before the watch, never against it.
+/// A cancellation reported by another controller applies only until the cache has reached its
+/// version, and never overrides newer records.
 #[test]
 fn a_reported_cancellation_applies_until_the_cache_has_reached_its_version() {
     let mut cache = WatchCache::loaded_for_tests();
@@ -166,7 +168,7 @@
     assert!(cache.record_cancellation(JobId(1), 9, 1000));
     assert!(
         !cache.open_jobs[&JobId(1)].cancelled,
-        "the copy is newer and shows otherwise"
+        "the cache is newer and the job is not cancelled"
     );
     assert!(cache.record_cancellation(JobId(2), 12, 1000));
     assert!(cache.record_cancellation(JobId(2), 12, 1000));
@@ -178,11 +180,11 @@
                 .cancelled_or_ended_jobs
                 .contains(&JobId(2))
     );
-    // Of a job that is not in the copy yet.
+    // A cancellation of a job that is not in the cache yet.
     assert!(cache.record_cancellation(JobId(4), 13, 1000));
     cache.apply(put_job(4, 11));
     assert!(cache.open_jobs[&JobId(4)].cancelled);
-    // Pages that were read before it was committed.
+    // Pages of a reload that were read before the cancellation was committed.
     cache.clear();
     (2..=4).for_each(|id| cache.apply(put_job(id, id)));
     assert!(
@@ -198,9 +200,9 @@
     cache.handle_watch_response(Now::read(), events);
     assert!(
         cache.cancellations.is_empty(),
-        "the copy is new enough to know by itself"
+        "cancellations that the cache contains are removed"
     );
-    // Nothing is claimed to be known that could not be kept.
+    // Cancellations above the limit are reported as not stored.
     let job_ids = 100..100 + MAX_PENDING_CANCELLATIONS as u64;
     assert!(
         job_ids
@@ -208,5 +210,8 @@
             .all(|id| cache.record_cancellation(JobId(id), 20, 1000))
     );
     assert!(!cache.record_cancellation(JobId(job_ids.end), 20, 1000));
-    assert!(cache.record_cancellation(JobId(100), 20, 1000), "a repeat");
+    assert!(
+        cache.record_cancellation(JobId(100), 20, 1000),
+        "a repeated cancellation is stored"
+    );
 }
