--- a/src/store/mod.rs
+++ b/src/store/mod.rs
@@ -1,8 +1,9 @@
-//! The client of the state service, which holds all state that outlives a process.
+//! Client of the state service, which holds all state that outlives a process.
 //!
-//! [`records`] says what is stored, [`cache`] keeps a copy of it, [`writer`] paces each module's transactions, [`rate_limiter`]
-//! keeps requests within the service's rates, and [`wire`] spells them. Nothing here does input or output: the controller's event
-//! loop sends the requests and brings back the answers.
+//! [`records`] defines the stored records, [`cache`] keeps a local copy of them, [`writer`] limits
+//! each module to one transaction at a time, [`rate_limiter`] keeps requests within the service's
+//! rates, and [`wire`] encodes them. This module does no input or output: the controller's event
+//! loop sends the requests and passes the responses back.
 
 pub mod cache;
 pub mod rate_limiter;
@@ -19,7 +20,7 @@
 /// A request to the state service.
 #[derive(Debug, Clone, PartialEq)]
 pub enum StoreRequest {
-    /// Reads one key.
+    /// Reads a key.
     Get {
         /// The key.
         key: String,
@@ -28,7 +29,7 @@
     Range {
         /// The prefix.
         prefix: String,
-        /// The last key of the page before; None for the first page.
+        /// The last key of the previous page; `None` for the first page.
         after: Option<String>,
     },
     /// Applies a transaction.
@@ -37,29 +38,30 @@
     Watch {
         /// The prefix.
         prefix: String,
-        /// The revision after which changes are wanted.
+        /// Only changes after this revision are returned.
         after: u64,
-        /// How long the service may wait for one.
+        /// How long the service may wait for a change.
         wait: Duration,
     },
     /// Grants a new lease.
     GrantLease {
-        /// How long it lives unless it is kept alive.
+        /// Lifetime of the lease unless it is kept alive.
         life: Duration,
     },
-    /// Keeps a lease alive for its life from now on.
+    /// Renews a lease for its full lifetime from now on.
     KeepAliveLease {
-        /// The lease.
+        /// The id of the lease.
         id: u64,
     },
 }
 
-/// A transaction: applied as a whole if every key still has the version that its writer saw.
+/// A transaction. It is applied as a whole if each key in its conditions still has the required
+/// version.
 #[derive(Debug, Clone, PartialEq, Default)]
 pub struct Transaction {
-    /// Keys with the versions that they must have; 0: the key must not exist.
+    /// Keys with their required versions; 0: the key must not exist.
     pub conditions: Vec<(String, u64)>,
-    /// What is changed.
+    /// The changes to apply.
     pub changes: Vec<TransactionChange>,
 }
 
@@ -72,7 +74,7 @@
         key: String,
         /// Its new value.
         value: ciborium::Value,
-        /// The lease with which the key goes; None: it stays.
+        /// The lease with whose end the key is removed; `None`: the key stays.
         lease: Option<u64>,
     },
     /// Removes the key.
@@ -83,7 +85,7 @@
 }
 
 impl Transaction {
-    /// Conditions the transaction on a key's version; 0: it must not exist.
+    /// Requires a key to have this version; 0: the key must not exist.
     pub fn require_version(mut self, key: impl Into<String>, version: u64) -> Self {
         self.conditions.push((key.into(), version));
         self
@@ -94,7 +96,7 @@
         self.put_with_lease(key, record, None)
     }
 
-    /// Sets a key to a record that goes with a lease.
+    /// Sets a key to a record. With a lease, the key is removed when the lease ends.
     pub fn put_with_lease(
         mut self,
         key: impl Into<String>,
@@ -117,7 +119,7 @@
     }
 }
 
-/// A stored key.
+/// A stored key with its value.
 #[derive(Debug, Clone, PartialEq)]
 pub struct KeyValue {
     /// The key.
@@ -138,7 +140,7 @@
     }
 }
 
-/// The answer to a request, or that there was none.
+/// The outcome of a request, including that no response arrived.
 #[derive(Debug, Clone, PartialEq)]
 pub enum StoreResponse {
     /// The key's value.
@@ -153,42 +155,42 @@
         /// The service's revision.
         revision: u64,
     },
-    /// A page of keys.
+    /// A page of a range read.
     RangePage {
-        /// The keys in order.
+        /// The keys with their values, in the order of the keys.
         key_values: Vec<KeyValue>,
-        /// Whether there are more after them.
+        /// Whether more keys follow.
         more: bool,
         /// The service's revision.
         revision: u64,
     },
     /// The transaction was applied.
     Committed {
-        /// The revision that it made.
+        /// The revision that the transaction created.
         revision: u64,
     },
-    /// A condition failed: nothing was changed.
+    /// A condition failed; nothing was changed.
     Conflict,
-    /// The changes that a watch waited for.
+    /// The changes that a watch returned.
     WatchEvents {
-        /// The revision up to which these are all.
+        /// The revision up to which the changes are complete.
         revision: u64,
-        /// The changes; none if there were none in time.
+        /// The changes; empty if none occurred before the timeout.
         changes: Vec<Change>,
     },
-    /// The changes asked for are no longer kept: everything has to be read again.
+    /// The service no longer keeps the requested changes; all keys have to be read again.
     Compacted,
-    /// The lease was granted or kept alive.
+    /// The lease was granted or renewed.
     LeaseGranted {
-        /// The lease.
+        /// The id of the lease.
         id: u64,
     },
     /// The lease has ended.
     LeaseExpired,
-    /// Not executed: rate limit or outage.
+    /// Not executed, because of the rate limit or an outage.
     Refused,
-    /// Malformed, or attached to a lease that has ended. Not executed.
+    /// Not executed: the request is malformed or too large, or refers to a lease that has ended.
     Invalid,
-    /// No answer: may have been executed, or may still be.
+    /// No usable response arrived; the request may have been executed or may still be.
     Unknown,
 }
--- a/src/store/rate_limiter.rs
+++ b/src/store/rate_limiter.rs
@@ -1,13 +1,14 @@
-//! The state service's rates, kept on the side of the client: requests wait here by priority.
+//! Client-side rate limiter for the state service, with a queue for each priority.
 //!
-//! The controller queues every request to the state service here ([`RequestRateLimiter::push`]), takes those that may be sent
-//! ([`RequestRateLimiter::take_ready`]) and reports the answers ([`RequestRateLimiter::record_response`]). Two token buckets hold
-//! this controller's shares of the rates of requests and of writes; a transaction costs a write for each change. It reads no
-//! clock and sends nothing itself.
+//! The controller queues every request to the state service ([`RequestRateLimiter::push`]), takes
+//! the requests that may be sent ([`RequestRateLimiter::take_ready`]) and reports the responses
+//! ([`RequestRateLimiter::record_response`]). Two token buckets hold this controller's shares of
+//! the request rate and of the write rate; a transaction costs one write for each change. The
+//! limiter reads no clock and sends nothing itself.
 //!
-//! Invariants: within a priority requests keep their order; a write never overtakes one of a higher priority that waits for
-//! the rate; after a refusal only requests of the highest priority are sent until the backoff is
-//! over.
+//! Invariants: requests of one priority keep their order; a write never overtakes a write of a
+//! higher priority that waits for tokens; after a refusal only requests of the highest priority are
+//! sent until the backoff ends.
 
 mod token_bucket;
 
@@ -19,73 +20,75 @@
 use crate::config::StateLimits;
 use crate::domain::{Now, since};
 
-/// What goes first when the rate does not suffice for all, from the highest priority to the lowest.
+/// Priority of a request when the rate does not suffice for all, from the highest to the lowest.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum RequestPriority {
-    /// Leases and leadership: late means lost.
+    /// Leases and leadership: a delay can cost the lease.
     Lease,
-    /// What a user waits for.
+    /// Requests that a user waits for.
     User,
-    /// Ends of jobs: their users are told only afterwards.
+    /// Completions of jobs: a user is told of the completion only after it is recorded.
     JobCompletion,
     /// Placements and finished tasks.
     Placement,
-    /// Whatever can be deferred.
+    /// Requests that can be deferred.
     Maintenance,
 }
 
 const PRIORITY_COUNT: usize = 5;
-/// A queue of this many requests refuses more: the caller tries again later.
+/// A queue that holds this many requests accepts no more; the caller retries later.
 const MAX_QUEUED_PER_PRIORITY: usize = 400;
 
-/// The part of the rate of requests that the controllers together may take. Above 1, since they are seldom busy at the same
-/// time and a refusal only delays.
+/// Part of the request rate that all controllers together may use. It is above 1 because the
+/// controllers are seldom busy at the same time, and a refused request is only delayed.
 const COMBINED_REQUEST_SHARE: f64 = 1.2;
-/// The most of the rate of requests that one controller takes.
+/// Maximum part of the request rate that one controller may use.
 const MAX_REQUEST_SHARE: f64 = 0.9;
 
-/// The parts of the rate of writes of a single controller, of the leader, and of all other controllers together. The leader
-/// writes what the others do and its own duties besides. Below 1 together: a refused write costs its block a read of the
-/// present state and everyone a pause.
+/// Parts of the write rate for a single controller, for the leader, and for all other controllers
+/// together. The leader performs the writes that the others do and those of its own duties. The
+/// last two add up to less than 1 because a refused write costs its block a linearizable read and
+/// all requests a backoff.
 const SINGLE_WRITE_SHARE: f64 = 0.9;
 const LEADER_WRITE_SHARE: f64 = 0.48;
 const OTHERS_WRITE_SHARE: f64 = 0.46;
 
-/// The part of a second's writes, but at least one, that deferrable writes leave for users: several submissions may come at
-/// once.
+/// Part of a second's writes, at least one write, that deferrable writes reserve for users, because
+/// several submissions may arrive at once.
 const USER_RESERVED_SHARE: f64 = 0.4;
 
-/// The part of a second's writes that must be left for optional writes.
+/// Part of a second's writes that must be available before optional writes are sent.
 const MIN_SPARE_WRITE_SHARE: f64 = 0.6;
 
-/// A refusal that follows an answer within this time is not taken for an outage.
+/// A refusal within this time after a successful response does not count as an outage.
 const OUTAGE_THRESHOLD: Duration = Duration::from_secs(1);
 
-/// How long to back off after the service refused or did not answer.
+/// Backoff after the service refused a request or did not respond.
 const REFUSAL_BACKOFF: Duration = Duration::from_millis(150);
 
-/// Requests that wait for the rates, each with a tag by which its answer is recognized.
+/// Queues requests until the rates allow them. Each request has a tag that identifies its response.
 pub struct RequestRateLimiter<Tag> {
-    /// By priority.
+    /// One queue per priority.
     queues: [VecDeque<(Tag, StoreRequest)>; PRIORITY_COUNT],
     requests: TokenBucket,
     writes: TokenBucket,
     write_limit: f64,
     controllers: usize,
-    /// After a refusal the service is asked less often, so that it can recover.
+    /// Until when only requests of the highest priority are sent, so that the service can recover
+    /// from a refusal.
     backoff_until: Option<Instant>,
     last_response: Option<Instant>,
     last_refusal: Option<Instant>,
 }
 
-/// Requests a second that one controller may send.
+/// Requests per second that one controller may send.
 fn request_share(limit: f64, controllers: usize) -> f64 {
     (limit * COMBINED_REQUEST_SHARE / controllers.max(1) as f64)
         .min(limit * MAX_REQUEST_SHARE)
         .max(1.0)
 }
 
-/// Writes a second that one controller may send.
+/// Writes per second that one controller may send.
 fn write_share(limit: f64, controllers: usize, is_leader: bool) -> f64 {
     let other_controllers = controllers.saturating_sub(1).max(1) as f64;
     let share = if controllers <= 1 {
@@ -99,7 +102,7 @@
 }
 
 impl<Tag> RequestRateLimiter<Tag> {
-    /// A limiter that has a second's worth of this controller's shares to spend.
+    /// Creates a limiter with tokens for one second at this controller's shares.
     pub fn new(limits: &StateLimits, controllers: usize, now: Now) -> Self {
         RequestRateLimiter {
             queues: Default::default(),
@@ -113,7 +116,7 @@
         }
     }
 
-    /// Keeps within other limits from now on.
+    /// Replaces the limits.
     pub fn set_limits(&mut self, now: Now, limits: &StateLimits, is_leader: bool) {
         let rate = request_share(limits.rps, self.controllers);
         self.requests.set_rate(now, rate);
@@ -121,25 +124,26 @@
         self.set_leading(now, is_leader);
     }
 
-    /// Sets this controller's share of the writes by whether it leads.
+    /// Sets this controller's share of the write rate, which depends on whether it is the leader.
     pub fn set_leading(&mut self, now: Now, is_leader: bool) {
         let rate = write_share(self.write_limit, self.controllers, is_leader);
         self.writes.set_rate(now, rate);
     }
 
-    /// Whether most of the writes that may go in a second are left, so that optional ones can be sent.
+    /// Whether enough of a second's writes are available to send optional writes.
     pub fn has_spare_writes(&mut self, now: Now) -> bool {
         self.writes.refill(now);
         self.writes.tokens() >= self.writes.burst() * MIN_SPARE_WRITE_SHARE
     }
 
-    /// The most changes that one transaction should have, `txn_ops` at most: a larger one would make users wait for the rate.
+    /// Maximum number of changes that a transaction should have, at most `txn_ops`. A larger one
+    /// would make users wait for the write rate.
     pub fn max_batch(&self, txn_ops: usize) -> usize {
         (self.writes.burst() as usize / 2).clamp(3, txn_ops)
     }
 
-    /// The most changes that a deferrable transaction should have, `txn_ops` at most: with more it would take what is kept
-    /// for users.
+    /// Maximum number of changes that a deferrable transaction should have, at most `txn_ops`. A
+    /// larger one would use the writes that are reserved for users.
     pub fn max_deferrable_batch(&self, txn_ops: usize) -> usize {
         let unreserved = self.writes.burst() - writes_reserved_for_users(&self.writes);
         (unreserved as usize).clamp(1, txn_ops)
@@ -148,7 +152,7 @@
     /// Queues a request.
     ///
     /// # Errors
-    /// The tag, when the queue of this priority is full.
+    /// Returns the tag if the queue of this priority is full.
     pub fn push(
         &mut self,
         priority: RequestPriority,
@@ -163,13 +167,14 @@
         Ok(())
     }
 
-    /// Takes the requests that may be sent now, by priority.
+    /// Takes the requests that may be sent now, in the order of their priorities.
     pub fn take_ready(&mut self, now: Now) -> Vec<(Tag, StoreRequest)> {
         self.requests.refill(now);
         self.writes.refill(now);
         let mut ready = Vec::new();
         let backing_off = self.is_backing_off(now);
-        // A write that is too large for now must not be overtaken for ever by smaller ones of a lower priority.
+        // While a large write waits for tokens, smaller writes of lower priority must not use them,
+        // or it would starve.
         let mut larger_write_waits = false;
         for (priority, queue) in self.queues.iter_mut().enumerate() {
             if backing_off && priority != RequestPriority::Lease as usize {
@@ -182,7 +187,8 @@
             };
             while let Some((_, request)) = queue.front() {
                 let writes = write_cost(request);
-                // A transaction may cost more than a second's worth: it goes when the bucket is full.
+                // A transaction may cost more than a second's writes; it is sent when the bucket is
+                // full.
                 let affordable = !larger_write_waits
                     && self.writes.tokens() >= (writes + reserved).min(self.writes.burst());
                 if self.requests.tokens() < 1.0 || (writes > 0.0 && !affordable) {
@@ -197,8 +203,9 @@
         ready
     }
 
-    /// Whether a write of this priority would be sent at once. Writes that gather changes are prepared only then, so that
-    /// each holds all that came up while the ones before it waited.
+    /// Whether a write of this priority would be sent at once. Writes that batch changes are
+    /// prepared only then, so that each contains all changes that arrived while earlier writes
+    /// waited.
     pub fn can_send_now(&mut self, now: Now, priority: RequestPriority) -> bool {
         self.requests.refill(now);
         self.writes.refill(now);
@@ -212,7 +219,7 @@
             && self.writes.tokens() >= required
     }
 
-    /// Takes note of an answer: after one that was refused or did not come, requests back off.
+    /// Records a response. A refusal or a missing response starts a backoff.
     pub fn record_response(&mut self, now: Now, response: &StoreResponse) {
         match response {
             StoreResponse::Refused | StoreResponse::Unknown => {
@@ -230,7 +237,8 @@
             .is_some_and(|until| now.monotonic < until)
     }
 
-    /// Whether the service answered since it last refused, or only just began to refuse.
+    /// Whether the service has responded since its last refusal, or less than `OUTAGE_THRESHOLD`
+    /// ago.
     pub fn available(&self, now: Now) -> bool {
         match (self.last_response, self.last_refusal) {
             (Some(response), Some(refusal)) => {
@@ -241,7 +249,7 @@
         }
     }
 
-    /// How long a user's new request would wait for its write at the present rate.
+    /// Estimated delay of the write for a user's new request at the current rate.
     pub fn estimated_user_delay(&self) -> Duration {
         let queued_writes: f64 = self.queues[..=RequestPriority::User as usize]
             .iter()
@@ -253,12 +261,12 @@
     }
 }
 
-/// The writes that deferrable writes leave in the bucket.
+/// Number of writes that deferrable writes leave in the bucket.
 fn writes_reserved_for_users(writes: &TokenBucket) -> f64 {
     (writes.burst() * USER_RESERVED_SHARE).max(1.0)
 }
 
-/// How many writes a request counts as.
+/// Number of writes that a request counts as.
 fn write_cost(request: &StoreRequest) -> f64 {
     match request {
         StoreRequest::Commit(txn) => txn.changes.len() as f64,
--- a/src/store/rate_limiter/tests.rs
+++ b/src/store/rate_limiter/tests.rs
@@ -19,7 +19,7 @@
     }
 }
 
-/// A limiter for one of these controllers, under this many writes a second.
+/// A limiter for one of this many controllers, with this limit of writes per second.
 fn with_write_rate(write_rps: f64, controllers: usize, start: Now) -> RequestRateLimiter<i32> {
     let limits = StateLimits {
         write_rps,
@@ -46,7 +46,8 @@
         );
     }
     assert!(rate_limiter.push(RequestPriority::User, 9, write()).is_ok());
-    // 1.8 writes a second: the user's goes at once, the others when one would be left for the next user.
+    // At 1.8 writes per second the user's write is sent at once, and the others as soon as one
+    // write would remain for the next user.
     assert!(rate_limiter.has_spare_writes(start));
     assert_eq!(send_ready(&mut rate_limiter, start), [9]);
     assert!(!rate_limiter.has_spare_writes(start));
@@ -66,7 +67,8 @@
     );
 }
 
-/// Found in an incident: one-task jobs came ten a second, and each waited for a write of its own.
+/// Seen in an incident: one-task jobs arrived at ten per second, and each waited for a write of its
+/// own.
 #[test]
 fn concurrent_submissions_use_the_writes_reserved_for_users() {
     let start = Now::read();
@@ -78,14 +80,14 @@
                 .is_ok()
         );
     }
-    // Nine a second, of which 3.6 are left whatever waits.
+    // Nine writes per second, 3.6 of which are reserved for users whatever is queued.
     assert_eq!(rate_limiter.take_ready(start).len(), 5);
     let sent_in_a_second: usize = (1..=10)
         .map(|n| rate_limiter.take_ready(millis_after(start, n * 100)).len())
         .sum();
     assert!(
         (8..=9).contains(&sent_in_a_second),
-        "{sent_in_a_second}: the rate is used all the same"
+        "{sent_in_a_second} writes were sent: the rest of the rate is used"
     );
     for n in 200..203 {
         assert!(rate_limiter.push(RequestPriority::User, n, write()).is_ok());
@@ -96,7 +98,8 @@
     );
 }
 
-/// Found on the bench: batches of a leader waited for a full bucket, which single writes never let fill.
+/// Seen in a benchmark: a leader's batches waited for a full bucket, which single writes never let
+/// fill.
 #[test]
 fn small_writes_of_lower_priority_do_not_starve_a_large_write() {
     let start = Now::read();
@@ -142,8 +145,8 @@
     assert!(rate_limiter.available(millis_after(start, 1700)));
 }
 
-/// Found on the bench: under a low rate a block's write of five changes was sent when the bucket was full, and took what was
-/// kept for users: submissions waited for max_changes of a second.
+/// Seen in a benchmark: at a low rate a block's write of five changes was sent when the bucket was
+/// full and used the writes reserved for users. Submissions then waited for most of a second.
 #[test]
 fn a_deferrable_write_leaves_the_writes_reserved_for_users() {
     let start = Now::read();
@@ -158,10 +161,14 @@
     );
     assert_eq!(rate_limiter.take_ready(start).len(), 1);
     assert!(rate_limiter.push(RequestPriority::User, 1, write()).is_ok());
-    assert_eq!(rate_limiter.take_ready(start).len(), 1, "at once");
+    assert_eq!(
+        rate_limiter.take_ready(start).len(),
+        1,
+        "the user's write is sent at once"
+    );
     assert_eq!(
         rate_limiter.max_deferrable_batch(1),
         1,
-        "however low the rate"
+        "at least one change, however low the rate"
     );
 }
--- a/src/store/rate_limiter/token_bucket.rs
+++ b/src/store/rate_limiter/token_bucket.rs
@@ -1,21 +1,21 @@
-//! A bucket of tokens that refills at a rate.
+//! A token bucket that refills at a constant rate.
 
 use std::time::Instant;
 
 use crate::domain::{Now, since};
 
-/// A bucket of tokens, one for each request or write. It starts with a second's worth.
+/// A token bucket. It starts with the tokens of one second.
 pub(super) struct TokenBucket {
     tokens: f64,
-    /// Tokens a second.
+    /// Tokens per second.
     rate: f64,
-    /// The most tokens that it holds.
+    /// The maximum number of tokens in the bucket.
     burst: f64,
     refilled_at: Instant,
 }
 
 impl TokenBucket {
-    /// A bucket with a second's worth at this rate.
+    /// Creates a bucket with the tokens of one second at this rate.
     pub(super) fn new(rate: f64, now: Now) -> Self {
         TokenBucket {
             tokens: rate,
@@ -25,14 +25,14 @@
         }
     }
 
-    /// Adds what the time since the last refill has brought.
+    /// Adds the tokens for the time since the last refill.
     pub(super) fn refill(&mut self, now: Now) {
         self.tokens =
             (self.tokens + since(now, self.refilled_at).as_secs_f64() * self.rate).min(self.burst);
         self.refilled_at = now.monotonic;
     }
 
-    /// Sets the rate, and the most that the bucket holds to a second's worth.
+    /// Sets the rate, and the maximum to the tokens of one second.
     pub(super) fn set_rate(&mut self, now: Now, rate: f64) {
         self.refill(now);
         self.rate = rate;
@@ -44,17 +44,17 @@
         self.tokens
     }
 
-    /// Tokens a second.
+    /// Tokens per second.
     pub(super) fn rate(&self) -> f64 {
         self.rate
     }
 
-    /// The most tokens that the bucket holds.
+    /// The maximum number of tokens in the bucket.
     pub(super) fn burst(&self) -> f64 {
         self.burst
     }
 
-    /// Takes tokens. The bucket may be left with less than none.
+    /// Takes tokens. The number of tokens may become negative.
     pub(super) fn take(&mut self, tokens: f64) {
         self.tokens -= tokens;
     }
--- a/src/store/wire.rs
+++ b/src/store/wire.rs
@@ -1,7 +1,8 @@
-//! The state service's protocol: requests and answers in the spelling of PROTOCOL.
+//! The state service's protocol: encodes requests and parses responses.
 //!
-//! The event loop turns a [`StoreRequest`] into an HTTP request with [`http_request`] and its reply into a [`StoreResponse`] with
-//! [`parse_response`]. Nothing else in the program knows the spelling.
+//! The event loop turns a [`StoreRequest`] into an HTTP request with [`http_request`] and its reply
+//! into a [`StoreResponse`] with [`parse_response`]. The names on the wire occur in this module
+//! only.
 
 use std::time::Duration;
 
@@ -90,9 +91,9 @@
     tenure: u64,
 }
 
-/// Keys in a page: the service's own limit.
+/// Maximum number of keys in a page, as the service limits it.
 const MAX_KEYS_PER_PAGE: u32 = 1000;
-/// How long an answer is waited for: twice as long for a page, and beyond its own wait for a watch.
+/// Timeout of a request. A page has twice as long, and a watch its own waiting time in addition.
 const REQUEST_TIMEOUT: Duration = Duration::from_millis(1500);
 
 fn millis(duration: Duration) -> u64 {
@@ -122,7 +123,7 @@
     })
 }
 
-/// The HTTP request that a request is sent as.
+/// Encodes a request as an HTTP request.
 pub fn http_request(request: &StoreRequest) -> Request {
     match request {
         StoreRequest::Get { key } => Request::get(format!("/keys/{key}"), REQUEST_TIMEOUT),
@@ -163,7 +164,7 @@
     }
 }
 
-/// What the reply to a request means. None: no reply came in time.
+/// Parses the reply to a request. `None` means that no reply arrived in time.
 pub fn parse_response(request: &StoreRequest, reply: Option<&Reply>) -> StoreResponse {
     let Some(reply) = reply else {
         return StoreResponse::Unknown;
@@ -189,7 +190,7 @@
     }
 }
 
-/// The answer in a reply's body. A body that can't be read says nothing of what became of the request.
+/// Parses the body of a reply. With a malformed body, the outcome of the request is unknown.
 fn parse<T: DeserializeOwned + Into<StoreResponse>>(reply: &Reply) -> StoreResponse {
     decode_body::<T>(&reply.body).map_or(StoreResponse::Unknown, Into::into)
 }
@@ -248,7 +249,7 @@
     }
 }
 
-/// The change that an event tells of. None: the event names no key.
+/// Converts an event of a watch to a change. Returns `None` if the event names no key.
 fn change_from_event(event: WatchEvent) -> Option<Change> {
     let (key, value) = match (event.put, event.remove) {
         (Some(key), _) => (key, event.value),
--- a/src/store/wire/tests.rs
+++ b/src/store/wire/tests.rs
@@ -23,12 +23,12 @@
         ],
     };
     let request = http_request(&StoreRequest::Commit(txn));
-    let sent: Value = decode_body(&request.body).expect("CBOR");
+    let sent: Value = decode_body(&request.body).expect("the body is CBOR");
     let expected = cbor!({
         "when" => [{"k" => "a/b", "amended" => 0}],
         "apply" => [{"put" => "a/b", "value" => 3, "tenure" => 7}, {"remove" => "c/d"}]
     });
-    assert_eq!(sent, expected.expect("valid"));
+    assert_eq!(sent, expected.expect("a valid CBOR value"));
 }
 
 #[test]
@@ -43,7 +43,7 @@
         parse_response(&commit, Some(&reply(200, Value::Null))),
         StoreResponse::Unknown
     );
-    let revision = cbor!({"ledgerLine" => 9}).expect("valid");
+    let revision = cbor!({"ledgerLine" => 9}).expect("a valid CBOR value");
     assert_eq!(
         parse_response(&commit, Some(&reply(200, revision.clone()))),
         StoreResponse::Committed { revision: 9 }
@@ -67,9 +67,12 @@
     let StoreResponse::WatchEvents {
         revision: 9,
         changes,
-    } = parse_response(&watch, Some(&reply(200, events.expect("valid"))))
+    } = parse_response(
+        &watch,
+        Some(&reply(200, events.expect("a valid CBOR value"))),
+    )
     else {
-        panic!("not events");
+        panic!("expected watch events");
     };
     assert_eq!(changes.len(), 2);
     assert_eq!(
--- a/src/store/writer.rs
+++ b/src/store/writer.rs
@@ -1,44 +1,50 @@
-//! The state of one writer of records: at most one transaction at a time, and none before the outcome of the last is known.
+//! The state of a module's writes: at most one transaction at a time, and none until the outcome of
+//! the previous one is known.
 //!
-//! Each module that writes keeps a [`WriterState`] and asks it before it prepares a transaction from the copy ([`WriterState::can_write`]);
-//! it reports when the transaction is sent and what the answer was. It sends nothing itself.
+//! Each module that writes keeps a [`WriterState`]. It calls [`WriterState::can_write`] before it
+//! prepares a transaction from the cache, and reports when the transaction is sent and how the
+//! service responded. This module sends nothing itself.
 
 use std::time::{Duration, Instant};
 
 use super::{StoreResponse, WatchCache};
 use crate::domain::{Now, since};
 
-/// What is known of a writer's last transaction.
+/// State of a writer's last transaction.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum WriterState {
-    /// It is in the copy, or there was none.
+    /// The cache contains the transaction, or there was none.
     Idle,
-    /// It is queued or sent.
+    /// The transaction is queued or sent.
     InFlight,
-    /// It is committed; the copy may not show it yet.
+    /// The transaction is committed; the cache may not contain it yet.
     AwaitingCache {
-        /// The revision that the copy has to reach.
+        /// The revision that the cache has to reach.
         revision: u64,
     },
-    /// It failed, or its outcome is unknown: the copy must first hold all that was committed before this time.
+    /// The transaction failed or its outcome is unknown. Before the next one, the cache must
+    /// contain all that was committed before `since`.
     Unconfirmed {
-        /// When the answer came.
+        /// When the response arrived or the request failed.
         since: Instant,
     },
-    /// It was refused as malformed or too large: the same again would be refused again.
+    /// The transaction was rejected as malformed or too large; resending it unchanged would fail
+    /// again.
     Rejected {
-        /// When the answer came.
+        /// When the response arrived.
         since: Instant,
     },
 }
 
-/// A failed write is tried again after this long.
+/// Delay before a failed write is retried.
 const RETRY_DELAY: Duration = Duration::from_millis(200);
-/// A rejected write is tried again after this long: its contents have to change first.
+/// Delay before a rejected write is retried. It is longer because the contents of the write have to
+/// change first.
 const REJECTED_RETRY_DELAY: Duration = Duration::from_secs(2);
 
 impl WriterState {
-    /// Whether a new transaction may be prepared from `cache`. Asks it to be brought up to the present if that is needed.
+    /// Whether a new transaction may be prepared from `cache`. Requests a refresh of the cache if
+    /// it is too old.
     pub fn can_write(&mut self, now: Now, cache: &mut WatchCache) -> bool {
         match *self {
             WriterState::Idle => {}
@@ -70,7 +76,8 @@
         cache.is_loaded()
     }
 
-    /// Whether the last transaction is not known to be committed.
+    /// Whether the last transaction is not known to be committed: it failed, was rejected, or has
+    /// an unknown outcome.
     pub fn is_unconfirmed(&self) -> bool {
         matches!(
             self,
@@ -78,12 +85,12 @@
         )
     }
 
-    /// A transaction was queued or sent.
+    /// Records that a transaction was queued or sent.
     pub fn mark_sent(&mut self) {
         *self = WriterState::InFlight;
     }
 
-    /// The answer to the transaction, or that none came.
+    /// Records the response to the transaction, or that none arrived.
     pub fn record_response(&mut self, now: Now, response: &StoreResponse) {
         *self = match response {
             StoreResponse::Committed { revision } => WriterState::AwaitingCache {
