--- a/crates/domain/src/attempts.rs
+++ b/crates/domain/src/attempts.rs
@@ -33,9 +33,9 @@
     /// The attempt of a task in a gang's start. Returns `None` if `start` or the index is too
     /// large.
     pub fn of_gang(task: TaskId, start: u64) -> Option<Attempt> {
-        let fits =
+        let in_range =
             start < GANG_ATTEMPT_BIT >> TASK_INDEX_BITS && u64::from(task.index) <= TASK_INDEX_MASK;
-        fits.then(|| Attempt {
+        in_range.then(|| Attempt {
             task,
             number: GANG_ATTEMPT_BIT | start << TASK_INDEX_BITS | u64::from(task.index),
         })
--- a/src/store/cache/apply.rs
+++ b/src/store/cache/apply.rs
@@ -24,7 +24,7 @@
         };
         match key {
             RecordKey::Leader => set(&mut self.leader, change),
-            RecordKey::Token => set(&mut self.token, change),
+            RecordKey::TokenCounter => set(&mut self.token, change),
             RecordKey::Member(controller) => {
                 set_entry(&mut self.members, controller, change);
             }
--- a/src/store/cache/mod.rs
+++ b/src/store/cache/mod.rs
@@ -256,9 +256,9 @@
         }
     }
 
-    /// Whether the cache contains all that was committed before `asked`.
-    pub fn is_current_as_of(&self, asked: Instant) -> bool {
-        self.current_as_of().is_some_and(|current| current >= asked)
+    /// Whether the cache contains all that was committed before `time`.
+    pub fn is_current_as_of(&self, time: Instant) -> bool {
+        self.current_as_of().is_some_and(|current| current >= time)
     }
 
     /// Requests a refresh: the cache asks the service for its current revision.
--- a/src/store/cache/tests.rs
+++ b/src/store/cache/tests.rs
@@ -124,9 +124,13 @@
 fn a_lost_attempt_does_not_hide_the_next_attempt_of_its_task() {
     let mut cache = WatchCache::loaded_for_tests();
     let (first, second) = (MachineId::from("m-000014"), MachineId::from("m-000011"));
-    let (inventory, block) = (inventory_key(&"a.0".into()), placements_key(&"a.0".into()));
+    let (machines_key, tasks_key) = (inventory_key(&"a.0".into()), placements_key(&"a.0".into()));
     cache.apply(put(job_key(JobId(1)), 1, &open_job()));
-    cache.apply(put(inventory.clone(), 2, &inventory_of(&[&first, &second])));
+    cache.apply(put(
+        machines_key.clone(),
+        2,
+        &inventory_of(&[&first, &second]),
+    ));
     let attempt = |number| Attempt {
         task: TaskId {
             job: JobId(1),
@@ -136,10 +140,10 @@
     };
     let mut placements = BlockPlacements::default();
     placements.add(&first, attempt(7));
-    cache.apply(put(block.clone(), 3, &placements));
-    cache.apply(put(inventory, 4, &inventory_of(&[&second])));
+    cache.apply(put(tasks_key.clone(), 3, &placements));
+    cache.apply(put(machines_key, 4, &inventory_of(&[&second])));
     placements.add(&second, attempt(8));
-    cache.apply(put(block.clone(), 5, &placements));
+    cache.apply(put(tasks_key.clone(), 5, &placements));
     let live: Vec<u64> = cache
         .live_placements()
         .flat_map(|live| live.attempts())
@@ -152,7 +156,7 @@
         "{placed:?}"
     );
     placements.remove(&first, attempt(7));
-    cache.apply(put(block.clone(), 6, &placements));
+    cache.apply(put(tasks_key.clone(), 6, &placements));
     assert_eq!(cache.job_placements(JobId(1)).len(), 1);
 }
 
--- a/src/store/records/fixtures.rs
+++ b/src/store/records/fixtures.rs
@@ -46,7 +46,7 @@
 fn kind(key: &str, bytes: &[u8]) -> (&'static str, Vec<u8>) {
     match RecordKey::of(key).expect("the key belongs to a known record") {
         RecordKey::Leader => ("leader", reencoded::<Leader>(bytes)),
-        RecordKey::Token => ("token", reencoded::<TokenCounter>(bytes)),
+        RecordKey::TokenCounter => ("token", reencoded::<TokenCounter>(bytes)),
         RecordKey::Member(_) => ("member", reencoded::<Member>(bytes)),
         RecordKey::BlockLease(_) => ("block lease", reencoded::<BlockLease>(bytes)),
         RecordKey::Format => ("format", reencoded::<FormatSwitch>(bytes)),
--- a/src/store/records/jobs.rs
+++ b/src/store/records/jobs.rs
@@ -32,18 +32,18 @@
     /// does not fit, the class, types, zone and image are omitted. The resources of its tasks and
     /// its team are kept because they are still needed.
     pub fn cancelled(job: &Job, at_ms: u64, value_bytes: usize) -> JobRecord {
-        let whole = JobRecord::Cancelled(job.clone(), at_ms);
-        if json_size(&encode(&whole)) <= value_bytes {
-            return whole;
+        let full_record = JobRecord::Cancelled(job.clone(), at_ms);
+        if json_size(&encode(&full_record)) <= value_bytes {
+            return full_record;
         }
-        let rest = Job {
+        let reduced_job = Job {
             class: Arc::from(""),
             types: None,
             zone: None,
             image: "".into(),
             ..job.clone()
         };
-        JobRecord::Cancelled(rest, at_ms)
+        JobRecord::Cancelled(reduced_job, at_ms)
     }
 }
 
--- a/src/store/records/keys.rs
+++ b/src/store/records/keys.rs
@@ -102,7 +102,7 @@
     /// The leader.
     Leader,
     /// The counter of fencing tokens and terms.
-    Token,
+    TokenCounter,
     /// A live controller.
     Member(ControllerName),
     /// The lease of a block.
@@ -134,7 +134,7 @@
         let name = key.strip_prefix(KEY_PREFIX)?;
         match name.split_once('/') {
             None if key == LEADER_KEY => Some(RecordKey::Leader),
-            None if key == TOKEN_KEY => Some(RecordKey::Token),
+            None if key == TOKEN_KEY => Some(RecordKey::TokenCounter),
             None if key == FORMAT_KEY => Some(RecordKey::Format),
             None => None,
             Some(("node", rest)) => Some(RecordKey::Member(rest.into())),
--- a/src/store/records/tests.rs
+++ b/src/store/records/tests.rs
@@ -194,7 +194,7 @@
     for (key, value) in production_fixture() {
         let same = match RecordKey::of(&key) {
             Some(RecordKey::Leader) => round_trips::<Leader>(&value),
-            Some(RecordKey::Token) => round_trips::<TokenCounter>(&value),
+            Some(RecordKey::TokenCounter) => round_trips::<TokenCounter>(&value),
             Some(RecordKey::Member(_)) => round_trips::<Member>(&value),
             Some(RecordKey::BlockLease(_)) => round_trips::<BlockLease>(&value),
             Some(RecordKey::BlockPlacements(_, FIRST_PART)) => {
