--- a/crates/domain/src/resources.rs
+++ b/crates/domain/src/resources.rs
@@ -48,7 +48,8 @@
         }
     }
 
-    /// The number of tasks that an empty machine with these resources can hold if each needs `need`.
+    /// The number of tasks that an empty machine with these resources can hold if each task needs
+    /// `need`.
     pub fn max_tasks(&self, need: &Resources) -> u32 {
         let max_count = |have: f64, needed: f64| {
             if needed <= ROUNDING_TOLERANCE {
--- a/src/store/cache/sync.rs
+++ b/src/store/cache/sync.rs
@@ -343,8 +343,8 @@
         self.revision = revision;
         self.sync.state = SyncState::Following { maybe_stale: false };
         self.cancellations.remove_up_to(self.revision);
-        // The first page may be older than the rest, so only commits before its request are certain to
-        // be contained.
+        // The first page may be older than the rest, so only commits before its request are certain
+        // to be contained.
         self.current_as_of = None;
         self.sync.watch_sent = None;
         info!(
--- a/src/store/records/keys.rs
+++ b/src/store/records/keys.rs
@@ -81,7 +81,7 @@
     format!("{KEY_PREFIX}drain_ledger/{team}")
 }
 
-/// The key of the rental request for an instance type that may have been sent.
+/// The key of the pending rental request for an instance type, which may have been sent.
 pub fn pending_rental_key(name: &InstanceTypeName) -> String {
     format!("{KEY_PREFIX}order/{name}")
 }
--- a/src/store/wire.rs
+++ b/src/store/wire.rs
@@ -190,7 +190,8 @@
     }
 }
 
-/// Parses the body of a reply. With a malformed body, the outcome of the request is unknown.
+/// Parses the body of a reply. A malformed body is [`StoreResponse::Unknown`], because it does not
+/// tell whether the request was executed.
 fn parse<T: DeserializeOwned + Into<StoreResponse>>(reply: &Reply) -> StoreResponse {
     decode_body::<T>(&reply.body).map_or(StoreResponse::Unknown, Into::into)
 }
