--- a/crates/drain/src/disruption.rs
+++ b/crates/drain/src/disruption.rs
@@ -10,7 +10,7 @@
 
 use crate::budget::Budgets;
 use crate::fleet::Fleet;
-use crate::ledger::{Eviction, Ledger, Subject};
+use crate::ledger::{Eviction, EvictionTarget, Ledger};
 
 /// What is known of disruptions beyond what is recorded.
 #[derive(Debug, Default)]
@@ -18,7 +18,7 @@
     /// Tasks lost by no decision of a drain, with the attempt that was lost.
     lost: BTreeMap<TaskId, u64>,
     /// Recorded evictions whose replacement was seen to run.
-    replaced: BTreeSet<Subject>,
+    replaced: BTreeSet<EvictionTarget>,
     /// Recorded losses that were seen to run again.
     recovered: BTreeSet<TaskId>,
 }
@@ -36,8 +36,8 @@
     }
 
     /// Forgets losses of tasks that are not wanted any more.
-    pub fn forget_unless(&mut self, is_wanted: impl Fn(TaskId) -> bool) {
-        self.lost.retain(|task, _| is_wanted(*task));
+    pub fn forget_unless(&mut self, is_needed: impl Fn(TaskId) -> bool) {
+        self.lost.retain(|task, _| is_needed(*task));
         self.replaced.clear();
         self.recovered.clear();
     }
@@ -45,20 +45,20 @@
     /// Takes in what runs again.
     pub fn observe(&mut self, ledgers: &BTreeMap<Team, Ledger>, fleet: &impl Fleet) {
         // Noted, and so recorded, before they are proven gone: a new leader could not tell that they were there.
-        let given_up = fleet.machines().iter().filter(|machine| machine.given_up);
-        for attempt in given_up.flat_map(|machine| &machine.tasks) {
+        let failed = fleet.machines().iter().filter(|machine| machine.failed);
+        for attempt in failed.flat_map(|machine| &machine.tasks) {
             self.note_lost(*attempt);
         }
         self.lost
             .retain(|task, lost| !is_restored(fleet, *task, |attempt| attempt.number == *lost));
-        let recorded: BTreeSet<Subject> = evictions(ledgers).map(|e| e.subject).collect();
-        self.replaced.retain(|subject| recorded.contains(subject));
-        for subject in recorded {
-            if subject
+        let recorded: BTreeSet<EvictionTarget> = evictions(ledgers).map(|e| e.target).collect();
+        self.replaced.retain(|target| recorded.contains(target));
+        for target in recorded {
+            if target
                 .tasks()
-                .all(|task| is_restored(fleet, task, |attempt| subject.covers(attempt)))
+                .all(|task| is_restored(fleet, task, |attempt| target.includes(attempt)))
             {
-                self.replaced.insert(subject);
+                self.replaced.insert(target);
             }
         }
         let recorded: BTreeSet<TaskId> = ledgers.values().flat_map(|l| &l.lost).copied().collect();
@@ -72,7 +72,7 @@
 
     /// Whether an eviction's replacement has not been seen to run yet.
     pub fn is_outstanding(&self, eviction: &Eviction) -> bool {
-        !self.replaced.contains(&eviction.subject)
+        !self.replaced.contains(&eviction.target)
     }
 
     /// Recorded evictions whose replacements were not seen to run yet.
@@ -97,7 +97,7 @@
 
 /// Whether a task has ended, or another attempt than the old one runs.
 fn is_restored(fleet: &impl Fleet, task: TaskId, is_old: impl Fn(&Attempt) -> bool) -> bool {
-    let runs = |attempt: &Attempt| !is_old(attempt) && fleet.runs(attempt);
+    let runs = |attempt: &Attempt| !is_old(attempt) && fleet.is_running(attempt);
     fleet.job(task.job).is_none() || fleet.is_done(task) || fleet.attempts(task).iter().any(runs)
 }
 
@@ -147,7 +147,7 @@
             }
         }
         for eviction in tracker.outstanding(ledgers) {
-            for task in eviction.subject.tasks() {
+            for task in eviction.target.tasks() {
                 count.disrupt(fleet, task);
             }
         }
@@ -194,12 +194,12 @@
     }
 
     /// What a team has.
-    pub fn of_team(&self, team: &Team) -> Count {
+    pub fn team_count(&self, team: &Team) -> Count {
         self.teams.get(team).copied().unwrap_or_default()
     }
 
     /// What a team has of a class.
-    pub fn of_class(&self, team: &Team, class: &Arc<str>) -> Count {
+    pub fn class_count(&self, team: &Team, class: &Arc<str>) -> Count {
         let key = (team.clone(), class.clone());
         self.classes.get(&key).copied().unwrap_or_default()
     }
@@ -209,34 +209,34 @@
         &self,
         fleet: &impl Fleet,
         budgets: &Budgets,
-        subject: &Subject,
+        target: &EvictionTarget,
     ) -> Option<Exceeded> {
-        let job = fleet.job(subject.job())?;
-        let more = subject
+        let job = fleet.job(target.job())?;
+        let more = target
             .tasks()
             .filter(|task| !self.disrupted.contains(task))
             .count() as u64;
         // Also for tasks that count as disrupted already, since their machine does not answer: it may come back, and
         // then they run.
         let within = |count: Count, allowed: u64| count.disrupted + more <= allowed;
-        let of_team = self.of_team(&job.team);
-        let allowed = budgets.of_team(&job.team).of(of_team.tasks);
-        if !within(of_team, allowed) {
+        let team_count = self.team_count(&job.team);
+        let allowed = budgets.team_limit(&job.team).resolve(team_count.tasks);
+        if !within(team_count, allowed) {
             return Some(Exceeded {
                 team: job.team,
                 class: None,
-                disrupted: of_team.disrupted,
+                disrupted: team_count.disrupted,
                 more,
                 allowed,
             });
         }
-        let limit = budgets.of_class(&job.team, &job.class)?;
-        let of_class = self.of_class(&job.team, &job.class);
-        let allowed = limit.of(of_class.tasks);
-        (!within(of_class, allowed)).then_some(Exceeded {
+        let limit = budgets.class_limit(&job.team, &job.class)?;
+        let class_count = self.class_count(&job.team, &job.class);
+        let allowed = limit.resolve(class_count.tasks);
+        (!within(class_count, allowed)).then_some(Exceeded {
             team: job.team,
             class: Some(job.class),
-            disrupted: of_class.disrupted,
+            disrupted: class_count.disrupted,
             more,
             allowed,
         })
--- a/crates/drain/src/planner/pass.rs
+++ b/crates/drain/src/planner/pass.rs
@@ -4,7 +4,7 @@
 
 use dappleshore_domain::{Now, Team};
 
-use super::{Bounds, Effect, Records, State};
+use super::{DrainState, Effect, PlannerLimits, Records};
 use crate::disruption::Disruptions;
 use crate::fleet::{Fleet, MachineView, ServiceState};
 use crate::id::DrainId;
@@ -15,7 +15,7 @@
 pub(super) struct Pass<'a, F> {
     pub now: Now,
     pub records: Records<'a>,
-    pub bounds: Bounds,
+    pub limits: PlannerLimits,
     pub fleet: &'a mut F,
     /// As observed, with those that this pass has decided.
     pub disruptions: Disruptions,
@@ -83,12 +83,17 @@
     }
 
     /// Halts an active drain.
-    pub(super) fn halt(&mut self, id: &DrainId, record: &DrainRecord, reason: HaltReason) -> State {
+    pub(super) fn halt(
+        &mut self,
+        id: &DrainId,
+        record: &DrainRecord,
+        reason: HaltReason,
+    ) -> DrainState {
         if record.phase == Phase::Active {
             let reason = reason.clone();
             self.set_phase(id, record, Phase::Halted { reason });
         }
-        State::Halted(reason)
+        DrainState::Halted(reason)
     }
 
     /// Lets a halted drain go on.
@@ -103,9 +108,9 @@
         outstanding: &[&Eviction],
     ) -> Option<HaltReason> {
         let timeout_ms =
-            u64::try_from(self.bounds.replacement_timeout.as_millis()).unwrap_or(u64::MAX);
+            u64::try_from(self.limits.replacement_timeout.as_millis()).unwrap_or(u64::MAX);
         outstanding.iter().find_map(|eviction| {
-            let task = eviction.subject.tasks().next()?;
+            let task = eviction.target.tasks().next()?;
             if self.fleet.keeps_failing(task.job) {
                 return Some(HaltReason::ReplacementFails { task });
             }
--- a/crates/drain/src/record.rs
+++ b/crates/drain/src/record.rs
@@ -32,7 +32,7 @@
 pub enum HaltReason {
     /// No machine had room for a task that must be moved, for too long.
     #[serde(rename = "no_room")]
-    NoRoom {
+    NoCapacity {
         /// The task.
         task: TaskId,
     },
@@ -53,7 +53,7 @@
 impl fmt::Display for HaltReason {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            HaltReason::NoRoom { task } => {
+            HaltReason::NoCapacity { task } => {
                 write!(f, "no machine became ready with room for {task}")
             }
             HaltReason::ReplacementNotRunning { task } => {
@@ -136,7 +136,7 @@
     }
 
     /// Whether it keeps its machines out of service.
-    pub fn holds(&self) -> bool {
+    pub fn is_in_effect(&self) -> bool {
         !matches!(self.phase, Phase::Cancelled | Phase::Uncordoned)
     }
 
@@ -147,7 +147,7 @@
 
     /// Whether a machine is kept out of service by it.
     pub fn holds_machine(&self, machine: Membership<'_>) -> bool {
-        self.holds() && !self.except.contains(machine.id) && self.scope.contains(machine)
+        self.is_in_effect() && !self.except.contains(machine.id) && self.scope.contains(machine)
     }
 
     /// Whether it asks for the same.
--- a/crates/drain/tests/planner.rs
+++ b/crates/drain/tests/planner.rs
@@ -5,11 +5,11 @@
 
 use dappleshore_domain::{Attempt, JobId, MachineId, Now, TaskId, Team};
 use dappleshore_drain::planner::{
-    Bounds, Event, NoRoom, Records, Reservation, ServiceState, State,
+    DrainState, Event, NoCapacity, PlannerLimits, Records, Reservation, ServiceState,
 };
 use dappleshore_drain::{
-    Budgets, DrainId, DrainRecord, Effect, Fleet, HaltReason, JobFacts, Ledger, Limit, MachineView,
-    Phase, Planner, Purpose, Scope, Subject,
+    Budgets, DrainId, DrainRecord, Effect, EvictionTarget, Fleet, HaltReason, JobView, Ledger,
+    Limit, MachineView, Phase, Planner, Purpose, Scope,
 };
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
@@ -22,13 +22,13 @@
     start: Instant,
     passed: Duration,
     machines: Vec<MachineView>,
-    jobs: BTreeMap<JobId, JobFacts>,
+    jobs: BTreeMap<JobId, JobView>,
     running: BTreeSet<u64>,
     failing: BTreeSet<JobId>,
     drains: BTreeMap<DrainId, DrainRecord>,
     ledgers: BTreeMap<Team, Ledger>,
     budgets: Budgets,
-    bounds: Bounds,
+    limits: PlannerLimits,
     planner: Planner,
     next_attempt: u64,
     /// Replacements start only while this is so.
@@ -53,9 +53,9 @@
             zone: zone.into(),
             state: ServiceState::InService,
             usable: true,
-            given_up: false,
+            failed: false,
             tasks: Vec::new(),
-            expects_tasks: false,
+            has_pending_releases: false,
         };
         let mut world = World {
             start: Instant::now(),
@@ -74,12 +74,12 @@
                 settings: BTreeMap::new(),
                 requested: BTreeMap::new(),
             },
-            bounds: Bounds {
+            limits: PlannerLimits {
                 step: Limit::Count(1),
-                room_timeout: Duration::from_secs(60),
+                capacity_timeout: Duration::from_secs(60),
                 replacement_timeout: Duration::from_secs(60),
-                ledger_entries: 10,
-                ledgers_at_once: 2,
+                max_ledger_entries: 10,
+                max_ledgers_per_transaction: 2,
             },
             planner: Planner::default(),
             next_attempt: 0,
@@ -92,7 +92,7 @@
     }
 
     fn add_job(&mut self, job: JobId, name: &str, tasks: u32, gang: Option<u64>) {
-        let facts = JobFacts {
+        let facts = JobView {
             team: team(name),
             class: "lookup".into(),
             gang_tasks: gang.map(|_| tasks),
@@ -154,7 +154,7 @@
                 ledgers: &self.ledgers,
                 budgets: &self.budgets,
             },
-            bounds: self.bounds,
+            limits: self.limits,
             fleet: &mut fleet,
         };
         let effects = self.planner.handle(now, event);
@@ -190,14 +190,14 @@
     /// Evicted tasks stop; tasks that are nowhere start where there is room, and run a moment later.
     fn step(&mut self) {
         self.passed += Duration::from_secs(1);
-        let evictions: Vec<Subject> = self
+        let evictions: Vec<EvictionTarget> = self
             .ledgers
             .values()
             .flat_map(|ledger| &ledger.evictions)
-            .map(|eviction| eviction.subject)
+            .map(|eviction| eviction.target)
             .collect();
         for machine in &mut self.machines {
-            let stopped = |attempt: &Attempt| evictions.iter().any(|e| e.covers(attempt));
+            let stopped = |attempt: &Attempt| evictions.iter().any(|e| e.includes(attempt));
             machine.tasks.retain(|attempt| !stopped(attempt));
         }
         if !self.starts {
@@ -250,7 +250,7 @@
         tasks.filter(|task| !runs(*task)).count()
     }
 
-    fn state(&self, name: &str) -> &State {
+    fn state(&self, name: &str) -> &DrainState {
         &self.planner.progress()[&id(name)].state
     }
 
@@ -263,7 +263,7 @@
 /// What the planner sees.
 struct View<'a> {
     machines: Vec<MachineView>,
-    jobs: &'a BTreeMap<JobId, JobFacts>,
+    jobs: &'a BTreeMap<JobId, JobView>,
     running: &'a BTreeSet<u64>,
     failing: &'a BTreeSet<JobId>,
 }
@@ -273,7 +273,7 @@
         &self.machines
     }
 
-    fn job(&self, job: JobId) -> Option<JobFacts> {
+    fn job(&self, job: JobId) -> Option<JobView> {
         self.jobs.get(&job).cloned()
     }
 
@@ -288,7 +288,7 @@
             .collect()
     }
 
-    fn runs(&self, attempt: &Attempt) -> bool {
+    fn is_running(&self, attempt: &Attempt) -> bool {
         let well = self.machines.iter().filter(|machine| machine.usable);
         let there = well.flat_map(|m| &m.tasks).any(|a| a == attempt);
         there && self.running.contains(&attempt.number)
@@ -302,17 +302,21 @@
         self.failing.contains(&job)
     }
 
-    fn lacks_room(&self, _: TaskId) -> Option<NoRoom> {
+    fn missing_capacity(&self, _: TaskId) -> Option<NoCapacity> {
         None
     }
 
-    fn reserve(&mut self, subject: &Subject) -> Result<Vec<Reservation>, NoRoom> {
+    fn reserve(&mut self, target: &EvictionTarget) -> Result<Vec<Reservation>, NoCapacity> {
         let mut reservations = Vec::new();
-        for task in subject.tasks() {
+        for task in target.tasks() {
             let open = |m: &&mut MachineView| {
                 m.state == ServiceState::InService && m.usable && m.tasks.len() < ROOM
             };
-            let machine = self.machines.iter_mut().find(open).ok_or(NoRoom::Yet)?;
+            let machine = self
+                .machines
+                .iter_mut()
+                .find(open)
+                .ok_or(NoCapacity::NotYet)?;
             machine.tasks.push(Attempt { task, number: 0 });
             let machine = machine.id.clone();
             reservations.push(Reservation { task, machine });
@@ -360,7 +364,7 @@
                 );
             }
         }
-        assert_eq!(world.state("disk"), &State::Done, "seed {seed}");
+        assert_eq!(world.state("disk"), &DrainState::Done, "seed {seed}");
         let left = world.machines.iter().filter(|m| *m.zone.0 == *"a");
         assert!(left.into_iter().all(|m| m.tasks.is_empty()), "seed {seed}");
     }
@@ -375,7 +379,7 @@
         world.look(true);
         assert_eq!(evictions(&world.look(true)), 0);
         match world.state("disk") {
-            State::WaitingForBudget(exceeded) => assert_eq!(exceeded.allowed, 0),
+            DrainState::WaitingForBudget(exceeded) => assert_eq!(exceeded.allowed, 0),
             state => panic!("{state:?}"),
         }
     }
@@ -394,7 +398,11 @@
         "blue's, which are elsewhere"
     );
     assert_eq!(
-        world.planner.disruptions().of_team(&team("red")).disrupted,
+        world
+            .planner
+            .disruptions()
+            .team_count(&team("red"))
+            .disrupted,
         3
     );
 }
@@ -405,7 +413,7 @@
     world.drain("disk", Scope::Zone("a".into()));
     world.look(true);
     let lost = world.machine("a-000");
-    (lost.usable, lost.given_up) = (false, true);
+    (lost.usable, lost.failed) = (false, true);
     let tasks: Vec<TaskId> = lost.tasks.iter().map(|attempt| attempt.task).collect();
     world.look(true);
     assert_eq!(world.ledgers[&team("red")].lost, tasks);
@@ -435,7 +443,11 @@
         assert_eq!(evicted, usize::from(moved), "budget {budget}");
         if moved {
             assert_eq!(
-                world.planner.disruptions().of_team(&team("red")).disrupted,
+                world
+                    .planner
+                    .disruptions()
+                    .team_count(&team("red"))
+                    .disrupted,
                 4
             );
         }
@@ -467,7 +479,7 @@
         world.step();
         world.look(true);
     }
-    assert_eq!(world.state("disk"), &State::Done);
+    assert_eq!(world.state("disk"), &DrainState::Done);
 }
 
 #[test]
@@ -478,14 +490,14 @@
     world.look(true);
     world.failing = [JobId(1), JobId(2)].into();
     world.look(true);
-    let expected = State::Halted(HaltReason::ReplacementFails {
+    let expected = DrainState::Halted(HaltReason::ReplacementFails {
         task: TaskId {
             job: JobId(2),
             index: 0,
         },
     });
     assert!(
-        matches!(world.state("disk"), State::Halted(_)),
+        matches!(world.state("disk"), DrainState::Halted(_)),
         "{expected:?}"
     );
 }
@@ -493,8 +505,8 @@
 #[test]
 fn no_more_machines_are_emptied_at_a_time_than_the_step() {
     let mut world = World::new(6, 6, Limit::Count(100));
-    world.bounds.step = Limit::Count(2);
-    world.bounds.ledger_entries = 100;
+    world.limits.step = Limit::Count(2);
+    world.limits.max_ledger_entries = 100;
     world.drain("disk", Scope::Zone("a".into()));
     world.look(true);
     world.look(true);
@@ -510,8 +522,8 @@
 #[test]
 fn a_full_ledger_takes_no_more() {
     let mut world = World::new(6, 6, Limit::Count(100));
-    world.bounds.step = Limit::Count(100);
-    world.bounds.ledger_entries = 2;
+    world.limits.step = Limit::Count(100);
+    world.limits.max_ledger_entries = 2;
     world.drain("disk", Scope::Zone("a".into()));
     world.look(true);
     world.look(true);
@@ -529,14 +541,14 @@
     let mut world = World::new(6, 6, Limit::Count(1));
     let lost = world.machine("a-000").tasks.clone();
     for attempt in &lost {
-        let event = Event::<View<'_>>::Lost(*attempt);
+        let event = Event::<View<'_>>::AttemptLost(*attempt);
         world.planner.handle(world.now(), event);
     }
     let kept = lost[0].task;
-    let event: Event<'_, View<'_>> = Event::Idle {
-        is_wanted: &|task| task == kept,
+    let event: Event<'_, View<'_>> = Event::NoActiveDrains {
+        is_needed: &|task| task == kept,
     };
     world.planner.handle(world.now(), event);
-    let watched = world.planner.watched(&world.ledgers);
+    let watched = world.planner.tasks_to_observe(&world.ledgers);
     assert_eq!(watched, BTreeSet::from([kept]));
 }
--- a/crates/drain/tests/requests.rs
+++ b/crates/drain/tests/requests.rs
@@ -48,9 +48,9 @@
                 zone: if n < 2 { "a".into() } else { "b".into() },
                 state: ServiceState::InService,
                 usable: true,
-                given_up: false,
+                failed: false,
                 tasks: Vec::new(),
-                expects_tasks: false,
+                has_pending_releases: false,
             })
             .collect();
         let known = Known {
@@ -147,7 +147,7 @@
     assert_eq!(site.ask(&one), Ok(0));
     let record = &site.drains[&id("zone")];
     assert_eq!(record.except, BTreeSet::from([MachineId::from("m-0")]));
-    assert!(record.holds());
+    assert!(record.is_in_effect());
     let second = Request::Uncordon {
         scope: machines(&["m-1"]),
     };
@@ -157,7 +157,7 @@
         "no room for it"
     );
     assert_eq!(site.ask(&Request::Uncordon { scope: zone("a") }), Ok(1));
-    assert!(!site.drains[&id("zone")].holds());
+    assert!(!site.drains[&id("zone")].is_in_effect());
     site.ask(&start("busy", zone("b"), Purpose::Drain))
         .expect("taken");
     let busy = Request::Uncordon { scope: zone("b") };
@@ -240,7 +240,7 @@
         ("12.5%", 1),
     ] {
         let limit: Limit = text.parse().expect("a limit");
-        assert_eq!(limit.of(9), of_nine, "{text}");
+        assert_eq!(limit.resolve(9), of_nine, "{text}");
         assert_eq!(limit.to_string(), text);
     }
     for wrong in ["", "-1", "1.5", "101%", "-1%", "%", "x", "NaN%"] {
--- a/src/scheduler/draining/mod.rs
+++ b/src/scheduler/draining/mod.rs
@@ -13,7 +13,7 @@
 
 use dappleshore_drain::disruption::Disruptions;
 use dappleshore_drain::planner::{
-    Bounds, Event, NoRoom, Progress, Records, Reservation, ServiceState,
+    DrainProgress, Event, NoCapacity, PlannerLimits, Records, Reservation, ServiceState,
 };
 use dappleshore_drain::settings::TeamSettings;
 use dappleshore_drain::{
@@ -51,7 +51,7 @@
     /// Tasks whose eviction is in a transaction that is not confirmed yet.
     unconfirmed_evictions: BTreeSet<TaskId>,
     /// Evicted tasks without capacity for a replacement, and the reason.
-    without_capacity: BTreeMap<TaskId, NoRoom>,
+    without_capacity: BTreeMap<TaskId, NoCapacity>,
     /// The effects that the latest planner run returned, to be recorded.
     planned_effects: Vec<Effect>,
     /// When ledgers were last written, or losses last cleaned up without any drain.
@@ -84,7 +84,7 @@
     }
 
     /// Returns the progress of each drain.
-    pub fn progress(&self) -> &BTreeMap<DrainId, Progress> {
+    pub fn progress(&self) -> &BTreeMap<DrainId, DrainProgress> {
         self.planner.progress()
     }
 
@@ -118,7 +118,7 @@
         }
         let budgets = self.budgets(cache);
         for (team, count) in self.disruptions().teams() {
-            let allowed = budgets.of_team(team).of(count.tasks);
+            let allowed = budgets.team_limit(team).resolve(count.tasks);
             let disrupted = count.disrupted as f64;
             gauges.insert(format!("drain_disrupted{{team=\"{team}\"}}"), disrupted);
             gauges.insert(format!("drain_budget{{team=\"{team}\"}}"), allowed as f64);
@@ -200,7 +200,7 @@
             match effect {
                 Effect::WriteLedger { team, ledger } => {
                     for eviction in new_evictions(cache.drain_ledgers.get(team), ledger) {
-                        let job = eviction.subject.job();
+                        let job = eviction.target.job();
                         let checkpoint_possible = cache
                             .open_jobs
                             .get(&job)
@@ -210,7 +210,7 @@
                         } else {
                             "not available"
                         };
-                        info!(drain = %eviction.drain, %team, %job, subject = ?eviction.subject, machine = %eviction.machine, checkpoint, "recording eviction");
+                        info!(drain = %eviction.drain, %team, %job, evicted = ?eviction.target, machine = %eviction.machine, checkpoint, "recording eviction");
                     }
                 }
                 Effect::WriteRecord { id, record } => {
@@ -258,8 +258,8 @@
 pub fn machine_views(
     cache: &WatchCache,
     usable: impl Fn(&MachineId) -> bool,
-    given_up: impl Fn(&MachineId) -> bool,
-    expects_tasks: impl Fn(&MachineId) -> bool,
+    failed: impl Fn(&MachineId) -> bool,
+    has_pending_releases: impl Fn(&MachineId) -> bool,
 ) -> Vec<MachineView> {
     let mut machines: BTreeMap<&MachineId, MachineView> = BTreeMap::new();
     for (id, machine) in &cache.machines {
@@ -275,9 +275,9 @@
             zone: machine.zone.clone(),
             state,
             usable: usable(id),
-            given_up: given_up(id),
+            failed: failed(id),
             tasks: Vec::new(),
-            expects_tasks: expects_tasks(id),
+            has_pending_releases: has_pending_releases(id),
         };
         machines.insert(id, view);
     }
@@ -311,7 +311,7 @@
             return;
         }
         if let Some(draining) = &mut self.draining {
-            let event = Event::<FleetView<'_, '_>>::Lost(attempt);
+            let event = Event::<FleetView<'_, '_>>::AttemptLost(attempt);
             draining.planner.handle(now, event);
         }
     }
@@ -422,12 +422,12 @@
         let running = self.running_attempts(capacity.now, cache, &usable);
         let leader = capacity.leader;
         let limits = &leader.config.state_limits;
-        let bounds = Bounds {
+        let planner_limits = PlannerLimits {
             step: settings.step,
-            room_timeout: settings.room_timeout_s.duration(),
+            capacity_timeout: settings.room_timeout_s.duration(),
             replacement_timeout: settings.replacement_timeout_s.duration(),
-            ledger_entries: (limits.value_bytes / MAX_LEDGER_ENTRY_BYTES).max(1),
-            ledgers_at_once: (leader.max_changes / 2).max(1),
+            max_ledger_entries: (limits.value_bytes / MAX_LEDGER_ENTRY_BYTES).max(1),
+            max_ledgers_per_transaction: (leader.max_changes / 2).max(1),
         };
         // Capacity that the planner reserves lasts for this plan only; the returned effects hold the reservations.
         let mut fleet = FleetView {
@@ -445,7 +445,7 @@
                 ledgers,
                 budgets: &budgets,
             },
-            bounds,
+            limits: planner_limits,
             fleet: &mut fleet,
         };
         let planned_effects = planner.handle(capacity.now, event);
@@ -509,7 +509,7 @@
             return;
         };
         let mut watched_by_block: HashMap<&BlockId, Vec<u64>> = HashMap::new();
-        for task in draining.planner.watched(ledgers) {
+        for task in draining.planner.tasks_to_observe(ledgers) {
             for (attempt, machine) in placed_attempts(cache, task) {
                 if let Some(machine) = cache.machines.get(machine) {
                     let of_block = watched_by_block.entry(&machine.block).or_default();
@@ -579,12 +579,12 @@
             return;
         }
         self.last_upkeep = Some(now.monotonic);
-        let is_wanted = |task: TaskId| {
+        let is_needed = |task: TaskId| {
             let open = cache.open_jobs.get(&task.job);
             open.is_some_and(|open| !open.cancelled && !open.done.contains(task.index))
         };
-        let event: Event<'_, FleetView<'_, '_>> = Event::Idle {
-            is_wanted: &is_wanted,
+        let event: Event<'_, FleetView<'_, '_>> = Event::NoActiveDrains {
+            is_needed: &is_needed,
         };
         self.planner.handle(now, event);
     }
--- a/src/store/cache/tests.rs
+++ b/src/store/cache/tests.rs
@@ -90,11 +90,7 @@
     let (tag, request) = next(&mut cache, at(45));
     assert!(matches!(request, StoreRequest::Range { .. }), "{request:?}");
     assert!(cache.is_loaded() && cache.open_jobs.contains_key(&JobId(1)));
-    assert_eq!(
-        cache.current_as_of(),
-        Some(start.monotonic),
-        "the cache does not count as newer"
-    );
+    assert_eq!(cache.current_as_of(), Some(start.monotonic), "unchanged");
     let key_values = vec![KeyValue {
         key: job_key(JobId(2)),
         value: encode(&open_job()),
--- a/src/store/records/fixtures.rs
+++ b/src/store/records/fixtures.rs
@@ -203,7 +203,7 @@
         .iter()
         .flat_map(|ledger| &ledger.evictions)
         .map(|eviction| {
-            ciborium::Value::serialized(&eviction.subject).expect("the value serializes")
+            ciborium::Value::serialized(&eviction.target).expect("the value serializes")
         })
         .map(variant_name)
         .collect();
