--- a/src/store/records/fixtures.rs
+++ b/src/store/records/fixtures.rs
@@ -186,25 +186,20 @@
     let names = |part: fn(&DrainRecord) -> ciborium::Value| -> BTreeSet<String> {
         drains.iter().map(part).map(variant_name).collect()
     };
-    let phases =
-        names(|drain| ciborium::Value::serialized(&drain.phase).expect("the value serializes"));
+    let phases = names(|drain| ciborium::Value::serialized(&drain.phase).expect("serializes"));
     let expected = ["active", "cancelled", "done", "halted", "uncordoned"];
     assert_eq!(phases, expected.map(String::from).into());
-    let scopes =
-        names(|drain| ciborium::Value::serialized(&drain.scope).expect("the value serializes"));
+    let scopes = names(|drain| ciborium::Value::serialized(&drain.scope).expect("serializes"));
     let expected = ["block", "machines", "type", "zone"];
     assert_eq!(scopes, expected.map(String::from).into());
-    let purposes =
-        names(|drain| ciborium::Value::serialized(&drain.purpose).expect("the value serializes"));
+    let purposes = names(|drain| ciborium::Value::serialized(&drain.purpose).expect("serializes"));
     assert_eq!(purposes, ["cordon", "drain"].map(String::from).into());
     let ledgers: Vec<Ledger> = read("drain_ledger");
     assert!(ledgers.iter().any(|ledger| !ledger.lost.is_empty()));
     let subjects: BTreeSet<String> = ledgers
         .iter()
         .flat_map(|ledger| &ledger.evictions)
-        .map(|eviction| {
-            ciborium::Value::serialized(&eviction.target).expect("the value serializes")
-        })
+        .map(|eviction| ciborium::Value::serialized(&eviction.target).expect("serializes"))
         .map(variant_name)
         .collect();
     assert_eq!(subjects, ["g", "t"].map(String::from).into());
