--- a/src/store/records/placements.rs
+++ b/src/store/records/placements.rs
@@ -180,13 +180,13 @@
 pub enum ParseAttemptError {
     /// The text does not have the form `job/index:number`.
     #[error("attempt does not have the form job/index:number")]
-    InvalidFormat,
+    MissingSeparator,
     /// A number is malformed.
     #[error("malformed number in an attempt: {0}")]
-    InvalidNumber(#[from] ParseIntError),
+    MalformedNumber(#[from] ParseIntError),
     /// The start of the gang or the index of the task is out of range.
     #[error("gang start or task index of an attempt is out of range")]
-    InvalidGangStart,
+    GangStartOutOfRange,
 }
 
 impl FromStr for AttemptEncoding {
@@ -195,18 +195,17 @@
     fn from_str(text: &str) -> Result<Self, ParseAttemptError> {
         let (task, number) = text
             .split_once(':')
-            .ok_or(ParseAttemptError::InvalidFormat)?;
+            .ok_or(ParseAttemptError::MissingSeparator)?;
         let (job, index) = task
             .split_once('/')
-            .ok_or(ParseAttemptError::InvalidFormat)?;
+            .ok_or(ParseAttemptError::MissingSeparator)?;
         let task = TaskId {
             job: JobId(job.parse()?),
             index: index.parse()?,
         };
         let attempt = match number.strip_prefix('g') {
-            Some(start) => {
-                Attempt::of_gang(task, start.parse()?).ok_or(ParseAttemptError::InvalidGangStart)?
-            }
+            Some(start) => Attempt::of_gang(task, start.parse()?)
+                .ok_or(ParseAttemptError::GangStartOutOfRange)?,
             None => Attempt {
                 task,
                 number: number.parse()?,
--- a/src/store/records/task_ranges.rs
+++ b/src/store/records/task_ranges.rs
@@ -93,7 +93,7 @@
 pub enum ParseTaskRangesError {
     /// A number is malformed.
     #[error("malformed number in task ranges: {0}")]
-    InvalidNumber(#[from] ParseIntError),
+    MalformedNumber(#[from] ParseIntError),
     /// A range ends before it starts.
     #[error("the range {start}-{end} ends before it starts")]
     ReversedRange {
