--- a/crates/domain/src/resources.rs
+++ b/crates/domain/src/resources.rs
@@ -1,8 +1,8 @@
-//! What machines have and tasks need, and how machines are rented.
+//! The resources of machines and tasks, and the capacity types of machines.
 
 use serde::{Deserialize, Serialize};
 
-/// What a task takes of a machine, or what a machine has.
+/// The resources that a task needs or a machine has.
 #[derive(Debug, Clone, Copy, PartialEq, Default, Serialize, Deserialize)]
 pub struct Resources {
     /// CPUs.
@@ -13,15 +13,16 @@
     pub memory_gb: f64,
 }
 
-/// Sums of decimals such as 0.1 miss by a little; a task that fits exactly must still fit.
-const SLACK: f64 = 1e-6;
+/// Tolerance for rounding errors in sums of decimals such as 0.1; a task that fits exactly must
+/// still fit.
+const ROUNDING_TOLERANCE: f64 = 1e-6;
 
 impl Resources {
     /// Whether `need` fits into these resources.
     pub fn fits(&self, need: &Resources) -> bool {
-        need.cpus <= self.cpus + SLACK
-            && need.gpus <= self.gpus + SLACK
-            && need.memory_gb <= self.memory_gb + SLACK
+        need.cpus <= self.cpus + ROUNDING_TOLERANCE
+            && need.gpus <= self.gpus + ROUNDING_TOLERANCE
+            && need.memory_gb <= self.memory_gb + ROUNDING_TOLERANCE
     }
 
     /// Adds other resources to these.
@@ -38,7 +39,7 @@
         self.memory_gb -= other.memory_gb;
     }
 
-    /// These resources so many times.
+    /// These resources multiplied by `count`.
     pub fn scaled(&self, count: f64) -> Resources {
         Resources {
             cpus: self.cpus * count,
@@ -47,41 +48,51 @@
         }
     }
 
-    /// How many tasks of `need` an empty machine of this size holds.
+    /// The number of tasks that an empty machine with these resources can hold if each task needs
+    /// `need`.
     pub fn max_tasks(&self, need: &Resources) -> u32 {
-        let of = |have: f64, need: f64| {
-            if need <= SLACK {
+        let max_count = |have: f64, needed: f64| {
+            if needed <= ROUNDING_TOLERANCE {
                 f64::INFINITY
             } else {
-                (have + SLACK) / need
+                (have + ROUNDING_TOLERANCE) / needed
             }
         };
-        let count = of(self.cpus, need.cpus)
-            .min(of(self.gpus, need.gpus))
-            .min(of(self.memory_gb, need.memory_gb));
-        // Saturates: a task that needs nothing fits any number of times.
+        let count = max_count(self.cpus, need.cpus)
+            .min(max_count(self.gpus, need.gpus))
+            .min(max_count(self.memory_gb, need.memory_gb));
+        // The cast saturates: a task that needs nothing fits any number of times.
         count.floor().clamp(0.0, f64::from(u32::MAX)) as u32
     }
 
-    /// What is left of a machine of size `self`, summed over its resources: each counts 1 when all of it is.
-    pub fn free_share(&self, left: &Resources) -> f64 {
-        let of = |have: f64, left: f64| if have <= SLACK { 0.0 } else { left / have };
-        of(self.cpus, left.cpus) + of(self.gpus, left.gpus) + of(self.memory_gb, left.memory_gb)
+    /// The free share of a machine with these resources, of which `free` are free, summed over the
+    /// kinds of resources. A resource that is entirely free counts 1.
+    pub fn free_share(&self, free: &Resources) -> f64 {
+        let share = |total: f64, available: f64| {
+            if total <= ROUNDING_TOLERANCE {
+                0.0
+            } else {
+                available / total
+            }
+        };
+        share(self.cpus, free.cpus)
+            + share(self.gpus, free.gpus)
+            + share(self.memory_gb, free.memory_gb)
     }
 }
 
 /// How a machine is rented.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum CapacityType {
-    /// Kept until it is returned.
+    /// Rented until it is returned.
     #[serde(rename = "Ordinary")]
     OnDemand,
-    /// Cheaper, but the cloud may take it back.
+    /// Cheaper, but the cloud may reclaim it.
     Spot,
 }
 
 impl CapacityType {
-    /// Spot if true.
+    /// Returns `Spot` if `spot` is true and `OnDemand` otherwise.
     pub fn from_spot(spot: bool) -> Self {
         if spot {
             CapacityType::Spot
@@ -90,7 +101,7 @@
         }
     }
 
-    /// Whether the cloud may take it back.
+    /// Whether the cloud may reclaim the machine.
     pub fn is_spot(self) -> bool {
         self == CapacityType::Spot
     }
--- a/src/store/cache/apply.rs
+++ b/src/store/cache/apply.rs
@@ -1,7 +1,8 @@
-//! Changes of records: the copy itself and what follows from it.
+//! Applies changes to the cached records and to the indexes derived from them.
 //!
-//! [`WatchCache::apply`] is called with the changes that a load or a watch brings, and by the controller with its own commits
-//! before the watch shows them. A change that is older than the record is ignored.
+//! [`WatchCache::apply`] is called with the changes of a load or a watch, and by the controller
+//! with its own commits before the watch returns them. A change that is older than the cached
+//! record is ignored.
 
 use std::collections::BTreeMap;
 
@@ -16,34 +17,34 @@
 };
 
 impl WatchCache {
-    /// Applies one change. A key that is not of this service, or not known to this version, is ignored.
+    /// Applies one change. Keys of other services and of kinds unknown to this version are ignored.
     pub fn apply(&mut self, change: Change) {
         let Some(key) = RecordKey::of(&change.key) else {
             return;
         };
         match key {
             RecordKey::Leader => set(&mut self.leader, change),
-            RecordKey::Token => set(&mut self.token, change),
+            RecordKey::TokenCounter => set(&mut self.token, change),
             RecordKey::Member(controller) => {
-                set_in(&mut self.members, controller, change);
+                set_entry(&mut self.members, controller, change);
             }
             RecordKey::BlockLease(block) => {
                 self.changed.block_leases = true;
-                set_in(&mut self.block_leases, block, change);
+                set_entry(&mut self.block_leases, block, change);
             }
             RecordKey::Format => set(&mut self.format, change),
             RecordKey::Drain(id) => {
-                set_in(&mut self.drains, id, change);
+                set_entry(&mut self.drains, id, change);
             }
             RecordKey::DrainBudget(team) => {
-                set_in(&mut self.drain_budgets, team, change);
+                set_entry(&mut self.drain_budgets, team, change);
             }
             RecordKey::DrainLedger(team) => {
-                set_in(&mut self.drain_ledgers, team, change);
+                set_entry(&mut self.drain_ledgers, team, change);
             }
             RecordKey::MachineInventory(block, part) => self.apply_inventory(block, part, change),
             RecordKey::PendingRental(name) => {
-                set_in(&mut self.pending_rentals, name, change);
+                set_entry(&mut self.pending_rentals, name, change);
             }
             RecordKey::BlockPlacements(block, part) => self.apply_placements(block, part, change),
             RecordKey::Job(job) => self.apply_job(job, change),
@@ -52,7 +53,7 @@
     }
 
     fn apply_progress(&mut self, job: JobId, chunk: u32, change: Change) {
-        set_in(&mut self.progress, (job, chunk), change);
+        set_entry(&mut self.progress, (job, chunk), change);
         if let (Some(open), Some(progress)) = (
             self.open_jobs.get_mut(&job),
             self.progress.get(&(job, chunk)),
@@ -64,25 +65,25 @@
     fn apply_inventory(&mut self, block: BlockId, part: Part, change: Change) {
         let version = change.version;
         let parts = self.inventory_parts.entry(block.clone()).or_default();
-        if !set_in(parts, part, change) {
+        if !set_entry(parts, part, change) {
             return;
         }
         let merged = merge_inventories(parts);
-        let old = replace(&mut self.inventories, &block, merged, version);
+        let old = replace_merged(&mut self.inventories, &block, merged, version);
         self.index_machines(&block, old.as_ref());
     }
 
-    /// Brings the machines by id up to date with a block's inventory, which was `old` before.
+    /// Updates the machines by id after a block's inventory has changed from `old`.
     fn index_machines(&mut self, block: &BlockId, old: Option<&MachineInventory>) {
         let new = self.inventories.get(block).map(|new| &new.value);
         for id in old.iter().flat_map(|old| old.machines.keys()) {
-            let kept = new.is_some_and(|new| new.machines.contains_key(id));
-            let here = self
+            let still_listed = new.is_some_and(|new| new.machines.contains_key(id));
+            let in_this_block = self
                 .machines
                 .get(id)
                 .is_some_and(|machine| machine.block == *block);
-            // A machine that has moved to another block stays.
-            if !kept && here {
+            // A machine that has moved to another block is kept.
+            if !still_listed && in_this_block {
                 self.machines.remove(id);
                 self.changed.machines.insert(id.clone());
             }
@@ -91,11 +92,11 @@
             return;
         };
         for (id, entry) in &new.machines {
-            let known = old.and_then(|old| old.machines.get(id));
-            if known == Some(entry) && self.machines.contains_key(id) {
+            let old_entry = old.and_then(|old| old.machines.get(id));
+            if old_entry == Some(entry) && self.machines.contains_key(id) {
                 continue;
             }
-            let machine = machine(entry, &new.zone, block);
+            let machine = machine_from_entry(entry, &new.zone, block);
             self.machines.insert(id.clone(), machine);
             self.changed.machines.insert(id.clone());
         }
@@ -104,17 +105,17 @@
     fn apply_placements(&mut self, block: BlockId, part: Part, change: Change) {
         let version = change.version;
         let parts = self.placements_parts.entry(block.clone()).or_default();
-        if !set_in(parts, part, change) {
+        if !set_entry(parts, part, change) {
             return;
         }
         let merged = merge_placements(parts);
-        let old = replace(&mut self.placements, &block, merged, version).unwrap_or_default();
+        let old = replace_merged(&mut self.placements, &block, merged, version).unwrap_or_default();
         self.index_placements(&block, &old);
         self.merge_finished_tasks(&block, &old);
     }
 
-    /// Brings the attempts by job up to date with a block's placements, which were `old` before. Only what differs is
-    /// changed: most of a block is as it was.
+    /// Updates the attempts by job after a block's placements have changed from `old`. Only
+    /// differences are applied, since most of a block is usually unchanged.
     fn index_placements(&mut self, block: &BlockId, old: &BlockPlacements) {
         let Some(new) = self.placements.get(block).map(|new| &new.value) else {
             for (_, attempt) in old.attempts() {
@@ -122,10 +123,10 @@
             }
             return;
         };
-        for (_, placed) in only_in_first(old, new) {
+        for (_, placed) in attempts_only_in_first(old, new) {
             self.placement_index.remove(placed.0);
         }
-        for (machine, placed) in only_in_first(new, old) {
+        for (machine, placed) in attempts_only_in_first(new, old) {
             let placement = Placement {
                 block: block.clone(),
                 machine: machine.clone(),
@@ -134,7 +135,7 @@
         }
     }
 
-    /// Adds the finished tasks that a block's placements show and did not show in `old` to their open jobs.
+    /// Adds the finished tasks in a block's placements that were not in `old` to their open jobs.
     fn merge_finished_tasks(&mut self, block: &BlockId, old: &BlockPlacements) {
         let Some(new) = self.placements.get(block) else {
             return;
@@ -163,7 +164,7 @@
                 return;
             }
         };
-        // A final state is final: an older copy of the record can't bring the job back.
+        // An ended job stays ended: an older version of the record must not reopen it.
         if self.ended_jobs.contains_key(&id) {
             return;
         }
@@ -189,40 +190,42 @@
         }
     }
 
-    /// The finished tasks of a job that the placements of all blocks and its progress show.
+    /// The finished tasks of a job according to the placements of all blocks and its progress.
     fn finished_tasks(&self, id: JobId) -> TaskRanges {
         let mut finished = TaskRanges::default();
-        let in_blocks = self
+        let from_placements = self
             .placements
             .values()
             .filter_map(|placements| placements.value.done.get(&id));
-        let recorded = self
+        let from_progress = self
             .progress
             .range((id, 0)..=(id, u32::MAX))
             .map(|(_, progress)| &progress.value.done);
-        in_blocks
-            .chain(recorded)
+        from_placements
+            .chain(from_progress)
             .for_each(|done| finished.merge(done));
         finished
     }
 
-    /// Takes in a cancellation that was committed as this version, before the watch shows it: a controller that the state
-    /// service refuses has no other way to learn of it. A copy that has reached that version and shows otherwise knows
-    /// better. `at_ms` is in milliseconds since the Unix epoch. False: there is no room to keep it.
+    /// Records a cancellation that was committed as this version before the watch returns it, since
+    /// a controller that the state service refuses cannot learn of it otherwise. It is ignored if
+    /// the cache has reached that version, because the cache then shows the job's current state.
+    /// `at_ms` is in milliseconds since the Unix epoch. Returns false if the limit of pending
+    /// cancellations is reached.
     #[must_use]
     pub fn record_cancellation(&mut self, id: JobId, version: u64, at_ms: u64) -> bool {
         let following = matches!(self.sync.state, SyncState::Following { .. });
-        let shown = following && self.revision >= version;
-        if shown || self.ended_jobs.contains_key(&id) {
+        let already_contained = following && self.revision >= version;
+        if already_contained || self.ended_jobs.contains_key(&id) {
             return true;
         }
-        let kept = self
+        let stored = self
             .cancellations
             .insert(id, Cancellation { version, at_ms });
-        if kept {
+        if stored {
             self.apply_cancellation(id);
         }
-        kept
+        stored
     }
 
     fn apply_cancellation(&mut self, id: JobId) {
@@ -240,7 +243,7 @@
     }
 }
 
-fn machine(entry: &InventoryEntry, zone: &Zone, block: &BlockId) -> Machine {
+fn machine_from_entry(entry: &InventoryEntry, zone: &Zone, block: &BlockId) -> Machine {
     Machine {
         type_name: entry.type_name.clone(),
         zone: zone.clone(),
@@ -251,7 +254,7 @@
     }
 }
 
-/// All parts of an inventory as one. None if there are none.
+/// Merges the parts of an inventory. Returns `None` if there are none.
 fn merge_inventories(parts: &Parts<MachineInventory>) -> Option<MachineInventory> {
     let mut parts = parts.values();
     let mut merged = parts.next()?.value.clone();
@@ -259,7 +262,7 @@
     Some(merged)
 }
 
-/// All parts of a block's placements as one. None if there are none.
+/// Merges the parts of a block's placements. Returns `None` if there are none.
 fn merge_placements(parts: &Parts<BlockPlacements>) -> Option<BlockPlacements> {
     if parts.is_empty() {
         return None;
@@ -269,8 +272,8 @@
     Some(merged)
 }
 
-/// Puts a block's merged record in place of the old one, which it returns. The version never goes back.
-fn replace<T>(
+/// Replaces a block's merged record and returns the old one. The version never decreases.
+fn replace_merged<T>(
     records: &mut BTreeMap<BlockId, Versioned<T>>,
     block: &BlockId,
     merged: Option<T>,
@@ -284,8 +287,8 @@
     old.map(|old| old.value)
 }
 
-/// The attempts that the first placements have and the second ones don't have on the same machine.
-fn only_in_first<'a>(
+/// The attempts in `first` that `second` does not have on the same machine.
+fn attempts_only_in_first<'a>(
     first: &'a BlockPlacements,
     second: &'a BlockPlacements,
 ) -> impl Iterator<Item = (&'a MachineId, &'a AttemptEncoding)> {
@@ -305,7 +308,7 @@
     value.deserialized().ok()
 }
 
-/// Sets or removes a record, unless the change is older than what is there.
+/// Sets or removes a record, unless the change is older than the record.
 fn set<T: Record>(slot: &mut Option<Versioned<T>>, change: Change) {
     if slot
         .as_ref()
@@ -323,8 +326,13 @@
         });
 }
 
-/// As [`set`], in a map. False: the change is older than what is there.
-fn set_in<K: Ord, T: Record>(map: &mut BTreeMap<K, Versioned<T>>, key: K, change: Change) -> bool {
+/// Sets or removes a record in a map as [`set`] does. Returns false if the change is older than the
+/// record.
+fn set_entry<K: Ord, T: Record>(
+    map: &mut BTreeMap<K, Versioned<T>>,
+    key: K,
+    change: Change,
+) -> bool {
     if map
         .get(&key)
         .is_some_and(|old| old.version > change.version)
--- a/src/store/wire.rs
+++ b/src/store/wire.rs
@@ -1,7 +1,8 @@
-//! The state service's protocol: requests and answers in the spelling of PROTOCOL.
+//! The state service's protocol: encodes requests and parses responses.
 //!
-//! The event loop turns a [`StoreRequest`] into an HTTP request with [`http_request`] and its reply into a [`StoreResponse`] with
-//! [`parse_response`]. Nothing else in the program knows the spelling.
+//! The event loop turns a [`StoreRequest`] into an HTTP request with [`http_request`] and its reply
+//! into a [`StoreResponse`] with [`parse_response`]. The names on the wire occur in this module
+//! only.
 
 use std::time::Duration;
 
@@ -90,10 +91,10 @@
     tenure: u64,
 }
 
-/// Keys in a page: the service's own limit.
-const PAGE_KEYS: u32 = 1000;
-/// How long an answer is waited for: twice as long for a page, and beyond its own wait for a watch.
-const TIMEOUT: Duration = Duration::from_millis(1500);
+/// Maximum number of keys in a page, as the service limits it.
+const MAX_KEYS_PER_PAGE: u32 = 1000;
+/// Timeout of a request. A page has twice as long, and a watch its own waiting time in addition.
+const REQUEST_TIMEOUT: Duration = Duration::from_millis(1500);
 
 fn millis(duration: Duration) -> u64 {
     u64::try_from(duration.as_millis()).unwrap_or(u64::MAX)
@@ -122,22 +123,22 @@
     })
 }
 
-/// The HTTP request that a request is sent as.
+/// Encodes a request as an HTTP request.
 pub fn http_request(request: &StoreRequest) -> Request {
     match request {
-        StoreRequest::Get { key } => Request::get(format!("/keys/{key}"), TIMEOUT),
+        StoreRequest::Get { key } => Request::get(format!("/keys/{key}"), REQUEST_TIMEOUT),
         StoreRequest::Range { prefix, after } => {
             let after = after
                 .as_ref()
                 .map(|key| format!("&after={key}"))
                 .unwrap_or_default();
             Request::get(
-                format!("/keys?prefix={prefix}{after}&most={PAGE_KEYS}"),
-                TIMEOUT * 2,
+                format!("/keys?prefix={prefix}{after}&most={MAX_KEYS_PER_PAGE}"),
+                REQUEST_TIMEOUT * 2,
             )
         }
         StoreRequest::Commit(txn) => {
-            Request::post("/multi".to_owned(), transaction_body(txn), TIMEOUT)
+            Request::post("/multi".to_owned(), transaction_body(txn), REQUEST_TIMEOUT)
         }
         StoreRequest::Watch {
             prefix,
@@ -148,22 +149,22 @@
                 "/follow?prefix={prefix}&after={after}&holdMs={}",
                 millis(*wait)
             );
-            Request::get(path, *wait + TIMEOUT)
+            Request::get(path, *wait + REQUEST_TIMEOUT)
         }
         StoreRequest::GrantLease { life } => Request::post(
             "/holds".to_owned(),
             encode_body(&GrantLeaseBody {
                 life_ms: millis(*life),
             }),
-            TIMEOUT,
+            REQUEST_TIMEOUT,
         ),
         StoreRequest::KeepAliveLease { id } => {
-            Request::post(format!("/holds/{id}/extend"), Vec::new(), TIMEOUT)
+            Request::post(format!("/holds/{id}/extend"), Vec::new(), REQUEST_TIMEOUT)
         }
     }
 }
 
-/// What the reply to a request means. None: no reply came in time.
+/// Parses the reply to a request. `None` means that no reply arrived in time.
 pub fn parse_response(request: &StoreRequest, reply: Option<&Reply>) -> StoreResponse {
     let Some(reply) = reply else {
         return StoreResponse::Unknown;
@@ -189,7 +190,8 @@
     }
 }
 
-/// The answer in a reply's body. A body that can't be read says nothing of what became of the request.
+/// Parses the body of a reply. A malformed body is [`StoreResponse::Unknown`], because it does not
+/// tell whether the request was executed.
 fn parse<T: DeserializeOwned + Into<StoreResponse>>(reply: &Reply) -> StoreResponse {
     decode_body::<T>(&reply.body).map_or(StoreResponse::Unknown, Into::into)
 }
@@ -239,13 +241,17 @@
     fn from(response: WatchResponse) -> Self {
         StoreResponse::WatchEvents {
             revision: response.revision,
-            changes: response.news.into_iter().filter_map(change).collect(),
+            changes: response
+                .news
+                .into_iter()
+                .filter_map(change_from_event)
+                .collect(),
         }
     }
 }
 
-/// The change that an event tells of. None: the event names no key.
-fn change(event: WatchEvent) -> Option<Change> {
+/// Converts an event of a watch to a change. Returns `None` if the event names no key.
+fn change_from_event(event: WatchEvent) -> Option<Change> {
     let (key, value) = match (event.put, event.remove) {
         (Some(key), _) => (key, event.value),
         (None, Some(key)) => (key, None),
