--- a/crates/drain/src/budget.rs
+++ b/crates/drain/src/budget.rs
@@ -26,8 +26,8 @@
 }
 
 /// One percent, in basis points.
-const PERCENT: u32 = 100;
-const ALL: u32 = 100 * PERCENT;
+const BASIS_POINTS_PER_PERCENT: u32 = 100;
+const TOTAL_BASIS_POINTS: u32 = 100 * BASIS_POINTS_PER_PERCENT;
 
 /// A text that is no limit.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
@@ -36,11 +36,11 @@
 
 impl Limit {
     /// What it comes to of so many.
-    pub fn resolve(self, all: u64) -> u64 {
+    pub fn resolve(self, total: u64) -> u64 {
         match self {
             Limit::Count(count) => u64::from(count),
             Limit::Share { basis_points } => {
-                all.saturating_mul(u64::from(basis_points)) / u64::from(ALL)
+                total.saturating_mul(u64::from(basis_points)) / u64::from(TOTAL_BASIS_POINTS)
             }
         }
     }
@@ -59,7 +59,7 @@
             return Err(malformed());
         }
         // At most 10,000 by the check above.
-        let basis_points = (percent * f64::from(PERCENT)).round() as u32;
+        let basis_points = (percent * f64::from(BASIS_POINTS_PER_PERCENT)).round() as u32;
         Ok(Limit::Share { basis_points })
     }
 }
@@ -83,7 +83,11 @@
         match self {
             Limit::Count(count) => write!(f, "{count}"),
             Limit::Share { basis_points } => {
-                write!(f, "{}%", f64::from(*basis_points) / f64::from(PERCENT))
+                write!(
+                    f,
+                    "{}%",
+                    f64::from(*basis_points) / f64::from(BASIS_POINTS_PER_PERCENT)
+                )
             }
         }
     }
--- a/crates/drain/src/fleet.rs
+++ b/crates/drain/src/fleet.rs
@@ -9,7 +9,7 @@
 };
 
 use crate::ledger::EvictionTarget;
-use crate::scope::Membership;
+use crate::scope::MachineAttributes;
 
 /// Whether a machine takes new tasks.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -46,8 +46,8 @@
 }
 
 impl MachineView {
-    pub(crate) fn membership(&self) -> Membership<'_> {
-        Membership {
+    pub(crate) fn attributes(&self) -> MachineAttributes<'_> {
+        MachineAttributes {
             id: &self.id,
             block: &self.block,
             type_name: &self.type_name,
--- a/crates/drain/src/id.rs
+++ b/crates/drain/src/id.rs
@@ -7,7 +7,7 @@
 use serde::{Deserialize, Deserializer, Serialize, Serializer};
 
 /// The longest name: it is part of a key and of each eviction that is recorded.
-pub const MOST_CHARACTERS: usize = 40;
+pub const MAX_ID_CHARACTERS: usize = 40;
 
 /// The name of a drain or a cordon.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -16,7 +16,7 @@
 /// A text that is no name of a drain.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 #[error(
-    "an id has 1 to {MOST_CHARACTERS} of the characters a-z, 0-9, `-`, `_` and `.`, and begins with a letter or digit"
+    "an id has 1 to {MAX_ID_CHARACTERS} of the characters a-z, 0-9, `-`, `_` and `.`, and begins with a letter or digit"
 )]
 pub struct MalformedId;
 
@@ -26,11 +26,11 @@
     fn from_str(text: &str) -> Result<Self, MalformedId> {
         let allowed =
             |c: char| c.is_ascii_lowercase() || c.is_ascii_digit() || matches!(c, '-' | '_' | '.');
-        let begins_well = text
+        let valid_start = text
             .chars()
             .next()
             .is_some_and(|c| c.is_ascii_lowercase() || c.is_ascii_digit());
-        if begins_well && text.len() <= MOST_CHARACTERS && text.chars().all(allowed) {
+        if valid_start && text.len() <= MAX_ID_CHARACTERS && text.chars().all(allowed) {
             Ok(DrainId(text.into()))
         } else {
             Err(MalformedId)
--- a/crates/drain/src/operator.rs
+++ b/crates/drain/src/operator.rs
@@ -72,7 +72,7 @@
 
 impl Request {
     /// Whether it changes nothing.
-    pub fn only_reads(&self) -> bool {
+    pub fn is_read_only(&self) -> bool {
         matches!(self, Request::List { .. } | Request::Budgets)
     }
 }
--- a/crates/drain/src/planner/ledgers.rs
+++ b/crates/drain/src/planner/ledgers.rs
@@ -22,7 +22,11 @@
                 lost_of.entry(job.team).or_default().push(task);
             }
         }
-        let under_way = self.records.drains.values().any(DrainRecord::is_under_way);
+        let under_way = self
+            .records
+            .drains
+            .values()
+            .any(DrainRecord::is_in_progress);
         let mut teams: BTreeSet<&Team> = self.records.ledgers.keys().collect();
         teams.extend(self.evictions.keys());
         if under_way {
--- a/crates/drain/src/planner/pass.rs
+++ b/crates/drain/src/planner/pass.rs
@@ -27,7 +27,7 @@
 impl<F: Fleet> Pass<'_, F> {
     /// The machines that a record holds.
     pub(super) fn machines_of(&self, record: &DrainRecord) -> Vec<MachineView> {
-        let held = |machine: &&MachineView| record.holds_machine(machine.membership());
+        let held = |machine: &&MachineView| record.applies_to(machine.attributes());
         self.fleet.machines().iter().filter(held).cloned().collect()
     }
 
@@ -35,7 +35,7 @@
     pub(super) fn reconcile_cordons(&mut self) {
         for machine in self.fleet.machines() {
             let mut records = self.records.drains.values();
-            let held = records.any(|record| record.holds_machine(machine.membership()));
+            let held = records.any(|record| record.applies_to(machine.attributes()));
             match machine.state {
                 ServiceState::InService if held => {
                     self.effects.push(Effect::Cordon(machine.id.clone()));
--- a/crates/drain/src/record.rs
+++ b/crates/drain/src/record.rs
@@ -9,12 +9,12 @@
 use serde::{Deserialize, Serialize};
 
 use crate::budget::Limit;
-use crate::scope::{Membership, Scope};
+use crate::scope::{MachineAttributes, Scope};
 
 /// Drains and cordons that hold machines back at the same time.
-pub const MOST_HOLDING: usize = 64;
+pub const MAX_RECORDS_IN_EFFECT: usize = 64;
 /// Ended ones that stay known, so that a repeated request is answered and not carried out again.
-pub const MOST_ENDED: usize = 64;
+pub const MAX_ENDED_RECORDS: usize = 64;
 
 /// What is asked for.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
@@ -116,7 +116,7 @@
 
 impl DrainRecord {
     /// A request as it is recorded at first.
-    pub fn requested(
+    pub fn new(
         scope: Scope,
         purpose: Purpose,
         return_machines: bool,
@@ -141,17 +141,17 @@
     }
 
     /// Whether it still has something to do.
-    pub fn is_under_way(&self) -> bool {
+    pub fn is_in_progress(&self) -> bool {
         matches!(self.phase, Phase::Active | Phase::Halted { .. })
     }
 
     /// Whether a machine is kept out of service by it.
-    pub fn holds_machine(&self, machine: Membership<'_>) -> bool {
+    pub fn applies_to(&self, machine: MachineAttributes<'_>) -> bool {
         self.is_in_effect() && !self.except.contains(machine.id) && self.scope.contains(machine)
     }
 
     /// Whether it asks for the same.
-    pub fn same_request(&self, other: &DrainRecord) -> bool {
+    pub fn has_same_request(&self, other: &DrainRecord) -> bool {
         (&self.scope, self.purpose, self.return_machines, self.step)
             == (
                 &other.scope,
--- a/crates/drain/src/requests.rs
+++ b/crates/drain/src/requests.rs
@@ -8,8 +8,8 @@
 use crate::fleet::MachineView;
 use crate::id::DrainId;
 use crate::operator::{Problem, ProblemKind, Request};
-use crate::record::{DrainRecord, MOST_ENDED, MOST_HOLDING, Phase, Purpose};
-use crate::scope::{Membership, Scope};
+use crate::record::{DrainRecord, MAX_ENDED_RECORDS, MAX_RECORDS_IN_EFFECT, Phase, Purpose};
+use crate::scope::{MachineAttributes, Scope};
 
 /// A change of a record.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -76,7 +76,7 @@
             step,
         } => {
             let (scope, now_ms) = (scope.clone(), known.now_ms);
-            let record = DrainRecord::requested(scope, *purpose, *return_machines, *step, now_ms);
+            let record = DrainRecord::new(scope, *purpose, *return_machines, *step, now_ms);
             start(id, record, known)
         }
         Request::Uncordon { scope } => uncordon(scope, known),
@@ -103,14 +103,15 @@
     if drains.contains_key(id) {
         return Some(id);
     }
-    let same =
-        |(_, other): &(&DrainId, &DrainRecord)| other.is_under_way() && other.same_request(record);
+    let same = |(_, other): &(&DrainId, &DrainRecord)| {
+        other.is_in_progress() && other.has_same_request(record)
+    };
     drains.iter().find(same).map(|(id, _)| id)
 }
 
 fn start(id: &DrainId, record: DrainRecord, known: &Known<'_>) -> Result<Vec<Change>, Problem> {
     if let Some(other) = known.drains.get(id) {
-        if other.same_request(&record) {
+        if other.has_same_request(&record) {
             return Ok(Vec::new());
         }
         return Err(refused(format!(
@@ -144,9 +145,9 @@
         .values()
         .filter(|record| record.is_in_effect())
         .count();
-    if holding >= MOST_HOLDING {
+    if holding >= MAX_RECORDS_IN_EFFECT {
         return Err(refused(format!(
-            "{MOST_HOLDING} drains and cordons hold machines already: cancel or uncordon some"
+            "{MAX_RECORDS_IN_EFFECT} drains and cordons hold machines already: cancel or uncordon some"
         )));
     }
     let mut changes = vec![Change::PutDrain(id.clone(), record)];
@@ -169,7 +170,7 @@
             .iter()
             .filter(|(_, record)| !record.is_in_effect())
     };
-    if ended().count() < MOST_ENDED {
+    if ended().count() < MAX_ENDED_RECORDS {
         return None;
     }
     ended()
@@ -254,7 +255,7 @@
         if shared.is_empty() && !whole {
             continue;
         }
-        if record.purpose == Purpose::Drain && record.is_under_way() {
+        if record.purpose == Purpose::Drain && record.is_in_progress() {
             return Err(refused(format!(
                 "drain `{id}` is under way and holds {}: cancel it first",
                 record.scope
@@ -290,13 +291,13 @@
     machines: &[MachineView],
 ) -> Vec<MachineId> {
     let both = |machine: &&MachineView| {
-        let membership = Membership {
+        let attributes = MachineAttributes {
             id: &machine.id,
             block: &machine.block,
             type_name: &machine.type_name,
             zone: &machine.zone,
         };
-        record.holds_machine(membership) && scope.contains(membership)
+        record.applies_to(attributes) && scope.contains(attributes)
     };
     machines
         .iter()
--- a/crates/drain/src/scope.rs
+++ b/crates/drain/src/scope.rs
@@ -28,7 +28,7 @@
 
 /// Where a machine belongs.
 #[derive(Debug, Clone, Copy)]
-pub struct Membership<'a> {
+pub struct MachineAttributes<'a> {
     /// Its id.
     pub id: &'a MachineId,
     /// Its block.
@@ -41,7 +41,7 @@
 
 impl Scope {
     /// Whether a machine is meant.
-    pub fn contains(&self, machine: Membership<'_>) -> bool {
+    pub fn contains(&self, machine: MachineAttributes<'_>) -> bool {
         match self {
             Scope::Machines(machines) => machines.contains(machine.id),
             Scope::Block(block) => block == machine.block,
@@ -54,8 +54,8 @@
     pub fn covers_type_in_zone(&self, type_name: &InstanceTypeName, zone: &Zone) -> bool {
         match self {
             Scope::Machines(_) | Scope::Block(_) => false,
-            Scope::Type(closed) => closed == type_name,
-            Scope::Zone(closed) => closed == zone,
+            Scope::Type(scope_type) => scope_type == type_name,
+            Scope::Zone(scope_zone) => scope_zone == zone,
         }
     }
 }
--- a/crates/drain/src/settings.rs
+++ b/crates/drain/src/settings.rs
@@ -42,22 +42,22 @@
 #[serde(try_from = "f64")]
 pub struct Seconds(#[schemars(range(min = 1.0, max = 86400.0))] f64);
 
-const LEAST_SECONDS: f64 = 1.0;
-const MOST_SECONDS: f64 = 86_400.0;
+const MIN_SECONDS: f64 = 1.0;
+const MAX_SECONDS: f64 = 86_400.0;
 
 /// A time that is too short or too long.
 #[derive(Debug, Clone, Copy, PartialEq, thiserror::Error)]
-#[error("must be from {LEAST_SECONDS} to {MOST_SECONDS} seconds, not {0}")]
-pub struct OutOfRange(f64);
+#[error("must be from {MIN_SECONDS} to {MAX_SECONDS} seconds, not {0}")]
+pub struct SecondsOutOfRange(f64);
 
 impl TryFrom<f64> for Seconds {
-    type Error = OutOfRange;
+    type Error = SecondsOutOfRange;
 
-    fn try_from(seconds: f64) -> Result<Self, OutOfRange> {
-        if (LEAST_SECONDS..=MOST_SECONDS).contains(&seconds) {
+    fn try_from(seconds: f64) -> Result<Self, SecondsOutOfRange> {
+        if (MIN_SECONDS..=MAX_SECONDS).contains(&seconds) {
             Ok(Seconds(seconds))
         } else {
-            Err(OutOfRange(seconds))
+            Err(SecondsOutOfRange(seconds))
         }
     }
 }
@@ -70,8 +70,8 @@
 }
 
 /// Slower than any boot that is still one: machines that take several times their usual time are replaced before.
-const ROOM_TIMEOUT: Seconds = Seconds(600.0);
-const REPLACEMENT_TIMEOUT: Seconds = Seconds(300.0);
+const DEFAULT_CAPACITY_TIMEOUT: Seconds = Seconds(600.0);
+const DEFAULT_REPLACEMENT_TIMEOUT: Seconds = Seconds(300.0);
 
 impl Default for DrainSettings {
     fn default() -> Self {
@@ -79,8 +79,8 @@
             enabled: false,
             step: Limit::Count(1),
             budget: Limit::Count(1),
-            room_timeout_s: ROOM_TIMEOUT,
-            replacement_timeout_s: REPLACEMENT_TIMEOUT,
+            room_timeout_s: DEFAULT_CAPACITY_TIMEOUT,
+            replacement_timeout_s: DEFAULT_REPLACEMENT_TIMEOUT,
             teams: BTreeMap::new(),
         }
     }
--- a/crates/drain/tests/requests.rs
+++ b/crates/drain/tests/requests.rs
@@ -5,7 +5,7 @@
 use dappleshore_domain::{MachineId, Team};
 use dappleshore_drain::operator::{Problem, ProblemKind, Request};
 use dappleshore_drain::planner::{MachineView, ServiceState};
-use dappleshore_drain::record::{MOST_ENDED, MOST_HOLDING};
+use dappleshore_drain::record::{MAX_ENDED_RECORDS, MAX_RECORDS_IN_EFFECT};
 use dappleshore_drain::requests::{Change, Known, changes};
 use dappleshore_drain::{DrainId, DrainRecord, Limit, Phase, Purpose, Scope, TeamBudget};
 
@@ -167,18 +167,22 @@
 #[test]
 fn what_is_stored_is_bounded() {
     let mut site = Site::default();
-    for n in 0..MOST_ENDED + 20 {
+    for n in 0..MAX_ENDED_RECORDS + 20 {
         let name = format!("d-{n}");
         site.ask(&start(&name, zone("a"), Purpose::Drain))
             .expect("taken");
         site.ask(&Request::Cancel { id: id(&name) }).expect("taken");
     }
-    assert!(site.drains.len() <= MOST_ENDED + 1, "{}", site.drains.len());
+    assert!(
+        site.drains.len() <= MAX_ENDED_RECORDS + 1,
+        "{}",
+        site.drains.len()
+    );
     assert!(
         !site.drains.contains_key(&id("d-0")),
         "the oldest goes first"
     );
-    for n in 0..MOST_HOLDING {
+    for n in 0..MAX_RECORDS_IN_EFFECT {
         let step = Some(Limit::Count(n as u32 + 1));
         let request = Request::Start {
             id: id(&format!("h-{n}")),
--- a/src/operations/mod.rs
+++ b/src/operations/mod.rs
@@ -128,7 +128,7 @@
         let mut result = PollResult::default();
         self.answer_overdue(now, &mut result);
         self.answer_reads(cx, cache, &mut result);
-        let Some(pending) = self.pending.iter_mut().find(|p| !p.request.only_reads()) else {
+        let Some(pending) = self.pending.iter_mut().find(|p| !p.request.is_read_only()) else {
             return result;
         };
         if !cache.is_current_as_of(pending.asked) {
@@ -185,7 +185,7 @@
     fn answer_reads(&mut self, cx: &Context<'_>, cache: &mut WatchCache, result: &mut PollResult) {
         let mut fresh_wanted = false;
         self.pending.retain(|pending| {
-            if !pending.request.only_reads() {
+            if !pending.request.is_read_only() {
                 return true;
             }
             if !cache.is_current_as_of(pending.asked) {
@@ -310,7 +310,7 @@
             let drains = without_versions(&cache.drains);
             let asked_ms = 0;
             let scope = scope.clone();
-            let record = DrainRecord::requested(scope, *purpose, *return_machines, *step, asked_ms);
+            let record = DrainRecord::new(scope, *purpose, *return_machines, *step, asked_ms);
             let existing = requests::existing(id, &record, &drains).cloned();
             drains_reply(existing.as_ref().or(Some(id)), cx, cache)
         }
