--- a/crates/drain/src/disruption.rs
+++ b/crates/drain/src/disruption.rs
@@ -1,6 +1,6 @@
 //! Which tasks are disrupted: evicted, lost, or on machines that are not usable, and not seen to run again.
 //!
-//! The planner calls it in each pass. [`Tracker`] is the leader's memory of what the ledgers do not show yet;
+//! The planner calls it in each pass. [`DisruptionTracker`] is the leader's memory of what the ledgers do not show yet;
 //! [`Disruptions`] is the count at one time, which is compared with the budgets.
 
 use std::collections::{BTreeMap, BTreeSet, HashSet};
@@ -14,7 +14,7 @@
 
 /// What is known of disruptions beyond what is recorded.
 #[derive(Debug, Default)]
-pub struct Tracker {
+pub struct DisruptionTracker {
     /// Tasks lost by no decision of a drain, with the attempt that was lost.
     lost: BTreeMap<TaskId, u64>,
     /// Recorded evictions whose replacement was seen to run.
@@ -24,19 +24,19 @@
 }
 
 /// Losses kept in mind. Beyond that the oldest jobs' are kept.
-const MOST_LOST: usize = 20_000;
+const MAX_TRACKED_LOSSES: usize = 20_000;
 
-impl Tracker {
+impl DisruptionTracker {
     /// Notes that a task's attempt has gone, neither done nor stopped by us.
-    pub fn note_lost(&mut self, attempt: Attempt) {
-        if self.lost.len() < MOST_LOST {
+    pub fn record_lost_attempt(&mut self, attempt: Attempt) {
+        if self.lost.len() < MAX_TRACKED_LOSSES {
             self.recovered.remove(&attempt.task);
             self.lost.insert(attempt.task, attempt.number);
         }
     }
 
     /// Forgets losses of tasks that are not wanted any more.
-    pub fn forget_unless(&mut self, is_needed: impl Fn(TaskId) -> bool) {
+    pub fn retain_needed(&mut self, is_needed: impl Fn(TaskId) -> bool) {
         self.lost.retain(|task, _| is_needed(*task));
         self.replaced.clear();
         self.recovered.clear();
@@ -47,7 +47,7 @@
         // Noted, and so recorded, before they are proven gone: a new leader could not tell that they were there.
         let failed = fleet.machines().iter().filter(|machine| machine.failed);
         for attempt in failed.flat_map(|machine| &machine.tasks) {
-            self.note_lost(*attempt);
+            self.record_lost_attempt(*attempt);
         }
         self.lost
             .retain(|task, lost| !is_restored(fleet, *task, |attempt| attempt.number == *lost));
@@ -103,7 +103,7 @@
 
 /// Tasks that exist and those that are disrupted.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct Count {
+pub struct DisruptionCount {
     /// Disrupted tasks.
     pub disrupted: u64,
     /// All tasks that exist, disrupted or not.
@@ -114,14 +114,14 @@
 #[derive(Debug, Default)]
 pub struct Disruptions {
     disrupted: HashSet<TaskId>,
-    known: HashSet<TaskId>,
-    teams: BTreeMap<Team, Count>,
-    classes: BTreeMap<(Team, Arc<str>), Count>,
+    counted: HashSet<TaskId>,
+    teams: BTreeMap<Team, DisruptionCount>,
+    classes: BTreeMap<(Team, Arc<str>), DisruptionCount>,
 }
 
 /// A budget that leaves no room for another disruption.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Exceeded {
+pub struct ExceededBudget {
     /// Whose budget it is.
     pub team: Team,
     /// None: the budget of the whole team.
@@ -129,36 +129,40 @@
     /// Tasks that are disrupted already.
     pub disrupted: u64,
     /// How many the eviction would add.
-    pub more: u64,
+    pub additional: u64,
     /// How many may be disrupted.
     pub allowed: u64,
 }
 
 impl Disruptions {
     /// Counts all tasks there are, and those that are disrupted.
-    pub fn count(tracker: &Tracker, ledgers: &BTreeMap<Team, Ledger>, fleet: &impl Fleet) -> Self {
+    pub fn count(
+        tracker: &DisruptionTracker,
+        ledgers: &BTreeMap<Team, Ledger>,
+        fleet: &impl Fleet,
+    ) -> Self {
         let mut count = Disruptions::default();
         for machine in fleet.machines() {
             for attempt in &machine.tasks {
-                count.add_task(fleet, attempt.task);
+                count.count_task(fleet, attempt.task);
                 if !machine.usable {
-                    count.disrupt(fleet, attempt.task);
+                    count.mark_disrupted(fleet, attempt.task);
                 }
             }
         }
         for eviction in tracker.outstanding(ledgers) {
             for task in eviction.target.tasks() {
-                count.disrupt(fleet, task);
+                count.mark_disrupted(fleet, task);
             }
         }
         for task in tracker.lost(ledgers) {
-            count.disrupt(fleet, task);
+            count.mark_disrupted(fleet, task);
         }
         count
     }
 
-    fn add_task(&mut self, fleet: &impl Fleet, task: TaskId) {
-        if !self.known.insert(task) {
+    fn count_task(&mut self, fleet: &impl Fleet, task: TaskId) {
+        if !self.counted.insert(task) {
             return;
         }
         if let Some(job) = fleet.job(task.job) {
@@ -168,7 +172,7 @@
     }
 
     /// Counts a task as disrupted; of a gang, all its tasks.
-    pub fn disrupt(&mut self, fleet: &impl Fleet, task: TaskId) {
+    pub fn mark_disrupted(&mut self, fleet: &impl Fleet, task: TaskId) {
         let Some(job) = fleet.job(task.job) else {
             return;
         };
@@ -181,7 +185,7 @@
             if fleet.is_done(task) || !self.disrupted.insert(task) {
                 continue;
             }
-            self.add_task(fleet, task);
+            self.count_task(fleet, task);
             self.teams.entry(job.team.clone()).or_default().disrupted += 1;
             let class = (job.team.clone(), job.class.clone());
             self.classes.entry(class).or_default().disrupted += 1;
@@ -189,55 +193,55 @@
     }
 
     /// What each team has.
-    pub fn teams(&self) -> &BTreeMap<Team, Count> {
+    pub fn teams(&self) -> &BTreeMap<Team, DisruptionCount> {
         &self.teams
     }
 
     /// What a team has.
-    pub fn team_count(&self, team: &Team) -> Count {
+    pub fn team_count(&self, team: &Team) -> DisruptionCount {
         self.teams.get(team).copied().unwrap_or_default()
     }
 
     /// What a team has of a class.
-    pub fn class_count(&self, team: &Team, class: &Arc<str>) -> Count {
+    pub fn class_count(&self, team: &Team, class: &Arc<str>) -> DisruptionCount {
         let key = (team.clone(), class.clone());
         self.classes.get(&key).copied().unwrap_or_default()
     }
 
     /// Whether a budget forbids to disrupt these tasks as well.
-    pub fn exceeded(
+    pub fn exceeded_budget(
         &self,
         fleet: &impl Fleet,
         budgets: &Budgets,
         target: &EvictionTarget,
-    ) -> Option<Exceeded> {
+    ) -> Option<ExceededBudget> {
         let job = fleet.job(target.job())?;
-        let more = target
+        let additional = target
             .tasks()
             .filter(|task| !self.disrupted.contains(task))
             .count() as u64;
         // Also for tasks that count as disrupted already, since their machine does not answer: it may come back, and
         // then they run.
-        let within = |count: Count, allowed: u64| count.disrupted + more <= allowed;
+        let within = |count: DisruptionCount, allowed: u64| count.disrupted + additional <= allowed;
         let team_count = self.team_count(&job.team);
         let allowed = budgets.team_limit(&job.team).resolve(team_count.tasks);
         if !within(team_count, allowed) {
-            return Some(Exceeded {
+            return Some(ExceededBudget {
                 team: job.team,
                 class: None,
                 disrupted: team_count.disrupted,
-                more,
+                additional,
                 allowed,
             });
         }
         let limit = budgets.class_limit(&job.team, &job.class)?;
         let class_count = self.class_count(&job.team, &job.class);
         let allowed = limit.resolve(class_count.tasks);
-        (!within(class_count, allowed)).then_some(Exceeded {
+        (!within(class_count, allowed)).then_some(ExceededBudget {
             team: job.team,
             class: Some(job.class),
             disrupted: class_count.disrupted,
-            more,
+            additional,
             allowed,
         })
     }
--- a/crates/drain/src/operator.rs
+++ b/crates/drain/src/operator.rs
@@ -220,7 +220,7 @@
                 let class = class.map_or(String::new(), |class| format!(", class {class}"));
                 Some(format!(
                     "team {}{class}: {} disrupted, {} more to be evicted, {} allowed",
-                    exceeded.team, exceeded.disrupted, exceeded.more, exceeded.allowed
+                    exceeded.team, exceeded.disrupted, exceeded.additional, exceeded.allowed
                 ))
             }
             DrainState::Replacing {
--- a/crates/drain/src/planner/evictions.rs
+++ b/crates/drain/src/planner/evictions.rs
@@ -7,7 +7,7 @@
 use super::Effect;
 use super::pass::Pass;
 use crate::budget::Limit;
-use crate::disruption::Exceeded;
+use crate::disruption::ExceededBudget;
 use crate::fleet::{Fleet, MachineView, NoCapacity};
 use crate::id::DrainId;
 use crate::ledger::{Eviction, EvictionTarget};
@@ -24,7 +24,7 @@
 pub(super) struct EvictionRound {
     /// Number of evictions.
     pub decided: usize,
-    pub exceeded: Option<Exceeded>,
+    pub exceeded: Option<ExceededBudget>,
     pub missing_room: Option<MissingRoom>,
 }
 
@@ -36,7 +36,7 @@
 
 /// Why a task or a gang can't be evicted now.
 enum EvictionError {
-    Budget(Exceeded),
+    Budget(ExceededBudget),
     NoCapacity(MissingRoom),
 }
 
@@ -133,9 +133,9 @@
         let Some(job) = self.fleet.job(target.job()) else {
             return Ok(Decision::Deferred);
         };
-        let exceeded = self
-            .disruptions
-            .exceeded(&*self.fleet, self.records.budgets, &target);
+        let exceeded =
+            self.disruptions
+                .exceeded_budget(&*self.fleet, self.records.budgets, &target);
         if let Some(exceeded) = exceeded {
             return Err(EvictionError::Budget(exceeded));
         }
@@ -154,7 +154,7 @@
             return Ok(Decision::Deferred);
         }
         for task in target.tasks() {
-            self.disruptions.disrupt(&*self.fleet, task);
+            self.disruptions.mark_disrupted(&*self.fleet, task);
         }
         let eviction = Eviction {
             target,
--- a/crates/drain/src/planner/ledgers.rs
+++ b/crates/drain/src/planner/ledgers.rs
@@ -6,7 +6,7 @@
 
 use super::Effect;
 use super::pass::Pass;
-use crate::disruption::Tracker;
+use crate::disruption::DisruptionTracker;
 use crate::fleet::Fleet;
 use crate::ledger::Ledger;
 use crate::record::DrainRecord;
@@ -14,7 +14,7 @@
 impl<F: Fleet> Pass<'_, F> {
     /// Writes the ledgers that change: evictions that are decided are added, those whose replacement runs are dropped,
     /// losses are as observed. Those that spend a budget come first, as one transaction holds only so many.
-    pub(super) fn write_ledgers(&mut self, tracker: &Tracker) {
+    pub(super) fn write_ledgers(&mut self, tracker: &DisruptionTracker) {
         let lost = tracker.lost(self.records.ledgers);
         let mut lost_of: BTreeMap<Team, Vec<TaskId>> = BTreeMap::new();
         for task in lost {
--- a/crates/drain/src/planner/mod.rs
+++ b/crates/drain/src/planner/mod.rs
@@ -15,7 +15,7 @@
 use dappleshore_domain::{Attempt, MachineId, Now, TaskId, Team, since};
 
 use crate::budget::{Budgets, Limit};
-use crate::disruption::{Disruptions, Tracker};
+use crate::disruption::{DisruptionTracker, Disruptions};
 use crate::fleet::Fleet;
 use crate::id::DrainId;
 use crate::ledger::{Eviction, Ledger};
@@ -102,7 +102,7 @@
 /// Plans drains, and remembers what the records do not hold.
 #[derive(Debug, Default)]
 pub struct Planner {
-    tracker: Tracker,
+    tracker: DisruptionTracker,
     /// Since when a drain has found no room.
     blocked_since: BTreeMap<DrainId, Instant>,
     progress: BTreeMap<DrainId, DrainProgress>,
@@ -114,11 +114,11 @@
     pub fn handle<F: Fleet>(&mut self, now: Now, event: Event<'_, F>) -> Vec<Effect> {
         match event {
             Event::AttemptLost(attempt) => {
-                self.tracker.note_lost(attempt);
+                self.tracker.record_lost_attempt(attempt);
                 Vec::new()
             }
             Event::NoActiveDrains { is_needed } => {
-                self.tracker.forget_unless(is_needed);
+                self.tracker.retain_needed(is_needed);
                 self.progress.clear();
                 Vec::new()
             }
--- a/crates/drain/src/planner/progress.rs
+++ b/crates/drain/src/planner/progress.rs
@@ -2,7 +2,7 @@
 
 use dappleshore_domain::TaskId;
 
-use crate::disruption::Exceeded;
+use crate::disruption::ExceededBudget;
 use crate::fleet::NoCapacity;
 use crate::record::HaltReason;
 
@@ -12,7 +12,7 @@
     /// Its machines are being cordoned.
     Requested,
     /// The next task of this team may not be disrupted now.
-    WaitingForBudget(Exceeded),
+    WaitingForBudget(ExceededBudget),
     /// The next task waits for a machine with room for it.
     Replacing {
         /// The first task that has no room.
--- a/src/operations/mod.rs
+++ b/src/operations/mod.rs
@@ -362,7 +362,7 @@
             |class: Option<String>,
              limit: Limit,
              source: &str,
-             count: dappleshore_drain::disruption::Count| BudgetStatus {
+             count: dappleshore_drain::disruption::DisruptionCount| BudgetStatus {
                 team: team.to_string(),
                 class,
                 limit,
