--- a/crates/drain/src/requests.rs
+++ b/crates/drain/src/requests.rs
@@ -25,7 +25,7 @@
 }
 
 /// What a request is checked against.
-pub struct Known<'a> {
+pub struct RequestContext<'a> {
     /// The leader's time of day in milliseconds.
     pub now_ms: u64,
     /// The stored drains and cordons.
@@ -43,15 +43,15 @@
     /// The teams of the settings.
     pub teams: BTreeSet<Team>,
     /// Changes that one transaction may have.
-    pub most_changes: usize,
+    pub max_changes: usize,
     /// Whether a record fits a value.
-    pub fits: &'a dyn Fn(&DrainRecord) -> bool,
+    pub fits_value: &'a dyn Fn(&DrainRecord) -> bool,
 }
 
 /// The longest name of a class.
-const MOST_CLASS_CHARACTERS: usize = 64;
+const MAX_CLASS_CHARACTERS: usize = 64;
 /// Classes of a team with budgets of their own.
-const MOST_CLASSES: usize = 16;
+const MAX_CLASS_BUDGETS: usize = 16;
 
 fn invalid(message: String) -> Problem {
     Problem::new(ProblemKind::Invalid, message)
@@ -66,7 +66,7 @@
 /// # Errors
 ///
 /// What the request names is unknown or invalid, or it conflicts with what is stored.
-pub fn changes(request: &Request, known: &Known<'_>) -> Result<Vec<Change>, Problem> {
+pub fn changes(request: &Request, context: &RequestContext<'_>) -> Result<Vec<Change>, Problem> {
     match request {
         Request::Start {
             id,
@@ -75,27 +75,27 @@
             return_machines,
             step,
         } => {
-            let (scope, now_ms) = (scope.clone(), known.now_ms);
+            let (scope, now_ms) = (scope.clone(), context.now_ms);
             let record = DrainRecord::new(scope, *purpose, *return_machines, *step, now_ms);
-            start(id, record, known)
+            start(id, record, context)
         }
-        Request::Uncordon { scope } => uncordon(scope, known),
-        Request::Cancel { id } => cancel(id, known),
-        Request::Resume { id } => resume(id, known),
+        Request::Uncordon { scope } => uncordon(scope, context),
+        Request::Cancel { id } => cancel(id, context),
+        Request::Resume { id } => resume(id, context),
         Request::List { id } => match id {
-            Some(id) => find(id, known).map(|_| Vec::new()),
+            Some(id) => find_record(id, context).map(|_| Vec::new()),
             None => Ok(Vec::new()),
         },
         Request::Budgets => Ok(Vec::new()),
         Request::SetBudget { team, class, limit } => {
-            set_budget(team, class.as_deref(), *limit, known)
+            set_budget(team, class.as_deref(), *limit, context)
         }
-        Request::ClearBudget { team, class } => clear_budget(team, class.as_deref(), known),
+        Request::ClearBudget { team, class } => clear_budget(team, class.as_deref(), context),
     }
 }
 
 /// The record that a request to start is answered with: of the same name, or one under way that asks for the same.
-pub fn existing<'a>(
+pub fn find_existing<'a>(
     id: &'a DrainId,
     record: &DrainRecord,
     drains: &'a BTreeMap<DrainId, DrainRecord>,
@@ -109,8 +109,12 @@
     drains.iter().find(same).map(|(id, _)| id)
 }
 
-fn start(id: &DrainId, record: DrainRecord, known: &Known<'_>) -> Result<Vec<Change>, Problem> {
-    if let Some(other) = known.drains.get(id) {
+fn start(
+    id: &DrainId,
+    record: DrainRecord,
+    context: &RequestContext<'_>,
+) -> Result<Vec<Change>, Problem> {
+    if let Some(other) = context.drains.get(id) {
         if other.has_same_request(&record) {
             return Ok(Vec::new());
         }
@@ -120,7 +124,7 @@
             other.scope
         )));
     }
-    check_scope(&record.scope, known)?;
+    check_scope(&record.scope, context)?;
     if record.step.is_some_and(|step| step.resolve(u64::MAX) == 0) {
         return Err(invalid(
             "a step of 0 would never empty a machine".to_owned(),
@@ -131,27 +135,27 @@
             "a cordon returns no machines: ask for a drain".to_owned(),
         ));
     }
-    if existing(id, &record, known.drains).is_some() {
+    if find_existing(id, &record, context.drains).is_some() {
         return Ok(Vec::new());
     }
-    if !(known.fits)(&record) {
+    if !(context.fits_value)(&record) {
         return Err(refused(format!(
             "{}: too many machines for one record; name a block, a type or a zone, or several lists",
             record.scope
         )));
     }
-    let holding = known
+    let in_effect = context
         .drains
         .values()
         .filter(|record| record.is_in_effect())
         .count();
-    if holding >= MAX_RECORDS_IN_EFFECT {
+    if in_effect >= MAX_RECORDS_IN_EFFECT {
         return Err(refused(format!(
             "{MAX_RECORDS_IN_EFFECT} drains and cordons hold machines already: cancel or uncordon some"
         )));
     }
     let mut changes = vec![Change::PutDrain(id.clone(), record)];
-    changes.extend(oldest_ended(known).map(Change::DeleteDrain));
+    changes.extend(oldest_ended(context).map(Change::DeleteDrain));
     Ok(changes)
 }
 
@@ -163,9 +167,9 @@
 }
 
 /// An ended record that makes room for another one.
-fn oldest_ended(known: &Known<'_>) -> Option<DrainId> {
+fn oldest_ended(context: &RequestContext<'_>) -> Option<DrainId> {
     let ended = || {
-        known
+        context
             .drains
             .iter()
             .filter(|(_, record)| !record.is_in_effect())
@@ -178,7 +182,7 @@
         .map(|(id, _)| id.clone())
 }
 
-fn check_scope(scope: &Scope, known: &Known<'_>) -> Result<(), Problem> {
+fn check_scope(scope: &Scope, context: &RequestContext<'_>) -> Result<(), Problem> {
     let unknown = |kind: &str, name: &dyn std::fmt::Display| {
         Err(invalid(format!("there is no {kind} `{name}`")))
     };
@@ -187,28 +191,32 @@
             if machines.is_empty() {
                 return Err(invalid("no machine is named".to_owned()));
             }
-            let exists = |id: &&MachineId| known.machines.iter().any(|machine| machine.id == **id);
+            let exists =
+                |id: &&MachineId| context.machines.iter().any(|machine| machine.id == **id);
             match machines.iter().find(|id| !exists(id)) {
                 Some(id) => unknown("machine", id),
                 None => Ok(()),
             }
         }
-        Scope::Block(block) if !known.blocks.contains(block) => unknown("block", block),
-        Scope::Type(name) if !known.types.contains(name) => unknown("machine type", name),
-        Scope::Zone(zone) if !known.zones.contains(zone) => unknown("zone", zone),
+        Scope::Block(block) if !context.blocks.contains(block) => unknown("block", block),
+        Scope::Type(name) if !context.types.contains(name) => unknown("machine type", name),
+        Scope::Zone(zone) if !context.zones.contains(zone) => unknown("zone", zone),
         Scope::Block(_) | Scope::Type(_) | Scope::Zone(_) => Ok(()),
     }
 }
 
-fn find<'a>(id: &DrainId, known: &'a Known<'_>) -> Result<&'a DrainRecord, Problem> {
-    known
+fn find_record<'a>(
+    id: &DrainId,
+    context: &'a RequestContext<'_>,
+) -> Result<&'a DrainRecord, Problem> {
+    context
         .drains
         .get(id)
         .ok_or_else(|| Problem::new(ProblemKind::NotFound, format!("there is no drain `{id}`")))
 }
 
-fn cancel(id: &DrainId, known: &Known<'_>) -> Result<Vec<Change>, Problem> {
-    let record = find(id, known)?;
+fn cancel(id: &DrainId, context: &RequestContext<'_>) -> Result<Vec<Change>, Problem> {
+    let record = find_record(id, context)?;
     match record.phase {
         Phase::Cancelled | Phase::Uncordoned => Ok(Vec::new()),
         Phase::Done => Err(refused(format!(
@@ -224,14 +232,14 @@
     }
 }
 
-fn resume(id: &DrainId, known: &Known<'_>) -> Result<Vec<Change>, Problem> {
-    let record = find(id, known)?;
+fn resume(id: &DrainId, context: &RequestContext<'_>) -> Result<Vec<Change>, Problem> {
+    let record = find_record(id, context)?;
     match record.phase {
         Phase::Active => Ok(Vec::new()),
         Phase::Halted { .. } => {
             let record = DrainRecord {
                 phase: Phase::Active,
-                resumed_ms: known.now_ms,
+                resumed_ms: context.now_ms,
                 ..record.clone()
             };
             Ok(vec![Change::PutDrain(id.clone(), record)])
@@ -242,17 +250,17 @@
     }
 }
 
-fn uncordon(scope: &Scope, known: &Known<'_>) -> Result<Vec<Change>, Problem> {
-    check_scope(scope, known)?;
+fn uncordon(scope: &Scope, context: &RequestContext<'_>) -> Result<Vec<Change>, Problem> {
+    check_scope(scope, context)?;
     let mut changes = Vec::new();
-    for (id, record) in known
+    for (id, record) in context
         .drains
         .iter()
         .filter(|(_, record)| record.is_in_effect())
     {
-        let shared = machines_of_both(scope, record, known.machines);
-        let whole = covers(scope, &record.scope);
-        if shared.is_empty() && !whole {
+        let shared = machines_in_both(scope, record, context.machines);
+        let includes_record = includes_scope(scope, &record.scope);
+        if shared.is_empty() && !includes_record {
             continue;
         }
         if record.purpose == Purpose::Drain && record.is_in_progress() {
@@ -262,12 +270,12 @@
             )));
         }
         let mut record = record.clone();
-        if whole {
+        if includes_record {
             record.phase = Phase::Uncordoned;
         } else {
             record.except.extend(shared);
         }
-        if !(known.fits)(&record) {
+        if !(context.fits_value)(&record) {
             return Err(refused(format!(
                 "`{id}` can't note so many exceptions: uncordon {} as a whole",
                 record.scope
@@ -275,7 +283,7 @@
         }
         changes.push(Change::PutDrain(id.clone(), record));
     }
-    if changes.len() > known.most_changes {
+    if changes.len() > context.max_changes {
         return Err(refused(format!(
             "{} records hold these machines, more than one transaction may change: uncordon fewer at a time",
             changes.len()
@@ -285,7 +293,7 @@
 }
 
 /// The machines that a record holds and a request is about.
-fn machines_of_both(
+fn machines_in_both(
     scope: &Scope,
     record: &DrainRecord,
     machines: &[MachineView],
@@ -307,15 +315,19 @@
 }
 
 /// Whether all that the record is about is meant, machines that come later included.
-fn covers(scope: &Scope, held: &Scope) -> bool {
+fn includes_scope(scope: &Scope, held: &Scope) -> bool {
     match (scope, held) {
         (Scope::Machines(machines), Scope::Machines(held)) => held.is_subset(machines),
         (scope, held) => scope == held,
     }
 }
 
-fn check_team(team: &Team, class: Option<&str>, known: &Known<'_>) -> Result<(), Problem> {
-    if !known.teams.contains(team) {
+fn check_team(
+    team: &Team,
+    class: Option<&str>,
+    context: &RequestContext<'_>,
+) -> Result<(), Problem> {
+    if !context.teams.contains(team) {
         return Err(invalid(format!("there is no team `{team}`")));
     }
     if team.0.chars().any(|c| c.is_whitespace() || c.is_control()) {
@@ -323,10 +335,10 @@
             "a budget for `{team}` can't be stored under its name: state it in the features file"
         )));
     }
-    let sensible = |class: &str| !class.is_empty() && class.len() <= MOST_CLASS_CHARACTERS;
+    let is_valid = |class: &str| !class.is_empty() && class.len() <= MAX_CLASS_CHARACTERS;
     match class {
-        Some(class) if !sensible(class) => Err(invalid(format!(
-            "a class has a name of 1 to {MOST_CLASS_CHARACTERS} characters"
+        Some(class) if !is_valid(class) => Err(invalid(format!(
+            "a class has a name of 1 to {MAX_CLASS_CHARACTERS} characters"
         ))),
         _ => Ok(()),
     }
@@ -336,10 +348,10 @@
     team: &Team,
     class: Option<&str>,
     limit: Limit,
-    known: &Known<'_>,
+    context: &RequestContext<'_>,
 ) -> Result<Vec<Change>, Problem> {
-    check_team(team, class, known)?;
-    let old = known.budgets.get(team).cloned().unwrap_or_default();
+    check_team(team, class, context)?;
+    let old = context.budgets.get(team).cloned().unwrap_or_default();
     let mut budget = old.clone();
     match class {
         Some(class) => {
@@ -347,9 +359,9 @@
         }
         None => budget.limit = Some(limit),
     }
-    if budget.classes.len() > MOST_CLASSES {
+    if budget.classes.len() > MAX_CLASS_BUDGETS {
         return Err(refused(format!(
-            "{MOST_CLASSES} classes of team `{team}` have budgets of their own already"
+            "{MAX_CLASS_BUDGETS} classes of team `{team}` have budgets of their own already"
         )));
     }
     Ok(put_budget(team, &old, budget))
@@ -358,10 +370,10 @@
 fn clear_budget(
     team: &Team,
     class: Option<&str>,
-    known: &Known<'_>,
+    context: &RequestContext<'_>,
 ) -> Result<Vec<Change>, Problem> {
-    check_team(team, class, known)?;
-    let Some(old) = known.budgets.get(team) else {
+    check_team(team, class, context)?;
+    let Some(old) = context.budgets.get(team) else {
         return Ok(Vec::new());
     };
     let mut budget = old.clone();
--- a/crates/drain/tests/requests.rs
+++ b/crates/drain/tests/requests.rs
@@ -6,7 +6,7 @@
 use dappleshore_drain::operator::{Problem, ProblemKind, Request};
 use dappleshore_drain::planner::{MachineView, ServiceState};
 use dappleshore_drain::record::{MAX_ENDED_RECORDS, MAX_RECORDS_IN_EFFECT};
-use dappleshore_drain::requests::{Change, Known, changes};
+use dappleshore_drain::requests::{Change, RequestContext, changes};
 use dappleshore_drain::{DrainId, DrainRecord, Limit, Phase, Purpose, Scope, TeamBudget};
 
 #[derive(Default)]
@@ -53,7 +53,7 @@
                 has_pending_releases: false,
             })
             .collect();
-        let known = Known {
+        let context = RequestContext {
             now_ms: 1000 + self.drains.len() as u64,
             drains: &self.drains,
             budgets: &self.budgets,
@@ -62,10 +62,10 @@
             types: ["small".into()].into(),
             zones: ["a".into(), "b".into()].into(),
             teams: ["red".into(), "the blue".into()].into(),
-            most_changes: 4,
-            fits: &|record| record.except.len() < 2,
+            max_changes: 4,
+            fits_value: &|record| record.except.len() < 2,
         };
-        let changes = changes(request, &known)?;
+        let changes = changes(request, &context)?;
         let count = changes.len();
         for change in changes {
             match change {
--- a/src/operations/mod.rs
+++ b/src/operations/mod.rs
@@ -13,7 +13,7 @@
 use dappleshore_drain::operator::{
     BudgetStatus, DrainStatus, Problem, ProblemKind, Reply, Request,
 };
-use dappleshore_drain::requests::{self, Change, Known};
+use dappleshore_drain::requests::{self, Change, RequestContext};
 use dappleshore_drain::{DrainId, DrainRecord, Phase, TeamBudget};
 use tracing::info;
 
@@ -236,9 +236,9 @@
     let budgets = without_versions(&cache.drain_budgets);
     let machines = machine_views(cache, |_| true, |_| false, |_| false);
     let value_bytes = config.state_limits.value_bytes;
-    let fits =
+    let fits_value =
         |record: &DrainRecord| json_size(&encode(record)) + RECORD_RESERVE_BYTES <= value_bytes;
-    let known = Known {
+    let context = RequestContext {
         now_ms: now.unix_ms(),
         drains: &drains,
         budgets: &budgets,
@@ -255,10 +255,10 @@
             .collect(),
         zones: catalog.zones(config).into_iter().collect(),
         teams: config.teams.iter().map(|team| team.name.clone()).collect(),
-        most_changes: cx.leader.max_changes,
-        fits: &fits,
+        max_changes: cx.leader.max_changes,
+        fits_value: &fits_value,
     };
-    requests::changes(request, &known)
+    requests::changes(request, &context)
 }
 
 /// Controllers that do not know drains, or are not up.
@@ -311,7 +311,7 @@
             let asked_ms = 0;
             let scope = scope.clone();
             let record = DrainRecord::new(scope, *purpose, *return_machines, *step, asked_ms);
-            let existing = requests::existing(id, &record, &drains).cloned();
+            let existing = requests::find_existing(id, &record, &drains).cloned();
             drains_reply(existing.as_ref().or(Some(id)), cx, cache)
         }
         Request::Cancel { id } | Request::Resume { id } => drains_reply(Some(id), cx, cache),
