--- a/crates/drain/src/planner/evictions.rs
+++ b/crates/drain/src/planner/evictions.rs
@@ -14,7 +14,7 @@
 use crate::record::{DrainRecord, Phase};
 
 /// A task that has to be moved and has no room elsewhere.
-pub(super) struct MissingRoom {
+pub(super) struct MissingCapacity {
     pub task: TaskId,
     pub reason: NoCapacity,
 }
@@ -25,7 +25,7 @@
     /// Number of evictions.
     pub decided: usize,
     pub exceeded: Option<ExceededBudget>,
-    pub missing_room: Option<MissingRoom>,
+    pub missing_capacity: Option<MissingCapacity>,
 }
 
 enum Decision {
@@ -37,7 +37,7 @@
 /// Why a task or a gang can't be evicted now.
 enum EvictionError {
     Budget(ExceededBudget),
-    NoCapacity(MissingRoom),
+    NoCapacity(MissingCapacity),
 }
 
 impl<F: Fleet> Pass<'_, F> {
@@ -83,7 +83,7 @@
                         round.exceeded.get_or_insert(exceeded);
                     }
                     Err(EvictionError::NoCapacity(missing)) => {
-                        round.missing_room.get_or_insert(missing);
+                        round.missing_capacity.get_or_insert(missing);
                     }
                 }
             }
@@ -104,12 +104,12 @@
                 _ => Some(EvictionTarget::Task(*attempt)),
             }
         };
-        let moved =
+        let must_move =
             |attempt: &&Attempt| !self.is_evicted(attempt) && !self.fleet.is_stopping(attempt);
         machine
             .tasks
             .iter()
-            .filter(moved)
+            .filter(must_move)
             .filter_map(target)
             .collect()
     }
@@ -139,14 +139,14 @@
         if let Some(exceeded) = exceeded {
             return Err(EvictionError::Budget(exceeded));
         }
-        if !self.ledger_has_room(&job.team) {
+        if !self.ledger_has_capacity(&job.team) {
             return Ok(Decision::Deferred);
         }
         let first = target.tasks().next();
         let reservations = match (self.fleet.reserve(&target), first) {
             (Ok(reservations), _) => reservations,
             (Err(reason), Some(task)) => {
-                return Err(EvictionError::NoCapacity(MissingRoom { task, reason }));
+                return Err(EvictionError::NoCapacity(MissingCapacity { task, reason }));
             }
             (Err(_), None) => return Ok(Decision::Deferred),
         };
@@ -169,14 +169,15 @@
     }
 
     /// Whether the team's ledger, and the transaction that changes it, can take another eviction.
-    fn ledger_has_room(&self, team: &Team) -> bool {
+    fn ledger_has_capacity(&self, team: &Team) -> bool {
         let decided = self.evictions.get(team).map_or(0, Vec::len);
         let recorded = self
             .records
             .ledgers
             .get(team)
             .map_or(0, |l| l.evictions.len());
-        let open = decided > 0 || self.evictions.len() < self.limits.max_ledgers_per_transaction;
-        open && recorded + decided < self.limits.max_ledger_entries
+        let may_write_ledger =
+            decided > 0 || self.evictions.len() < self.limits.max_ledgers_per_transaction;
+        may_write_ledger && recorded + decided < self.limits.max_ledger_entries
     }
 }
--- a/crates/drain/src/planner/mod.rs
+++ b/crates/drain/src/planner/mod.rs
@@ -20,7 +20,7 @@
 use crate::id::DrainId;
 use crate::ledger::{Eviction, Ledger};
 use crate::record::{DrainRecord, HaltReason, Phase, Purpose};
-use evictions::{EvictionRound, MissingRoom};
+use evictions::{EvictionRound, MissingCapacity};
 use pass::Pass;
 
 pub use crate::fleet::{MachineView, NoCapacity, Reservation, ServiceState};
@@ -211,13 +211,13 @@
             Phase::Cancelled | Phase::Uncordoned => DrainState::Cancelled,
             Phase::Done => DrainState::Done,
             Phase::Active | Phase::Halted { .. } => {
-                self.advance_under_way(pass, id, record, &machines, &outstanding)
+                self.advance_in_progress(pass, id, record, &machines, &outstanding)
             }
         };
         progress
     }
 
-    fn advance_under_way<F: Fleet>(
+    fn advance_in_progress<F: Fleet>(
         &mut self,
         pass: &mut Pass<'_, F>,
         id: &DrainId,
@@ -238,7 +238,7 @@
         pass.return_empty(record, machines);
         if machines.iter().all(MachineView::is_empty) {
             self.blocked_since.remove(id);
-            if pass.is_over(record, machines, outstanding) {
+            if pass.is_complete(record, machines, outstanding) {
                 pass.set_phase(id, record, Phase::Done);
                 return DrainState::Done;
             }
@@ -262,14 +262,14 @@
         outstanding: &[&Eviction],
     ) -> DrainState {
         let round = pass.evict(id, record, machines, outstanding);
-        let waits_for_room = match round.missing_room {
-            Some(MissingRoom {
+        let waiting_task = match round.missing_capacity {
+            Some(MissingCapacity {
                 task,
                 reason: NoCapacity::NotYet,
             }) if round.decided == 0 => Some(task),
             _ => None,
         };
-        match waits_for_room {
+        match waiting_task {
             Some(task) => {
                 let began = *self
                     .blocked_since
@@ -285,14 +285,14 @@
         }
         if let Phase::Halted { reason } = &record.phase {
             // Its cause is gone, or there is room again: the next pass evicts.
-            if waits_for_room.is_none() {
+            if waiting_task.is_none() {
                 pass.resume_if_halted(id, record);
             }
             return DrainState::Halted(reason.clone());
         }
         let mut evicted = outstanding.iter().flat_map(|e| e.target.tasks());
-        let stranded = evicted.find_map(|task| Some((task, pass.fleet.missing_capacity(task)?)));
-        if let Some((task, reason)) = stranded {
+        let unplaceable = evicted.find_map(|task| Some((task, pass.fleet.missing_capacity(task)?)));
+        if let Some((task, reason)) = unplaceable {
             return DrainState::Replacing { task, reason };
         }
         match round {
@@ -302,7 +302,7 @@
                 ..
             } => DrainState::WaitingForBudget(exceeded),
             EvictionRound {
-                missing_room: Some(MissingRoom { task, reason }),
+                missing_capacity: Some(MissingCapacity { task, reason }),
                 ..
             } => DrainState::Replacing { task, reason },
             // What is left goes by itself: its jobs have ended.
--- a/crates/drain/src/planner/pass.rs
+++ b/crates/drain/src/planner/pass.rs
@@ -27,20 +27,25 @@
 impl<F: Fleet> Pass<'_, F> {
     /// The machines that a record holds.
     pub(super) fn machines_of(&self, record: &DrainRecord) -> Vec<MachineView> {
-        let held = |machine: &&MachineView| record.applies_to(machine.attributes());
-        self.fleet.machines().iter().filter(held).cloned().collect()
+        let applies = |machine: &&MachineView| record.applies_to(machine.attributes());
+        self.fleet
+            .machines()
+            .iter()
+            .filter(applies)
+            .cloned()
+            .collect()
     }
 
     /// Cordons machines that a record holds, and uncordons those that none holds any more.
     pub(super) fn reconcile_cordons(&mut self) {
         for machine in self.fleet.machines() {
             let mut records = self.records.drains.values();
-            let held = records.any(|record| record.applies_to(machine.attributes()));
+            let applies = records.any(|record| record.applies_to(machine.attributes()));
             match machine.state {
-                ServiceState::InService if held => {
+                ServiceState::InService if applies => {
                     self.effects.push(Effect::Cordon(machine.id.clone()));
                 }
-                ServiceState::Cordoned if !held => {
+                ServiceState::Cordoned if !applies => {
                     self.effects.push(Effect::Uncordon(machine.id.clone()));
                 }
                 _ => {}
@@ -53,15 +58,15 @@
         if !record.return_machines {
             return;
         }
-        let ready =
+        let returnable =
             |machine: &&MachineView| machine.is_empty() && machine.state == ServiceState::Cordoned;
-        let returned = machines.iter().filter(ready);
+        let returned = machines.iter().filter(returnable);
         self.effects
             .extend(returned.map(|machine| Effect::Return(machine.id.clone())));
     }
 
     /// Nothing is left on its machines, what was on them runs elsewhere, and those to be returned are gone.
-    pub(super) fn is_over(
+    pub(super) fn is_complete(
         &self,
         record: &DrainRecord,
         machines: &[MachineView],
