--- a/crates/drain/tests/planner.rs
+++ b/crates/drain/tests/planner.rs
@@ -1,4 +1,4 @@
-//! Draining decided step by step in a small world of its own: seeded runs, with the budgets checked after each step.
+//! Draining decided step by step in a small fleet of its own: seeded runs, with the budgets checked after each step.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::{Duration, Instant, SystemTime};
@@ -15,12 +15,12 @@
 use rand::{Rng, SeedableRng};
 
 /// Room for tasks on each machine.
-const ROOM: usize = 3;
+const TASKS_PER_MACHINE: usize = 3;
 
 /// Machines, tasks and records, all of them shown to the planner as they are.
-struct World {
+struct SimulatedFleet {
     start: Instant,
-    passed: Duration,
+    elapsed: Duration,
     machines: Vec<MachineView>,
     jobs: BTreeMap<JobId, JobView>,
     running: BTreeSet<u64>,
@@ -32,18 +32,18 @@
     planner: Planner,
     next_attempt: u64,
     /// Replacements start only while this is so.
-    starts: bool,
+    starts_replacements: bool,
 }
 
 fn id(text: &str) -> DrainId {
     text.parse().expect("an id")
 }
 
-fn team(name: &str) -> Team {
+fn team_named(name: &str) -> Team {
     name.into()
 }
 
-impl World {
+impl SimulatedFleet {
     /// Zones `a` and `b` with so many machines each, and a job of so many tasks for each team, all in zone `a`.
     fn new(machines: usize, tasks: u32, budget: Limit) -> Self {
         let view = |zone: &str, n: usize| MachineView {
@@ -57,9 +57,9 @@
             tasks: Vec::new(),
             has_pending_releases: false,
         };
-        let mut world = World {
+        let mut fleet = SimulatedFleet {
             start: Instant::now(),
-            passed: Duration::ZERO,
+            elapsed: Duration::ZERO,
             machines: ["a", "b"]
                 .iter()
                 .flat_map(|zone| (0..machines).map(move |n| view(zone, n)))
@@ -83,34 +83,40 @@
             },
             planner: Planner::default(),
             next_attempt: 0,
-            starts: true,
+            starts_replacements: true,
         };
         for (number, name) in [(1, "red"), (2, "blue")] {
-            world.add_job(JobId(number), name, tasks, None);
+            fleet.add_job(JobId(number), name, tasks, None);
         }
-        world
+        fleet
     }
 
     fn add_job(&mut self, job: JobId, name: &str, tasks: u32, gang: Option<u64>) {
-        let facts = JobView {
-            team: team(name),
+        let view = JobView {
+            team: team_named(name),
             class: "lookup".into(),
             gang_tasks: gang.map(|_| tasks),
         };
-        self.jobs.insert(job, facts);
+        self.jobs.insert(job, view);
         for index in 0..tasks {
             let task = TaskId { job, index };
             let attempt = match gang {
                 Some(start) => Attempt::of_gang(task, start).expect("small"),
-                None => self.attempt(task),
+                None => self.new_attempt(task),
             };
-            let room = self.machines.iter_mut().find(|m| m.tasks.len() < ROOM);
-            room.expect("there is room").tasks.push(attempt);
+            let machine_with_capacity = self
+                .machines
+                .iter_mut()
+                .find(|m| m.tasks.len() < TASKS_PER_MACHINE);
+            machine_with_capacity
+                .expect("a machine has capacity")
+                .tasks
+                .push(attempt);
             self.running.insert(attempt.number);
         }
     }
 
-    fn attempt(&mut self, task: TaskId) -> Attempt {
+    fn new_attempt(&mut self, task: TaskId) -> Attempt {
         self.next_attempt += 1;
         Attempt {
             task,
@@ -120,12 +126,12 @@
 
     fn now(&self) -> Now {
         Now {
-            monotonic: self.start + self.passed,
-            wall: SystemTime::UNIX_EPOCH + Duration::from_secs(1_800_000_000) + self.passed,
+            monotonic: self.start + self.elapsed,
+            wall: SystemTime::UNIX_EPOCH + Duration::from_secs(1_800_000_000) + self.elapsed,
         }
     }
 
-    fn drain(&mut self, name: &str, scope: Scope) {
+    fn add_drain(&mut self, name: &str, scope: Scope) {
         let record = DrainRecord {
             scope,
             purpose: Purpose::Drain,
@@ -140,9 +146,9 @@
     }
 
     /// The planner looks, and what it says is recorded, if it may be.
-    fn look(&mut self, recorded: bool) -> Vec<Effect> {
+    fn run_pass(&mut self, recorded: bool) -> Vec<Effect> {
         let now = self.now();
-        let mut fleet = View {
+        let mut fleet = FleetView {
             machines: self.machines.clone(),
             jobs: &self.jobs,
             running: &self.running,
@@ -162,12 +168,12 @@
             effects
                 .iter()
                 .cloned()
-                .for_each(|effect| self.record(effect));
+                .for_each(|effect| self.apply(effect));
         }
         effects
     }
 
-    fn record(&mut self, effect: Effect) {
+    fn apply(&mut self, effect: Effect) {
         let state = match effect {
             Effect::Cordon(machine) => (machine, ServiceState::Cordoned),
             Effect::Uncordon(machine) => (machine, ServiceState::InService),
@@ -189,42 +195,42 @@
 
     /// Evicted tasks stop; tasks that are nowhere start where there is room, and run a moment later.
     fn step(&mut self) {
-        self.passed += Duration::from_secs(1);
-        let evictions: Vec<EvictionTarget> = self
+        self.elapsed += Duration::from_secs(1);
+        let evicted: Vec<EvictionTarget> = self
             .ledgers
             .values()
             .flat_map(|ledger| &ledger.evictions)
             .map(|eviction| eviction.target)
             .collect();
         for machine in &mut self.machines {
-            let stopped = |attempt: &Attempt| evictions.iter().any(|e| e.includes(attempt));
+            let stopped = |attempt: &Attempt| evicted.iter().any(|target| target.includes(attempt));
             machine.tasks.retain(|attempt| !stopped(attempt));
         }
-        if !self.starts {
+        if !self.starts_replacements {
             return;
         }
         let placed: Vec<Attempt> = self.machines.iter().flat_map(|m| m.tasks.clone()).collect();
         self.running
             .extend(placed.iter().map(|attempt| attempt.number));
-        for task in self.nowhere() {
+        for task in self.unplaced_tasks() {
             let attempt = match self.jobs[&task.job].gang_tasks {
                 Some(_) => Attempt::of_gang(task, 77).expect("small"),
-                None => self.attempt(task),
+                None => self.new_attempt(task),
             };
-            let room = self.machines.iter_mut().find(|machine| {
+            let machine_with_capacity = self.machines.iter_mut().find(|machine| {
                 machine.state == ServiceState::InService
                     && machine.usable
-                    && machine.tasks.len() < ROOM
+                    && machine.tasks.len() < TASKS_PER_MACHINE
             });
-            if let Some(machine) = room {
+            if let Some(machine) = machine_with_capacity {
                 machine.tasks.push(attempt);
             }
         }
     }
 
-    fn nowhere(&self) -> Vec<TaskId> {
-        let tasks = self.jobs.iter().flat_map(|(job, facts)| {
-            let tasks = facts.gang_tasks.unwrap_or(6);
+    fn unplaced_tasks(&self) -> Vec<TaskId> {
+        let tasks = self.jobs.iter().flat_map(|(job, job_view)| {
+            let tasks = job_view.gang_tasks.unwrap_or(6);
             (0..tasks).map(|index| TaskId { job: *job, index })
         });
         let placed: BTreeSet<TaskId> = self
@@ -236,16 +242,19 @@
         tasks.filter(|task| !placed.contains(task)).collect()
     }
 
-    /// Tasks of a team that do not run on a machine that is well.
-    fn down(&self, of: &Team) -> usize {
+    /// Tasks of a team that do not run on a machine that is usable.
+    fn tasks_down(&self, team: &Team) -> usize {
         let runs = |task: TaskId| {
-            let well = self.machines.iter().filter(|machine| machine.usable);
-            let mut there = well.flat_map(|machine| &machine.tasks);
-            there.any(|a| a.task == task && self.running.contains(&a.number))
+            let usable = self.machines.iter().filter(|machine| machine.usable);
+            let mut attempts = usable.flat_map(|machine| &machine.tasks);
+            attempts.any(|a| a.task == task && self.running.contains(&a.number))
         };
-        let jobs = self.jobs.iter().filter(|(_, facts)| facts.team == *of);
-        let tasks = jobs.flat_map(|(job, facts)| {
-            (0..facts.gang_tasks.unwrap_or(6)).map(|index| TaskId { job: *job, index })
+        let jobs = self
+            .jobs
+            .iter()
+            .filter(|(_, job_view)| job_view.team == *team);
+        let tasks = jobs.flat_map(|(job, job_view)| {
+            (0..job_view.gang_tasks.unwrap_or(6)).map(|index| TaskId { job: *job, index })
         });
         tasks.filter(|task| !runs(*task)).count()
     }
@@ -261,14 +270,14 @@
 }
 
 /// What the planner sees.
-struct View<'a> {
+struct FleetView<'a> {
     machines: Vec<MachineView>,
     jobs: &'a BTreeMap<JobId, JobView>,
     running: &'a BTreeSet<u64>,
     failing: &'a BTreeSet<JobId>,
 }
 
-impl Fleet for View<'_> {
+impl Fleet for FleetView<'_> {
     fn machines(&self) -> &[MachineView] {
         &self.machines
     }
@@ -289,9 +298,9 @@
     }
 
     fn is_running(&self, attempt: &Attempt) -> bool {
-        let well = self.machines.iter().filter(|machine| machine.usable);
-        let there = well.flat_map(|m| &m.tasks).any(|a| a == attempt);
-        there && self.running.contains(&attempt.number)
+        let usable = self.machines.iter().filter(|machine| machine.usable);
+        let on_usable_machine = usable.flat_map(|m| &m.tasks).any(|a| a == attempt);
+        on_usable_machine && self.running.contains(&attempt.number)
     }
 
     fn is_stopping(&self, _: &Attempt) -> bool {
@@ -310,7 +319,7 @@
         let mut reservations = Vec::new();
         for task in target.tasks() {
             let open = |m: &&mut MachineView| {
-                m.state == ServiceState::InService && m.usable && m.tasks.len() < ROOM
+                m.state == ServiceState::InService && m.usable && m.tasks.len() < TASKS_PER_MACHINE
             };
             let machine = self
                 .machines
@@ -340,32 +349,32 @@
     for seed in 0..200 {
         let mut rng = SmallRng::seed_from_u64(seed);
         let budget = rng.random_range(1..4);
-        let mut world = World::new(6, 6, Limit::Count(budget));
-        world.drain("disk", Scope::Zone("a".into()));
+        let mut fleet = SimulatedFleet::new(6, 6, Limit::Count(budget));
+        fleet.add_drain("disk", Scope::Zone("a".into()));
         for step in 0..150 {
-            world.starts = step > 100 || rng.random_bool(0.8);
+            fleet.starts_replacements = step > 100 || rng.random_bool(0.8);
             if step < 100 && rng.random_bool(0.05) {
                 // A new leader remembers nothing.
-                world.planner = Planner::default();
+                fleet.planner = Planner::default();
             }
             let recorded = step > 100 || rng.random_bool(0.7);
-            let before: BTreeMap<Team, usize> = ["red", "blue"]
+            let down_before: BTreeMap<Team, usize> = ["red", "blue"]
                 .into_iter()
-                .map(|name| (team(name), world.down(&team(name))))
+                .map(|name| (team_named(name), fleet.tasks_down(&team_named(name))))
                 .collect();
-            world.look(recorded);
-            world.step();
-            for (of, before) in before {
-                let down = world.down(&of);
-                let most = before.max(budget as usize);
+            fleet.run_pass(recorded);
+            fleet.step();
+            for (team, before) in down_before {
+                let down = fleet.tasks_down(&team);
+                let limit = before.max(budget as usize);
                 assert!(
-                    down <= most,
-                    "seed {seed}, step {step}: {down} of {of} down"
+                    down <= limit,
+                    "seed {seed}, step {step}: {down} tasks of team {team} are down, the limit is {limit}"
                 );
             }
         }
-        assert_eq!(world.state("disk"), &DrainState::Done, "seed {seed}");
-        let left = world.machines.iter().filter(|m| *m.zone.0 == *"a");
+        assert_eq!(fleet.state("disk"), &DrainState::Done, "seed {seed}");
+        let left = fleet.machines.iter().filter(|m| *m.zone.0 == *"a");
         assert!(left.into_iter().all(|m| m.tasks.is_empty()), "seed {seed}");
     }
 }
@@ -374,11 +383,11 @@
 fn nothing_is_evicted_while_a_team_is_at_its_limit() {
     for limit in ["0", "10%"] {
         // A tenth of six tasks is less than one: rounded down.
-        let mut world = World::new(6, 6, limit.parse().expect("a limit"));
-        world.drain("disk", Scope::Zone("a".into()));
-        world.look(true);
-        assert_eq!(evictions(&world.look(true)), 0);
-        match world.state("disk") {
+        let mut fleet = SimulatedFleet::new(6, 6, limit.parse().expect("a limit"));
+        fleet.add_drain("disk", Scope::Zone("a".into()));
+        fleet.run_pass(true);
+        assert_eq!(evictions(&fleet.run_pass(true)), 0);
+        match fleet.state("disk") {
             DrainState::WaitingForBudget(exceeded) => assert_eq!(exceeded.allowed, 0),
             state => panic!("{state:?}"),
         }
@@ -387,66 +396,66 @@
 
 /// Tasks on a machine that does not answer may still run: they use up the budget, and evicting them does too.
 #[test]
-fn what_does_not_answer_counts_as_disrupted() {
-    let mut world = World::new(6, 6, Limit::Count(2));
-    world.drain("disk", Scope::Zone("a".into()));
-    world.look(true);
-    world.machine("a-000").usable = false;
+fn tasks_on_unresponsive_machines_count_as_disrupted() {
+    let mut fleet = SimulatedFleet::new(6, 6, Limit::Count(2));
+    fleet.add_drain("disk", Scope::Zone("a".into()));
+    fleet.run_pass(true);
+    fleet.machine("a-000").usable = false;
     assert_eq!(
-        evictions(&world.look(false)),
+        evictions(&fleet.run_pass(false)),
         2,
         "blue's, which are elsewhere"
     );
     assert_eq!(
-        world
+        fleet
             .planner
             .disruptions()
-            .team_count(&team("red"))
+            .team_count(&team_named("red"))
             .disrupted,
         3
     );
 }
 
 #[test]
-fn losses_are_recorded_for_the_next_leader_before_they_are_proven() {
-    let mut world = World::new(6, 6, Limit::Count(1));
-    world.drain("disk", Scope::Zone("a".into()));
-    world.look(true);
-    let lost = world.machine("a-000");
+fn losses_are_recorded_before_they_are_proven_for_the_next_leader() {
+    let mut fleet = SimulatedFleet::new(6, 6, Limit::Count(1));
+    fleet.add_drain("disk", Scope::Zone("a".into()));
+    fleet.run_pass(true);
+    let lost = fleet.machine("a-000");
     (lost.usable, lost.failed) = (false, true);
     let tasks: Vec<TaskId> = lost.tasks.iter().map(|attempt| attempt.task).collect();
-    world.look(true);
-    assert_eq!(world.ledgers[&team("red")].lost, tasks);
-    world.machine("a-000").tasks.clear();
-    world.planner = Planner::default();
-    let effects = world.look(true);
+    fleet.run_pass(true);
+    assert_eq!(fleet.ledgers[&team_named("red")].lost, tasks);
+    fleet.machine("a-000").tasks.clear();
+    fleet.planner = Planner::default();
+    let effects = fleet.run_pass(true);
     assert!(
-        world.ledgers[&team("red")].evictions.is_empty(),
+        fleet.ledgers[&team_named("red")].evictions.is_empty(),
         "{effects:?}"
     );
 }
 
 #[test]
-fn a_gang_counts_whole() {
+fn all_tasks_of_a_gang_count_as_disrupted() {
     let gang = JobId(9);
     for (budget, moved) in [(3, false), (4, true)] {
-        let mut world = World::new(8, 0, Limit::Count(budget));
-        world.jobs.clear();
-        world.add_job(gang, "red", 4, Some(5));
-        world.drain("disk", Scope::Machines([MachineId::from("a-001")].into()));
-        world.look(true);
-        world.look(true);
-        let evicted = world
+        let mut fleet = SimulatedFleet::new(8, 0, Limit::Count(budget));
+        fleet.jobs.clear();
+        fleet.add_job(gang, "red", 4, Some(5));
+        fleet.add_drain("disk", Scope::Machines([MachineId::from("a-001")].into()));
+        fleet.run_pass(true);
+        fleet.run_pass(true);
+        let evicted = fleet
             .ledgers
-            .get(&team("red"))
+            .get(&team_named("red"))
             .map_or(0, |l| l.evictions.len());
         assert_eq!(evicted, usize::from(moved), "budget {budget}");
         if moved {
             assert_eq!(
-                world
+                fleet
                     .planner
                     .disruptions()
-                    .team_count(&team("red"))
+                    .team_count(&team_named("red"))
                     .disrupted,
                 4
             );
@@ -455,41 +464,41 @@
 }
 
 #[test]
-fn a_replacement_that_does_not_come_up_halts_the_drain_until_it_does() {
-    let mut world = World::new(6, 6, Limit::Count(2));
-    world.drain("disk", Scope::Zone("a".into()));
-    world.look(true);
-    world.look(true);
-    world.starts = false;
+fn a_replacement_that_does_not_start_halts_the_drain_until_it_starts() {
+    let mut fleet = SimulatedFleet::new(6, 6, Limit::Count(2));
+    fleet.add_drain("disk", Scope::Zone("a".into()));
+    fleet.run_pass(true);
+    fleet.run_pass(true);
+    fleet.starts_replacements = false;
     for _ in 0..70 {
-        world.step();
-        world.look(true);
+        fleet.step();
+        fleet.run_pass(true);
     }
     assert!(matches!(
-        world.drains[&id("disk")].phase,
+        fleet.drains[&id("disk")].phase,
         Phase::Halted {
             reason: HaltReason::ReplacementNotRunning { .. }
         }
     ));
-    let before = world.ledgers.clone();
-    world.look(true);
-    assert_eq!(world.ledgers, before, "nothing is evicted meanwhile");
-    world.starts = true;
+    let before = fleet.ledgers.clone();
+    fleet.run_pass(true);
+    assert_eq!(fleet.ledgers, before, "nothing is evicted meanwhile");
+    fleet.starts_replacements = true;
     for _ in 0..60 {
-        world.step();
-        world.look(true);
+        fleet.step();
+        fleet.run_pass(true);
     }
-    assert_eq!(world.state("disk"), &DrainState::Done);
+    assert_eq!(fleet.state("disk"), &DrainState::Done);
 }
 
 #[test]
 fn a_job_that_keeps_failing_halts_the_drain() {
-    let mut world = World::new(6, 6, Limit::Count(1));
-    world.drain("disk", Scope::Zone("a".into()));
-    world.look(true);
-    world.look(true);
-    world.failing = [JobId(1), JobId(2)].into();
-    world.look(true);
+    let mut fleet = SimulatedFleet::new(6, 6, Limit::Count(1));
+    fleet.add_drain("disk", Scope::Zone("a".into()));
+    fleet.run_pass(true);
+    fleet.run_pass(true);
+    fleet.failing = [JobId(1), JobId(2)].into();
+    fleet.run_pass(true);
     let expected = DrainState::Halted(HaltReason::ReplacementFails {
         task: TaskId {
             job: JobId(2),
@@ -497,20 +506,20 @@
         },
     });
     assert!(
-        matches!(world.state("disk"), DrainState::Halted(_)),
+        matches!(fleet.state("disk"), DrainState::Halted(_)),
         "{expected:?}"
     );
 }
 
 #[test]
-fn no_more_machines_are_emptied_at_a_time_than_the_step() {
-    let mut world = World::new(6, 6, Limit::Count(100));
-    world.limits.step = Limit::Count(2);
-    world.limits.max_ledger_entries = 100;
-    world.drain("disk", Scope::Zone("a".into()));
-    world.look(true);
-    world.look(true);
-    let machines: BTreeSet<&MachineId> = world
+fn the_step_limits_how_many_machines_are_emptied_at_a_time() {
+    let mut fleet = SimulatedFleet::new(6, 6, Limit::Count(100));
+    fleet.limits.step = Limit::Count(2);
+    fleet.limits.max_ledger_entries = 100;
+    fleet.add_drain("disk", Scope::Zone("a".into()));
+    fleet.run_pass(true);
+    fleet.run_pass(true);
+    let machines: BTreeSet<&MachineId> = fleet
         .ledgers
         .values()
         .flat_map(|ledger| &ledger.evictions)
@@ -520,15 +529,15 @@
 }
 
 #[test]
-fn a_full_ledger_takes_no_more() {
-    let mut world = World::new(6, 6, Limit::Count(100));
-    world.limits.step = Limit::Count(100);
-    world.limits.max_ledger_entries = 2;
-    world.drain("disk", Scope::Zone("a".into()));
-    world.look(true);
-    world.look(true);
+fn a_full_ledger_takes_no_more_evictions() {
+    let mut fleet = SimulatedFleet::new(6, 6, Limit::Count(100));
+    fleet.limits.step = Limit::Count(100);
+    fleet.limits.max_ledger_entries = 2;
+    fleet.add_drain("disk", Scope::Zone("a".into()));
+    fleet.run_pass(true);
+    fleet.run_pass(true);
     assert!(
-        world
+        fleet
             .ledgers
             .values()
             .all(|ledger| ledger.evictions.len() == 2)
@@ -537,18 +546,18 @@
 
 /// Losses are noted while nothing is drained, too; those of tasks that are over must not fill the memory.
 #[test]
-fn losses_of_tasks_that_are_over_are_forgotten() {
-    let mut world = World::new(6, 6, Limit::Count(1));
-    let lost = world.machine("a-000").tasks.clone();
+fn losses_of_ended_tasks_are_removed() {
+    let mut fleet = SimulatedFleet::new(6, 6, Limit::Count(1));
+    let lost = fleet.machine("a-000").tasks.clone();
     for attempt in &lost {
-        let event = Event::<View<'_>>::AttemptLost(*attempt);
-        world.planner.handle(world.now(), event);
+        let event = Event::<FleetView<'_>>::AttemptLost(*attempt);
+        fleet.planner.handle(fleet.now(), event);
     }
     let kept = lost[0].task;
-    let event: Event<'_, View<'_>> = Event::NoActiveDrains {
+    let event: Event<'_, FleetView<'_>> = Event::NoActiveDrains {
         is_needed: &|task| task == kept,
     };
-    world.planner.handle(world.now(), event);
-    let watched = world.planner.tasks_to_observe(&world.ledgers);
+    fleet.planner.handle(fleet.now(), event);
+    let watched = fleet.planner.tasks_to_observe(&fleet.ledgers);
     assert_eq!(watched, BTreeSet::from([kept]));
 }
--- a/crates/drain/tests/requests.rs
+++ b/crates/drain/tests/requests.rs
@@ -10,7 +10,7 @@
 use dappleshore_drain::{DrainId, DrainRecord, Limit, Phase, Purpose, Scope, TeamBudget};
 
 #[derive(Default)]
-struct Site {
+struct StoredRecords {
     drains: BTreeMap<DrainId, DrainRecord>,
     budgets: BTreeMap<Team, TeamBudget>,
 }
@@ -37,9 +37,9 @@
     }
 }
 
-impl Site {
+impl StoredRecords {
     /// Machines `m-0` to `m-3`, two in each of the zones `a` and `b`.
-    fn ask(&mut self, request: &Request) -> Result<usize, Problem> {
+    fn apply(&mut self, request: &Request) -> Result<usize, Problem> {
         let views: Vec<MachineView> = (0..4)
             .map(|n| MachineView {
                 id: format!("m-{n}").as_str().into(),
@@ -86,34 +86,34 @@
         Ok(count)
     }
 
-    fn refused(&mut self, request: &Request) -> ProblemKind {
-        self.ask(request).expect_err("refused").kind
+    fn refusal(&mut self, request: &Request) -> ProblemKind {
+        self.apply(request).expect_err("refused").kind
     }
 }
 
 #[test]
 fn repeating_a_request_changes_nothing() {
-    let mut site = Site::default();
-    let ask = start("disk", zone("a"), Purpose::Drain);
-    assert_eq!(site.ask(&ask), Ok(1));
-    assert_eq!(site.ask(&ask), Ok(0), "the same name");
+    let mut records = StoredRecords::default();
+    let start_request = start("disk", zone("a"), Purpose::Drain);
+    assert_eq!(records.apply(&start_request), Ok(1));
+    assert_eq!(records.apply(&start_request), Ok(0), "the same name");
     let other = start("other", zone("a"), Purpose::Drain);
-    assert_eq!(site.ask(&other), Ok(0), "the same request");
+    assert_eq!(records.apply(&other), Ok(0), "the same request");
     let different = start("disk", zone("b"), Purpose::Drain);
-    assert_eq!(site.refused(&different), ProblemKind::Refused);
+    assert_eq!(records.refusal(&different), ProblemKind::Refused);
     for (request, changes) in [
         (Request::Cancel { id: id("disk") }, 1),
         (Request::Cancel { id: id("disk") }, 0),
-        (ask, 0),
+        (start_request, 0),
     ] {
-        assert_eq!(site.ask(&request), Ok(changes), "{request:?}");
+        assert_eq!(records.apply(&request), Ok(changes), "{request:?}");
     }
-    assert_eq!(site.drains[&id("disk")].phase, Phase::Cancelled);
+    assert_eq!(records.drains[&id("disk")].phase, Phase::Cancelled);
 }
 
 #[test]
-fn what_does_not_exist_is_refused_by_its_name() {
-    let mut site = Site::default();
+fn unknown_names_are_refused() {
+    let mut records = StoredRecords::default();
     for scope in [
         machines(&["m-0", "m-9"]),
         machines(&[]),
@@ -121,8 +121,12 @@
         Scope::Type("huge".into()),
         Scope::Block("y.7".into()),
     ] {
-        let ask = start("disk", scope, Purpose::Drain);
-        assert_eq!(site.refused(&ask), ProblemKind::Invalid, "{ask:?}");
+        let start_request = start("disk", scope, Purpose::Drain);
+        assert_eq!(
+            records.refusal(&start_request),
+            ProblemKind::Invalid,
+            "{start_request:?}"
+        );
     }
     for request in [
         Request::Cancel { id: id("none") },
@@ -131,55 +135,71 @@
             id: Some(id("none")),
         },
     ] {
-        assert_eq!(site.refused(&request), ProblemKind::NotFound, "{request:?}");
+        assert_eq!(
+            records.refusal(&request),
+            ProblemKind::NotFound,
+            "{request:?}"
+        );
     }
 }
 
 #[test]
-fn machines_go_back_into_service_one_by_one_or_all_together() {
-    let mut site = Site::default();
-    site.ask(&start("zone", zone("a"), Purpose::Cordon))
+fn machines_are_uncordoned_one_by_one_or_all_together() {
+    let mut records = StoredRecords::default();
+    records
+        .apply(&start("zone", zone("a"), Purpose::Cordon))
         .expect("taken");
     let one = Request::Uncordon {
         scope: machines(&["m-0"]),
     };
-    assert_eq!(site.ask(&one), Ok(1));
-    assert_eq!(site.ask(&one), Ok(0));
-    let record = &site.drains[&id("zone")];
+    assert_eq!(records.apply(&one), Ok(1));
+    assert_eq!(records.apply(&one), Ok(0));
+    let record = &records.drains[&id("zone")];
     assert_eq!(record.except, BTreeSet::from([MachineId::from("m-0")]));
     assert!(record.is_in_effect());
     let second = Request::Uncordon {
         scope: machines(&["m-1"]),
     };
     assert_eq!(
-        site.refused(&second),
+        records.refusal(&second),
         ProblemKind::Refused,
         "no room for it"
     );
-    assert_eq!(site.ask(&Request::Uncordon { scope: zone("a") }), Ok(1));
-    assert!(!site.drains[&id("zone")].is_in_effect());
-    site.ask(&start("busy", zone("b"), Purpose::Drain))
+    assert_eq!(
+        records.apply(&Request::Uncordon { scope: zone("a") }),
+        Ok(1)
+    );
+    assert!(!records.drains[&id("zone")].is_in_effect());
+    records
+        .apply(&start("busy", zone("b"), Purpose::Drain))
         .expect("taken");
     let busy = Request::Uncordon { scope: zone("b") };
-    assert_eq!(site.refused(&busy), ProblemKind::Refused, "cancel it first");
+    assert_eq!(
+        records.refusal(&busy),
+        ProblemKind::Refused,
+        "cancel it first"
+    );
 }
 
 #[test]
-fn what_is_stored_is_bounded() {
-    let mut site = Site::default();
+fn the_number_of_stored_records_is_limited() {
+    let mut records = StoredRecords::default();
     for n in 0..MAX_ENDED_RECORDS + 20 {
         let name = format!("d-{n}");
-        site.ask(&start(&name, zone("a"), Purpose::Drain))
+        records
+            .apply(&start(&name, zone("a"), Purpose::Drain))
+            .expect("taken");
+        records
+            .apply(&Request::Cancel { id: id(&name) })
             .expect("taken");
-        site.ask(&Request::Cancel { id: id(&name) }).expect("taken");
     }
     assert!(
-        site.drains.len() <= MAX_ENDED_RECORDS + 1,
+        records.drains.len() <= MAX_ENDED_RECORDS + 1,
         "{}",
-        site.drains.len()
+        records.drains.len()
     );
     assert!(
-        !site.drains.contains_key(&id("d-0")),
+        !records.drains.contains_key(&id("d-0")),
         "the oldest goes first"
     );
     for n in 0..MAX_RECORDS_IN_EFFECT {
@@ -191,15 +211,15 @@
             return_machines: false,
             step,
         };
-        site.ask(&request).expect("taken");
+        records.apply(&request).expect("taken");
     }
     let more = start("more", zone("b"), Purpose::Drain);
-    assert_eq!(site.refused(&more), ProblemKind::Refused);
+    assert_eq!(records.refusal(&more), ProblemKind::Refused);
 }
 
 #[test]
 fn budgets_are_set_and_cleared() {
-    let mut site = Site::default();
+    let mut records = StoredRecords::default();
     let set = |class: Option<&str>, limit: &str| Request::SetBudget {
         team: "red".into(),
         class: class.map(str::to_owned),
@@ -217,17 +237,17 @@
         (clear(Some("lookup")), 1),
         (clear(Some("lookup")), 0),
     ] {
-        assert_eq!(site.ask(&request), Ok(changes), "{request:?}");
+        assert_eq!(records.apply(&request), Ok(changes), "{request:?}");
     }
-    assert!(site.budgets.is_empty());
-    let of = |team: &str| Request::SetBudget {
+    assert!(records.budgets.is_empty());
+    let set_for = |team: &str| Request::SetBudget {
         team: team.into(),
         class: None,
         limit: Limit::Count(1),
     };
-    assert_eq!(site.refused(&of("green")), ProblemKind::Invalid);
+    assert_eq!(records.refusal(&set_for("green")), ProblemKind::Invalid);
     assert_eq!(
-        site.refused(&of("the blue")),
+        records.refusal(&set_for("the blue")),
         ProblemKind::Refused,
         "no key"
     );
