--- a/src/operations/mod.rs
+++ b/src/operations/mod.rs
@@ -30,17 +30,17 @@
 /// More pending requests than this are refused at once.
 const MAX_PENDING_REQUESTS: usize = 32;
 /// A request is answered within this, whatever happens.
-pub const ANSWER_WITHIN: Duration = Duration::from_secs(4);
+pub const REPLY_TIMEOUT: Duration = Duration::from_secs(4);
 /// What a drain's record may grow by after it was accepted.
-const RECORD_RESERVE_BYTES: usize = 256;
+const RECORD_GROWTH_BYTES: usize = 256;
 
 #[derive(Debug)]
 struct PendingRequest {
     id: RequestId,
     request: Request,
-    asked: Instant,
+    received_at: Instant,
     /// Whether a transaction of it was sent.
-    sent: bool,
+    transaction_sent: bool,
     /// The records that the request to uncordon changes.
     uncordoned: BTreeSet<DrainId>,
 }
@@ -92,8 +92,8 @@
         self.pending.push_back(PendingRequest {
             id,
             request,
-            asked: now.monotonic,
-            sent: false,
+            received_at: now.monotonic,
+            transaction_sent: false,
             uncordoned: BTreeSet::new(),
         });
         None
@@ -131,7 +131,7 @@
         let Some(pending) = self.pending.iter_mut().find(|p| !p.request.is_read_only()) else {
             return result;
         };
-        if !cache.is_current_as_of(pending.asked) {
+        if !cache.is_current_as_of(pending.received_at) {
             cache.request_refresh();
             return result;
         }
@@ -146,7 +146,7 @@
             }
             Ok(changes) => {
                 info!(request = ?pending.request, "operators' request");
-                pending.sent = true;
+                pending.transaction_sent = true;
                 for change in &changes {
                     if let Change::PutDrain(id, record) = change
                         && matches!(pending.request, Request::Uncordon { .. })
@@ -169,9 +169,9 @@
 
     fn answer_overdue(&mut self, now: Now, result: &mut PollResult) {
         self.pending.retain(|pending| {
-            let overdue = since(now, pending.asked) >= ANSWER_WITHIN;
+            let overdue = since(now, pending.received_at) >= REPLY_TIMEOUT;
             if overdue {
-                let message = if pending.sent {
+                let message = if pending.transaction_sent {
                     "not known yet whether it was carried out: repeat it as it is"
                 } else {
                     "the state service does not answer"
@@ -183,13 +183,13 @@
     }
 
     fn answer_reads(&mut self, cx: &Context<'_>, cache: &mut WatchCache, result: &mut PollResult) {
-        let mut fresh_wanted = false;
+        let mut refresh_needed = false;
         self.pending.retain(|pending| {
             if !pending.request.is_read_only() {
                 return true;
             }
-            if !cache.is_current_as_of(pending.asked) {
-                fresh_wanted = true;
+            if !cache.is_current_as_of(pending.received_at) {
+                refresh_needed = true;
                 return true;
             }
             result
@@ -197,7 +197,7 @@
                 .push((pending.id, read_reply(&pending.request, cx, cache)));
             false
         });
-        if fresh_wanted {
+        if refresh_needed {
             cache.request_refresh();
         }
     }
@@ -222,10 +222,10 @@
         ));
     }
     if cache.format() < DRAIN_FORMAT {
-        let old: Vec<String> = lagging_controllers(cx.leader, cache);
+        let lagging: Vec<String> = lagging_controllers(cx.leader, cache);
         let message = format!(
             "not before all controllers know drains; {} can't say so yet",
-            old.join(", ")
+            lagging.join(", ")
         );
         return Err(Problem::new(ProblemKind::Unavailable, message));
     }
@@ -237,7 +237,7 @@
     let machines = machine_views(cache, |_| true, |_| false, |_| false);
     let value_bytes = config.state_limits.value_bytes;
     let fits_value =
-        |record: &DrainRecord| json_size(&encode(record)) + RECORD_RESERVE_BYTES <= value_bytes;
+        |record: &DrainRecord| json_size(&encode(record)) + RECORD_GROWTH_BYTES <= value_bytes;
     let context = RequestContext {
         now_ms: now.unix_ms(),
         drains: &drains,
@@ -264,13 +264,13 @@
 /// Controllers that do not know drains, or are not up.
 fn lagging_controllers(leader: &LeaderContext<'_>, cache: &WatchCache) -> Vec<String> {
     let peers = leader.config.peers.iter().map(|peer| &peer.name);
-    let knows = |controller: &ControllerName| {
+    let supports_drains = |controller: &ControllerName| {
         let member = cache.members.get(controller);
         member.is_some_and(|member| member.value.format >= DRAIN_FORMAT)
     };
     peers
         .chain([&leader.config.name])
-        .filter(|controller| !knows(controller))
+        .filter(|controller| !supports_drains(controller))
         .map(|controller| controller.to_string())
         .collect()
 }
@@ -308,9 +308,9 @@
             step,
         } => {
             let drains = without_versions(&cache.drains);
-            let asked_ms = 0;
+            let requested_ms = 0;
             let scope = scope.clone();
-            let record = DrainRecord::new(scope, *purpose, *return_machines, *step, asked_ms);
+            let record = DrainRecord::new(scope, *purpose, *return_machines, *step, requested_ms);
             let existing = requests::find_existing(id, &record, &drains).cloned();
             drains_reply(existing.as_ref().or(Some(id)), cx, cache)
         }
@@ -354,8 +354,10 @@
     let mut statuses = Vec::new();
     for team in cx.leader.config.teams.iter().map(|team| &team.name) {
         let limit = budgets.team_limit(team);
-        let stated = |by: &BTreeMap<Team, TeamBudget>| {
-            by.get(team).is_some_and(|budget| budget.limit.is_some())
+        let is_set = |budgets_by_team: &BTreeMap<Team, TeamBudget>| {
+            budgets_by_team
+                .get(team)
+                .is_some_and(|budget| budget.limit.is_some())
         };
         let count = draining.disruptions().team_count(team);
         let status =
@@ -374,16 +376,17 @@
         statuses.push(status(
             None,
             limit,
-            source(stated(&budgets.requested), stated(&budgets.settings)),
+            source(is_set(&budgets.requested), is_set(&budgets.settings)),
             count,
         ));
-        let of = |by: &BTreeMap<Team, TeamBudget>| -> BTreeSet<String> {
-            by.get(team)
+        let classes_of = |budgets_by_team: &BTreeMap<Team, TeamBudget>| -> BTreeSet<String> {
+            budgets_by_team
+                .get(team)
                 .map(|budget| budget.classes.keys().cloned().collect())
                 .unwrap_or_default()
         };
-        let requested = of(&budgets.requested);
-        for class in requested.union(&of(&budgets.settings)) {
+        let requested = classes_of(&budgets.requested);
+        for class in requested.union(&classes_of(&budgets.settings)) {
             let Some(limit) = budgets.class_limit(team, class) else {
                 continue;
             };
