--- a/src/cli/operate.rs
+++ b/src/cli/operate.rs
@@ -10,16 +10,16 @@
 use dappleshore_drain::{DrainId, Limit, Purpose, Scope};
 
 use super::{Exit, show};
-use crate::client::Client;
+use crate::client::OperatorClient;
 
 /// How a drain that is waited for is looked at.
-const LOOK_EVERY: Duration = Duration::from_secs(1);
+const POLL_INTERVAL: Duration = Duration::from_secs(1);
 /// While a drain is waited for, nobody may be able to answer for so long.
-const SILENCE: Duration = Duration::from_secs(60);
+const MAX_UNAVAILABLE_TIME: Duration = Duration::from_secs(60);
 
 /// Where to ask, and how to answer.
 #[derive(Args, Clone)]
-pub struct Common {
+pub struct CommonArgs {
     /// A controller's address for other controllers (`back` in its settings); any of them will do, several are better.
     #[arg(
         long = "controller",
@@ -84,7 +84,7 @@
     #[arg(long)]
     wait: bool,
     #[command(flatten)]
-    common: Common,
+    common: CommonArgs,
 }
 
 /// Arguments of `drain`.
@@ -105,7 +105,7 @@
     #[arg(long)]
     wait: bool,
     #[command(flatten)]
-    common: Common,
+    common: CommonArgs,
 }
 
 /// Arguments of `uncordon`.
@@ -114,7 +114,7 @@
     #[command(flatten)]
     scope: ScopeArgs,
     #[command(flatten)]
-    common: Common,
+    common: CommonArgs,
 }
 
 /// Arguments of `drains`.
@@ -129,7 +129,7 @@
     #[arg(long, value_name = "ID", conflicts_with = "id")]
     resume: Option<DrainId>,
     #[command(flatten)]
-    common: Common,
+    common: CommonArgs,
 }
 
 /// Arguments of `budget`.
@@ -145,7 +145,7 @@
     /// Show the budgets of all teams.
     Show {
         #[command(flatten)]
-        common: Common,
+        common: CommonArgs,
     },
     /// Set how many tasks of a team may be disrupted at a time.
     Set {
@@ -156,7 +156,7 @@
         #[arg(long)]
         class: Option<String>,
         #[command(flatten)]
-        common: Common,
+        common: CommonArgs,
     },
     /// Go back to the budget of the features file.
     Clear {
@@ -165,18 +165,18 @@
         #[arg(long)]
         class: Option<String>,
         #[command(flatten)]
-        common: Common,
+        common: CommonArgs,
     },
 }
 
 /// One request, and what is done with its answer.
 pub struct Operation {
     request: Request,
-    common: Common,
+    common: CommonArgs,
     wait: bool,
 }
 
-fn named(id: Option<DrainId>, prefix: &str) -> Result<DrainId, String> {
+fn id_or_generated(id: Option<DrainId>, prefix: &str) -> Result<DrainId, String> {
     match id {
         Some(id) => Ok(id),
         None => format!("{prefix}-{:08x}", rand::random::<u32>())
@@ -189,7 +189,7 @@
     /// The request to cordon.
     pub fn operation(self) -> Result<Operation, String> {
         let request = Request::Start {
-            id: named(self.id, "cordon")?,
+            id: id_or_generated(self.id, "cordon")?,
             scope: self.scope.scope(),
             purpose: Purpose::Cordon,
             return_machines: false,
@@ -207,7 +207,7 @@
     /// The request to drain.
     pub fn operation(self) -> Result<Operation, String> {
         let request = Request::Start {
-            id: named(self.id, "drain")?,
+            id: id_or_generated(self.id, "drain")?,
             scope: self.scope.scope(),
             purpose: Purpose::Drain,
             return_machines: self.return_machines,
@@ -285,27 +285,27 @@
     /// Asks, shows the answer, and says how it went.
     pub async fn run(self) -> ExitCode {
         let within = Duration::from_secs(self.common.within);
-        let client = Client::new(self.common.controllers.clone(), within);
-        let outcome = match client.ask(&self.request).await {
-            Ok(Reply::Drains(drains)) if self.wait => wait(&client, drains).await,
+        let client = OperatorClient::new(self.common.controllers.clone(), within);
+        let outcome = match client.send(&self.request).await {
+            Ok(Reply::Drains(drains)) if self.wait => wait_until_final(&client, drains).await,
             outcome => outcome,
         };
         match outcome {
             Ok(reply) => {
-                show::reply(&reply, self.common.json);
+                show::print_reply(&reply, self.common.json);
                 self.exit_code(&reply)
             }
             Err(problem) => {
-                show::problem(&problem, self.common.json);
-                exit_of(problem.kind).into()
+                show::print_problem(&problem, self.common.json);
+                exit_for(problem.kind).into()
             }
         }
     }
 
     fn exit_code(&self, reply: &Reply) -> ExitCode {
-        let unfinished = |drain: &DrainStatus| drain.state != StateName::Done;
+        let is_unfinished = |drain: &DrainStatus| drain.state != StateName::Done;
         match reply {
-            Reply::Drains(drains) if self.wait && drains.iter().any(unfinished) => {
+            Reply::Drains(drains) if self.wait && drains.iter().any(is_unfinished) => {
                 Exit::NotFinished.into()
             }
             _ => ExitCode::SUCCESS,
@@ -314,7 +314,7 @@
 }
 
 /// The exit code for a problem.
-pub fn exit_of(kind: ProblemKind) -> Exit {
+pub fn exit_for(kind: ProblemKind) -> Exit {
     match kind {
         ProblemKind::Invalid => Exit::InvalidInput,
         ProblemKind::NotFound => Exit::NotFound,
@@ -324,23 +324,26 @@
 }
 
 /// Looks at a drain until it is over, halted or cancelled. For a while nobody may be able to answer.
-async fn wait(client: &Client, drains: Vec<DrainStatus>) -> Result<Reply, Problem> {
+async fn wait_until_final(
+    client: &OperatorClient,
+    drains: Vec<DrainStatus>,
+) -> Result<Reply, Problem> {
     let mut drains = drains;
     let Some(id) = drains.first().and_then(|drain| drain.id.parse().ok()) else {
         return Ok(Reply::Drains(drains));
     };
     let request = Request::List { id: Some(id) };
-    let mut answered = Instant::now();
+    let mut last_reply_at = Instant::now();
     while drains.iter().any(|drain| !drain.state.is_final()) {
-        tokio::time::sleep(LOOK_EVERY).await;
-        match client.ask(&request).await {
-            Ok(Reply::Drains(now)) => {
-                answered = Instant::now();
-                drains = now;
+        tokio::time::sleep(POLL_INTERVAL).await;
+        match client.send(&request).await {
+            Ok(Reply::Drains(statuses)) => {
+                last_reply_at = Instant::now();
+                drains = statuses;
             }
             Ok(_) => {}
             Err(problem) if problem.kind != ProblemKind::Unavailable => return Err(problem),
-            Err(problem) if answered.elapsed() > SILENCE => return Err(problem),
+            Err(problem) if last_reply_at.elapsed() > MAX_UNAVAILABLE_TIME => return Err(problem),
             Err(_) => {}
         }
     }
--- a/src/cli/show.rs
+++ b/src/cli/show.rs
@@ -36,15 +36,17 @@
 }
 
 /// Shows an answer on standard output.
-pub fn reply(reply: &Reply, json: bool) {
+pub fn print_reply(reply: &Reply, json: bool) {
     let shown = Shown::from(reply);
     if json {
-        println!("{}", as_json(&shown));
+        println!("{}", to_json(&shown));
         return;
     }
     match shown {
         Shown::Drains(drains) if drains.is_empty() => println!("no drains"),
-        Shown::Drains(drains) => drains.iter().for_each(|drain| println!("{}", line(drain))),
+        Shown::Drains(drains) => drains
+            .iter()
+            .for_each(|drain| println!("{}", drain_line(drain))),
         Shown::Budgets(budgets) => budgets
             .iter()
             .for_each(|budget| println!("{}", budget_line(budget))),
@@ -55,19 +57,19 @@
 }
 
 /// Says what is wrong, in one line on standard error.
-pub fn problem(problem: &Problem, json: bool) {
+pub fn print_problem(problem: &Problem, json: bool) {
     if json {
-        println!("{}", as_json(&Shown::Problem(problem.clone())));
+        println!("{}", to_json(&Shown::Problem(problem.clone())));
     }
     eprintln!("{problem}");
 }
 
-fn as_json(shown: &Shown) -> String {
+fn to_json(shown: &Shown) -> String {
     // Our own types: they always have a JSON form.
     serde_json::to_string(shown).unwrap_or_default()
 }
 
-fn line(drain: &DrainStatus) -> String {
+fn drain_line(drain: &DrainStatus) -> String {
     let reason = drain.reason.as_ref();
     let reason = reason.map_or(String::new(), |reason| format!(" ({reason})"));
     format!(
--- a/src/cli/show/tests.rs
+++ b/src/cli/show/tests.rs
@@ -3,21 +3,21 @@
 use super::*;
 use crate::features::Features;
 
-fn written(schema: &schemars::Schema) -> String {
+fn schema_text(schema: &schemars::Schema) -> String {
     serde_json::to_string_pretty(schema).expect("has a form") + "\n"
 }
 
 /// `WRITE_SCHEMAS=1 cargo test schemas` writes them anew.
 #[test]
-fn the_schemas_in_the_docs_are_those_of_the_program() {
+fn the_documented_schemas_match_the_program() {
     let schemas = [
         ("answers.schema.json", schemars::schema_for!(Shown)),
         ("features.schema.json", schemars::schema_for!(Features)),
     ];
-    let folder = concat!(env!("CARGO_MANIFEST_DIR"), "/docs/schemas/");
+    let directory = concat!(env!("CARGO_MANIFEST_DIR"), "/docs/schemas/");
     for (name, schema) in schemas {
-        let path = format!("{folder}{name}");
-        let text = written(&schema);
+        let path = format!("{directory}{name}");
+        let text = schema_text(&schema);
         if std::env::var_os("WRITE_SCHEMAS").is_some() {
             std::fs::write(&path, &text).expect("writable");
         }
@@ -27,7 +27,7 @@
 }
 
 #[test]
-fn answers_are_as_their_schema_says() {
+fn answers_match_their_schema() {
     let schema = serde_json::to_value(schemars::schema_for!(Shown)).expect("has a form");
     let validator = jsonschema::validator_for(&schema).expect("a schema");
     let drain = DrainStatus {
--- a/src/cli/tests.rs
+++ b/src/cli/tests.rs
@@ -4,7 +4,7 @@
 
 /// Operators' scripts name them.
 #[test]
-fn the_names_of_the_commands_stay() {
+fn the_subcommands_keep_their_names() {
     let command = Cli::command();
     let names: Vec<&str> = command
         .get_subcommands()
--- a/src/client/mod.rs
+++ b/src/client/mod.rs
@@ -12,7 +12,7 @@
 use crate::http::{self, decode_body, encode_body};
 
 /// On the address that controllers use among themselves.
-const PATH: &str = "/operate";
+const OPERATE_PATH: &str = "/operate";
 /// Longer than a controller takes for any answer.
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(5);
 const RETRY_PAUSE: Duration = Duration::from_millis(300);
@@ -29,17 +29,17 @@
 }
 
 /// Sends requests to the controllers of one service.
-pub struct Client {
+pub struct OperatorClient {
     http: http::Client,
     controllers: Vec<SocketAddr>,
     /// For all tries of one request together.
     timeout: Duration,
 }
 
-impl Client {
+impl OperatorClient {
     /// Asks the controllers at these addresses, in this order. `timeout`: for all tries of one request together.
     pub fn new(controllers: Vec<SocketAddr>, timeout: Duration) -> Self {
-        Client {
+        OperatorClient {
             http: http::Client::new(REQUEST_TIMEOUT),
             controllers,
             timeout,
@@ -51,42 +51,45 @@
     /// # Errors
     ///
     /// What a controller says is wrong with the request, or `Unavailable` if none could decide it in time.
-    pub async fn ask(&self, request: &Request) -> Result<Reply, Problem> {
+    pub async fn send(&self, request: &Request) -> Result<Reply, Problem> {
         let deadline = Instant::now() + self.timeout;
-        let mut last = self.nobody_answered();
+        let mut last_problem = self.no_reply();
         loop {
             for controller in &self.controllers {
-                match self.ask_one(*controller, request, deadline).await {
+                match self
+                    .send_following_leader(*controller, request, deadline)
+                    .await
+                {
                     Ok(Reply::Problem(problem)) if problem.kind == ProblemKind::Unavailable => {
-                        last = problem;
+                        last_problem = problem;
                     }
                     Ok(Reply::Problem(problem)) => return Err(problem),
                     Ok(Reply::NotLeader { leader, .. }) => {
                         let message = format!("{leader} leads, but does not answer");
-                        last = Problem::new(ProblemKind::Unavailable, message);
+                        last_problem = Problem::new(ProblemKind::Unavailable, message);
                     }
                     Ok(reply) => return Ok(reply),
                     Err(error) => debug!(%controller, %error, "no reply from controller"),
                 }
                 if Instant::now() >= deadline {
-                    return Err(last);
+                    return Err(last_problem);
                 }
             }
             tokio::time::sleep(RETRY_PAUSE).await;
             if Instant::now() >= deadline {
-                return Err(last);
+                return Err(last_problem);
             }
         }
     }
 
-    fn nobody_answered(&self) -> Problem {
-        let asked: Vec<String> = self.controllers.iter().map(SocketAddr::to_string).collect();
-        let message = format!("no controller answers at {}", asked.join(", "));
+    fn no_reply(&self) -> Problem {
+        let addresses: Vec<String> = self.controllers.iter().map(SocketAddr::to_string).collect();
+        let message = format!("no controller answers at {}", addresses.join(", "));
         Problem::new(ProblemKind::Unavailable, message)
     }
 
     /// Asks one controller, and the one that it names as the leader.
-    async fn ask_one(
+    async fn send_following_leader(
         &self,
         controller: SocketAddr,
         request: &Request,
@@ -110,7 +113,7 @@
     ) -> Result<Reply, ExchangeError> {
         let left = deadline.saturating_duration_since(Instant::now());
         let timeout = left.min(REQUEST_TIMEOUT);
-        let request = http::Request::post(PATH.to_owned(), encode_body(request), timeout);
+        let request = http::Request::post(OPERATE_PATH.to_owned(), encode_body(request), timeout);
         let reply = self.http.send(controller, request).await?;
         if reply.status != 200 {
             return Err(ExchangeError::Status(reply.status));
