--- a/crates/drain/src/budget.rs
+++ b/crates/drain/src/budget.rs
@@ -1,7 +1,7 @@
-//! How many tasks of a team may be disrupted at a time.
+//! Disruption budgets: how many tasks of a team may be disrupted at a time.
 //!
 //! Limits are read from settings, policy and operators' requests, and are part of stored budgets. The planner and the
-//! operators' view ask [`Budgets`], where what operators have requested goes before the settings.
+//! status reports use [`Budgets`], where budgets that operators set by request take precedence over the settings.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -11,14 +11,14 @@
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
 
-/// At most so many, as a number or as a share of all there are.
+/// A maximum, as a number or as a share of a total.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[serde(try_from = "String", into = "String")]
 #[schemars(with = "String")]
 pub enum Limit {
-    /// So many.
+    /// A number.
     Count(u32),
-    /// So many hundredths of a percent of all, rounded down. Rounding down can come to 0.
+    /// A share of the total, rounded down, also to 0.
     Share {
         /// Hundredths of a percent, at most 10,000.
         basis_points: u32,
@@ -29,13 +29,13 @@
 const BASIS_POINTS_PER_PERCENT: u32 = 100;
 const TOTAL_BASIS_POINTS: u32 = 100 * BASIS_POINTS_PER_PERCENT;
 
-/// A text that is no limit.
+/// The text is not a valid limit.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 #[error("`{0}` is no limit: a number such as 3, or a share from 0% to 100% such as 12.5%")]
 pub struct MalformedLimit(String);
 
 impl Limit {
-    /// What it comes to of so many.
+    /// The limit as a number, for this total.
     pub fn resolve(self, total: u64) -> u64 {
         match self {
             Limit::Count(count) => u64::from(count),
@@ -93,32 +93,32 @@
     }
 }
 
-/// A team's budget, as operators have set it.
+/// A team's budget as set by operators.
 #[derive(Debug, Clone, PartialEq, Eq, Default, Serialize, Deserialize)]
 pub struct TeamBudget {
-    /// For all tasks of the team. None: the default.
+    /// The limit for all tasks of the team. `None`: the default.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub limit: Option<Limit>,
-    /// For the tasks of a class, within the team's.
+    /// Limits for the tasks of single classes, which apply in addition to the team's.
     #[serde(default, skip_serializing_if = "BTreeMap::is_empty")]
     pub classes: BTreeMap<String, Limit>,
 }
 
 impl TeamBudget {
-    /// Whether it says nothing.
+    /// Whether it contains no limit.
     pub fn is_empty(&self) -> bool {
         self.limit.is_none() && self.classes.is_empty()
     }
 }
 
-/// The budgets of all teams: what operators have set by request, else what the settings say.
+/// The budgets of all teams. Budgets that operators set by request take precedence over the settings.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Budgets {
-    /// For teams without a limit of their own.
+    /// The limit of teams without their own limit.
     pub default: Limit,
-    /// As the settings say.
+    /// The budgets of the settings.
     pub settings: BTreeMap<Team, TeamBudget>,
-    /// As operators have set them by request.
+    /// The budgets that operators set by request.
     pub requested: BTreeMap<Team, TeamBudget>,
 }
 
@@ -133,7 +133,7 @@
             .unwrap_or(self.default)
     }
 
-    /// The limit for the team's tasks of a class, if there is one of its own.
+    /// The limit for the team's tasks of a class, if the class has its own limit.
     pub fn class_limit(&self, team: &Team, class: &str) -> Option<Limit> {
         let limit = |budgets: &BTreeMap<Team, TeamBudget>| {
             let budget = budgets.get(team)?;
--- a/crates/drain/src/disruption.rs
+++ b/crates/drain/src/disruption.rs
@@ -1,7 +1,7 @@
-//! Which tasks are disrupted: evicted, lost, or on machines that are not usable, and not seen to run again.
+//! Determines which tasks are disrupted: evicted, lost, or on an unusable machine, and not yet observed running again.
 //!
-//! The planner calls it in each pass. [`DisruptionTracker`] is the leader's memory of what the ledgers do not show yet;
-//! [`Disruptions`] is the count at one time, which is compared with the budgets.
+//! The planner calls it in each pass. [`DisruptionTracker`] holds the leader's observations that the ledgers do not contain
+//! yet. [`Disruptions`] is the count at one time, which is compared with the budgets.
 
 use std::collections::{BTreeMap, BTreeSet, HashSet};
 use std::sync::Arc;
@@ -12,22 +12,22 @@
 use crate::fleet::Fleet;
 use crate::ledger::{Eviction, EvictionTarget, Ledger};
 
-/// What is known of disruptions beyond what is recorded.
+/// Observations of disruptions that are not recorded in the ledgers yet.
 #[derive(Debug, Default)]
 pub struct DisruptionTracker {
-    /// Tasks lost by no decision of a drain, with the attempt that was lost.
+    /// Tasks lost for other reasons than a drain, with the number of the lost attempt.
     lost: BTreeMap<TaskId, u64>,
-    /// Recorded evictions whose replacement was seen to run.
+    /// Recorded evictions whose replacements were observed running.
     replaced: BTreeSet<EvictionTarget>,
-    /// Recorded losses that were seen to run again.
+    /// Tasks recorded as lost that were observed running again.
     recovered: BTreeSet<TaskId>,
 }
 
-/// Losses kept in mind. Beyond that the oldest jobs' are kept.
+/// Bounds the memory for losses. When it is reached, new losses are not tracked.
 const MAX_TRACKED_LOSSES: usize = 20_000;
 
 impl DisruptionTracker {
-    /// Notes that a task's attempt has gone, neither done nor stopped by us.
+    /// Records that a task's attempt ended without having succeeded or been stopped by the scheduler.
     pub fn record_lost_attempt(&mut self, attempt: Attempt) {
         if self.lost.len() < MAX_TRACKED_LOSSES {
             self.recovered.remove(&attempt.task);
@@ -35,16 +35,17 @@
         }
     }
 
-    /// Forgets losses of tasks that are not wanted any more.
+    /// Removes losses of tasks that need not run any more, and all observations of recorded disruptions.
     pub fn retain_needed(&mut self, is_needed: impl Fn(TaskId) -> bool) {
         self.lost.retain(|task, _| is_needed(*task));
         self.replaced.clear();
         self.recovered.clear();
     }
 
-    /// Takes in what runs again.
+    /// Updates the losses, and the recorded disruptions whose tasks run again, from the observed state.
     pub fn observe(&mut self, ledgers: &BTreeMap<Team, Ledger>, fleet: &impl Fleet) {
-        // Noted, and so recorded, before they are proven gone: a new leader could not tell that they were there.
+        // These are recorded as lost before the attempts are proven ended, because a new leader could not find out later
+        // that they existed.
         let failed = fleet.machines().iter().filter(|machine| machine.failed);
         for attempt in failed.flat_map(|machine| &machine.tasks) {
             self.record_lost_attempt(*attempt);
@@ -70,12 +71,12 @@
         }
     }
 
-    /// Whether an eviction's replacement has not been seen to run yet.
+    /// Whether an eviction's replacements have not been observed running yet.
     pub fn is_outstanding(&self, eviction: &Eviction) -> bool {
         !self.replaced.contains(&eviction.target)
     }
 
-    /// Recorded evictions whose replacements were not seen to run yet.
+    /// Recorded evictions whose replacements have not been observed running yet.
     pub fn outstanding<'l>(
         &self,
         ledgers: &'l BTreeMap<Team, Ledger>,
@@ -83,7 +84,7 @@
         evictions(ledgers).filter(|eviction| self.is_outstanding(eviction))
     }
 
-    /// Tasks that were lost and not seen to run again, recorded or not.
+    /// Tasks that were lost and have not been observed running again, whether recorded or not.
     pub fn lost(&self, ledgers: &BTreeMap<Team, Ledger>) -> BTreeSet<TaskId> {
         let recorded = ledgers.values().flat_map(|ledger| &ledger.lost).copied();
         let missing = recorded.filter(|task| !self.recovered.contains(task));
@@ -95,13 +96,13 @@
     ledgers.values().flat_map(|ledger| &ledger.evictions)
 }
 
-/// Whether a task has ended, or another attempt than the old one runs.
+/// Whether a task has ended, or an attempt other than the old one runs.
 fn is_restored(fleet: &impl Fleet, task: TaskId, is_old: impl Fn(&Attempt) -> bool) -> bool {
     let runs = |attempt: &Attempt| !is_old(attempt) && fleet.is_running(attempt);
     fleet.job(task.job).is_none() || fleet.is_done(task) || fleet.attempts(task).iter().any(runs)
 }
 
-/// Tasks that exist and those that are disrupted.
+/// The number of tasks, and of disrupted ones among them.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct DisruptionCount {
     /// Disrupted tasks.
@@ -119,23 +120,23 @@
     classes: BTreeMap<(Team, Arc<str>), DisruptionCount>,
 }
 
-/// A budget that leaves no room for another disruption.
+/// A budget that an eviction would exceed.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ExceededBudget {
-    /// Whose budget it is.
+    /// The team that the budget belongs to.
     pub team: Team,
-    /// None: the budget of the whole team.
+    /// The class that the budget belongs to. `None`: it is the budget of the whole team.
     pub class: Option<Arc<str>>,
-    /// Tasks that are disrupted already.
+    /// The number of tasks that are already disrupted.
     pub disrupted: u64,
-    /// How many the eviction would add.
+    /// The number of disrupted tasks that the eviction would add.
     pub additional: u64,
-    /// How many may be disrupted.
+    /// The number of tasks that may be disrupted.
     pub allowed: u64,
 }
 
 impl Disruptions {
-    /// Counts all tasks there are, and those that are disrupted.
+    /// Counts all tasks and the disrupted ones.
     pub fn count(
         tracker: &DisruptionTracker,
         ledgers: &BTreeMap<Team, Ledger>,
@@ -171,7 +172,7 @@
         }
     }
 
-    /// Counts a task as disrupted; of a gang, all its tasks.
+    /// Counts a task as disrupted. If it belongs to a gang, counts all tasks of the gang.
     pub fn mark_disrupted(&mut self, fleet: &impl Fleet, task: TaskId) {
         let Some(job) = fleet.job(task.job) else {
             return;
@@ -192,23 +193,23 @@
         }
     }
 
-    /// What each team has.
+    /// The counts of each team.
     pub fn teams(&self) -> &BTreeMap<Team, DisruptionCount> {
         &self.teams
     }
 
-    /// What a team has.
+    /// The counts of a team.
     pub fn team_count(&self, team: &Team) -> DisruptionCount {
         self.teams.get(team).copied().unwrap_or_default()
     }
 
-    /// What a team has of a class.
+    /// The counts of a team's tasks of a class.
     pub fn class_count(&self, team: &Team, class: &Arc<str>) -> DisruptionCount {
         let key = (team.clone(), class.clone());
         self.classes.get(&key).copied().unwrap_or_default()
     }
 
-    /// Whether a budget forbids to disrupt these tasks as well.
+    /// The first budget that disrupting these tasks as well would exceed, if any.
     pub fn exceeded_budget(
         &self,
         fleet: &impl Fleet,
@@ -220,8 +221,8 @@
             .tasks()
             .filter(|task| !self.disrupted.contains(task))
             .count() as u64;
-        // Also for tasks that count as disrupted already, since their machine does not answer: it may come back, and
-        // then they run.
+        // The budget is also checked for tasks that already count as disrupted because their machine does not respond:
+        // the machine may respond again, and then these tasks are running.
         let within = |count: DisruptionCount, allowed: u64| count.disrupted + additional <= allowed;
         let team_count = self.team_count(&job.team);
         let allowed = budgets.team_limit(&job.team).resolve(team_count.tasks);
--- a/crates/drain/src/fleet.rs
+++ b/crates/drain/src/fleet.rs
@@ -1,4 +1,4 @@
-//! The interface between the planner and the leader: machines, tasks and jobs as they are observed.
+//! The interface between the planner and the leader: machines, tasks and jobs as observed by the leader.
 //!
 //! The leader's draining module implements [`Fleet`]; the planner and the count of disruptions read it.
 
@@ -14,15 +14,15 @@
 /// Whether a machine takes new tasks.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ServiceState {
-    /// It does.
+    /// It takes new tasks.
     InService,
-    /// It keeps those it has and takes no new ones.
+    /// It keeps its tasks and takes no new ones.
     Cordoned,
     /// It is being returned to the cloud.
     Returning,
 }
 
-/// A machine as the leader sees it.
+/// A machine as observed by the leader.
 #[derive(Debug, Clone)]
 pub struct MachineView {
     /// Its id.
@@ -35,13 +35,13 @@
     pub zone: Zone,
     /// Whether it takes new tasks.
     pub state: ServiceState,
-    /// Its heartbeats arrive, its worker acknowledges commands, and it is not being deleted.
+    /// Whether its heartbeats arrive, its worker acknowledges commands, and it is not being deleted.
     pub usable: bool,
-    /// It is given up: its tasks are lost once the cloud has deleted it.
+    /// Whether it is presumed lost. Its tasks are lost once the cloud has deleted it.
     pub failed: bool,
-    /// Tasks that are not proven gone.
+    /// The attempts on it that are not proven ended.
     pub tasks: Vec<Attempt>,
-    /// Tasks were released to it that the holder of its block may still place.
+    /// Whether tasks were released to it that the holder of its block may still place.
     pub has_pending_releases: bool,
 }
 
@@ -60,55 +60,56 @@
     }
 }
 
-/// What the planner needs to know of a job.
+/// A job as observed by the leader.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct JobView {
-    /// Whose budget its disruptions count against.
+    /// The team whose budget its disruptions count against.
     pub team: Team,
-    /// The class of its tasks, which may have a budget of its own.
+    /// The class of its tasks. A class may have its own budget.
     pub class: Arc<str>,
-    /// The number of tasks of a gang, which are moved together. None: its tasks are moved one by one.
+    /// The number of tasks of a gang, which are moved together. `None`: the job is not a gang and its tasks are moved
+    /// one by one.
     pub gang_tasks: Option<u32>,
 }
 
-/// Why a task finds no room elsewhere.
+/// Why there is no capacity elsewhere for a task.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum NoCapacity {
-    /// No machine has room for it yet.
+    /// No machine has capacity for it yet.
     NotYet,
-    /// All places where it may go are being drained, or none is known.
+    /// Everything that the task may be placed on is being drained, or nothing that it may be placed on is known.
     NoAllowedPlacement,
 }
 
-/// What the planner observes: the leader's copy of the records, with what heartbeats show.
+/// The state that the planner observes: the leader's copy of the records, combined with the heartbeats.
 ///
-/// All answers of one pass must come from the same state.
+/// All results within one pass must come from the same state.
 pub trait Fleet {
     /// All machines.
     fn machines(&self) -> &[MachineView];
-    /// The job. None: it has ended or is cancelled.
+    /// The job. `None`: it has ended or is cancelled.
     fn job(&self, job: JobId) -> Option<JobView>;
     /// Whether a task has ended successfully.
     fn is_done(&self, task: TaskId) -> bool;
-    /// The task's attempts that are not proven gone.
+    /// The task's attempts that are not proven ended.
     fn attempts(&self, task: TaskId) -> Vec<Attempt>;
-    /// Whether an attempt was seen to run, on a machine that is usable.
+    /// Whether an attempt was observed running on a usable machine.
     fn is_running(&self, attempt: &Attempt) -> bool;
-    /// Whether an attempt is told to stop for another reason.
+    /// Whether an attempt has been told to stop for another reason.
     fn is_stopping(&self, attempt: &Attempt) -> bool;
-    /// Whether a job's tasks fail again and again.
+    /// Whether a job's tasks fail repeatedly.
     fn keeps_failing(&self, job: JobId) -> bool;
-    /// Why a task that was evicted already has no room kept for it, if it has none.
+    /// Why capacity could not be reserved for a task that is already evicted. `None`: no reservation failed.
     fn missing_capacity(&self, task: TaskId) -> Option<NoCapacity>;
-    /// Reserves room elsewhere for all tasks that are to be moved.
+    /// Reserves capacity elsewhere for all tasks of the target.
     ///
     /// # Errors
     ///
-    /// Why there is none for at least one of them. Then nothing is reserved.
+    /// There is no capacity for at least one of them. Then nothing is reserved.
     fn reserve(&mut self, target: &EvictionTarget) -> Result<Vec<Reservation>, NoCapacity>;
 }
 
-/// Room that is kept for a task on a machine.
+/// Capacity that is reserved for a task on a machine.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Reservation {
     /// The task that is to be moved.
--- a/crates/drain/src/id.rs
+++ b/crates/drain/src/id.rs
@@ -1,4 +1,4 @@
-//! The name of a drain, chosen by whoever asks for it: repeating a request under one name never acts twice.
+//! The id of a drain or a cordon. The client chooses it, so that a repeated request with the same id is carried out once.
 
 use std::fmt;
 use std::str::FromStr;
@@ -6,14 +6,14 @@
 
 use serde::{Deserialize, Deserializer, Serialize, Serializer};
 
-/// The longest name: it is part of a key and of each eviction that is recorded.
+/// Limits the size of the record's key and of each recorded eviction, which both contain the id.
 pub const MAX_ID_CHARACTERS: usize = 40;
 
-/// The name of a drain or a cordon.
+/// The id of a drain or a cordon.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct DrainId(Arc<str>);
 
-/// A text that is no name of a drain.
+/// The text is not a valid id of a drain.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 #[error(
     "an id has 1 to {MAX_ID_CHARACTERS} of the characters a-z, 0-9, `-`, `_` and `.`, and begins with a letter or digit"
--- a/crates/drain/src/lib.rs
+++ b/crates/drain/src/lib.rs
@@ -1,8 +1,8 @@
-//! Draining: machines are emptied step by step, while each team's disruption stays within its budget.
+//! Draining: empties machines in steps while the number of disrupted tasks of each team stays within its budget.
 //!
-//! Everything here is pure. Operators' requests change records ([`operator`], [`requests`]); the leader's planner
-//! ([`planner`]) compares the records with what is observed and says what follows. Who calls it stores the records,
-//! moves the tasks and reads the clock.
+//! The crate does no I/O and reads no clock. [`requests`] computes the changes that operators' requests ([`operator`])
+//! make to the stored records. The leader's [`planner`] compares the records with the observed state and returns the
+//! actions to take. The caller stores the records, moves the tasks and passes in the time.
 
 pub mod budget;
 pub mod disruption;
--- a/crates/drain/src/record.rs
+++ b/crates/drain/src/record.rs
@@ -1,4 +1,4 @@
-//! A drain or a cordon as it is stored: what operators want, and whether it is still wanted.
+//! The stored record of a drain or a cordon: the operators' request and its phase.
 //!
 //! Operators' requests create records and change them; the planner changes their phase.
 
@@ -11,38 +11,38 @@
 use crate::budget::Limit;
 use crate::scope::{MachineAttributes, Scope};
 
-/// Drains and cordons that hold machines back at the same time.
+/// Maximum number of drains and cordons in effect at the same time.
 pub const MAX_RECORDS_IN_EFFECT: usize = 64;
-/// Ended ones that stay known, so that a repeated request is answered and not carried out again.
+/// Cancelled and uncordoned records that are kept, so that a repeated request is answered and not carried out again.
 pub const MAX_ENDED_RECORDS: usize = 64;
 
-/// What is asked for.
+/// The operation that was requested.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Purpose {
-    /// No new tasks; those that are there run on.
+    /// The machines take no new tasks; tasks that are already there keep running.
     #[serde(rename = "cordon")]
     Cordon,
-    /// No new tasks, and those that are there are moved.
+    /// The machines take no new tasks, and tasks that are already there are moved.
     #[serde(rename = "drain")]
     Drain,
 }
 
-/// Why a drain does not go on.
+/// Why a drain is halted.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum HaltReason {
-    /// No machine had room for a task that must be moved, for too long.
+    /// For the whole timeout, no machine had capacity for a task that must be moved.
     #[serde(rename = "no_room")]
     NoCapacity {
         /// The task.
         task: TaskId,
     },
-    /// An evicted task does not run again.
+    /// An evicted task did not run again within the timeout.
     #[serde(rename = "not_running")]
     ReplacementNotRunning {
         /// The task.
         task: TaskId,
     },
-    /// An evicted task fails again and again.
+    /// An evicted task fails repeatedly.
     #[serde(rename = "failing")]
     ReplacementFails {
         /// The task.
@@ -66,22 +66,22 @@
     }
 }
 
-/// Whether it is still wanted.
+/// The phase of a drain or a cordon.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Phase {
-    /// It has work to do.
+    /// It is being carried out.
     #[serde(rename = "active")]
     Active,
-    /// It evicts nothing until the cause is gone or an operator resumes it.
+    /// It evicts nothing until the cause is resolved or an operator resumes it.
     #[serde(rename = "halted")]
     Halted {
         /// Why.
         reason: HaltReason,
     },
-    /// All its machines are empty (a drain) or take no tasks (a cordon), and stay so.
+    /// All its machines are empty (a drain) or take no tasks (a cordon), and are kept in this state.
     #[serde(rename = "done")]
     Done,
-    /// An operator called it off. It holds nothing back.
+    /// An operator cancelled it. It has no effect on machines any more.
     #[serde(rename = "cancelled")]
     Cancelled,
     /// An operator put its machines back into service.
@@ -89,33 +89,33 @@
     Uncordoned,
 }
 
-/// The stored value.
+/// The stored value of a drain or a cordon.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct DrainRecord {
     /// Which machines it applies to.
     pub scope: Scope,
-    /// Whether their tasks are moved.
+    /// Whether the machines' tasks are moved.
     pub purpose: Purpose,
-    /// Whether its machines are returned to the cloud once they are empty.
+    /// Whether the machines are returned to the cloud once they are empty.
     #[serde(default)]
     pub return_machines: bool,
-    /// Machines that it empties at a time. None: as the settings say.
+    /// Maximum number of machines that are emptied at a time. `None`: the value of the settings.
     #[serde(default)]
     pub step: Option<Limit>,
-    /// When it was requested, in milliseconds by the leader's time of day.
+    /// When it was requested, in Unix milliseconds by the leader's clock.
     pub requested_ms: u64,
-    /// When an operator last resumed it, in milliseconds by the leader's time of day; 0: never.
+    /// When an operator last resumed it, in Unix milliseconds by the leader's clock; 0: never.
     #[serde(default)]
     pub resumed_ms: u64,
-    /// Whether it is still wanted.
+    /// Its phase.
     pub phase: Phase,
-    /// Machines that were put back into service since.
+    /// Machines in the scope that were put back into service later.
     #[serde(default, skip_serializing_if = "BTreeSet::is_empty")]
     pub except: BTreeSet<MachineId>,
 }
 
 impl DrainRecord {
-    /// A request as it is recorded at first.
+    /// Creates the active record of a new request.
     pub fn new(
         scope: Scope,
         purpose: Purpose,
@@ -135,22 +135,22 @@
         }
     }
 
-    /// Whether it keeps its machines out of service.
+    /// Whether it keeps its machines out of service: it is neither cancelled nor uncordoned.
     pub fn is_in_effect(&self) -> bool {
         !matches!(self.phase, Phase::Cancelled | Phase::Uncordoned)
     }
 
-    /// Whether it still has something to do.
+    /// Whether it is active or halted.
     pub fn is_in_progress(&self) -> bool {
         matches!(self.phase, Phase::Active | Phase::Halted { .. })
     }
 
-    /// Whether a machine is kept out of service by it.
+    /// Whether it keeps the machine out of service.
     pub fn applies_to(&self, machine: MachineAttributes<'_>) -> bool {
         self.is_in_effect() && !self.except.contains(machine.id) && self.scope.contains(machine)
     }
 
-    /// Whether it asks for the same.
+    /// Whether both records have the same request: scope, purpose, return of machines and step.
     pub fn has_same_request(&self, other: &DrainRecord) -> bool {
         (&self.scope, self.purpose, self.return_machines, self.step)
             == (
--- a/crates/drain/src/scope.rs
+++ b/crates/drain/src/scope.rs
@@ -1,6 +1,6 @@
 //! Which machines a drain or a cordon applies to.
 //!
-//! Part of operators' requests and of the stored records. A scope is evaluated again at each use, so that machines that
+//! A scope is part of operators' requests and of the stored records. It is evaluated at each use, so that machines that
 //! join later are included.
 
 use std::collections::BTreeSet;
@@ -9,7 +9,7 @@
 use dappleshore_domain::{BlockId, InstanceTypeName, MachineId, Zone};
 use serde::{Deserialize, Serialize};
 
-/// The machines that are meant. A block, a type or a zone means those that join it later, too.
+/// A set of machines. A block, a type or a zone includes the machines that join it later.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Scope {
     /// These machines.
@@ -26,7 +26,7 @@
     Zone(Zone),
 }
 
-/// Where a machine belongs.
+/// The attributes of a machine that scopes select by.
 #[derive(Debug, Clone, Copy)]
 pub struct MachineAttributes<'a> {
     /// Its id.
@@ -40,7 +40,7 @@
 }
 
 impl Scope {
-    /// Whether a machine is meant.
+    /// Whether the machine is in the scope.
     pub fn contains(&self, machine: MachineAttributes<'_>) -> bool {
         match self {
             Scope::Machines(machines) => machines.contains(machine.id),
@@ -50,7 +50,7 @@
         }
     }
 
-    /// Whether every machine of this type in this zone would be meant, so that none should be rented there.
+    /// Whether every machine of this type in this zone is in the scope, so that no new ones should be rented there.
     pub fn covers_type_in_zone(&self, type_name: &InstanceTypeName, zone: &Zone) -> bool {
         match self {
             Scope::Machines(_) | Scope::Block(_) => false,
--- a/crates/drain/src/settings.rs
+++ b/crates/drain/src/settings.rs
@@ -1,4 +1,4 @@
-//! What operators state about draining in their features file.
+//! The settings of draining in the operators' features file.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -45,7 +45,7 @@
 const MIN_SECONDS: f64 = 1.0;
 const MAX_SECONDS: f64 = 86_400.0;
 
-/// A time that is too short or too long.
+/// The duration is below the minimum or above the maximum.
 #[derive(Debug, Clone, Copy, PartialEq, thiserror::Error)]
 #[error("must be from {MIN_SECONDS} to {MAX_SECONDS} seconds, not {0}")]
 pub struct SecondsOutOfRange(f64);
@@ -63,13 +63,13 @@
 }
 
 impl Seconds {
-    /// As a standard duration.
+    /// Converts to a standard duration.
     pub fn duration(self) -> Duration {
         Duration::from_secs_f64(self.0)
     }
 }
 
-/// Slower than any boot that is still one: machines that take several times their usual time are replaced before.
+/// Longer than any successful boot: a machine that takes several times its usual boot time is replaced earlier.
 const DEFAULT_CAPACITY_TIMEOUT: Seconds = Seconds(600.0);
 const DEFAULT_REPLACEMENT_TIMEOUT: Seconds = Seconds(300.0);
 
