--- a/crates/drain/src/operator.rs
+++ b/crates/drain/src/operator.rs
@@ -1,7 +1,7 @@
-//! What operators ask controllers, and what they are answered.
+//! The messages between operators and controllers.
 //!
-//! The command line sends a [`Request`] to the leader and shows its [`Reply`]. The statuses are also the output of
-//! `--json`, whose schemas are part of the interface.
+//! The command line sends a [`Request`] to the leader and prints its [`Reply`]. The statuses are also the output of
+//! `--json`; their schemas are part of the interface.
 
 use dappleshore_domain::{ControllerName, Team};
 use schemars::JsonSchema;
@@ -14,49 +14,49 @@
 use crate::record::{DrainRecord, Purpose};
 use crate::scope::Scope;
 
-/// A request. Each can be repeated: it never acts twice.
+/// An operator's request. Requests are idempotent and can be repeated.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Request {
     /// Cordons or drains machines.
     Start {
-        /// The name of the drain or cordon.
+        /// The id of the drain or cordon.
         id: DrainId,
-        /// Which machines.
+        /// The machines.
         scope: Scope,
-        /// Whether their tasks are moved.
+        /// Whether the machines are cordoned or drained.
         purpose: Purpose,
         /// Whether the machines are returned to the cloud once they are empty.
         return_machines: bool,
-        /// Machines that are emptied at a time. None: as the settings say.
+        /// Maximum number of machines that are emptied at a time. `None`: the value of the settings.
         step: Option<Limit>,
     },
     /// Puts machines back into service.
     Uncordon {
-        /// Which machines.
+        /// The machines.
         scope: Scope,
     },
-    /// Calls a drain off.
+    /// Cancels a drain or a cordon.
     Cancel {
-        /// Its name.
+        /// Its id.
         id: DrainId,
     },
-    /// Lets a halted drain go on.
+    /// Resumes a halted drain.
     Resume {
-        /// Its name.
+        /// Its id.
         id: DrainId,
     },
-    /// All drains and cordons, or one.
+    /// Lists all drains and cordons, or one.
     List {
-        /// Its name. None: all.
+        /// Its id. `None`: all.
         id: Option<DrainId>,
     },
-    /// The budgets of all teams.
+    /// Lists the budgets of all teams.
     Budgets,
     /// Sets a team's budget.
     SetBudget {
         /// The team.
         team: Team,
-        /// For the tasks of a class. None: for all tasks of the team.
+        /// The class that the budget is for. `None`: it is for all tasks of the team.
         class: Option<String>,
         /// The budget.
         limit: Limit,
@@ -65,31 +65,31 @@
     ClearBudget {
         /// The team.
         team: Team,
-        /// For the tasks of a class. None: for all tasks of the team.
+        /// The class that the budget is for. `None`: it is for all tasks of the team.
         class: Option<String>,
     },
 }
 
 impl Request {
-    /// Whether it changes nothing.
+    /// Whether the request changes nothing.
     pub fn is_read_only(&self) -> bool {
         matches!(self, Request::List { .. } | Request::Budgets)
     }
 }
 
-/// An answer.
+/// The reply to a request.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum Reply {
-    /// The drains and cordons that were asked for.
+    /// The requested drains and cordons.
     Drains(Vec<DrainStatus>),
     /// The budgets of all teams.
     Budgets(Vec<BudgetStatus>),
-    /// Records that no longer hold these machines back.
+    /// The records that no longer keep the machines out of service.
     Uncordoned {
-        /// Their names.
+        /// Their ids.
         records: Vec<DrainId>,
     },
-    /// Another controller leads.
+    /// Another controller is the leader.
     #[serde(rename = "Elsewhere")]
     NotLeader {
         /// Its name.
@@ -174,7 +174,7 @@
 }
 
 impl StateName {
-    /// As it is written.
+    /// The name in JSON and metrics.
     pub fn as_str(self) -> &'static str {
         match self {
             StateName::Requested => "requested",
@@ -188,7 +188,7 @@
         }
     }
 
-    /// Whether it stays so unless an operator does something.
+    /// Whether only an operator's request can change the state.
     pub fn is_final(self) -> bool {
         matches!(
             self,
@@ -212,7 +212,7 @@
         }
     }
 
-    /// What it waits for, for people.
+    /// A description of the cause of waiting or halting, if there is one.
     pub fn reason(&self) -> Option<String> {
         match self {
             DrainState::WaitingForBudget(exceeded) => {
@@ -238,7 +238,7 @@
 }
 
 impl DrainStatus {
-    /// What is shown of a record. `progress`: how far it is, if the leader has looked already.
+    /// Creates the status of a record. `progress` is `None` if the leader has not made a pass over the record yet.
     pub fn new(id: &DrainId, record: &DrainRecord, progress: Option<&DrainProgress>) -> Self {
         let unknown = DrainProgress {
             state: DrainState::Requested,
--- a/crates/drain/src/requests.rs
+++ b/crates/drain/src/requests.rs
@@ -1,4 +1,4 @@
-//! What operators' requests change: a pure function from the records as they are to the changes of them.
+//! Computes the changes that operators' requests make to the stored records, without side effects.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -11,26 +11,26 @@
 use crate::record::{DrainRecord, MAX_ENDED_RECORDS, MAX_RECORDS_IN_EFFECT, Phase, Purpose};
 use crate::scope::{MachineAttributes, Scope};
 
-/// A change of a record.
+/// A change to a stored record.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Change {
-    /// Create or replace a drain's record.
+    /// Creates or replaces a drain's record.
     PutDrain(DrainId, DrainRecord),
-    /// Delete a drain's record.
+    /// Deletes a drain's record.
     DeleteDrain(DrainId),
-    /// Create or replace a team's budget.
+    /// Creates or replaces a team's budget.
     PutBudget(Team, TeamBudget),
-    /// Delete a team's budget.
+    /// Deletes a team's budget.
     DeleteBudget(Team),
 }
 
-/// What a request is checked against.
+/// The state and limits that a request is checked against.
 pub struct RequestContext<'a> {
-    /// The leader's time of day in milliseconds.
+    /// The leader's clock in Unix milliseconds.
     pub now_ms: u64,
     /// The stored drains and cordons.
     pub drains: &'a BTreeMap<DrainId, DrainRecord>,
-    /// The budgets that operators have set by request.
+    /// The budgets that operators set by request.
     pub budgets: &'a BTreeMap<Team, TeamBudget>,
     /// All machines.
     pub machines: &'a [MachineView],
@@ -42,15 +42,15 @@
     pub zones: BTreeSet<Zone>,
     /// The teams of the settings.
     pub teams: BTreeSet<Team>,
-    /// Changes that one transaction may have.
+    /// Maximum number of changes in a transaction.
     pub max_changes: usize,
-    /// Whether a record fits a value.
+    /// Whether a record fits into a stored value.
     pub fits_value: &'a dyn Fn(&DrainRecord) -> bool,
 }
 
-/// The longest name of a class.
+/// Maximum length of a class name.
 const MAX_CLASS_CHARACTERS: usize = 64;
-/// Classes of a team with budgets of their own.
+/// Maximum number of classes of a team that have their own budgets.
 const MAX_CLASS_BUDGETS: usize = 16;
 
 fn invalid(message: String) -> Problem {
@@ -61,11 +61,11 @@
     Problem::new(ProblemKind::Refused, message)
 }
 
-/// The changes that a request comes to: none, if all is as it asks for.
+/// Computes the changes that a request requires. There are none if the records already match the request.
 ///
 /// # Errors
 ///
-/// What the request names is unknown or invalid, or it conflicts with what is stored.
+/// The request is invalid, names something that does not exist, or conflicts with the stored records.
 pub fn changes(request: &Request, context: &RequestContext<'_>) -> Result<Vec<Change>, Problem> {
     match request {
         Request::Start {
@@ -94,7 +94,7 @@
     }
 }
 
-/// The record that a request to start is answered with: of the same name, or one under way that asks for the same.
+/// Finds the record that a start request refers to: the one with the same id, or one in progress with the same request.
 pub fn find_existing<'a>(
     id: &'a DrainId,
     record: &DrainRecord,
@@ -119,7 +119,7 @@
             return Ok(Vec::new());
         }
         return Err(refused(format!(
-            "`{id}` names another request already: {} of {}",
+            "id `{id}` is already used by another request: {} of {}",
             purpose_name(other.purpose),
             other.scope
         )));
@@ -127,12 +127,13 @@
     check_scope(&record.scope, context)?;
     if record.step.is_some_and(|step| step.resolve(u64::MAX) == 0) {
         return Err(invalid(
-            "a step of 0 would never empty a machine".to_owned(),
+            "step must be at least 1 or a share above 0%: a step of 0 empties no machine"
+                .to_owned(),
         ));
     }
     if record.return_machines && record.purpose == Purpose::Cordon {
         return Err(invalid(
-            "a cordon returns no machines: ask for a drain".to_owned(),
+            "a cordon can't return machines: use a drain".to_owned(),
         ));
     }
     if find_existing(id, &record, context.drains).is_some() {
@@ -140,7 +141,7 @@
     }
     if !(context.fits_value)(&record) {
         return Err(refused(format!(
-            "{}: too many machines for one record; name a block, a type or a zone, or several lists",
+            "{} exceeds the size of one record: use a block, a type or a zone, or several shorter lists",
             record.scope
         )));
     }
@@ -151,7 +152,7 @@
         .count();
     if in_effect >= MAX_RECORDS_IN_EFFECT {
         return Err(refused(format!(
-            "{MAX_RECORDS_IN_EFFECT} drains and cordons hold machines already: cancel or uncordon some"
+            "the maximum of {MAX_RECORDS_IN_EFFECT} drains and cordons in effect is reached: cancel or uncordon some first"
         )));
     }
     let mut changes = vec![Change::PutDrain(id.clone(), record)];
@@ -166,7 +167,7 @@
     }
 }
 
-/// An ended record that makes room for another one.
+/// The oldest ended record, if the maximum number of them is reached and it must be deleted.
 fn oldest_ended(context: &RequestContext<'_>) -> Option<DrainId> {
     let ended = || {
         context
@@ -189,7 +190,7 @@
     match scope {
         Scope::Machines(machines) => {
             if machines.is_empty() {
-                return Err(invalid("no machine is named".to_owned()));
+                return Err(invalid("the list of machines is empty".to_owned()));
             }
             let exists =
                 |id: &&MachineId| context.machines.iter().any(|machine| machine.id == **id);
@@ -220,7 +221,7 @@
     match record.phase {
         Phase::Cancelled | Phase::Uncordoned => Ok(Vec::new()),
         Phase::Done => Err(refused(format!(
-            "`{id}` is done: put its machines back into service with `uncordon`"
+            "`{id}` is done and can't be cancelled: put its machines back into service with `uncordon`"
         ))),
         Phase::Active | Phase::Halted { .. } => {
             let record = DrainRecord {
@@ -245,7 +246,7 @@
             Ok(vec![Change::PutDrain(id.clone(), record)])
         }
         Phase::Done | Phase::Cancelled | Phase::Uncordoned => {
-            Err(refused(format!("`{id}` is over")))
+            Err(refused(format!("`{id}` has ended and can't be resumed")))
         }
     }
 }
@@ -265,7 +266,7 @@
         }
         if record.purpose == Purpose::Drain && record.is_in_progress() {
             return Err(refused(format!(
-                "drain `{id}` is under way and holds {}: cancel it first",
+                "drain `{id}` of {} is in progress: cancel it first",
                 record.scope
             )));
         }
@@ -277,7 +278,7 @@
         }
         if !(context.fits_value)(&record) {
             return Err(refused(format!(
-                "`{id}` can't note so many exceptions: uncordon {} as a whole",
+                "the exceptions of `{id}` exceed the size of one record: uncordon {} as a whole",
                 record.scope
             )));
         }
@@ -285,14 +286,14 @@
     }
     if changes.len() > context.max_changes {
         return Err(refused(format!(
-            "{} records hold these machines, more than one transaction may change: uncordon fewer at a time",
+            "{} records keep these machines out of service, more than one transaction can change: uncordon fewer at a time",
             changes.len()
         )));
     }
     Ok(changes)
 }
 
-/// The machines that a record holds and a request is about.
+/// The machines in the scope that the record keeps out of service.
 fn machines_in_both(
     scope: &Scope,
     record: &DrainRecord,
@@ -314,7 +315,7 @@
         .collect()
 }
 
-/// Whether all that the record is about is meant, machines that come later included.
+/// Whether a scope includes a record's whole scope, also for machines that join later.
 fn includes_scope(scope: &Scope, held: &Scope) -> bool {
     match (scope, held) {
         (Scope::Machines(machines), Scope::Machines(held)) => held.is_subset(machines),
@@ -332,13 +333,13 @@
     }
     if team.0.chars().any(|c| c.is_whitespace() || c.is_control()) {
         return Err(refused(format!(
-            "a budget for `{team}` can't be stored under its name: state it in the features file"
+            "the name of team `{team}` contains characters that a stored budget can't have: set the budget in the features file"
         )));
     }
     let is_valid = |class: &str| !class.is_empty() && class.len() <= MAX_CLASS_CHARACTERS;
     match class {
         Some(class) if !is_valid(class) => Err(invalid(format!(
-            "a class has a name of 1 to {MAX_CLASS_CHARACTERS} characters"
+            "a class name must have 1 to {MAX_CLASS_CHARACTERS} characters"
         ))),
         _ => Ok(()),
     }
@@ -361,7 +362,7 @@
     }
     if budget.classes.len() > MAX_CLASS_BUDGETS {
         return Err(refused(format!(
-            "{MAX_CLASS_BUDGETS} classes of team `{team}` have budgets of their own already"
+            "team `{team}` has reached the maximum of {MAX_CLASS_BUDGETS} classes with their own budgets"
         )));
     }
     Ok(put_budget(team, &old, budget))
