--- a/crates/drain/src/planner/evictions.rs
+++ b/crates/drain/src/planner/evictions.rs
@@ -1,4 +1,4 @@
-//! Which tasks are evicted next.
+//! Decides which tasks of a drain are evicted next.
 
 use std::collections::BTreeSet;
 
@@ -13,16 +13,16 @@
 use crate::ledger::{Eviction, EvictionTarget};
 use crate::record::{DrainRecord, Phase};
 
-/// A task that has to be moved and has no room elsewhere.
+/// A task that must be moved and has no capacity elsewhere.
 pub(super) struct MissingCapacity {
     pub task: TaskId,
     pub reason: NoCapacity,
 }
 
-/// What a pass has decided for one drain, and the first of each kind of obstacle that kept it from more.
+/// The decisions of a pass for one drain, and the first obstacle of each kind that prevented further evictions.
 #[derive(Default)]
 pub(super) struct EvictionRound {
-    /// Number of evictions.
+    /// The number of decided evictions.
     pub decided: usize,
     pub exceeded: Option<ExceededBudget>,
     pub missing_capacity: Option<MissingCapacity>,
@@ -30,18 +30,18 @@
 
 enum Decision {
     Evicted,
-    /// The transaction or the ledger's value has no room for it now, the drain is halted, or the job has ended.
+    /// The limit of the transaction or of the ledger's value is reached, the drain is halted, or the job has ended.
     Deferred,
 }
 
-/// Why a task or a gang can't be evicted now.
+/// Why a target can't be evicted now.
 enum EvictionError {
     Budget(ExceededBudget),
     NoCapacity(MissingCapacity),
 }
 
 impl<F: Fleet> Pass<'_, F> {
-    /// How many machines of a drain may be emptied at a time.
+    /// The number of machines of a drain that may be emptied at a time.
     fn step(&self, record: &DrainRecord, machines: usize) -> usize {
         let step = match record.step.unwrap_or(self.limits.step) {
             Limit::Count(count) => count as usize,
@@ -50,7 +50,7 @@
         step.max(1)
     }
 
-    /// Decides on evictions as far as the step, the budgets, the ledgers and the room go.
+    /// Decides evictions within the limits of the step, the budgets, the ledgers and the capacity elsewhere.
     pub(super) fn evict(
         &mut self,
         id: &DrainId,
@@ -65,7 +65,7 @@
         let step = self.step(record, machines.len());
         let mut order: Vec<&MachineView> =
             machines.iter().filter(|m| !m.tasks.is_empty()).collect();
-        // Those that are begun first, then those that are quickest to empty.
+        // Machines that are already being emptied come first, then those with the fewest tasks.
         order.sort_by_key(|m| (!emptying.contains(&m.id), m.tasks.len(), &m.id));
         let mut round = EvictionRound::default();
         for machine in order {
@@ -91,7 +91,7 @@
         round
     }
 
-    /// What has to be moved off a machine: a gang counts once.
+    /// The targets that must be evicted from a machine. Attempts of one gang are one target.
     fn targets(&self, machine: &MachineView) -> BTreeSet<EvictionTarget> {
         let target = |attempt: &Attempt| {
             let job = self.fleet.job(attempt.task.job)?;
@@ -114,7 +114,7 @@
             .collect()
     }
 
-    /// Whether an attempt's eviction is recorded, or decided in this pass.
+    /// Whether the eviction of an attempt is recorded or was decided in this pass.
     fn is_evicted(&self, attempt: &Attempt) -> bool {
         let recorded = self.records.ledgers.values().flat_map(|l| &l.evictions);
         let decided = self.evictions.values().flatten();
@@ -122,7 +122,7 @@
         all.any(|eviction| eviction.target.includes(attempt))
     }
 
-    /// Evicts a task or a gang, if its budget allows it and there is room for it elsewhere.
+    /// Evicts a target if its budget allows it and there is capacity for it elsewhere.
     fn try_evict(
         &mut self,
         id: &DrainId,
@@ -168,7 +168,7 @@
         Ok(Decision::Evicted)
     }
 
-    /// Whether the team's ledger, and the transaction that changes it, can take another eviction.
+    /// Whether another eviction fits into the team's ledger and into the transaction that writes it.
     fn ledger_has_capacity(&self, team: &Team) -> bool {
         let decided = self.evictions.get(team).map_or(0, Vec::len);
         let recorded = self
--- a/crates/drain/src/planner/ledgers.rs
+++ b/crates/drain/src/planner/ledgers.rs
@@ -1,4 +1,4 @@
-//! What a pass changes in the teams' ledgers.
+//! Writes the changes of a pass to the teams' ledgers.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -12,8 +12,8 @@
 use crate::record::DrainRecord;
 
 impl<F: Fleet> Pass<'_, F> {
-    /// Writes the ledgers that change: evictions that are decided are added, those whose replacement runs are dropped,
-    /// losses are as observed. Those that spend a budget come first, as one transaction holds only so many.
+    /// Writes the ledgers that change: adds the decided evictions, removes evictions whose replacements run, and updates
+    /// the losses. Ledgers with new evictions come first, because the number of ledgers in a transaction is limited.
     pub(super) fn write_ledgers(&mut self, tracker: &DisruptionTracker) {
         let lost = tracker.lost(self.records.ledgers);
         let mut lost_by_team: BTreeMap<Team, Vec<TaskId>> = BTreeMap::new();
--- a/crates/drain/src/planner/mod.rs
+++ b/crates/drain/src/planner/mod.rs
@@ -1,8 +1,8 @@
-//! The planner compares what operators want with what is observed, and decides what follows.
+//! The planner compares the records of drains with the observed state and returns the actions to take.
 //!
-//! The leader calls [`Planner::handle`] with each event and carries out the effects. Nothing is carried out before it is
-//! recorded. All that must survive a change of leaders is in the records; the planner only remembers since when a drain
-//! has found no room, and losses that are not recorded yet.
+//! The leader calls [`Planner::handle`] with each event and carries out the effects. Nothing is carried out before it has been
+//! recorded. Everything that must survive a change of leader is in the records. The planner itself only keeps the time
+//! since which a drain has been waiting for capacity, and losses that are not recorded yet.
 
 mod evictions;
 mod ledgers;
@@ -26,7 +26,7 @@
 pub use crate::fleet::{MachineView, NoCapacity, Reservation, ServiceState};
 pub use progress::{DrainProgress, DrainState};
 
-/// The stored records.
+/// The stored records of draining.
 #[derive(Debug, Clone, Copy)]
 pub struct Records<'a> {
     /// All drains and cordons.
@@ -37,22 +37,22 @@
     pub budgets: &'a Budgets,
 }
 
-/// The limits of one pass, and the timeouts.
+/// The limits and timeouts of a pass.
 #[derive(Debug, Clone, Copy)]
 pub struct PlannerLimits {
-    /// Machines that a drain empties at a time, unless its record says otherwise.
+    /// Maximum number of machines that a drain empties at a time, unless its record sets another one.
     pub step: Limit,
-    /// A drain that finds no room for this long is halted.
+    /// A drain is halted when there has been no capacity for its tasks for this long.
     pub capacity_timeout: Duration,
-    /// A drain is halted when an evicted task does not run again within this.
+    /// A drain is halted when an evicted task does not run again within this time.
     pub replacement_timeout: Duration,
-    /// Entries that a ledger's value has room for.
+    /// Maximum number of entries that fit into a ledger's stored value.
     pub max_ledger_entries: usize,
-    /// Ledgers that one transaction may change.
+    /// Maximum number of ledgers that one transaction may change.
     pub max_ledgers_per_transaction: usize,
 }
 
-/// What the leader is to do.
+/// An action of the leader.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Effect {
     /// Take a machine out of service.
@@ -61,9 +61,9 @@
     Uncordon(MachineId),
     /// Return a machine to the cloud.
     Return(MachineId),
-    /// Write a ledger, on condition of its present version and the team's budget.
+    /// Write a ledger, provided that neither the ledger nor the team's stored budget has changed.
     WriteLedger {
-        /// Whose it is.
+        /// The team.
         team: Team,
         /// The new value.
         ledger: Ledger,
@@ -75,20 +75,20 @@
         /// The new value.
         record: DrainRecord,
     },
-    /// Keep room for a task whose eviction is being recorded.
+    /// Reserve capacity for a task whose eviction is being recorded.
     Reserve(Reservation),
 }
 
-/// What the planner is told.
+/// An event that the planner handles.
 pub enum Event<'a, F> {
-    /// A task's attempt has gone, neither done nor stopped.
+    /// A task's attempt ended without having succeeded or been stopped.
     AttemptLost(Attempt),
-    /// Nothing is to be drained.
+    /// There are no drains and no recorded disruptions.
     NoActiveDrains {
-        /// Whether a task is still to run: losses of others are forgotten.
+        /// Whether a task still has to run. Losses of other tasks are removed.
         is_needed: &'a dyn Fn(TaskId) -> bool,
     },
-    /// What the fleet and the records show now.
+    /// The present state of the records and the fleet.
     Observed {
         /// The stored records.
         records: Records<'a>,
@@ -99,18 +99,18 @@
     },
 }
 
-/// Plans drains, and remembers what the records do not hold.
+/// Plans drains, and holds the observations that the records do not contain.
 #[derive(Debug, Default)]
 pub struct Planner {
     tracker: DisruptionTracker,
-    /// Since when a drain has found no room.
+    /// Since when there has been no capacity for the tasks of a drain.
     blocked_since: BTreeMap<DrainId, Instant>,
     progress: BTreeMap<DrainId, DrainProgress>,
     disruptions: Disruptions,
 }
 
 impl Planner {
-    /// Takes in an event and decides what follows.
+    /// Handles an event and returns the actions to take.
     pub fn handle<F: Fleet>(&mut self, now: Now, event: Event<'_, F>) -> Vec<Effect> {
         match event {
             Event::AttemptLost(attempt) => {
@@ -130,22 +130,22 @@
         }
     }
 
-    /// How far each drain was at the latest observation.
+    /// The progress of each drain in the latest pass.
     pub fn progress(&self) -> &BTreeMap<DrainId, DrainProgress> {
         &self.progress
     }
 
-    /// The disruptions at the latest observation, with what was then decided.
+    /// The disruptions in the latest pass, including the evictions that it decided.
     pub fn disruptions(&self) -> &Disruptions {
         &self.disruptions
     }
 
-    /// Recorded evictions whose replacement was not yet seen to run.
+    /// Recorded evictions whose replacements have not been observed running yet.
     pub fn outstanding<'l>(&self, ledgers: &'l BTreeMap<Team, Ledger>) -> Vec<&'l Eviction> {
         self.tracker.outstanding(ledgers).collect()
     }
 
-    /// Tasks of which the planner needs to know whether they run.
+    /// The tasks whose running attempts the planner must know: those evicted or lost and not running again.
     pub fn tasks_to_observe(&self, ledgers: &BTreeMap<Team, Ledger>) -> BTreeSet<TaskId> {
         let evicted = self.tracker.outstanding(ledgers);
         let mut watched: BTreeSet<TaskId> = evicted.flat_map(|e| e.target.tasks()).collect();
@@ -187,7 +187,7 @@
         pass.effects
     }
 
-    /// Decides what one drain needs.
+    /// Decides the next actions of a drain.
     fn advance<F: Fleet>(
         &mut self,
         pass: &mut Pass<'_, F>,
@@ -284,7 +284,7 @@
             }
         }
         if let Phase::Halted { reason } = &record.phase {
-            // Its cause is gone, or there is room again: the next pass evicts.
+            // If the cause is resolved and there is capacity, the drain resumes and the next pass evicts.
             if waiting_task.is_none() {
                 pass.resume_if_halted(id, record);
             }
@@ -305,7 +305,7 @@
                 missing_capacity: Some(MissingCapacity { task, reason }),
                 ..
             } => DrainState::Replacing { task, reason },
-            // What is left goes by itself: its jobs have ended.
+            // The remaining tasks end without an eviction, for example because their jobs have ended.
             EvictionRound { .. } => DrainState::Evicting,
         }
     }
--- a/crates/drain/src/planner/pass.rs
+++ b/crates/drain/src/planner/pass.rs
@@ -1,4 +1,4 @@
-//! One pass: cordons, phases and halts. Evictions and ledgers have modules of their own.
+//! A pass of the planner over all drains: cordons, returns of machines and changes of phases.
 
 use std::collections::BTreeMap;
 
@@ -11,13 +11,13 @@
 use crate::ledger::Eviction;
 use crate::record::{DrainRecord, HaltReason, Phase};
 
-/// One pass over all drains, with what it has decided so far.
+/// The state of a pass over all drains, with the decisions made so far.
 pub(super) struct Pass<'a, F> {
     pub now: Now,
     pub records: Records<'a>,
     pub limits: PlannerLimits,
     pub fleet: &'a mut F,
-    /// As observed, with those that this pass has decided.
+    /// The observed disruptions, including the evictions decided in this pass.
     pub disruptions: Disruptions,
     /// Evictions decided in this pass.
     pub evictions: BTreeMap<Team, Vec<Eviction>>,
@@ -25,7 +25,7 @@
 }
 
 impl<F: Fleet> Pass<'_, F> {
-    /// The machines that a record holds.
+    /// The machines that a record keeps out of service.
     pub(super) fn machines_of(&self, record: &DrainRecord) -> Vec<MachineView> {
         let applies = |machine: &&MachineView| record.applies_to(machine.attributes());
         self.fleet
@@ -36,7 +36,7 @@
             .collect()
     }
 
-    /// Cordons machines that a record holds, and uncordons those that none holds any more.
+    /// Cordons machines that a record applies to, and uncordons those that no record applies to any more.
     pub(super) fn reconcile_cordons(&mut self) {
         for machine in self.fleet.machines() {
             let mut records = self.records.drains.values();
@@ -53,7 +53,7 @@
         }
     }
 
-    /// Returns the empty machines of a record, if that was asked for.
+    /// Returns the empty machines of a record to the cloud, if the record requests it.
     pub(super) fn return_empty(&mut self, record: &DrainRecord, machines: &[MachineView]) {
         if !record.return_machines {
             return;
@@ -65,7 +65,8 @@
             .extend(returned.map(|machine| Effect::Return(machine.id.clone())));
     }
 
-    /// Nothing is left on its machines, what was on them runs elsewhere, and those to be returned are gone.
+    /// Whether a drain whose machines are empty is complete: the evicted tasks run elsewhere, and machines that are to be
+    /// returned no longer exist.
     pub(super) fn is_complete(
         &self,
         record: &DrainRecord,
@@ -75,7 +76,7 @@
         outstanding.is_empty() && (!record.return_machines || machines.is_empty())
     }
 
-    /// Writes a record whose phase changes.
+    /// Writes the record with a new phase, if the phase changes.
     pub(super) fn set_phase(&mut self, id: &DrainId, record: &DrainRecord, phase: Phase) {
         if record.phase != phase {
             let record = DrainRecord {
@@ -87,7 +88,7 @@
         }
     }
 
-    /// Halts an active drain.
+    /// Halts a drain, if it is active.
     pub(super) fn halt(
         &mut self,
         id: &DrainId,
@@ -101,12 +102,12 @@
         DrainState::Halted(reason)
     }
 
-    /// Lets a halted drain go on.
+    /// Resumes a halted drain.
     pub(super) fn resume_if_halted(&mut self, id: &DrainId, record: &DrainRecord) {
         self.set_phase(id, record, Phase::Active);
     }
 
-    /// Why the drain must halt, if an evicted task does not run again.
+    /// Why the drain must halt because of an evicted task: its job fails repeatedly, or it did not run again in time.
     pub(super) fn failed_replacement(
         &self,
         record: &DrainRecord,
--- a/crates/drain/src/planner/progress.rs
+++ b/crates/drain/src/planner/progress.rs
@@ -1,4 +1,4 @@
-//! What a drain has come to, as operators are shown it.
+//! The progress of a drain, as reported to operators.
 
 use dappleshore_domain::TaskId;
 
@@ -6,43 +6,43 @@
 use crate::fleet::NoCapacity;
 use crate::record::HaltReason;
 
-/// What a drain is doing or waiting for.
+/// The state of a drain.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum DrainState {
     /// Its machines are being cordoned.
     Requested,
-    /// The next task of this team may not be disrupted now.
+    /// Evicting the next task would exceed this budget.
     WaitingForBudget(ExceededBudget),
-    /// The next task waits for a machine with room for it.
+    /// The next task waits for a machine with capacity for it.
     Replacing {
-        /// The first task that has no room.
+        /// The first task without capacity elsewhere.
         task: TaskId,
-        /// Why it has none.
+        /// Why there is none.
         reason: NoCapacity,
     },
-    /// Tasks were told to stop, and their replacements do not run yet.
+    /// Tasks have been evicted, and their replacements do not run yet.
     Evicting,
-    /// No task is left on its machines; replacements start, or machines are being returned.
+    /// No task is left on its machines. Replacements are starting, or machines are being returned.
     Empty,
-    /// It evicts nothing until its cause is gone or an operator resumes it.
+    /// It evicts nothing until the cause is resolved or an operator resumes it.
     Halted(HaltReason),
-    /// An operator has called it off, or has put its machines back into service.
+    /// An operator cancelled it or put its machines back into service.
     Cancelled,
-    /// All that was asked for is so.
+    /// The request is carried out.
     Done,
 }
 
-/// How far a drain is.
+/// The progress of a drain.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct DrainProgress {
-    /// What it is doing or waiting for.
+    /// Its state.
     pub state: DrainState,
-    /// Machines that it holds.
+    /// The number of machines that it keeps out of service.
     pub machines: usize,
-    /// Those of them without tasks.
+    /// The number of these machines without tasks.
     pub empty: usize,
-    /// Tasks on its machines that are not proven gone.
+    /// The number of attempts on its machines that are not proven ended.
     pub tasks_left: usize,
-    /// Evicted tasks whose replacement does not run yet.
+    /// The number of evictions whose replacements do not run yet.
     pub outstanding: usize,
 }
