--- a/crates/drain/tests/planner.rs
+++ b/crates/drain/tests/planner.rs
@@ -1,4 +1,5 @@
-//! Draining decided step by step in a small fleet of its own: seeded runs, with the budgets checked after each step.
+//! Tests of the planner with a small simulated fleet: single situations, and seeded runs that check the budgets after each
+//! step.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::{Duration, Instant, SystemTime};
@@ -14,10 +15,10 @@
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 
-/// Room for tasks on each machine.
+/// The capacity of each machine.
 const TASKS_PER_MACHINE: usize = 3;
 
-/// Machines, tasks and records, all of them shown to the planner as they are.
+/// Machines, tasks and records. The planner observes them without delay.
 struct SimulatedFleet {
     start: Instant,
     elapsed: Duration,
@@ -31,12 +32,12 @@
     limits: PlannerLimits,
     planner: Planner,
     next_attempt: u64,
-    /// Replacements start only while this is so.
+    /// Whether replacements start.
     starts_replacements: bool,
 }
 
 fn id(text: &str) -> DrainId {
-    text.parse().expect("an id")
+    text.parse().expect("the id is valid")
 }
 
 fn team_named(name: &str) -> Team {
@@ -44,7 +45,8 @@
 }
 
 impl SimulatedFleet {
-    /// Zones `a` and `b` with so many machines each, and a job of so many tasks for each team, all in zone `a`.
+    /// Creates zones `a` and `b` with this number of machines each, and a job with this number of tasks for each team, all
+    /// placed in zone `a`.
     fn new(machines: usize, tasks: u32, budget: Limit) -> Self {
         let view = |zone: &str, n: usize| MachineView {
             id: format!("{zone}-{n:03}").as_str().into(),
@@ -101,7 +103,7 @@
         for index in 0..tasks {
             let task = TaskId { job, index };
             let attempt = match gang {
-                Some(start) => Attempt::of_gang(task, start).expect("small"),
+                Some(start) => Attempt::of_gang(task, start).expect("the index fits"),
                 None => self.new_attempt(task),
             };
             let machine_with_capacity = self
@@ -145,7 +147,7 @@
         self.drains.insert(id(name), record);
     }
 
-    /// The planner looks, and what it says is recorded, if it may be.
+    /// Runs a pass of the planner. If `recorded`, its effects are applied to the records and machines.
     fn run_pass(&mut self, recorded: bool) -> Vec<Effect> {
         let now = self.now();
         let mut fleet = FleetView {
@@ -193,7 +195,7 @@
         }
     }
 
-    /// Evicted tasks stop; tasks that are nowhere start where there is room, and run a moment later.
+    /// Advances by one second: evicted tasks stop, placed tasks run, and unplaced tasks are placed where there is capacity.
     fn step(&mut self) {
         self.elapsed += Duration::from_secs(1);
         let evicted: Vec<EvictionTarget> = self
@@ -214,7 +216,7 @@
             .extend(placed.iter().map(|attempt| attempt.number));
         for task in self.unplaced_tasks() {
             let attempt = match self.jobs[&task.job].gang_tasks {
-                Some(_) => Attempt::of_gang(task, 77).expect("small"),
+                Some(_) => Attempt::of_gang(task, 77).expect("the index fits"),
                 None => self.new_attempt(task),
             };
             let machine_with_capacity = self.machines.iter_mut().find(|machine| {
@@ -242,7 +244,7 @@
         tasks.filter(|task| !placed.contains(task)).collect()
     }
 
-    /// Tasks of a team that do not run on a machine that is usable.
+    /// The number of a team's tasks that do not run on a usable machine.
     fn tasks_down(&self, team: &Team) -> usize {
         let runs = |task: TaskId| {
             let usable = self.machines.iter().filter(|machine| machine.usable);
@@ -265,11 +267,13 @@
 
     fn machine(&mut self, name: &str) -> &mut MachineView {
         let mut machines = self.machines.iter_mut();
-        machines.find(|m| *m.id.0 == *name).expect("exists")
+        machines
+            .find(|m| *m.id.0 == *name)
+            .expect("the machine exists")
     }
 }
 
-/// What the planner sees.
+/// The state of the fleet that the planner observes in one pass.
 struct FleetView<'a> {
     machines: Vec<MachineView>,
     jobs: &'a BTreeMap<JobId, JobView>,
@@ -342,8 +346,8 @@
     ledgers.sum()
 }
 
-/// Machines die, hang and come back, leaders change, and what is decided is not always recorded: after each step no
-/// more is down than the budget allows, but for what failed by itself.
+/// Replacements start late, leaders change, and decisions are not always recorded. After each step, no more tasks of a team
+/// are down than its budget allows, or than were down before the step.
 #[test]
 fn seeded_runs_stay_within_the_budgets() {
     for seed in 0..200 {
@@ -354,7 +358,7 @@
         for step in 0..150 {
             fleet.starts_replacements = step > 100 || rng.random_bool(0.8);
             if step < 100 && rng.random_bool(0.05) {
-                // A new leader remembers nothing.
+                // A new leader starts without observations.
                 fleet.planner = Planner::default();
             }
             let recorded = step > 100 || rng.random_bool(0.7);
@@ -383,7 +387,7 @@
 fn nothing_is_evicted_while_a_team_is_at_its_limit() {
     for limit in ["0", "10%"] {
         // A tenth of six tasks is less than one: rounded down.
-        let mut fleet = SimulatedFleet::new(6, 6, limit.parse().expect("a limit"));
+        let mut fleet = SimulatedFleet::new(6, 6, limit.parse().expect("the limit is valid"));
         fleet.add_drain("disk", Scope::Zone("a".into()));
         fleet.run_pass(true);
         assert_eq!(evictions(&fleet.run_pass(true)), 0);
@@ -394,7 +398,7 @@
     }
 }
 
-/// Tasks on a machine that does not answer may still run: they use up the budget, and evicting them does too.
+/// Tasks on a machine that does not respond may still run. They count against the budget, and so does their eviction.
 #[test]
 fn tasks_on_unresponsive_machines_count_as_disrupted() {
     let mut fleet = SimulatedFleet::new(6, 6, Limit::Count(2));
@@ -404,7 +408,7 @@
     assert_eq!(
         evictions(&fleet.run_pass(false)),
         2,
-        "blue's, which are elsewhere"
+        "only tasks of team blue are evicted, which are on other machines"
     );
     assert_eq!(
         fleet
@@ -482,7 +486,10 @@
     ));
     let before = fleet.ledgers.clone();
     fleet.run_pass(true);
-    assert_eq!(fleet.ledgers, before, "nothing is evicted meanwhile");
+    assert_eq!(
+        fleet.ledgers, before,
+        "nothing is evicted while the drain is halted"
+    );
     fleet.starts_replacements = true;
     for _ in 0..60 {
         fleet.step();
@@ -544,7 +551,7 @@
     );
 }
 
-/// Losses are noted while nothing is drained, too; those of tasks that are over must not fill the memory.
+/// Losses are also recorded while nothing is drained. Those of ended tasks must be removed, so that they don't accumulate.
 #[test]
 fn losses_of_ended_tasks_are_removed() {
     let mut fleet = SimulatedFleet::new(6, 6, Limit::Count(1));
--- a/crates/drain/tests/requests.rs
+++ b/crates/drain/tests/requests.rs
@@ -1,4 +1,4 @@
-//! What operators' requests change, and what they are refused.
+//! Tests of the changes that operators' requests make to the records, and of the requests that are refused.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -16,7 +16,7 @@
 }
 
 fn id(text: &str) -> DrainId {
-    text.parse().expect("an id")
+    text.parse().expect("the id is valid")
 }
 
 fn zone(name: &str) -> Scope {
@@ -38,7 +38,8 @@
 }
 
 impl StoredRecords {
-    /// Machines `m-0` to `m-3`, two in each of the zones `a` and `b`.
+    /// Applies the changes of a request and returns their number. There are machines `m-0` to `m-3`, two in each of the
+    /// zones `a` and `b`.
     fn apply(&mut self, request: &Request) -> Result<usize, Problem> {
         let views: Vec<MachineView> = (0..4)
             .map(|n| MachineView {
@@ -87,7 +88,9 @@
     }
 
     fn refusal(&mut self, request: &Request) -> ProblemKind {
-        self.apply(request).expect_err("refused").kind
+        self.apply(request)
+            .expect_err("the request is refused")
+            .kind
     }
 }
 
@@ -96,9 +99,17 @@
     let mut records = StoredRecords::default();
     let start_request = start("disk", zone("a"), Purpose::Drain);
     assert_eq!(records.apply(&start_request), Ok(1));
-    assert_eq!(records.apply(&start_request), Ok(0), "the same name");
+    assert_eq!(
+        records.apply(&start_request),
+        Ok(0),
+        "a request with the same id"
+    );
     let other = start("other", zone("a"), Purpose::Drain);
-    assert_eq!(records.apply(&other), Ok(0), "the same request");
+    assert_eq!(
+        records.apply(&other),
+        Ok(0),
+        "the same request with another id"
+    );
     let different = start("disk", zone("b"), Purpose::Drain);
     assert_eq!(records.refusal(&different), ProblemKind::Refused);
     for (request, changes) in [
@@ -148,7 +159,7 @@
     let mut records = StoredRecords::default();
     records
         .apply(&start("zone", zone("a"), Purpose::Cordon))
-        .expect("taken");
+        .expect("the request is accepted");
     let one = Request::Uncordon {
         scope: machines(&["m-0"]),
     };
@@ -163,7 +174,7 @@
     assert_eq!(
         records.refusal(&second),
         ProblemKind::Refused,
-        "no room for it"
+        "the record has no space for another exception"
     );
     assert_eq!(
         records.apply(&Request::Uncordon { scope: zone("a") }),
@@ -172,7 +183,7 @@
     assert!(!records.drains[&id("zone")].is_in_effect());
     records
         .apply(&start("busy", zone("b"), Purpose::Drain))
-        .expect("taken");
+        .expect("the request is accepted");
     let busy = Request::Uncordon { scope: zone("b") };
     assert_eq!(
         records.refusal(&busy),
@@ -188,10 +199,10 @@
         let name = format!("d-{n}");
         records
             .apply(&start(&name, zone("a"), Purpose::Drain))
-            .expect("taken");
+            .expect("the request is accepted");
         records
             .apply(&Request::Cancel { id: id(&name) })
-            .expect("taken");
+            .expect("the request is accepted");
     }
     assert!(
         records.drains.len() <= MAX_ENDED_RECORDS + 1,
@@ -200,7 +211,7 @@
     );
     assert!(
         !records.drains.contains_key(&id("d-0")),
-        "the oldest goes first"
+        "the oldest ended record is deleted first"
     );
     for n in 0..MAX_RECORDS_IN_EFFECT {
         let step = Some(Limit::Count(n as u32 + 1));
@@ -211,7 +222,7 @@
             return_machines: false,
             step,
         };
-        records.apply(&request).expect("taken");
+        records.apply(&request).expect("the request is accepted");
     }
     let more = start("more", zone("b"), Purpose::Drain);
     assert_eq!(records.refusal(&more), ProblemKind::Refused);
@@ -223,7 +234,7 @@
     let set = |class: Option<&str>, limit: &str| Request::SetBudget {
         team: "red".into(),
         class: class.map(str::to_owned),
-        limit: limit.parse().expect("a limit"),
+        limit: limit.parse().expect("the limit is valid"),
     };
     let clear = |class: Option<&str>| Request::ClearBudget {
         team: "red".into(),
@@ -249,7 +260,7 @@
     assert_eq!(
         records.refusal(&set_for("the blue")),
         ProblemKind::Refused,
-        "no key"
+        "the team's name can't be part of a key"
     );
 }
 
@@ -263,7 +274,7 @@
         ("11%", 0),
         ("12.5%", 1),
     ] {
-        let limit: Limit = text.parse().expect("a limit");
+        let limit: Limit = text.parse().expect("the limit is valid");
         assert_eq!(limit.resolve(9), of_nine, "{text}");
         assert_eq!(limit.to_string(), text);
     }
