--- a/src/operations/mod.rs
+++ b/src/operations/mod.rs
@@ -1,10 +1,10 @@
-//! Operators' requests: checked and recorded by the leader, answered once they are recorded.
+//! Operators' requests: the leader checks and records them, and replies once they are recorded.
 //!
-//! The controller adds each request, polls for replies and for the next transaction, and reports what became of that.
-//! What a request changes is decided in `dappleshore_drain::requests`.
+//! The controller adds each request, polls for replies and for the next transaction, and passes in the transaction's outcome.
+//! `dappleshore_drain::requests` computes the changes that a request requires.
 //!
-//! Invariants: one transaction is under way at a time. A request stays pending until a fresh copy of the records shows
-//! that all is as it asks for, so that it does not matter whether a transaction of it was lost, or executed late or twice.
+//! Invariants: one transaction is in progress at a time. A request stays pending until a current copy of the records matches
+//! it, so that a transaction may be lost, or executed late or twice.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::time::{Duration, Instant};
@@ -27,11 +27,11 @@
 };
 use crate::store::{StoreRequest, StoreResponse, Transaction, WatchCache, WriterState};
 
-/// More pending requests than this are refused at once.
+/// Further requests are refused immediately.
 const MAX_PENDING_REQUESTS: usize = 32;
-/// A request is answered within this, whatever happens.
+/// Every request gets a reply within this time.
 pub const REPLY_TIMEOUT: Duration = Duration::from_secs(4);
-/// What a drain's record may grow by after it was accepted.
+/// Space that a new drain's record leaves in the stored value for later changes of the record.
 const RECORD_GROWTH_BYTES: usize = 256;
 
 #[derive(Debug)]
@@ -39,31 +39,31 @@
     id: RequestId,
     request: Request,
     received_at: Instant,
-    /// Whether a transaction of it was sent.
+    /// Whether a transaction for it was sent.
     transaction_sent: bool,
-    /// The records that the request to uncordon changes.
+    /// The records that the uncordon request changed.
     uncordoned: BTreeSet<DrainId>,
 }
 
-/// Requests that are not answered yet.
+/// Operators' requests that have no reply yet.
 #[derive(Debug)]
 pub struct OperatorRequests {
     pending: VecDeque<PendingRequest>,
     writer: WriterState,
 }
 
-/// What requests are decided on.
+/// The state of the leader that requests are decided with.
 pub struct Context<'a> {
-    /// The leader's own version, settings and catalogue.
+    /// The leader's record version, settings and instance catalog.
     pub leader: &'a LeaderContext<'a>,
-    /// None: draining is switched off.
+    /// The coordinator of drains. `None`: draining is disabled.
     pub draining: Option<&'a DrainCoordinator>,
 }
 
-/// What a poll has come to.
+/// The result of a poll.
 #[derive(Default)]
 pub struct PollResult {
-    /// The replies that are decided.
+    /// Replies to send.
     pub replies: Vec<(RequestId, Reply)>,
     /// A transaction to send.
     pub request: Option<StoreRequest>,
@@ -78,13 +78,13 @@
     }
 }
 
-/// A reply that says that nobody can decide now.
+/// A reply that the request can't be decided now.
 fn unavailable(message: impl Into<String>) -> Reply {
     Reply::Problem(Problem::new(ProblemKind::Unavailable, message))
 }
 
 impl OperatorRequests {
-    /// Adds a request. The reply, if there are too many already.
+    /// Adds a request. If too many are pending, returns the reply that refuses it.
     pub fn add_request(&mut self, now: Now, id: RequestId, request: Request) -> Option<Reply> {
         if self.pending.len() >= MAX_PENDING_REQUESTS {
             return Some(unavailable("too many requests are waiting"));
@@ -104,7 +104,8 @@
         self.pending.is_empty()
     }
 
-    /// Refers all pending requests to the controller that leads, if it is known, as this one does not.
+    /// Replies to all pending requests with the present leader's address, if it is known, because this controller is not the
+    /// leader.
     pub fn redirect_all(
         &mut self,
         leader: Option<(ControllerName, String)>,
@@ -116,14 +117,14 @@
                     leader: leader.clone(),
                     addr: addr.clone(),
                 },
-                None => unavailable("no controller leads just now"),
+                None => unavailable("there is no leader at present"),
             };
             (pending.id, reply)
         };
         self.pending.drain(..).map(reply).collect()
     }
 
-    /// Decides what can be decided, and makes the transaction that the first request with changes needs.
+    /// Replies to requests that can be decided, and creates the transaction for the first request that changes records.
     pub fn poll(&mut self, now: Now, cx: &Context<'_>, cache: &mut WatchCache) -> PollResult {
         let mut result = PollResult::default();
         self.answer_overdue(now, &mut result);
@@ -145,7 +146,7 @@
                 result.replies.push((pending.id, reply));
             }
             Ok(changes) => {
-                info!(request = ?pending.request, "operators' request");
+                info!(request = ?pending.request, "carrying out operator request");
                 pending.transaction_sent = true;
                 for change in &changes {
                     if let Change::PutDrain(id, record) = change
@@ -172,9 +173,9 @@
             let overdue = since(now, pending.received_at) >= REPLY_TIMEOUT;
             if overdue {
                 let message = if pending.transaction_sent {
-                    "not known yet whether it was carried out: repeat it as it is"
+                    "it is not known whether the request was carried out: repeat it unchanged"
                 } else {
-                    "the state service does not answer"
+                    "the state service does not respond"
                 };
                 result.replies.push((pending.id, unavailable(message)));
             }
@@ -202,13 +203,13 @@
         }
     }
 
-    /// Takes in the outcome of the transaction.
+    /// Handles the response to the transaction.
     pub fn handle_store_response(&mut self, now: Now, outcome: &StoreResponse) {
         self.writer.record_response(now, outcome);
     }
 }
 
-/// The changes that a request still needs.
+/// The changes that a request still requires.
 fn changes(
     request: &Request,
     now: Now,
@@ -218,13 +219,13 @@
     if cx.draining.is_none() {
         return Err(Problem::new(
             ProblemKind::Refused,
-            "draining is switched off: set `enabled = true` under `[drain]` in the features file",
+            "draining is disabled: set `enabled = true` under `[drain]` in the features file",
         ));
     }
     if cache.format() < DRAIN_FORMAT {
         let lagging: Vec<String> = lagging_controllers(cx.leader, cache);
         let message = format!(
-            "not before all controllers know drains; {} can't say so yet",
+            "not all controllers support drains yet; missing: {}",
             lagging.join(", ")
         );
         return Err(Problem::new(ProblemKind::Unavailable, message));
@@ -261,7 +262,7 @@
     requests::changes(request, &context)
 }
 
-/// Controllers that do not know drains, or are not up.
+/// Controllers that don't support drains or are not running.
 fn lagging_controllers(leader: &LeaderContext<'_>, cache: &WatchCache) -> Vec<String> {
     let peers = leader.config.peers.iter().map(|peer| &peer.name);
     let supports_drains = |controller: &ControllerName| {
@@ -297,7 +298,7 @@
     txn
 }
 
-/// The reply to a request that needs no further change.
+/// The reply to a request that requires no further change.
 fn final_reply(pending: &PendingRequest, cx: &Context<'_>, cache: &WatchCache) -> Reply {
     match &pending.request {
         Request::Start {
@@ -345,7 +346,7 @@
     }
 }
 
-/// The budgets of all teams, and those of classes that have one of their own.
+/// The budgets of all teams, and of classes with their own budgets.
 fn budget_statuses(cx: &Context<'_>, cache: &WatchCache) -> Vec<BudgetStatus> {
     let Some(draining) = cx.draining else {
         return Vec::new();
@@ -400,7 +401,7 @@
     statuses
 }
 
-/// Who has set a budget.
+/// The source of a budget, as it appears in statuses.
 fn source(requested: bool, in_settings: bool) -> &'static str {
     match (requested, in_settings) {
         (true, _) => "request",
