--- a/src/cli/mod.rs
+++ b/src/cli/mod.rs
@@ -1,4 +1,4 @@
-//! The command line: what may be asked for, and the exit codes.
+//! The command line: subcommands, arguments and exit codes.
 
 pub mod operate;
 pub mod show;
@@ -12,36 +12,36 @@
 #[derive(Parser)]
 #[command(
     version,
-    after_help = "Exit codes: 0 success, 1 the service could not run, 2 wrong settings, names or command line,\n\
-    3 no such drain, 4 refused as things are, 5 nobody can decide now (repeat it), 6 the drain that was waited for was\n\
-    halted or cancelled.\n\
-    Logs go to standard error at the level of the variable LOG_LEVEL: error, warn, info (default), debug or trace."
+    after_help = "Exit codes: 0 success, 1 the service could not run, 2 invalid settings, names or command line,\n\
+    3 no such drain, 4 refused in the present state, 5 unavailable (retry later), 6 with --wait: the drain was halted\n\
+    or cancelled.\n\
+    Logs go to standard error. The variable LOG_LEVEL sets the level: error, warn, info (default), debug or trace."
 )]
 pub struct Cli {
     #[command(subcommand)]
     pub command: Command,
 }
 
-/// The files that a controller goes by.
+/// The configuration files of a controller.
 #[derive(clap::Args)]
 pub struct ConfigFiles {
-    /// The settings file (TOML) that the platform hands over.
+    /// The settings file (TOML) that the platform provides.
     #[arg(long, value_name = "FILE")]
     pub config: PathBuf,
-    /// The operators' policy file; the built-in policy stands without one.
+    /// The operators' policy file; default: the built-in policy.
     #[arg(long, value_name = "FILE")]
     pub policy: Option<PathBuf>,
-    /// The operators' features file; deploy/features.toml if there is one, else everything is off.
+    /// The operators' features file; default: deploy/features.toml if it exists, else all features are off.
     #[arg(long, value_name = "FILE")]
     pub features: Option<PathBuf>,
 }
 
-/// What the program can do.
+/// The subcommands.
 #[derive(Subcommand)]
 pub enum Command {
-    /// Run a controller until it is killed.
+    /// Run a controller until the process is terminated.
     Serve(ConfigFiles),
-    /// Check a settings file, and policy and features under it, and say what is wrong.
+    /// Check a settings file, and the policy and features files that are used with it, and report errors.
     Check(ConfigFiles),
     /// Keep new tasks off machines.
     Cordon(operate::CordonArgs),
@@ -49,13 +49,13 @@
     Drain(operate::DrainArgs),
     /// Put machines back into service.
     Uncordon(operate::UncordonArgs),
-    /// Show drains and cordons, call one off, or let a halted one go on.
+    /// Show drains and cordons, cancel one, or resume a halted one.
     Drains(operate::DrainsArgs),
     /// Show, set or clear disruption budgets.
     Budget(operate::BudgetArgs),
 }
 
-/// Exit codes beside those of success and failure.
+/// Exit codes other than success (0) and failure (1).
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Exit {
     InvalidInput = 2,
--- a/src/cli/operate.rs
+++ b/src/cli/operate.rs
@@ -1,4 +1,4 @@
-//! The operators' commands: turned into requests, asked, and their answers shown.
+//! The operators' commands: converts them to requests, sends the requests, and prints the replies.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -12,15 +12,16 @@
 use super::{Exit, show};
 use crate::client::OperatorClient;
 
-/// How a drain that is waited for is looked at.
+/// The interval at which `--wait` polls a drain.
 const POLL_INTERVAL: Duration = Duration::from_secs(1);
-/// While a drain is waited for, nobody may be able to answer for so long.
+/// `--wait` ends with an error when no controller has replied for this long.
 const MAX_UNAVAILABLE_TIME: Duration = Duration::from_secs(60);
 
-/// Where to ask, and how to answer.
+/// Arguments that all operators' commands have: the controllers, the timeout and the output format.
 #[derive(Args, Clone)]
 pub struct CommonArgs {
-    /// A controller's address for other controllers (`back` in its settings); any of them will do, several are better.
+    /// The address of a controller for other controllers (`back` in its settings). Any controller can be named; several
+    /// addresses are tried in turn.
     #[arg(
         long = "controller",
         value_name = "ADDRESS",
@@ -29,19 +30,19 @@
         required = true
     )]
     controllers: Vec<SocketAddr>,
-    /// Give up after so many seconds.
+    /// Give up after this many seconds.
     #[arg(long, value_name = "SECONDS", default_value_t = 10, value_parser = clap::value_parser!(u64).range(1..=600))]
     within: u64,
-    /// Answer with JSON.
+    /// Print the answer as JSON.
     #[arg(long)]
     json: bool,
 }
 
-/// The machines that are meant.
+/// The machines that a command applies to.
 #[derive(Args, Clone)]
 #[group(required = true, multiple = false)]
 pub struct ScopeArgs {
-    /// These machines.
+    /// The machines with these names.
     #[arg(long = "machine", value_name = "NAME", value_delimiter = ',')]
     machines: Vec<String>,
     /// All machines of a block.
@@ -77,10 +78,10 @@
 pub struct CordonArgs {
     #[command(flatten)]
     scope: ScopeArgs,
-    /// The cordon's name: repeating a request under one name never acts twice. Made up if none is given.
+    /// The cordon's id: a repeated request with the same id is carried out once. Generated if omitted.
     #[arg(long)]
     id: Option<DrainId>,
-    /// Come back when it is done.
+    /// Wait until it is done.
     #[arg(long)]
     wait: bool,
     #[command(flatten)]
@@ -92,16 +93,16 @@
 pub struct DrainArgs {
     #[command(flatten)]
     scope: ScopeArgs,
-    /// The drain's name: repeating a request under one name never acts twice. Made up if none is given.
+    /// The drain's id: a repeated request with the same id is carried out once. Generated if omitted.
     #[arg(long)]
     id: Option<DrainId>,
-    /// Machines to empty at a time, such as 2 or 10%; else as the features file says.
+    /// Machines to empty at a time, such as 2 or 10%; default: the step of the features file.
     #[arg(long)]
     step: Option<Limit>,
     /// Return the machines to the cloud once they are empty.
     #[arg(long = "return")]
     return_machines: bool,
-    /// Come back when it is done, halted or cancelled.
+    /// Wait until it is done, halted or cancelled.
     #[arg(long)]
     wait: bool,
     #[command(flatten)]
@@ -120,12 +121,12 @@
 /// Arguments of `drains`.
 #[derive(Args)]
 pub struct DrainsArgs {
-    /// Only this one.
+    /// Show only this one.
     id: Option<DrainId>,
-    /// Call this one off: its machines go back into service.
+    /// Cancel this one: its machines go back into service.
     #[arg(long, value_name = "ID", conflicts_with_all = ["id", "resume"])]
     cancel: Option<DrainId>,
-    /// Let this one go on, which was halted.
+    /// Resume this one, which is halted.
     #[arg(long, value_name = "ID", conflicts_with = "id")]
     resume: Option<DrainId>,
     #[command(flatten)]
@@ -139,7 +140,7 @@
     command: BudgetCommand,
 }
 
-/// What may be done with budgets.
+/// The subcommands of `budget`.
 #[derive(Subcommand)]
 pub enum BudgetCommand {
     /// Show the budgets of all teams.
@@ -158,10 +159,10 @@
         #[command(flatten)]
         common: CommonArgs,
     },
-    /// Go back to the budget of the features file.
+    /// Remove a budget that was set by request, so that the features file applies again.
     Clear {
         team: String,
-        /// Only that of this class.
+        /// Only the budget of this class.
         #[arg(long)]
         class: Option<String>,
         #[command(flatten)]
@@ -169,7 +170,7 @@
     },
 }
 
-/// One request, and what is done with its answer.
+/// A request, and how to handle its reply.
 pub struct Operation {
     request: Request,
     common: CommonArgs,
@@ -282,7 +283,7 @@
 }
 
 impl Operation {
-    /// Asks, shows the answer, and says how it went.
+    /// Sends the request, prints the reply, and returns the exit code.
     pub async fn run(self) -> ExitCode {
         let within = Duration::from_secs(self.common.within);
         let client = OperatorClient::new(self.common.controllers.clone(), within);
@@ -323,7 +324,7 @@
     }
 }
 
-/// Looks at a drain until it is over, halted or cancelled. For a while nobody may be able to answer.
+/// Polls a drain until it is done, halted or cancelled. Controllers may be unavailable for up to [`MAX_UNAVAILABLE_TIME`].
 async fn wait_until_final(
     client: &OperatorClient,
     drains: Vec<DrainStatus>,
--- a/src/cli/show.rs
+++ b/src/cli/show.rs
@@ -1,4 +1,4 @@
-//! Answers, for people or as JSON. The JSON's schema is in `docs/schemas`.
+//! Prints replies as text or as JSON. The schema of the JSON is in `docs/schemas`.
 
 use dappleshore_drain::operator::{BudgetStatus, DrainStatus, Problem, Reply};
 use schemars::JsonSchema;
@@ -35,7 +35,7 @@
     }
 }
 
-/// Shows an answer on standard output.
+/// Prints a reply on standard output.
 pub fn print_reply(reply: &Reply, json: bool) {
     let shown = Shown::from(reply);
     if json {
@@ -56,7 +56,7 @@
     }
 }
 
-/// Says what is wrong, in one line on standard error.
+/// Prints a problem in one line on standard error, and with `json` also as JSON on standard output.
 pub fn print_problem(problem: &Problem, json: bool) {
     if json {
         println!("{}", to_json(&Shown::Problem(problem.clone())));
@@ -65,7 +65,7 @@
 }
 
 fn to_json(shown: &Shown) -> String {
-    // Our own types: they always have a JSON form.
+    // These types can always be serialized as JSON.
     serde_json::to_string(shown).unwrap_or_default()
 }
 
--- a/src/cli/show/tests.rs
+++ b/src/cli/show/tests.rs
@@ -1,13 +1,13 @@
-//! The schemas that operators' tools go by.
+//! Tests of the JSON schemas that operators' tools rely on.
 
 use super::*;
 use crate::features::Features;
 
 fn schema_text(schema: &schemars::Schema) -> String {
-    serde_json::to_string_pretty(schema).expect("has a form") + "\n"
+    serde_json::to_string_pretty(schema).expect("the schema is serializable") + "\n"
 }
 
-/// `WRITE_SCHEMAS=1 cargo test schemas` writes them anew.
+/// `WRITE_SCHEMAS=1 cargo test schemas` rewrites the files.
 #[test]
 fn the_documented_schemas_match_the_program() {
     let schemas = [
@@ -19,7 +19,7 @@
         let path = format!("{directory}{name}");
         let text = schema_text(&schema);
         if std::env::var_os("WRITE_SCHEMAS").is_some() {
-            std::fs::write(&path, &text).expect("writable");
+            std::fs::write(&path, &text).expect("the file is writable");
         }
         let stored = std::fs::read_to_string(&path).unwrap_or_default();
         assert_eq!(stored, text, "{name}");
@@ -28,8 +28,9 @@
 
 #[test]
 fn answers_match_their_schema() {
-    let schema = serde_json::to_value(schemars::schema_for!(Shown)).expect("has a form");
-    let validator = jsonschema::validator_for(&schema).expect("a schema");
+    let schema =
+        serde_json::to_value(schemars::schema_for!(Shown)).expect("the schema is serializable");
+    let validator = jsonschema::validator_for(&schema).expect("the schema is valid");
     let drain = DrainStatus {
         id: "disk-7".to_owned(),
         scope: "zone a".to_owned(),
@@ -45,7 +46,7 @@
         requested_ms: 1_800_000_000_000,
     };
     let shown = Shown::Drains(vec![drain]);
-    let value = serde_json::to_value(&shown).expect("has a form");
+    let value = serde_json::to_value(&shown).expect("the answer is serializable");
     assert!(validator.is_valid(&value), "{value}");
     let mut wrong = value;
     wrong["drains"][0]["state"] = "asleep".into();
--- a/src/cli/tests.rs
+++ b/src/cli/tests.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 
-/// Operators' scripts name them.
+/// Operators' scripts use these names, so they must not change.
 #[test]
 fn the_subcommands_keep_their_names() {
     let command = Cli::command();
--- a/src/client/mod.rs
+++ b/src/client/mod.rs
@@ -1,7 +1,7 @@
-//! Sends operators' requests to the controllers until one gives a final reply or the time is over.
+//! Sends operators' requests to the controllers until one gives a final reply or the timeout has passed.
 //!
-//! The command line calls it. A controller that does not lead names the leader, which is then asked; controllers that
-//! don't reply are asked again in turn.
+//! Used by the command line. A controller that is not the leader replies with the leader's address, and the request is sent
+//! there. Controllers that don't reply are retried in turn.
 
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
@@ -11,9 +11,9 @@
 
 use crate::http::{self, decode_body, encode_body};
 
-/// On the address that controllers use among themselves.
+/// The path of operators' requests, on the address that controllers use for messages to each other.
 const OPERATE_PATH: &str = "/operate";
-/// Longer than a controller takes for any answer.
+/// Longer than a controller takes to reply to any request.
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(5);
 const RETRY_PAUSE: Duration = Duration::from_millis(300);
 
@@ -32,12 +32,12 @@
 pub struct OperatorClient {
     http: http::Client,
     controllers: Vec<SocketAddr>,
-    /// For all tries of one request together.
+    /// The timeout of a request, including all retries.
     timeout: Duration,
 }
 
 impl OperatorClient {
-    /// Asks the controllers at these addresses, in this order. `timeout`: for all tries of one request together.
+    /// Creates a client that tries these controllers in this order. `timeout` applies to a request with all its retries.
     pub fn new(controllers: Vec<SocketAddr>, timeout: Duration) -> Self {
         OperatorClient {
             http: http::Client::new(REQUEST_TIMEOUT),
@@ -46,11 +46,11 @@
         }
     }
 
-    /// The first reply that is final. A request may be sent several times, which is harmless: none acts twice.
+    /// Sends a request and returns the first final reply. The request may be sent several times; requests are idempotent.
     ///
     /// # Errors
     ///
-    /// What a controller says is wrong with the request, or `Unavailable` if none could decide it in time.
+    /// The problem that a controller reports, or `Unavailable` if none could decide the request in time.
     pub async fn send(&self, request: &Request) -> Result<Reply, Problem> {
         let deadline = Instant::now() + self.timeout;
         let mut last_problem = self.no_reply();
@@ -65,7 +65,7 @@
                     }
                     Ok(Reply::Problem(problem)) => return Err(problem),
                     Ok(Reply::NotLeader { leader, .. }) => {
-                        let message = format!("{leader} leads, but does not answer");
+                        let message = format!("{leader} is the leader, but does not reply");
                         last_problem = Problem::new(ProblemKind::Unavailable, message);
                     }
                     Ok(reply) => return Ok(reply),
@@ -84,11 +84,11 @@
 
     fn no_reply(&self) -> Problem {
         let addresses: Vec<String> = self.controllers.iter().map(SocketAddr::to_string).collect();
-        let message = format!("no controller answers at {}", addresses.join(", "));
+        let message = format!("no controller replies at {}", addresses.join(", "));
         Problem::new(ProblemKind::Unavailable, message)
     }
 
-    /// Asks one controller, and the one that it names as the leader.
+    /// Sends a request to a controller, and to the leader if the controller names another one.
     async fn send_following_leader(
         &self,
         controller: SocketAddr,
