--- a/crates/drain/src/planner/mod.rs
+++ b/crates/drain/src/planner/mod.rs
@@ -148,9 +148,9 @@
     /// The tasks whose running attempts the planner must know: those evicted or lost and not running again.
     pub fn tasks_to_observe(&self, ledgers: &BTreeMap<Team, Ledger>) -> BTreeSet<TaskId> {
         let evicted = self.tracker.outstanding(ledgers);
-        let mut watched: BTreeSet<TaskId> = evicted.flat_map(|e| e.target.tasks()).collect();
-        watched.extend(self.tracker.lost(ledgers));
-        watched
+        let mut tasks: BTreeSet<TaskId> = evicted.flat_map(|e| e.target.tasks()).collect();
+        tasks.extend(self.tracker.lost(ledgers));
+        tasks
     }
 
     fn observe<F: Fleet>(
@@ -271,11 +271,11 @@
         };
         match waiting_task {
             Some(task) => {
-                let began = *self
+                let waiting_since = *self
                     .blocked_since
                     .entry(id.clone())
                     .or_insert(pass.now.monotonic);
-                if since(pass.now, began) >= pass.limits.capacity_timeout {
+                if since(pass.now, waiting_since) >= pass.limits.capacity_timeout {
                     return pass.halt(id, record, HaltReason::NoCapacity { task });
                 }
             }
--- a/crates/drain/src/planner/pass.rs
+++ b/crates/drain/src/planner/pass.rs
@@ -120,8 +120,8 @@
             if self.fleet.keeps_failing(task.job) {
                 return Some(HaltReason::ReplacementFails { task });
             }
-            let began = eviction.at_ms.max(record.resumed_ms);
-            let overdue = self.now.unix_ms().saturating_sub(began) >= timeout_ms;
+            let started_ms = eviction.at_ms.max(record.resumed_ms);
+            let overdue = self.now.unix_ms().saturating_sub(started_ms) >= timeout_ms;
             overdue.then_some(HaltReason::ReplacementNotRunning { task })
         })
     }
--- a/crates/drain/src/requests.rs
+++ b/crates/drain/src/requests.rs
@@ -103,10 +103,10 @@
     if drains.contains_key(id) {
         return Some(id);
     }
-    let same = |(_, other): &(&DrainId, &DrainRecord)| {
+    let has_same_request = |(_, other): &(&DrainId, &DrainRecord)| {
         other.is_in_progress() && other.has_same_request(record)
     };
-    drains.iter().find(same).map(|(id, _)| id)
+    drains.iter().find(has_same_request).map(|(id, _)| id)
 }
 
 fn start(
@@ -299,7 +299,7 @@
     record: &DrainRecord,
     machines: &[MachineView],
 ) -> Vec<MachineId> {
-    let both = |machine: &&MachineView| {
+    let in_both = |machine: &&MachineView| {
         let attributes = MachineAttributes {
             id: &machine.id,
             block: &machine.block,
@@ -310,16 +310,18 @@
     };
     machines
         .iter()
-        .filter(both)
+        .filter(in_both)
         .map(|machine| machine.id.clone())
         .collect()
 }
 
 /// Whether a scope includes a record's whole scope, also for machines that join later.
-fn includes_scope(scope: &Scope, held: &Scope) -> bool {
-    match (scope, held) {
-        (Scope::Machines(machines), Scope::Machines(held)) => held.is_subset(machines),
-        (scope, held) => scope == held,
+fn includes_scope(scope: &Scope, record_scope: &Scope) -> bool {
+    match (scope, record_scope) {
+        (Scope::Machines(machines), Scope::Machines(record_scope)) => {
+            record_scope.is_subset(machines)
+        }
+        (scope, record_scope) => scope == record_scope,
     }
 }
 
--- a/crates/drain/tests/planner.rs
+++ b/crates/drain/tests/planner.rs
@@ -150,7 +150,7 @@
     /// Runs a pass of the planner. If `recorded`, its effects are applied to the records and machines.
     fn run_pass(&mut self, recorded: bool) -> Vec<Effect> {
         let now = self.now();
-        let mut fleet = FleetView {
+        let mut fleet_view = FleetView {
             machines: self.machines.clone(),
             jobs: &self.jobs,
             running: &self.running,
@@ -163,7 +163,7 @@
                 budgets: &self.budgets,
             },
             limits: self.limits,
-            fleet: &mut fleet,
+            fleet: &mut fleet_view,
         };
         let effects = self.planner.handle(now, event);
         if recorded {
@@ -246,7 +246,7 @@
 
     /// The number of a team's tasks that do not run on a usable machine.
     fn tasks_down(&self, team: &Team) -> usize {
-        let runs = |task: TaskId| {
+        let is_running = |task: TaskId| {
             let usable = self.machines.iter().filter(|machine| machine.usable);
             let mut attempts = usable.flat_map(|machine| &machine.tasks);
             attempts.any(|a| a.task == task && self.running.contains(&a.number))
@@ -258,7 +258,7 @@
         let tasks = jobs.flat_map(|(job, job_view)| {
             (0..job_view.gang_tasks.unwrap_or(6)).map(|index| TaskId { job: *job, index })
         });
-        tasks.filter(|task| !runs(*task)).count()
+        tasks.filter(|task| !is_running(*task)).count()
     }
 
     fn state(&self, name: &str) -> &DrainState {
@@ -322,13 +322,13 @@
     fn reserve(&mut self, target: &EvictionTarget) -> Result<Vec<Reservation>, NoCapacity> {
         let mut reservations = Vec::new();
         for task in target.tasks() {
-            let open = |m: &&mut MachineView| {
+            let has_capacity = |m: &&mut MachineView| {
                 m.state == ServiceState::InService && m.usable && m.tasks.len() < TASKS_PER_MACHINE
             };
             let machine = self
                 .machines
                 .iter_mut()
-                .find(open)
+                .find(has_capacity)
                 .ok_or(NoCapacity::NotYet)?;
             machine.tasks.push(Attempt { task, number: 0 });
             let machine = machine.id.clone();
@@ -378,15 +378,18 @@
             }
         }
         assert_eq!(fleet.state("disk"), &DrainState::Done, "seed {seed}");
-        let left = fleet.machines.iter().filter(|m| *m.zone.0 == *"a");
-        assert!(left.into_iter().all(|m| m.tasks.is_empty()), "seed {seed}");
+        let drained_machines = fleet.machines.iter().filter(|m| *m.zone.0 == *"a");
+        assert!(
+            drained_machines.into_iter().all(|m| m.tasks.is_empty()),
+            "seed {seed}"
+        );
     }
 }
 
 #[test]
 fn nothing_is_evicted_while_a_team_is_at_its_limit() {
     for limit in ["0", "10%"] {
-        // A tenth of six tasks is less than one: rounded down.
+        // 10% of six tasks is rounded down to 0.
         let mut fleet = SimulatedFleet::new(6, 6, limit.parse().expect("the limit is valid"));
         fleet.add_drain("disk", Scope::Zone("a".into()));
         fleet.run_pass(true);
--- a/src/operations/mod.rs
+++ b/src/operations/mod.rs
@@ -332,8 +332,8 @@
 
 fn drains_reply(id: Option<&DrainId>, cx: &Context<'_>, cache: &WatchCache) -> Reply {
     let progress = |id: &DrainId| cx.draining.and_then(|draining| draining.progress().get(id));
-    let wanted = |known: &&DrainId| id.is_none_or(|id| id == *known);
-    let ids = cache.drains.keys().filter(wanted);
+    let is_requested = |drain: &&DrainId| id.is_none_or(|id| id == *drain);
+    let ids = cache.drains.keys().filter(is_requested);
     let statuses: Vec<DrainStatus> = ids
         .map(|id| DrainStatus::new(id, &cache.drains[id].value, progress(id)))
         .collect();
