--- a/crates/drain/src/budget.rs
+++ b/crates/drain/src/budget.rs
@@ -14,7 +14,10 @@
 /// A maximum, as a number or as a share of a total.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[serde(try_from = "String", into = "String")]
-#[schemars(with = "String")]
+#[schemars(
+    with = "String",
+    description = "At most so many, as a number or as a share of all there are."
+)]
 pub enum Limit {
     /// A number.
     Count(u32),
