--- a/src/cli/mod.rs
+++ b/src/cli/mod.rs
@@ -13,8 +13,8 @@
 #[command(
     version,
     after_help = "Exit codes: 0 success, 1 the service could not run, 2 invalid settings, names or command line,\n\
-    3 no such drain, 4 refused in the present state, 5 unavailable (retry later), 6 with --wait: the drain was halted\n\
-    or cancelled.\n\
+    3 no such drain, 4 refused in the present state, 5 unavailable now (repeat the command), 6 with --wait: the drain was\n\
+    halted or cancelled.\n\
     Logs go to standard error. The variable LOG_LEVEL sets the level: error, warn, info (default), debug or trace."
 )]
 pub struct Cli {
