--- a/crates/drain/src/id.rs
+++ b/crates/drain/src/id.rs
@@ -1,4 +1,4 @@
-//! The name of a drain, chosen by whoever asks for it: repeating a request under one name never acts twice.
+//! The id of a drain or a cordon. The client chooses it, so that a repeated request with the same id is carried out once.
 
 use std::fmt;
 use std::str::FromStr;
@@ -6,17 +6,17 @@
 
 use serde::{Deserialize, Deserializer, Serialize, Serializer};
 
-/// The longest name: it is part of a key and of each eviction that is recorded.
-pub const MOST_CHARACTERS: usize = 40;
+/// Limits the size of the record's key and of each recorded eviction, which both contain the id.
+pub const MAX_ID_CHARACTERS: usize = 40;
 
-/// The name of a drain or a cordon.
+/// The id of a drain or a cordon.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct DrainId(Arc<str>);
 
-/// A text that is no name of a drain.
+/// The text is not a valid id of a drain.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 #[error(
-    "an id has 1 to {MOST_CHARACTERS} of the characters a-z, 0-9, `-`, `_` and `.`, and begins with a letter or digit"
+    "an id has 1 to {MAX_ID_CHARACTERS} of the characters a-z, 0-9, `-`, `_` and `.`, and begins with a letter or digit"
 )]
 pub struct MalformedId;
 
@@ -26,11 +26,11 @@
     fn from_str(text: &str) -> Result<Self, MalformedId> {
         let allowed =
             |c: char| c.is_ascii_lowercase() || c.is_ascii_digit() || matches!(c, '-' | '_' | '.');
-        let begins_well = text
+        let valid_start = text
             .chars()
             .next()
             .is_some_and(|c| c.is_ascii_lowercase() || c.is_ascii_digit());
-        if begins_well && text.len() <= MOST_CHARACTERS && text.chars().all(allowed) {
+        if valid_start && text.len() <= MAX_ID_CHARACTERS && text.chars().all(allowed) {
             Ok(DrainId(text.into()))
         } else {
             Err(MalformedId)
--- a/crates/drain/src/planner/evictions.rs
+++ b/crates/drain/src/planner/evictions.rs
@@ -1,4 +1,4 @@
-//! Which tasks are evicted next.
+//! Decides which tasks of a drain are evicted next.
 
 use std::collections::BTreeSet;
 
@@ -7,41 +7,41 @@
 use super::Effect;
 use super::pass::Pass;
 use crate::budget::Limit;
-use crate::disruption::Exceeded;
+use crate::disruption::ExceededBudget;
 use crate::fleet::{Fleet, MachineView, NoCapacity};
 use crate::id::DrainId;
 use crate::ledger::{Eviction, EvictionTarget};
 use crate::record::{DrainRecord, Phase};
 
-/// A task that has to be moved and has no room elsewhere.
-pub(super) struct MissingRoom {
+/// A task that must be moved and has no capacity elsewhere.
+pub(super) struct MissingCapacity {
     pub task: TaskId,
     pub reason: NoCapacity,
 }
 
-/// What a pass has decided for one drain, and the first of each kind of obstacle that kept it from more.
+/// The decisions of a pass for one drain, and the first obstacle of each kind that prevented further evictions.
 #[derive(Default)]
 pub(super) struct EvictionRound {
-    /// Number of evictions.
+    /// The number of decided evictions.
     pub decided: usize,
-    pub exceeded: Option<Exceeded>,
-    pub missing_room: Option<MissingRoom>,
+    pub exceeded: Option<ExceededBudget>,
+    pub missing_capacity: Option<MissingCapacity>,
 }
 
 enum Decision {
     Evicted,
-    /// The transaction or the ledger's value has no room for it now, the drain is halted, or the job has ended.
+    /// The limit of the transaction or of the ledger's value is reached, the drain is halted, or the job has ended.
     Deferred,
 }
 
-/// Why a task or a gang can't be evicted now.
+/// Why a target can't be evicted now.
 enum EvictionError {
-    Budget(Exceeded),
-    NoCapacity(MissingRoom),
+    Budget(ExceededBudget),
+    NoCapacity(MissingCapacity),
 }
 
 impl<F: Fleet> Pass<'_, F> {
-    /// How many machines of a drain may be emptied at a time.
+    /// The number of machines of a drain that may be emptied at a time.
     fn step(&self, record: &DrainRecord, machines: usize) -> usize {
         let step = match record.step.unwrap_or(self.limits.step) {
             Limit::Count(count) => count as usize,
@@ -50,7 +50,7 @@
         step.max(1)
     }
 
-    /// Decides on evictions as far as the step, the budgets, the ledgers and the room go.
+    /// Decides evictions within the limits of the step, the budgets, the ledgers and the capacity elsewhere.
     pub(super) fn evict(
         &mut self,
         id: &DrainId,
@@ -65,7 +65,7 @@
         let step = self.step(record, machines.len());
         let mut order: Vec<&MachineView> =
             machines.iter().filter(|m| !m.tasks.is_empty()).collect();
-        // Those that are begun first, then those that are quickest to empty.
+        // Machines that are already being emptied come first, then those with the fewest tasks.
         order.sort_by_key(|m| (!emptying.contains(&m.id), m.tasks.len(), &m.id));
         let mut round = EvictionRound::default();
         for machine in order {
@@ -83,7 +83,7 @@
                         round.exceeded.get_or_insert(exceeded);
                     }
                     Err(EvictionError::NoCapacity(missing)) => {
-                        round.missing_room.get_or_insert(missing);
+                        round.missing_capacity.get_or_insert(missing);
                     }
                 }
             }
@@ -91,7 +91,7 @@
         round
     }
 
-    /// What has to be moved off a machine: a gang counts once.
+    /// The targets that must be evicted from a machine. Attempts of one gang are one target.
     fn targets(&self, machine: &MachineView) -> BTreeSet<EvictionTarget> {
         let target = |attempt: &Attempt| {
             let job = self.fleet.job(attempt.task.job)?;
@@ -104,17 +104,17 @@
                 _ => Some(EvictionTarget::Task(*attempt)),
             }
         };
-        let moved =
+        let must_move =
             |attempt: &&Attempt| !self.is_evicted(attempt) && !self.fleet.is_stopping(attempt);
         machine
             .tasks
             .iter()
-            .filter(moved)
+            .filter(must_move)
             .filter_map(target)
             .collect()
     }
 
-    /// Whether an attempt's eviction is recorded, or decided in this pass.
+    /// Whether the eviction of an attempt is recorded or was decided in this pass.
     fn is_evicted(&self, attempt: &Attempt) -> bool {
         let recorded = self.records.ledgers.values().flat_map(|l| &l.evictions);
         let decided = self.evictions.values().flatten();
@@ -122,7 +122,7 @@
         all.any(|eviction| eviction.target.includes(attempt))
     }
 
-    /// Evicts a task or a gang, if its budget allows it and there is room for it elsewhere.
+    /// Evicts a target if its budget allows it and there is capacity for it elsewhere.
     fn try_evict(
         &mut self,
         id: &DrainId,
@@ -133,20 +133,20 @@
         let Some(job) = self.fleet.job(target.job()) else {
             return Ok(Decision::Deferred);
         };
-        let exceeded = self
-            .disruptions
-            .exceeded(&*self.fleet, self.records.budgets, &target);
+        let exceeded =
+            self.disruptions
+                .exceeded_budget(&*self.fleet, self.records.budgets, &target);
         if let Some(exceeded) = exceeded {
             return Err(EvictionError::Budget(exceeded));
         }
-        if !self.ledger_has_room(&job.team) {
+        if !self.ledger_has_capacity(&job.team) {
             return Ok(Decision::Deferred);
         }
         let first = target.tasks().next();
         let reservations = match (self.fleet.reserve(&target), first) {
             (Ok(reservations), _) => reservations,
             (Err(reason), Some(task)) => {
-                return Err(EvictionError::NoCapacity(MissingRoom { task, reason }));
+                return Err(EvictionError::NoCapacity(MissingCapacity { task, reason }));
             }
             (Err(_), None) => return Ok(Decision::Deferred),
         };
@@ -154,7 +154,7 @@
             return Ok(Decision::Deferred);
         }
         for task in target.tasks() {
-            self.disruptions.disrupt(&*self.fleet, task);
+            self.disruptions.mark_disrupted(&*self.fleet, task);
         }
         let eviction = Eviction {
             target,
@@ -168,15 +168,16 @@
         Ok(Decision::Evicted)
     }
 
-    /// Whether the team's ledger, and the transaction that changes it, can take another eviction.
-    fn ledger_has_room(&self, team: &Team) -> bool {
+    /// Whether another eviction fits into the team's ledger and into the transaction that writes it.
+    fn ledger_has_capacity(&self, team: &Team) -> bool {
         let decided = self.evictions.get(team).map_or(0, Vec::len);
         let recorded = self
             .records
             .ledgers
             .get(team)
             .map_or(0, |l| l.evictions.len());
-        let open = decided > 0 || self.evictions.len() < self.limits.max_ledgers_per_transaction;
-        open && recorded + decided < self.limits.max_ledger_entries
+        let may_write_ledger =
+            decided > 0 || self.evictions.len() < self.limits.max_ledgers_per_transaction;
+        may_write_ledger && recorded + decided < self.limits.max_ledger_entries
     }
 }
--- a/src/operations/mod.rs
+++ b/src/operations/mod.rs
@@ -1,10 +1,10 @@
-//! Operators' requests: checked and recorded by the leader, answered once they are recorded.
+//! Operators' requests: the leader checks and records them, and replies once they are recorded.
 //!
-//! The controller adds each request, polls for replies and for the next transaction, and reports what became of that.
-//! What a request changes is decided in `dappleshore_drain::requests`.
+//! The controller adds each request, polls for replies and for the next transaction, and passes in the transaction's outcome.
+//! `dappleshore_drain::requests` computes the changes that a request requires.
 //!
-//! Invariants: one transaction is under way at a time. A request stays pending until a fresh copy of the records shows
-//! that all is as it asks for, so that it does not matter whether a transaction of it was lost, or executed late or twice.
+//! Invariants: one transaction is in progress at a time. A request stays pending until a current copy of the records matches
+//! it, so that a transaction may be lost, or executed late or twice.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::time::{Duration, Instant};
@@ -13,7 +13,7 @@
 use dappleshore_drain::operator::{
     BudgetStatus, DrainStatus, Problem, ProblemKind, Reply, Request,
 };
-use dappleshore_drain::requests::{self, Change, Known};
+use dappleshore_drain::requests::{self, Change, RequestContext};
 use dappleshore_drain::{DrainId, DrainRecord, Phase, TeamBudget};
 use tracing::info;
 
@@ -27,43 +27,43 @@
 };
 use crate::store::{StoreRequest, StoreResponse, Transaction, WatchCache, WriterState};
 
-/// More pending requests than this are refused at once.
+/// Further requests are refused immediately.
 const MAX_PENDING_REQUESTS: usize = 32;
-/// A request is answered within this, whatever happens.
-pub const ANSWER_WITHIN: Duration = Duration::from_secs(4);
-/// What a drain's record may grow by after it was accepted.
-const RECORD_RESERVE_BYTES: usize = 256;
+/// Every request gets a reply within this time.
+pub const REPLY_TIMEOUT: Duration = Duration::from_secs(4);
+/// Space that a new drain's record leaves in the stored value for later changes of the record.
+const RECORD_GROWTH_BYTES: usize = 256;
 
 #[derive(Debug)]
 struct PendingRequest {
     id: RequestId,
     request: Request,
-    asked: Instant,
-    /// Whether a transaction of it was sent.
-    sent: bool,
-    /// The records that the request to uncordon changes.
+    received_at: Instant,
+    /// Whether a transaction for it was sent.
+    transaction_sent: bool,
+    /// The records that the uncordon request changed.
     uncordoned: BTreeSet<DrainId>,
 }
 
-/// Requests that are not answered yet.
+/// Operators' requests that have no reply yet.
 #[derive(Debug)]
 pub struct OperatorRequests {
     pending: VecDeque<PendingRequest>,
     writer: WriterState,
 }
 
-/// What requests are decided on.
+/// The state of the leader that requests are decided with.
 pub struct Context<'a> {
-    /// The leader's own version, settings and catalogue.
+    /// The leader's record version, settings and instance catalog.
     pub leader: &'a LeaderContext<'a>,
-    /// None: draining is switched off.
+    /// The coordinator of drains. `None`: draining is disabled.
     pub draining: Option<&'a DrainCoordinator>,
 }
 
-/// What a poll has come to.
+/// The result of a poll.
 #[derive(Default)]
 pub struct PollResult {
-    /// The replies that are decided.
+    /// Replies to send.
     pub replies: Vec<(RequestId, Reply)>,
     /// A transaction to send.
     pub request: Option<StoreRequest>,
@@ -78,13 +78,13 @@
     }
 }
 
-/// A reply that says that nobody can decide now.
+/// A reply that the request can't be decided now.
 fn unavailable(message: impl Into<String>) -> Reply {
     Reply::Problem(Problem::new(ProblemKind::Unavailable, message))
 }
 
 impl OperatorRequests {
-    /// Adds a request. The reply, if there are too many already.
+    /// Adds a request. If too many are pending, returns the reply that refuses it.
     pub fn add_request(&mut self, now: Now, id: RequestId, request: Request) -> Option<Reply> {
         if self.pending.len() >= MAX_PENDING_REQUESTS {
             return Some(unavailable("too many requests are waiting"));
@@ -92,8 +92,8 @@
         self.pending.push_back(PendingRequest {
             id,
             request,
-            asked: now.monotonic,
-            sent: false,
+            received_at: now.monotonic,
+            transaction_sent: false,
             uncordoned: BTreeSet::new(),
         });
         None
@@ -104,7 +104,8 @@
         self.pending.is_empty()
     }
 
-    /// Refers all pending requests to the controller that leads, if it is known, as this one does not.
+    /// Replies to all pending requests with the present leader's address, if it is known, because this controller is not the
+    /// leader.
     pub fn redirect_all(
         &mut self,
         leader: Option<(ControllerName, String)>,
@@ -116,22 +117,22 @@
                     leader: leader.clone(),
                     addr: addr.clone(),
                 },
-                None => unavailable("no controller leads just now"),
+                None => unavailable("there is no leader at present"),
             };
             (pending.id, reply)
         };
         self.pending.drain(..).map(reply).collect()
     }
 
-    /// Decides what can be decided, and makes the transaction that the first request with changes needs.
+    /// Replies to requests that can be decided, and creates the transaction for the first request that changes records.
     pub fn poll(&mut self, now: Now, cx: &Context<'_>, cache: &mut WatchCache) -> PollResult {
         let mut result = PollResult::default();
         self.answer_overdue(now, &mut result);
         self.answer_reads(cx, cache, &mut result);
-        let Some(pending) = self.pending.iter_mut().find(|p| !p.request.only_reads()) else {
+        let Some(pending) = self.pending.iter_mut().find(|p| !p.request.is_read_only()) else {
             return result;
         };
-        if !cache.is_current_as_of(pending.asked) {
+        if !cache.is_current_as_of(pending.received_at) {
             cache.request_refresh();
             return result;
         }
@@ -145,8 +146,8 @@
                 result.replies.push((pending.id, reply));
             }
             Ok(changes) => {
-                info!(request = ?pending.request, "operators' request");
-                pending.sent = true;
+                info!(request = ?pending.request, "carrying out operator request");
+                pending.transaction_sent = true;
                 for change in &changes {
                     if let Change::PutDrain(id, record) = change
                         && matches!(pending.request, Request::Uncordon { .. })
@@ -169,12 +170,12 @@
 
     fn answer_overdue(&mut self, now: Now, result: &mut PollResult) {
         self.pending.retain(|pending| {
-            let overdue = since(now, pending.asked) >= ANSWER_WITHIN;
+            let overdue = since(now, pending.received_at) >= REPLY_TIMEOUT;
             if overdue {
-                let message = if pending.sent {
-                    "not known yet whether it was carried out: repeat it as it is"
+                let message = if pending.transaction_sent {
+                    "it is not known whether the request was carried out: repeat it unchanged"
                 } else {
-                    "the state service does not answer"
+                    "the state service does not respond"
                 };
                 result.replies.push((pending.id, unavailable(message)));
             }
@@ -183,13 +184,13 @@
     }
 
     fn answer_reads(&mut self, cx: &Context<'_>, cache: &mut WatchCache, result: &mut PollResult) {
-        let mut fresh_wanted = false;
+        let mut refresh_needed = false;
         self.pending.retain(|pending| {
-            if !pending.request.only_reads() {
+            if !pending.request.is_read_only() {
                 return true;
             }
-            if !cache.is_current_as_of(pending.asked) {
-                fresh_wanted = true;
+            if !cache.is_current_as_of(pending.received_at) {
+                refresh_needed = true;
                 return true;
             }
             result
@@ -197,18 +198,18 @@
                 .push((pending.id, read_reply(&pending.request, cx, cache)));
             false
         });
-        if fresh_wanted {
+        if refresh_needed {
             cache.request_refresh();
         }
     }
 
-    /// Takes in the outcome of the transaction.
+    /// Handles the response to the transaction.
     pub fn handle_store_response(&mut self, now: Now, outcome: &StoreResponse) {
         self.writer.record_response(now, outcome);
     }
 }
 
-/// The changes that a request still needs.
+/// The changes that a request still requires.
 fn changes(
     request: &Request,
     now: Now,
@@ -218,14 +219,14 @@
     if cx.draining.is_none() {
         return Err(Problem::new(
             ProblemKind::Refused,
-            "draining is switched off: set `enabled = true` under `[drain]` in the features file",
+            "draining is disabled: set `enabled = true` under `[drain]` in the features file",
         ));
     }
     if cache.format() < DRAIN_FORMAT {
-        let old: Vec<String> = lagging_controllers(cx.leader, cache);
+        let lagging: Vec<String> = lagging_controllers(cx.leader, cache);
         let message = format!(
-            "not before all controllers know drains; {} can't say so yet",
-            old.join(", ")
+            "not all controllers support drains yet; missing: {}",
+            lagging.join(", ")
         );
         return Err(Problem::new(ProblemKind::Unavailable, message));
     }
@@ -236,9 +237,9 @@
     let budgets = without_versions(&cache.drain_budgets);
     let machines = machine_views(cache, |_| true, |_| false, |_| false);
     let value_bytes = config.state_limits.value_bytes;
-    let fits =
-        |record: &DrainRecord| json_size(&encode(record)) + RECORD_RESERVE_BYTES <= value_bytes;
-    let known = Known {
+    let fits_value =
+        |record: &DrainRecord| json_size(&encode(record)) + RECORD_GROWTH_BYTES <= value_bytes;
+    let context = RequestContext {
         now_ms: now.unix_ms(),
         drains: &drains,
         budgets: &budgets,
@@ -255,22 +256,22 @@
             .collect(),
         zones: catalog.zones(config).into_iter().collect(),
         teams: config.teams.iter().map(|team| team.name.clone()).collect(),
-        most_changes: cx.leader.max_changes,
-        fits: &fits,
+        max_changes: cx.leader.max_changes,
+        fits_value: &fits_value,
     };
-    requests::changes(request, &known)
+    requests::changes(request, &context)
 }
 
-/// Controllers that do not know drains, or are not up.
+/// Controllers that don't support drains or are not running.
 fn lagging_controllers(leader: &LeaderContext<'_>, cache: &WatchCache) -> Vec<String> {
     let peers = leader.config.peers.iter().map(|peer| &peer.name);
-    let knows = |controller: &ControllerName| {
+    let supports_drains = |controller: &ControllerName| {
         let member = cache.members.get(controller);
         member.is_some_and(|member| member.value.format >= DRAIN_FORMAT)
     };
     peers
         .chain([&leader.config.name])
-        .filter(|controller| !knows(controller))
+        .filter(|controller| !supports_drains(controller))
         .map(|controller| controller.to_string())
         .collect()
 }
@@ -297,7 +298,7 @@
     txn
 }
 
-/// The reply to a request that needs no further change.
+/// The reply to a request that requires no further change.
 fn final_reply(pending: &PendingRequest, cx: &Context<'_>, cache: &WatchCache) -> Reply {
     match &pending.request {
         Request::Start {
@@ -308,10 +309,10 @@
             step,
         } => {
             let drains = without_versions(&cache.drains);
-            let asked_ms = 0;
+            let requested_ms = 0;
             let scope = scope.clone();
-            let record = DrainRecord::requested(scope, *purpose, *return_machines, *step, asked_ms);
-            let existing = requests::existing(id, &record, &drains).cloned();
+            let record = DrainRecord::new(scope, *purpose, *return_machines, *step, requested_ms);
+            let existing = requests::find_existing(id, &record, &drains).cloned();
             drains_reply(existing.as_ref().or(Some(id)), cx, cache)
         }
         Request::Cancel { id } | Request::Resume { id } => drains_reply(Some(id), cx, cache),
@@ -331,8 +332,8 @@
 
 fn drains_reply(id: Option<&DrainId>, cx: &Context<'_>, cache: &WatchCache) -> Reply {
     let progress = |id: &DrainId| cx.draining.and_then(|draining| draining.progress().get(id));
-    let wanted = |known: &&DrainId| id.is_none_or(|id| id == *known);
-    let ids = cache.drains.keys().filter(wanted);
+    let is_requested = |drain: &&DrainId| id.is_none_or(|id| id == *drain);
+    let ids = cache.drains.keys().filter(is_requested);
     let statuses: Vec<DrainStatus> = ids
         .map(|id| DrainStatus::new(id, &cache.drains[id].value, progress(id)))
         .collect();
@@ -345,7 +346,7 @@
     }
 }
 
-/// The budgets of all teams, and those of classes that have one of their own.
+/// The budgets of all teams, and of classes with their own budgets.
 fn budget_statuses(cx: &Context<'_>, cache: &WatchCache) -> Vec<BudgetStatus> {
     let Some(draining) = cx.draining else {
         return Vec::new();
@@ -354,15 +355,17 @@
     let mut statuses = Vec::new();
     for team in cx.leader.config.teams.iter().map(|team| &team.name) {
         let limit = budgets.team_limit(team);
-        let stated = |by: &BTreeMap<Team, TeamBudget>| {
-            by.get(team).is_some_and(|budget| budget.limit.is_some())
+        let is_set = |budgets_by_team: &BTreeMap<Team, TeamBudget>| {
+            budgets_by_team
+                .get(team)
+                .is_some_and(|budget| budget.limit.is_some())
         };
         let count = draining.disruptions().team_count(team);
         let status =
             |class: Option<String>,
              limit: Limit,
              source: &str,
-             count: dappleshore_drain::disruption::Count| BudgetStatus {
+             count: dappleshore_drain::disruption::DisruptionCount| BudgetStatus {
                 team: team.to_string(),
                 class,
                 limit,
@@ -374,16 +377,17 @@
         statuses.push(status(
             None,
             limit,
-            source(stated(&budgets.requested), stated(&budgets.settings)),
+            source(is_set(&budgets.requested), is_set(&budgets.settings)),
             count,
         ));
-        let of = |by: &BTreeMap<Team, TeamBudget>| -> BTreeSet<String> {
-            by.get(team)
+        let classes_of = |budgets_by_team: &BTreeMap<Team, TeamBudget>| -> BTreeSet<String> {
+            budgets_by_team
+                .get(team)
                 .map(|budget| budget.classes.keys().cloned().collect())
                 .unwrap_or_default()
         };
-        let requested = of(&budgets.requested);
-        for class in requested.union(&of(&budgets.settings)) {
+        let requested = classes_of(&budgets.requested);
+        for class in requested.union(&classes_of(&budgets.settings)) {
             let Some(limit) = budgets.class_limit(team, class) else {
                 continue;
             };
@@ -397,7 +401,7 @@
     statuses
 }
 
-/// Who has set a budget.
+/// The source of a budget, as it appears in statuses.
 fn source(requested: bool, in_settings: bool) -> &'static str {
     match (requested, in_settings) {
         (true, _) => "request",
