--- a/crates/drain/src/requests.rs
+++ b/crates/drain/src/requests.rs
@@ -103,10 +103,10 @@
     if drains.contains_key(id) {
         return Some(id);
     }
-    let has_same_request = |(_, other): &(&DrainId, &DrainRecord)| {
+    let is_equivalent = |(_, other): &(&DrainId, &DrainRecord)| {
         other.is_in_progress() && other.has_same_request(record)
     };
-    drains.iter().find(has_same_request).map(|(id, _)| id)
+    drains.iter().find(is_equivalent).map(|(id, _)| id)
 }
 
 fn start(
